--- a/internal/contract/change.go
+++ b/internal/contract/change.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Change is what becomes of the contracts of a table that is changed in place. It costs by what is in it, not by what there is.
+// Change is a change to the contracts of a table in place. Its cost depends on its own size, not on that of the table.
 type Change struct {
-	Put  []Terms  // new ones, or those of a name that is there in place of what it stated; they must be sound (Terms.Check)
-	Gone []string // names; one that is not there is of no interest
-	Even bool     // nodes hand out even parts from now on, as Table.EvenParts has it
+	Put  []Terms  // contracts to add, or to replace by name; their terms must be valid (Terms.Check)
+	Gone []string // names of contracts to remove; unknown names are ignored
+	Even bool     // whether nodes enforce even shares from now on, as in Table.EvenShares
 }
 
-// ChangeError is what is wrong with a change.
+// ChangeError describes why a change is invalid.
 type ChangeError struct {
-	Name  string // of the contract at fault
-	Field string // as files name it; empty: the contract as a whole
+	Name  string // name of the contract at fault
+	Field string // name of the field in configuration files; empty: the contract as a whole
 	Why   string
 }
 
+// Error implements error.
 func (e *ChangeError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("contract %q: %s", e.Name, e.Why)
@@ -28,49 +29,50 @@
 	return fmt.Sprintf("contract %q: %s: %s", e.Name, e.Field, e.Why)
 }
 
-// Check tells whether a change fits the table: what it puts is sound and put once, no two contracts are for just the same callers
-// or both for everybody once all of it is in force. It changes nothing. An error is a *ChangeError.
+// Check reports whether a change can be applied: its terms are valid, it names no contract twice, and once it is applied
+// no two contracts are for exactly the same callers or both the default. It does not modify the table. An error is a
+// *ChangeError.
 func (t *Table) Check(c *Change) error {
-	moved := make(map[string]bool, len(c.Put)+len(c.Gone)) // what these state now counts no more
+	replaced := make(map[string]bool, len(c.Put)+len(c.Gone)) // contracts whose current terms no longer apply
 	for _, name := range c.Gone {
-		moved[name] = true
+		replaced[name] = true
 	}
 	for i := range c.Put {
-		if name := c.Put[i].Name; moved[name] {
-			return &ChangeError{name, "", "is put twice, or both put and gone"}
+		if name := c.Put[i].Name; replaced[name] {
+			return &ChangeError{name, "", "is put twice, or both put and removed"}
 		}
-		moved[c.Put[i].Name] = true
+		replaced[c.Put[i].Name] = true
 	}
-	fallback := ""
-	if t.fallback >= 0 && !moved[t.terms[t.fallback].Name] {
-		fallback = t.terms[t.fallback].Name
+	defaultName := ""
+	if t.defaultSlot >= 0 && !replaced[t.terms[t.defaultSlot].Name] {
+		defaultName = t.terms[t.defaultSlot].Name
 	}
-	matches := make(map[Match]int, len(c.Put)) // of this change
+	matches := make(map[Match]int, len(c.Put)) // matches of this change, with the index of their contract
 	for i := range c.Put {
 		p := &c.Put[i]
 		if field, why := p.Check(); field != "" {
 			return &ChangeError{p.Name, field, why}
 		}
 		if len(p.Matches) == 0 {
-			if fallback != "" {
-				return &ChangeError{p.Name, "match", fmt.Sprintf("contract %q is for everybody else already", fallback)}
+			if defaultName != "" {
+				return &ChangeError{p.Name, "match", fmt.Sprintf("contract %q is for everybody else already", defaultName)}
 			}
-			fallback = p.Name
+			defaultName = p.Name
 		}
 		for k := range p.Matches {
 			m := &p.Matches[k]
 			field := fmt.Sprintf("match[%d]", k)
-			if m.rank() == 0 {
+			if m.specificity() == 0 {
 				return &ChangeError{p.Name, field, "is empty"}
 			}
-			by := ""
-			if o, dup := matches[*m]; dup && o != i {
-				by = c.Put[o].Name
-			} else if at := t.owner(m); at >= 0 && !moved[t.terms[at].Name] {
-				by = t.terms[at].Name
+			owner := ""
+			if other, dup := matches[*m]; dup && other != i {
+				owner = c.Put[other].Name
+			} else if at := t.slotOf(m); at >= 0 && !replaced[t.terms[at].Name] {
+				owner = t.terms[at].Name
 			}
-			if by != "" {
-				return &ChangeError{p.Name, field, fmt.Sprintf("contract %q is for the same callers", by)}
+			if owner != "" {
+				return &ChangeError{p.Name, field, fmt.Sprintf("contract %q is for the same callers", owner)}
 			}
 			matches[*m] = i
 		}
@@ -78,115 +80,116 @@
 	return nil
 }
 
-// list is the head of the list that a match is in, by its most specific field.
-func (t *Table) list(m *Match) *candidate {
+// candidates returns the head of the candidate list for a match, keyed by its most specific field; nil: empty.
+func (t *Table) candidates(m *Match) *candidate {
 	switch {
 	case m.Token != [sha256.Size]byte{}:
-		return t.tokens[m.Token]
+		return t.byToken[m.Token]
 	case m.Header != "":
-		return t.headers[header{m.Header, m.Value}]
+		return t.byHeader[headerKey{m.Header, m.Value}]
 	case m.Tenant != "":
-		return t.tenants[m.Tenant]
+		return t.byTenant[m.Tenant]
 	}
-	return t.ranges[m.From]
+	return t.byRange[m.From]
 }
 
-// setList puts another head in its place; nil: the list is empty.
-func (t *Table) setList(m *Match, k *candidate) {
+// setCandidates replaces the head of the candidate list for a match; nil removes the list.
+func (t *Table) setCandidates(m *Match, head *candidate) {
 	switch {
 	case m.Token != [sha256.Size]byte{}:
-		set(t.tokens, m.Token, k)
+		setOrDelete(t.byToken, m.Token, head)
 	case m.Header != "":
-		set(t.headers, header{m.Header, m.Value}, k)
+		setOrDelete(t.byHeader, headerKey{m.Header, m.Value}, head)
 	case m.Tenant != "":
-		set(t.tenants, m.Tenant, k)
+		setOrDelete(t.byTenant, m.Tenant, head)
 	default:
-		set(t.ranges, m.From, k)
+		setOrDelete(t.byRange, m.From, head)
 	}
 }
 
-func set[K comparable](in map[K]*candidate, key K, k *candidate) {
-	if k == nil {
+// setOrDelete sets the list head for a key, or deletes the key if the head is nil.
+func setOrDelete[K comparable](in map[K]*candidate, key K, head *candidate) {
+	if head == nil {
 		delete(in, key)
 	} else {
-		in[key] = k
+		in[key] = head
 	}
 }
 
-// owner is the contract that has just this match; -1: none. It costs by the matches that have its most specific field in common, as
-// a look-up does.
-func (t *Table) owner(m *Match) int {
-	for k := t.list(m); k != nil; k = k.next {
+// slotOf returns the slot of the contract that has exactly this match; -1: none. It searches the matches with the same
+// most specific field, as a lookup does.
+func (t *Table) slotOf(m *Match) int {
+	for k := t.candidates(m); k != nil; k = k.next {
 		if *k.match == *m {
-			return int(k.contract)
+			return int(k.slot)
 		}
 	}
 	return -1
 }
 
-// enter makes a slot's contract be found. Its name and callers must be its own.
-func (t *Table) enter(i int) {
+// index adds the contract in a slot to the lookup indexes. Its name and callers must be unique.
+func (t *Table) index(i int) {
 	c := &t.terms[i]
-	t.slots[c.Name] = i
+	t.slotByName[c.Name] = i
 	if len(c.Matches) == 0 {
-		t.fallback = i
+		t.defaultSlot = i
 	}
 	for k := range c.Matches {
 		m := &c.Matches[k]
-		if t.owner(m) >= 0 {
-			continue // it says so twice
+		if t.slotOf(m) >= 0 {
+			continue // the contract lists the same match twice
 		}
-		at := &candidate{contract: int32(i), rank: int32(m.rank()), match: m}
-		if head := t.list(m); head == nil {
-			t.setList(m, at)
+		added := &candidate{slot: int32(i), specificity: int32(m.specificity()), match: m}
+		if head := t.candidates(m); head == nil {
+			t.setCandidates(m, added)
 		} else {
-			for head.next != nil { // behind those that came before
+			for head.next != nil { // append, so that earlier candidates are found first
 				head = head.next
 			}
-			head.next = at
+			head.next = added
 		}
-		t.count(m, true)
+		t.countLookupKey(m, true)
 	}
 }
 
-// strike makes a slot's contract not be found any more.
-func (t *Table) strike(i int) {
+// unindex removes the contract in a slot from the lookup indexes.
+func (t *Table) unindex(i int) {
 	c := &t.terms[i]
-	delete(t.slots, c.Name)
-	if t.fallback == i {
-		t.fallback = -1
+	delete(t.slotByName, c.Name)
+	if t.defaultSlot == i {
+		t.defaultSlot = -1
 	}
 	for k := range c.Matches {
 		m := &c.Matches[k]
-		head := t.list(m)
+		head := t.candidates(m)
 		for at := &head; *at != nil; at = &(*at).next {
 			if (*at).match == m {
 				*at = (*at).next
-				t.setList(m, head)
-				t.count(m, false)
+				t.setCandidates(m, head)
+				t.countLookupKey(m, false)
 				break
 			}
 		}
 	}
 }
 
-// count keeps what look-ups go through: names of headers and lengths of prefixes.
-func (t *Table) count(m *Match, more bool) {
+// countLookupKey updates what lookups iterate over: the header names and the prefix lengths in use.
+func (t *Table) countLookupKey(m *Match, added bool) {
 	switch {
 	case m.Token != [sha256.Size]byte{}:
 	case m.Header != "":
-		if more {
-			t.names.add(m.Header)
+		if added {
+			t.headerNames.add(m.Header)
 		} else {
-			t.names.remove(m.Header)
+			t.headerNames.remove(m.Header)
 		}
 	case m.Tenant != "":
 	default:
-		lengths := &t.lengths
+		lengths := &t.prefixLengths4
 		if !m.From.Addr().Is4() {
-			lengths = &t.lengths6
+			lengths = &t.prefixLengths6
 		}
-		if more {
+		if added {
 			lengths.add(m.From.Bits())
 		} else {
 			lengths.remove(m.From.Bits())
@@ -194,38 +197,39 @@
 	}
 }
 
-// Change puts a change in force; it must fit the table (Table.Check). From the first one on, of two matches that are equally specific the
-// contract counts whose name sorts first, so that nodes agree whatever changes brought them to their terms. A contract that it does not name keeps its number and all it
-// has spent. One that states something else now keeps what it has spent, within its new bounds. One that was removed and is made
-// again goes on from what it had left, refilled for the time between; see removals.
+// ApplyChange applies a change that has passed Table.Check. From the first change on, of two equally specific matches
+// the contract wins whose name sorts first, so that nodes agree whatever sequence of changes led to their terms.
+// A contract that the change does not name keeps its slot and its spent budgets. A replaced contract keeps what it has
+// spent, clamped to its new limits. A contract that was removed and is added again continues from what it had left,
+// refilled for the time in between; see removedContracts.
 func (l *Ledger) Change(now time.Duration, c *Change) {
-	now = l.clock(now)
+	now = l.monotonic(now)
 	t := l.table
-	t.byName, t.EvenParts = true, c.Even
+	t.tiesByName, t.EvenParts = true, c.Even
 	for _, name := range c.Gone {
-		i, known := t.slots[name]
+		i, known := t.slotByName[name]
 		if !known {
 			continue
 		}
-		t.strike(i)
+		t.unindex(i)
 		if s := l.states[i]; s != nil {
 			l.refill(&t.terms[i], s, now)
 			l.removed.add(now, &t.terms[i], s)
 		}
 		t.terms[i], l.states[i] = Terms{}, nil
-		t.free = append(t.free, i)
+		t.freeSlots = append(t.freeSlots, i)
 	}
-	if more := len(c.Put) - len(t.free); more > 0 {
+	if more := len(c.Put) - len(t.freeSlots); more > 0 {
 		t.terms, l.states = slices.Grow(t.terms, more), slices.Grow(l.states, more)
 	}
 	slots := make([]int, len(c.Put))
-	for k := range c.Put { // all that is replaced goes first: callers may pass from one contract to another
+	for k := range c.Put { // unindex all replaced contracts first: callers may move from one contract to another
 		slots[k] = -1
-		if i, known := t.slots[c.Put[k].Name]; known {
+		if i, known := t.slotByName[c.Put[k].Name]; known {
 			if l.states[i] != nil {
-				l.state(i, now)
+				l.refilled(i, now)
 			}
-			t.strike(i)
+			t.unindex(i)
 			slots[k] = i
 		}
 	}
@@ -235,89 +239,94 @@
 			before := t.terms[i]
 			old = &before
 		} else {
-			i = l.slot()
+			i = l.allocateSlot()
 			if e := l.removed.take(c.Put[k].Name, now, l); e != nil {
 				old, l.states[i], e.state.slot = &e.terms, e.state, i
 				e.state = nil
 			}
 		}
 		t.terms[i] = c.Put[k]
-		t.enter(i)
+		t.index(i)
 		if s := l.states[i]; s != nil {
-			l.bound(old, &t.terms[i], s)
+			l.clampToTerms(old, &t.terms[i], s)
 		}
 	}
 	l.active = slices.DeleteFunc(l.active, func(i int) bool { return l.states[i] == nil || !l.states[i].active })
 	l.removed.prune(now)
 }
 
-// slot is a free one.
-func (l *Ledger) slot() (i int) {
+// allocateSlot returns a free slot, and extends the table if there is none.
+func (l *Ledger) allocateSlot() (i int) {
 	t := l.table
-	if n := len(t.free); n > 0 {
-		i, t.free = t.free[n-1], t.free[:n-1]
+	if n := len(t.freeSlots); n > 0 {
+		i, t.freeSlots = t.freeSlots[n-1], t.freeSlots[:n-1]
 		return i
 	}
 	t.terms, l.states = append(t.terms, Terms{}), append(l.states, nil)
 	return len(t.terms) - 1
 }
 
-// bound keeps what is left of a contract within what it states now: no more than it may have; and where it states another budget of
-// work, no more debt than that could have made.
-func (l *Ledger) bound(old, c *Terms, s *state) {
-	s.tokens = min(s.tokens, l.burst(c))
-	s.work = min(s.work, c.Limit*l.part)
-	s.bytes = min(s.bytes, c.Bandwidth*l.part)
-	s.kept = min(s.kept, c.Guaranteed*l.part*saved.Seconds())
+// clampToTerms limits what a contract has left to its current terms. Where the budget of work changed, its debt is
+// limited to what the new budget could have accrued.
+func (l *Ledger) clampToTerms(old, c *Terms, s *state) {
+	s.rateTokens = min(s.rateTokens, l.burst(c))
+	s.workLeft = min(s.workLeft, c.Limit*l.nodeShare)
+	s.bytesLeft = min(s.bytesLeft, c.Bandwidth*l.nodeShare)
+	s.guaranteeLeft = min(s.guaranteeLeft, c.Guaranteed*l.nodeShare*guaranteeCarryOver.Seconds())
 	if old.Limit != c.Limit {
-		s.work = max(s.work, -debtMost*c.Limit*l.part)
+		s.workLeft = max(s.workLeft, -maxDebtSeconds*c.Limit*l.nodeShare)
 	}
 	if old.Guaranteed != c.Guaranteed {
-		s.kept = max(s.kept, -debtMost*c.Guaranteed*l.part)
+		s.guaranteeLeft = max(s.guaranteeLeft, -maxDebtSeconds*c.Guaranteed*l.nodeShare)
 	}
 }
 
 const (
-	removedMost = 1024             // contracts that have gone of which it is remembered what they had left,
-	removedFor  = 10 * time.Minute // for so long
-	forgotten   = -1               // the slot of a state that counts no more
+	// maxRemoved is the number of removed contracts whose state is retained.
+	maxRemoved = 1024
+	// removedRetention is how long the state of a removed contract is retained.
+	removedRetention = 10 * time.Minute
+	// forgottenSlot marks a state that has been discarded.
+	forgottenSlot = -1
 )
 
-// removals are what contracts that were removed by a change had left, so that one that is made again under its name pays its debts
-// and has no second burst, and that requests which outlive their contract are counted. Bounded: past removedMost the oldest goes. A
-// contract that is made again after that, or after removedFor, begins as a new one: the debts and the spent burst of the one before
-// are forgiven, and its requests that are still in flight are not counted among those of the new.
-type removals struct {
-	byName map[string]*removal
-	order  []*removal // the oldest first; without a state: it was taken
+// removedContracts retains the state of contracts that a change removed, so that a contract added again under the same
+// name still owes its debts and gets no second burst, and so that requests that outlive their contract are counted. It is
+// bounded: above maxRemoved the oldest is discarded. A contract that is added again after that, or after
+// removedRetention, starts as a new one: debts and spent burst are forgiven, and requests still in flight from its
+// predecessor are not counted. It belongs to a Ledger and is protected by the same lock.
+type removedContracts struct {
+	byName      map[string]*removedEntry
+	oldestFirst []*removedEntry // in the order of removal; an entry without a state was taken out
 }
 
-type removal struct {
-	terms Terms // without its matches
-	state *state
-	at    time.Duration
+// removedEntry is the retained state of one removed contract.
+type removedEntry struct {
+	terms     Terms // Matches is nil
+	state     *state
+	removedAt time.Duration
 }
 
-// add remembers a contract's state. It takes no part in lending meanwhile.
-func (r *removals) add(now time.Duration, c *Terms, s *state) {
-	s.active, s.share, s.demand, s.asked, s.scale = false, 0, 0, 0, 1
-	e := &removal{*c, s, now}
+// add retains a contract's state. The contract no longer takes part in the redistribution of unused quota.
+func (r *removedContracts) add(now time.Duration, c *Terms, s *state) {
+	s.active, s.borrowRate, s.demand, s.requestedWork, s.guaranteeScale = false, 0, 0, 0, 1
+	e := &removedEntry{*c, s, now}
 	e.terms.Matches = nil
 	if r.byName == nil {
-		r.byName = map[string]*removal{}
+		r.byName = map[string]*removedEntry{}
 	}
 	r.byName[c.Name] = e
-	r.order = append(r.order, e)
+	r.oldestFirst = append(r.oldestFirst, e)
 }
 
-// take is what is remembered of a contract that is made again, refilled up to now by what it stated when it went; nil: nothing is. Its
-// state is to be taken out.
-func (r *removals) take(name string, now time.Duration, l *Ledger) *removal {
+// take removes and returns the entry of a contract that is added again, refilled up to now by its former terms; nil:
+// there is none. The caller takes over its state and sets the entry's state to nil.
+func (r *removedContracts) take(name string, now time.Duration, l *Ledger) *removedEntry {
 	e := r.byName[name]
 	if e == nil {
 		return nil
 	}
-	if now-e.at > removedFor {
+	if now-e.removedAt > removedRetention {
 		r.forget(e)
 		return nil
 	}
@@ -326,70 +335,73 @@
 	return e
 }
 
-// Gone is what a contract stated that was removed, as far as what it had left goes by it, for a process that goes on in this one's place.
+// RemovedContract holds the terms of a removed contract that determine how its state refills, for a successor process.
+// It is stored under its Go field names.
 type Gone struct {
-	Ago                                       time.Duration // since it was removed
+	Ago                                       time.Duration // time since the removal
 	Rate, Burst, Limit, Bandwidth, Guaranteed float64       // as in Terms
-	Window                                    time.Duration
+	Window                                    time.Duration // Terms.RetryWindow
 }
 
-// left tells what all that are remembered had left, refilled up to now.
-func (r *removals) left(now time.Duration, l *Ledger) (all []Left) {
-	for _, e := range r.order {
-		if e.state == nil || now-e.at > removedFor {
+// states returns the retained states, refilled up to now, the oldest first.
+func (r *removedContracts) states(now time.Duration, l *Ledger) (all []Left) {
+	for _, e := range r.oldestFirst {
+		if e.state == nil || now-e.removedAt > removedRetention {
 			continue
 		}
 		c := &e.terms
 		l.refill(c, e.state, now)
-		o := e.state.left(c.Name)
-		o.Gone = &Gone{now - e.at, c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.Window}
-		all = append(all, o)
+		exported := e.state.export(c.Name)
+		exported.Gone = &Gone{now - e.removedAt, c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.Window}
+		all = append(all, exported)
 	}
 	return all
 }
 
-// recall makes room for what another process had left of a contract that is not in force here. Where it was in force there, what it
-// stated is not known, and nothing refills before it is made again. Nil: there is nothing to be remembered.
-func (r *removals) recall(now time.Duration, o *Left) (*Terms, *state) {
-	c, at := Terms{Name: o.Name}, now
-	if g := o.Gone; g != nil {
+// restore returns the entry for the state that another process handed over of a contract that is not in force here, and
+// creates it if needed. If the contract was still in force there, its terms are unknown and nothing refills until it is
+// added again. It returns nil if there is nothing to retain.
+func (r *removedContracts) restore(now time.Duration, exported *Left) (*Terms, *state) {
+	c, at := Terms{Name: exported.Name}, now
+	if g := exported.Gone; g != nil {
 		c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.Window = g.Rate, g.Burst, g.Limit, g.Bandwidth, g.Guaranteed, g.Window
 		at = now - max(g.Ago, 0)
 	}
-	if field, _ := c.Check(); field != "" || now-at > removedFor {
+	if field, _ := c.Check(); field != "" || now-at > removedRetention {
 		return nil, nil
 	}
-	e := r.byName[o.Name]
-	if e == nil { // else it was removed here as well, or told before
-		r.add(at, &c, &state{at: now})
-		e = r.byName[o.Name]
-	} else if o.Gone != nil {
+	e := r.byName[exported.Name]
+	if e == nil { // otherwise it was removed here too, or was restored before
+		r.add(at, &c, &state{refilledAt: now})
+		e = r.byName[exported.Name]
+	} else if exported.Gone != nil {
 		e.terms = c
 	}
-	e.state.at = now
+	e.state.refilledAt = now
 	return &e.terms, e.state
 }
 
-func (r *removals) forget(e *removal) {
+// forget discards an entry and marks its state, which requests in flight may still refer to.
+func (r *removedContracts) forget(e *removedEntry) {
 	delete(r.byName, e.terms.Name)
-	e.state.slot, e.state = forgotten, nil
+	e.state.slot, e.state = forgottenSlot, nil
 }
 
-// prune forgets the oldest ones that are too many or too old. Each is looked at when it is the oldest, so that a change costs by what
-// it removed.
-func (r *removals) prune(now time.Duration) {
-	for len(r.order) > 0 {
-		e := r.order[0]
+// prune discards the oldest entries that exceed the bounds on number and age. It looks only at the head of the list, so
+// that the cost of a change depends on what it removed.
+func (r *removedContracts) prune(now time.Duration) {
+	for len(r.oldestFirst) > 0 {
+		e := r.oldestFirst[0]
 		if e.state != nil {
-			if len(r.byName) <= removedMost && now-e.at <= removedFor {
+			if len(r.byName) <= maxRemoved && now-e.removedAt <= removedRetention {
 				break
 			}
 			r.forget(e)
 		}
-		r.order[0] = nil
-		r.order = r.order[1:]
+		r.oldestFirst[0] = nil
+		r.oldestFirst = r.oldestFirst[1:]
 	}
-	if len(r.order) > 2*removedMost { // most were taken
-		r.order = slices.DeleteFunc(r.order, func(e *removal) bool { return e.state == nil })
+	if len(r.oldestFirst) > 2*maxRemoved { // most entries were taken out
+		r.oldestFirst = slices.DeleteFunc(r.oldestFirst, func(e *removedEntry) bool { return e.state == nil })
 	}
 }
--- a/internal/contract/change_test.go
+++ b/internal/contract/change_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// change puts a change in force that must fit.
-func change(t testing.TB, l *Ledger, now time.Duration, c Change) {
+// applyChange applies a change that must be valid.
+func applyChange(t testing.TB, l *Ledger, now time.Duration, c Change) {
 	t.Helper()
 	if err := l.table.Check(&c); err != nil {
 		t.Fatal(err)
@@ -25,8 +25,8 @@
 	l.Change(now, &c)
 }
 
-// world is what matches and callers of the property test are drawn from: small, so that they meet.
-var world = struct {
+// domain holds the values from which the property test's matches and callers are generated: few, so that they collide.
+var domain = struct {
 	tenants, headers, values, tokens []string
 	ranges                           []netip.Prefix
 	addrs                            []netip.Addr
@@ -38,131 +38,132 @@
 		netip.MustParseAddr("2001:db8::1"), netip.MustParseAddr("::ffff:10.1.2.3")},
 }
 
-func drawMatch(t *rapid.T) (m Match) {
-	m.Tenant = rapid.SampledFrom(world.tenants).Draw(t, "tenant")
-	if v := rapid.SampledFrom(world.values).Draw(t, "value"); v != "" {
-		m.Header, m.Value = rapid.SampledFrom(world.headers).Draw(t, "header"), v
+func generateMatch(t *rapid.T) (m Match) {
+	m.Tenant = rapid.SampledFrom(domain.tenants).Draw(t, "tenant")
+	if v := rapid.SampledFrom(domain.values).Draw(t, "value"); v != "" {
+		m.Header, m.Value = rapid.SampledFrom(domain.headers).Draw(t, "header"), v
 	}
-	m.From = rapid.SampledFrom(world.ranges).Draw(t, "from")
-	if s := rapid.SampledFrom(world.tokens).Draw(t, "token"); s != "" {
+	m.From = rapid.SampledFrom(domain.ranges).Draw(t, "from")
+	if s := rapid.SampledFrom(domain.tokens).Draw(t, "token"); s != "" {
 		m.Token = sha256.Sum256([]byte(s))
 	}
 	return m
 }
 
-func drawTerms(t *rapid.T) Terms {
+func generateTerms(t *rapid.T) Terms {
 	c := Terms{Name: fmt.Sprint("c", rapid.IntRange(0, 9).Draw(t, "name"))}
 	if rapid.IntRange(0, 8).Draw(t, "default") > 0 {
-		c.Matches = rapid.SliceOfN(rapid.Custom(drawMatch), 1, 3).Draw(t, "matches")
+		c.Matches = rapid.SliceOfN(rapid.Custom(generateMatch), 1, 3).Draw(t, "matches")
 	}
 	return c
 }
 
-func drawCaller(t *rapid.T) Caller {
-	one, two := rapid.SampledFrom(world.values).Draw(t, "one"), rapid.SampledFrom(world.values).Draw(t, "two")
-	return Caller{Tenant: rapid.SampledFrom(world.tenants).Draw(t, "by"), Token: rapid.SampledFrom(world.tokens).Draw(t, "shows"),
-		From: rapid.SampledFrom(world.addrs).Draw(t, "addr"), Header: func(name string) string {
+func generateCaller(t *rapid.T) Caller {
+	one, two := rapid.SampledFrom(domain.values).Draw(t, "one"), rapid.SampledFrom(domain.values).Draw(t, "two")
+	return Caller{Tenant: rapid.SampledFrom(domain.tenants).Draw(t, "tenant"), Token: rapid.SampledFrom(domain.tokens).Draw(t, "token"),
+		From: rapid.SampledFrom(domain.addrs).Draw(t, "addr"), Header: func(name string) string {
 			return map[string]string{"X-One": one, "X-Two": two}[name]
 		}}
 }
 
-// whose says by the rules alone, without any index, which contract is for a caller: the most specific, of two the first by name.
-func whose(there map[string]Terms, c *Caller) (name string, rank int) {
+// expectedContract is a reference for Table.Find without any index: the most specific match wins, on a tie the name that
+// sorts first.
+func expectedContract(contracts map[string]Terms, c *Caller) (name string, specificity int) {
 	digest := sha256.Sum256([]byte(c.Token))
-	rank = -1
-	for _, n := range slices.Sorted(maps.Keys(there)) {
-		terms := there[n]
-		if len(terms.Matches) == 0 && rank < 0 {
+	specificity = -1
+	for _, n := range slices.Sorted(maps.Keys(contracts)) {
+		terms := contracts[n]
+		if len(terms.Matches) == 0 && specificity < 0 {
 			name = n
 		}
 		for i := range terms.Matches {
-			if m := &terms.Matches[i]; m.rank() > rank && m.holds(c, &digest) {
-				name, rank = n, m.rank()
+			if m := &terms.Matches[i]; m.specificity() > specificity && m.matches(c, &digest) {
+				name, specificity = n, m.specificity()
 			}
 		}
 	}
-	return name, rank
+	return name, specificity
 }
 
-// A table that was changed in place finds for any caller what one finds that was made anew of the same terms, and takes just the
-// changes after which one could be made anew. What a change does not name keeps its number.
-func TestChangedInPlaceAsMadeAnew(t *testing.T) {
+// A table changed in place must find the same contracts as one newly built from the same terms, and must accept exactly
+// the changes whose result could be built. A contract that a change does not name keeps its slot.
+func TestTableChangedInPlaceEqualsNewTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		tab := table(t)
+		tab := newTable(t)
 		l := NewLedger(tab, 0, 1)
-		there := map[string]Terms{}
+		current := map[string]Terms{}
 		for range rapid.IntRange(1, 30).Draw(rt, "changes") {
-			c := Change{Put: rapid.SliceOfN(rapid.Custom(drawTerms), 0, 4).Draw(rt, "put")}
-			for range rapid.IntRange(0, 3).Draw(rt, "gone") {
-				c.Gone = append(c.Gone, fmt.Sprint("c", rapid.IntRange(0, 9).Draw(rt, "which")))
+			c := Change{Put: rapid.SliceOfN(rapid.Custom(generateTerms), 0, 4).Draw(rt, "put")}
+			for range rapid.IntRange(0, 3).Draw(rt, "removed") {
+				c.Gone = append(c.Gone, fmt.Sprint("c", rapid.IntRange(0, 9).Draw(rt, "name")))
 			}
-			then, doubled := maps.Clone(there), false
+			next, doubled := maps.Clone(current), false
 			for _, n := range c.Gone {
-				delete(then, n)
+				delete(next, n)
 			}
 			named := slices.Clone(c.Gone)
 			for _, p := range c.Put {
 				doubled = doubled || slices.Contains(named, p.Name)
 				named = append(named, p.Name)
-				then[p.Name] = p
+				next[p.Name] = p
 			}
 			var terms []Terms
-			for _, n := range slices.Sorted(maps.Keys(then)) {
-				terms = append(terms, then[n])
+			for _, n := range slices.Sorted(maps.Keys(next)) {
+				terms = append(terms, next[n])
 			}
-			anew, bad := NewTable(terms)
+			rebuilt, invalid := NewTable(terms)
 			err := tab.Check(&c)
-			if (err == nil) != (bad == nil && !doubled) {
-				rt.Fatalf("%+v: %v; made anew: %v", c, err, bad)
+			if (err == nil) != (invalid == nil && !doubled) {
+				rt.Fatalf("%+v: %v; building a new table: %v", c, err, invalid)
 			}
 			if err != nil {
 				continue
 			}
-			slots := maps.Clone(tab.slots)
+			slots := maps.Clone(tab.slotByName)
 			l.Change(0, &c)
 			for n, i := range slots {
 				if !slices.Contains(named, n) && tab.Terms(i).Name != n {
-					rt.Fatalf("%s was %d, which is %q now", n, i, tab.Terms(i).Name)
+					rt.Fatalf("%s had slot %d, which now holds %q", n, i, tab.Terms(i).Name)
 				}
 			}
-			if there = then; tab.Count() != len(there) || tab.Count()+len(tab.free) != tab.Len() {
-				rt.Fatalf("%d contracts in %d slots of which %d are free, want %d", tab.Count(), tab.Len(), len(tab.free), len(there))
+			if current = next; tab.Count() != len(current) || tab.Count()+len(tab.freeSlots) != tab.Len() {
+				rt.Fatalf("%d contracts in %d slots of which %d are free, want %d", tab.Count(), tab.Len(), len(tab.freeSlots), len(current))
 			}
 			for range 10 {
-				caller := drawCaller(rt)
-				want, rank := whose(there, &caller)
+				caller := generateCaller(rt)
+				want, specificity := expectedContract(current, &caller)
 				got, found := "", tab.Find(&caller)
 				if found >= 0 {
 					if got = tab.Terms(found).Name; got == "" {
-						rt.Fatalf("a free slot is found: %d", found)
+						rt.Fatalf("Find returned free slot %d", found)
 					}
 				}
 				if got != want {
-					rt.Fatalf("%+v falls under %q, want %q", caller, got, want)
+					rt.Fatalf("%+v matches %q, want %q", caller, got, want)
 				}
-				i := anew.Find(&caller)
+				i := rebuilt.Find(&caller)
 				if (i < 0) != (found < 0) {
-					rt.Fatalf("%+v falls under %q, in a table made anew under %d", caller, got, i)
+					rt.Fatalf("%+v matches %q, in a rebuilt table slot %d", caller, got, i)
 				}
-				if i >= 0 && anew.Terms(i).Name != got { // only one as specific may be another
-					if _, r := whose(map[string]Terms{"": *anew.Terms(i)}, &caller); r != rank {
-						rt.Fatalf("%+v falls under %q (%d), made anew under %q (%d)", caller, got, rank, anew.Terms(i).Name, r)
+				if i >= 0 && rebuilt.Terms(i).Name != got { // equally specific matches may differ
+					if _, other := expectedContract(map[string]Terms{"": *rebuilt.Terms(i)}, &caller); other != specificity {
+						rt.Fatalf("%+v matches %q (specificity %d), in a rebuilt table %q (%d)", caller, got, specificity, rebuilt.Terms(i).Name, other)
 					}
 				}
 			}
 		}
-		l.Change(0, &Change{Gone: slices.Collect(maps.Keys(there))})
-		if n := len(tab.tenants) + len(tab.headers) + len(tab.tokens) + len(tab.ranges) + len(tab.names.values) + len(tab.lengths.values) +
-			len(tab.lengths6.values) + tab.Count(); n != 0 || tab.fallback != -1 {
-			rt.Fatalf("all have gone, and %d entries are left of them: %+v", n, tab)
+		l.Change(0, &Change{Gone: slices.Collect(maps.Keys(current))})
+		if n := len(tab.byTenant) + len(tab.byHeader) + len(tab.byToken) + len(tab.byRange) + len(tab.headerNames.values) + len(tab.prefixLengths4.values) +
+			len(tab.prefixLengths6.values) + tab.Count(); n != 0 || tab.defaultSlot != -1 {
+			rt.Fatalf("%d index entries left after all contracts were removed: %+v", n, tab)
 		}
 	})
 }
 
-// A change that does not fit names contract and field.
-func TestChangesThatMakeNoSense(t *testing.T) {
+// An invalid change is rejected with the contract and field at fault, and leaves the table as it was.
+func TestInvalidChangesAreRejected(t *testing.T) {
 	a, b := []Match{{Tenant: "a"}}, []Match{{Tenant: "b"}}
-	tab := table(t, Terms{Name: "a", Matches: a}, Terms{Name: "rest"})
+	tab := newTable(t, Terms{Name: "a", Matches: a}, Terms{Name: "rest"})
 	for _, c := range []struct {
 		change Change
 		want   string
@@ -174,7 +175,7 @@
 		{Change{Put: []Terms{{Name: "b", Matches: []Match{{}}}}}, `contract "b": match[0]: is empty`},
 		{Change{Put: []Terms{{Name: "b", Matches: b}, {Name: "b", Matches: b}}}, `contract "b": is put twice`},
 		{Change{Put: []Terms{{Name: "b", Matches: a}}, Gone: []string{"a"}}, ""},
-		{Change{Put: []Terms{{Name: "a", Matches: b}, {Name: "b", Matches: a}}}, ""}, // they change places
+		{Change{Put: []Terms{{Name: "a", Matches: b}, {Name: "b", Matches: a}}}, ""}, // the contracts swap callers
 		{Change{Put: []Terms{{Name: "rest", Matches: b}, {Name: "a"}}}, ""},
 		{Change{Put: []Terms{{Name: "a", Matches: append(a, a...)}}, Gone: []string{"none"}}, ""},
 	} {
@@ -185,138 +186,140 @@
 		}
 	}
 	if tab.Find(&Caller{Tenant: "a"}) != 0 || tab.Find(&Caller{Tenant: "b"}) != 1 {
-		t.Error("a check changed the table")
+		t.Error("Check changed the table")
 	}
 }
 
-// A contract that a change does not name keeps what it has spent; one that states something else keeps it within its new bounds.
-func TestChangeKeepsWhatIsSpent(t *testing.T) {
+// A change must not refill the budgets of contracts that it does not name; those that it replaces keep what they have
+// spent, within their new limits.
+func TestChangeKeepsSpentQuota(t *testing.T) {
 	one := Terms{Name: "one", Rate: 1, Burst: 3, Matches: []Match{{Tenant: "1"}}}
 	two := Terms{Name: "two", Rate: 1, Burst: 8, Limit: 4, Guaranteed: 4, Bandwidth: 100, InFlight: 2, Matches: []Match{{Tenant: "2"}}}
-	l := NewLedger(table(t, one, two), 0, 1)
+	l := NewLedger(newTable(t, one, two), 0, 1)
 	for range 3 {
 		l.Admit(0, 0, "r", 0, false)
 	}
 	v := l.Admit(0, 1, "r", 0.5, false)
-	change(t, l, 0, Change{Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}, Gone: []string{"none"}})
+	applyChange(t, l, 0, Change{Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}, Gone: []string{"none"}})
 	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Rate {
-		t.Errorf("another's change refills the rate: %+v", got)
+		t.Errorf("a change of another contract refilled the rate: %+v", got)
 	}
 	two.Burst, two.Limit, two.Guaranteed, two.Bandwidth, two.InFlight = 2, 1, 1, 10, 1
-	change(t, l, 0, Change{Put: []Terms{two}})
-	if level := l.Level(0, 1); level.Tokens != 2 || level.Work != 1 || level.Kept != 1 || level.InFlight != 1 || l.states[1].bytes != 10 {
-		t.Errorf("smaller bounds leave %+v", level)
+	applyChange(t, l, 0, Change{Put: []Terms{two}})
+	if level := l.Level(0, 1); level.Tokens != 2 || level.Work != 1 || level.Kept != 1 || level.InFlight != 1 || l.states[1].bytesLeft != 10 {
+		t.Errorf("after the limits were reduced: %+v", level)
 	}
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != InFlight {
-		t.Errorf("a change forgets what is in flight: %+v", got)
+		t.Errorf("a change reset the requests in flight: %+v", got)
 	}
 	l.Done(0, "two", v, 0.5)
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != Kept {
-		t.Errorf("the request that was under way did not end: %+v", got)
+		t.Errorf("Done did not end the request admitted before the change: %+v", got)
 	}
 	two.Burst = 100
-	change(t, l, 0, Change{Put: []Terms{two}})
+	applyChange(t, l, 0, Change{Put: []Terms{two}})
 	if level := l.Level(0, 1); level.Tokens != 1 {
-		t.Errorf("a greater burst is there at once: %v", level.Tokens)
+		t.Errorf("a larger burst was filled at once: %v tokens, want 1", level.Tokens)
 	}
 	two.Rate = 50
-	change(t, l, 2*time.Second, Change{Put: []Terms{two}})
+	applyChange(t, l, 2*time.Second, Change{Put: []Terms{two}})
 	if level := l.Level(2*time.Second, 1); level.Tokens != 3 {
-		t.Errorf("two seconds at the rate before are refilled by that of now: %v", level.Tokens)
+		t.Errorf("the time before the change was refilled at the new rate: %v tokens, want 3", level.Tokens)
 	}
-	change(t, l, 0, Change{Even: true})
+	applyChange(t, l, 0, Change{Even: true})
 	if !l.table.EvenParts {
-		t.Error("even parts are not handed out")
+		t.Error("EvenShares is not set by the change")
 	}
 }
 
-// level is what is left of a contract by its name.
-func level(t testing.TB, l *Ledger, now time.Duration, name string) Level {
+// levelOf returns the status of a contract by name.
+func levelOf(t testing.TB, l *Ledger, now time.Duration, name string) Level {
 	t.Helper()
 	i, known := l.table.Slot(name)
 	if !known {
-		t.Fatalf("%s is not there", name)
+		t.Fatalf("no contract %s", name)
 	}
 	return l.Level(now, i)
 }
 
-// A contract that is removed and made again under its name has what one has that was never away, debts and requests in flight as well,
-// whatever ends meanwhile and whoever has its number then.
-func TestRemovedAndMadeAgain(t *testing.T) {
+// A contract that is removed and added again under the same name has the same state as one that was never removed, debts
+// and requests in flight included, whatever requests end in between and whichever contract uses its slot.
+func TestReAddedContractKeepsItsState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 20).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 20).Draw(rt, "burst"),
 			Limit: rapid.Float64Range(0.1, 5).Draw(rt, "limit"), Bandwidth: 1000, Bounded: true, Ratio: 0.5, Window: 10 * time.Second,
-			InFlight: rapid.IntRange(1, 5).Draw(rt, "flight"), Matches: []Match{{Tenant: "c"}}}
+			InFlight: rapid.IntRange(1, 5).Draw(rt, "in flight"), Matches: []Match{{Tenant: "c"}}}
 		terms.Guaranteed = terms.Limit / 2
-		stayed, moved := NewLedger(table(t, terms), 0, 1), NewLedger(table(t, terms), 0, 1)
+		reference, changed := NewLedger(newTable(t, terms), 0, 1), NewLedger(newTable(t, terms), 0, 1)
 		type open struct{ a, b Verdict }
 		var running []open
-		now, there, other := time.Duration(0), true, false
+		now, present, other := time.Duration(0), true, false
 		for range rapid.IntRange(1, 120).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(rt, "dt"))
-			switch what := rapid.IntRange(0, 6).Draw(rt, "what"); {
-			case what == 0 && there:
-				change(t, moved, now, Change{Gone: []string{"c"}})
-				there = false
-			case what == 0:
-				change(t, moved, now, Change{Put: []Terms{terms}})
-				there = true
-			case what == 1: // another takes a slot, or gives it back
+			switch step := rapid.IntRange(0, 6).Draw(rt, "step"); {
+			case step == 0 && present:
+				applyChange(t, changed, now, Change{Gone: []string{"c"}})
+				present = false
+			case step == 0:
+				applyChange(t, changed, now, Change{Put: []Terms{terms}})
+				present = true
+			case step == 1: // another contract takes a slot or frees it
 				if other = !other; other {
-					change(t, moved, now, Change{Put: []Terms{{Name: "d", Matches: []Match{{Tenant: "d"}}}}})
-					moved.Admit(now, moved.table.Find(&Caller{Tenant: "d"}), "r", 1, false)
+					applyChange(t, changed, now, Change{Put: []Terms{{Name: "d", Matches: []Match{{Tenant: "d"}}}}})
+					changed.Admit(now, changed.table.Find(&Caller{Tenant: "d"}), "r", 1, false)
 				} else {
-					change(t, moved, now, Change{Gone: []string{"d"}})
+					applyChange(t, changed, now, Change{Gone: []string{"d"}})
 				}
-			case what == 2 && len(running) > 0:
+			case step == 2 && len(running) > 0:
 				took := rapid.Float64Range(0, 4).Draw(rt, "took")
-				stayed.Done(now, "c", running[0].a, took)
-				moved.Done(now, "c", running[0].b, took)
+				reference.Done(now, "c", running[0].a, took)
+				changed.Done(now, "c", running[0].b, took)
 				running = running[1:]
-			case there:
+			case present:
 				hint, repeat := rapid.Float64Range(0, 1).Draw(rt, "hint"), rapid.Bool().Draw(rt, "repeat")
-				a := stayed.Admit(now, 0, "r", hint, repeat)
-				b := moved.Admit(now, moved.table.Find(&Caller{Tenant: "c"}), "r", hint, repeat)
+				a := reference.Admit(now, 0, "r", hint, repeat)
+				b := changed.Admit(now, changed.table.Find(&Caller{Tenant: "c"}), "r", hint, repeat)
 				if a.Rule != b.Rule || math.Abs(a.Cost-b.Cost) > 1e-9 || (a.RetryAfter-b.RetryAfter).Abs() > time.Microsecond {
-					rt.Fatalf("at %v: %+v, one that was never away says %+v", now, b, a)
+					rt.Fatalf("at %v: %+v, a contract that was never removed gives %+v", now, b, a)
 				}
 				if a.Rule == Kept {
 					running = append(running, open{a, b})
 				}
-				if wait := (stayed.Pace(now, "c", a, 500) - moved.Pace(now, "c", b, 500)).Abs(); wait > time.Microsecond {
-					rt.Fatalf("their bandwidth differs by %v", wait)
+				if wait := (reference.Pace(now, "c", a, 500) - changed.Pace(now, "c", b, 500)).Abs(); wait > time.Microsecond {
+					rt.Fatalf("the waits for bandwidth differ by %v", wait)
 				}
 			}
 		}
-		if !there {
-			change(t, moved, now, Change{Put: []Terms{terms}})
+		if !present {
+			applyChange(t, changed, now, Change{Put: []Terms{terms}})
 		}
 		for _, r := range running {
-			stayed.Done(now, "c", r.a, 0.1)
-			moved.Done(now, "c", r.b, 0.1)
+			reference.Done(now, "c", r.a, 0.1)
+			changed.Done(now, "c", r.b, 0.1)
 		}
-		a, b := level(t, stayed, now, "c"), level(t, moved, now, "c")
+		a, b := levelOf(t, reference, now, "c"), levelOf(t, changed, now, "c")
 		if math.Abs(a.Tokens-b.Tokens)+math.Abs(a.Work-b.Work)+math.Abs(a.Kept-b.Kept)+math.Abs(a.Furthers-b.Furthers) > 1e-6 || b.InFlight != 0 ||
 			a.Admitted != b.Admitted {
-			rt.Fatalf("%+v, one that was never away has %+v", b, a)
+			rt.Fatalf("%+v, a contract that was never removed has %+v", b, a)
 		}
 	})
 }
 
-// Never more than rate × time + burst, however often the contract is removed and made again, or its part changes.
-func TestRateBoundAcrossChanges(t *testing.T) {
+// A contract never gets more than rate × time + burst, however often it is removed and added again.
+func TestRateIsBoundedAcrossChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 50).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 50).Draw(rt, "burst"), Matches: []Match{{Tenant: "c"}}}
-		l := NewLedger(table(t, terms), 0, 1)
+		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 50).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 50).Draw(rt, "burst"),
+			Matches: []Match{{Tenant: "c"}}}
+		l := NewLedger(newTable(t, terms), 0, 1)
 		now, n := time.Duration(0), 0
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(rt, "dt"))
-			switch rapid.IntRange(0, 3).Draw(rt, "what") {
+			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
 				l.Change(now, &Change{Gone: []string{"c"}})
 				l.Change(now, &Change{Put: []Terms{terms}})
 			default:
-				for range rapid.IntRange(1, 20).Draw(rt, "asks") {
+				for range rapid.IntRange(1, 20).Draw(rt, "requests") {
 					if v := l.Admit(now, l.table.Find(&Caller{Tenant: "c"}), "r", 0.01, false); v.Rule == Kept {
 						n++
 						l.Done(now, "c", v, 0.01)
@@ -324,124 +327,124 @@
 				}
 			}
 		}
-		if most := terms.Rate*now.Seconds() + terms.Burst + 1e-6; float64(n) > most {
-			rt.Fatalf("%d were let in, at most %.1f", n, most)
+		if limit := terms.Rate*now.Seconds() + terms.Burst + 1e-6; float64(n) > limit {
+			rt.Fatalf("%d requests admitted, limit %.1f", n, limit)
 		}
 	})
 }
 
-// A contract that is removed with requests in flight and not made again: they end, and nothing is left of them but what is remembered.
+// Requests in flight of a removed contract must end its own state, not that of the contract that reuses its slot.
 func TestRemovedWithRequestsInFlight(t *testing.T) {
 	one := Terms{Name: "one", InFlight: 2, Limit: 1, Matches: []Match{{Tenant: "1"}}}
-	l := NewLedger(table(t, one, Terms{Name: "two", InFlight: 5, Matches: []Match{{Tenant: "2"}}}), 0, 1)
+	l := NewLedger(newTable(t, one, Terms{Name: "two", InFlight: 5, Matches: []Match{{Tenant: "2"}}}), 0, 1)
 	first, second := l.Admit(0, 0, "r", 0.1, false), l.Admit(0, 0, "r", 0.1, false)
-	change(t, l, 0, Change{Gone: []string{"one"}, Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}})
+	applyChange(t, l, 0, Change{Gone: []string{"one"}, Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}})
 	if v := l.Admit(0, l.table.Find(&Caller{Tenant: "1"}), "r", 0, false); v.Rule != None {
-		t.Errorf("its callers have a contract still: %+v", v)
+		t.Errorf("the removed contract still has callers: %+v", v)
 	}
 	if i, _ := l.table.Slot("three"); i != 0 {
-		t.Errorf("the free slot is not used: %d", i)
+		t.Errorf("the free slot 0 is not reused: %d", i)
 	}
-	in := l.Admit(0, 0, "r", 0, false) // of the one that has its number now
+	third := l.Admit(0, 0, "r", 0, false) // of the contract that reused the slot
 	if wait := l.Pace(0, "one", first, 1e9); wait != 0 {
-		t.Errorf("one that has gone bounds a tunnel by %v", wait)
+		t.Errorf("a removed contract delays a tunnel by %v", wait)
 	}
 	l.Done(0, "one", first, 3)
 	if got := l.Level(0, 0); got.InFlight != 1 || got.Name != "three" {
-		t.Errorf("the request of one that has gone ends one of %+v", got)
+		t.Errorf("a request of the removed contract ended one of %+v", got)
 	}
-	change(t, l, 0, Change{Put: []Terms{one}})
-	if got := level(t, l, 0, "one"); got.InFlight != 1 || math.Abs(got.Work - -2.1) > 1e-9 {
-		t.Errorf("made again: %+v, want one in flight and what the first cost beside", got)
+	applyChange(t, l, 0, Change{Put: []Terms{one}})
+	if got := levelOf(t, l, 0, "one"); got.InFlight != 1 || math.Abs(got.Work - -2.1) > 1e-9 {
+		t.Errorf("added again: %+v, want one request in flight and a debt of 2.1", got)
 	}
 	l.Done(0, "one", second, 0.1)
-	l.Done(0, "three", in, 0.1)
-	if a, b := level(t, l, 0, "one"), l.Level(0, 0); a.InFlight != 0 || b.InFlight != 0 {
-		t.Errorf("%+v, %+v", a, b)
+	l.Done(0, "three", third, 0.1)
+	if a, b := levelOf(t, l, 0, "one"), l.Level(0, 0); a.InFlight != 0 || b.InFlight != 0 {
+		t.Errorf("requests left in flight: %+v, %+v", a, b)
 	}
-	if got := l.Levels(0, 10); len(got) != 2 { // two was never used
-		t.Errorf("%+v", got)
+	if got := l.Levels(0, 10); len(got) != 2 { // contract two was never used
+		t.Errorf("%+v, want the states of the two used contracts", got)
 	}
 }
 
-// What is remembered of contracts that have gone is bounded by number and time. What is forgotten counts no more: its requests do
-// not end those of a new contract of its name.
-func TestRemovalsAreBounded(t *testing.T) {
+// The retained states of removed contracts are bounded by number and age. A discarded state no longer counts: its
+// requests must not end those of a new contract of the same name.
+func TestRemovedContractsAreForgotten(t *testing.T) {
 	terms := func(i int) Terms {
 		return Terms{Name: fmt.Sprint("c", i), Rate: 0.001, Burst: 1, InFlight: 9, Matches: []Match{{Tenant: fmt.Sprint(i)}}}
 	}
-	l := NewLedger(table(t), 0, 1)
-	run := func(now time.Duration, i int) Verdict {
-		change(t, l, now, Change{Put: []Terms{terms(i)}})
+	l := NewLedger(newTable(t), 0, 1)
+	addUseRemove := func(now time.Duration, i int) Verdict {
+		applyChange(t, l, now, Change{Put: []Terms{terms(i)}})
 		v := l.Admit(now, l.table.Find(&Caller{Tenant: fmt.Sprint(i)}), "r", 0, false)
-		change(t, l, now, Change{Gone: []string{fmt.Sprint("c", i)}})
+		applyChange(t, l, now, Change{Gone: []string{fmt.Sprint("c", i)}})
 		return v
 	}
-	old := run(0, 0)
-	for i := range removedMost {
-		run(0, i+1)
+	old := addUseRemove(0, 0)
+	for i := range maxRemoved {
+		addUseRemove(0, i+1)
 	}
-	if n := len(l.removed.byName); n != removedMost || l.removed.byName["c0"] != nil {
-		t.Fatalf("%d are remembered, want %d and the oldest not", n, removedMost)
+	if n := len(l.removed.byName); n != maxRemoved || l.removed.byName["c0"] != nil {
+		t.Fatalf("%d states retained, want %d without the oldest", n, maxRemoved)
 	}
-	v := run(0, 0)
+	v := addUseRemove(0, 0)
 	if v.Rule != Kept {
-		t.Fatalf("one that is forgotten begins anew: %+v", v)
+		t.Fatalf("a forgotten contract did not start anew: %+v", v)
 	}
-	change(t, l, 0, Change{Put: []Terms{terms(0)}})
+	applyChange(t, l, 0, Change{Put: []Terms{terms(0)}})
 	l.Done(0, "c0", old, 1)
-	if got := level(t, l, 0, "c0"); got.InFlight != 1 {
-		t.Errorf("a request of a forgotten one ends another's: %+v", got)
+	if got := levelOf(t, l, 0, "c0"); got.InFlight != 1 {
+		t.Errorf("a request of the forgotten contract ended one of the new: %+v", got)
 	}
 	l.Done(0, "c0", v, 1)
-	if got := level(t, l, 0, "c0"); got.InFlight != 0 {
-		t.Errorf("%+v", got)
+	if got := levelOf(t, l, 0, "c0"); got.InFlight != 0 {
+		t.Errorf("Done did not end the new contract's request: %+v", got)
 	}
-	change(t, l, 0, Change{Put: []Terms{terms(3)}})
+	applyChange(t, l, 0, Change{Put: []Terms{terms(3)}})
 	if got := l.Admit(0, l.table.Find(&Caller{Tenant: "3"}), "r", 0, false); got.Rule != Rate {
-		t.Errorf("one that is remembered has a second burst: %+v", got)
+		t.Errorf("a retained contract got a second burst: %+v", got)
 	}
-	// Long after, all are forgotten with the next change, and one that is made again by that very change begins anew.
-	late := removedFor + time.Second
-	change(t, l, late, Change{Put: []Terms{terms(7)}})
+	// After the retention period the next change discards all states, and a contract that it adds again starts anew.
+	late := removedRetention + time.Second
+	applyChange(t, l, late, Change{Put: []Terms{terms(7)}})
 	if got := l.Admit(late, l.table.Find(&Caller{Tenant: "7"}), "r", 0, false); got.Rule != Kept {
-		t.Errorf("after %v: %+v", late, got)
+		t.Errorf("added again after %v, did not start anew: %+v", late, got)
 	}
-	if n, order := len(l.removed.byName), len(l.removed.order); n != 0 || order != 0 {
-		t.Errorf("after %v %d are remembered, %d in order", late, n, order)
+	if n, inOrder := len(l.removed.byName), len(l.removed.oldestFirst); n != 0 || inOrder != 0 {
+		t.Errorf("after %v %d states retained, %d in order, want none", late, n, inOrder)
 	}
-	// One that goes and comes all the time leaves no trail behind one that stays remembered.
-	run(late, 1)
-	for range 10 * removedMost {
-		run(late, 2)
+	// A contract that is added and removed repeatedly must not grow the list behind an entry that stays retained.
+	addUseRemove(late, 1)
+	for range 10 * maxRemoved {
+		addUseRemove(late, 2)
 	}
-	if n := len(l.removed.order); n > 2*removedMost+1 || len(l.removed.byName) != 2 {
-		t.Errorf("%d in order, %d remembered", n, len(l.removed.byName))
+	if n := len(l.removed.oldestFirst); n > 2*maxRemoved+1 || len(l.removed.byName) != 2 {
+		t.Errorf("%d entries in order, %d retained", n, len(l.removed.byName))
 	}
 }
 
-// A hand-over takes what removed contracts had left unused as well; only their debts stay.
-func TestEmptyTakesWhatRemovedOnesHad(t *testing.T) {
+// A hand-over also takes the unused budgets of removed contracts; only their debts stay.
+func TestDropCreditCoversRemovedContracts(t *testing.T) {
 	terms := Terms{Name: "c", Rate: 0.1, Burst: 5, Matches: []Match{{Tenant: "c"}}}
-	l := NewLedger(table(t, terms), 0, 1)
+	l := NewLedger(newTable(t, terms), 0, 1)
 	l.Admit(0, 0, "r", 0, false)
-	change(t, l, 0, Change{Gone: []string{"c"}})
+	applyChange(t, l, 0, Change{Gone: []string{"c"}})
 	l.Empty(0)
-	change(t, l, 0, Change{Put: []Terms{terms}})
+	applyChange(t, l, 0, Change{Put: []Terms{terms}})
 	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Rate {
-		t.Errorf("a second burst: %+v", got)
+		t.Errorf("the contract got a second burst: %+v", got)
 	}
 }
 
-// Under pressure, lending goes on over changes: each that is used takes part once, none that has gone does.
-func TestLendingAcrossChanges(t *testing.T) {
+// Changes under pressure must keep the redistribution consistent: each used contract is listed once, no removed one is.
+func TestRedistributionListsUsedContractsOnceAcrossChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := NewLedger(table(t), 0, 1)
+		l := NewLedger(newTable(t), 0, 1)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(100*ms)).Draw(rt, "dt"))
-			name := fmt.Sprint("c", rapid.IntRange(0, 5).Draw(rt, "who"))
-			switch rapid.IntRange(0, 3).Draw(rt, "what") {
+			name := fmt.Sprint("c", rapid.IntRange(0, 5).Draw(rt, "name"))
+			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
 				l.Change(now, &Change{Gone: []string{name}})
 			case 1:
@@ -453,37 +456,38 @@
 			seen := map[int]bool{}
 			for _, i := range l.active {
 				if s := l.states[i]; s == nil || !s.active || s.slot != i || seen[i] {
-					rt.Fatalf("%d of %v takes part in lending", i, l.active)
+					rt.Fatalf("slot %d of %v is wrongly in the redistribution", i, l.active)
 				}
 				seen[i] = true
 			}
 			for i, s := range l.states {
 				if s != nil && s.active != seen[i] {
-					rt.Fatalf("%d is active and takes no part in lending", i)
+					rt.Fatalf("the active flag of slot %d differs from the redistribution list", i)
 				}
 			}
 		}
 	})
 }
 
-// large is a table of so many contracts as a service's teams have them, made by one change.
-func large(t testing.TB, n int) *Ledger {
+// newLargeLedger returns a ledger of n teams' contracts and a default, added by one change.
+func newLargeLedger(t testing.TB, n int) *Ledger {
 	classes := map[string]bool{"read": true, "write": true}
 	c := Change{Put: []Terms{{Name: "rest"}}}
 	for i := range n {
-		c.Put = append(c.Put, team(i, classes))
+		c.Put = append(c.Put, teamTerms(i, classes))
 	}
-	l := NewLedger(table(t), 0, 1)
-	change(t, l, 0, c)
+	l := NewLedger(newTable(t), 0, 1)
+	applyChange(t, l, 0, c)
 	return l
 }
 
-func team(i int, classes map[string]bool) Terms {
+// teamTerms returns the terms of one of many similar teams.
+func teamTerms(i int, classes map[string]bool) Terms {
 	name := fmt.Sprint("team-", i)
 	return Terms{Name: name, Matches: []Match{{Tenant: name}}, Rate: 5, Burst: 10, InFlight: 20, Classes: classes, Weight: 1, Lends: 1}
 }
 
-// BenchmarkFind is a look-up by tenant, in a table of a file and in one that was changed in place.
+// BenchmarkFind measures a lookup by tenant, in a table loaded from a file and in one changed in place.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		terms := []Terms{{Name: "rest"}}
@@ -498,7 +502,7 @@
 		for _, of := range []struct {
 			name string
 			tab  *Table
-		}{{"file", table(b, terms...)}, {"changed", large(b, n).table}} {
+		}{{"file", newTable(b, terms...)}, {"changed", newLargeLedger(b, n).table}} {
 			b.Run(fmt.Sprintf("%s/%d", of.name, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -511,17 +515,17 @@
 	}
 }
 
-// BenchmarkChange is a change of one contract of so many: it is removed, and made again.
+// BenchmarkChange measures removing one of many contracts and adding it again.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := large(b, n)
+			l := newLargeLedger(b, n)
 			classes := map[string]bool{"read": true}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t := team(i%n, classes)
-				gone, put := Change{Gone: []string{t.Name}}, Change{Put: []Terms{t}}
-				for _, c := range []*Change{&gone, &put} {
+				t := teamTerms(i%n, classes)
+				removed, added := Change{Gone: []string{t.Name}}, Change{Put: []Terms{t}}
+				for _, c := range []*Change{&removed, &added} {
 					if err := l.table.Check(c); err != nil {
 						b.Fatal(err)
 					}
@@ -532,7 +536,7 @@
 	}
 }
 
-// BenchmarkBytes is what a contract takes that nobody uses, of a table made by changes.
+// BenchmarkBytes measures the memory of an unused contract in a table made by changes.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -541,7 +545,7 @@
 				runtime.GC()
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				l := large(b, n)
+				l := newLargeLedger(b, n)
 				runtime.GC()
 				runtime.GC()
 				runtime.ReadMemStats(&after)
@@ -552,130 +556,131 @@
 	}
 }
 
-// A look-up in a table that was changed in place allocates nothing.
+// A lookup in a table changed in place must not allocate.
 func TestFindDoesNotAllocate(t *testing.T) {
-	l := large(t, 1000)
-	change(t, l, 0, Change{Gone: []string{"team-5"}})
+	l := newLargeLedger(t, 1000)
+	applyChange(t, l, 0, Change{Gone: []string{"team-5"}})
 	callers := []Caller{{Tenant: "team-7"}, {Tenant: "team-5"}, {Token: "x", From: netip.MustParseAddr("10.0.0.1")}}
 	i := 0
 	if n := testing.AllocsPerRun(1000, func() { l.table.Find(&callers[i%3]); i++ }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per Find", n)
 	}
 }
 
-// A contract that is first used long after a hand-over, or was made since, has what it would have refilled: the process before is not
-// there any more to have spent it.
-func TestFirstUsedLongAfterHandOver(t *testing.T) {
+// A contract that is first used long after a hand-over, or was added since, starts with the budget that refilled since
+// then: the predecessor no longer exists and cannot have spent it.
+func TestContractFirstUsedAfterHandOverIsRefilled(t *testing.T) {
 	terms := Terms{Name: "c", Rate: 2, Burst: 10, Limit: 3, Bandwidth: 100, Guaranteed: 1, Matches: []Match{{Tenant: "c"}}}
-	l := NewLedger(table(t, terms), 0, 1)
+	l := NewLedger(newTable(t, terms), 0, 1)
 	l.Empty(time.Minute)
 	terms.Name, terms.Matches = "d", []Match{{Tenant: "d"}}
-	change(t, l, time.Minute, Change{Put: []Terms{terms}})
+	applyChange(t, l, time.Minute, Change{Put: []Terms{terms}})
 	for i, at := range []time.Duration{time.Minute + time.Second, time.Hour} {
 		if got, want := l.Level(at, i).Tokens, []float64{2, 10}[i]; got != want {
-			t.Errorf("%v after the start it may send %v at once, want %v", at, got, want)
+			t.Errorf("at %v %v requests may arrive at once, want %v", at, got, want)
 		}
 	}
-	if got := l.Level(time.Hour, 1); got.Work != 3 || got.Kept != 1 || l.states[1].bytes != 100 {
-		t.Errorf("%+v", got)
+	if got := l.Level(time.Hour, 1); got.Work != 3 || got.Kept != 1 || l.states[1].bytesLeft != 100 {
+		t.Errorf("budgets not refilled within their bounds: %+v", got)
 	}
 	if v := l.Admit(time.Hour, 0, "r", 0, false); v.Rule != Kept {
-		t.Errorf("%+v", v)
+		t.Errorf("request refused: %+v", v)
 	}
 }
 
-// What a removed contract had left goes over to a process that takes its place, and is paid back meanwhile by what it stated: made again
-// there it has what one has that was never away, whichever of the two processes knew of its end, and however often they pass it on.
-func TestRemovedBeforeHandOver(t *testing.T) {
+// The state of a removed contract is handed over and refills by its former terms. Added again at the successor, it equals
+// that of a contract that was never removed, whichever of the two processes saw the removal and however many hand-overs
+// there were.
+func TestRemovedContractStateSurvivesHandOver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 5).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 5).Draw(rt, "burst"),
 			Limit: rapid.Float64Range(0.1, 2).Draw(rt, "limit"), Bandwidth: 1000, Bounded: true, Ratio: 0.5, Window: 10 * time.Second,
 			Matches: []Match{{Tenant: "c"}}}
 		terms.Guaranteed = terms.Limit / 2
-		stayed, moved := NewLedger(table(t, terms), 0, 1), NewLedger(table(t, terms), 0, 1)
-		now, there := time.Duration(0), true
+		reference, changed := NewLedger(newTable(t, terms), 0, 1), NewLedger(newTable(t, terms), 0, 1)
+		now, present := time.Duration(0), true
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(rt, "dt"))
-			switch what := rapid.IntRange(0, 5).Draw(rt, "what"); {
-			case what == 0 && there:
-				change(t, moved, now, Change{Gone: []string{"c"}})
-				there = false
-			case what == 0:
-				change(t, moved, now, Change{Put: []Terms{terms}})
-				there = true
-			case what == 1:
-				left := moved.Left(now)
-				moved = NewLedger(table(t), now, 1)
-				if there || rapid.Bool().Draw(rt, "the successor has it still") {
-					change(t, moved, now, Change{Put: []Terms{terms}})
-					there = true
+			switch step := rapid.IntRange(0, 5).Draw(rt, "step"); {
+			case step == 0 && present:
+				applyChange(t, changed, now, Change{Gone: []string{"c"}})
+				present = false
+			case step == 0:
+				applyChange(t, changed, now, Change{Put: []Terms{terms}})
+				present = true
+			case step == 1:
+				states := changed.Left(now)
+				changed = NewLedger(newTable(t), now, 1)
+				if present || rapid.Bool().Draw(rt, "in force at the successor") {
+					applyChange(t, changed, now, Change{Put: []Terms{terms}})
+					present = true
 				}
-				if moved.Resume(now, left, true); len(left) == 0 {
-					moved.emptied = never // nothing was used, and nothing has a second burst
+				if changed.Resume(now, states, true); len(states) == 0 {
+					changed.emptiedAt = never // nothing was used: there is no second burst to prevent
 				}
-			case there:
+			case present:
 				hint, repeat, took := rapid.Float64Range(0, 1).Draw(rt, "hint"), rapid.Bool().Draw(rt, "repeat"), rapid.Float64Range(0, 4).Draw(rt, "took")
-				a := stayed.Admit(now, 0, "r", hint, repeat)
-				b := moved.Admit(now, moved.table.Find(&Caller{Tenant: "c"}), "r", hint, repeat)
+				a := reference.Admit(now, 0, "r", hint, repeat)
+				b := changed.Admit(now, changed.table.Find(&Caller{Tenant: "c"}), "r", hint, repeat)
 				if a.Rule != b.Rule || math.Abs(a.Cost-b.Cost) > 1e-9 || (a.RetryAfter-b.RetryAfter).Abs() > time.Microsecond {
-					rt.Fatalf("at %v: %+v, one that was never away says %+v", now, b, a)
+					rt.Fatalf("at %v: %+v, a contract that was never removed gives %+v", now, b, a)
 				}
 				if a.Rule == Kept {
-					if wait := (stayed.Pace(now, "c", a, 500) - moved.Pace(now, "c", b, 500)).Abs(); wait > time.Microsecond {
-						rt.Fatalf("their bandwidth differs by %v", wait)
+					if wait := (reference.Pace(now, "c", a, 500) - changed.Pace(now, "c", b, 500)).Abs(); wait > time.Microsecond {
+						rt.Fatalf("the waits for bandwidth differ by %v", wait)
 					}
-					stayed.Done(now, "c", a, took)
-					moved.Done(now, "c", b, took)
+					reference.Done(now, "c", a, took)
+					changed.Done(now, "c", b, took)
 				}
 			}
 		}
-		if !there {
-			change(t, moved, now, Change{Put: []Terms{terms}})
+		if !present {
+			applyChange(t, changed, now, Change{Put: []Terms{terms}})
 		}
-		a, b := level(t, stayed, now, "c"), level(t, moved, now, "c")
+		a, b := levelOf(t, reference, now, "c"), levelOf(t, changed, now, "c")
 		if math.Abs(a.Tokens-b.Tokens)+math.Abs(a.Work-b.Work)+math.Abs(a.Kept-b.Kept)+math.Abs(a.Furthers-b.Furthers) > 1e-6 {
-			rt.Fatalf("%+v, one that was never away has %+v", b, a)
+			rt.Fatalf("%+v, a contract that was never removed has %+v", b, a)
 		}
 	})
 }
 
-// A contract that was in force at the predecessor and is not at its successor keeps its debt; without credit only the debt. What is told
-// of removed ones is bounded as what is remembered is, and terms that make no sense are passed over.
-func TestRemovedAmidHandOver(t *testing.T) {
+// A contract in force at the predecessor but not at the successor keeps its debt; without credit it keeps nothing else.
+// The restored states of removed contracts are bounded like those of local removals, and invalid terms are skipped.
+func TestContractUnknownToSuccessorKeepsItsDebt(t *testing.T) {
 	terms := Terms{Name: "c", Rate: 1, Burst: 5, Limit: 1, Matches: []Match{{Tenant: "c"}}}
-	old := NewLedger(table(t, terms), 0, 1)
-	old.Done(0, "c", old.Admit(0, 0, "r", 0, false), 4)
-	if got := old.Left(0); len(got) != 1 || got[0].Gone != nil || got[0].Work != -3 {
-		t.Fatalf("%+v", got)
+	predecessor := NewLedger(newTable(t, terms), 0, 1)
+	predecessor.Done(0, "c", predecessor.Admit(0, 0, "r", 0, false), 4)
+	if got := predecessor.Left(0); len(got) != 1 || got[0].Gone != nil || got[0].Work != -3 {
+		t.Fatalf("predecessor's state %+v, want one contract in force with a debt of 3", got)
 	}
 	for _, credit := range []bool{true, false} {
-		l := NewLedger(table(t), 0, 1)
-		l.Resume(0, old.Left(0), credit)
-		change(t, l, 0, Change{Put: []Terms{terms}})
-		if got := level(t, l, 0, "c"); got.Work != -3 || !credit && got.Tokens != 0 || got.Tokens > 4 {
+		l := NewLedger(newTable(t), 0, 1)
+		l.Resume(0, predecessor.Left(0), credit)
+		applyChange(t, l, 0, Change{Put: []Terms{terms}})
+		if got := levelOf(t, l, 0, "c"); got.Work != -3 || !credit && got.Tokens != 0 || got.Tokens > 4 {
 			t.Errorf("credit %v: %+v", credit, got)
 		}
 	}
-	gone := func(i int, ago time.Duration) Left {
+	removedState := func(i int, ago time.Duration) Left {
 		return Left{Name: fmt.Sprint("c", i), Work: -1, Gone: &Gone{Ago: ago, Limit: 1}}
 	}
-	l, all := NewLedger(table(t), 0, 1), []Left{}
-	for i := range removedMost + 100 {
-		all = append(all, gone(i, time.Second))
+	l, all := NewLedger(newTable(t), 0, 1), []Left{}
+	for i := range maxRemoved + 100 {
+		all = append(all, removedState(i, time.Second))
 	}
-	bad := []Left{gone(9001, removedFor+1), gone(9002, 0), gone(9003, 0), {Name: ""}}
-	bad[1].Gone.Limit, bad[2].Gone.Rate = math.NaN(), -1
-	l.Resume(time.Hour, append(all, bad...), true)
-	l.Resume(time.Hour, all[200:], true) // told again: nothing doubles
-	if n, order := len(l.removed.byName), len(l.removed.order); n != removedMost || order != removedMost || l.removed.byName["c99"] != nil {
-		t.Errorf("%d are remembered, %d in order", n, order)
+	invalid := []Left{removedState(9001, removedRetention+1), removedState(9002, 0), removedState(9003, 0), {Name: ""}}
+	invalid[1].Gone.Limit, invalid[2].Gone.Rate = math.NaN(), -1
+	l.Resume(time.Hour, append(all, invalid...), true)
+	l.Resume(time.Hour, all[200:], true) // restored again: nothing is duplicated
+	if n, inOrder := len(l.removed.byName), len(l.removed.oldestFirst); n != maxRemoved || inOrder != maxRemoved || l.removed.byName["c99"] != nil {
+		t.Errorf("%d states retained, %d in order", n, inOrder)
 	}
-	for _, o := range bad {
-		if l.removed.byName[o.Name] != nil {
-			t.Errorf("%+v is remembered", o)
+	for _, s := range invalid {
+		if l.removed.byName[s.Name] != nil {
+			t.Errorf("invalid state %+v was retained", s)
 		}
 	}
-	if got := l.Left(time.Hour + removedFor); len(got) != 0 {
-		t.Errorf("%d are told past their time", len(got))
+	if got := l.Left(time.Hour + removedRetention); len(got) != 0 {
+		t.Errorf("%d states exported past their retention", len(got))
 	}
 }
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -1,10 +1,11 @@
-// Package contract decides what the contracts between teams and services let in: who a caller is, what its contract
-// states, and what is left of it. It is pure: events and times in, verdicts out; no clock, no I/O, no randomness. Which
-// server a request goes to, and whether it is tried again, is the policy's; this package only says what must not be.
+// Package contract decides which requests the contracts between teams and services admit: it finds a caller's contract,
+// holds the contract's terms and tracks what remains of its budgets. The package is pure: it is given events and times
+// and returns verdicts, and has no clock, I/O or randomness. The policy chooses servers and retries; this package only
+// rules out what a contract does not allow.
 //
-// A budget of work is counted in server-seconds: the time for which requests occupy servers, waiting included, so that a
-// contract of 3 server-seconds a second keeps three requests at servers on average. That is what a node can see of a
-// request's cost, and what others have to do without.
+// Work is measured in server-seconds: the time for which requests occupy servers, waiting included. A contract of
+// 3 server-seconds per second therefore has three requests at servers on average. This is the part of a request's cost
+// that a node can observe, and the capacity that other callers lose to it.
 package contract
 
 import (
@@ -16,9 +17,10 @@
 	"time"
 )
 
-// Criticality ranks contracts where not all guarantees can be kept: a lower one is cut first.
+// Criticality ranks contracts for the case that not all guarantees can be honored: lower ones are cut first.
 type Criticality uint8
 
+// Criticalities in ascending order; Sheddable is cut first and Critical last.
 const (
 	Sheddable Criticality = iota
 	Normal
@@ -26,156 +28,164 @@
 	Critical
 )
 
-// Criticalities by the names that files use.
+// Criticalities maps the names used in configuration files to their values.
 var Criticalities = map[string]Criticality{"sheddable": Sheddable, "normal": Normal, "high": High, "critical": Critical}
 
-// Match says who a contract is for. All fields that are set must hold. The more specific match wins: a token over a
-// header, a header over a tenant, a tenant over an address range, a long prefix over a short one; more fields over fewer.
+// Match selects the callers of a contract. All fields that are set must match. The most specific match wins: a token is
+// more specific than a header, a header than a tenant, a tenant than an address range and a long prefix than a short
+// one; of two matches with the same leading field the one with more fields set is more specific.
 type Match struct {
 	Tenant string
-	Header string // name, in canonical form,
-	Value  string // and value
+	Header string // header name in canonical form
+	Value  string // required value of the header
 	From   netip.Prefix
-	Token  [sha256.Size]byte // digest of the token; zero: none
+	Token  [sha256.Size]byte // SHA-256 digest of the token; zero: no token is required
 }
 
-// Caller is what is known of who sent a request.
+// Caller describes the sender of a request.
 type Caller struct {
 	Tenant string
-	Header func(name string) string // may be nil
-	From   netip.Addr               // zero: not known
-	Token  string                   // empty: none shown
+	Header func(name string) string // returns a header's value; may be nil
+	From   netip.Addr               // source address; the zero value if unknown
+	Token  string                   // empty if the caller presented none
 }
 
-// Terms are what a contract states, over all nodes together. Zero means no bound, but for Guaranteed.
+// Terms are the terms of a contract, for all nodes together. Zero means unlimited, except for Guaranteed.
 type Terms struct {
 	Name        string
-	Matches     []Match // any of them; none: the default contract, for whoever no other is for
-	Classes     map[string]bool
-	Rate        float64 // requests a second,
-	Burst       float64 // and how many at once
-	InFlight    int
-	Ratio       float64         // further attempts, and clients' marked repeats, as a part of first ones
-	Window      time.Duration   // over which that is counted
-	Floor       float64         // further attempts a second that are free
-	Bounded     bool            // further attempts are bounded at all
-	Retries     map[string]bool // classes that may be sent more than once; nil: as each class allows
-	Guaranteed  float64         // server-seconds a second that are kept for it under pressure
-	Limit       float64         // server-seconds a second that it never exceeds
-	Bandwidth   float64         // bytes a second through its opaque tunnels, both ways together; 0: no bound
+	Matches     []Match         // any of them selects a caller; none: the default contract, for callers that no other selects
+	Classes     map[string]bool // request classes that the contract covers; nil: all
+	Rate        float64         // requests per second
+	Burst       float64         // requests that may arrive at once
+	InFlight    int             // concurrent requests
+	Ratio       float64         // retries, and repeats marked by clients, as a fraction of first attempts
+	Window      time.Duration   // period over which the retry budget is counted
+	Floor       float64         // retries per second that are allowed regardless of RetryRatio
+	Bounded     bool            // whether the retry budget applies at all
+	Retries     map[string]bool // classes that may be retried; nil: as each class specifies
+	Guaranteed  float64         // server-seconds per second that are reserved for the contract under pressure
+	Limit       float64         // server-seconds per second that the contract never exceeds
+	Bandwidth   float64         // bytes per second through opaque tunnels, both directions together; 0: unlimited
 	Criticality Criticality
-	Weight      float64 // of its part in what others leave unused
-	Lends       float64 // part of what it leaves unused that others may have
+	Weight      float64 // relative weight in the redistribution of unused quota
+	Lends       float64 // fraction of its own unused guarantee that other contracts may borrow
 }
 
-// Check reports the first term that makes no sense, by the name that files give it.
+// Check reports the first invalid term, by its name in configuration files, and why it is invalid; empty: all are valid.
 func (t *Terms) Check() (field, why string) {
 	for _, v := range []struct {
 		field string
 		value float64
-		most  float64
+		upper float64
 	}{{"rate", t.Rate, 1e9}, {"burst", t.Burst, 1e9}, {"in_flight", float64(t.InFlight), 1e9}, {"attempts.ratio", t.Ratio, 100},
 		{"attempts.floor", t.Floor, 1e9}, {"work.guaranteed", t.Guaranteed, 1e9}, {"work.limit", t.Limit, 1e9},
 		{"bandwidth", t.Bandwidth, 1e15},
 		{"weight", t.Weight, 1e6}, {"lends", t.Lends, 1}} {
-		if !(v.value >= 0 && v.value <= v.most) {
-			return v.field, fmt.Sprintf("%v is outside 0 to %v", v.value, v.most)
+		if !(v.value >= 0 && v.value <= v.upper) {
+			return v.field, fmt.Sprintf("%v is outside 0 to %v", v.value, v.upper)
 		}
 	}
 	switch {
 	case t.Name == "":
 		return "name", "missing"
 	case t.Rate > 0 && t.Burst < 1:
-		return "burst", fmt.Sprintf("%v lets nothing in: with a rate it is at least 1", t.Burst)
+		return "burst", fmt.Sprintf("%v admits no request: must be at least 1 when a rate is set", t.Burst)
 	case t.Bounded && t.Window <= 0:
-		return "attempts.window", "a budget of attempts is counted over some time"
+		return "attempts.window", "must be longer than 0 when retries are bounded"
 	case t.Limit > 0 && t.Guaranteed > t.Limit:
 		return "work.guaranteed", fmt.Sprintf("%v exceeds work.limit, %v", t.Guaranteed, t.Limit)
 	}
 	return "", ""
 }
 
-// Table is a set of contracts, ready to be looked up. Its numbers are those of slots: a contract keeps its own as long as it is
-// there, and one that comes later may have that of one that has gone. A table that no ledger changes is safe for concurrent use;
-// one that a Ledger has is that ledger's, is changed in place by its Change, and goes by its lock.
+// Table is an indexed set of contracts, addressed by slot number. A contract keeps its slot while it exists; the slot of
+// a removed contract may be reused. A table that no Ledger changes is safe for concurrent use. A table that belongs to
+// a Ledger is changed in place by Ledger.ApplyChange and is protected by the same lock as that ledger.
 type Table struct {
-	EvenParts bool // nodes hand out even parts whatever they see; set before it is in force
+	EvenParts bool // nodes enforce even shares regardless of the traffic they see; set before the table is in use
 
-	terms    []Terms        // by slot; without a name: free
-	free     []int          // slots
-	slots    map[string]int // by the names of contracts
-	tenants  map[string]*candidate
-	headers  map[header]*candidate
-	names    counts[string] // headers that some match asks for
-	tokens   map[[sha256.Size]byte]*candidate
-	ranges   map[netip.Prefix]*candidate
-	lengths  counts[int] // of the prefixes
-	lengths6 counts[int] // the same for IPv6, in its own space
-	fallback int         // the default contract, -1 where there is none
-	byName   bool        // it was changed in place: of two matches that are equally specific the contract counts whose name sorts first
+	terms          []Terms        // by slot; an empty name marks a free slot
+	freeSlots      []int          // slots without a contract
+	slotByName     map[string]int // slots by contract name
+	byTenant       map[string]*candidate
+	byHeader       map[headerKey]*candidate
+	headerNames    refCounts[string] // header names that some match uses
+	byToken        map[[sha256.Size]byte]*candidate
+	byRange        map[netip.Prefix]*candidate
+	prefixLengths4 refCounts[int] // lengths of the IPv4 prefixes in byRange
+	prefixLengths6 refCounts[int] // lengths of the IPv6 prefixes in byRange
+	defaultSlot    int            // slot of the default contract; -1: none
+
+	// tiesByName is set by the first change in place: of two equally specific matches the contract wins whose name sorts
+	// first. Without it the earlier one wins.
+	tiesByName bool
 }
 
-type header struct{ name, value string }
+// headerKey is a header name with a required value.
+type headerKey struct{ name, value string }
 
-// candidate is a match that holds as far as its most specific field goes.
+// candidate is a match indexed by its most specific field; its other fields still have to be checked.
 type candidate struct {
-	contract int32
-	rank     int32
-	match    *Match
-	next     *candidate // of the same field; nil: none
+	slot        int32
+	specificity int32
+	match       *Match
+	next        *candidate // next candidate under the same key; nil: none
 }
 
-// counts are values in use, with how many use them, in the order in which they came.
-type counts[T comparable] struct {
+// refCounts holds the distinct values in use, in the order in which they were first added, with a reference count each.
+type refCounts[T comparable] struct {
 	values []T
-	n      []int
+	refs   []int
 }
 
-func (c *counts[T]) add(v T) {
+func (c *refCounts[T]) add(v T) {
 	i := slices.Index(c.values, v)
 	if i < 0 {
-		i, c.values, c.n = len(c.values), append(c.values, v), append(c.n, 0)
+		i, c.values, c.refs = len(c.values), append(c.values, v), append(c.refs, 0)
 	}
-	c.n[i]++
+	c.refs[i]++
 }
 
-func (c *counts[T]) remove(v T) {
+func (c *refCounts[T]) remove(v T) {
 	i := slices.Index(c.values, v)
-	if c.n[i]--; c.n[i] == 0 {
-		c.values, c.n = slices.Delete(c.values, i, i+1), slices.Delete(c.n, i, i+1)
+	if c.refs[i]--; c.refs[i] == 0 {
+		c.values, c.refs = slices.Delete(c.values, i, i+1), slices.Delete(c.refs, i, i+1)
 	}
 }
 
-// NewTable makes a table. The terms must be sound (Terms.Check); two contracts of one name, two defaults, or two that are for
-// just the same callers are an error that names both. Of two matches that are equally specific the first one's contract counts.
+// NewTable returns a table of contracts whose terms are valid (Terms.Check). Two contracts with the same name, two
+// defaults or two contracts for exactly the same callers are an error that names both. Of two equally specific matches
+// the one of the earlier contract wins.
 func NewTable(terms []Terms) (*Table, error) {
-	t := &Table{terms: slices.Clone(terms), slots: make(map[string]int, len(terms)), tenants: map[string]*candidate{},
-		headers: map[header]*candidate{}, tokens: map[[sha256.Size]byte]*candidate{}, ranges: map[netip.Prefix]*candidate{}, fallback: -1}
+	t := &Table{terms: slices.Clone(terms), slotByName: make(map[string]int, len(terms)), byTenant: map[string]*candidate{},
+		byHeader: map[headerKey]*candidate{}, byToken: map[[sha256.Size]byte]*candidate{}, byRange: map[netip.Prefix]*candidate{},
+		defaultSlot: -1}
 	for i := range t.terms {
 		c := &t.terms[i]
-		if o, dup := t.slots[c.Name]; dup {
-			return nil, fmt.Errorf("contracts[%d] and contracts[%d]: both are named %q", o, i, c.Name)
+		if other, dup := t.slotByName[c.Name]; dup {
+			return nil, fmt.Errorf("contracts[%d] and contracts[%d]: both are named %q", other, i, c.Name)
 		}
-		if len(c.Matches) == 0 && t.fallback >= 0 {
-			return nil, fmt.Errorf("contracts[%d] (%s) and contracts[%d] (%s): both are for everybody", t.fallback,
-				t.terms[t.fallback].Name, i, c.Name)
+		if len(c.Matches) == 0 && t.defaultSlot >= 0 {
+			return nil, fmt.Errorf("contracts[%d] (%s) and contracts[%d] (%s): both are for everybody", t.defaultSlot,
+				t.terms[t.defaultSlot].Name, i, c.Name)
 		}
 		for k := range c.Matches {
 			m := &c.Matches[k]
-			if m.rank() == 0 {
+			if m.specificity() == 0 {
 				return nil, fmt.Errorf("contracts[%d] (%s): match[%d]: is empty", i, c.Name, k)
 			}
-			if o := t.owner(m); o >= 0 {
-				return nil, fmt.Errorf("contracts[%d] (%s) and contracts[%d] (%s): both are for the same callers", o, t.terms[o].Name, i, c.Name)
+			if other := t.slotOf(m); other >= 0 {
+				return nil, fmt.Errorf("contracts[%d] (%s) and contracts[%d] (%s): both are for the same callers",
+					other, t.terms[other].Name, i, c.Name)
 			}
 		}
-		t.enter(i)
+		t.index(i)
 	}
 	return t, nil
 }
 
-// rank orders matches by how specific they are.
-func (m *Match) rank() int {
+// specificity returns the rank of a match; a higher value is more specific, 0 means that no field is set.
+func (m *Match) specificity() int {
 	r := 0
 	if m.Token != [sha256.Size]byte{} {
 		r += 8000
@@ -192,9 +202,9 @@
 	return r
 }
 
-// holds tells whether all fields of a match hold. The token is compared in constant time; the look-up before it goes by
-// its digest, which tells nothing of it.
-func (m *Match) holds(c *Caller, digest *[sha256.Size]byte) bool {
+// matches reports whether all fields of a match apply to a caller. The token's digest is compared in constant time; the
+// preceding lookup is keyed by the digest, so its timing reveals nothing about the token.
+func (m *Match) matches(c *Caller, digest *[sha256.Size]byte) bool {
 	if m.Token != [sha256.Size]byte{} && (c.Token == "" || subtle.ConstantTimeCompare(m.Token[:], digest[:]) != 1) {
 		return false
 	}
@@ -207,56 +217,62 @@
 	return !m.From.IsValid() || c.From.IsValid() && m.From.Contains(c.From.Unmap())
 }
 
-// Len is the number of slots, Terms what the i-th one's contract states: one without a name is free. Count is the number of contracts.
-func (t *Table) Len() int           { return len(t.terms) }
+// Len returns the number of slots, free ones included.
+func (t *Table) Len() int { return len(t.terms) }
+
+// Terms returns the terms of the contract in slot i; an empty name means that the slot is free.
 func (t *Table) Terms(i int) *Terms { return &t.terms[i] }
-func (t *Table) Count() int         { return len(t.slots) }
 
-// Slot is the number of the contract of a name.
+// Count returns the number of contracts.
+func (t *Table) Count() int { return len(t.slotByName) }
+
+// Slot returns the slot of the contract with the given name.
 func (t *Table) Slot(name string) (i int, known bool) {
-	i, known = t.slots[name]
+	i, known = t.slotByName[name]
 	return i, known
 }
 
-// Find is the number of the contract that is for a caller: the most specific one, else the default, else -1. It does not
-// allocate.
+// Find returns the slot of the most specific contract for a caller, else that of the default contract, else -1. It does
+// not allocate.
 func (t *Table) Find(c *Caller) int {
-	best, rank := t.fallback, int32(-1)
+	best, specificity := t.defaultSlot, int32(-1)
 	var digest [sha256.Size]byte
-	if c.Token != "" && len(t.tokens) > 0 {
+	if c.Token != "" && len(t.byToken) > 0 {
 		digest = sha256.Sum256([]byte(c.Token))
-		best, rank = t.better(t.tokens[digest], c, &digest, best, rank)
+		best, specificity = t.moreSpecific(t.byToken[digest], c, &digest, best, specificity)
 	}
 	if c.Header != nil {
-		for _, name := range t.names.values {
+		for _, name := range t.headerNames.values {
 			if v := c.Header(name); v != "" {
-				best, rank = t.better(t.headers[header{name, v}], c, &digest, best, rank)
+				best, specificity = t.moreSpecific(t.byHeader[headerKey{name, v}], c, &digest, best, specificity)
 			}
 		}
 	}
 	if c.Tenant != "" {
-		best, rank = t.better(t.tenants[c.Tenant], c, &digest, best, rank)
+		best, specificity = t.moreSpecific(t.byTenant[c.Tenant], c, &digest, best, specificity)
 	}
-	if c.From.IsValid() && len(t.ranges) > 0 {
+	if c.From.IsValid() && len(t.byRange) > 0 {
 		from := c.From.Unmap()
-		lengths := t.lengths.values
+		lengths := t.prefixLengths4.values
 		if from.Is6() {
-			lengths = t.lengths6.values
+			lengths = t.prefixLengths6.values
 		}
 		for _, n := range lengths {
 			if p, err := from.Prefix(n); err == nil {
-				best, rank = t.better(t.ranges[p], c, &digest, best, rank)
+				best, specificity = t.moreSpecific(t.byRange[p], c, &digest, best, specificity)
 			}
 		}
 	}
 	return best
 }
 
-func (t *Table) better(k *candidate, c *Caller, digest *[sha256.Size]byte, best int, rank int32) (int, int32) {
+// moreSpecific returns the slot and specificity of the best match among a list of candidates and those passed in.
+func (t *Table) moreSpecific(k *candidate, c *Caller, digest *[sha256.Size]byte, best int, specificity int32) (int, int32) {
 	for ; k != nil; k = k.next {
-		if (k.rank > rank || k.rank == rank && t.byName && t.terms[k.contract].Name < t.terms[best].Name) && k.match.holds(c, digest) {
-			best, rank = int(k.contract), k.rank
+		if (k.specificity > specificity || k.specificity == specificity && t.tiesByName && t.terms[k.slot].Name < t.terms[best].Name) &&
+			k.match.matches(c, digest) {
+			best, specificity = int(k.slot), k.specificity
 		}
 	}
-	return best, rank
+	return best, specificity
 }
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-func table(t testing.TB, terms ...Terms) *Table {
+func newTable(t testing.TB, terms ...Terms) *Table {
 	t.Helper()
 	tab, err := NewTable(terms)
 	if err != nil {
@@ -24,9 +24,9 @@
 	return tab
 }
 
-// The most specific contract holds.
-func TestFind(t *testing.T) {
-	tab := table(t,
+// A caller gets the contract with the most specific match.
+func TestFindSelectsMostSpecificContract(t *testing.T) {
+	tab := newTable(t,
 		Terms{Name: "default"},
 		Terms{Name: "wide", Matches: []Match{{From: netip.MustParsePrefix("10.0.0.0/8")}}},
 		Terms{Name: "narrow", Matches: []Match{{From: netip.MustParsePrefix("10.1.0.0/16")}, {From: netip.MustParsePrefix("2001:db8::/32")}}},
@@ -59,15 +59,16 @@
 			caller.From = netip.MustParseAddr(c.from)
 		}
 		if got := tab.Terms(tab.Find(&caller)).Name; got != c.want {
-			t.Errorf("%+v falls under %q", c, got)
+			t.Errorf("%+v matches contract %q", c, got)
 		}
 	}
-	if i := table(t, Terms{Name: "x", Matches: []Match{{Tenant: "x"}}}).Find(&Caller{}); i != -1 {
-		t.Errorf("without a default a stranger falls under %d", i)
+	if i := newTable(t, Terms{Name: "x", Matches: []Match{{Tenant: "x"}}}).Find(&Caller{}); i != -1 {
+		t.Errorf("a caller without a contract matches slot %d, want -1", i)
 	}
 }
 
-func TestTablesThatMakeNoSense(t *testing.T) {
+// Tables that conflict, and terms outside their bounds, are reported with the contracts or the field at fault.
+func TestInvalidTablesAndTermsAreRejected(t *testing.T) {
 	m := []Match{{Tenant: "a"}}
 	for _, c := range []struct {
 		terms []Terms
@@ -91,81 +92,83 @@
 		{Terms{Name: "a", Guaranteed: 3, Limit: 2}, "work.guaranteed"}, {Terms{Name: "a", Rate: 1, Burst: 1}, ""},
 	} {
 		if field, _ := c.terms.Check(); field != c.field {
-			t.Errorf("%+v: %q is at fault, want %q", c.terms, field, c.field)
+			t.Errorf("%+v: invalid field %q, want %q", c.terms, field, c.field)
 		}
 	}
 }
 
-// Each rule refuses what it is for, with the time at which it would not.
-func TestRules(t *testing.T) {
+// Each rule refuses the requests that it is meant for, and reports after which time a repeat is admitted.
+func TestEachRuleRefusesWithItsRetryAfter(t *testing.T) {
 	admit := func(l *Ledger, at time.Duration, repeat bool) Verdict { return l.Admit(at, 0, "read", 0.1, repeat) }
 	for _, c := range []struct {
 		name  string
 		terms Terms
-		play  func(l *Ledger) Verdict
+		run   func(l *Ledger) Verdict
 		rule  Rule
 		after time.Duration
 	}{
-		{"all is open", Terms{}, func(l *Ledger) Verdict { return admit(l, 0, true) }, Kept, 0},
-		{"another class", Terms{Classes: map[string]bool{"write": true}}, func(l *Ledger) Verdict { return admit(l, 0, false) }, Service, longAgo},
-		{"past the burst", Terms{Rate: 10, Burst: 2}, func(l *Ledger) Verdict {
+		{"no limits", Terms{}, func(l *Ledger) Verdict { return admit(l, 0, true) }, Kept, 0},
+		{"class not covered", Terms{Classes: map[string]bool{"write": true}}, func(l *Ledger) Verdict {
+			return admit(l, 0, false)
+		}, Service, maxRetryAfter},
+		{"burst exceeded", Terms{Rate: 10, Burst: 2}, func(l *Ledger) Verdict {
 			admit(l, 0, false)
 			admit(l, 0, false)
 			return admit(l, 0, false)
 		}, Rate, 100 * ms},
-		{"past the burst, later", Terms{Rate: 10, Burst: 2}, func(l *Ledger) Verdict {
+		{"burst exceeded, then refilled", Terms{Rate: 10, Burst: 2}, func(l *Ledger) Verdict {
 			admit(l, 0, false)
 			admit(l, 0, false)
 			return admit(l, 100*ms, false)
 		}, Kept, 0},
-		{"too many in flight", Terms{InFlight: 1}, func(l *Ledger) Verdict {
+		{"in-flight limit reached", Terms{InFlight: 1}, func(l *Ledger) Verdict {
 			admit(l, 0, false)
 			return admit(l, time.Hour, false)
 		}, InFlight, 0},
-		{"one in flight is done", Terms{InFlight: 1}, func(l *Ledger) Verdict {
+		{"request in flight has ended", Terms{InFlight: 1}, func(l *Ledger) Verdict {
 			l.Done(ms, "c", admit(l, 0, false), 0.1)
 			return admit(l, ms, false)
 		}, Kept, 0},
-		{"repeats without first tries", Terms{Bounded: true, Ratio: 0.5, Window: 4 * time.Second}, func(l *Ledger) Verdict {
+		{"repeat without first attempts", Terms{Bounded: true, Ratio: 0.5, Window: 4 * time.Second}, func(l *Ledger) Verdict {
 			return admit(l, 0, true)
 		}, Attempts, time.Second},
-		{"repeats within the budget", Terms{Bounded: true, Ratio: 0.5, Window: 4 * time.Second}, func(l *Ledger) Verdict {
+		{"repeat within the budget", Terms{Bounded: true, Ratio: 0.5, Window: 4 * time.Second}, func(l *Ledger) Verdict {
 			admit(l, 0, false)
 			admit(l, 0, false)
 			return admit(l, 0, true)
 		}, Kept, 0},
-		{"twenty times heavier than was hinted", Terms{Limit: 1}, func(l *Ledger) Verdict {
+		{"cost twenty times the hint", Terms{Limit: 1}, func(l *Ledger) Verdict {
 			l.Done(0, "c", admit(l, 0, false), 2) // charged 0.1, took 2: one second of debt
 			return admit(l, 0, false)
 		}, Work, time.Second},
-		{"the debt is paid", Terms{Limit: 1}, func(l *Ledger) Verdict {
+		{"debt repaid", Terms{Limit: 1}, func(l *Ledger) Verdict {
 			l.Done(0, "c", admit(l, 0, false), 2)
 			return admit(l, 1100*ms, false)
 		}, Kept, 0},
-		{"the debt is bounded", Terms{Limit: 1}, func(l *Ledger) Verdict {
+		{"debt is bounded", Terms{Limit: 1}, func(l *Ledger) Verdict {
 			l.Done(0, "c", admit(l, 0, false), 3600)
-			return admit(l, time.Duration(debtMost*1.2*float64(time.Second)), false)
+			return admit(l, time.Duration(maxDebtSeconds*1.2*float64(time.Second)), false)
 		}, Kept, 0},
 	} {
 		c.terms.Name = "c"
-		l := NewLedger(table(t, c.terms), 0, 1)
-		v := c.play(l)
+		l := NewLedger(newTable(t, c.terms), 0, 1)
+		v := c.run(l)
 		if v.Rule != c.rule || c.after > 0 && math.Abs(float64(v.RetryAfter-c.after)) > float64(2*ms) {
-			t.Errorf("%s: %q after %v, want %q after %v", c.name, v.Rule, v.RetryAfter, c.rule, c.after)
+			t.Errorf("%s: rule %q, retry after %v, want %q after %v", c.name, v.Rule, v.RetryAfter, c.rule, c.after)
 		}
 	}
-	l := NewLedger(table(t, Terms{Name: "c", Matches: []Match{{Tenant: "a"}}}), 0, 1)
+	l := NewLedger(newTable(t, Terms{Name: "c", Matches: []Match{{Tenant: "a"}}}), 0, 1)
 	if v := l.Admit(0, -1, "read", 0, false); v.Rule != None {
-		t.Errorf("a caller without a contract: %+v", v)
+		t.Errorf("caller without a contract: %+v, want rule none", v)
 	}
 	if len(Rules) != ruleCount {
-		t.Error("refusals are counted by rule: the counters are too few")
+		t.Error("ruleCount, the number of refusal counters, differs from the number of rules")
 	}
 }
 
-// Further attempts are bounded by the budget, and by the classes that the contract lets be tried again.
-func TestFurther(t *testing.T) {
-	l := NewLedger(table(t, Terms{Name: "c", Bounded: true, Ratio: 0.1, Window: time.Second, Retries: map[string]bool{"read": true}}), 0, 1)
+// Retries are limited by the retry budget, and to the classes for which the contract allows them.
+func TestRetriesAreBoundedByBudgetAndClass(t *testing.T) {
+	l := NewLedger(newTable(t, Terms{Name: "c", Bounded: true, Ratio: 0.1, Window: time.Second, Retries: map[string]bool{"read": true}}), 0, 1)
 	for range 20 {
 		l.Admit(0, 0, "read", 0.01, false)
 	}
@@ -176,24 +179,25 @@
 		}
 	}
 	if allowed != 2 || l.Further(0, 0, "write") {
-		t.Errorf("%d further attempts are let through of 20 first ones, want a tenth", allowed)
+		t.Errorf("%d retries allowed for 20 first attempts, want 2, and none of class write", allowed)
 	}
 }
 
-// pressed is a ledger under pressure with three teams: one floods, one keeps to its guarantee, one is away.
-func pressed(t testing.TB) *Ledger {
-	l := NewLedger(table(t,
+// newThreeTeamLedger returns a ledger with three teams: flood exceeds its guarantee, calm stays within its own, and away
+// has a guarantee that it does not use at first.
+func newThreeTeamLedger(t testing.TB) *Ledger {
+	l := NewLedger(newTable(t,
 		Terms{Name: "flood", Guaranteed: 1, Weight: 1, Lends: 1, Criticality: Sheddable, Matches: []Match{{Tenant: "flood"}}},
 		Terms{Name: "calm", Guaranteed: 4, Weight: 1, Lends: 1, Criticality: High, Matches: []Match{{Tenant: "calm"}}},
 		Terms{Name: "away", Guaranteed: 5, Weight: 1, Lends: 1, Criticality: Critical, Matches: []Match{{Tenant: "away"}}}), 0, 1)
 	return l
 }
 
-// drive sends each team's demand, in server-seconds a second, for a while and returns what was let in a second. The fleet
-// bears ten.
-func drive(l *Ledger, from time.Duration, span time.Duration, demand []float64) []float64 {
-	in := make([]float64, len(demand))
-	owed := make([]float64, len(demand))
+// simulate offers each team's demand, in server-seconds per second, for the given span and returns what was admitted per
+// second. The fleet comes under pressure above a load of 10.
+func simulate(l *Ledger, from time.Duration, span time.Duration, demand []float64) []float64 {
+	admitted := make([]float64, len(demand))
+	due := make([]float64, len(demand))
 	const cost, step = 0.05, 5 * ms
 	var running []struct {
 		until time.Duration
@@ -201,15 +205,15 @@
 	}
 	load := 0.0
 	for at := from; at < from+span; at += step {
-		kept := running[:0]
+		stillRunning := running[:0]
 		for _, r := range running {
 			if r.until <= at {
 				l.Done(at, l.table.terms[r.v.Contract].Name, r.v, cost)
 			} else {
-				kept = append(kept, r)
+				stillRunning = append(stillRunning, r)
 			}
 		}
-		running = kept
+		running = stillRunning
 		load += (float64(len(running)) - load) * 0.05
 		pressure := 0.0
 		if load > 10 {
@@ -217,9 +221,9 @@
 		}
 		l.Look(at, pressure)
 		for i, d := range demand {
-			for owed[i] += d * step.Seconds() / cost; owed[i] >= 1; owed[i]-- {
+			for due[i] += d * step.Seconds() / cost; due[i] >= 1; due[i]-- {
 				if v := l.Admit(at, i, "read", cost, false); v.Rule == Kept {
-					in[i] += cost / span.Seconds()
+					admitted[i] += cost / span.Seconds()
 					running = append(running, struct {
 						until time.Duration
 						v     Verdict
@@ -231,83 +235,85 @@
 	for _, r := range running {
 		l.Done(from+span, l.table.terms[r.v.Contract].Name, r.v, cost)
 	}
-	return in
+	return admitted
 }
 
-// Under pressure what is guaranteed is kept, what is unused is lent, and taken back within 250 ms of its owner's return.
-func TestLending(t *testing.T) {
-	l := pressed(t)
-	in := drive(l, 0, 20*time.Second, []float64{100, 3, 0})
-	if in[1] < 2.9 {
-		t.Errorf("the calm team has %.2f of the 3 that it asks for", in[1])
-	}
-	if in[0] < 5 || in[0]+in[1] > 12 {
-		t.Errorf("the flood has %.2f beside %.2f: of ten, what nobody asks for is to be lent", in[0], in[1])
-	}
-	in = drive(l, 20*time.Second, 250*ms, []float64{100, 3, 0}) // as before, to have it at hand
-	before := in[0]
-	in = drive(l, 20250*ms, 250*ms, []float64{100, 3, 5})
-	if in[2] < 4.5 {
-		t.Errorf("its owner has %.2f of the 5 guaranteed in its first 250 ms back", in[2])
-	}
-	in = drive(l, 20500*ms, time.Second, []float64{100, 3, 5})
-	if in[2] < 4.7 || in[1] < 2.8 || in[0] > before-2 {
-		t.Errorf("then: %.2f; the flood had %.2f", in, before)
-	}
-	in = drive(l, 30*time.Second, 20*time.Second, []float64{100, 0, 0}) // alone, after a while
-	if in[0] < 30 {
-		t.Errorf("a team that is alone is held to %.2f", in[0])
+// Under pressure guarantees are honored, and an unused guarantee is lent to others; its owner gets it back within 250 ms
+// of its return.
+func TestUnusedGuaranteesAreLentAndReclaimed(t *testing.T) {
+	l := newThreeTeamLedger(t)
+	admitted := simulate(l, 0, 20*time.Second, []float64{100, 3, 0})
+	if admitted[1] < 2.9 {
+		t.Errorf("the calm team is admitted %.2f, want its demand of 3", admitted[1])
+	}
+	if admitted[0] < 5 || admitted[0]+admitted[1] > 12 {
+		t.Errorf("flood admitted %.2f, calm %.2f: want the unused capacity of 10 lent to the flood", admitted[0], admitted[1])
+	}
+	admitted = simulate(l, 20*time.Second, 250*ms, []float64{100, 3, 0}) // unchanged demand, measured for the comparison below
+	before := admitted[0]
+	admitted = simulate(l, 20250*ms, 250*ms, []float64{100, 3, 5})
+	if admitted[2] < 4.5 {
+		t.Errorf("the returning team is admitted %.2f in its first 250 ms, want its guarantee of 5", admitted[2])
+	}
+	admitted = simulate(l, 20500*ms, time.Second, []float64{100, 3, 5})
+	if admitted[2] < 4.7 || admitted[1] < 2.8 || admitted[0] > before-2 {
+		t.Errorf("after 250 ms: admitted %.2f; the flood had %.2f before", admitted, before)
+	}
+	admitted = simulate(l, 30*time.Second, 20*time.Second, []float64{100, 0, 0}) // no other team has demand
+	if admitted[0] < 30 {
+		t.Errorf("the only active team is limited to %.2f", admitted[0])
 	}
 }
 
-// Guarantees that sum to more than the fleet: the critical ones are kept, the lower cut first.
-func TestTooManyGuarantees(t *testing.T) {
-	l := NewLedger(table(t,
+// If the guarantees exceed the capacity of the fleet, the critical one is honored and the less critical one is cut.
+func TestOvercommittedGuaranteesAreCutByCriticality(t *testing.T) {
+	l := NewLedger(newTable(t,
 		Terms{Name: "low", Guaranteed: 8, Weight: 1, Criticality: Sheddable, Matches: []Match{{Tenant: "a"}}},
 		Terms{Name: "high", Guaranteed: 8, Weight: 1, Criticality: Critical, Matches: []Match{{Tenant: "b"}}}), 0, 1)
-	in := drive(l, 0, 30*time.Second, []float64{8, 8})
-	if in[1] < 7.2 || in[0] > 4.5 {
-		t.Errorf("low has %.2f, critical %.2f of 8; the fleet bears 10", in[0], in[1])
+	admitted := simulate(l, 0, 30*time.Second, []float64{8, 8})
+	if admitted[1] < 7.2 || admitted[0] > 4.5 {
+		t.Errorf("low admitted %.2f, critical %.2f, of 8 each; the fleet's capacity is 10", admitted[0], admitted[1])
 	}
 }
 
-// A reload keeps what is left of the contracts that stay; requests under way end whatever became of theirs.
-func TestSwap(t *testing.T) {
+// Replacing the table must not reset what the remaining contracts have spent, and requests in flight must still end,
+// whatever became of their contract.
+func TestReplacedTableKeepsSpentQuota(t *testing.T) {
 	one := Terms{Name: "one", Rate: 1, Burst: 3, Matches: []Match{{Tenant: "1"}}}
 	two := Terms{Name: "two", InFlight: 1, Matches: []Match{{Tenant: "2"}}}
-	l := NewLedger(table(t, one, two), 0, 1)
+	l := NewLedger(newTable(t, one, two), 0, 1)
 	for range 3 {
 		l.Admit(0, 0, "r", 0, false)
 	}
 	v := l.Admit(0, 1, "r", 0, false)
-	l.Swap(table(t, two, one)) // they change places
+	l.Swap(newTable(t, two, one)) // the contracts swap slots
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != Rate {
-		t.Errorf("a reload refills the rate: %+v", got)
+		t.Errorf("replacing the table refilled the rate: %+v", got)
 	}
 	if got := l.Admit(0, 0, "r", 0, false); got.Rule != InFlight {
-		t.Errorf("a reload forgets what is in flight: %+v", got)
+		t.Errorf("replacing the table reset the requests in flight: %+v", got)
 	}
 	l.Done(0, "two", v, 0.1)
 	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Kept {
-		t.Errorf("the request that was under way did not end: %+v", got)
+		t.Errorf("Done did not end the request admitted before the replacement: %+v", got)
 	}
-	l.Swap(table(t, one))
-	l.Done(0, "two", v, 0.1) // its contract has gone: no harm
+	l.Swap(newTable(t, one))
+	l.Done(0, "two", v, 0.1) // its contract is removed: no effect
 	one.Burst = 1
-	l.Swap(table(t, one))
+	l.Swap(newTable(t, one))
 	if level := l.Level(time.Hour, 0); level.Tokens > 1 {
-		t.Errorf("a smaller burst leaves %v", level.Tokens)
+		t.Errorf("%v tokens left after the burst was reduced to 1", level.Tokens)
 	}
 }
 
-// Never more than rate × time + burst, whatever the clock does and however parts and loads change.
-func TestRateBound(t *testing.T) {
+// A contract never gets more than rate × time + burst, however the clock jumps and the pressure changes.
+func TestRateIsBoundedUnderAnyClock(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rate, burst := rapid.Float64Range(0.1, 1000).Draw(rt, "rate"), rapid.Float64Range(1, 100).Draw(rt, "burst")
-		l := NewLedger(table(t, Terms{Name: "c", Rate: rate, Burst: burst, Guaranteed: rapid.Float64Range(0, 5).Draw(rt, "g")}), 0, 1)
+		l := NewLedger(newTable(t, Terms{Name: "c", Rate: rate, Burst: burst, Guaranteed: rapid.Float64Range(0, 5).Draw(rt, "g")}), 0, 1)
 		now, latest, n := time.Duration(0), time.Duration(0), 0
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
-			now += time.Duration(rapid.Int64Range(int64(-time.Second), int64(time.Second)).Draw(rt, "dt")) // jumps back too
+			now += time.Duration(rapid.Int64Range(int64(-time.Second), int64(time.Second)).Draw(rt, "dt")) // the clock also jumps back
 			latest = max(latest, now)
 			l.Look(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
 			if v := l.Admit(now, 0, "r", 0.01, false); v.Rule == Kept {
@@ -315,15 +321,15 @@
 				l.Done(now, "c", v, rapid.Float64Range(0, 3).Draw(rt, "took"))
 			}
 		}
-		if most := rate*latest.Seconds() + burst + 1e-6; float64(n) > most {
-			rt.Fatalf("%d were let in, at most %.1f", n, most)
+		if limit := rate*latest.Seconds() + burst + 1e-6; float64(n) > limit {
+			rt.Fatalf("%d requests admitted, limit %.1f", n, limit)
 		}
 	})
 }
 
-// What is lent never exceeds what all may use; what is charged is conserved: with every request over, in flight is nothing
-// and no budget is above its bound.
-func TestConservation(t *testing.T) {
+// Contracts never borrow more than the allowed work. Once all requests have ended none is in flight, and no budget
+// exceeds its bound.
+func TestBudgetsAreConserved(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "teams")
 		var terms []Terms
@@ -331,24 +337,24 @@
 			terms = append(terms, Terms{Name: fmt.Sprint(i), Guaranteed: rapid.Float64Range(0, 5).Draw(rt, "g"), Limit: 6, Lends: 1,
 				Weight: rapid.Float64Range(0, 3).Draw(rt, "w"), Criticality: Criticality(i % 4), Matches: []Match{{Tenant: fmt.Sprint(i)}}})
 		}
-		l := NewLedger(table(t, terms...), 0, 1)
+		l := NewLedger(newTable(t, terms...), 0, 1)
 		var open []Verdict
 		now := time.Duration(0)
 		for range rapid.IntRange(10, 200).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(60*ms)).Draw(rt, "dt"))
 			l.Look(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
-			if !math.IsInf(l.allowed, 1) {
+			if !math.IsInf(l.allowedWork, 1) {
 				lent := 0.0
 				for _, s := range l.states {
 					if s != nil {
-						lent += s.share
+						lent += s.borrowRate
 					}
 				}
-				if lent > l.allowed+1e-6 {
-					rt.Fatalf("%.3f is lent of %.3f", lent, l.allowed)
+				if lent > l.allowedWork+1e-6 {
+					rt.Fatalf("contracts may borrow %.3f, more than the allowed work %.3f", lent, l.allowedWork)
 				}
 			}
-			if v := l.Admit(now, rapid.IntRange(0, n-1).Draw(rt, "who"), "r", rapid.Float64Range(0, 1).Draw(rt, "hint"), false); v.Rule == Kept {
+			if v := l.Admit(now, rapid.IntRange(0, n-1).Draw(rt, "contract"), "r", rapid.Float64Range(0, 1).Draw(rt, "hint"), false); v.Rule == Kept {
 				open = append(open, v)
 			}
 			if len(open) > 0 && rapid.Bool().Draw(rt, "end") {
@@ -361,15 +367,15 @@
 		}
 		for i := range n {
 			level := l.Level(now, i)
-			if level.InFlight != 0 || level.Work > 6+1e-9 || level.Kept > terms[i].Guaranteed*saved.Seconds()+1e-9 {
-				rt.Fatalf("%+v", level)
+			if level.InFlight != 0 || level.Work > 6+1e-9 || level.Kept > terms[i].Guaranteed*guaranteeCarryOver.Seconds()+1e-9 {
+				rt.Fatalf("after all requests ended: %+v", level)
 			}
 		}
 	})
 }
 
-// Ten thousand contracts of which fifty are active.
-func many(t testing.TB) (*Ledger, []Caller) {
+// newManyContracts returns a ledger of 10,000 contracts and the callers of 50 of them.
+func newManyContracts(t testing.TB) (*Ledger, []Caller) {
 	var terms []Terms
 	for i := range 10000 {
 		name := fmt.Sprint("team-", i)
@@ -380,14 +386,15 @@
 	for i := range 50 {
 		callers = append(callers, Caller{Tenant: fmt.Sprint("team-", i*199)})
 	}
-	return NewLedger(table(t, terms...), 0, 1), callers
+	return NewLedger(newTable(t, terms...), 0, 1), callers
 }
 
+// Verdicts are on the path of every request and must not allocate.
 func TestVerdictsDoNotAllocate(t *testing.T) {
-	l, callers := many(t)
+	l, callers := newManyContracts(t)
 	now := time.Duration(0)
 	i := 0
-	one := func() {
+	decide := func() {
 		i++
 		now += ms / 10
 		c := &callers[i%len(callers)]
@@ -398,19 +405,19 @@
 		}
 	}
 	for range 100 {
-		one()
+		decide()
 	}
-	if n := testing.AllocsPerRun(1000, one); n > 0 {
-		t.Errorf("%v allocations a verdict", n)
+	if n := testing.AllocsPerRun(1000, decide); n > 0 {
+		t.Errorf("%v allocations per verdict", n)
 	}
 	if len(l.active) != len(callers) {
-		t.Errorf("%d contracts take part in lending, want the 50 that are used", len(l.active))
+		t.Errorf("%d contracts in the redistribution, want the 50 that are used", len(l.active))
 	}
 }
 
-// BenchmarkVerdict is a look-up, an admission under pressure and its end, among 10,000 contracts.
+// BenchmarkVerdict measures a lookup, an admission under pressure and its end, with 10,000 contracts.
 func BenchmarkVerdict(b *testing.B) {
-	l, callers := many(b)
+	l, callers := newManyContracts(b)
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -423,8 +430,8 @@
 	}
 }
 
-// What ten thousand contracts take, unused and all in use.
-func TestMemory(t *testing.T) {
+// The memory per contract is bounded, both for unused and for used ones.
+func TestMemoryPerContractIsBounded(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -433,24 +440,24 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	l, _ := many(t)
+	l, _ := newManyContracts(t)
 	idle := heap()
 	for i := range l.table.Len() {
 		l.Admit(0, i, "read", 0.01, false)
 	}
 	used := heap()
 	n := float64(l.table.Len())
-	a, b := float64(idle-before)/n, float64(used-idle)/n
-	t.Logf("a contract takes %.0f bytes, one in use %.0f more", a, b)
-	if a > 2000 || b > 1000 {
-		t.Errorf("a contract takes %.0f bytes, one in use %.0f more", a, b)
+	unusedBytes, usedBytes := float64(idle-before)/n, float64(used-idle)/n
+	t.Logf("a contract takes %.0f bytes, a used one %.0f more", unusedBytes, usedBytes)
+	if unusedBytes > 2000 || usedBytes > 1000 {
+		t.Errorf("a contract takes %.0f bytes, a used one %.0f more", unusedBytes, usedBytes)
 	}
 	runtime.KeepAlive(l)
 }
 
-// A node's part follows what it sees within a few seconds, never below a quarter of the even part nor above the whole,
-// and a hand-over gives nobody a second burst.
-func TestShareAndSuccession(t *testing.T) {
+// A node's share follows its share of the traffic, between a quarter of the even share and the whole, and a hand-over
+// gives no contract a second burst.
+func TestNodeShareFollowsTrafficAndHandOverGrantsNoBurst(t *testing.T) {
 	settle := func(tb *Table, seen float64) float64 {
 		l := NewLedger(tb, 0, 0.25)
 		for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
@@ -458,26 +465,26 @@
 		}
 		return l.Part()
 	}
-	tb := table(t, Terms{Name: "c", Rate: 10, Burst: 8})
+	tb := newTable(t, Terms{Name: "c", Rate: 10, Burst: 8})
 	for _, c := range []struct{ seen, want float64 }{{0.8, 0.8}, {0.01, 0.0625}, {7, 1}, {math.NaN(), 0.25}} {
 		if got := settle(tb, c.seen); math.Abs(got-c.want) > 0.001 {
-			t.Errorf("a node that sees %g of the traffic hands out %g, want %g", c.seen, got, c.want)
+			t.Errorf("a node with a traffic share of %g enforces %g, want %g", c.seen, got, c.want)
 		}
 	}
-	fixed := table(t, Terms{Name: "c", Rate: 10, Burst: 8})
+	fixed := newTable(t, Terms{Name: "c", Rate: 10, Burst: 8})
 	fixed.EvenParts = true
 	if got := settle(fixed, 0.9); got != 0.25 {
-		t.Errorf("with even parts it hands out %g", got)
+		t.Errorf("with even shares the node enforces %g, want 0.25", got)
 	}
-	first, heir := NewLedger(tb, 0, 1), NewLedger(tb, 0, 1)
-	heir.Empty(0)
+	first, successor := NewLedger(tb, 0, 1), NewLedger(tb, 0, 1)
+	successor.Empty(0)
 	if v := first.Admit(0, 0, "", 0, false); v.Rule != Kept {
-		t.Errorf("a fresh ledger says %q", v.Rule)
+		t.Errorf("new ledger: rule %q, want the request admitted", v.Rule)
 	}
-	if v := heir.Admit(0, 0, "", 0, false); v.Rule != Rate || v.RetryAfter != 100*time.Millisecond {
-		t.Errorf("a successor's says %q, back after %s", v.Rule, v.RetryAfter)
+	if v := successor.Admit(0, 0, "", 0, false); v.Rule != Rate || v.RetryAfter != 100*time.Millisecond {
+		t.Errorf("successor: rule %q, retry after %s, want rate after 100ms", v.Rule, v.RetryAfter)
 	}
-	if v := heir.Admit(100*time.Millisecond, 0, "", 0, false); v.Rule != Kept {
-		t.Errorf("after that time it says %q", v.Rule)
+	if v := successor.Admit(100*time.Millisecond, 0, "", 0, false); v.Rule != Kept {
+		t.Errorf("successor after 100ms: rule %q, want the request admitted", v.Rule)
 	}
 }
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -6,27 +6,36 @@
 	"time"
 )
 
-// Rule names what a verdict goes by.
+// Rule names the rule by which a request was admitted or refused.
 type Rule string
 
 const (
-	Kept     Rule = ""        // let in
-	None     Rule = "none"    // no contract is for this caller
-	Service  Rule = "service" // the contract does not name this class
-	Rate     Rule = "rate"    // too many requests
+	// Admitted means that no rule refused the request.
+	Kept Rule = ""
+	// None: no contract is for this caller.
+	None Rule = "none"
+	// Service: the contract does not cover the request's class.
+	Service Rule = "service"
+	// Rate: the contract's request rate is exceeded.
+	Rate Rule = "rate"
+	// InFlight: the contract's limit of concurrent requests is reached.
 	InFlight Rule = "in-flight"
-	Attempts Rule = "attempts" // too many repeats and further attempts
-	Work     Rule = "work"     // its budget of work is used up
-	Fleet    Rule = "fleet"    // the fleet is under pressure and its guarantee is used up
+	// Attempts: the contract's budget of retries and client repeats is used up.
+	Attempts Rule = "attempts"
+	// Work: the contract's budget of work is used up.
+	Work Rule = "work"
+	// Fleet: the fleet is under pressure and the contract's guarantee is used up.
+	Fleet Rule = "fleet"
 )
 
-// Rules lists those that refuse.
+// Rules lists the rules that refuse requests. Refusals are counted by index into it.
 var Rules = []Rule{None, Service, Rate, InFlight, Attempts, Work, Fleet}
 
-// Why says in a sentence what a rule refuses for; empty for Kept.
-func (r Rule) Why() string { return why[r] }
+// Why returns a sentence that explains a refusal by this rule; empty for Admitted.
+func (r Rule) Why() string { return ruleSentences[r] }
 
-var why = map[Rule]string{
+// ruleSentences are sent to clients in the bodies of refusals.
+var ruleSentences = map[Rule]string{
 	None:     "no contract is for this caller",
 	Service:  "the caller's contract does not name this class",
 	Rate:     "the contract's rate is used up",
@@ -36,181 +45,212 @@
 	Fleet:    "the fleet is under pressure and the contract's guarantee is used up",
 }
 
-// Verdict is what a request is told.
+// Verdict is the decision on one request. The caller passes it back to Pace and Done.
 type Verdict struct {
-	Rule       Rule // Kept: it is let in
-	Contract   int  // -1: none
-	Borrowed   bool // it goes on what others leave unused, and is the first to go
-	RetryAfter time.Duration
-	Cost       float64 // server-seconds that it was charged
+	Rule       Rule          // the rule that refused the request, or Admitted
+	Contract   int           // slot of the contract; -1: none
+	Borrowed   bool          // admitted on quota that other contracts leave unused, so it is shed first
+	RetryAfter time.Duration // of a refusal: when a repeat may be admitted
+	Cost       float64       // server-seconds charged on admission
 
-	state *state // of the contract that it was let in by
+	admittedBy *state // state that was charged; nil if refused
 }
 
 const (
-	tick       = 50 * time.Millisecond  // lending is worked out anew this often
-	activeFor  = 10 * time.Second       // a contract that nobody used for this long takes no part in lending
-	saved      = time.Second            // a guarantee that was left unused is kept for this long
-	debtMost   = 10.0                   // seconds of its budget that a contract can be in debt
-	demandTau  = 0.15                   // memory of what each asks for
-	partTau    = 2.0                    // of what this node's part of all traffic is
-	usedTau    = 0.5                    // and of what all use
-	atEase     = 0.02                   // pressure below this is none
-	growthStep = 0.002                  // what all may use grows by this much more a tick for each tick without pressure,
-	growthMost = 0.01                   // up to this,
-	cut        = 0.3                    // and falls by up to this with it,
-	easeAfter  = time.Second            // a bound that refuses nobody for this long is none
-	cutEvery   = 250 * time.Millisecond // no more often than queues take to show it
-	lendMost   = 0.9                    // of what is unused; the rest is for what changes before the next tick
-	alike      = 0.01                   // server-seconds a second that are as good as none
-	debtPart   = 0.1                    // at least this part of a guarantee pays back what it owes
-	costPart   = 0.03                   // what a request counts in the mean cost of its contract
-	minHint    = 1e-4                   // seconds: no request is free
-	firstHint  = 0.05                   // cost of a request before any was measured and no hint was given
-	longAgo    = time.Hour              // RetryAfter is never longer
-	never      = math.MinInt64
+	// tickInterval is how often the allowed work and the redistribution of unused quota are recomputed.
+	tickInterval = 50 * time.Millisecond
+	// inactiveAfter excludes contracts without a request for this long from the redistribution.
+	inactiveAfter = 10 * time.Second
+	// guaranteeCarryOver is how much unused guarantee a contract can accumulate, in time.
+	guaranteeCarryOver = time.Second
+	// maxDebtSeconds is how far a contract can go into debt, in seconds of its budget.
+	maxDebtSeconds = 10.0
+	// demandTimeConstant smooths the demand of each contract, in seconds.
+	demandTimeConstant = 0.15
+	// shareTimeConstant smooths this node's share of all traffic, in seconds.
+	shareTimeConstant = 2.0
+	// usageTimeConstant smooths the work in use by all contracts, in seconds.
+	usageTimeConstant = 0.5
+	// minPressure is the pressure (0 to 1) at or below which the fleet counts as not under pressure.
+	minPressure = 0.02
+	// growthStep is added to the growth factor of the allowed work for each tick without pressure.
+	growthStep = 0.002
+	// maxGrowth bounds the growth of the allowed work, as a fraction per tick.
+	maxGrowth = 0.01
+	// maxCut is the fraction by which one cut at full pressure reduces the allowed work.
+	maxCut = 0.3
+	// unlimitedAfter lifts the limit on the allowed work once it has refused nothing for this long.
+	unlimitedAfter = time.Second
+	// cutInterval is the minimum time between two cuts: queues take this long to show the effect of one.
+	cutInterval = 250 * time.Millisecond
+	// maxLendableShare is the fraction of unused quota that is lent; the rest covers changes in demand before the next tick.
+	maxLendableShare = 0.9
+	// negligibleDemand counts as no demand, in server-seconds per second.
+	negligibleDemand = 0.01
+	// minRepaymentShare is the minimum fraction of a guarantee that repays its debt, however little the fleet can honor.
+	minRepaymentShare = 0.1
+	// costSampleWeight is the weight of one request in the mean cost of its contract.
+	costSampleWeight = 0.03
+	// minCost is the minimum charge of a request in server-seconds, so that none is free.
+	minCost = 1e-4
+	// defaultCost is the charge in server-seconds of a request without a hint while no cost has been measured.
+	defaultCost = 0.05
+	// maxRetryAfter is the upper bound of Verdict.RetryAfter.
+	maxRetryAfter = time.Hour
+	// never marks a time that has not occurred.
+	never = math.MinInt64
 )
 
-// state is what is left of one contract at one node. All that refills does so when it is looked at.
+// state is what one contract has left at one node. Budgets refill lazily, when the state is accessed. Negative budgets
+// are debts. It belongs to a Ledger and is protected by the same lock.
 type state struct {
-	slot     int           // of its contract; forgotten: nothing of it counts any more
-	at       time.Duration // up to when it is refilled
-	used     time.Duration // when it last had a request
-	active   bool
-	tokens   float64 // of the rate
-	inFlight int
-	firsts   float64 // decayed counts of first tries,
-	furthers float64 // and of repeats and further attempts
-	work     float64 // left of the limit; negative: debt
-	bytes    float64 // left of the bandwidth; negative: to be waited for
-	kept     float64 // left of the guarantee
-	lent     float64 // left of what it may borrow
-	share    float64 // server-seconds a second that it may borrow now
-	scale    float64 // part of its guarantee that the fleet can keep
-	demand   float64 // server-seconds a second that it asks for
-	asked    float64 // since the last tick
-	cost     float64 // mean measured server-seconds of its requests; 0: none yet
-	admitted uint64
-	refused  [ruleCount]uint64
-}
-
-const ruleCount = 7 // length of Rules
-
-// Ledger keeps what is left of each contract at one node. It belongs to whoever orders the node's events: it is not safe
-// for concurrent use. Times must not go backwards; one that does is taken for the latest that was seen.
+	slot           int           // slot of its contract; forgottenSlot: the state is discarded
+	refilledAt     time.Duration // time up to which the budgets are refilled
+	lastUsed       time.Duration // time of the last request
+	active         bool          // whether the contract takes part in the redistribution of unused quota
+	rateTokens     float64       // requests left of the rate
+	inFlight       int
+	firstAttempts  float64 // first attempts, decayed over the retry window
+	retries        float64 // retries and client repeats, decayed over the retry window
+	workLeft       float64 // server-seconds left of the work limit
+	bytesLeft      float64 // bytes left of the bandwidth; tunnels wait while it is negative
+	guaranteeLeft  float64 // server-seconds left of the guarantee
+	borrowedLeft   float64 // server-seconds left of the quota borrowed from others
+	borrowRate     float64 // server-seconds per second that the contract may currently borrow
+	guaranteeScale float64 // fraction of the guarantee that the fleet can honor
+	demand         float64 // smoothed server-seconds per second that the contract requests
+	requestedWork  float64 // server-seconds requested since the last tick
+	meanCost       float64 // mean measured server-seconds of a request; 0: none measured yet
+	admitted       uint64
+	refused        [ruleCount]uint64 // refusals by index into Rules
+}
+
+const ruleCount = 7 // length of Rules, as an array size
+
+// Ledger tracks what each contract has left at one node, and decides which requests are admitted. It is not safe for
+// concurrent use: it is protected by the lock of its owner, who orders the node's events. Times are expected not to go
+// backwards; an earlier time is taken as the latest one seen.
 type Ledger struct {
-	table    *Table
-	states   []*state // by slot; nil before its contract is first used
-	active   []int
-	removed  removals // what contracts that have gone had left
-	now      time.Duration
-	tickAt   time.Duration
-	even     float64       // one over the number of nodes
-	part     float64       // of the contracts that this node hands out
-	sharedAt time.Duration // when that was last corrected
-	emptied  time.Duration // from when on contracts that were not used yet refill from nothing; never: they are full
-	portion  float64       // of the node's part that this process hands out
-	allowed  float64       // server-seconds a second that all may use together; infinite at ease
-	inUse    float64       // that they do use, smoothed
-	charged  float64       // since the last tick
-	cutAt    time.Duration // when what all may use was last cut
-	boundAt  time.Duration // when it last refused anybody
-	calm     float64       // ticks without pressure since
-}
-
-// NewLedger opens the books at the given time, for a node that hands out an even part of each contract until Share corrects it.
-func NewLedger(t *Table, now time.Duration, part float64) *Ledger {
-	return &Ledger{table: t, states: make([]*state, t.Len()), now: now, tickAt: now, even: part, part: part, sharedAt: now, emptied: never, portion: 1, allowed: math.Inf(1)}
-}
-
-// Left is what is left of a contract, for a process that goes on in this one's place.
+	table        *Table
+	states       []*state         // by slot; nil until its contract is first used
+	active       []int            // slots of the contracts in the redistribution of unused quota
+	removed      removedContracts // state of removed contracts
+	latest       time.Duration    // latest time seen
+	lastTick     time.Duration
+	evenShare    float64       // this process's share if all nodes had equal shares
+	nodeShare    float64       // share of the contracts that this process currently enforces
+	shareUpdated time.Duration // time of the last update of nodeShare
+	emptiedAt    time.Duration // unused contracts refill from empty since then; never: they start full
+	processShare float64       // fraction of the node's share that this process enforces
+	allowedWork  float64       // server-seconds per second that all contracts may use together; infinite without pressure
+	workInUse    float64       // smoothed server-seconds per second in use
+	chargedWork  float64       // server-seconds charged since the last tick
+	lastCut      time.Duration // time of the last cut of allowedWork
+	lastRefusal  time.Duration // time of the last refusal because of allowedWork
+	calmTicks    float64       // ticks without pressure since the last tick under pressure
+}
+
+// NewLedger returns a ledger with full budgets as of now, for a node that enforces an even share of each contract until
+// SetTrafficShare corrects it.
+func NewLedger(t *Table, now time.Duration, evenShare float64) *Ledger {
+	return &Ledger{table: t, states: make([]*state, t.Len()), latest: now, lastTick: now, evenShare: evenShare, nodeShare: evenShare,
+		shareUpdated: now, emptiedAt: never, processShare: 1, allowedWork: math.Inf(1)}
+}
+
+// ContractState is what a contract has left, for a successor process. It is stored under its Go field names.
 type Left struct {
 	Name                      string
-	Tokens, Work, Bytes, Kept float64 // as in Level; below 0: debt
-	Firsts, Furthers          float64
-	Cost, Demand              float64
-	Gone                      *Gone `cbor:",omitempty"` // nil: it is in force
+	Tokens, Work, Bytes, Kept float64 // left of the rate, the work limit, the bandwidth and the guarantee; negative: debt
+	Firsts, Furthers          float64 // first attempts; retries and client repeats
+	Cost, Demand              float64 // mean cost of a request; smoothed demand
+	Gone                      *Gone   `cbor:",omitempty"` // nil: the contract is in force
 }
 
-// Left tells what is left of all that were used, and of those that are remembered of the removed ones, the oldest first.
+// States returns the state of all contracts that have been used, followed by that of removed ones, the oldest first.
 func (l *Ledger) Left(now time.Duration) (all []Left) {
-	now = l.clock(now)
+	now = l.monotonic(now)
 	for i, s := range l.states {
 		if s != nil {
-			c, s := l.state(i, now)
-			all = append(all, s.left(c.Name))
+			c, s := l.refilled(i, now)
+			all = append(all, s.export(c.Name))
 		}
 	}
-	return append(all, l.removed.left(now, l)...)
+	return append(all, l.removed.states(now, l)...)
 }
 
-func (s *state) left(name string) Left {
-	return Left{Name: name, Tokens: s.tokens, Work: s.work, Bytes: s.bytes, Kept: s.kept, Firsts: s.firsts, Furthers: s.furthers, Cost: s.cost, Demand: s.demand}
+// export returns the state for a successor process.
+func (s *state) export(name string) Left {
+	return Left{Name: name, Tokens: s.rateTokens, Work: s.workLeft, Bytes: s.bytesLeft, Kept: s.guaranteeLeft, Firsts: s.firstAttempts,
+		Furthers: s.retries, Cost: s.meanCost, Demand: s.demand}
 }
 
-// Resume goes on from what another process had left. Without credit only debts count, as that process may have spent since
-// what it had left; and contracts that it does not name begin with nothing, so that none has a second burst. What it had left of a
-// contract that is not in force here is remembered, as of one that was removed here.
-func (l *Ledger) Resume(now time.Duration, left []Left, credit bool) {
-	now = l.clock(now)
+// Restore continues from the state of another process. Without credit only debts are restored, as that process may have
+// spent budget since the state was taken. Contracts that the state does not name start empty, so that none gets a
+// second burst. The state of a contract that is not in force here is retained as that of a removed one.
+func (l *Ledger) Resume(now time.Duration, states []Left, credit bool) {
+	now = l.monotonic(now)
 	l.Empty(now)
-	for k := range left {
-		o := &left[k]
-		if i, known := l.table.slots[o.Name]; known {
-			c, s := l.state(i, now)
-			l.resume(c, s, o, credit)
-		} else if c, s := l.removed.recall(now, o); s != nil {
-			l.resume(c, s, o, credit)
-			s.demand = 0 // it takes no part in lending
+	for k := range states {
+		exported := &states[k]
+		if i, known := l.table.slotByName[exported.Name]; known {
+			c, s := l.refilled(i, now)
+			l.restoreState(c, s, exported, credit)
+		} else if c, s := l.removed.restore(now, exported); s != nil {
+			l.restoreState(c, s, exported, credit)
+			s.demand = 0 // a removed contract takes no part in the redistribution
 		}
 	}
 	l.removed.prune(now)
 }
 
-func (l *Ledger) resume(c *Terms, s *state, o *Left, credit bool) {
-	most := func(v, most float64) float64 {
+// restoreState sets the budgets of one contract, limited to its terms here.
+func (l *Ledger) restoreState(c *Terms, s *state, exported *Left, credit bool) {
+	atMost := func(v, upper float64) float64 {
 		if !credit {
-			most = 0
+			upper = 0
 		}
-		return min(v, most)
+		return min(v, upper)
 	}
-	s.tokens, s.work = most(o.Tokens, l.burst(c)), most(o.Work, c.Limit*l.part)
-	s.bytes, s.kept = most(o.Bytes, c.Bandwidth*l.part), most(o.Kept, c.Guaranteed*l.part*saved.Seconds())
-	s.firsts, s.furthers, s.cost, s.demand = o.Firsts, o.Furthers, o.Cost, o.Demand
+	s.rateTokens, s.workLeft = atMost(exported.Tokens, l.burst(c)), atMost(exported.Work, c.Limit*l.nodeShare)
+	s.bytesLeft, s.guaranteeLeft = atMost(exported.Bytes, c.Bandwidth*l.nodeShare),
+		atMost(exported.Kept, c.Guaranteed*l.nodeShare*guaranteeCarryOver.Seconds())
+	s.firstAttempts, s.retries, s.meanCost, s.demand = exported.Firsts, exported.Furthers, exported.Cost, exported.Demand
 }
 
-// Empty takes all that is left unused: another process has it now, or had. Contracts that were not used yet begin with nothing, and
-// refill from then on, so that a hand-over gives nobody a second burst.
+// DropCredit removes all unused budget, as another process has it now or had it before. Contracts that have not been
+// used yet start empty and refill from now on, so that a hand-over gives no contract a second burst.
 func (l *Ledger) Empty(now time.Duration) {
-	l.emptied = l.clock(now)
+	l.emptiedAt = l.monotonic(now)
 	for i, s := range l.states {
 		if s != nil {
-			_, s = l.state(i, l.clock(now))
-			s.empty()
+			_, s = l.refilled(i, l.monotonic(now))
+			s.dropCredit()
 		}
 	}
 	for _, r := range l.removed.byName {
-		l.refill(&r.terms, r.state, l.now)
-		r.state.empty()
+		l.refill(&r.terms, r.state, l.latest)
+		r.state.dropCredit()
 	}
 }
 
-func (s *state) empty() {
-	s.tokens, s.work, s.bytes, s.kept = min(0, s.tokens), min(0, s.work), min(0, s.bytes), min(0, s.kept)
+// dropCredit sets all positive budgets to 0; debts stay.
+func (s *state) dropCredit() {
+	s.rateTokens, s.workLeft, s.bytesLeft, s.guaranteeLeft = min(0, s.rateTokens), min(0, s.workLeft), min(0, s.bytesLeft),
+		min(0, s.guaranteeLeft)
 }
 
-// Portion sets which portion of this node's part this process hands out, where another one of the node hands out the rest;
-// 1: all of it.
-func (l *Ledger) Portion(p float64) {
-	f := p / l.portion
-	l.even, l.part, l.portion = l.even*f, l.part*f, p
+// SetProcessShare sets the fraction of this node's share that this process enforces, while another process of the node
+// enforces the rest; 1: all of it.
+func (l *Ledger) Portion(share float64) {
+	f := share / l.processShare
+	l.evenShare, l.nodeShare, l.processShare = l.evenShare*f, l.nodeShare*f, share
 }
 
-// Table is the contracts in force.
+// Table returns the contracts in force.
 func (l *Ledger) Table() *Table { return l.table }
 
-// Swap puts other contracts in force. What is left of one that stays, by its name, stays. Requests under way end by
-// Done with the number and the Table that they were let in with.
+// ReplaceTable puts a new table in force. Contracts keep their state by name; the state of removed ones is dropped.
+// Requests in flight end by Done with the contract's name and the verdict that they were admitted with.
 func (l *Ledger) Swap(t *Table) {
 	old := map[string]*state{}
 	for i, s := range l.states {
@@ -218,7 +258,7 @@
 			old[l.table.terms[i].Name] = s
 		}
 	}
-	l.table, l.states, l.active, l.removed = t, make([]*state, t.Len()), nil, removals{}
+	l.table, l.states, l.active, l.removed = t, make([]*state, t.Len()), nil, removedContracts{}
 	for i := range t.terms {
 		if s := old[t.terms[i].Name]; s != nil {
 			l.states[i], s.slot = s, i
@@ -226,42 +266,42 @@
 				l.active = append(l.active, i)
 			}
 			c := &t.terms[i]
-			s.tokens = min(s.tokens, l.burst(c))
+			s.rateTokens = min(s.rateTokens, l.burst(c))
 		}
 	}
 }
 
-// Share corrects the part of the contracts that this node hands out toward its part of all traffic, as it sees it. It follows
-// within a few seconds, and is never below a quarter of the even part nor above the whole.
-func (l *Ledger) Share(now time.Duration, part float64) {
-	now = l.clock(now)
-	dt := (now - l.sharedAt).Seconds()
+// SetTrafficShare moves the share of the contracts that this node enforces towards its observed share of all traffic.
+// It follows within a few seconds, and stays between a quarter of the even share and the whole.
+func (l *Ledger) Share(now time.Duration, share float64) {
+	now = l.monotonic(now)
+	dt := (now - l.shareUpdated).Seconds()
 	if l.table.EvenParts {
-		part = l.even / l.portion
+		share = l.evenShare / l.processShare
 	}
-	if !(part >= 0) || dt < tick.Seconds() {
+	if !(share >= 0) || dt < tickInterval.Seconds() {
 		return
 	}
-	l.sharedAt = now
-	part *= l.portion
-	l.part += (min(l.portion, max(l.even/4, part)) - l.part) * (1 - math.Exp(-dt/partTau))
+	l.shareUpdated = now
+	share *= l.processShare
+	l.nodeShare += (min(l.processShare, max(l.evenShare/4, share)) - l.nodeShare) * (1 - math.Exp(-dt/shareTimeConstant))
 }
 
-// Part is the part of the contracts that this node hands out now.
-func (l *Ledger) Part() float64 { return l.part }
+// NodeShare returns the share of the contracts that this process of the node currently enforces.
+func (l *Ledger) Part() float64 { return l.nodeShare }
 
-// burst is how many requests a node lets in at once: at least one, however small its part.
-func (l *Ledger) burst(c *Terms) float64 { return max(1, c.Burst*l.part) }
+// burst returns how many requests of a contract this node admits at once: at least one, however small its share.
+func (l *Ledger) burst(c *Terms) float64 { return max(1, c.Burst*l.nodeShare) }
 
-// state is what is left of a contract, refilled up to now.
-func (l *Ledger) state(i int, now time.Duration) (*Terms, *state) {
+// refilled returns a contract's terms and its state, refilled up to now. It creates the state on first use.
+func (l *Ledger) refilled(i int, now time.Duration) (*Terms, *state) {
 	c, s := &l.table.terms[i], l.states[i]
 	if s == nil {
-		s = &state{slot: i, at: now, tokens: l.burst(c), work: c.Limit * l.part, bytes: c.Bandwidth * l.part,
-			kept: c.Guaranteed * l.part * saved.Seconds(), scale: 1}
-		if l.emptied != never {
-			s.at = l.emptied
-			s.empty()
+		s = &state{slot: i, refilledAt: now, rateTokens: l.burst(c), workLeft: c.Limit * l.nodeShare,
+			bytesLeft: c.Bandwidth * l.nodeShare, guaranteeLeft: c.Guaranteed * l.nodeShare * guaranteeCarryOver.Seconds(), guaranteeScale: 1}
+		if l.emptiedAt != never {
+			s.refilledAt = l.emptiedAt
+			s.dropCredit()
 		}
 		l.states[i] = s
 	}
@@ -269,162 +309,166 @@
 	return c, s
 }
 
-// refill brings a state up to now.
+// refill refills the budgets of a state up to now.
 func (l *Ledger) refill(c *Terms, s *state, now time.Duration) {
-	if dt := (now - s.at).Seconds(); dt > 0 {
-		s.at = now
-		s.tokens = min(l.burst(c), s.tokens+c.Rate*l.part*dt)
-		s.work = min(c.Limit*l.part, s.work+c.Limit*l.part*dt)
-		s.bytes = min(c.Bandwidth*l.part, s.bytes+c.Bandwidth*l.part*dt)
-		g := c.Guaranteed * l.part * s.scale
-		if s.kept < 0 { // debt is paid back in time, whatever the fleet can keep
-			g = max(g, c.Guaranteed*l.part*debtPart)
+	if dt := (now - s.refilledAt).Seconds(); dt > 0 {
+		s.refilledAt = now
+		s.rateTokens = min(l.burst(c), s.rateTokens+c.Rate*l.nodeShare*dt)
+		s.workLeft = min(c.Limit*l.nodeShare, s.workLeft+c.Limit*l.nodeShare*dt)
+		s.bytesLeft = min(c.Bandwidth*l.nodeShare, s.bytesLeft+c.Bandwidth*l.nodeShare*dt)
+		g := c.Guaranteed * l.nodeShare * s.guaranteeScale
+		if s.guaranteeLeft < 0 { // debt is repaid at a minimum rate, however little the fleet can honor
+			g = max(g, c.Guaranteed*l.nodeShare*minRepaymentShare)
 		}
-		s.kept = min(max(g*saved.Seconds(), min(s.kept, 0)), s.kept+g*dt)
-		s.lent = min(s.share*2*tick.Seconds(), s.lent+s.share*dt)
+		s.guaranteeLeft = min(max(g*guaranteeCarryOver.Seconds(), min(s.guaranteeLeft, 0)), s.guaranteeLeft+g*dt)
+		s.borrowedLeft = min(s.borrowRate*2*tickInterval.Seconds(), s.borrowedLeft+s.borrowRate*dt)
 		if c.Window > 0 {
 			f := math.Exp(-dt / c.Window.Seconds())
-			s.firsts, s.furthers = s.firsts*f, s.furthers*f
+			s.firstAttempts, s.retries = s.firstAttempts*f, s.retries*f
 		}
 	}
 }
 
-// clock is the time that counts: never earlier than one seen before.
-func (l *Ledger) clock(now time.Duration) time.Duration {
-	l.now = max(l.now, now)
-	return l.now
+// monotonic returns now, or the latest time seen if now is earlier.
+func (l *Ledger) monotonic(now time.Duration) time.Duration {
+	l.latest = max(l.latest, now)
+	return l.latest
 }
 
-// Admit decides on a request of a contract (-1: of none) and charges it. Hint is its expected cost in seconds, 0 where
-// none was told; repeat says that its client has asked before. A request that is let in ends by Done.
+// Admit decides on a request under the contract in a slot (-1: no contract) and charges it if admitted. Hint is its
+// expected cost in seconds, 0 if not specified; repeat means that its client marked it as a repeat. An admitted request
+// must be ended by Done.
 func (l *Ledger) Admit(now time.Duration, contract int, class string, hint float64, repeat bool) Verdict {
-	now = l.clock(now)
+	now = l.monotonic(now)
 	v := Verdict{Contract: contract}
 	if contract < 0 {
 		v.Rule = None
 		return v
 	}
-	c, s := l.state(contract, now)
-	s.used = now
+	c, s := l.refilled(contract, now)
+	s.lastUsed = now
 	if !s.active {
 		s.active = true
 		l.active = append(l.active, contract)
 	}
-	cost := s.estimate(hint)
-	s.asked += cost
-	if v.Rule, v.RetryAfter = l.own(c, s, class, repeat); v.Rule == Kept {
-		v.Borrowed, v.Rule, v.RetryAfter = l.fleet(c, s)
+	cost := s.expectedCost(hint)
+	s.requestedWork += cost
+	if v.Rule, v.RetryAfter = l.checkTerms(c, s, class, repeat); v.Rule == Kept {
+		v.Borrowed, v.Rule, v.RetryAfter = l.checkFleet(c, s)
 	}
 	if v.Rule != Kept {
 		s.refused[slices.Index(Rules, v.Rule)]++
-		v.RetryAfter = min(v.RetryAfter, longAgo)
+		v.RetryAfter = min(v.RetryAfter, maxRetryAfter)
 		return v
 	}
-	v.Cost, v.state = cost, s
+	v.Cost, v.admittedBy = cost, s
 	s.admitted++
 	s.inFlight++
 	if c.Rate > 0 {
-		s.tokens--
+		s.rateTokens--
 	}
 	if repeat {
-		s.furthers++
+		s.retries++
 	} else {
-		s.firsts++
+		s.firstAttempts++
 	}
-	s.work -= cost
+	s.workLeft -= cost
 	if v.Borrowed {
-		s.lent -= cost
+		s.borrowedLeft -= cost
 	} else {
-		s.kept -= cost
+		s.guaranteeLeft -= cost
 	}
-	l.charged += cost
+	l.chargedWork += cost
 	return v
 }
 
-// estimate is what a request is charged at its arrival: what its contract's requests have cost of late, so that a hint that
-// tells too little does not pay; its hint before any was measured.
-func (s *state) estimate(hint float64) float64 {
+// expectedCost returns the charge of a request on admission: the mean cost of its contract's recent requests, so that
+// understating the hint has no benefit. The hint counts only until a cost has been measured.
+func (s *state) expectedCost(hint float64) float64 {
 	switch {
-	case !(hint > 0) && s.cost == 0:
-		return firstHint
-	case s.cost == 0:
-		return max(minHint, hint)
+	case !(hint > 0) && s.meanCost == 0:
+		return defaultCost
+	case s.meanCost == 0:
+		return max(minCost, hint)
 	}
-	return max(minHint, s.cost)
+	return max(minCost, s.meanCost)
 }
 
-// own decides by the contract's own bounds.
-func (l *Ledger) own(c *Terms, s *state, class string, repeat bool) (Rule, time.Duration) {
+// checkTerms applies the contract's own limits.
+func (l *Ledger) checkTerms(c *Terms, s *state, class string, repeat bool) (Rule, time.Duration) {
 	switch {
 	case c.Classes != nil && !c.Classes[class]:
-		return Service, longAgo
-	case c.Rate > 0 && s.tokens < 1:
-		return Rate, wait((1 - s.tokens) / (c.Rate * l.part))
-	case c.InFlight > 0 && float64(s.inFlight) >= max(1, float64(c.InFlight)*l.part):
-		return InFlight, wait(max(minHint, s.cost)) // about when one of them is done
-	case repeat && c.Bounded && !l.further(c, s):
-		return Attempts, wait(c.Window.Seconds() / 4)
-	case c.Limit > 0 && s.work <= 0:
-		return Work, wait(-s.work/(c.Limit*l.part) + minHint)
+		return Service, maxRetryAfter
+	case c.Rate > 0 && s.rateTokens < 1:
+		return Rate, waitDuration((1 - s.rateTokens) / (c.Rate * l.nodeShare))
+	case c.InFlight > 0 && float64(s.inFlight) >= max(1, float64(c.InFlight)*l.nodeShare):
+		return InFlight, waitDuration(max(minCost, s.meanCost)) // about when a request in flight ends
+	case repeat && c.Bounded && !l.retryWithinBudget(c, s):
+		return Attempts, waitDuration(c.Window.Seconds() / 4)
+	case c.Limit > 0 && s.workLeft <= 0:
+		return Work, waitDuration(-s.workLeft/(c.Limit*l.nodeShare) + minCost)
 	}
 	return Kept, 0
 }
 
-// fleet decides by what the fleet can bear: without pressure all is let in, under it what is guaranteed and what is lent.
-func (l *Ledger) fleet(c *Terms, s *state) (borrowed bool, rule Rule, after time.Duration) {
+// checkFleet applies the limit on the allowed work. Without pressure everything is admitted; under pressure only what is
+// guaranteed or borrowed.
+func (l *Ledger) checkFleet(c *Terms, s *state) (overQuota bool, rule Rule, retryAfter time.Duration) {
 	switch {
-	case math.IsInf(l.allowed, 1):
+	case math.IsInf(l.allowedWork, 1):
 		return false, Kept, 0
-	case s.kept > 0: // it may end in debt by one request, which the refill pays back
+	case s.guaranteeLeft > 0: // this may leave a debt of one request, which the refill repays
 		return false, Kept, 0
-	case s.lent > 0:
+	case s.borrowedLeft > 0:
 		return true, Kept, 0
 	}
-	l.boundAt = l.now
-	back := math.Inf(1)
-	if g := c.Guaranteed * l.part * s.scale; g > 0 {
-		back = -s.kept / g
+	l.lastRefusal = l.latest
+	retryIn := math.Inf(1)
+	if g := c.Guaranteed * l.nodeShare * s.guaranteeScale; g > 0 {
+		retryIn = -s.guaranteeLeft / g
 	}
-	if s.share > 0 {
-		back = min(back, -s.lent/s.share)
+	if s.borrowRate > 0 {
+		retryIn = min(retryIn, -s.borrowedLeft/s.borrowRate)
 	}
-	return false, Fleet, max(tick, wait(min(back, 1)))
+	return false, Fleet, max(tickInterval, waitDuration(min(retryIn, 1)))
 }
 
-func wait(seconds float64) time.Duration {
-	return time.Duration(min(max(seconds, 0), longAgo.Seconds()) * float64(time.Second))
+// waitDuration converts seconds to a duration between 0 and maxRetryAfter.
+func waitDuration(seconds float64) time.Duration {
+	return time.Duration(min(max(seconds, 0), maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// further tells whether one more repeat or further attempt is within the budget.
-func (l *Ledger) further(c *Terms, s *state) bool {
-	return s.furthers+1 <= c.Ratio*s.firsts+c.Floor*l.part*c.Window.Seconds()
+// retryWithinBudget reports whether the retry budget allows one more retry or client repeat.
+func (l *Ledger) retryWithinBudget(c *Terms, s *state) bool {
+	return s.retries+1 <= c.Ratio*s.firstAttempts+c.Floor*l.nodeShare*c.Window.Seconds()
 }
 
-// Further tells whether a request of a contract may be sent once more, and charges it if so. The policy asks last of
-// all: it says whether the class allows it.
+// AllowRetry reports whether a request of a contract may be retried, and charges the retry if so. It is to be called only
+// after the policy has decided that the class allows the retry.
 func (l *Ledger) Further(now time.Duration, contract int, class string) bool {
 	if contract < 0 || contract >= len(l.states) {
 		return true
 	}
-	c, s := l.state(contract, l.clock(now))
+	c, s := l.refilled(contract, l.monotonic(now))
 	if c.Retries != nil && !c.Retries[class] {
 		return false
 	}
 	if !c.Bounded {
 		return true
 	}
-	if !l.further(c, s) {
+	if !l.retryWithinBudget(c, s) {
 		return false
 	}
-	s.furthers++
+	s.retries++
 	return true
 }
 
-// granted is the contract that a request was let in by, refilled up to now: the one that bears its name where it was removed and
-// made again, and what is remembered of one that has gone. Nil: nothing of it counts any more.
-func (l *Ledger) granted(now time.Duration, name string, v Verdict) (*Terms, *state) {
-	if s := v.state; s != nil {
-		if s.slot == forgotten {
+// admittedState returns the terms and the refilled state of the contract that admitted a request. If the contract was
+// removed and added again, this is the contract that now has its name; if it was only removed, its retained state. It
+// returns nil if the state has been discarded.
+func (l *Ledger) admittedState(now time.Duration, name string, v Verdict) (*Terms, *state) {
+	if s := v.admittedBy; s != nil {
+		if s.slot == forgottenSlot {
 			return nil, nil
 		}
 		if r := l.removed.byName[name]; r != nil && r.state == s {
@@ -432,193 +476,196 @@
 			return &r.terms, s
 		}
 		if s.slot < len(l.states) && l.states[s.slot] == s {
-			return l.state(s.slot, now)
+			return l.refilled(s.slot, now)
 		}
 	}
-	if i, known := l.table.slots[name]; known && l.states[i] != nil {
-		return l.state(i, now)
+	if i, known := l.table.slotByName[name]; known && l.states[i] != nil {
+		return l.refilled(i, now)
 	}
 	return nil, nil
 }
 
-// Pace charges bytes of a tunnel to the contract that it was let in by, and tells how long it is to wait before it passes any
-// more. A contract that has gone bounds nothing.
+// Pace charges bytes of a tunnel to the contract that admitted it, and returns how long the tunnel has to wait before it
+// transfers more. A removed contract imposes no limit.
 func (l *Ledger) Pace(now time.Duration, name string, v Verdict, bytes int) time.Duration {
-	i, known := l.table.slots[name]
+	i, known := l.table.slotByName[name]
 	if !known || l.states[i] == nil || l.table.terms[i].Bandwidth <= 0 {
 		return 0
 	}
-	c, s := l.state(i, l.clock(now))
-	s.bytes -= float64(bytes)
-	return wait(-s.bytes / (c.Bandwidth * l.part))
+	c, s := l.refilled(i, l.monotonic(now))
+	s.bytesLeft -= float64(bytes)
+	return waitDuration(-s.bytesLeft / (c.Bandwidth * l.nodeShare))
 }
 
-// Done ends a request that was let in, and corrects its charge by the server-seconds that its attempts really took. Name
-// is that of the contract that it was let in by: one that has gone and is not remembered is of no more interest.
+// Done ends an admitted request and corrects its charge to the server-seconds that its attempts actually took. Name is
+// the name of the contract that admitted it; if that contract was removed and its state discarded, Done has no effect.
 func (l *Ledger) Done(now time.Duration, name string, v Verdict, took float64) {
-	c, s := l.granted(l.clock(now), name, v)
+	c, s := l.admittedState(l.monotonic(now), name, v)
 	if s == nil {
 		return
 	}
 	s.inFlight = max(0, s.inFlight-1)
-	if took = max(0, min(took, 3600)); took > 0 { // one that was never sent tells nothing of the others
-		if s.cost == 0 {
-			s.cost = took
+	if took = max(0, min(took, 3600)); took > 0 { // a request that was never sent is not a cost sample
+		if s.meanCost == 0 {
+			s.meanCost = took
 		}
-		s.cost += (took - s.cost) * costPart
+		s.meanCost += (took - s.meanCost) * costSampleWeight
 	}
-	more := took - v.Cost
-	s.work = min(c.Limit*l.part, max(s.work-more, -debtMost*c.Limit*l.part))
+	excess := took - v.Cost
+	s.workLeft = min(c.Limit*l.nodeShare, max(s.workLeft-excess, -maxDebtSeconds*c.Limit*l.nodeShare))
 	if v.Borrowed {
-		s.lent = min(s.lent-more, s.share*2*tick.Seconds())
-	} else if g := c.Guaranteed * l.part; g > 0 {
-		s.kept = min(g*saved.Seconds(), max(s.kept-more, -debtMost*g))
+		s.borrowedLeft = min(s.borrowedLeft-excess, s.borrowRate*2*tickInterval.Seconds())
+	} else if g := c.Guaranteed * l.nodeShare; g > 0 {
+		s.guaranteeLeft = min(g*guaranteeCarryOver.Seconds(), max(s.guaranteeLeft-excess, -maxDebtSeconds*g))
 	}
-	l.charged += more
+	l.chargedWork += excess
 }
 
-// Look tells the ledger what the node sees of the fleet: the pressure, from 0 (none) to 1. It is
-// to be called at least every 50 ms while requests come; a call too many costs nothing.
+// SetPressure updates the pressure that the node observes on the fleet, from 0 (none) to 1, and recomputes the allowed
+// work and the redistribution of unused quota. It must be called at least every 50 ms while requests arrive; extra calls
+// are cheap.
 func (l *Ledger) Look(now time.Duration, pressure float64) {
-	now = l.clock(now)
-	dt := (now - l.tickAt).Seconds()
-	if dt < tick.Seconds() {
+	now = l.monotonic(now)
+	dt := (now - l.lastTick).Seconds()
+	if dt < tickInterval.Seconds() {
 		return
 	}
-	l.tickAt = now
-	f := math.Exp(-dt / usedTau)
-	l.inUse = l.inUse*f + max(0, l.charged)/dt*(1-f)
-	l.charged = 0
+	l.lastTick = now
+	f := math.Exp(-dt / usageTimeConstant)
+	l.workInUse = l.workInUse*f + max(0, l.chargedWork)/dt*(1-f)
+	l.chargedWork = 0
 	switch {
-	case l.alone(): // nobody to be kept from harm
-		l.allowed, l.calm = math.Inf(1), 0
-	case pressure > atEase:
-		l.calm = 0
-		if now-l.cutAt >= cutEvery {
-			l.cutAt, l.boundAt = now, max(l.boundAt, now-easeAfter/2)
-			l.allowed = max(min(l.allowed, l.inUse)*(1-cut*min(1, pressure)), 1e-3)
+	case l.atMostOneUser(): // there is no other contract to protect
+		l.allowedWork, l.calmTicks = math.Inf(1), 0
+	case pressure > minPressure:
+		l.calmTicks = 0
+		if now-l.lastCut >= cutInterval {
+			l.lastCut, l.lastRefusal = now, max(l.lastRefusal, now-unlimitedAfter/2)
+			l.allowedWork = max(min(l.allowedWork, l.workInUse)*(1-maxCut*min(1, pressure)), 1e-3)
 		}
-	case !math.IsInf(l.allowed, 1):
-		l.calm++
-		l.allowed *= math.Pow(1+min(growthMost, growthStep*l.calm), dt/tick.Seconds())
-		if now-l.boundAt > easeAfter {
-			l.allowed = math.Inf(1) // it bounds nobody
+	case !math.IsInf(l.allowedWork, 1):
+		l.calmTicks++
+		l.allowedWork *= math.Pow(1+min(maxGrowth, growthStep*l.calmTicks), dt/tickInterval.Seconds())
+		if now-l.lastRefusal > unlimitedAfter {
+			l.allowedWork = math.Inf(1) // the limit has had no effect
 		}
 	}
-	l.lend(now, dt)
+	l.redistribute(now, dt)
 }
 
-// alone tells whether at most one contract asks for anything.
-func (l *Ledger) alone() bool {
+// atMostOneUser reports whether at most one contract has any demand.
+func (l *Ledger) atMostOneUser() bool {
 	n := 0
 	for _, i := range l.active {
-		if s := l.states[i]; s.asked > 0 || s.demand > alike {
+		if s := l.states[i]; s.requestedWork > 0 || s.demand > negligibleDemand {
 			n++
 		}
 	}
 	return n <= 1
 }
 
-// lend shares out what may be used: first to each what is guaranteed and asked for, by criticality where that is too
-// much; then what is left by weight, to nobody more than it asks for (max-min fair).
-func (l *Ledger) lend(now time.Duration, dt float64) {
-	f := math.Exp(-dt / demandTau)
-	kept := l.active[:0]
+// redistribute divides the allowed work among the active contracts: first each gets its demand up to its guarantee, in
+// the order of criticality if that exceeds the allowed work; then the remainder is divided by weight, and none gets more
+// than its demand (weighted max-min fairness).
+func (l *Ledger) redistribute(now time.Duration, dt float64) {
+	f := math.Exp(-dt / demandTimeConstant)
+	stillActive := l.active[:0]
 	for _, i := range l.active {
 		s := l.states[i]
-		s.demand = s.demand*f + s.asked/dt*(1-f)
-		s.asked = 0
-		if now-s.used > activeFor {
-			s.active, s.share, s.demand = false, 0, 0
+		s.demand = s.demand*f + s.requestedWork/dt*(1-f)
+		s.requestedWork = 0
+		if now-s.lastUsed > inactiveAfter {
+			s.active, s.borrowRate, s.demand = false, 0, 0
 			continue
 		}
-		kept = append(kept, i)
+		stillActive = append(stillActive, i)
 	}
-	l.active = kept
+	l.active = stillActive
 	for _, i := range l.active {
-		l.states[i].share, l.states[i].scale = 0, 1
+		l.states[i].borrowRate, l.states[i].guaranteeScale = 0, 1
 	}
-	if math.IsInf(l.allowed, 1) {
+	if math.IsInf(l.allowedWork, 1) {
 		return
 	}
-	left := l.allowed
-	for rank := int(Critical); rank >= int(Sheddable); rank-- {
+	remaining := l.allowedWork
+	for criticality := int(Critical); criticality >= int(Sheddable); criticality-- {
 		need := 0.0
 		for _, i := range l.active {
-			if c := &l.table.terms[i]; int(c.Criticality) == rank {
-				need += min(c.Guaranteed*l.part, l.states[i].demand)
+			if c := &l.table.terms[i]; int(c.Criticality) == criticality {
+				need += min(c.Guaranteed*l.nodeShare, l.states[i].demand)
 			}
 		}
 		for _, i := range l.active {
-			if c := &l.table.terms[i]; int(c.Criticality) == rank && need > left {
-				l.states[i].scale = left / need
+			if c := &l.table.terms[i]; int(c.Criticality) == criticality && need > remaining {
+				l.states[i].guaranteeScale = remaining / need
 			}
 		}
-		left = max(0, left-need)
+		remaining = max(0, remaining-need)
 	}
-	for _, i := range l.active { // what owners don't ask for may be lent, but for what they keep back
+	for _, i := range l.active { // unused guarantees may be lent, except for the fraction that their owners reserve
 		c, s := &l.table.terms[i], l.states[i]
-		left -= (1 - c.Lends) * max(0, c.Guaranteed*l.part-s.demand)
+		remaining -= (1 - c.Lends) * max(0, c.Guaranteed*l.nodeShare-s.demand)
 	}
-	left = max(0, left) * lendMost
-	for open := slices.Clone(l.active); len(open) > 0 && left > 1e-9; {
+	remaining = max(0, remaining) * maxLendableShare
+	for open := slices.Clone(l.active); len(open) > 0 && remaining > 1e-9; {
 		weights := 0.0
 		for _, i := range open {
 			weights += l.weight(i)
 		}
-		level, rest := left/weights, open[:0]
+		level, unsatisfied := remaining/weights, open[:0]
 		for _, i := range open {
 			s := l.states[i]
-			wants := max(0, s.demand*1.1-l.table.terms[i].Guaranteed*l.part-s.share)
+			wants := max(0, s.demand*1.1-l.table.terms[i].Guaranteed*l.nodeShare-s.borrowRate)
 			if give := level * l.weight(i); wants <= give {
-				s.share += wants
-				left -= wants
+				s.borrowRate += wants
+				remaining -= wants
 			} else {
-				rest = append(rest, i)
+				unsatisfied = append(unsatisfied, i)
 			}
 		}
-		if len(rest) == len(open) || len(rest) == 0 {
-			for _, i := range rest {
-				l.states[i].share += level * l.weight(i)
+		if len(unsatisfied) == len(open) || len(unsatisfied) == 0 {
+			for _, i := range unsatisfied {
+				l.states[i].borrowRate += level * l.weight(i)
 			}
 			break
 		}
-		open = rest
+		open = unsatisfied
 	}
 }
 
+// weight returns the weight of a contract in the redistribution; never 0, as shares are divided by the sum of weights.
 func (l *Ledger) weight(i int) float64 { return max(1e-6, l.table.terms[i].Weight) }
 
-// Level is what is left of a contract at this node, for those who ask.
+// Status is the current state of a contract at this node, for operators.
 type Level struct {
 	Name       string  `json:"name"`
 	Active     bool    `json:"active"`
 	InFlight   int     `json:"in_flight"`
-	Tokens     float64 `json:"rate_tokens"`
-	Work       float64 `json:"work_left"`
-	Kept       float64 `json:"guarantee_left"`
-	Share      float64 `json:"may_borrow"`
-	Demand     float64 `json:"demand"`
-	Firsts     float64 `json:"first_tries"`
-	Furthers   float64 `json:"further_tries"`
+	Tokens     float64 `json:"rate_tokens"`    // requests left of the rate
+	Work       float64 `json:"work_left"`      // server-seconds left of the work limit
+	Kept       float64 `json:"guarantee_left"` // server-seconds left of the guarantee
+	Share      float64 `json:"may_borrow"`     // server-seconds per second that it may borrow
+	Demand     float64 `json:"demand"`         // smoothed server-seconds per second requested
+	Firsts     float64 `json:"first_tries"`    // first attempts, decayed over the retry window
+	Furthers   float64 `json:"further_tries"`  // retries and client repeats, decayed over the retry window
 	MeanCost   float64 `json:"mean_cost_s"`
 	Admitted   uint64  `json:"admitted"`
 	RefusedBy  []Count `json:"refused"`
 	Guaranteed float64 `json:"guaranteed"`
 }
 
-// Count is how often a rule has refused.
+// RefusalCount is the number of requests that a rule has refused.
 type Count struct {
 	Rule Rule   `json:"rule"`
 	N    uint64 `json:"n"`
 }
 
-// Level is what is left of the i-th contract.
+// Status returns the current state of the contract in slot i.
 func (l *Ledger) Level(now time.Duration, i int) Level {
-	c, s := l.state(i, l.clock(now))
-	v := Level{Name: c.Name, Active: s.active, InFlight: s.inFlight, Tokens: s.tokens, Work: s.work, Kept: s.kept, Share: s.share,
-		Demand: s.demand, Firsts: s.firsts, Furthers: s.furthers, MeanCost: s.cost, Admitted: s.admitted,
-		Guaranteed: c.Guaranteed * l.part}
+	c, s := l.refilled(i, l.monotonic(now))
+	v := Level{Name: c.Name, Active: s.active, InFlight: s.inFlight, Tokens: s.rateTokens, Work: s.workLeft, Kept: s.guaranteeLeft,
+		Share: s.borrowRate, Demand: s.demand, Firsts: s.firstAttempts, Furthers: s.retries, MeanCost: s.meanCost,
+		Admitted: s.admitted, Guaranteed: c.Guaranteed * l.nodeShare}
 	for k, n := range s.refused {
 		if n > 0 {
 			v.RefusedBy = append(v.RefusedBy, Count{Rules[k], n})
@@ -627,29 +674,31 @@
 	return v
 }
 
-// Allowed is the server-seconds a second that all may use together, infinite at ease; InUse what they do.
-func (l *Ledger) Allowed() float64 { return l.allowed }
-func (l *Ledger) InUse() float64   { return l.inUse }
+// AllowedWork returns the server-seconds per second that all contracts may use together; infinite without pressure.
+func (l *Ledger) Allowed() float64 { return l.allowedWork }
 
-// Levels are those of the contracts that were used, at most so many.
-func (l *Ledger) Levels(now time.Duration, most int) []Level {
+// WorkInUse returns the smoothed server-seconds per second that all contracts use.
+func (l *Ledger) InUse() float64 { return l.workInUse }
+
+// Statuses returns the state of contracts that have been used, at most limit of them.
+func (l *Ledger) Levels(now time.Duration, limit int) []Level {
 	var all []Level
 	for i, s := range l.states {
-		if s != nil && len(all) < most {
+		if s != nil && len(all) < limit {
 			all = append(all, l.Level(now, i))
 		}
 	}
 	return all
 }
 
-// Try tells what Admit would, and charges nothing.
+// Preview returns the verdict that Admit would return, without charging anything.
 func (l *Ledger) Try(now time.Duration, contract int, class string, repeat bool) Verdict {
-	c, s := l.state(contract, l.clock(now))
+	c, s := l.refilled(contract, l.monotonic(now))
 	v := Verdict{Contract: contract}
-	if v.Rule, v.RetryAfter = l.own(c, s, class, repeat); v.Rule == Kept {
-		bound := l.boundAt
-		v.Borrowed, v.Rule, v.RetryAfter = l.fleet(c, s)
-		l.boundAt = bound // nobody was refused
+	if v.Rule, v.RetryAfter = l.checkTerms(c, s, class, repeat); v.Rule == Kept {
+		lastRefusal := l.lastRefusal
+		v.Borrowed, v.Rule, v.RetryAfter = l.checkFleet(c, s)
+		l.lastRefusal = lastRefusal // a preview does not count as a refusal
 	}
 	return v
 }
