--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,5 +1,5 @@
-// Package flow moves bodies of any size through bounded memory. It knows no protocol: readers and writers come from
-// whoever parses one.
+// Package flow transfers bodies of any size through bounded memory, and looks at the state of sockets. It knows no
+// protocol: its callers parse messages and supply readers and writers.
 package flow
 
 import (
@@ -14,17 +14,16 @@
 )
 
 const (
-	// Keep is how much of a body is held: so much can be sent again, and an answer of up to so much is passed on
-	// only once it is there whole.
+	// MaxBuffered is how many bytes of a body are buffered. A request body up to this size can be sent again, and a
+	// response body up to this size is forwarded only once it is complete.
 	Keep = 64 << 10
-	// Chunk is what a body in motion holds, its buffers on both sides included.
+	// StreamBuffer is the memory in bytes that a streamed body uses, buffers on both sides included.
 	Chunk = 64 << 10
-	// Small is what is not counted: nobody with so little waits behind large bodies.
+	// MaxUncounted is the size in bytes up to which a body is not counted, so that small ones never wait for large ones.
 	Small = 4 << 10
 )
 
-// Need is how many bytes of the budget a body of the given length takes, or one of an unknown length where that is
-// negative.
+// BudgetFor returns how many bytes of the budget a body of the given length needs; a negative length means unknown.
 func Need(length int64) int64 {
 	switch {
 	case length < 0 || length > Keep:
@@ -35,34 +34,34 @@
 	return length
 }
 
-// Budget is the bytes that a process may hold of all bodies together. Whoever needs more waits: that is the
-// backpressure.
+// Budget limits the bytes that a process holds of all bodies together. Whoever needs more waits, which is the
+// backpressure. It is safe for concurrent use.
 type Budget struct {
-	all  *semaphore.Weighted
-	size int64
-	// Requests may use half of the whole. They are held until their answers have come, so that these must always find
-	// room.
+	total *semaphore.Weighted
+	size  int64
+	// requests limits requests to half of the total. Requests hold their bytes until their responses have arrived, so
+	// responses must always be able to make progress.
 	requests *semaphore.Weighted
 }
 
-// NewBudget returns a budget of size bytes, of which there are at least enough for two bodies each way.
+// NewBudget returns a budget of size bytes, and at least of enough for two bodies in each direction.
 func NewBudget(size int64) *Budget {
 	size = max(size, 4*Chunk)
-	return &Budget{all: semaphore.NewWeighted(size), size: size, requests: semaphore.NewWeighted(size / 2)}
+	return &Budget{total: semaphore.NewWeighted(size), size: size, requests: semaphore.NewWeighted(size / 2)}
 }
 
-// Answer takes n bytes for an answer, or fails once ctx ends.
+// AcquireResponse takes n bytes for a response body. It waits until they are free and fails once ctx ends.
 func (b *Budget) Answer(ctx context.Context, n int64) error {
 	if n == 0 {
-		return nil // a semaphore would let it stand behind those that wait
+		return nil // the semaphore would queue it behind those that wait
 	}
-	return b.all.Acquire(ctx, n)
+	return b.total.Acquire(ctx, n)
 }
 
-// AnswerDone gives them back.
-func (b *Budget) AnswerDone(n int64) { b.all.Release(n) }
+// ReleaseResponse returns n bytes taken by AcquireResponse.
+func (b *Budget) AnswerDone(n int64) { b.total.Release(n) }
 
-// Request takes n bytes for a request.
+// AcquireRequest takes n bytes for a request body. It waits until they are free and fails once ctx ends.
 func (b *Budget) Request(ctx context.Context, n int64) error {
 	if n == 0 {
 		return nil
@@ -70,160 +69,161 @@
 	if err := b.requests.Acquire(ctx, n); err != nil {
 		return err
 	}
-	if err := b.all.Acquire(ctx, n); err != nil {
+	if err := b.total.Acquire(ctx, n); err != nil {
 		b.requests.Release(n)
 		return err
 	}
 	return nil
 }
 
-// RequestDone gives them back.
+// ReleaseRequest returns n bytes taken by AcquireRequest.
 func (b *Budget) RequestDone(n int64) {
-	b.all.Release(n)
+	b.total.Release(n)
 	b.requests.Release(n)
 }
 
-// Lend leaves a part to another process, as soon as it is free, until the returned function is called. It is half of
-// what requests can't use: answers still find room.
-func (b *Budget) Lend() (back func()) {
-	ctx, back := context.WithCancel(context.Background())
+// LendToSuccessor leaves a quarter of the budget to another process, as soon as it is free, until the returned function
+// is called. This is half of what requests cannot use, so responses still make progress.
+func (b *Budget) Lend() (release func()) {
+	ctx, release := context.WithCancel(context.Background())
 	go func() {
-		if b.all.Acquire(ctx, b.size/4) == nil {
+		if b.total.Acquire(ctx, b.size/4) == nil {
 			<-ctx.Done()
-			b.all.Release(b.size / 4)
+			b.total.Release(b.size / 4)
 		}
 	}()
-	return back
+	return release
 }
 
-// Upload is the body of a request. What is larger than Keep goes from the client's connection straight to the backend
-// that takes it first.
+// Upload is the body of a request. A body larger than MaxBuffered is streamed from the client's connection to the first
+// web server that reads it. Pump and the reader of the attempt run concurrently.
 type Upload struct {
-	Length int64 // -1 where it is not known ahead
+	Length int64 // -1 if not known in advance
 
-	head  []byte
-	whole bool
-	taken atomic.Bool // what follows the head has been begun: no second attempt can have it
-	out   *io.PipeReader
-	in    *io.PipeWriter
-	ended chan struct{} // closed when the last byte has come, or it is known that it won't
-	err   error         // why it won't; set before ended is closed
+	head       []byte
+	complete   bool
+	restTaken  atomic.Bool // the part behind head was read: no other attempt can send the body
+	restReader *io.PipeReader
+	restWriter *io.PipeWriter
+	ended      chan struct{} // closed once the last byte has arrived, or is known not to arrive
+	err        error         // why the last byte will not arrive; set before ended is closed
 }
 
-// NewUpload reads a body of the given length, or of an unknown one where that is negative, up to its end or until it
-// is more than Keep. Where it is not whole by then, Pump must be called.
+// NewUpload reads a body of the given length (negative: unknown) up to its end, or until it exceeds MaxBuffered. If it
+// is not complete then, Pump must be called.
 func NewUpload(body io.Reader, length int64) (*Upload, error) {
 	u := &Upload{Length: length, ended: make(chan struct{})}
 	switch {
-	case length > Keep: // it won't be whole: there is no use in waiting
+	case length > Keep: // it cannot be complete: nothing is gained by waiting
 	case length >= 0:
 		u.head = make([]byte, length)
 		if _, err := io.ReadFull(body, u.head); err != nil {
 			return nil, err
 		}
-		u.whole = true
+		u.complete = true
 	default:
 		var b bytes.Buffer
 		n, err := io.Copy(&b, io.LimitReader(body, Keep))
 		if err != nil {
 			return nil, err
 		}
-		u.head, u.whole = b.Bytes(), n < Keep
+		u.head, u.complete = b.Bytes(), n < Keep
 	}
-	if u.whole {
+	if u.complete {
 		u.Length = int64(len(u.head))
 		close(u.ended)
 	} else {
-		u.out, u.in = io.Pipe()
+		u.restReader, u.restWriter = io.Pipe()
 	}
 	return u, nil
 }
 
-// Whole tells whether all of it is in hand.
-func (u *Upload) Whole() bool { return u.whole }
+// Complete reports whether the whole body is buffered.
+func (u *Upload) Whole() bool { return u.complete }
 
-// Held is how many bytes of the budget it uses.
+// HeldBytes returns how many bytes of the budget the body uses.
 func (u *Upload) Held() int64 {
-	if u.whole {
+	if u.complete {
 		return Need(u.Length)
 	}
 	return Chunk
 }
 
-// Spent tells that a part is gone, so that it can't be sent again.
-func (u *Upload) Spent() bool { return u.taken.Load() }
+// Spent reports whether part of the body is no longer available, so that it cannot be sent again.
+func (u *Upload) Spent() bool { return u.restTaken.Load() }
 
-// Reader returns the body for one attempt. There is none once it is spent.
+// Reader returns the body for one attempt. It must not be called once the body is spent.
 func (u *Upload) Reader() io.Reader {
-	if u.whole {
+	if u.complete {
 		return bytes.NewReader(u.head)
 	}
-	return io.MultiReader(bytes.NewReader(u.head), firstRead{u})
+	return io.MultiReader(bytes.NewReader(u.head), markingReader{u})
 }
 
-// firstRead marks the body as taken when what follows the head is asked for.
-type firstRead struct{ *Upload }
+// markingReader marks the body as spent when the part behind the head is read.
+type markingReader struct{ *Upload }
 
-func (r firstRead) Read(p []byte) (int, error) {
-	r.taken.Store(true)
-	return r.out.Read(p)
+func (r markingReader) Read(p []byte) (int, error) {
+	r.restTaken.Store(true)
+	return r.restReader.Read(p)
 }
 
-// Drop ends the attempts' reading: what still comes is read and thrown away.
+// Discard stops the reading by attempts: whatever still arrives is read and discarded.
 func (u *Upload) Drop() {
-	if !u.whole {
-		u.out.CloseWithError(errDropped)
+	if !u.complete {
+		u.restReader.CloseWithError(errDiscarded)
 	}
 }
 
-var errDropped = errors.New("nobody wants the rest of the body")
+var errDiscarded = errors.New("rest of the request body discarded")
 
-// Pump passes the rest of the body on until its end and returns why it could not be read, if so. An attempt that
-// reads is told too.
+// Pump forwards the rest of the body until its end, and returns the error if it cannot be read. An attempt that reads
+// the body gets the same error.
 func (u *Upload) Pump(body io.Reader) error {
 	defer close(u.ended)
 	buf := make([]byte, Chunk/4)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			u.in.Write(buf[:n]) // fails once it was dropped: the rest is read all the same
+			u.restWriter.Write(buf[:n]) // fails after Discard: the rest is read nevertheless
 		}
 		if err == io.EOF {
-			u.in.Close()
+			u.restWriter.Close()
 			return nil
 		}
 		if err != nil {
-			u.in.CloseWithError(err)
+			u.restWriter.CloseWithError(err)
 			u.err = err
 			return err
 		}
 	}
 }
 
-// Ended is closed when no more of it comes from the client.
+// Ended returns a channel that is closed once no more of the body arrives from the client.
 func (u *Upload) Ended() <-chan struct{} { return u.ended }
 
-// Err tells, once it has ended, why the body could not be read to its end.
+// Err returns, after Ended is closed, why the body could not be read to its end.
 func (u *Upload) Err() error { return u.err }
 
-// Writer returns a buffered writer to w for a head and a body, and a reader that flushes it before each read of body:
-// nothing that has come is held back while more is waited for.
+// NewFlushingWriter returns a buffered writer to w for a head and a body, and a reader that flushes it before each read
+// of body, so that nothing is held back while more is awaited.
 func Writer(w io.Writer, body io.Reader) (*bufio.Writer, io.Reader) {
 	bw := bufio.NewWriterSize(w, 4<<10)
-	return bw, &flushing{bw, body}
+	return bw, &flushingReader{bw, body}
 }
 
-type flushing struct {
+// flushingReader flushes a writer before each read.
+type flushingReader struct {
 	w *bufio.Writer
 	r io.Reader
 }
 
-func (f *flushing) Read(p []byte) (int, error) {
+func (f *flushingReader) Read(p []byte) (int, error) {
 	if err := f.w.Flush(); err != nil {
 		return 0, err
 	}
 	return f.r.Read(p)
 }
 
-// Plain hides all of a writer but Write, so that io.Copy uses a buffer of its own.
+// WriteOnly hides all methods of a writer but Write, so that io.Copy uses its own buffer.
 type Plain struct{ io.Writer }
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func TestSmallUploadCanBeSentAgain(t *testing.T) {
+// An upload up to MaxBuffered is buffered completely, and each attempt can read it from the start.
+func TestSmallUploadCanBeReadTwice(t *testing.T) {
 	for _, length := range []int64{5, -1} {
 		u, err := NewUpload(iotest.OneByteReader(strings.NewReader("a box")), length)
 		if err != nil || !u.Whole() || u.Length != 5 || u.Held() != 0 {
@@ -26,16 +27,17 @@
 			}
 		}
 		if u.Drop(); u.Spent() {
-			t.Error("spent")
+			t.Error("a completely buffered upload is spent")
 		}
 		<-u.Ended()
 	}
 	if _, err := NewUpload(strings.NewReader("a bo"), 5); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("cut short: %v", err)
+		t.Errorf("truncated body: %v, want an unexpected EOF", err)
 	}
 }
 
-func TestLargeUploadIsPassedOnOnce(t *testing.T) {
+// A larger upload is streamed to one reader, and counts as spent once the part behind its head is read.
+func TestLargeUploadIsStreamedOnce(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", 40<<10/16*10)
 	for _, length := range []int64{int64(len(text)), -1} {
 		body := strings.NewReader(text)
@@ -46,7 +48,7 @@
 		pumped := make(chan error, 1)
 		go func() { pumped <- u.Pump(body) }()
 		if u.Spent() {
-			t.Error("spent before it was begun")
+			t.Error("spent before anything was read")
 		}
 		if got, err := io.ReadAll(u.Reader()); string(got) != text || err != nil {
 			t.Errorf("length %d: %d bytes, %v", length, len(got), err)
@@ -58,31 +60,31 @@
 	}
 }
 
-// A body that nobody takes any more is read to its end; one that breaks off tells whoever reads it.
-func TestUploadDroppedOrBroken(t *testing.T) {
+// A discarded body is still read to its end, and an attempt that reads a body that breaks off gets the error.
+func TestDiscardedUploadIsReadToItsEndAndBrokenOneFails(t *testing.T) {
 	body := strings.NewReader(strings.Repeat("x", 10*Chunk))
 	u, _ := NewUpload(body, 10*Chunk)
 	u.Drop()
 	if err := u.Pump(body); err != nil || body.Len() > 0 {
-		t.Errorf("dropped: %v, %d bytes left", err, body.Len())
+		t.Errorf("discarded upload: %v, %d bytes unread", err, body.Len())
 	}
 	broken := io.MultiReader(strings.NewReader("part"), iotest.ErrReader(io.ErrUnexpectedEOF))
 	u, _ = NewUpload(broken, Keep+1)
 	pumped := make(chan error, 1)
 	go func() { pumped <- u.Pump(broken) }()
 	if got, err := io.ReadAll(u.Reader()); string(got) != "part" || !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("broken: %q, %v", got, err)
+		t.Errorf("broken upload: %q, %v", got, err)
 	}
 	if err := <-pumped; !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("broken: %v", err)
+		t.Errorf("broken upload: %v", err)
 	}
 }
 
-// Requests leave half of the budget to answers, and what is lent comes back.
-func TestBudget(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Requests leave half of the budget to responses, and a lent share is returned.
+func TestBudgetReservesHalfForResponses(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	over, stop := context.WithCancel(ctx)
+	canceled, stop := context.WithCancel(ctx)
 	stop()
 	b := NewBudget(8 * Chunk)
 	for range 4 {
@@ -90,25 +92,25 @@
 			t.Fatal(err)
 		}
 	}
-	if b.Request(over, Chunk) == nil {
-		t.Error("requests got more than half")
+	if b.Request(canceled, Chunk) == nil {
+		t.Error("requests got more than half of the budget")
 	}
 	for range 4 {
 		if err := b.Answer(ctx, Chunk); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b.Answer(over, 1) == nil {
-		t.Error("got more than there is")
+	if b.Answer(canceled, 1) == nil {
+		t.Error("responses got more than the budget")
 	}
 	waiting := make(chan error)
 	go func() { waiting <- b.Answer(ctx, Chunk) }()
 	go func() { waiting <- b.Request(ctx, Chunk) }()
 	short, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
-	for range 1000 { // whether or not they stand in line yet: one with nothing to ask for never stands behind them
+	for range 1000 { // whether or not the others are queued yet: an acquisition of 0 bytes never queues behind them
 		if b.Answer(short, 0) != nil || b.Request(short, 0) != nil {
-			t.Fatal("who needs nothing waits behind large bodies")
+			t.Fatal("an acquisition of 0 bytes waits behind large bodies")
 		}
 		runtime.Gosched()
 	}
@@ -117,19 +119,19 @@
 	if err := errors.Join(<-waiting, <-waiting); err != nil {
 		t.Error(err)
 	}
-	back := b.Lend()
+	endLoan := b.Lend()
 	for range 4 {
 		b.AnswerDone(Chunk)
 		b.RequestDone(Chunk)
 	}
-	back()
+	endLoan()
 	if err := b.Answer(ctx, 8*Chunk); err != nil {
-		t.Errorf("the whole of it: %v", err)
+		t.Errorf("acquiring the whole budget after the loan: %v", err)
 	}
 }
 
-// What has come is written before more is waited for.
-func TestWriterHoldsNothingBack(t *testing.T) {
+// Received input is written before the writer waits for more.
+func TestFlushingWriterWritesBeforeWaiting(t *testing.T) {
 	var out bytes.Buffer
 	in, feed := io.Pipe()
 	bw, body := Writer(&out, in)
@@ -149,6 +151,6 @@
 		bw.Write(buf[:n])
 	}
 	if first, second := <-seen, <-seen; first != "head " || second != "head part" {
-		t.Errorf("out were %q and then %q", first, second)
+		t.Errorf("written before the reads: %q, then %q", first, second)
 	}
 }
--- a/internal/flow/socket.go
+++ b/internal/flow/socket.go
@@ -13,30 +13,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// WriteStall is how long a write may wait for the other side to read, before the connection is given up.
+// WriteStallTimeout is how long a write may wait for the peer to read before the connection is given up.
 const WriteStall = 10 * time.Second
 
-// Paced bounds the time that each write to a connection may wait for the other side to read.
+// WriteTimeoutConn limits how long each write to a connection may wait for the peer to read.
 type Paced struct {
 	net.Conn
 	Stall time.Duration
 }
 
+// Write writes with a deadline of Timeout from now.
 func (w Paced) Write(p []byte) (int, error) {
 	w.SetWriteDeadline(time.Now().Add(w.Stall))
 	return w.Conn.Write(p)
 }
 
-// Waiting is what can be read from a socket at this moment.
+// InputState is what can be read from a socket at the moment.
 type Waiting uint8
 
 const (
+	// NoInput means that nothing can be read yet.
 	Nothing Waiting = iota
+	// InputAvailable means that bytes can be read.
 	BytesThere
-	Ended // the other side has closed the connection, or it broke
+	// InputEnded means that the peer has closed the connection, or that it broke.
+	Ended
 )
 
-// Pending looks at what a socket has received, without taking any of it and without waiting.
+// PeekInput reports what a socket has received, without consuming it and without waiting.
 func Pending(c net.Conn) Waiting {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -47,8 +51,8 @@
 		return Ended
 	}
 	w := Ended
-	raw.Control(func(fd uintptr) { // an error means that it is closed here
-		switch n, err := peek(fd); {
+	raw.Control(func(fd uintptr) { // an error means that the socket is closed on this side
+		switch n, err := peekByte(fd); {
 		case n > 0:
 			w = BytesThere
 		case err == syscall.EAGAIN:
@@ -58,161 +62,163 @@
 	return w
 }
 
-// peek looks for a first byte. A socket tells of its error once: it is lost to whoever reads next.
-func peek(fd uintptr) (int, error) {
+// peekByte looks for a first byte. A socket reports its error only once, so the next reader will not see it.
+func peekByte(fd uintptr) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// Left tells, without waiting, whether the other side has ended its sending or the connection broke, also where bytes that
-// nobody has read stand before that end. Of one that is no socket it tells nothing.
+// PeerClosed reports, without waiting, whether the peer has closed its sending side or the connection broke, even if
+// unread bytes precede that end. For a connection that is not a socket it reports false.
 func Left(c net.Conn) bool {
-	left := false
-	raw, err := rawOf(c)
+	closed := false
+	raw, err := rawConn(c)
 	if raw == nil {
 		return err != nil
 	}
-	err = raw.Control(func(fd uintptr) { left = ended(fd) })
-	return left || err != nil
+	err = raw.Control(func(fd uintptr) { closed = inputFinished(fd) })
+	return closed || err != nil
 }
 
 const (
-	// crowded is how many bytes may stand unread in a socket, behind a full reader, while its end is waited for. It is well under
-	// what shuts the window of one (72 KB and more on Linux, however small the pieces): before that its end comes behind them.
-	crowded = 16 << 10
-	// crowdedFor is how long they may stand there before they are thrown away: what is answered at once loses nothing, and the end
-	// is seen long before 0.1 s are over.
-	crowdedFor = 50 * time.Millisecond
-	// SpillMost is how much is thrown away: more than what a sender that has gone may have left in its own kernel (4 MB on Linux).
-	// Who sends so much ahead of an answer gets none waited for.
+	// unreadThreshold is how many bytes may remain unread in a socket, behind a full reader, while WatchPeer waits for
+	// its end. It is well below what closes the receive window (72 KB or more on Linux, however small the segments):
+	// up to that the end still arrives behind the bytes.
+	unreadThreshold = 16 << 10
+	// discardDelay is how long that many bytes may remain before they are discarded: a request that is answered at once
+	// loses nothing, and the end is still seen well within 0.1 s.
+	discardDelay = 50 * time.Millisecond
+	// MaxDiscard is how many bytes are discarded at most: more than a peer that has closed the connection can have left
+	// in its own kernel (4 MB on Linux). A peer that sends more ahead of a response does not get the response.
 	SpillMost = 8 << 20
-	// windowLeast is how many bytes stand unread at least in a socket whose window is shut: 72 KB and more were measured. What can be
-	// kept of a request's body (Keep) is no more than this.
-	windowLeast = Keep
-	// spillTime is how long a connection is read at most to find its end behind a window that was shut.
-	spillTime = time.Second
+	// minClosedWindow is the number of unread bytes above which the receive window may be closed; on Linux it closes at
+	// 72 KB or more. A request body that is buffered completely (MaxBuffered) does not exceed it.
+	minClosedWindow = Keep
+	// discardTimeout is how long a connection is read at most to find its end behind a closed window.
+	discardTimeout = time.Second
 )
 
-// Watch closes end once the other side has ended its sending or the connection broke. What it sends meanwhile stays in the
-// reader as far as there is room, and else in the socket: its end is seen behind that too, unless it is so much that the end can't
-// come. With spill that is thrown away, so that the end is seen behind anything, and end is closed too where SpillMost was: stop
-// tells whether something is missing, so that the connection is of no further use. There is no read deadline when Watch is called;
-// stop sets one, and returns once the reader is the caller's again. Who has seen the end needs no stop.
-func Watch(socket net.Conn, in *bufio.Reader, spill bool) (end <-chan struct{}, stop func() (spilt bool)) {
-	told, over, enough := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	spilt := false // set before over is closed
+// WatchPeer closes end once the peer has closed its sending side or the connection broke. What the peer sends in the
+// meantime stays in the reader while there is room, and then in the socket; the end is seen behind it, unless there is
+// so much that the receive window closes and the end cannot arrive. With discard such input is discarded, so that the end
+// is always seen, and end is also closed after MaxDiscard bytes; stop then reports that input is missing, so the
+// connection must not be used any further. No read deadline may be set when WatchPeer is called; stop sets one, and
+// returns once the caller may use the reader again. After end is closed, calling stop is optional.
+func Watch(socket net.Conn, in *bufio.Reader, discard bool) (end <-chan struct{}, stop func() (discarded bool)) {
+	ended, stopped, stopping := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	discarded := false // set before stopped is closed
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		err := error(nil)
 		for err == nil && in.Buffered() < in.Size() {
 			_, err = in.Peek(in.Buffered() + 1)
 		}
-		if raw, _ := rawOf(socket); err == nil && raw != nil {
+		if raw, _ := rawConn(socket); err == nil && raw != nil {
 			var full bool
 			err = raw.Read(func(fd uintptr) bool {
-				if ended(fd) {
+				if inputFinished(fd) {
 					return true
 				}
-				full = spill && standing(fd, crowded)
+				full = discard && unreadAtLeast(fd, unreadThreshold)
 				return full
 			})
 			switch {
 			case err == nil && !full:
 				err = io.EOF
-			case err == nil && pause(enough, crowdedFor):
-				spilt, err = true, throwAway(socket, SpillMost)
+			case err == nil && waitUnlessClosed(stopping, discardDelay):
+				discarded, err = true, discardUntilError(socket, SpillMost)
 			}
 		}
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			close(told)
+			close(ended)
 		}
 	}()
-	return told, sync.OnceValue(func() bool {
-		close(enough)
+	return ended, sync.OnceValue(func() bool {
+		close(stopping)
 		socket.SetReadDeadline(time.Unix(1, 0))
-		<-over
-		return spilt
+		<-stopped
+		return discarded
 	})
 }
 
-// Unread tells, without waiting, how many bytes stand unread in a socket; 0 of one that is none.
+// UnreadBytes returns, without waiting, how many bytes are unread in a socket; 0 if the connection is not a socket.
 func Unread(c net.Conn) (n int) {
-	if raw, _ := rawOf(c); raw != nil {
+	if raw, _ := rawConn(c); raw != nil {
 		raw.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
 	}
 	return n
 }
 
-// Shut tells, without waiting, whether so much stands unread in a socket that its window may be shut: the other side's end can't come
-// then. No request of which all is to be kept does that by itself.
-func Shut(c net.Conn) bool { return Unread(c) > windowLeast }
+// WindowMayBeClosed reports, without waiting, whether so many bytes are unread in a socket that its receive window may be
+// closed, in which case the peer's end cannot arrive. A request that is buffered completely does not cause that by itself.
+func Shut(c net.Conn) bool { return Unread(c) > minClosedWindow }
 
-// Spill throws away what the other side has sent, so that its end can come, and tells whether there was anything, and whether the end
-// came, the connection broke, or SpillMost was sent. It waits until nothing more comes for 50 ms, 1 s at most. It sets the read
-// deadline, and leaves it set.
-func Spill(socket net.Conn, in *bufio.Reader) (spilt, ended bool) {
+// DiscardInput discards what the peer has sent, so that its end can arrive. It reports whether there was any input, and
+// whether the end arrived, the connection broke or MaxDiscard bytes were read. It reads until nothing arrives for 50 ms,
+// and for 1 s at most. It sets the read deadline and leaves it set.
+func Spill(socket net.Conn, in *bufio.Reader) (discarded, ended bool) {
 	got, _ := in.Discard(in.Buffered())
 	buf := make([]byte, 8<<10)
-	for until := time.Now().Add(spillTime); got < SpillMost; {
+	for deadline := time.Now().Add(discardTimeout); got < SpillMost; {
 		now := time.Now()
-		if !now.Before(until) {
+		if !now.Before(deadline) {
 			return got > 0, false
 		}
-		socket.SetReadDeadline(now.Add(crowdedFor))
+		socket.SetReadDeadline(now.Add(discardDelay))
 		n, err := socket.Read(buf)
 		got += n
 		switch {
 		case err == nil:
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return got > 0, true
-		case Pending(socket) == Nothing: // else this process was late, not the other side
+		case Pending(socket) == Nothing: // otherwise this process was late, not the peer
 			return got > 0, false
 		}
 	}
 	return true, true
 }
 
-// pause waits for a time, unless enough is closed before: false.
-func pause(enough <-chan struct{}, d time.Duration) bool {
+// waitUnlessClosed waits for d and returns true, or returns false as soon as cancel is closed.
+func waitUnlessClosed(cancel <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-enough:
+	case <-cancel:
 		return false
 	}
 }
 
-var errFlood = errors.New("the other side sends without waiting for its answer")
+var errTooMuchInput = errors.New("peer sent too much input ahead of its response")
 
-// throwAway reads a connection to its end, of at most so many bytes. It does not return without an error.
-func throwAway(c net.Conn, most int) error {
+// discardUntilError reads and discards up to limit bytes. It always returns an error, errTooMuchInput at the limit.
+func discardUntilError(c net.Conn, limit int) error {
 	buf := make([]byte, 8<<10)
-	for got := 0; got < most; {
+	for got := 0; got < limit; {
 		n, err := c.Read(buf)
 		if err != nil {
 			return err
 		}
 		got += n
 	}
-	return errFlood
+	return errTooMuchInput
 }
 
-// standings are buffers to look into what stands unread, for a moment each.
-var standings = sync.Pool{New: func() any { return new([crowded]byte) }}
+// peekBuffers holds buffers for unreadAtLeast, which needs one only briefly.
+var peekBuffers = sync.Pool{New: func() any { return new([unreadThreshold]byte) }}
 
-// standing tells whether at least so many bytes, at most crowded, stand unread in a socket.
-func standing(fd uintptr, least int) bool {
-	b := standings.Get().(*[crowded]byte)
-	defer standings.Put(b)
+// unreadAtLeast reports whether at least minBytes (at most unreadThreshold) bytes are unread in a socket.
+func unreadAtLeast(fd uintptr, minBytes int) bool {
+	b := peekBuffers.Get().(*[unreadThreshold]byte)
+	defer peekBuffers.Put(b)
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return err == nil && n >= least
+	return err == nil && n >= minBytes
 }
 
-// rawOf is the socket of a connection, nil where it is none or is closed: that is an error.
-func rawOf(c net.Conn) (syscall.RawConn, error) {
+// rawConn returns the socket of a connection; nil without an error if it is not a socket, nil with one if it is closed.
+func rawConn(c net.Conn) (syscall.RawConn, error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return nil, nil
@@ -220,9 +226,9 @@
 	return s.SyscallConn()
 }
 
-// ended tells whether nothing more comes on a socket behind what is there.
-func ended(fd uintptr) bool {
-	n, err := peek(fd)
+// inputFinished reports whether nothing more arrives on a socket behind what is already there.
+func inputFinished(fd uintptr) bool {
+	n, err := peekByte(fd)
 	if n <= 0 {
 		return err != syscall.EAGAIN && err != syscall.EINTR
 	}
@@ -231,9 +237,9 @@
 	return err == nil && m == 1 && p[0].Revents&unix.POLLNVAL == 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Readable waits until a connection has bytes, or its end, to be read, and tells how many there are; none: it is the end.
-// Of one that is no socket it tells nothing: whoever reads from it waits.
-func Readable(c net.Conn) (there int, err error) {
+// WaitReadable waits until a connection has bytes or its end to read, and returns how many bytes are available; 0 means
+// the end. For a connection that is not a socket it returns 0 at once: the following read waits.
+func Readable(c net.Conn) (available int, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return 0, nil
@@ -242,37 +248,38 @@
 	if err != nil {
 		return 0, err
 	}
-	var broke error
+	var peekErr error
 	err = raw.Read(func(fd uintptr) bool {
-		if _, broke = peek(fd); broke == syscall.EAGAIN {
+		if _, peekErr = peekByte(fd); peekErr == syscall.EAGAIN {
 			return false
 		}
-		there, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ)
+		available, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ)
 		return true
 	})
-	return there, errors.Join(err, broke)
+	return available, errors.Join(err, peekErr)
 }
 
-// Serve accepts connections until ln is closed, and serves at most so many at a time, each in a goroutine and closed behind it.
-// It returns once all are over. Failed is told of an accept that failed, after which it waits a moment.
-func Serve(ln net.Listener, most int, serve func(net.Conn), failed func(error)) {
+// Serve accepts connections until ln is closed. It serves up to limit of them at a time, each in its own goroutine, and
+// closes them afterwards. It returns once all have ended. OnError is called with the error of a failed accept, after
+// which Serve pauses for 10 ms.
+func Serve(ln net.Listener, limit int, serve func(net.Conn), onError func(error)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	free := make(chan struct{}, most)
+	slots := make(chan struct{}, limit)
 	for {
-		free <- struct{}{}
+		slots <- struct{}{}
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, or the other side was too quick
-			<-free
-			failed(err)
+		if err != nil { // out of descriptors, or the peer closed the connection first
+			<-slots
+			onError(err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			defer conn.Close()
 			serve(conn)
 		})
--- a/internal/flow/socket_test.go
+++ b/internal/flow/socket_test.go
@@ -14,17 +14,18 @@
 	"portstall/internal/lab/standin"
 )
 
-// pour writes at most so many bytes in pieces, as long as the kernel takes them at once, and tells how many it took.
-func pour(t *testing.T, c *net.TCPConn, most, piece int) int {
+// sendUnread writes up to limit bytes in pieces, as long as the kernel accepts them at once, and returns how many it took.
+func sendUnread(t *testing.T, c *net.TCPConn, limit, piece int) int {
 	t.Helper()
-	sent, err := standin.Pour(c, strings.Repeat("x", most), piece)
+	sent, err := standin.Pour(c, strings.Repeat("x", limit), piece)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return sent
 }
 
-var leavings = map[string]func(*net.TCPConn){
+// waysToClose are the ways in which a peer can close its connection.
+var waysToClose = map[string]func(*net.TCPConn){
 	"close": func(c *net.TCPConn) { c.Close() },
 	"half":  func(c *net.TCPConn) { c.CloseWrite() },
 	"reset": func(c *net.TCPConn) {
@@ -33,30 +34,30 @@
 	},
 }
 
-// What a socket shows of a leaving: all of it, whatever stands unread, but where that has shut the window; then a reset alone.
-func TestLeftBehindUnreadBytes(t *testing.T) {
+// A close is seen behind any number of unread bytes, unless they have closed the window; then only a reset is seen.
+func TestPeerClosedIsSeenBehindUnreadBytes(t *testing.T) {
 	t.Parallel()
-	for how, leave := range leavings {
+	for manner, closeConn := range waysToClose {
 		for _, piece := range []int{1, 100, 64 << 10} {
-			for _, most := range []int{0, 1, 3000, 48 << 10, 16 << 20} {
-				if most > 1<<20 && (how != "reset" || piece == 1) {
-					continue // the end can't come; TestWatchSeesTheEndBehindAnything has what is done about it
+			for _, unread := range []int{0, 1, 3000, 48 << 10, 16 << 20} {
+				if unread > 1<<20 && (manner != "reset" || piece == 1) {
+					continue // the end cannot arrive; see TestWatchSeesCloseBehindFullWindow
 				}
-				t.Run(fmt.Sprint(how, " behind ", most, " in pieces of ", piece), func(t *testing.T) {
+				t.Run(fmt.Sprint(manner, " behind ", unread, " in pieces of ", piece), func(t *testing.T) {
 					t.Parallel()
 					far, near := standin.Ends(t)
-					pour(t, far, most, piece)
+					sendUnread(t, far, unread, piece)
 					if Left(near) {
-						t.Fatal("it has left before it did")
+						t.Fatal("reported as closed before it was")
 					}
-					leave(far)
-					for end := time.Now().Add(patience); !Left(near); time.Sleep(time.Millisecond) {
+					closeConn(far)
+					for end := time.Now().Add(testTimeout); !Left(near); time.Sleep(time.Millisecond) {
 						if time.Now().After(end) {
-							t.Fatal("not seen to leave")
+							t.Fatal("not reported as closed")
 						}
 					}
 					if !Left(near) {
-						t.Error("seen once only")
+						t.Error("reported as closed only once")
 					}
 				})
 			}
@@ -64,247 +65,250 @@
 	}
 }
 
-// The end is seen also behind so much that the window is shut, in any pieces; what stands behind the request is lost then, and that
-// is told.
-func TestWatchSeesTheEndBehindAnything(t *testing.T) {
+// With discarding a close is seen even if the window is closed, whatever the size of the pieces. The input behind the
+// request is lost, and stop reports that.
+func TestWatchSeesCloseBehindFullWindow(t *testing.T) {
 	t.Parallel()
-	for how, leave := range leavings {
+	for manner, closeConn := range waysToClose {
 		for _, piece := range []int{100, 64 << 10} {
-			t.Run(fmt.Sprint(how, " in pieces of ", piece), func(t *testing.T) {
+			t.Run(fmt.Sprint(manner, " in pieces of ", piece), func(t *testing.T) {
 				t.Parallel()
 				far, near := standin.Ends(t)
-				if n := pour(t, far, 16<<20, piece); n < 200<<10 {
-					t.Fatalf("the kernel took %d bytes: the window is not shut", n)
+				if n := sendUnread(t, far, 16<<20, piece); n < 200<<10 {
+					t.Fatalf("the kernel accepted %d bytes: the window is not closed", n)
 				}
-				end, stop := Watch(near, bufio.NewReaderSize(near, crowded), true)
-				leave(far)
+				end, stop := Watch(near, bufio.NewReaderSize(near, unreadThreshold), true)
+				closeConn(far)
 				select {
 				case <-end:
-				case <-time.After(patience):
-					t.Fatal("not seen to leave")
+				case <-time.After(testTimeout):
+					t.Fatal("the close was not seen")
 				}
-				if !stop() && how != "reset" {
-					t.Error("nothing is said to be lost")
+				if !stop() && manner != "reset" {
+					t.Error("stop does not report discarded input")
 				}
 			})
 		}
 	}
 }
 
-// So is it where nobody looked before all was sent, and there is no time to wait. Of who stands it is told that it does.
-func TestSpillSeesTheEndBehindAnything(t *testing.T) {
+// DiscardInput sees a close behind a closed window at once, without an earlier watch. An open connection is reported as
+// open.
+func TestDiscardInputSeesCloseBehindFullWindow(t *testing.T) {
 	t.Parallel()
-	for how, leave := range leavings {
+	for manner, closeConn := range waysToClose {
 		for _, piece := range []int{1, 100, 64 << 10} {
-			t.Run(fmt.Sprint(how, " in pieces of ", piece), func(t *testing.T) {
+			t.Run(fmt.Sprint(manner, " in pieces of ", piece), func(t *testing.T) {
 				t.Parallel()
 				far, near := standin.Ends(t)
-				// Single bytes take long: 256 KB of them shut the window too.
-				if n := pour(t, far, min(16<<20, piece*256<<10), piece); n < 200<<10 || n > SpillMost {
-					t.Fatalf("the kernel took %d bytes", n)
+				// Single bytes are slow to send: 256 KB of them also close the window.
+				if n := sendUnread(t, far, min(16<<20, piece*256<<10), piece); n < 200<<10 || n > SpillMost {
+					t.Fatalf("the kernel accepted %d bytes", n)
 				}
-				isShut(t, near, true)
-				leave(far)
-				if spilt, ended := Spill(near, bufio.NewReaderSize(near, crowded)); !ended || !spilt && how != "reset" {
-					t.Errorf("ended %v, spilt %v", ended, spilt)
+				waitForShut(t, near, true)
+				closeConn(far)
+				if discarded, ended := Spill(near, bufio.NewReaderSize(near, unreadThreshold)); !ended || !discarded && manner != "reset" {
+					t.Errorf("ended %v, discarded %v", ended, discarded)
 				}
 			})
 		}
 	}
 	for _, c := range []struct {
-		bytes int
-		shut  bool
+		bytes  int
+		closed bool
 	}{{0, false}, {Keep, false}, {Keep + 1, true}} {
 		far, near := standin.Ends(t)
-		if n := pour(t, far, c.bytes, 100); n != c.bytes {
-			t.Fatalf("the kernel took %d bytes", n)
+		if n := sendUnread(t, far, c.bytes, 100); n != c.bytes {
+			t.Fatalf("the kernel accepted %d bytes", n)
 		}
-		isShut(t, near, c.shut)
-		if spilt, ended := Spill(near, bufio.NewReaderSize(near, crowded)); ended || spilt != (c.bytes > 0) {
-			t.Errorf("one that stands, behind %d bytes: ended %v, spilt %v", c.bytes, ended, spilt)
+		waitForShut(t, near, c.closed)
+		if discarded, ended := Spill(near, bufio.NewReaderSize(near, unreadThreshold)); ended || discarded != (c.bytes > 0) {
+			t.Errorf("open connection with %d unread bytes: ended %v, discarded %v", c.bytes, ended, discarded)
 		}
 	}
 }
 
-// isShut waits until a socket's window counts as shut, or as open: what was sent may take a moment through loopback.
-func isShut(t *testing.T, near net.Conn, want bool) {
+// waitForShut waits until a socket's window counts as closed or as open: the bytes may take a moment through loopback.
+func waitForShut(t *testing.T, near net.Conn, want bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); Shut(near) != want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); Shut(near) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("shut %v", !want)
+			t.Fatalf("WindowMayBeClosed stays %v", !want)
 		}
 	}
 }
 
-// Who goes on sending ahead of an answer gets none waited for, and is read no further.
-func TestWatchEndsAFlood(t *testing.T) {
+// A peer that keeps sending ahead of its response is cut off after MaxDiscard bytes and is read no further.
+func TestWatchEndsOnTooMuchInput(t *testing.T) {
 	t.Parallel()
 	far, near := standin.Ends(t)
-	end, stop := Watch(near, bufio.NewReaderSize(near, crowded), true)
-	wrote := make(chan int64, 1)
+	end, stop := Watch(near, bufio.NewReaderSize(near, unreadThreshold), true)
+	sent := make(chan int64, 1)
 	go func() {
 		n, _ := io.Copy(far, zeros{})
-		wrote <- n
+		sent <- n
 	}()
 	select {
 	case <-end:
-	case <-time.After(patience):
-		t.Fatal("it goes on")
+	case <-time.After(testTimeout):
+		t.Fatal("the watch does not end")
 	}
 	if !stop() {
-		t.Error("nothing is said to be lost")
+		t.Error("stop does not report discarded input")
 	}
 	near.Close()
-	if n := <-wrote; n < SpillMost {
-		t.Errorf("ended behind %d bytes, want %d at least", n, SpillMost)
+	if n := <-sent; n < SpillMost {
+		t.Errorf("ended after %d bytes, want at least %d", n, SpillMost)
 	}
 }
 
-// Who goes on sending while it is looked for is read no further either. Of a real sender nothing else can be asked: one that this
-// machine lets stand for 50 ms has paused.
-func TestSpillEndsAFlood(t *testing.T) {
+// A peer that keeps sending while its input is discarded is read no further than MaxDiscard either. A real sender that
+// this machine does not schedule for 50 ms counts as paused, so an early end without a close is accepted.
+func TestDiscardInputEndsOnTooMuchInput(t *testing.T) {
 	t.Parallel()
 	far, near := standin.Ends(t)
-	pour(t, far, 1, 1) // there is something to throw away, however late the sender begins
-	wrote := make(chan int64, 1)
+	sendUnread(t, far, 1, 1) // there is input to discard, however late the sender starts
+	sent := make(chan int64, 1)
 	go func() {
 		n, _ := io.Copy(far, zeros{})
-		wrote <- n
+		sent <- n
 	}()
-	spilt, ended := Spill(near, bufio.NewReaderSize(near, crowded))
+	discarded, ended := Spill(near, bufio.NewReaderSize(near, unreadThreshold))
 	near.Close()
-	if n := <-wrote; !spilt || ended && n+1 < SpillMost {
-		t.Errorf("spilt %v, ended %v behind %d bytes", spilt, ended, n)
+	if n := <-sent; !discarded || ended && n+1 < SpillMost {
+		t.Errorf("discarded %v, ended %v after %d bytes", discarded, ended, n)
 	}
 }
 
-// paced is a sender that never ends: it sends a piece each time that its pause is over. Only the calls that Spill makes are there.
-type paced struct {
+// endlessSender is a peer that sends size bytes per interval without end. It has only the methods that DiscardInput calls.
+type endlessSender struct {
 	net.Conn
-	piece int
-	pause time.Duration
-	sent  int
+	size     int
+	interval time.Duration
+	sent     int
 }
 
-func (p *paced) SetReadDeadline(time.Time) error { return nil }
+func (p *endlessSender) SetReadDeadline(time.Time) error { return nil }
 
-func (p *paced) Read(b []byte) (int, error) {
-	time.Sleep(p.pause)
-	n := min(p.piece, len(b))
+func (p *endlessSender) Read(b []byte) (int, error) {
+	time.Sleep(p.interval)
+	n := min(p.size, len(b))
 	p.sent += n
 	return n, nil
 }
 
-// On a clock that stands while bytes are there: a flood ends it at SpillMost and not a piece behind, and one that trickles is read
-// for a second and said to stand.
-func TestSpillIsBounded(t *testing.T) {
+// On a fake clock that stands still while bytes are available: a flood ends the reading at MaxDiscard and at most a piece
+// later, and a trickle is read for a second and reported as open.
+func TestDiscardInputIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
-		far   paced
+		far   endlessSender
 		ended bool
 		sent  int
 		took  time.Duration
 	}{
-		{"flood", paced{piece: 4 << 10}, true, SpillMost, 0},
-		{"flood in odd pieces", paced{piece: 3000}, true, (SpillMost + 2999) / 3000 * 3000, 0},
-		{"trickle", paced{piece: 1, pause: 40 * time.Millisecond}, false, 25, spillTime},
-		{"flood that takes too long", paced{piece: 4 << 10, pause: 10 * time.Millisecond}, false, 100 * 4 << 10, spillTime},
+		{"flood", endlessSender{size: 4 << 10}, true, SpillMost, 0},
+		{"flood in pieces that do not divide the limit", endlessSender{size: 3000}, true, (SpillMost + 2999) / 3000 * 3000, 0},
+		{"slow trickle", endlessSender{size: 1, interval: 40 * time.Millisecond}, false, 25, discardTimeout},
+		{"flood that exceeds the timeout", endlessSender{size: 4 << 10, interval: 10 * time.Millisecond}, false, 100 * 4 << 10, discardTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				begun := time.Now()
-				spilt, ended := Spill(&c.far, bufio.NewReaderSize(&c.far, crowded))
-				if took := time.Since(begun); !spilt || ended != c.ended || c.far.sent != c.sent || took != c.took {
-					t.Errorf("spilt %v, ended %v behind %d bytes in %v, want true, %v, %d, %v", spilt, ended, c.far.sent, took, c.ended, c.sent, c.took)
+				discarded, ended := Spill(&c.far, bufio.NewReaderSize(&c.far, unreadThreshold))
+				if took := time.Since(begun); !discarded || ended != c.ended || c.far.sent != c.sent || took != c.took {
+					t.Errorf("discarded %v, ended %v after %d bytes in %v, want true, %v, %d, %v",
+						discarded, ended, c.far.sent, took, c.ended, c.sent, c.took)
 				}
 			})
 		})
 	}
 }
 
+// zeros is an endless source of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// What stands behind a request that has its answer soon, or is no more than a reader and a little hold, is not touched; nor is it
-// where nothing may be thrown away.
-func TestWatchLeavesWhatIsReadLater(t *testing.T) {
+// Input behind a request stays available if the request is answered soon, if it does not exceed the reader and the
+// threshold, or if nothing may be discarded.
+func TestWatchKeepsInputThatIsReadLater(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		bytes int
-		spill bool
-		wait  bool // for longer than it may stand where it is too much
+		name    string
+		bytes   int
+		discard bool
+		wait    bool // for longer than too much input may remain unread
 	}{
 		{"answered at once", 60 << 10, true, false},
-		{"little", crowded + crowded/2, true, true},
-		{"kept", 60 << 10, false, true},
+		{"below the threshold", unreadThreshold + unreadThreshold/2, true, true},
+		{"nothing may be discarded", 60 << 10, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			far, near := standin.Ends(t)
-			if n := pour(t, far, c.bytes, 100); n != c.bytes {
-				t.Fatalf("the kernel took %d bytes", n)
+			if n := sendUnread(t, far, c.bytes, 100); n != c.bytes {
+				t.Fatalf("the kernel accepted %d bytes", n)
 			}
-			in := bufio.NewReaderSize(near, crowded)
+			in := bufio.NewReaderSize(near, unreadThreshold)
 			begun := time.Now()
-			end, stop := Watch(near, in, c.spill)
+			end, stop := Watch(near, in, c.discard)
 			if c.wait {
 				select {
 				case <-end:
-					t.Fatal("seen to leave")
-				case <-time.After(4 * crowdedFor):
+					t.Fatal("the peer was reported as closed")
+				case <-time.After(4 * discardDelay):
 				}
 			}
 			if stop() {
-				if !c.wait && time.Since(begun) >= crowdedFor {
+				if !c.wait && time.Since(begun) >= discardDelay {
 					return // this machine was too slow to answer at once
 				}
-				t.Fatal("something is lost")
+				t.Fatal("input was discarded")
 			}
 			near.SetReadDeadline(time.Time{})
 			far.CloseWrite()
 			if n, err := io.Copy(io.Discard, in); n != int64(c.bytes) || err != nil {
-				t.Errorf("%d bytes are there, %v; want %d", n, err, c.bytes)
+				t.Errorf("%d bytes were left to read, %v; want %d", n, err, c.bytes)
 			}
 		})
 	}
 }
 
-// What a request pays for being watched while it waits: the watch as it was (it waits for a byte that does not come), as it is, and as
-// it is for what may not be thrown away. Beside it what the goroutine and the two deadlines cost alone.
+// BenchmarkWatch measures what watching the peer costs a waiting request, with and without discarding, compared with a
+// plain peek for one byte and with the goroutine and the two deadlines alone.
 func BenchmarkWatch(b *testing.B) {
 	_, near := standin.Ends(b)
-	in := bufio.NewReaderSize(near, crowded)
+	in := bufio.NewReaderSize(near, unreadThreshold)
 	for _, c := range []struct {
 		name  string
 		watch func() (stop func())
 	}{
-		{"none", func() func() {
-			over := make(chan struct{})
-			go close(over)
+		{"goroutine and deadlines only", func() func() {
+			done := make(chan struct{})
+			go close(done)
 			return func() {
 				near.SetReadDeadline(time.Unix(1, 0))
-				<-over
+				<-done
 			}
 		}},
-		{"a byte", func() func() { // as it was before a client was looked for behind unread bytes
-			left := make(chan bool, 1)
+		{"peek for a byte", func() func() { // does not see an end behind unread bytes
+			closed := make(chan bool, 1)
 			go func() {
 				_, err := in.Peek(1)
-				left <- err != nil
+				closed <- err != nil
 			}()
 			return func() {
 				near.SetReadDeadline(time.Unix(1, 0))
-				<-left
+				<-closed
 			}
 		}},
-		{"kept", func() func() {
+		{"without discarding", func() func() {
 			_, stop := Watch(near, in, false)
 			return func() { stop() }
 		}},
-		{"now", func() func() {
+		{"discarding", func() func() {
 			_, stop := Watch(near, in, true)
 			return func() { stop() }
 		}},
@@ -314,7 +318,7 @@
 			for b.Loop() {
 				near.SetReadDeadline(time.Time{})
 				stop := c.watch()
-				runtime.Gosched() // as a request that waits, so that the look comes to wait too
+				runtime.Gosched() // yields as a waiting request does, so that the watch starts to wait too
 				stop()
 			}
 		})
