--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,4 +1,4 @@
-// Package message is what fronts and backs that speak HTTP/1.1 pass each other through the core.
+// Package message defines the messages and limits that fronts and backs speaking HTTP/1.1 exchange through the core.
 package message
 
 import (
@@ -8,29 +8,30 @@
 	"portstall/internal/flow"
 )
 
-// Max is how large a request's or an answer's body may be, in bytes.
+// MaxBody is the maximum size of a request or response body, in bytes.
 const Max = 32 << 20
 
-// HeadSize bounds the head of a request, in bytes, and with it what any front reads ahead.
+// MaxHead is the maximum size of a request head, in bytes. It also limits what a front reads ahead.
 const HeadSize = 16 << 10
 
-// ErrTooLarge says that a body is larger than Max.
-var ErrTooLarge = errors.New("too large a body")
+// ErrBodyTooLarge means that a body is larger than MaxBody.
+var ErrTooLarge = errors.New("body too large")
 
-// Headers are those that a request may carry to a web server, each once; the platform's protocol knows no others.
+// ForwardedHeaders are the headers of a request that are forwarded to a web server, each at most once. The platform's
+// protocol defines no others.
 var Headers = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
 
-// Answer is what a web server answered, once it has proved sound. It is a core.Payload; its owner releases it.
+// Response is a valid response of a web server. It is a core.Payload; its owner must release it once.
 type Answer struct {
-	Type   string        // its Content-Type; empty: none
-	Body   []byte        // whole,
-	Stream io.ReadCloser // or, where it is large, still on its way,
-	Length int64         // with its length; -1 where that is not known ahead
-	Held   int64         // bytes of the budget for Body
-	Budget *flow.Budget
+	Type   string        // Content-Type; empty: none
+	Body   []byte        // complete body, if Stream is nil
+	Stream io.ReadCloser // large body that is still being received; nil: Body is complete
+	Length int64         // length of the streamed body; -1 if not known in advance
+	Held   int64         // bytes of Budget that the body uses
+	Budget *flow.Budget  // budget to which HeldBytes are released
 }
 
-// Release gives back what the answer held, whether it was passed on or not.
+// Release returns what the response held, whether it was forwarded or not.
 func (a *Answer) Release() {
 	a.Budget.AnswerDone(a.Held)
 	if a.Stream != nil {
--- a/internal/message/refusal.go
+++ b/internal/message/refusal.go
@@ -9,25 +9,25 @@
 	"portstall/internal/core"
 )
 
-// RefusalHeader tells a client, and whoever reads its logs, why it was refused.
+// RefusalHeader is the header of a refusal that states its reason, for clients and for readers of their logs.
 const RefusalHeader = "Portstall-Refusal"
 
-// Refusal puts a final answer that is not Served into HTTP's words: 503 and 500 where the policy gives up; of what contracts
-// refuse 429 for the caller's own budget, 503 for the fleet, 403 where no contract lets it in at all. The reason is for
-// programs, and empty where the policy gave up.
-func Refusal(a core.Answer) (status int, after time.Duration, reason string) {
+// Refusal converts a final response that is not Served to HTTP terms. If the policy gave up, the status is 503 or 500 and
+// the reason is empty. If a contract refused the request, the status is 429 where the caller's own budget is used up, 503
+// where the fleet is under pressure and 403 where no contract covers the request; the reason is machine-readable.
+func Refusal(a core.Answer) (status int, retryAfter time.Duration, reason string) {
 	switch a.Kind {
 	case core.Refused:
 		return http.StatusServiceUnavailable, a.RetryAfter, ""
 	case core.Failed:
 		return http.StatusInternalServerError, 0, ""
 	}
-	status, after = http.StatusTooManyRequests, a.RetryAfter
+	status, retryAfter = http.StatusTooManyRequests, a.RetryAfter
 	switch a.Rule {
 	case contract.Fleet:
 		status = http.StatusServiceUnavailable
 	case contract.None, contract.Service:
-		status, after = http.StatusForbidden, 0
+		status, retryAfter = http.StatusForbidden, 0
 	}
-	return status, after, fmt.Sprintf("rule=%s; contract=%q; retry-after-ms=%d", a.Rule, a.Contract, after.Milliseconds())
+	return status, retryAfter, fmt.Sprintf("rule=%s; contract=%q; retry-after-ms=%d", a.Rule, a.Contract, retryAfter.Milliseconds())
 }
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -9,30 +9,31 @@
 	"portstall/internal/core"
 )
 
-// Limits bound the life of an opaque tunnel. None outlives them.
+// TunnelLimits limit the lifetime of an opaque tunnel. A tunnel is closed once it reaches any of them.
 type Limits struct {
-	Idle  time.Duration // without a byte either way
-	Total time.Duration // from its opening
-	Stall time.Duration // without a byte from the server since the client's latest; 0: the protocol may be quiet
-	Drain time.Duration // after its server, or the node, was told to drain
+	Idle  time.Duration // time without a byte in either direction
+	Total time.Duration // time since it was opened
+	Stall time.Duration // time without a byte from the server since the client's latest; 0: no limit, as the protocol may be silent
+	Drain time.Duration // time since its server or the node started to drain
 }
 
-// Stream is the message of an opaque request: the tunnel itself is what is asked for. It is a core.Body too.
+// Stream is the message of an opaque request, which asks for the tunnel itself. It is also a core.Body and is safe for
+// concurrent use.
 type Stream struct {
 	Limits Limits
 	spent  atomic.Bool
 }
 
-// Spent tells whether bytes of the client went out.
+// Spent reports whether bytes of the client may have been sent, so that no other server can get them.
 func (s *Stream) Spent() bool { return s.spent.Load() }
 
-// Spend notes that they do from now on.
+// MarkSpent records that bytes of the client are sent from now on.
 func (s *Stream) Spend() { s.spent.Store(true) }
 
-// Tunnel is the payload of a served Stream: a connection to a server that was opened and to which nothing was written yet.
+// Tunnel is the payload of a served Stream: an open connection to a server to which nothing has been written yet.
 type Tunnel interface {
 	core.Payload
-	// Relay passes bytes both ways until both sides have ended or a limit is reached, and closes the client's connection.
-	// What in has read ahead goes first; nothing else may read from either.
+	// Relay copies bytes in both directions until both sides have ended or a limit is reached, and closes the client's
+	// connection. It sends what in has read ahead first; nothing else may read from in or client.
 	Relay(client net.Conn, in *bufio.Reader)
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,6 @@
-// Package mgmt is the operators' listener: HTTP/1.1 on an address of its own, one call to a connection. It parses
-// calls and words answers; what a call means is the node's business. It shares no lock, limit or goroutine with the
-// clients' requests, so that it answers however many of those there are.
+// Package mgmt is the listener for operators: HTTP/1.1 on its own address, one call per connection. It parses calls and
+// writes replies; the node carries the calls out. It shares no lock, limit or goroutine with the clients' requests, so
+// that it replies regardless of their number.
 package mgmt
 
 import (
@@ -19,59 +19,61 @@
 )
 
 const (
-	// MaxConns is how many connections are open at a time. The oldest makes room: a caller is answered within
-	// milliseconds, so that one which has been there for longer has not made its call.
+	// MaxConns is the maximum number of open connections. Above it the oldest is closed: calls are answered within
+	// milliseconds, so the oldest connection is most likely one that has not sent its call.
 	MaxConns = 24
-	// readTime is how long a caller may take over its call.
-	readTime = 2 * time.Second
-	// answerTime is how long the node may take: each answer is due within 1 s.
-	answerTime = 800 * time.Millisecond
-	maxHead    = 8 << 10
+	// connTimeout limits how long a caller may take to send its call and to read the reply.
+	connTimeout = 2 * time.Second
+	// callTimeout limits how long the node may take to carry out a call: each reply is due within 1 s.
+	callTimeout = 800 * time.Millisecond
+	// maxHeaderBytes is the maximum size of a call's head.
+	maxHeaderBytes = 8 << 10
 )
 
-// ErrUnknown says that no web server has the id.
+// ErrUnknownServer means that no web server has the given ID.
 var ErrUnknown = errors.New("no such web server")
 
-// Node is what operators can tell a node. An error means no, and that nothing can be relied on; ErrUnknown that
-// nothing has changed.
+// Node carries out the calls of operators. After an error the call may or may not have taken effect, except that
+// ErrUnknownServer means that nothing has changed.
 type Node interface {
-	// Ready tells whether this process takes clients.
+	// Ready returns nil if this process accepts clients.
 	Ready() error
-	// Disable takes a web server out of service. Once it returns, nothing new is sent to that web server.
+	// Disable takes a web server out of service. Once it has returned nil, nothing new is sent to that web server.
 	Disable(ctx context.Context, id string) error
-	// Enable puts it back.
+	// Enable puts a web server back into service.
 	Enable(ctx context.Context, id string) error
-	// Drain sends the clients away; Resume takes them in again.
+	// Drain stops accepting clients.
 	Drain(ctx context.Context) error
+	// Resume accepts clients again.
 	Resume(ctx context.Context) error
 }
 
-// Page is one more thing that operators can read: an answer to a GET. An error is told as 404 where it is ErrUnknown and
-// as 400 elsewhere.
+// Page is a further resource that operators can GET. If Write returns ErrUnknownServer the status is 404, for any other
+// error it is 400.
 type Page struct {
-	Path  string // below /-/
-	Type  string // of its content
+	Path  string // path below /-/
+	Type  string // Content-Type
 	Write func(w io.Writer, q url.Values) error
 }
 
-// Server answers operators.
+// Server serves the calls of operators. It is safe for concurrent use.
 type Server struct {
 	http http.Server
 
 	mu    sync.Mutex
-	conns []net.Conn // open ones, the oldest first
+	conns []net.Conn // open connections, the oldest first; protected by mu
 }
 
-// Serve answers calls on ln until Close. What it reports of broken calls goes to log.
+// Serve serves calls on ln until Close. It logs the operators' commands, and at debug level malformed calls.
 func Serve(ln net.Listener, node Node, log *slog.Logger, pages ...Page) *Server {
 	s := &Server{}
 	s.http = http.Server{
-		Handler:           handler(node, log, pages),
-		ReadHeaderTimeout: readTime,
-		ReadTimeout:       readTime,
-		WriteTimeout:      readTime,
-		MaxHeaderBytes:    maxHead,
-		ConnState:         s.track,
+		Handler:           newHandler(node, log, pages),
+		ReadHeaderTimeout: connTimeout,
+		ReadTimeout:       connTimeout,
+		WriteTimeout:      connTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.trackConn,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	s.http.SetKeepAlivesEnabled(false)
@@ -79,11 +81,11 @@
 	return s
 }
 
-// Close ends the listener and all its connections.
+// Close closes the listener and all its connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// track keeps the number of connections bounded.
-func (s *Server) track(c net.Conn, state http.ConnState) {
+// trackConn limits the number of open connections to MaxConns.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
@@ -103,10 +105,10 @@
 	}
 }
 
-// handler knows the calls. Unknown paths and methods are answered with 404 and 405 by the mux.
-func handler(node Node, log *slog.Logger, pages []Page) http.Handler {
+// newHandler returns the handler of all calls. The mux replies to unknown paths and methods with 404 and 405.
+func newHandler(node Node, log *slog.Logger, pages []Page) http.Handler {
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, err error) {
+	reply := func(w http.ResponseWriter, err error) {
 		status, text := http.StatusOK, "ok"
 		switch {
 		case errors.Is(err, ErrUnknown):
@@ -118,23 +120,23 @@
 		w.WriteHeader(status)
 		io.WriteString(w, text+"\n")
 	}
-	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, r *http.Request) { answer(w, node.Ready()) })
-	order := func(pattern string, do func(ctx context.Context, id string) error) {
+	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, r *http.Request) { reply(w, node.Ready()) })
+	command := func(pattern string, run func(ctx context.Context, id string) error) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			ctx, cancel := context.WithTimeout(r.Context(), answerTime)
+			ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 			defer cancel()
-			err := do(ctx, r.PathValue("id"))
-			log.Info("operators' call", "call", fmt.Sprint(r.Method, " ", r.URL.Path), "err", err)
-			answer(w, err)
+			err := run(ctx, r.PathValue("id"))
+			log.Info("operator call", "call", fmt.Sprint(r.Method, " ", r.URL.Path), "err", err)
+			reply(w, err)
 		})
 	}
-	order("POST /-/web-servers/{id}/disable", node.Disable)
-	order("POST /-/web-servers/{id}/enable", node.Enable)
-	order("POST /-/drain", func(ctx context.Context, _ string) error { return node.Drain(ctx) })
-	order("POST /-/resume", func(ctx context.Context, _ string) error { return node.Resume(ctx) })
+	command("POST /-/web-servers/{id}/disable", node.Disable)
+	command("POST /-/web-servers/{id}/enable", node.Enable)
+	command("POST /-/drain", func(ctx context.Context, _ string) error { return node.Drain(ctx) })
+	command("POST /-/resume", func(ctx context.Context, _ string) error { return node.Resume(ctx) })
 	for _, p := range pages {
 		mux.HandleFunc("GET /-/"+p.Path, func(w http.ResponseWriter, r *http.Request) {
-			var b bytes.Buffer // an error can still be told
+			var b bytes.Buffer // buffered, so that an error can still set the status
 			err := p.Write(&b, r.URL.Query())
 			switch {
 			case errors.Is(err, ErrUnknown):
@@ -148,7 +150,7 @@
 		})
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if path.Clean(r.URL.Path) != r.URL.Path { // the mux would send the caller elsewhere, which is no answer
+		if path.Clean(r.URL.Path) != r.URL.Path { // the mux would redirect the caller instead of replying
 			http.NotFound(w, r)
 			return
 		}
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -16,36 +16,36 @@
 	"portstall/internal/lab/standin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// fake is a node that knows one web server and notes what it is told.
-type fake struct {
-	mu    sync.Mutex
-	calls []string
-	ready error
+// stubNode is a Node with one web server, s-1, that records the calls it gets.
+type stubNode struct {
+	mu       sync.Mutex
+	calls    []string
+	readyErr error
 }
 
-func (f *fake) note(call string) {
+func (f *stubNode) record(call string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, call)
 }
 
-func (f *fake) server(call, id string) error {
+func (f *stubNode) recordFor(call, id string) error {
 	if id != "s-1" {
 		return ErrUnknown
 	}
-	f.note(call + " " + id)
+	f.record(call + " " + id)
 	return nil
 }
 
-func (f *fake) Ready() error                               { return f.ready }
-func (f *fake) Disable(_ context.Context, id string) error { return f.server("disable", id) }
-func (f *fake) Enable(_ context.Context, id string) error  { return f.server("enable", id) }
-func (f *fake) Drain(context.Context) error                { f.note("drain"); return nil }
-func (f *fake) Resume(context.Context) error               { return errors.New("it leaves") }
+func (f *stubNode) Ready() error                               { return f.readyErr }
+func (f *stubNode) Disable(_ context.Context, id string) error { return f.recordFor("disable", id) }
+func (f *stubNode) Enable(_ context.Context, id string) error  { return f.recordFor("enable", id) }
+func (f *stubNode) Drain(context.Context) error                { f.record("drain"); return nil }
+func (f *stubNode) Resume(context.Context) error               { return errors.New("shutting down") }
 
-func serve(t *testing.T, f *fake) string {
+func startServer(t *testing.T, f *stubNode) string {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
@@ -56,15 +56,15 @@
 	return ln.Addr().String()
 }
 
-// call makes one call and wants the connection closed behind the answer.
-func call(t *testing.T, addr, method, path string) int {
+// callStatus makes one call, checks that the connection is closed after the reply, and returns the status.
+func callStatus(t *testing.T, addr, method, path string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -73,15 +73,16 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("%s %s: the connection stays open", method, path)
+		t.Errorf("%s %s: the connection stays open after the reply", method, path)
 	}
 	return resp.StatusCode
 }
 
-func TestCalls(t *testing.T) {
+// Each call reaches the node and returns its status; wrong methods, paths and web servers are rejected.
+func TestEachCallReturnsItsStatus(t *testing.T) {
 	t.Parallel()
-	f := &fake{}
-	addr := serve(t, f)
+	f := &stubNode{}
+	addr := startServer(t, f)
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -103,26 +104,27 @@
 		{"GET", "/ready", 404},
 		{"GET", "/", 404},
 	} {
-		if got := call(t, addr, c.method, c.path); got != c.want {
+		if got := callStatus(t, addr, c.method, c.path); got != c.want {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
 		}
 	}
 	if want := []string{"disable s-1", "enable s-1", "drain"}; !slices.Equal(f.calls, want) {
-		t.Errorf("the node was told %v, want %v", f.calls, want)
+		t.Errorf("the node got the calls %v, want %v", f.calls, want)
 	}
 }
 
-func TestNotReady(t *testing.T) {
+// While the node is not ready, /-/ready returns 503.
+func TestReadyReturns503WhileNotReady(t *testing.T) {
 	t.Parallel()
-	if got := call(t, serve(t, &fake{ready: errors.New("no list yet")}), "GET", "/-/ready"); got != 503 {
-		t.Errorf("answered %d, want 503", got)
+	if got := callStatus(t, startServer(t, &stubNode{readyErr: errors.New("no server list yet")}), "GET", "/-/ready"); got != 503 {
+		t.Errorf("status %d, want 503", got)
 	}
 }
 
-// Callers that send nothing, or half a call, hold up nobody, however many there are.
-func TestSilentCallersMakeRoom(t *testing.T) {
+// Any number of callers that send nothing, or only part of a call, must not block the call of another one.
+func TestSilentCallersDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
-	addr := serve(t, &fake{})
+	addr := startServer(t, &stubNode{})
 	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -133,20 +135,20 @@
 			io.WriteString(c, "POST /-/drain HTTP/1.1\r\nHo")
 		}
 	}
-	if got := call(t, addr, "GET", "/-/ready"); got != 200 {
-		t.Errorf("answered %d", got)
+	if got := callStatus(t, addr, "GET", "/-/ready"); got != 200 {
+		t.Errorf("status %d, want 200", got)
 	}
 }
 
-// A silent caller is sent away; it does not keep its descriptor.
-func TestSilentCallerIsCut(t *testing.T) {
+// A caller that sends nothing is disconnected, so that it does not hold a descriptor.
+func TestSilentCallerIsDisconnected(t *testing.T) {
 	t.Parallel()
-	c, err := net.Dial("tcp", serve(t, &fake{}))
+	c, err := net.Dial("tcp", startServer(t, &stubNode{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.Copy(io.Discard, c); err != nil {
 		t.Errorf("%v, want the connection closed", err)
 	}
