--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -180,8 +180,8 @@
 
 // export returns the state for a successor process.
 func (s *state) export(name string) Left {
-	return Left{Name: name, Tokens: s.rateTokens, Work: s.workLeft, Bytes: s.bytesLeft, Kept: s.guaranteeLeft, Firsts: s.firstAttempts,
-		Furthers: s.retries, Cost: s.meanCost, Demand: s.demand}
+	return Left{Name: name, Tokens: s.rateTokens, Work: s.workLeft, Bytes: s.bytesLeft, Kept: s.guaranteeLeft,
+		Firsts: s.firstAttempts, Furthers: s.retries, Cost: s.meanCost, Demand: s.demand}
 }
 
 // Restore continues from the state of another process. Without credit only debts are restored, as that process may have
--- a/internal/flow/socket.go
+++ b/internal/flow/socket.go
@@ -102,7 +102,7 @@
 // WatchPeer closes end once the peer has closed its sending side or the connection broke. What the peer sends in the
 // meantime stays in the reader while there is room, and then in the socket; the end is seen behind it, unless there is
 // so much that the receive window closes and the end cannot arrive. With discard such input is discarded, so that the end
-// is always seen, and end is also closed after MaxDiscard bytes; stop then reports that input is missing, so the
+// is always seen, and end is also closed after MaxDiscard bytes. Stop reports whether input was discarded, after which the
 // connection must not be used any further. No read deadline may be set when WatchPeer is called; stop sets one, and
 // returns once the caller may use the reader again. After end is closed, calling stop is optional.
 func Watch(socket net.Conn, in *bufio.Reader, discard bool) (end <-chan struct{}, stop func() (discarded bool)) {
