--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -25,15 +25,15 @@
 }
 
 type host struct {
-	nodes   map[int64]*policy.Balancer
-	actions []policy.Action
-	reply   []byte
-	now     time.Duration
+	instances map[int64]*policy.Balancer
+	actions   []policy.Action
+	reply     []byte
+	now       time.Duration
 }
 
 // run serves batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	h := host{nodes: map[int64]*policy.Balancer{}}
+	h := host{instances: map[int64]*policy.Balancer{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	var dec wire.Decoder
 	var long []byte
@@ -62,19 +62,19 @@
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if (m.Kind == wire.Round) == open {
+		if (m.Kind == wire.BatchStart) == open {
 			return fmt.Errorf("batch %d: message out of place", batch)
 		}
 		switch m.Kind {
-		case wire.Round:
+		case wire.BatchStart:
 			open, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
-		case wire.Turn:
+		case wire.BatchEnd:
 			open = false
 			if _, err := out.Write(wire.AppendDone(h.reply, batch)); err != nil {
 				return err
 			}
 		default:
-			if err := h.take(m); err != nil {
+			if err := h.handle(m); err != nil {
 				return fmt.Errorf("batch %d: %w", batch, err)
 			}
 		}
@@ -82,24 +82,24 @@
 }
 
 // take hands one message to its instance and appends the instance's actions to the reply.
-func (h *host) take(m *wire.Message) error {
+func (h *host) handle(m *wire.Message) error {
 	switch m.Kind {
 	case wire.Create:
 		node, err := policy.New(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("create: %w", err)
 		}
-		h.nodes[m.Instance] = node
+		h.instances[m.Instance] = node
 		return nil
 	case wire.PowerOff:
-		delete(h.nodes, m.Instance)
+		delete(h.instances, m.Instance)
 		return nil
 	}
-	node := h.nodes[m.Instance]
+	node := h.instances[m.Instance]
 	if node == nil {
 		return fmt.Errorf("instance %d was never created", m.Instance)
 	}
-	h.guard(m.Instance, func() {
+	h.recoverPanic(m.Instance, func() {
 		h.actions = node.Handle(h.now, &m.Event, h.actions[:0])
 		for i := range h.actions {
 			h.reply = wire.AppendAction(h.reply, m.Instance, &h.actions[i])
@@ -109,10 +109,10 @@
 }
 
 // guard turns a panic of the decision code into the instance's fault report.
-func (h *host) guard(who int64, decide func()) {
+func (h *host) recoverPanic(who int64, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply = wire.AppendGiveIn(h.reply, who, fmt.Sprint(p))
+			h.reply = wire.AppendFault(h.reply, who, fmt.Sprint(p))
 		}
 	}()
 	decide()
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -12,7 +12,7 @@
 	`"gain":1,"effect":"free","group":"all"}],"policy_limits":{"max_attempts":2,"max_retry_after_s":1}}`
 
 // built returns the path of a freshly built simhost.
-func built(t *testing.T) string {
+func buildSimhost(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "simhost")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -21,7 +21,7 @@
 	return bin
 }
 
-func converse(t *testing.T, bin, in string) (out, problem string, err error) {
+func runSimhost(t *testing.T, bin, in string) (out, problem string, err error) {
 	t.Helper()
 	cmd := exec.Command(bin)
 	var o, e bytes.Buffer
@@ -31,7 +31,7 @@
 }
 
 func TestConversation(t *testing.T) {
-	bin := built(t)
+	bin := buildSimhost(t)
 	in := `["round",10,1]
 ["your_turn"]
 ["round",10.5,2]
@@ -61,7 +61,7 @@
 ["say_no",0,"r-3",0.1]
 ["done",4]
 `
-	out, problem, err := converse(t, bin, in)
+	out, problem, err := runSimhost(t, bin, in)
 	if err != nil || problem != "" || out != want {
 		t.Errorf("error %v, stderr %q, got\n%s\nwant\n%s", err, problem, out, want)
 	}
@@ -75,7 +75,7 @@
 		"[\"round\",1,7]\n[\"create\",0,1,{\"balancers\":1}]\n":   "batch 7: create: policy: Classes",
 		"[\"round\",1,7]\n[\"create\",0,1,{\"balancers\":0,\"grades\":[{\"name\":\"a\",\"effect\":\"free\"}]}]\n": "Nodes",
 	} {
-		_, problem, err := converse(t, bin, in)
+		_, problem, err := runSimhost(t, bin, in)
 		if err == nil || !strings.Contains(problem, want) || strings.Count(problem, "\n") != 1 {
 			t.Errorf("%q: error %v, stderr %q, want one line with %q", in, err, problem, want)
 		}
@@ -83,9 +83,9 @@
 }
 
 // A panic in the module becomes that instance's fault report and hurts no other.
-func TestPanicBecomesGiveIn(t *testing.T) {
+func TestPanicIsReportedAsGiveIn(t *testing.T) {
 	var h host
-	h.guard(5, func() { panic("broken") })
+	h.recoverPanic(5, func() { panic("broken") })
 	if got := string(h.reply); got != "[\"give_in\",5,\"broken\"]\n" {
 		t.Errorf("got %q", got)
 	}
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -41,18 +41,18 @@
 
 // Map places tenants on a set of servers. Whoever owns it keeps it up to date; it is not safe for concurrent use.
 type Map struct {
-	plan    Plan
-	servers []Server
-	hashes  []uint64       // of their ids
-	index   map[string]int // of each in servers
-	zones   map[string]int // how many servers each has
-	names   []string       // of the zones, in order
-	version uint64
+	plan          Plan
+	servers       []Server
+	idHashes      []uint64       // of their ids
+	indexByID     map[string]int // of each in servers
+	zoneSizes     map[string]int // how many servers each has
+	zoneNames     []string       // of the zones, in order
+	serverHashSum uint64
 }
 
 // New makes a map. The order of the servers does not matter; of an id that comes twice the last counts.
 func New(p Plan, servers ...Server) *Map {
-	m := &Map{plan: p, index: make(map[string]int, len(servers)), zones: map[string]int{}}
+	m := &Map{plan: p, indexByID: make(map[string]int, len(servers)), zoneSizes: map[string]int{}}
 	for _, s := range servers {
 		m.Set(s)
 	}
@@ -61,36 +61,36 @@
 
 // Set enters a server, or what has changed of it.
 func (m *Map) Set(s Server) {
-	if i, known := m.index[s.ID]; known {
+	if i, known := m.indexByID[s.ID]; known {
 		if m.servers[i] == s {
 			return
 		}
 		m.Remove(s.ID)
 	}
-	m.index[s.ID] = len(m.servers)
-	m.servers, m.hashes = append(m.servers, s), append(m.hashes, xxhash.Sum64String(s.ID))
-	m.version += s.hash()
-	if m.zones[s.Zone]++; m.zones[s.Zone] == 1 {
-		at, _ := slices.BinarySearch(m.names, s.Zone)
-		m.names = slices.Insert(m.names, at, s.Zone)
+	m.indexByID[s.ID] = len(m.servers)
+	m.servers, m.idHashes = append(m.servers, s), append(m.idHashes, xxhash.Sum64String(s.ID))
+	m.serverHashSum += s.hash()
+	if m.zoneSizes[s.Zone]++; m.zoneSizes[s.Zone] == 1 {
+		at, _ := slices.BinarySearch(m.zoneNames, s.Zone)
+		m.zoneNames = slices.Insert(m.zoneNames, at, s.Zone)
 	}
 }
 
 // Remove strikes a server off.
 func (m *Map) Remove(id string) {
-	i, known := m.index[id]
+	i, known := m.indexByID[id]
 	if !known {
 		return
 	}
 	s, last := m.servers[i], len(m.servers)-1
-	m.servers[i], m.hashes[i] = m.servers[last], m.hashes[last]
-	m.index[m.servers[i].ID] = i
-	m.servers, m.hashes = m.servers[:last], m.hashes[:last]
-	delete(m.index, id)
-	m.version -= s.hash()
-	if m.zones[s.Zone]--; m.zones[s.Zone] == 0 {
-		delete(m.zones, s.Zone)
-		m.names = slices.DeleteFunc(m.names, func(z string) bool { return z == s.Zone })
+	m.servers[i], m.idHashes[i] = m.servers[last], m.idHashes[last]
+	m.indexByID[m.servers[i].ID] = i
+	m.servers, m.idHashes = m.servers[:last], m.idHashes[:last]
+	delete(m.indexByID, id)
+	m.serverHashSum -= s.hash()
+	if m.zoneSizes[s.Zone]--; m.zoneSizes[s.Zone] == 0 {
+		delete(m.zoneSizes, s.Zone)
+		m.zoneNames = slices.DeleteFunc(m.zoneNames, func(z string) bool { return z == s.Zone })
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // Version tells two maps apart: nodes whose versions are alike place every tenant alike.
 func (m *Map) Version() uint64 {
-	return mix(m.version ^ mix(uint64(m.plan.Size)^mix(m.plan.Seed+1)))
+	return mix(m.serverHashSum ^ mix(uint64(m.plan.Size)^mix(m.plan.Seed+1)))
 }
 
 // Len is how many servers there are.
@@ -117,7 +117,7 @@
 // Subset is the servers of a tenant, in the order of ids. They are spread evenly over the zones, and over pods within a zone
 // as far as it has other ones. It costs a hash a server and allocates: callers keep it while the version is the same.
 func (m *Map) Subset(tenant string) []Server {
-	return m.named(m.subset(xxhash.Sum64String(tenant)))
+	return m.toServers(m.subset(xxhash.Sum64String(tenant)))
 }
 
 func (m *Map) subset(key uint64) []int {
@@ -139,7 +139,7 @@
 // scores are those of the servers for a tenant that are at least so high, the best first.
 func (m *Map) scores(key, least uint64) []scored {
 	var all []scored
-	for i, h := range m.hashes {
+	for i, h := range m.idHashes {
 		if s := m.score(key, h); s >= least {
 			all = append(all, scored{i, s})
 		}
@@ -181,7 +181,7 @@
 	return chosen, false
 }
 
-func (m *Map) named(chosen []int) []Server {
+func (m *Map) toServers(chosen []int) []Server {
 	out := make([]Server, len(chosen))
 	for i, k := range chosen {
 		out[i] = m.servers[k]
@@ -193,9 +193,9 @@
 // quotas deals the places of a tenant's subset over the zones: evenly, those left over from another zone on for each tenant,
 // and what a small zone can't take to the others.
 func (m *Map) quotas(size int, key uint64) map[string]int {
-	q := make(map[string]int, len(m.names))
-	for left, z := min(size, len(m.servers)), key%uint64(max(1, len(m.names))); left > 0; z++ {
-		if name := m.names[z%uint64(len(m.names))]; q[name] < m.zones[name] {
+	q := make(map[string]int, len(m.zoneNames))
+	for left, z := min(size, len(m.servers)), key%uint64(max(1, len(m.zoneNames))); left > 0; z++ {
+		if name := m.zoneNames[z%uint64(len(m.zoneNames))]; q[name] < m.zoneSizes[name] {
 			q[name]++
 			left--
 		}
@@ -217,13 +217,13 @@
 func (m *Map) Shared() float64 {
 	p := 1.0
 	for z, k := range m.quotas(m.plan.Size, 0) {
-		p *= math.Exp(-(lgamma(m.zones[z]) - lgamma(k) - lgamma(m.zones[z]-k)))
+		p *= math.Exp(-(logFactorial(m.zoneSizes[z]) - logFactorial(k) - logFactorial(m.zoneSizes[z]-k)))
 	}
 	return p
 }
 
 // lgamma is the logarithm of n factorial.
-func lgamma(n int) float64 {
+func logFactorial(n int) float64 {
 	v, _ := math.Lgamma(float64(n) + 1)
 	return v
 }
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func fleet(n, zones, pods int) []Server {
+func newServers(n, zones, pods int) []Server {
 	var all []Server
 	for i := range n {
 		all = append(all, Server{ID: fmt.Sprint("s-", i), Zone: fmt.Sprint("z", i%zones), Pod: int64(i / zones % pods)})
@@ -19,7 +19,7 @@
 	return all
 }
 
-func ids(s []Server) []string {
+func serverIDs(s []Server) []string {
 	var out []string
 	for _, v := range s {
 		out = append(out, v.ID)
@@ -29,16 +29,16 @@
 
 // The same servers in any order make the same map, subsets are of the size asked for, spread over zones and pods, and
 // without repetition.
-func TestSubsets(t *testing.T) {
+func TestSubsetSizeAndSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, zones, pods := rapid.IntRange(1, 60).Draw(t, "n"), rapid.IntRange(1, 5).Draw(t, "zones"), rapid.IntRange(1, 6).Draw(t, "pods")
 		size := rapid.IntRange(1, 20).Draw(t, "size")
-		servers := fleet(n, zones, pods)
+		servers := newServers(n, zones, pods)
 		m := New(Plan{Size: size}, servers...)
 		other := New(Plan{Size: size}, append(rapid.Permutation(servers).Draw(t, "order"), servers[0])...)
 		tenant := rapid.String().Draw(t, "tenant")
 		got := m.Subset(tenant)
-		if m.Version() != other.Version() || !slices.Equal(ids(got), ids(other.Subset(tenant))) {
+		if m.Version() != other.Version() || !slices.Equal(serverIDs(got), serverIDs(other.Subset(tenant))) {
 			t.Fatal("another order makes another map")
 		}
 		if len(got) != min(size, n) {
@@ -47,7 +47,7 @@
 		perZone, perPod := map[string]int{}, map[string]int{}
 		for i, s := range got {
 			if i > 0 && got[i-1].ID >= s.ID {
-				t.Fatalf("%v: not in order, or twice", ids(got))
+				t.Fatalf("%v: not in order, or twice", serverIDs(got))
 			}
 			perZone[s.Zone]++
 			perPod[fmt.Sprint(s.Zone, s.Pod)]++
@@ -74,14 +74,14 @@
 }
 
 // The short way over a few of the best scores comes to what the long one does, also where pods are scarce.
-func TestShortWay(t *testing.T) {
+func TestSubsetOfBestScoresEqualsFullSort(t *testing.T) {
 	for _, pods := range []int{1, 2, 3, 50} {
-		m := New(Plan{Size: 5}, fleet(2000, 3, pods)...)
+		m := New(Plan{Size: 5}, newServers(2000, 3, pods)...)
 		for i := range 200 {
 			tenant := fmt.Sprint("t", i)
 			key := xxhash.Sum64String(tenant)
 			long, _ := m.choose(m.scores(key, 0), 5, key, false)
-			if got, want := ids(m.Subset(tenant)), ids(m.named(long)); !slices.Equal(got, want) {
+			if got, want := serverIDs(m.Subset(tenant)), serverIDs(m.toServers(long)); !slices.Equal(got, want) {
 				t.Fatalf("%d pods, %s: %v, want %v", pods, tenant, got, want)
 			}
 		}
@@ -89,7 +89,7 @@
 }
 
 // A map that was kept up to date is the one that is made anew, its version too.
-func TestKeptUpToDate(t *testing.T) {
+func TestUpdatedMapEqualsNewMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kept, now := New(Plan{Size: 3}), map[string]Server{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
@@ -116,10 +116,10 @@
 }
 
 // When a server goes only the tenants that had it change, by that one; when one comes each tenant changes by one at most.
-func TestSmallestChange(t *testing.T) {
+func TestServerChangeMovesFewestTenants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, size := rapid.IntRange(9, 60).Draw(t, "n"), rapid.IntRange(1, 8).Draw(t, "size")
-		servers := fleet(n, 1, n) // one zone, each its own pod: where quotas shift, more may move
+		servers := newServers(n, 1, n) // one zone, each its own pod: where quotas shift, more may move
 		k := rapid.IntRange(0, n-1).Draw(t, "gone")
 		gone := servers[k].ID
 		before := New(Plan{Size: size}, servers...)
@@ -129,7 +129,7 @@
 		}
 		for i := range 20 {
 			tenant := fmt.Sprint("t", i)
-			a, b := ids(before.Subset(tenant)), ids(after.Subset(tenant))
+			a, b := serverIDs(before.Subset(tenant)), serverIDs(after.Subset(tenant))
 			lost := 0
 			for _, id := range a {
 				if !slices.Contains(b, id) {
@@ -152,11 +152,11 @@
 func TestBalanceAndOverlap(t *testing.T) {
 	const tenants = 2000
 	for _, c := range []struct{ servers, size int }{{12, 3}, {120, 6}, {1200, 6}} {
-		m := New(Plan{Size: c.size}, fleet(c.servers, 3, 4)...)
+		m := New(Plan{Size: c.size}, newServers(c.servers, 3, 4)...)
 		load, same := map[string]int{}, map[string]int{}
 		for i := range tenants {
 			subset := m.Subset(fmt.Sprint("tenant-", i))
-			same[fmt.Sprint(ids(subset))]++
+			same[fmt.Sprint(serverIDs(subset))]++
 			for _, s := range subset {
 				load[s.ID]++
 			}
@@ -194,7 +194,7 @@
 // BenchmarkSubset is what a tenant's first request costs after the list has changed.
 func BenchmarkSubset(b *testing.B) {
 	for _, n := range []int{12, 120, 1200, 12000} {
-		m := New(Plan{Size: 6}, fleet(n, 3, 40)...)
+		m := New(Plan{Size: 6}, newServers(n, 3, 40)...)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				m.Subset("gulf-coast")
@@ -206,7 +206,7 @@
 // BenchmarkNew is what a change of the list costs before the next request.
 func BenchmarkNew(b *testing.B) {
 	for _, n := range []int{12, 1200, 12000} {
-		servers := fleet(n, 3, 40)
+		servers := newServers(n, 3, 40)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				New(Plan{Size: 6}, servers...)
--- a/internal/cell/move.go
+++ b/internal/cell/move.go
@@ -44,19 +44,19 @@
 func (m *Move) Cut() time.Duration { return m.Start + m.Prepare + m.Both }
 
 // cuts tells whether a move comes to its cut at all.
-func (m *Move) cuts() bool {
+func (m *Move) reachesCut() bool {
 	return (m.Stop == 0 || m.Stop >= m.Cut()) && (m.Back == 0 || m.Back > m.Cut())
 }
 
-func (m *Move) whole() bool { return m.From == 0 && m.Below == 0 }
+func (m *Move) movesAll() bool { return m.From == 0 && m.Below == 0 }
 
 func (m *Move) covers(key uint64) bool {
 	part := float64(key>>11) / (1 << 53)
-	return m.whole() || m.From <= part && part < m.Below
+	return m.movesAll() || m.From <= part && part < m.Below
 }
 
 // end is the last instant at which a move changes anything by itself.
-func (m *Move) end() time.Duration { return max(m.Cut(), m.Back) }
+func (m *Move) lastEffect() time.Duration { return max(m.Cut(), m.Back) }
 
 // Check reports the first field that makes no sense, and why.
 func (t *Tenant) Check() (field, why string) {
@@ -75,7 +75,7 @@
 			return p + "to", "missing"
 		case !distinct(m.To):
 			return p + "to", "one is there twice"
-		case !(m.From >= 0 && m.Below <= 1 && m.From <= m.Below) || m.From == m.Below && !m.whole():
+		case !(m.From >= 0 && m.Below <= 1 && m.From <= m.Below) || m.From == m.Below && !m.movesAll():
 			return p + "keys", fmt.Sprintf("%v to %v is no range within 0 to 1", m.From, m.Below)
 		case m.Start <= last:
 			return p + "start", "is not after the end of the move before"
@@ -88,7 +88,7 @@
 		case m.Back != 0 && m.Back < m.Start:
 			return p + "back", "is before the start"
 		}
-		last = m.end()
+		last = m.lastEffect()
 	}
 	return "", ""
 }
@@ -111,9 +111,9 @@
 	Returned
 )
 
-var steps = [...]string{"settled", "prepare", "both", "draining", "drained", "returning", "returned"}
+var stepNames = [...]string{"settled", "prepare", "both", "draining", "drained", "returning", "returned"}
 
-func (s Step) String() string { return steps[s] }
+func (s Step) String() string { return stepNames[s] }
 
 // Step tells how far the latest move is that has begun, where repeats are dropped for the window at most and clocks
 // differ by the skew.
@@ -129,46 +129,46 @@
 	}
 	m := &t.Moves[move]
 	drained := func(cut time.Duration, during, after Step) Step {
-		if now < cut+drain(window)+skew {
+		if now < cut+drainTime(window)+skew {
 			return during
 		}
 		return after
 	}
 	at := now
-	if m.Stop != 0 && !m.cuts() {
+	if m.Stop != 0 && !m.reachesCut() {
 		at = min(now, m.Stop)
 	}
 	switch {
-	case m.Back != 0 && now >= m.Back && m.cuts():
+	case m.Back != 0 && now >= m.Back && m.reachesCut():
 		return drained(m.Back, Returning, Returned), move
 	case m.Back != 0 && now >= m.Back:
 		return Returned, move // nothing had left
 	case at < m.Start+m.Prepare:
 		return Preparing, move
-	case at < m.Cut() || !m.cuts():
+	case at < m.Cut() || !m.reachesCut():
 		return Both, move
 	}
 	return drained(m.Cut(), Draining, Drained), move
 }
 
 // change is an instant from which on new requests go to other pods.
-type change struct {
+type podChange struct {
 	at   time.Duration
 	pods []int64
 }
 
 // changes are those that concern a key, or requests without one, in the order of time; the first is the beginning.
-func (t *Tenant) changes(key uint64, keyed bool, into []change) []change {
-	into = append(into, change{-1 << 62, t.Pods})
+func (t *Tenant) podChanges(key uint64, keyed bool, into []podChange) []podChange {
+	into = append(into, podChange{-1 << 62, t.Pods})
 	for i := range t.Moves {
 		m := &t.Moves[i]
-		if !m.cuts() || keyed && !m.covers(key) || !keyed && !m.whole() {
+		if !m.reachesCut() || keyed && !m.covers(key) || !keyed && !m.movesAll() {
 			continue
 		}
 		before := into[len(into)-1].pods
-		into = append(into, change{m.Cut(), m.To})
+		into = append(into, podChange{m.Cut(), m.To})
 		if m.Back != 0 {
-			into = append(into, change{m.Back, before})
+			into = append(into, podChange{m.Back, before})
 		}
 	}
 	return into
@@ -181,21 +181,21 @@
 }
 
 // Place is where a request may go.
-type Place struct {
-	Pods  []int64 // it may go to these
-	Also  []int64 // and to these: both sides of a move
-	Known bool    // it carries a key that binds it, and Pods is its home alone
-	Doubt bool    // nobody can tell where its key may have run: it must be turned away
+type Placement struct {
+	Pods      []int64 // it may go to these
+	NewPods   []int64 // and to these: both sides of a move
+	KeyBound  bool    // it carries a key that binds it, and Pods is its home alone
+	Ambiguous bool    // nobody can tell where its key may have run: it must be turned away
 }
 
 // Free is where a request goes that no key binds.
-func (t *Tenant) Free(now time.Duration) Place {
-	var room [8]change
-	all := t.changes(0, false, room[:0])
-	i := latest(all, now)
-	p := Place{Pods: all[i].pods}
-	if step, move := t.Step(now, 0, 0); step == Both && t.Moves[move].whole() {
-		p.Also = t.Moves[move].To
+func (t *Tenant) PlaceUnkeyed(now time.Duration) Placement {
+	var room [8]podChange
+	all := t.podChanges(0, false, room[:0])
+	i := latestChange(all, now)
+	p := Placement{Pods: all[i].pods}
+	if step, move := t.Step(now, 0, 0); step == Both && t.Moves[move].movesAll() {
+		p.NewPods = t.Moves[move].To
 	}
 	return p
 }
@@ -203,19 +203,19 @@
 // Bound is where a request goes with a key, of which repeats are dropped within a pod for the window. Where a change lies
 // so near that the key may have run on either side, and its home is not the same on both, a first try goes by this node's
 // clock if clients mark their repeats; a repeat, or what may be one, is in doubt.
-func (t *Tenant) Bound(now time.Duration, key uint64, window time.Duration, repeat bool, d Doubt) Place {
-	var room [8]change
-	all := t.changes(key, true, room[:0])
-	i := latest(all, now)
+func (t *Tenant) PlaceKeyed(now time.Duration, key uint64, window time.Duration, repeat bool, d Doubt) Placement {
+	var room [8]podChange
+	all := t.podChanges(key, true, room[:0])
+	i := latestChange(all, now)
 	home := Home(key, all[i].pods)
-	p := Place{Pods: []int64{home}, Known: true}
+	p := Placement{Pods: []int64{home}, KeyBound: true}
 	if d.Marked && !repeat {
 		return p
 	}
 	// Another node's clock may be ahead or behind by the skew.
-	for k := latest(all, now-drain(window)-d.Skew); k <= latest(all, now+d.Skew); k++ {
+	for k := latestChange(all, now-drainTime(window)-d.Skew); k <= latestChange(all, now+d.Skew); k++ {
 		if Home(key, all[k].pods) != home {
-			p.Doubt = true
+			p.Ambiguous = true
 		}
 	}
 	return p
@@ -223,10 +223,10 @@
 
 // drain is how long the old side is drained: repeats of a key that was sent before the cut go there for a window, and the
 // last of them may be the first that runs, from which on its pod drops others for a window more.
-func drain(window time.Duration) time.Duration { return 2 * window }
+func drainTime(window time.Duration) time.Duration { return 2 * window }
 
 // latest is the last change that has come by then.
-func latest(all []change, now time.Duration) int {
+func latestChange(all []podChange, now time.Duration) int {
 	i := len(all) - 1
 	for all[i].at > now {
 		i--
@@ -249,7 +249,7 @@
 }
 
 // Within is the map of those servers that are in the pods.
-func (m *Map) Within(pods ...int64) *Map {
+func (m *Map) InPods(pods ...int64) *Map {
 	var of []Server
 	for _, s := range m.servers {
 		if slices.Contains(pods, s.Pod) {
--- a/internal/cell/move_test.go
+++ b/internal/cell/move_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-const sec = time.Second
+const second = time.Second
 
 // moved is a tenant that moves at 100 s, is cut over at 130 s, and whatever else a test wants of the move.
-func moved(change func(*Move)) *Tenant {
-	m := Move{To: []int64{4, 5, 6}, Start: 100 * sec, Prepare: 10 * sec, Both: 20 * sec}
+func tenantWithMove(change func(*Move)) *Tenant {
+	m := Move{To: []int64{4, 5, 6}, Start: 100 * second, Prepare: 10 * second, Both: 20 * second}
 	if change != nil {
 		change(&m)
 	}
 	return &Tenant{Name: "valley", Pods: []int64{1, 2, 3}, Moves: []Move{m}}
 }
 
-func TestSteps(t *testing.T) {
+func TestMoveStepsOverTime(t *testing.T) {
 	stop := func(at time.Duration) func(*Move) { return func(m *Move) { m.Stop = at } }
 	back := func(at time.Duration) func(*Move) { return func(m *Move) { m.Back = at } }
 	old, new, none := []int64{1, 2, 3}, []int64{4, 5, 6}, []int64(nil)
@@ -40,41 +40,41 @@
 		{"cut", nil, 130, Draining, new, none},
 		{"draining", nil, 154, Draining, new, none},
 		{"drained", nil, 155, Drained, new, none},
-		{"stopped in prepare", stop(105 * sec), 500, Preparing, old, none},
-		{"stopped in both", stop(115 * sec), 500, Both, old, new},
-		{"stopped too late", stop(130 * sec), 500, Drained, new, none},
-		{"back before the cut", back(115 * sec), 114, Both, old, new},
-		{"and after", back(115 * sec), 115, Returned, old, none},
-		{"back while draining", back(135 * sec), 134, Draining, new, none},
-		{"returning", back(135 * sec), 135, Returning, old, none},
-		{"returned", back(135 * sec), 160, Returned, old, none},
-		{"stopped, then back", func(m *Move) { m.Stop, m.Back = 115*sec, 300*sec }, 299, Both, old, new},
-		{"the way back of a stopped one", func(m *Move) { m.Stop, m.Back = 115*sec, 300*sec }, 300, Returned, old, none},
+		{"stopped in prepare", stop(105 * second), 500, Preparing, old, none},
+		{"stopped in both", stop(115 * second), 500, Both, old, new},
+		{"stopped too late", stop(130 * second), 500, Drained, new, none},
+		{"back before the cut", back(115 * second), 114, Both, old, new},
+		{"and after", back(115 * second), 115, Returned, old, none},
+		{"back while draining", back(135 * second), 134, Draining, new, none},
+		{"returning", back(135 * second), 135, Returning, old, none},
+		{"returned", back(135 * second), 160, Returned, old, none},
+		{"stopped, then back", func(m *Move) { m.Stop, m.Back = 115*second, 300*second }, 299, Both, old, new},
+		{"the way back of a stopped one", func(m *Move) { m.Stop, m.Back = 115*second, 300*second }, 300, Returned, old, none},
 	} {
-		v := moved(c.change)
+		v := tenantWithMove(c.change)
 		if f, why := v.Check(); f != "" {
 			t.Errorf("%s: %s %s", c.name, f, why)
 		}
-		step, _ := v.Step(c.now*sec, 12*sec, sec)
-		p := v.Free(c.now * sec)
-		if step != c.step || !slices.Equal(p.Pods, c.pods) || !slices.Equal(p.Also, c.also) {
-			t.Errorf("%s: %v, %v and %v; want %v, %v and %v", c.name, step, p.Pods, p.Also, c.step, c.pods, c.also)
+		step, _ := v.Step(c.now*second, 12*second, second)
+		p := v.PlaceUnkeyed(c.now * second)
+		if step != c.step || !slices.Equal(p.Pods, c.pods) || !slices.Equal(p.NewPods, c.also) {
+			t.Errorf("%s: %v, %v and %v; want %v, %v and %v", c.name, step, p.Pods, p.NewPods, c.step, c.pods, c.also)
 		}
 	}
 }
 
-func TestMoveChecks(t *testing.T) {
+func TestInvalidMovesAreRejected(t *testing.T) {
 	for field, change := range map[string]func(*Tenant){
 		"pods":             func(v *Tenant) { v.Pods = nil },
 		"moves[0].to":      func(v *Tenant) { v.Moves[0].To = []int64{4, 4} },
 		"moves[0].keys":    func(v *Tenant) { v.Moves[0].From, v.Moves[0].Below = 0.5, 0.2 },
-		"moves[0].prepare": func(v *Tenant) { v.Moves[0].Prepare = 9 * sec },
+		"moves[0].prepare": func(v *Tenant) { v.Moves[0].Prepare = 9 * second },
 		"moves[0].both":    func(v *Tenant) { v.Moves[0].Both = -1 },
-		"moves[0].stop":    func(v *Tenant) { v.Moves[0].Stop = 99 * sec },
-		"moves[0].back":    func(v *Tenant) { v.Moves[0].Back = 99 * sec },
+		"moves[0].stop":    func(v *Tenant) { v.Moves[0].Stop = 99 * second },
+		"moves[0].back":    func(v *Tenant) { v.Moves[0].Back = 99 * second },
 		"moves[1].start":   func(v *Tenant) { v.Moves = append(v.Moves, v.Moves[0]) },
 	} {
-		v := moved(nil)
+		v := tenantWithMove(nil)
 		if f, _ := v.Check(); f != "" {
 			t.Fatal(f)
 		}
@@ -86,7 +86,7 @@
 }
 
 // across is a key whose home is another one after the move.
-func across(v *Tenant) uint64 {
+func keyThatChangesHome(v *Tenant) uint64 {
 	for i := 0; ; i++ {
 		if k := Key(v.Name, fmt.Sprint("k-", i)); Home(k, v.Pods) != Home(k, v.Moves[0].To) {
 			return k
@@ -95,9 +95,9 @@
 }
 
 // What a key may do around a cut, with clocks that differ by a second and a window of 12.
-func TestBound(t *testing.T) {
-	v := moved(nil)
-	key := across(v)
+func TestKeyedPlacementAroundCut(t *testing.T) {
+	v := tenantWithMove(nil)
+	key := keyThatChangesHome(v)
 	for _, c := range []struct {
 		now    time.Duration
 		repeat bool
@@ -115,34 +115,34 @@
 		{155, true, true, true, false},
 		{155, false, false, true, false},
 	} {
-		p := v.Bound(c.now*sec, key, 12*sec, c.repeat, Doubt{Marked: c.marked, Skew: sec})
+		p := v.PlaceKeyed(c.now*second, key, 12*second, c.repeat, Doubt{Marked: c.marked, Skew: second})
 		want := Home(key, v.Pods)
 		if c.new {
 			want = Home(key, v.Moves[0].To)
 		}
-		if p.Doubt != c.doubt || p.Pods[0] != want || !p.Known {
+		if p.Ambiguous != c.doubt || p.Pods[0] != want || !p.KeyBound {
 			t.Errorf("%+v: %+v, want pod %d", c, p, want)
 		}
 	}
 	// A range of keys moves alone; requests without a key stay.
-	v = moved(func(m *Move) { m.From, m.Below = 0, 0.5 })
+	v = tenantWithMove(func(m *Move) { m.From, m.Below = 0, 0.5 })
 	n := 0
 	for i := range 2000 {
 		k := Key(v.Name, fmt.Sprint(i))
-		if p := v.Bound(200*sec, k, 12*sec, false, Doubt{}); p.Pods[0] >= 4 {
+		if p := v.PlaceKeyed(200*second, k, 12*second, false, Doubt{}); p.Pods[0] >= 4 {
 			n++
 			if k >= 1<<63 {
 				t.Fatal("a key beyond the range moved")
 			}
 		}
 	}
-	if p := v.Free(200 * sec); n < 900 || n > 1100 || p.Pods[0] != 1 || p.Also != nil {
+	if p := v.PlaceUnkeyed(200 * second); n < 900 || n > 1100 || p.Pods[0] != 1 || p.NewPods != nil {
 		t.Errorf("%d of 2,000 moved with half the keys; without a key: %+v", n, p)
 	}
 }
 
 // A pod that comes to a list wins some keys, and all others stay.
-func TestHomes(t *testing.T) {
+func TestNewPodTakesOnlyItsOwnKeys(t *testing.T) {
 	moved := 0
 	for i := range 3000 {
 		k := Key("valley", fmt.Sprint(i))
@@ -159,47 +159,47 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
-	k := NewKeys(3)
-	k.Sent(0, 1, 7, 12*sec)
-	k.Sent(5*sec, 1, 8, 12*sec) // its window runs from the first
-	if pod, known := k.Find(11*sec, 1); pod != 7 || !known {
+func TestKeyTracker(t *testing.T) {
+	k := NewKeyTracker(3)
+	k.Sent(0, 1, 7, 12*second)
+	k.Sent(5*second, 1, 8, 12*second) // its window runs from the first
+	if pod, known := k.Find(11*second, 1); pod != 7 || !known {
 		t.Error(pod, known)
 	}
-	if _, known := k.Find(12*sec, 1); known {
+	if _, known := k.Find(12*second, 1); known {
 		t.Error("known past its window")
 	}
-	k.Sent(12*sec, 1, 9, 12*sec)
+	k.Sent(12*second, 1, 9, 12*second)
 	for i := uint64(2); i < 5; i++ {
-		k.Sent(13*sec, i, 1, 12*sec)
+		k.Sent(13*second, i, 1, 12*second)
 	}
-	if _, known := k.Find(13*sec, 1); known || k.Len() != 3 || k.Forgot() != 1 {
-		t.Error("the oldest is kept", k.Len(), k.Forgot())
+	if _, known := k.Find(13*second, 1); known || k.Len() != 3 || k.Evicted() != 1 {
+		t.Error("the oldest is kept", k.Len(), k.Evicted())
 	}
 	for i := range uint64(100000) {
-		k.Sent(time.Duration(i)*sec, i, 1, 12*sec)
+		k.Sent(time.Duration(i)*second, i, 1, 12*second)
 	}
 	if k.Len() > 3 || len(k.order) > 6 || cap(k.order) > 16 {
 		t.Error("it grows", k.Len(), len(k.order), cap(k.order))
 	}
 	rapid.Check(t, func(t *rapid.T) { // against a book without bound
 		const most = 8
-		k, book, now, sends := NewKeys(most), map[uint64]ran{}, time.Duration(0), 0
+		k, book, now, sends := NewKeyTracker(most), map[uint64]keyPlacement{}, time.Duration(0), 0
 		since := map[uint64]int{} // what had been noted when a key was
 		for range 60 {
-			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "wait")) * sec
+			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "wait")) * second
 			key, pod := rapid.Uint64Range(0, 12).Draw(t, "key"), rapid.Int64Range(0, 3).Draw(t, "pod")
 			p, known := k.Find(now, key)
 			if known && (book[key].pod != p || now >= book[key].until) {
 				t.Fatalf("key %d at %v: pod %d, sent to %+v", key, now, p, book[key])
 			}
-			if !known && now < book[key].until && (k.Forgot() == 0 || sends-since[key] < most) {
-				t.Fatalf("key %d at %v is forgotten, with %d pushed out and %d noted since", key, now, k.Forgot(), sends-since[key])
+			if !known && now < book[key].until && (k.Evicted() == 0 || sends-since[key] < most) {
+				t.Fatalf("key %d at %v is forgotten, with %d pushed out and %d noted since", key, now, k.Evicted(), sends-since[key])
 			}
-			window := time.Duration(rapid.IntRange(1, 9).Draw(t, "window")) * sec
+			window := time.Duration(rapid.IntRange(1, 9).Draw(t, "window")) * second
 			if !known { // its time was up, or it was pushed out: what it is sent as now counts
 				sends++
-				book[key], since[key] = ran{pod, now + window}, sends
+				book[key], since[key] = keyPlacement{pod, now + window}, sends
 			}
 			k.Sent(now, key, pod, window)
 		}
@@ -208,54 +208,54 @@
 
 // A key that was pushed out within its window and is sent anew elsewhere, so that its window ends at the very instant that the
 // first would have ended at, is found where it was sent last, and stays for as long as others do.
-func TestKeysSentAnewToTheSameEnd(t *testing.T) {
-	k := NewKeys(3)
-	k.Sent(0, 1, 7, 9*sec)
+func TestEvictedKeySentAgainWithSameExpiry(t *testing.T) {
+	k := NewKeyTracker(3)
+	k.Sent(0, 1, 7, 9*second)
 	for i := uint64(2); i < 5; i++ {
-		k.Sent(sec, i, 7, 9*sec)
+		k.Sent(second, i, 7, 9*second)
 	}
-	if _, known := k.Find(sec, 1); known || k.Forgot() != 1 {
-		t.Fatal("the oldest was not pushed out:", k.Forgot())
+	if _, known := k.Find(second, 1); known || k.Evicted() != 1 {
+		t.Fatal("the oldest was not pushed out:", k.Evicted())
 	}
-	k.Sent(6*sec, 1, 8, 3*sec)
-	if pod, known := k.Find(6*sec, 1); pod != 8 || !known {
+	k.Sent(6*second, 1, 8, 3*second)
+	if pod, known := k.Find(6*second, 1); pod != 8 || !known {
 		t.Error(pod, known)
 	}
-	k.Sent(6*sec, 5, 7, 9*sec)
-	k.Sent(6*sec, 6, 7, 9*sec)
-	if pod, known := k.Find(8*sec, 1); pod != 8 || !known {
+	k.Sent(6*second, 5, 7, 9*second)
+	k.Sent(6*second, 6, 7, 9*second)
+	if pod, known := k.Find(8*second, 1); pod != 8 || !known {
 		t.Error("forgotten before older ones:", pod, known)
 	}
-	if _, known := k.Find(9*sec, 1); known {
+	if _, known := k.Find(9*second, 1); known {
 		t.Error("known past its window")
 	}
 }
 
 // steps of the world that the check below goes through: a tick is a second, clocks differ by one, the window is two.
 const (
-	window   = 2
-	lastTick = 14
+	modelWindow   = 2
+	modelLastTick = 14
 )
 
 // checked is what a check of all interleavings found: a story for each broken rule, and how much it went through.
-type checked struct {
-	broken []string
-	runs   int
-	sent   int
-	doubts int
+type modelResult struct {
+	violations []string
+	runs       int
+	sent       int
+	ambiguous  int
 }
 
 // explore plays a key's first try and two repeats, with new request ids, at two nodes at all times, under all clocks that
 // differ by no more than skew; each node may lose its memory between any two of them; and the file that has the terms
 // `then` in place of `first` comes to the nodes at all times until the latest that is allowed. No key may be sent to a pod
 // within the window after it was sent to another one; far from changes it must be sent.
-func explore(first, then *Tenant, latest int, believed Doubt, assumed time.Duration, skew int) checked {
-	var out checked
-	key := across(first)
+func exploreInterleavings(first, then *Tenant, latest int, believed Doubt, assumed time.Duration, skew int) modelResult {
+	var out modelResult
+	key := keyThatChangesHome(first)
 	type node struct {
 		clock  int
 		reads  int // the new file from then on
-		memory *Keys
+		memory *KeyTracker
 	}
 	type send struct {
 		at  int
@@ -275,11 +275,11 @@
 					if plan>>3&1 == 1 || plan>>5&1 == 1 && plan&1 == 0 {
 						continue // it has nothing to forget
 					}
-					for t0 := 0; t0 <= lastTick; t0++ {
-						for t1 := t0; t1 <= min(lastTick, t0+window+1); t1++ {
-							for t2 := t1; t2 <= min(lastTick, t1+window+1); t2++ {
+					for t0 := 0; t0 <= modelLastTick; t0++ {
+						for t1 := t0; t1 <= min(modelLastTick, t0+modelWindow+1); t1++ {
+							for t2 := t1; t2 <= min(modelLastTick, t1+modelWindow+1); t2++ {
 								out.runs++
-								nodes := [2]node{{clocks[0], reads0, NewKeys(4)}, {clocks[1], reads1, NewKeys(4)}}
+								nodes := [2]node{{clocks[0], reads0, NewKeyTracker(4)}, {clocks[1], reads1, NewKeyTracker(4)}}
 								var sends [3]send
 								done := 0
 								for i, at := range [3]int{t0, t1, t2} {
@@ -288,7 +288,7 @@
 										who = plan >> (i - 1) & 1
 										for n := range nodes {
 											if plan>>(2*i+n)&1 == 1 {
-												nodes[n].memory = NewKeys(4)
+												nodes[n].memory = NewKeyTracker(4)
 											}
 										}
 									}
@@ -297,20 +297,20 @@
 									if at >= n.reads {
 										terms = then
 									}
-									now := time.Duration(at+n.clock) * sec
-									p := terms.Bound(now, key, assumed, i > 0, believed)
+									now := time.Duration(at+n.clock) * second
+									p := terms.PlaceKeyed(now, key, assumed, i > 0, believed)
 									pod := p.Pods[0]
 									if where, known := n.memory.Find(now, key); known {
-										pod, p.Doubt = where, false
+										pod, p.Ambiguous = where, false
 									}
-									if p.Doubt {
-										out.doubts++
+									if p.Ambiguous {
+										out.ambiguous++
 										continue
 									}
 									n.memory.Sent(now, key, pod, assumed)
 									for _, s := range sends[:done] {
-										if s.pod != pod && at-s.at < window {
-											out.broken = append(out.broken, fmt.Sprintf("clocks %v, files read at %d and %d, plan %06b: sent to pod %d at %d, to %d at %d",
+										if s.pod != pod && at-s.at < modelWindow {
+											out.violations = append(out.violations, fmt.Sprintf("clocks %v, files read at %d and %d, plan %06b: sent to pod %d at %d, to %d at %d",
 												clocks, reads0, reads1, plan, s.pod, s.at, pod, at))
 										}
 									}
@@ -331,54 +331,54 @@
 // All interleavings of two nodes, their restarts, their clocks, a new file's arrival and a key's repeats keep a key in its
 // pod, for each step that a move can be stopped or turned back in; and the check finds what terms that are too weak would
 // break.
-func TestMoveModel(t *testing.T) {
+func TestNoInterleavingSendsKeyToTwoPods(t *testing.T) {
 	move := func(change func(*Move)) *Tenant {
-		return moved(func(m *Move) {
-			m.Start, m.Prepare, m.Both = 2*sec, 2*sec, 2*sec // the cut is at 6
+		return tenantWithMove(func(m *Move) {
+			m.Start, m.Prepare, m.Both = 2*second, 2*second, 2*second // the cut is at 6
 			if change != nil {
 				change(m)
 			}
 		})
 	}
 	plain := move(nil)
-	marked, unmarked := Doubt{Marked: true, Skew: sec}, Doubt{Skew: sec}
+	marked, unmarked := Doubt{Marked: true, Skew: second}, Doubt{Skew: second}
 	for name, c := range map[string]struct {
 		then   *Tenant
 		latest int // the new file is everywhere a tick and the skew before the change that it brings
 	}{
 		"plain":               {plain, 0},
 		"a move comes":        {plain, 1},
-		"stopped in prepare":  {move(func(m *Move) { m.Stop = 3 * sec }), 1},
-		"stopped in both":     {move(func(m *Move) { m.Stop = 5 * sec }), 3},
-		"back before the cut": {move(func(m *Move) { m.Back = 5 * sec }), 3},
-		"back at the cut":     {move(func(m *Move) { m.Back = 6 * sec }), 4},
-		"back while draining": {move(func(m *Move) { m.Back = 8 * sec }), 6},
-		"back once drained":   {move(func(m *Move) { m.Back = 11 * sec }), 9},
+		"stopped in prepare":  {move(func(m *Move) { m.Stop = 3 * second }), 1},
+		"stopped in both":     {move(func(m *Move) { m.Stop = 5 * second }), 3},
+		"back before the cut": {move(func(m *Move) { m.Back = 5 * second }), 3},
+		"back at the cut":     {move(func(m *Move) { m.Back = 6 * second }), 4},
+		"back while draining": {move(func(m *Move) { m.Back = 8 * second }), 6},
+		"back once drained":   {move(func(m *Move) { m.Back = 11 * second }), 9},
 	} {
 		first := plain
 		if name == "a move comes" {
-			first = move(func(m *Move) { m.Start = 1000 * sec })
+			first = move(func(m *Move) { m.Start = 1000 * second })
 		}
 		for _, d := range []Doubt{marked, unmarked} {
-			got := explore(first, c.then, c.latest, d, window*sec, 1)
-			if len(got.broken) > 0 {
-				t.Errorf("%s, %+v: %d broken, first: %s", name, d, len(got.broken), got.broken[0])
+			got := exploreInterleavings(first, c.then, c.latest, d, modelWindow*second, 1)
+			if len(got.violations) > 0 {
+				t.Errorf("%s, %+v: %d broken, first: %s", name, d, len(got.violations), got.violations[0])
 			}
-			if got.sent < got.runs/2 || got.doubts == 0 && !strings.HasPrefix(name, "stopped") && !strings.HasSuffix(name, "the cut") {
-				t.Errorf("%s, %+v: %d runs, %d sent, %d in doubt: the check is empty", name, d, got.runs, got.sent, got.doubts)
+			if got.sent < got.runs/2 || got.ambiguous == 0 && !strings.HasPrefix(name, "stopped") && !strings.HasSuffix(name, "the cut") {
+				t.Errorf("%s, %+v: %d runs, %d sent, %d in doubt: the check is empty", name, d, got.runs, got.sent, got.ambiguous)
 			}
-			t.Logf("%s, marked %v: %d runs, %d sent, %d turned away in doubt", name, d.Marked, got.runs, got.sent, got.doubts)
+			t.Logf("%s, marked %v: %d runs, %d sent, %d turned away in doubt", name, d.Marked, got.runs, got.sent, got.ambiguous)
 		}
 	}
 	// Weaker terms are found out.
-	if got := explore(plain, plain, 0, Doubt{Marked: true}, window*sec, 1); len(got.broken) == 0 {
+	if got := exploreInterleavings(plain, plain, 0, Doubt{Marked: true}, modelWindow*second, 1); len(got.violations) == 0 {
 		t.Error("nodes that take their clocks for alike break nothing")
 	}
-	if got := explore(plain, plain, 0, marked, 0, 1); len(got.broken) == 0 {
+	if got := exploreInterleavings(plain, plain, 0, marked, 0, 1); len(got.violations) == 0 {
 		t.Error("draining for no time breaks nothing")
 	}
-	late := move(func(m *Move) { m.Back = 11 * sec })
-	if got := explore(plain, late, 13, marked, window*sec, 1); len(got.broken) == 0 {
+	late := move(func(m *Move) { m.Back = 11 * second })
+	if got := exploreInterleavings(plain, late, 13, marked, modelWindow*second, 1); len(got.violations) == 0 {
 		t.Error("a file that comes after the change breaks nothing")
 	}
 }
--- a/internal/cell/placer_test.go
+++ b/internal/cell/placer_test.go
@@ -12,17 +12,17 @@
 )
 
 // terms pin one tenant, which moves at 100 s and is cut over at 130.
-func terms(size int, spill float64) Terms {
-	return Terms{Plan: Plan{Size: size}, Tenants: []Tenant{*moved(nil)}, Doubt: Doubt{Marked: true, Skew: sec}, Memory: 1000, Spill: spill}
+func testSettings(size int, spill float64) Terms {
+	return Terms{Plan: Plan{Size: size}, Tenants: []Tenant{*tenantWithMove(nil)}, Doubt: Doubt{Marked: true, Skew: second}, Memory: 1000, Spill: spill}
 }
 
 // What a placer keeps while servers come and go is what one says that is made anew: for tenants that are pinned nowhere, for
 // those on both sides of a move, for keys.
-func TestPlacerKeepsUp(t *testing.T) {
+func TestUpdatedPlacerEqualsNewPlacer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 5).Draw(t, "size")
-		kept, now := NewPlacer(terms(size, 0)), map[string]Server{}
-		asks := []Request{{Tenant: "valley"}, {Tenant: "valley", Key: "k", Window: 12 * sec}}
+		kept, now := NewPlacer(testSettings(size, 0)), map[string]Server{}
+		asks := []Request{{Tenant: "valley"}, {Tenant: "valley", Key: "k", Window: 12 * second}}
 		for i := range 6 {
 			asks = append(asks, Request{Tenant: fmt.Sprint("t", i)})
 		}
@@ -36,11 +36,11 @@
 				kept.Set(s)
 				now[s.ID] = s
 			}
-			anew := NewPlacer(terms(size, 0))
+			anew := NewPlacer(testSettings(size, 0))
 			for _, s := range now {
 				anew.Set(s)
 			}
-			at := time.Duration([]int{50, 115, 160}[step%3]) * sec
+			at := time.Duration([]int{50, 115, 160}[step%3]) * second
 			for i := range asks {
 				got, _ := kept.Place(at, &asks[i])
 				want, _ := anew.Place(at, &asks[i])
@@ -52,7 +52,7 @@
 				}
 				for _, id := range got { // never outside the pods of the step
 					pod := now[fmt.Sprint("s-", id)].Pod
-					if at < 110*sec && pod > 3 || at > 130*sec && pod < 4 {
+					if at < 110*second && pod > 3 || at > 130*second && pod < 4 {
 						t.Fatalf("%+v at %v: pod %d", asks[i], at, pod)
 					}
 				}
@@ -62,10 +62,10 @@
 }
 
 // A request with a key goes to one pod at all nodes; one that is in doubt goes nowhere, unless the node itself has sent it.
-func TestPlacerKeys(t *testing.T) {
-	p := NewPlacer(terms(6, 0))
+func TestKeyedRequestsGoToOnePod(t *testing.T) {
+	p := NewPlacer(testSettings(6, 0))
 	pods := map[uint32]int64{}
-	for i, s := range fleet(24, 1, 6) {
+	for i, s := range newServers(24, 1, 6) {
 		s.Pod, s.Number = s.Pod+1, uint32(i)
 		pods[s.Number] = s.Pod
 		p.Set(s)
@@ -76,8 +76,8 @@
 			break
 		}
 	}
-	ask := &Request{Tenant: "valley", Key: key, Window: 12 * sec, Repeat: true}
-	among, doubt := p.Place(125*sec, ask)
+	ask := &Request{Tenant: "valley", Key: key, Window: 12 * second, Repeat: true}
+	among, doubt := p.Place(125*second, ask)
 	for _, s := range among {
 		if pods[s] != Home(Key("valley", key), []int64{1, 2, 3}) {
 			t.Errorf("server %d of pod %d", s, pods[s])
@@ -86,37 +86,37 @@
 	if doubt || len(among) != 4 {
 		t.Fatal(among, doubt)
 	}
-	if _, doubt = p.Place(131*sec, ask); !doubt {
+	if _, doubt = p.Place(131*second, ask); !doubt {
 		t.Error("a repeat across the cut is not in doubt")
 	}
-	p.Sent(125*sec, ask, pods[among[0]])
-	again, doubt := p.Place(131*sec, ask)
+	p.Sent(125*second, ask, pods[among[0]])
+	again, doubt := p.Place(131*second, ask)
 	if doubt || !slices.Equal(again, among) {
 		t.Errorf("what the node sent itself is in doubt: %v, %v", again, doubt)
 	}
-	if _, doubt = p.Place(138*sec, ask); !doubt {
+	if _, doubt = p.Place(138*second, ask); !doubt {
 		t.Error("its window is over, and another node's may not be")
 	}
-	if r := p.Report(131*sec, "valley"); r.Step != Draining || r.Keys != 1 || !slices.Equal(r.Pods, []int64{4, 5, 6}) || len(r.Servers) != 6 {
+	if r := p.Report(131*second, "valley"); r.Step != Draining || r.Keys != 1 || !slices.Equal(r.Pods, []int64{4, 5, 6}) || len(r.Servers) != 6 {
 		t.Errorf("%+v", r)
 	}
 	// Other terms: turned back. What is remembered stays.
-	back := terms(6, 0)
-	back.Tenants[0].Moves[0].Back = 132 * sec
+	back := testSettings(6, 0)
+	back.Tenants[0].Moves[0].Back = 132 * second
 	p.Change(back)
-	if at, doubt := p.Place(133*sec, ask); doubt || !slices.Equal(at, among) {
+	if at, doubt := p.Place(133*second, ask); doubt || !slices.Equal(at, among) {
 		t.Error(at, doubt)
 	}
-	if at, _ := p.Place(133*sec, &Request{Tenant: "valley"}); pods[at[0]] > 3 {
+	if at, _ := p.Place(133*second, &Request{Tenant: "valley"}); pods[at[0]] > 3 {
 		t.Errorf("turned back, and goes to pod %d", pods[at[0]])
 	}
 }
 
 // No more than the stated part spills, to one neighbour alone, and nothing of a tenant whose attempts break, of a key that is
 // bound or of a tenant that is pinned.
-func TestSpill(t *testing.T) {
-	p := NewPlacer(terms(4, 0.1))
-	for i, s := range fleet(200, 2, 10) {
+func TestSpillLimits(t *testing.T) {
+	p := NewPlacer(testSettings(4, 0.1))
+	for i, s := range newServers(200, 2, 10) {
 		s.Number = uint32(i)
 		p.Set(s)
 	}
@@ -124,7 +124,7 @@
 	spilt, to := 0, map[uint32]bool{}
 	now := time.Duration(0)
 	for range 5000 {
-		now += sec / 100
+		now += second / 100
 		p.Place(now, ask)
 		if s := p.Spill(now, ask); s != nil {
 			spilt++
@@ -137,7 +137,7 @@
 	if spilt < 450 || spilt > 510 || len(to) != 4 {
 		t.Errorf("%d of 5,000 spilt, to %d servers", spilt, len(to))
 	}
-	for name, r := range map[string]*Request{"a key that is bound": {Tenant: "t", Key: "k", Window: sec}, "a pinned tenant": {Tenant: "valley"}} {
+	for name, r := range map[string]*Request{"a key that is bound": {Tenant: "t", Key: "k", Window: second}, "a pinned tenant": {Tenant: "valley"}} {
 		for range 50 {
 			p.Place(now, r)
 		}
@@ -145,7 +145,7 @@
 			t.Errorf("%s spills", name)
 		}
 	}
-	now += 20 * sec
+	now += 20 * second
 	for range 200 {
 		p.Place(now, ask)
 		p.Ended(now, "t", policy.OK)
@@ -156,7 +156,7 @@
 	if p.Spill(now, ask) != nil || !p.Report(now, "t").Harmful {
 		t.Error("a tenant whose attempts break spills")
 	}
-	now += 60 * sec // it is long ago
+	now += 60 * second // it is long ago
 	for range 200 {
 		p.Place(now, ask)
 		p.Ended(now, "t", policy.OK)
@@ -164,18 +164,18 @@
 	if p.Spill(now, ask) == nil {
 		t.Error("a tenant is never forgiven")
 	}
-	for i := range 2 * tenantsMost {
+	for i := range 2 * maxTenants {
 		p.Place(now, &Request{Tenant: fmt.Sprint("many-", i)})
 	}
-	if len(p.traffic) > tenantsMost || len(p.subsets) > tenantsMost {
+	if len(p.traffic) > maxTenants || len(p.subsets) > maxTenants {
 		t.Errorf("%d tenants and %d subsets are remembered", len(p.traffic), len(p.subsets))
 	}
 }
 
 // What a request costs, and a line of a list of 10,000 where 1,000 tenants have their subsets.
 func BenchmarkPlacer(b *testing.B) {
-	p := NewPlacer(terms(6, 0.1))
-	all := fleet(10000, 3, 100)
+	p := NewPlacer(testSettings(6, 0.1))
+	all := newServers(10000, 3, 100)
 	for i, s := range all {
 		s.Number, s.Pod = uint32(i), s.Pod+1
 		p.Set(s)
@@ -186,21 +186,21 @@
 	}
 	place := func() {
 		for i := range asks {
-			p.Place(sec, &asks[i])
+			p.Place(second, &asks[i])
 		}
 	}
 	place()
 	b.Run("place", func(b *testing.B) {
 		b.ReportAllocs()
 		for i := range b.N {
-			p.Place(sec, &asks[i%1000])
+			p.Place(second, &asks[i%1000])
 		}
 	})
 	b.Run("bound", func(b *testing.B) {
 		b.ReportAllocs()
-		r := &Request{Tenant: "valley", Key: "k", Window: 12 * sec}
+		r := &Request{Tenant: "valley", Key: "k", Window: 12 * second}
 		for range b.N {
-			p.Place(sec, r)
+			p.Place(second, r)
 		}
 	})
 	b.Run("line", func(b *testing.B) { // a server goes and comes back, and all tenants ask again
--- a/internal/cell/tenants.go
+++ b/internal/cell/tenants.go
@@ -55,7 +55,7 @@
 	}
 	for _, pods := range lists[1:] {
 		for _, also := range lists {
-			delete(p.subsets, subject{tenant: name, pods: pods, also: also})
+			delete(p.subsets, subsetKey{tenant: name, pods: pods, newPods: also})
 		}
 	}
 }
--- a/internal/cell/tenants_test.go
+++ b/internal/cell/tenants_test.go
@@ -10,9 +10,9 @@
 )
 
 // A placer whose tenants change in place places as one does that is made anew, while servers come and go as well.
-func TestAppliedAsMadeAnew(t *testing.T) {
+func TestChangedPlacerEqualsNewPlacer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain := Terms{Plan: Plan{Size: rapid.IntRange(1, 4).Draw(t, "size")}, Doubt: Doubt{Marked: true, Skew: sec}, Memory: 1000}
+		plain := Terms{Plan: Plan{Size: rapid.IntRange(1, 4).Draw(t, "size")}, Doubt: Doubt{Marked: true, Skew: second}, Memory: 1000}
 		kept, there, servers := NewPlacer(plain), map[string]Tenant{}, map[string]Server{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "tenant"))
@@ -23,7 +23,7 @@
 			case 1:
 				tenant := Tenant{Name: name, Pods: rapid.SliceOfNDistinct(rapid.Int64Range(1, 6), 1, 3, rapid.ID).Draw(t, "pods")}
 				if rapid.Bool().Draw(t, "moves") {
-					tenant.Moves = []Move{{To: rapid.SliceOfNDistinct(rapid.Int64Range(1, 6), 1, 3, rapid.ID).Draw(t, "to"), Start: 100 * sec, Prepare: 10 * sec, Both: 20 * sec}}
+					tenant.Moves = []Move{{To: rapid.SliceOfNDistinct(rapid.Int64Range(1, 6), 1, 3, rapid.ID).Draw(t, "to"), Start: 100 * second, Prepare: 10 * second, Both: 20 * second}}
 				}
 				if field, why := tenant.Check(); field != "" {
 					t.Fatal(field, why)
@@ -54,9 +54,9 @@
 			if got, want := len(kept.Tenants()), len(anew.Tenants()); got != want {
 				t.Fatalf("%d are pinned, want %d", got, want)
 			}
-			at := time.Duration([]int{50, 115, 160}[step%3]) * sec
+			at := time.Duration([]int{50, 115, 160}[step%3]) * second
 			for i := range 4 {
-				for _, ask := range []Request{{Tenant: fmt.Sprint("t", i)}, {Tenant: fmt.Sprint("t", i), Key: "k", Window: 12 * sec}} {
+				for _, ask := range []Request{{Tenant: fmt.Sprint("t", i)}, {Tenant: fmt.Sprint("t", i), Key: "k", Window: 12 * second}} {
 					got, doubt := kept.Place(at, &ask)
 					want, doubted := anew.Place(at, &ask)
 					if doubt != doubted || !slices.Equal(slices.Sorted(slices.Values(got)), slices.Sorted(slices.Values(want))) {
@@ -70,27 +70,27 @@
 
 // One tenant's change keeps the subsets of all others and what is known of keys, leaves none of its own lists behind, and what is
 // remembered of a key holds when its tenant is pinned again.
-func TestApplyTouchesOneTenant(t *testing.T) {
-	p := NewPlacer(terms(6, 0))
+func TestApplyAffectsOnlyItsTenant(t *testing.T) {
+	p := NewPlacer(testSettings(6, 0))
 	pods := map[uint32]int64{}
-	for i, s := range fleet(24, 1, 6) {
+	for i, s := range newServers(24, 1, 6) {
 		s.Pod, s.Number = s.Pod+1, uint32(i)
 		pods[s.Number] = s.Pod
 		p.Set(s)
 	}
-	pinned := Tenant{Name: "gulf", Pods: []int64{1, 2}, Moves: []Move{{To: []int64{3}, Start: 100 * sec, Prepare: 10 * sec, Both: 20 * sec}}}
+	pinned := Tenant{Name: "gulf", Pods: []int64{1, 2}, Moves: []Move{{To: []int64{3}, Start: 100 * second, Prepare: 10 * second, Both: 20 * second}}}
 	p.Apply(&Change{Put: []Tenant{pinned}})
-	ask := &Request{Tenant: "gulf", Key: "k", Window: 12 * sec, Repeat: true}
-	home, _ := p.Place(50*sec, ask)
-	p.Sent(50*sec, ask, pods[home[0]])
+	ask := &Request{Tenant: "gulf", Key: "k", Window: 12 * second, Repeat: true}
+	home, _ := p.Place(50*second, ask)
+	p.Sent(50*second, ask, pods[home[0]])
 	for _, at := range []time.Duration{50, 115, 160} {
-		p.Place(at*sec, &Request{Tenant: "gulf"})
+		p.Place(at*second, &Request{Tenant: "gulf"})
 	}
 	others := map[*subset]bool{}
 	for i := range 20 {
-		p.Place(50*sec, &Request{Tenant: fmt.Sprint("t", i)})
+		p.Place(50*second, &Request{Tenant: fmt.Sprint("t", i)})
 	}
-	p.Place(50*sec, &Request{Tenant: "valley"})
+	p.Place(50*second, &Request{Tenant: "valley"})
 	for s, v := range p.subsets {
 		if s.tenant != "gulf" {
 			others[v] = true
@@ -99,16 +99,16 @@
 	for range 3 {
 		pinned.Pods = []int64{4, 5}
 		p.Apply(&Change{Put: []Tenant{pinned}})
-		for _, id := range first(p.Place(50*sec, &Request{Tenant: "gulf"})) {
+		for _, id := range serversOf(p.Place(50*second, &Request{Tenant: "gulf"})) {
 			if pods[id] != 4 && pods[id] != 5 {
 				t.Errorf("pinned to pods 4 and 5, it goes to pod %d", pods[id])
 			}
 		}
-		if at, doubt := p.Place(51*sec, ask); doubt || !slices.Equal(at, home) {
+		if at, doubt := p.Place(51*second, ask); doubt || !slices.Equal(at, home) {
 			t.Errorf("a key that was sent: %v, %v", at, doubt)
 		}
 		p.Apply(&Change{Gone: []string{"gulf", "none"}})
-		if got := first(p.Place(50*sec, &Request{Tenant: "gulf"})); len(got) != 6 {
+		if got := serversOf(p.Place(50*second, &Request{Tenant: "gulf"})); len(got) != 6 {
 			t.Errorf("pinned no more, it has %v", got)
 		}
 	}
@@ -126,11 +126,11 @@
 	// With very many moves, and few subsets, its own are found the other way round.
 	many := Tenant{Name: "gulf", Pods: []int64{1}}
 	for i := range 20 {
-		many.Moves = append(many.Moves, Move{To: []int64{int64(i%6) + 1}, Start: time.Duration(200+100*i) * sec, Prepare: 10 * sec})
+		many.Moves = append(many.Moves, Move{To: []int64{int64(i%6) + 1}, Start: time.Duration(200+100*i) * second, Prepare: 10 * second})
 	}
 	p.Apply(&Change{Put: []Tenant{many}})
-	p.Place(50*sec, &Request{Tenant: "gulf"})
-	p.Place(250*sec, &Request{Tenant: "gulf"})
+	p.Place(50*second, &Request{Tenant: "gulf"})
+	p.Place(250*second, &Request{Tenant: "gulf"})
 	p.Apply(&Change{Gone: []string{"gulf"}})
 	for s := range p.subsets {
 		if s.tenant == "gulf" && s.pods != nil {
@@ -142,4 +142,4 @@
 	}
 }
 
-func first(among []uint32, _ bool) []uint32 { return among }
+func serversOf(among []uint32, _ bool) []uint32 { return among }
--- a/internal/core/change_test.go
+++ b/internal/core/contract_change_test.go
@@ -14,10 +14,10 @@
 
 // Contracts that change in place: the first change puts the first ones in force, a contract that goes while its request is at a server
 // leaves that request its final answer, made again it has what it had, and where the last one has gone everybody is let in, as without any.
-func TestContractsChange(t *testing.T) {
+func TestContractChangesTakeEffectInPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newServers(t, 1)
-		b.slowness, b.outcomes = 100*time.Millisecond, []policy.Outcome{policy.OK}
+		b := newStubServers(t, 1)
+		b.maxServiceTime, b.outcomes = 100*time.Millisecond, []policy.Outcome{policy.OK}
 		c := newCore(t, b, 1)
 		defer c.Close()
 		change := func(ch contract.Change) {
@@ -27,7 +27,7 @@
 		}
 		begin := func(id, tenant string) *Request {
 			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
-				Arrived: bubble{}.Now(), Body: bubble{}}
+				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
 				t.Fatalf("%s is not taken", id)
 			}
@@ -35,7 +35,7 @@
 		}
 		end := func(q *Request) Answer {
 			a := <-q.Answer()
-			release(a.Payload)
+			releasePayload(a.Payload)
 			c.Written(q)
 			return a
 		}
@@ -45,7 +45,7 @@
 		}
 		one := contract.Terms{Name: "one", Matches: []contract.Match{{Tenant: "one"}}, Rate: 0.001, Burst: 2, InFlight: 8, Weight: 1}
 		change(contract.Change{Put: []contract.Terms{one}})
-		if a := end(begin("a", "none")); a.Kind != Barred || a.Rule != contract.None {
+		if a := end(begin("a", "none")); a.Kind != RejectedByContract || a.Rule != contract.None {
 			t.Errorf("without a contract: %+v", a)
 		}
 		q := begin("b", "one")
@@ -56,17 +56,17 @@
 		if _, _, err := c.Explain(&contract.Caller{}, "view", false); err != ErrNoContracts {
 			t.Errorf("without contracts: %v", err)
 		}
-		if a := end(q); a.Kind == Barred {
+		if a := end(q); a.Kind == RejectedByContract {
 			t.Errorf("its contract has gone: %+v", a)
 		}
-		if a := end(begin("c", "none")); a.Kind == Barred {
+		if a := end(begin("c", "none")); a.Kind == RejectedByContract {
 			t.Errorf("no contracts are in force: %+v", a)
 		}
 		change(contract.Change{Put: []contract.Terms{one}})
 		if s := c.Stats(10); len(s.Levels) != 1 || s.Levels[0].InFlight != 0 || s.Levels[0].Admitted != 1 {
 			t.Errorf("made again: %+v", s)
 		}
-		if a := end(begin("d", "one")); a.Kind != Barred || a.Rule != contract.Rate {
+		if a := end(begin("d", "one")); a.Kind != RejectedByContract || a.Rule != contract.Rate {
 			t.Errorf("a second burst: %+v", a)
 		}
 	})
@@ -74,10 +74,10 @@
 
 // Contracts that go, come back and change while requests of theirs are asked for, at servers and answered: each request has its one
 // answer, and in the end nothing is in flight, of a contract that is there or of one that is remembered.
-func TestContractsChangeUnderRequests(t *testing.T) {
+func TestContractChangesDuringOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newServers(t, 1)
-		b.slowness, b.outcomes = 30*time.Millisecond, []policy.Outcome{policy.OK, policy.Failed, policy.Reset}
+		b := newStubServers(t, 1)
+		b.maxServiceTime, b.outcomes = 30*time.Millisecond, []policy.Outcome{policy.OK, policy.Failed, policy.Reset}
 		c := newCore(t, b, 1)
 		defer c.Close()
 		r := rand.New(rand.NewPCG(1, 2))
@@ -99,15 +99,15 @@
 			}
 			tenant := name()
 			q := &Request{ID: fmt.Sprint("r", i), Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
-				Arrived: bubble{}.Now(), Body: bubble{}}
+				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
 				t.Fatalf("%s is not taken", q.ID)
 			}
 			all.Go(func() {
 				a := <-q.Answer()
-				release(a.Payload)
+				releasePayload(a.Payload)
 				b.mu.Lock()
-				if answered[i]++; a.Kind == Barred {
+				if answered[i]++; a.Kind == RejectedByContract {
 					barred++
 				}
 				b.mu.Unlock()
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -8,10 +8,10 @@
 )
 
 // grant is what a contract has let a request in by.
-type grant struct {
-	name    string // of the contract; empty where there are no contracts
-	verdict contract.Verdict
-	took    time.Duration // at servers, all attempts together
+type admission struct {
+	contract   string // of the contract; empty where there are no contracts
+	verdict    contract.Verdict
+	serverTime time.Duration // at servers, all attempts together
 }
 
 // ErrNoContracts says that none are in force.
@@ -23,7 +23,7 @@
 	case t == nil:
 		c.ledger = nil
 	case c.ledger == nil:
-		c.ledger = contract.NewLedger(t, c.Now(), c.even)
+		c.ledger = contract.NewLedger(t, c.Now(), c.initialShare)
 	default:
 		c.ledger.Swap(t)
 	}
@@ -37,13 +37,13 @@
 			return
 		}
 		t, _ := contract.NewTable(nil) // nothing can be wrong with none
-		c.ledger = contract.NewLedger(t, c.Now(), c.even)
+		c.ledger = contract.NewLedger(t, c.Now(), c.initialShare)
 	}
 	c.ledger.Change(c.Now(), ch)
 }
 
 // bound tells whether contracts are in force.
-func (c *Core) bound() bool { return c.ledger != nil && c.ledger.Table().Count() > 0 }
+func (c *Core) hasContracts() bool { return c.ledger != nil && c.ledger.Table().Count() > 0 }
 
 // Left is what is left of the contracts. The lock is held.
 func (c *Core) Left() []contract.Left {
@@ -74,41 +74,41 @@
 
 // admit asks the contracts, and gives a request that they turn away its final answer.
 func (c *Core) admit(now time.Duration, r *Request) bool {
-	if !c.bound() {
+	if !c.hasContracts() {
 		return true
 	}
-	c.ledger.Look(now, c.bal.Pressure())
-	if part, known := c.bal.Part(); known {
+	c.ledger.Look(now, c.balancer.Pressure())
+	if part, known := c.balancer.Part(); known {
 		c.ledger.Share(now, part)
 	}
 	t := c.ledger.Table()
 	v := c.ledger.Admit(now, t.Find(&r.Caller), r.Class, r.Hint, r.Repeat)
 	if v.Contract >= 0 {
-		r.grant.name = t.Terms(v.Contract).Name
+		r.admission.contract = t.Terms(v.Contract).Name
 	}
-	r.grant.verdict = v
+	r.admission.verdict = v
 	if v.Rule == contract.Kept {
 		return true
 	}
-	r.answered = true
-	r.done <- Answer{Kind: Barred, RetryAfter: v.RetryAfter, Rule: v.Rule, Contract: r.grant.name}
+	r.responded = true
+	r.response <- Answer{Kind: RejectedByContract, RetryAfter: v.RetryAfter, Rule: v.Rule, Contract: r.admission.contract}
 	return false
 }
 
 // settleGrant tells the contracts that a request is over.
-func (c *Core) settleGrant(r *Request) {
-	if c.ledger != nil && r.grant.name != "" {
-		c.ledger.Done(c.Now(), r.grant.name, r.grant.verdict, r.grant.took.Seconds())
+func (c *Core) settleAdmission(r *Request) {
+	if c.ledger != nil && r.admission.contract != "" {
+		c.ledger.Done(c.Now(), r.admission.contract, r.admission.verdict, r.admission.serverTime.Seconds())
 	}
-	r.grant.name = ""
+	r.admission.contract = ""
 }
 
 // maySendAgain tells whether the contracts let a request be sent once more.
-func (c *Core) maySendAgain(now time.Duration, r *Request) bool {
-	if c.ledger == nil || r.grant.name == "" {
+func (c *Core) mayRetry(now time.Duration, r *Request) bool {
+	if c.ledger == nil || r.admission.contract == "" {
 		return true
 	}
-	i, known := c.ledger.Table().Slot(r.grant.name)
+	i, known := c.ledger.Table().Slot(r.admission.contract)
 	if !known {
 		return true // its contract has gone: requests under way keep what they came with, and it bounds nothing now
 	}
@@ -119,10 +119,10 @@
 func (c *Core) Pace(r *Request, bytes int) time.Duration {
 	c.Lock()
 	defer c.Unlock()
-	if c.ledger == nil || r.grant.name == "" {
+	if c.ledger == nil || r.admission.contract == "" {
 		return 0
 	}
-	return c.ledger.Pace(c.Now(), r.grant.name, r.grant.verdict, bytes)
+	return c.ledger.Pace(c.Now(), r.admission.contract, r.admission.verdict, bytes)
 }
 
 // Explain tells what the contracts would say to a caller now, and charges nothing. The level is of its contract; where the
@@ -130,7 +130,7 @@
 func (c *Core) Explain(who *contract.Caller, class string, repeat bool) (contract.Verdict, contract.Level, error) {
 	c.Lock()
 	defer c.Unlock()
-	if !c.bound() {
+	if !c.hasContracts() {
 		return contract.Verdict{}, contract.Level{}, ErrNoContracts
 	}
 	now, i := c.Now(), c.ledger.Table().Find(who)
@@ -154,7 +154,7 @@
 func (c *Core) Stats(levels int) Stats {
 	c.Lock()
 	defer c.Unlock()
-	s := Stats{Pressure: c.bal.Pressure(), Open: len(c.requests), Contracts: c.bound()}
+	s := Stats{Pressure: c.balancer.Pressure(), Open: len(c.requests), Contracts: c.hasContracts()}
 	if s.Contracts {
 		s.Allowed, s.InUse, s.Part = c.ledger.Allowed(), c.ledger.InUse(), c.ledger.Part()
 		s.Levels = c.ledger.Levels(c.Now(), levels)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -64,7 +64,7 @@
 var ErrCanceled = errors.New("the attempt was cancelled")
 
 // Heir is the process that takes over from this one, and decides which ids may begin here.
-type Heir interface {
+type Successor interface {
 	// Claim asks whether a request may begin that lasts until then at most. It waits for the answer, for a short time.
 	Claim(id string, until time.Duration) handover.Verdict
 	// Ended tells that a request has ended. It is called with the core's lock held, and must not wait.
@@ -72,7 +72,7 @@
 }
 
 // busyAfter is when a client is to come back whose request met a successor that did not say whether it may begin.
-const busyAfter = 250 * time.Millisecond
+const busyRetryAfter = 250 * time.Millisecond
 
 // Request is one client request. Its fields are set by the front before Begin and not changed afterwards.
 type Request struct {
@@ -95,29 +95,29 @@
 	// meanwhile. Nil: nothing is to be done then.
 	Waits func()
 
-	left     atomic.Bool // Gone was called
-	until    time.Duration
-	attempts []*Attempt
-	open     int
-	answered bool
-	written  bool // its answer is with the client, or nobody waits for one
-	spilt    bool // it goes to its cell's neighbour
-	grant    grant
-	done     chan Answer // holds the one final answer; never blocks
+	clientGone   atomic.Bool // Gone was called
+	deadline     time.Duration
+	attempts     []*Attempt
+	openAttempts int
+	responded    bool
+	written      bool // its answer is with the client, or nobody waits for one
+	spilled      bool // it goes to its cell's neighbour
+	admission    admission
+	response     chan Answer // holds the one final answer; never blocks
 }
 
 // Answer is where the request's one final answer comes. Whoever takes it tells Written once it has passed it on.
-func (r *Request) Answer() <-chan Answer { return r.done }
+func (r *Request) Answer() <-chan Answer { return r.response }
 
 // Await waits for the one final answer, or until end is closed before that came: not ok, and Gone is to be told.
 func (r *Request) Await(end <-chan struct{}) (a Answer, ok bool) {
 	select {
-	case a = <-r.done:
+	case a = <-r.response:
 		return a, true
 	case <-end:
 	}
 	select {
-	case a = <-r.done: // it was first
+	case a = <-r.response: // it was first
 		return a, true
 	default:
 		return Answer{}, false
@@ -126,20 +126,20 @@
 
 // Attempt is one send of a request to a web server.
 type Attempt struct {
-	Request *Request
-	Index   int
-	Server  any           // as the Roster knew it
-	Wait    time.Duration // it is given up after that
-	number  uint32
-	sent    time.Duration
-	cancel  context.CancelCauseFunc
+	Request      *Request
+	Index        int
+	Server       any           // as the Roster knew it
+	Wait         time.Duration // it is given up after that
+	serverNumber uint32
+	sentAt       time.Duration
+	cancel       context.CancelCauseFunc
 }
 
 // Wanted tells, without waiting, whether anybody waits for the attempt. A back asks it before the first byte: a request whose
 // client left while it waited for a place or a connection is not sent on. It is safe for concurrent use.
 func (a *Attempt) Wanted() bool {
 	r := a.Request
-	return !r.left.Load() && (r.Left == nil || !r.Left())
+	return !r.clientGone.Load() && (r.Left == nil || !r.Left())
 }
 
 // Result is how an attempt ended.
@@ -151,18 +151,18 @@
 }
 
 // Kind is what a final answer says.
-type Kind uint8
+type ResponseKind uint8
 
 const (
-	Served  Kind = iota
-	Refused      // nothing ran, or all that ran may be repeated: the client may try again
-	Failed       // no promise
-	Barred       // the contracts refuse it: nothing ran
+	Served             ResponseKind = iota
+	Refused                         // nothing ran, or all that ran may be repeated: the client may try again
+	Failed                          // no promise
+	RejectedByContract              // the contracts refuse it: nothing ran
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
-	Kind       Kind
+	Kind       ResponseKind
 	RetryAfter time.Duration // of Refused and Barred; 0: nothing is said
 	Payload    Payload       // of Served; whoever takes the answer releases it
 	Rule       contract.Rule // of Barred: what was passed,
@@ -173,24 +173,24 @@
 type Core struct {
 	sync.Mutex // whoever holds it hands in the next event; nothing under it waits for a socket
 
-	clock   Clock
-	back    Back
-	roster  Roster
-	cells   Cells // nil: there are none
-	log     *slog.Logger
-	transit time.Duration
-	ctx     context.Context // ends when the node does; attempts hang on it
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-
-	bal      *policy.Balancer
-	ledger   *contract.Ledger // nil where there are no contracts
-	even     float64          // part of them that this node hands out to begin with
-	actions  []policy.Action
-	requests map[string]*Request // by the clients' ids
-	held     held                // when this process did not run
-	ids      handover.Ids        // those that other processes of this node have open
-	heir     Heir                // is asked before each request; nil: nobody is
+	clock           Clock
+	sender          Back
+	discovery       Roster
+	cells           Cells // nil: there are none
+	log             *slog.Logger
+	clientRoundTrip time.Duration
+	ctx             context.Context // ends when the node does; attempts hang on it
+	cancel          context.CancelFunc
+	wg              sync.WaitGroup
+
+	balancer     *policy.Balancer
+	ledger       *contract.Ledger // nil where there are no contracts
+	initialShare float64          // part of them that this node hands out to begin with
+	actions      []policy.Action
+	requests     map[string]*Request // by the clients' ids
+	stall        stall               // when this process did not run
+	requestIDs   handover.Ids        // those that other processes of this node have open
+	successor    Successor           // is asked before each request; nil: nobody is
 }
 
 // Options are what a core is made of.
@@ -209,8 +209,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{clock: o.Clock, back: o.Back, roster: o.Roster, cells: o.Cells, log: o.Log, transit: o.Transit, bal: bal,
-		even: 1 / float64(max(1, set.Nodes)), requests: map[string]*Request{}}
+	c := &Core{clock: o.Clock, sender: o.Back, discovery: o.Roster, cells: o.Cells, log: o.Log, clientRoundTrip: o.Transit, balancer: bal,
+		initialShare: 1 / float64(max(1, set.Nodes)), requests: map[string]*Request{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c, nil
 }
@@ -245,16 +245,16 @@
 	c.Lock()
 	defer c.Unlock()
 	now := c.Now()
-	verdict := c.ids.Begin(now, r.ID, c.requests[r.ID] != nil)
+	verdict := c.requestIDs.Begin(now, r.ID, c.requests[r.ID] != nil)
 	if verdict == handover.Ask {
-		heir := c.heir
+		heir := c.successor
 		c.Unlock()
 		if r.Waits != nil {
 			r.Waits()
 		}
 		verdict = heir.Claim(r.ID, now+r.Patience)
 		c.Lock()
-		c.ids.Answered(r.ID)
+		c.requestIDs.Answered(r.ID)
 		now = c.Now()
 		if verdict != handover.Open {
 			defer func() {
@@ -268,9 +268,9 @@
 	case handover.Open:
 		return false
 	case handover.Busy: // nothing was sent, and who serves now can't be asked
-		r.done = make(chan Answer, 1)
-		r.answered = true
-		r.done <- Answer{Kind: Refused, RetryAfter: busyAfter}
+		r.response = make(chan Answer, 1)
+		r.responded = true
+		r.response <- Answer{Kind: Refused, RetryAfter: busyRetryAfter}
 		return true
 	}
 	if r.Holds != nil && !r.Holds() {
@@ -278,8 +278,8 @@
 	}
 	// The answer must be with the client when its time is up: the way there and back and the time that the
 	// request has spent here are off.
-	left := max(0, r.Patience-(now-c.held.since(r.Arrived))-c.transit)
-	r.until, r.done = now+left, make(chan Answer, 1)
+	left := max(0, r.Patience-(now-c.stall.timeoutStart(r.Arrived))-c.clientRoundTrip)
+	r.deadline, r.response = now+left, make(chan Answer, 1)
 	if !c.admit(now, r) {
 		return true
 	}
@@ -288,36 +288,36 @@
 	if c.cells != nil {
 		var doubt bool
 		if among, doubt = c.cells.Place(now, r); doubt {
-			c.finish(r.ID, Answer{Kind: Refused, RetryAfter: time.Second})
+			c.respond(r.ID, Answer{Kind: Refused, RetryAfter: time.Second})
 			return true
 		}
 	}
-	c.offer(now, r, among)
+	c.submit(now, r, among)
 	return true
 }
 
 // offer hands a request to the policy, for some servers or (nil) all.
-func (c *Core) offer(now time.Duration, r *Request, among []uint32) {
-	c.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: r.until - now,
-		Repeat: r.Repeat, Borrowed: r.grant.verdict.Borrowed, Among: among})
+func (c *Core) submit(now time.Duration, r *Request, among []uint32) {
+	c.handleAt(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: r.deadline - now,
+		Repeat: r.Repeat, Borrowed: r.admission.verdict.Borrowed, Among: among})
 }
 
 // Gone tells that a request's client has left. Its answer, if it has one, is released. Tried: an attempt was begun, so that the
 // request may have run.
 func (c *Core) Gone(r *Request) (tried bool) {
-	r.left.Store(true)
+	r.clientGone.Store(true)
 	c.Lock()
 	defer c.Unlock()
 	tried = len(r.attempts) > 0
-	if r.answered {
-		release((<-r.done).Payload)
+	if r.responded {
+		releasePayload((<-r.response).Payload)
 		r.written = true
-		c.forget(r)
+		c.removeIfDone(r)
 		return tried
 	}
-	r.answered, r.written = true, true
-	c.handle(c.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
-	c.forget(r)
+	r.responded, r.written = true, true
+	c.handleAt(c.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
+	c.removeIfDone(r)
 	return tried
 }
 
@@ -327,10 +327,10 @@
 	c.Lock()
 	defer c.Unlock()
 	r.written = true
-	c.forget(r)
+	c.removeIfDone(r)
 }
 
-func release(p Payload) {
+func releasePayload(p Payload) {
 	if p != nil {
 		p.Release()
 	}
@@ -340,8 +340,8 @@
 func (c *Core) Uploaded(a *Attempt) {
 	c.Lock()
 	defer c.Unlock()
-	a.sent = c.Now()
-	a.Request.until = a.sent + a.Request.Patience - c.transit
+	a.sentAt = c.Now()
+	a.Request.deadline = a.sentAt + a.Request.Patience - c.clientRoundTrip
 }
 
 // Established gives a request its final answer while its attempt goes on: what was asked for is the way to the server itself.
@@ -350,110 +350,110 @@
 	c.Lock()
 	defer c.Unlock()
 	r := a.Request
-	if r.answered {
+	if r.responded {
 		return false
 	}
-	r.answered = true
-	r.done <- Answer{Kind: Served, Payload: p}
+	r.responded = true
+	r.response <- Answer{Kind: Served, Payload: p}
 	return true
 }
 
 // ended hands in an attempt's outcome, and passes on the answer of one that was served.
-func (c *Core) ended(a *Attempt, res Result) {
+func (c *Core) attemptEnded(a *Attempt, res Result) {
 	c.Lock()
 	defer c.Unlock()
 	r := a.Request
-	r.open--
-	if res.Outcome == policy.OK && !r.answered {
-		r.answered = true
-		r.done <- Answer{Kind: Served, Payload: res.Payload}
+	r.openAttempts--
+	if res.Outcome == policy.OK && !r.responded {
+		r.responded = true
+		r.response <- Answer{Kind: Served, Payload: res.Payload}
 	} else {
-		release(res.Payload) // nobody waits for it
+		releasePayload(res.Payload) // nobody waits for it
 	}
 	now := c.Now()
 	if c.cells != nil {
 		c.cells.Ended(now, r, res.Outcome)
 	}
-	took := now - a.sent
+	took := now - a.sentAt
 	if res.First > 0 { // what follows tells of the network and of the body's size
-		took = max(0, res.First-a.sent)
+		took = max(0, res.First-a.sentAt)
 	}
-	r.grant.took += now - a.sent
-	spent := r.Body.Spent() || !r.answered && !c.maySendAgain(now, r)
-	c.handle(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Server: a.number, Attempt: a.Index,
-		Took: took, Last: r.answered, Spent: spent, Outcome: res.Outcome, Load: res.Load})
-	c.forget(r)
+	r.admission.serverTime += now - a.sentAt
+	spent := r.Body.Spent() || !r.responded && !c.mayRetry(now, r)
+	c.handleAt(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Server: a.serverNumber, Attempt: a.Index,
+		Took: took, Last: r.responded, Spent: spent, Outcome: res.Outcome, Load: res.Load})
+	c.removeIfDone(r)
 }
 
 // finish gives a request its final answer, unless it has one.
-func (c *Core) finish(id string, a Answer) {
-	if r := c.requests[id]; r != nil && !r.answered {
-		r.answered = true
-		r.done <- a
-		c.forget(r)
+func (c *Core) respond(id string, a Answer) {
+	if r := c.requests[id]; r != nil && !r.responded {
+		r.responded = true
+		r.response <- a
+		c.removeIfDone(r)
 	}
 }
 
 // forget drops a request that nothing more can come of. Its contract is settled as soon as no attempt is out.
-func (c *Core) forget(r *Request) {
-	if c.requests[r.ID] != r || !r.answered || r.open > 0 { // one that was barred is not held, and owes no contract
+func (c *Core) removeIfDone(r *Request) {
+	if c.requests[r.ID] != r || !r.responded || r.openAttempts > 0 { // one that was barred is not held, and owes no contract
 		return
 	}
-	c.settleGrant(r)
+	c.settleAdmission(r)
 	if r.written {
 		delete(c.requests, r.ID)
-		if c.heir != nil {
-			c.heir.Ended(r.ID)
+		if c.successor != nil {
+			c.successor.Ended(r.ID)
 		}
 	}
 }
 
 // Handle hands one event to the policy and carries out what it wants. The lock is held.
-func (c *Core) Handle(ev *policy.Event) { c.handle(c.Now(), ev) }
+func (c *Core) Handle(ev *policy.Event) { c.handleAt(c.Now(), ev) }
 
 // handle carries out what the policy wants, in its order.
-func (c *Core) handle(now time.Duration, ev *policy.Event) {
-	c.actions = c.bal.Handle(now, ev, c.actions[:0])
+func (c *Core) handleAt(now time.Duration, ev *policy.Event) {
+	c.actions = c.balancer.Handle(now, ev, c.actions[:0])
 	var spilt *Request // an event refuses one request at most
 	var among []uint32
 	for i := range c.actions {
 		a := &c.actions[i]
 		switch a.Kind {
 		case policy.ActSend:
-			c.send(now, a)
+			c.startAttempt(now, a)
 		case policy.ActCancel:
 			if r := c.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 				r.attempts[a.Attempt].cancel(ErrCanceled)
 			}
 		case policy.ActRefuse:
-			if r := c.requests[a.ID]; c.cells != nil && r != nil && len(r.attempts) == 0 && !r.spilt && !r.answered {
+			if r := c.requests[a.ID]; c.cells != nil && r != nil && len(r.attempts) == 0 && !r.spilled && !r.responded {
 				if among = c.cells.Spill(now, r); among != nil {
-					r.spilt, spilt = true, r
+					r.spilled, spilt = true, r
 					continue
 				}
 			}
-			c.finish(a.ID, Answer{Kind: Refused, RetryAfter: a.Wait})
+			c.respond(a.ID, Answer{Kind: Refused, RetryAfter: a.Wait})
 		case policy.ActFail:
-			c.finish(a.ID, Answer{Kind: Failed})
+			c.respond(a.ID, Answer{Kind: Failed})
 		case policy.ActTimer:
 			token := a.Token
-			c.held.timer(now, a.At)
-			c.clock.AfterFunc(a.At-now, func() { c.due(token) })
+			c.stall.timerSet(now, a.At)
+			c.clock.AfterFunc(a.At-now, func() { c.timerFired(token) })
 		case policy.ActWatch:
-			c.roster.Watch()
+			c.discovery.Watch()
 		case policy.ActFetch:
-			c.roster.Fetch()
+			c.discovery.Fetch()
 		case policy.ActLog:
 			c.log.Info(a.Text)
 		}
 	}
 	if spilt != nil { // once all that was wanted before is done
-		c.offer(now, spilt, among)
+		c.submit(now, spilt, among)
 	}
 }
 
 // due hands in a timer.
-func (c *Core) due(token string) {
+func (c *Core) timerFired(token string) {
 	c.Lock()
 	defer c.Unlock()
 	if c.ctx.Err() == nil {
@@ -462,21 +462,21 @@
 }
 
 // send starts an attempt. Its outcome is handed in later, whatever comes of it.
-func (c *Core) send(now time.Duration, act *policy.Action) {
+func (c *Core) startAttempt(now time.Duration, act *policy.Action) {
 	r := c.requests[act.ID]
 	if r == nil {
 		return
 	}
-	a := &Attempt{Request: r, Index: len(r.attempts), number: act.Server, sent: now, Wait: r.until - now}
+	a := &Attempt{Request: r, Index: len(r.attempts), serverNumber: act.Server, sentAt: now, Wait: r.deadline - now}
 	if act.Wait > 0 {
 		a.Wait = min(a.Wait, act.Wait)
 	}
 	var known bool
-	a.Server, known = c.roster.Server(act.Server)
+	a.Server, known = c.discovery.Server(act.Server)
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	a.cancel = cancel
 	r.attempts = append(r.attempts, a)
-	r.open++
+	r.openAttempts++
 	if c.cells != nil && known {
 		c.cells.Sent(now, r, act.Server)
 	}
@@ -484,39 +484,39 @@
 		defer cancel(nil)
 		res := Result{Outcome: policy.Moot}
 		if known { // else it is never sent
-			res = c.back.Attempt(ctx, a)
+			res = c.sender.Attempt(ctx, a)
 		}
-		c.ended(a, res)
+		c.attemptEnded(a, res)
 	})
 }
 
 // Ids are the requests that other processes of this node have open. The lock is held.
-func (c *Core) Ids() *handover.Ids { return &c.ids }
+func (c *Core) Ids() *handover.Ids { return &c.requestIDs }
 
 // Claim takes in that another process wants to begin a request.
 func (c *Core) Claim(from handover.Peer, id string, until time.Duration) handover.Verdict {
 	c.Lock()
 	defer c.Unlock()
-	return c.ids.Claim(c.Now(), from, id, c.requests[id] != nil, until)
+	return c.requestIDs.Claim(c.Now(), from, id, c.requests[id] != nil, until)
 }
 
 // Yield lets another process decide from now on which requests may begin here; nil: this one decides again. The lock is held.
-func (c *Core) Yield(to Heir) { c.heir, c.ids.Asks = to, to != nil }
+func (c *Core) Yield(to Successor) { c.successor, c.requestIDs.Asks = to, to != nil }
 
 // Open names the requests that are open here, or are to begin, and until when. The lock is held.
 func (c *Core) Open() map[string]time.Duration {
 	open := make(map[string]time.Duration, len(c.requests))
 	for id, r := range c.requests {
-		open[id] = r.until
+		open[id] = r.deadline
 	}
-	for _, id := range c.ids.Asked() {
+	for _, id := range c.requestIDs.Asked() {
 		open[id] = c.Now() + time.Minute // its patience is not known here; its end is told
 	}
 	return open
 }
 
 // Learnt is what the policy has learnt. The lock is held.
-func (c *Core) Learnt() *policy.Learnt { return c.bal.Learnt() }
+func (c *Core) Learnt() *policy.Learnt { return c.balancer.Learnt() }
 
 // Adopt gives the policy what another process has learnt, behind the list and before any request. The lock is held.
-func (c *Core) Adopt(l *policy.Learnt) { c.bal.Adopt(c.Now(), l) }
+func (c *Core) Adopt(l *policy.Learnt) { c.balancer.Adopt(c.Now(), l) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -15,15 +15,15 @@
 )
 
 // bubble is the clock of a synctest bubble: it runs as fast as everything waits.
-type bubble struct{}
+type stubEnvironment struct{}
 
-func (bubble) Now() time.Duration                  { return time.Duration(time.Now().UnixNano()) }
-func (bubble) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
-func (bubble) Spent() bool                         { return false }
-func (bubble) Watch()                              {}
-func (bubble) Among(*Request) []uint32             { return nil }
-func (bubble) Fetch()                              {}
-func (bubble) Server(number uint32) (any, bool)    { return number, number != 3 } // one that has left the roster
+func (stubEnvironment) Now() time.Duration                  { return time.Duration(time.Now().UnixNano()) }
+func (stubEnvironment) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
+func (stubEnvironment) Spent() bool                         { return false }
+func (stubEnvironment) Watch()                              {}
+func (stubEnvironment) Among(*Request) []uint32             { return nil }
+func (stubEnvironment) Fetch()                              {}
+func (stubEnvironment) Server(number uint32) (any, bool)    { return number, number != 3 } // one that has left the roster
 func settings() policy.Settings {
 	return policy.Settings{Nodes: 2, MaxAttempts: 3, Cancel: true, Classes: []policy.Class{
 		{Name: "view", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: policy.Safe},
@@ -32,36 +32,36 @@
 }
 
 // payload counts how often it was released.
-type payload struct{ released *int }
+type countedPayload struct{ released *int }
 
-func (p payload) Release() { *p.released++ }
+func (p countedPayload) Release() { *p.released++ }
 
 // servers is a back whose attempts end as chance has it, and which holds the rules against what it is sent.
-type servers struct {
-	t  *testing.T
-	mu sync.Mutex
-	r  *rand.Rand
+type stubServers struct {
+	t      *testing.T
+	mu     sync.Mutex
+	random *rand.Rand
 
-	open     map[string]int // attempts under way, by request
-	mayHave  map[string]bool
-	sent     int
-	served   map[string]*int
-	clock    Clock
-	slowness time.Duration
-	outcomes []policy.Outcome
+	open           map[string]int // attempts under way, by request
+	mayHaveRun     map[string]bool
+	attempts       int
+	served         map[string]*int
+	clock          Clock
+	maxServiceTime time.Duration
+	outcomes       []policy.Outcome
 }
 
-func (s *servers) Attempt(ctx context.Context, a *Attempt) Result {
+func (s *stubServers) Attempt(ctx context.Context, a *Attempt) Result {
 	id := a.Request.ID
 	s.mu.Lock()
-	s.sent++
+	s.attempts++
 	if s.open[id]++; s.open[id] > 1 {
 		s.t.Errorf("%s: two attempts are under way", id)
 	}
-	if s.mayHave[id] && a.Request.Class == "buy" {
+	if s.mayHaveRun[id] && a.Request.Class == "buy" {
 		s.t.Errorf("%s: sent again after an attempt that may have run", id)
 	}
-	out, takes := s.outcomes[s.r.IntN(len(s.outcomes))], time.Duration(s.r.Int64N(int64(s.slowness)))
+	out, takes := s.outcomes[s.random.IntN(len(s.outcomes))], time.Duration(s.random.Int64N(int64(s.maxServiceTime)))
 	s.mu.Unlock()
 	if out == policy.TimedOut {
 		takes = a.Wait
@@ -77,25 +77,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[id]--
-	s.mayHave[id] = s.mayHave[id] || out != policy.Full && out != policy.ConnectFailed
+	s.mayHaveRun[id] = s.mayHaveRun[id] || out != policy.Full && out != policy.ConnectFailed
 	res := Result{Outcome: out, Load: policy.Load{Queue: -1, Held: -1}}
 	if out == policy.OK {
 		n := new(int)
 		s.served[id] = n
-		res.Payload, res.First = payload{n}, s.clock.Now()
+		res.Payload, res.First = countedPayload{n}, s.clock.Now()
 	}
 	return res
 }
 
-func newServers(t *testing.T, seed uint64) *servers {
-	return &servers{t: t, r: rand.New(rand.NewPCG(seed, 1)), open: map[string]int{}, mayHave: map[string]bool{},
-		served: map[string]*int{}, clock: bubble{}, slowness: 3 * time.Second, outcomes: []policy.Outcome{policy.OK, policy.OK, policy.Failed,
+func newStubServers(t *testing.T, seed uint64) *stubServers {
+	return &stubServers{t: t, random: rand.New(rand.NewPCG(seed, 1)), open: map[string]int{}, mayHaveRun: map[string]bool{},
+		served: map[string]*int{}, clock: stubEnvironment{}, maxServiceTime: 3 * time.Second, outcomes: []policy.Outcome{policy.OK, policy.OK, policy.Failed,
 			policy.Full, policy.ConnectFailed, policy.Reset, policy.TimedOut}}
 }
 
 func newCore(t *testing.T, b Back, seed uint64) *Core {
 	set := settings()
-	c, err := New(set, seed, Options{Clock: bubble{}, Back: b, Roster: bubble{}, Log: slog.New(slog.DiscardHandler), Transit: 10 * time.Millisecond})
+	c, err := New(set, seed, Options{Clock: stubEnvironment{}, Back: b, Roster: stubEnvironment{}, Log: slog.New(slog.DiscardHandler), Transit: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,23 +111,23 @@
 
 // Whatever the servers do and whenever clients leave: one final answer each, before the client gives up, never two attempts
 // at once, no unsafe request twice, each payload released once, and nothing remembered in the end.
-func TestOneFinalAnswer(t *testing.T) {
+func TestExactlyOneFinalResponse(t *testing.T) {
 	kinds, sent := make([]int, 4), 0
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			b := newServers(t, seed)
+			b := newStubServers(t, seed)
 			c := newCore(t, b, seed)
 			r := rand.New(rand.NewPCG(seed, 2))
 			var wg sync.WaitGroup
 			for i := range 40 {
-				q := &Request{ID: fmt.Sprint("r", i), Class: []string{"view", "buy"}[r.IntN(2)], Patience: 4 * time.Second, Body: bubble{}}
+				q := &Request{ID: fmt.Sprint("r", i), Class: []string{"view", "buy"}[r.IntN(2)], Patience: 4 * time.Second, Body: stubEnvironment{}}
 				starts, leaves := time.Duration(r.Int64N(5e9)), time.Duration(0)
 				if r.IntN(5) == 0 {
 					leaves = time.Duration(r.Int64N(4e9))
 				}
 				wg.Go(func() {
 					time.Sleep(starts)
-					q.Arrived = bubble{}.Now()
+					q.Arrived = stubEnvironment{}.Now()
 					if !c.Begin(q) {
 						t.Errorf("%s is not taken", q.ID)
 						return
@@ -141,7 +141,7 @@
 						b.mu.Lock()
 						kinds[a.Kind]++
 						b.mu.Unlock()
-						release(a.Payload)
+						releasePayload(a.Payload)
 						c.Written(q)
 					case <-left:
 						c.Gone(q)
@@ -163,7 +163,7 @@
 					t.Errorf("%s: its payload was released %d times", id, *n)
 				}
 			}
-			sent += b.sent
+			sent += b.attempts
 			c.Close()
 		})
 	}
@@ -173,12 +173,12 @@
 }
 
 // An id that is open here or in another process of the node does not begin; once it is over it does.
-func TestOpenIDs(t *testing.T) {
+func TestOpenRequestIDIsNotAdmittedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCore(t, newServers(t, 1), 1)
+		c := newCore(t, newStubServers(t, 1), 1)
 		defer c.Close()
 		ask := func(id string) (*Request, bool) {
-			q := &Request{ID: id, Class: "view", Patience: 4 * time.Second, Arrived: bubble{}.Now(), Body: bubble{}}
+			q := &Request{ID: id, Class: "view", Patience: 4 * time.Second, Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			return q, c.Begin(q)
 		}
 		first, ok := ask("a")
@@ -186,7 +186,7 @@
 			t.Errorf("begun %v, and again %v", ok, twice)
 		}
 		c.Lock()
-		c.Ids().Hold(1, map[string]time.Duration{"b": bubble{}.Now() + time.Second}, nil)
+		c.Ids().Hold(1, map[string]time.Duration{"b": stubEnvironment{}.Now() + time.Second}, nil)
 		if open := c.Open(); len(open) != 1 || open["a"] == 0 {
 			t.Errorf("open: %v", open)
 		}
@@ -198,7 +198,7 @@
 		if _, twice := ask("a"); twice {
 			t.Error("its id begins again while its answer is on its way")
 		}
-		release(a.Payload)
+		releasePayload(a.Payload)
 		c.Written(first)
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"a", "b"} {
@@ -210,10 +210,10 @@
 }
 
 // A request that contracts bar is answered at once, reaches no server and is not remembered.
-func TestContractsBar(t *testing.T) {
+func TestRequestRejectedByContractReachesNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newServers(t, 1)
-		b.slowness, b.outcomes = 10*time.Millisecond, []policy.Outcome{policy.OK}
+		b := newStubServers(t, 1)
+		b.maxServiceTime, b.outcomes = 10*time.Millisecond, []policy.Outcome{policy.OK}
 		c := newCore(t, b, 1)
 		defer c.Close()
 		table, err := contract.NewTable([]contract.Terms{{Name: "one", Matches: []contract.Match{{Tenant: "one"}}, Rate: 1, Burst: 2, Weight: 1}})
@@ -228,25 +228,25 @@
 		c.Unlock()
 		ask := func(id, tenant string) Answer {
 			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
-				Arrived: bubble{}.Now(), Body: bubble{}}
+				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
 				t.Fatalf("%s is not taken", id)
 			}
 			a := <-q.Answer()
-			release(a.Payload)
+			releasePayload(a.Payload)
 			c.Written(q)
 			return a
 		}
-		if a := ask("a", "none"); a.Kind != Barred || a.Rule != contract.None || a.Contract != "" {
+		if a := ask("a", "none"); a.Kind != RejectedByContract || a.Rule != contract.None || a.Contract != "" {
 			t.Errorf("without a contract: %+v", a)
 		}
-		if b.sent != 0 {
-			t.Errorf("%d attempts for one that is barred", b.sent)
+		if b.attempts != 0 {
+			t.Errorf("%d attempts for one that is barred", b.attempts)
 		}
-		if a := ask("b", "one"); a.Kind == Barred {
+		if a := ask("b", "one"); a.Kind == RejectedByContract {
 			t.Errorf("within its rate: %+v", a)
 		}
-		if a := ask("c", "one"); a.Kind != Barred || a.Rule != contract.Rate || a.Contract != "one" || a.RetryAfter <= 0 {
+		if a := ask("c", "one"); a.Kind != RejectedByContract || a.Rule != contract.Rate || a.Contract != "one" || a.RetryAfter <= 0 {
 			// each of two nodes hands out half: a burst of one
 			t.Errorf("past its rate: %+v", a)
 		}
--- a/internal/wire/range_test.go
+++ b/internal/wire/range_test.go
@@ -8,7 +8,7 @@
 
 // A time that fits no duration is refused and named. It must not wrap around to none at all: a cold server would count as warm,
 // and a drain's grace be over at once.
-func TestTimesOutOfRange(t *testing.T) {
+func TestSettingsTimesOutOfRangeAreRejected(t *testing.T) {
 	const good = `{"grades":[{"name":"a","effect":"free","aim_s":1,"deadline_s":2,"repeat_window_s":3}],` +
 		`"policy_limits":{"max_retry_after_s":4,"conn_idle_s":5,"connect_timeout_s":6},` +
 		`"invariants":{"cold_s":7,"drain_grace_s":8,"fall_s":9,"must_ask_in_s":10}}`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,19 +16,19 @@
 )
 
 // Kind says what a line is.
-type Kind uint8
+type MessageKind uint8
 
 const (
-	Round    Kind = iota // a batch starts: Now and Batch
-	Turn                 // the batch ends
-	Create               // an instance starts: Instance, Seed and Settings
-	PowerOff             // an instance was killed: Instance
-	Event                // something happened at an instance: Instance and Event
+	BatchStart MessageKind = iota // a batch starts: Now and Batch
+	BatchEnd                      // the batch ends
+	Create                        // an instance starts: Instance, Seed and Settings
+	PowerOff                      // an instance was killed: Instance
+	Event                         // something happened at an instance: Instance and Event
 )
 
 // Message is one decoded line. The Decoder that filled it reuses it.
 type Message struct {
-	Kind     Kind
+	Kind     MessageKind
 	Now      time.Duration
 	Batch    int64
 	Instance int64
@@ -39,13 +39,13 @@
 
 // Decoder decodes lines. It reuses its memory and is not safe for concurrent use.
 type Decoder struct {
-	parser  fastjson.Parser
-	msg     Message
-	row     []*fastjson.Value
-	name    string
-	err     error
-	entries []policy.Entry
-	names   map[string]string
+	parser      fastjson.Parser
+	message     Message
+	row         []*fastjson.Value
+	messageName string
+	err         error
+	entries     []policy.Entry
+	interned    map[string]string
 }
 
 // Decode reads one line. The message is valid until the next call.
@@ -62,14 +62,14 @@
 	if err != nil {
 		return nil, errors.New("a message must start with its name")
 	}
-	d.row, d.err, d.name = row[1:], nil, d.intern(name)
-	m := &d.msg
+	d.row, d.err, d.messageName = row[1:], nil, d.intern(name)
+	m := &d.message
 	m.Event = policy.Event{}
-	switch d.name {
+	switch d.messageName {
 	case "round":
-		m.Kind, m.Now, m.Batch = Round, d.seconds(0, "clock_s", true), d.integer(1, "round")
+		m.Kind, m.Now, m.Batch = BatchStart, d.seconds(0, "clock_s", true), d.integer(1, "round")
 	case "your_turn":
-		m.Kind = Turn
+		m.Kind = BatchEnd
 	case "create":
 		m.Kind, m.Instance = Create, d.integer(0, "who")
 		m.Seed = d.seed(1, "salt")
@@ -79,7 +79,7 @@
 	default:
 		m.Kind = Event
 		if !d.event(&m.Event) {
-			return nil, fmt.Errorf("unknown message %q", d.name)
+			return nil, fmt.Errorf("unknown message %q", d.messageName)
 		}
 		m.Instance = d.integer(0, "who")
 	}
@@ -90,15 +90,15 @@
 }
 
 func (d *Decoder) event(ev *policy.Event) bool {
-	switch d.name {
+	switch d.messageName {
 	case "demand":
 		ev.Kind, ev.ID = policy.EvRequest, d.text(1, "corr", true)
 		ev.Class = d.text(2, "service", true)
-		if d.has(3) && d.row[3].Type() == fastjson.TypeString { // 0 stands for none
+		if d.present(3) && d.row[3].Type() == fastjson.TypeString { // 0 stands for none
 			ev.Tenant = d.text(3, "client_group", false)
 		}
 		ev.Left = d.seconds(5, "grace_s", true)
-		if d.has(7) {
+		if d.present(7) {
 			ev.Repeat = d.boolean(7, "repeat")
 		}
 	case "ended":
@@ -124,29 +124,29 @@
 
 func (d *Decoder) fail(field, want string) {
 	if d.err == nil {
-		d.err = fmt.Errorf("%s: %s: %s", d.name, field, want)
+		d.err = fmt.Errorf("%s: %s: %s", d.messageName, field, want)
 	}
 }
 
-func (d *Decoder) has(i int) bool {
+func (d *Decoder) present(i int) bool {
 	return i < len(d.row) && d.row[i].Type() != fastjson.TypeNull
 }
 
 // intern returns b as a string, sharing the few names that come again and again.
 func (d *Decoder) intern(b []byte) string {
-	if s, ok := d.names[string(b)]; ok {
+	if s, ok := d.interned[string(b)]; ok {
 		return s
 	}
-	if d.names == nil || len(d.names) > 1000 {
-		d.names = map[string]string{}
+	if d.interned == nil || len(d.interned) > 1000 {
+		d.interned = map[string]string{}
 	}
 	s := string(b)
-	d.names[s] = s
+	d.interned[s] = s
 	return s
 }
 
 func (d *Decoder) text(i int, field string, required bool) string {
-	if !d.has(i) {
+	if !d.present(i) {
 		if required {
 			d.fail(field, "missing")
 		}
@@ -163,7 +163,7 @@
 }
 
 func (d *Decoder) number(i int, field string, required bool) float64 {
-	if !d.has(i) {
+	if !d.present(i) {
 		if required {
 			d.fail(field, "missing")
 		}
@@ -192,7 +192,7 @@
 }
 
 func (d *Decoder) integer(i int, field string) int64 {
-	if !d.has(i) {
+	if !d.present(i) {
 		d.fail(field, "missing")
 		return 0
 	}
@@ -204,7 +204,7 @@
 }
 
 func (d *Decoder) seed(i int, field string) uint64 {
-	if !d.has(i) {
+	if !d.present(i) {
 		d.fail(field, "missing")
 		return 0
 	}
@@ -215,7 +215,7 @@
 }
 
 func (d *Decoder) boolean(i int, field string) bool {
-	if !d.has(i) {
+	if !d.present(i) {
 		d.fail(field, "missing")
 		return false
 	}
@@ -259,7 +259,7 @@
 }
 
 func (d *Decoder) load(i int) policy.Load {
-	if !d.has(i) {
+	if !d.present(i) {
 		return policy.Load{}
 	}
 	o, err := d.row[i].Object()
@@ -297,7 +297,7 @@
 		d.fail("how", "unknown value "+strconv.Quote(how))
 	}
 	d.entries = d.entries[:0]
-	if !d.has(3) {
+	if !d.present(3) {
 		if ev.List != policy.ListFailed {
 			d.fail("items", "missing")
 		}
@@ -318,7 +318,7 @@
 		d.row = row
 		e := policy.Entry{Zone: d.text(1, "az", false), Kind: d.text(3, "shape", false),
 			Launched: d.seconds(4, "launched_s", false), ID: d.server(6)}
-		if d.has(2) {
+		if d.present(2) {
 			e.Cell = d.integer(2, "unit_group")
 		}
 		switch s := d.text(5, "availability", true); s {
@@ -346,7 +346,7 @@
 }
 
 // info is the settings object of a create message; keys that are not named here are skipped.
-type info struct {
+type settingsObject struct {
 	Balancers *int    `json:"balancers"`
 	Zone      string  `json:"zone"`
 	Discovery string  `json:"discovery"`
@@ -388,7 +388,7 @@
 }
 
 func (d *Decoder) settings(i int) {
-	if !d.has(i) {
+	if !d.present(i) {
 		d.fail("info", "missing")
 		return
 	}
@@ -397,16 +397,16 @@
 		d.fail("info", err.Error())
 		return
 	}
-	d.msg.Settings = s.Policy
+	d.message.Settings = s.Policy
 }
 
 // DecodeSettings reads the settings object, which a create message and a node's configuration share.
 func DecodeSettings(text []byte) (Settings, error) {
-	var in info
+	var in settingsObject
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Settings{}, err
 	}
-	if err := in.inRange(); err != nil {
+	if err := in.checkTimes(); err != nil {
 		return Settings{}, err
 	}
 	s := policy.Settings{Zone: in.Zone, OverShare: in.OverShare, Nodes: 1, MaxAttempts: 1,
@@ -450,10 +450,10 @@
 
 // longest is the longest time that settings may tell, in seconds. What is far longer does not fit a duration, and would
 // wrap around to no time at all: no drain's grace, or no cold server.
-const longest = 1e8
+const maxSettingSeconds = 1e8
 
 // inRange names the first time that is longer.
-func (in *info) inRange() error {
+func (in *settingsObject) checkTimes() error {
 	type told struct {
 		name string
 		s    float64
@@ -467,7 +467,7 @@
 		all = append(all, told{p + "aim_s", g.Aim}, told{p + "deadline_s", g.Deadline}, told{p + "repeat_window_s", g.Window})
 	}
 	for _, v := range all {
-		if math.Abs(v.s) > longest {
+		if math.Abs(v.s) > maxSettingSeconds {
 			return fmt.Errorf("%s: %v is out of range", v.name, v.s)
 		}
 	}
@@ -478,44 +478,44 @@
 func AppendAction(buf []byte, who int64, a *policy.Action) []byte {
 	switch a.Kind {
 	case policy.ActSend:
-		buf = appendID(appendHead(buf, "relay", who), a.ID)
+		buf = appendString(appendStart(buf, "relay", who), a.ID)
 		buf = strconv.AppendUint(append(buf, ','), uint64(a.Server), 10)
 		buf = appendSeconds(buf, a.Wait)
 	case policy.ActCancel:
-		buf = appendID(appendHead(buf, "retract", who), a.ID)
+		buf = appendString(appendStart(buf, "retract", who), a.ID)
 		buf = strconv.AppendInt(append(buf, ','), int64(a.Attempt), 10)
 	case policy.ActRefuse:
-		buf = appendSeconds(appendID(appendHead(buf, "say_no", who), a.ID), a.Wait)
+		buf = appendSeconds(appendString(appendStart(buf, "say_no", who), a.ID), a.Wait)
 	case policy.ActFail:
-		buf = appendID(appendHead(buf, "report_failure", who), a.ID)
+		buf = appendString(appendStart(buf, "report_failure", who), a.ID)
 	case policy.ActTimer:
-		buf = appendSeconds(appendID(appendHead(buf, "notify_me", who), a.Token), a.At)
+		buf = appendSeconds(appendString(appendStart(buf, "notify_me", who), a.Token), a.At)
 	case policy.ActWatch:
-		buf = append(appendHead(buf, "stream_changes", who), ",true"...)
+		buf = append(appendStart(buf, "stream_changes", who), ",true"...)
 	case policy.ActFetch:
-		buf = appendHead(buf, "list_all", who)
+		buf = appendStart(buf, "list_all", who)
 	case policy.ActLog:
-		buf = appendID(appendHead(buf, "say_log", who), a.Text)
+		buf = appendString(appendStart(buf, "say_log", who), a.Text)
 	}
 	return append(buf, "]\n"...)
 }
 
 // AppendGiveIn appends the line that reports a broken instance.
-func AppendGiveIn(buf []byte, who int64, message string) []byte {
-	return append(appendID(appendHead(buf, "give_in", who), message), "]\n"...)
+func AppendFault(buf []byte, who int64, message string) []byte {
+	return append(appendString(appendStart(buf, "give_in", who), message), "]\n"...)
 }
 
 // AppendDone appends the line that ends a reply.
 func AppendDone(buf []byte, batch int64) []byte {
-	return append(appendHead(buf, "done", batch), "]\n"...)
+	return append(appendStart(buf, "done", batch), "]\n"...)
 }
 
-func appendHead(buf []byte, name string, n int64) []byte {
+func appendStart(buf []byte, name string, n int64) []byte {
 	buf = append(append(append(buf, '[', '"'), name...), '"', ',')
 	return strconv.AppendInt(buf, n, 10)
 }
 
-func appendID(buf []byte, s string) []byte {
+func appendString(buf []byte, s string) []byte {
 	buf = append(buf, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
@@ -531,7 +531,7 @@
 }
 
 // maxReport is more than any figure of a load report can be.
-const maxReport = 1e6
+const maxReportValue = 1e6
 
 // DecodeLoad reads a load report that stands by itself, under this wire's names or the simulator's own. One figure
 // that makes no sense spoils the whole of it.
@@ -548,7 +548,7 @@
 		return policy.Load{}, err
 	}
 	for _, v := range []*float64{in.Depth, in.Queue, in.Concurrent, in.Inflight, in.Mean, in.Latency} {
-		if v != nil && !(*v >= 0 && *v <= maxReport) {
+		if v != nil && !(*v >= 0 && *v <= maxReportValue) {
 			return policy.Load{}, fmt.Errorf("%v in a load report", *v)
 		}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,8 +19,8 @@
 
 func TestDecode(t *testing.T) {
 	for line, want := range map[string]Message{
-		`["round",8.41225,12]`: {Kind: Round, Now: 8412250 * time.Microsecond, Batch: 12},
-		`["your_turn"]`:        {Kind: Turn},
+		`["round",8.41225,12]`: {Kind: BatchStart, Now: 8412250 * time.Microsecond, Batch: 12},
+		`["your_turn"]`:        {Kind: BatchEnd},
 		`["power_off",3]`:      {Kind: PowerOff, Instance: 3},
 		`["demand",3,"r-b","route",null,"k:1",0.24,0.012,false,false]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvRequest, ID: "r-b", Class: "route", Left: 240 * time.Millisecond}},
@@ -72,7 +72,7 @@
 }
 
 // The decoder reuses its memory: one line must leave nothing behind in the next.
-func TestDecodeReuse(t *testing.T) {
+func TestDecoderKeepsNothingFromPreviousLine(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`["ended",3,"r",0,5,0.2,true,"Failed",{"depth":3}]`)); err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedLinesAreRejected(t *testing.T) {
 	for line, want := range map[string]string{
 		``:                                       "JSON",
 		`{`:                                      "JSON",
@@ -137,7 +137,7 @@
 			t.Errorf("got %swant %s", got, want)
 		}
 	}
-	if got := string(AppendGiveIn(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
+	if got := string(AppendFault(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
 		t.Error(got)
 	}
 }
@@ -182,7 +182,7 @@
 
 // A report that makes no sense in one figure is ignored whole: taken in part, it would make a backend look idle or
 // crowded.
-func TestLoadReports(t *testing.T) {
+func TestLoadReportWithAnInvalidValueIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		queue float64
