--- a/internal/core/contract_change_test.go
+++ b/internal/core/contract_change_test.go
@@ -12,8 +12,9 @@
 	"portstall/policy"
 )
 
-// Contracts that change in place: the first change puts the first ones in force, a contract that goes while its request is at a server
-// leaves that request its final answer, made again it has what it had, and where the last one has gone everybody is let in, as without any.
+// Contracts change in place: the first change puts the first contracts in force; removing a contract while its request is at a
+// server still lets that request get its response; a contract that is added again has its former state; and once the last
+// contract is removed every caller is admitted, as without contracts.
 func TestContractChangesTakeEffectInPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newStubServers(t, 1)
@@ -29,7 +30,7 @@
 			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
 				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
-				t.Fatalf("%s is not taken", id)
+				t.Fatalf("Begin did not accept %s", id)
 			}
 			return q
 		}
@@ -41,39 +42,39 @@
 		}
 		change(contract.Change{Gone: []string{"none"}})
 		if c.Stats(10).Contracts {
-			t.Error("a change without contracts puts some in force")
+			t.Error("a change that adds no contract puts contracts in force")
 		}
 		one := contract.Terms{Name: "one", Matches: []contract.Match{{Tenant: "one"}}, Rate: 0.001, Burst: 2, InFlight: 8, Weight: 1}
 		change(contract.Change{Put: []contract.Terms{one}})
 		if a := end(begin("a", "none")); a.Kind != RejectedByContract || a.Rule != contract.None {
-			t.Errorf("without a contract: %+v", a)
+			t.Errorf("response to a caller without a contract: %+v", a)
 		}
 		q := begin("b", "one")
 		change(contract.Change{Gone: []string{"one"}})
 		if c.Stats(10).Contracts {
-			t.Error("the last contract has gone, and contracts are in force")
+			t.Error("contracts are in force after the last one was removed")
 		}
 		if _, _, err := c.Explain(&contract.Caller{}, "view", false); err != ErrNoContracts {
-			t.Errorf("without contracts: %v", err)
+			t.Errorf("Explain without contracts: error %v", err)
 		}
 		if a := end(q); a.Kind == RejectedByContract {
-			t.Errorf("its contract has gone: %+v", a)
+			t.Errorf("open request whose contract was removed: %+v", a)
 		}
 		if a := end(begin("c", "none")); a.Kind == RejectedByContract {
-			t.Errorf("no contracts are in force: %+v", a)
+			t.Errorf("request while no contracts are in force: %+v", a)
 		}
 		change(contract.Change{Put: []contract.Terms{one}})
 		if s := c.Stats(10); len(s.Levels) != 1 || s.Levels[0].InFlight != 0 || s.Levels[0].Admitted != 1 {
-			t.Errorf("made again: %+v", s)
+			t.Errorf("contract that was removed and added again: %+v", s)
 		}
 		if a := end(begin("d", "one")); a.Kind != RejectedByContract || a.Rule != contract.Rate {
-			t.Errorf("a second burst: %+v", a)
+			t.Errorf("request beyond the burst of a contract that was added again: %+v", a)
 		}
 	})
 }
 
-// Contracts that go, come back and change while requests of theirs are asked for, at servers and answered: each request has its one
-// answer, and in the end nothing is in flight, of a contract that is there or of one that is remembered.
+// Contracts are removed, added again and changed while their requests are admitted, at servers and responded to. Each request
+// must get one response, and afterwards no contract may count a request in flight, neither a current nor a remembered one.
 func TestContractChangesDuringOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newStubServers(t, 1)
@@ -83,9 +84,9 @@
 		r := rand.New(rand.NewPCG(1, 2))
 		name := func() string { return fmt.Sprint("t", r.IntN(4)) }
 		var all sync.WaitGroup
-		answered := make([]int, 400)
-		barred := 0
-		for i := range answered {
+		responses := make([]int, 400)
+		rejected := 0
+		for i := range responses {
 			if r.IntN(2) == 0 {
 				tenant := name()
 				ch := contract.Change{Gone: []string{tenant}}
@@ -101,14 +102,14 @@
 			q := &Request{ID: fmt.Sprint("r", i), Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
 				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
-				t.Fatalf("%s is not taken", q.ID)
+				t.Fatalf("Begin did not accept %s", q.ID)
 			}
 			all.Go(func() {
 				a := <-q.Answer()
 				releasePayload(a.Payload)
 				b.mu.Lock()
-				if answered[i]++; a.Kind == RejectedByContract {
-					barred++
+				if responses[i]++; a.Kind == RejectedByContract {
+					rejected++
 				}
 				b.mu.Unlock()
 				c.Written(q)
@@ -116,29 +117,29 @@
 			time.Sleep(time.Duration(r.IntN(10)) * time.Millisecond)
 		}
 		all.Wait()
-		for i, n := range answered {
+		for i, n := range responses {
 			if n != 1 {
-				t.Errorf("request %d has %d answers", i, n)
+				t.Errorf("request %d has %d responses", i, n)
 			}
 		}
-		if barred == 0 || barred == len(answered) {
-			t.Errorf("%d of %d were barred: the test shows nothing", barred, len(answered))
+		if rejected == 0 || rejected == len(responses) {
+			t.Errorf("%d of %d requests were rejected: the test covers only one case", rejected, len(responses))
 		}
 		c.Lock()
-		var back contract.Change
+		var restored contract.Change
 		for i := range 4 {
 			tenant := fmt.Sprint("t", i)
-			back.Put = append(back.Put, contract.Terms{Name: tenant, Matches: []contract.Match{{Tenant: tenant}}, Weight: 1})
+			restored.Put = append(restored.Put, contract.Terms{Name: tenant, Matches: []contract.Match{{Tenant: tenant}}, Weight: 1})
 		}
-		c.Change(&back)
+		c.Change(&restored)
 		c.Unlock()
 		levels := c.Stats(10).Levels
 		if len(levels) != 4 {
-			t.Fatalf("%+v", levels)
+			t.Fatalf("%d levels, want 4: %+v", len(levels), levels)
 		}
 		for _, l := range levels {
 			if l.InFlight != 0 || l.Admitted == 0 {
-				t.Errorf("%+v", l)
+				t.Errorf("level at the end: %+v, want none in flight and some admitted", l)
 			}
 		}
 	})
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -7,17 +7,18 @@
 	"portstall/internal/contract"
 )
 
-// grant is what a contract has let a request in by.
+// admission records under which contract a request was admitted.
 type admission struct {
-	contract   string // of the contract; empty where there are no contracts
+	contract   string // name; empty without contracts, and once the admission is settled
 	verdict    contract.Verdict
-	serverTime time.Duration // at servers, all attempts together
+	serverTime time.Duration // time at web servers, summed over all attempts
 }
 
-// ErrNoContracts says that none are in force.
+// ErrNoContracts is returned when no contracts are in force.
 var ErrNoContracts = errors.New("no contracts are in force")
 
-// Bind puts contracts in force; nil: none. What is left of those that stay, stays. The lock is held.
+// SetContracts puts a table of contracts in force; nil means none. Contracts that stay keep their remaining quota. The lock must
+// be held.
 func (c *Core) Bind(t *contract.Table) {
 	switch {
 	case t == nil:
@@ -29,23 +30,23 @@
 	}
 }
 
-// Change puts a change of the contracts in force, in time that goes with what it changes. It must have been checked. The lock is
-// held.
+// ChangeContracts applies a change of the contracts, which must have been checked. The time it takes depends on the size of the
+// change, not on the number of contracts. The lock must be held.
 func (c *Core) Change(ch *contract.Change) {
 	if c.ledger == nil {
 		if len(ch.Put) == 0 {
 			return
 		}
-		t, _ := contract.NewTable(nil) // nothing can be wrong with none
+		t, _ := contract.NewTable(nil) // an empty table can't fail
 		c.ledger = contract.NewLedger(t, c.Now(), c.initialShare)
 	}
 	c.ledger.Change(c.Now(), ch)
 }
 
-// bound tells whether contracts are in force.
+// hasContracts reports whether contracts are in force.
 func (c *Core) hasContracts() bool { return c.ledger != nil && c.ledger.Table().Count() > 0 }
 
-// Left is what is left of the contracts. The lock is held.
+// ContractStates returns the remaining quota of the contracts. The lock must be held.
 func (c *Core) Left() []contract.Left {
 	if c.ledger == nil {
 		return nil
@@ -53,33 +54,34 @@
 	return c.ledger.Left(c.Now())
 }
 
-// Resume goes on from what another process had left of the contracts; without credit only from its debts. The lock is held.
-func (c *Core) Resume(left []contract.Left, credit bool) {
+// AdoptContractStates continues from the contract states of another process. If credit is false only its debts are adopted. The
+// lock must be held.
+func (c *Core) Resume(states []contract.Left, credit bool) {
 	if c.ledger != nil {
-		c.ledger.Resume(c.Now(), left, credit)
+		c.ledger.Resume(c.Now(), states, credit)
 	}
 }
 
-// Portion sets which portion of this node's part of the contracts this process hands out. Empty takes what is left unused: it
-// is another process's. The lock is held.
-func (c *Core) Portion(p float64, empty bool) {
+// SetProcessShare sets the share of this node's quotas that this process hands out. If empty is true the unused quota is dropped
+// first, because it belongs to another process. The lock must be held.
+func (c *Core) Portion(share float64, empty bool) {
 	if c.ledger == nil {
 		return
 	}
 	if empty {
 		c.ledger.Empty(c.Now())
 	}
-	c.ledger.Portion(p)
+	c.ledger.Portion(share)
 }
 
-// admit asks the contracts, and gives a request that they turn away its final answer.
+// admit checks a request against the contracts, and gives a request that they reject its final response.
 func (c *Core) admit(now time.Duration, r *Request) bool {
 	if !c.hasContracts() {
 		return true
 	}
 	c.ledger.Look(now, c.balancer.Pressure())
-	if part, known := c.balancer.Part(); known {
-		c.ledger.Share(now, part)
+	if share, known := c.balancer.Part(); known {
+		c.ledger.Share(now, share)
 	}
 	t := c.ledger.Table()
 	v := c.ledger.Admit(now, t.Find(&r.Caller), r.Class, r.Hint, r.Repeat)
@@ -95,7 +97,7 @@
 	return false
 }
 
-// settleGrant tells the contracts that a request is over.
+// settleAdmission reports the end of a request to its contract.
 func (c *Core) settleAdmission(r *Request) {
 	if c.ledger != nil && r.admission.contract != "" {
 		c.ledger.Done(c.Now(), r.admission.contract, r.admission.verdict, r.admission.serverTime.Seconds())
@@ -103,19 +105,19 @@
 	r.admission.contract = ""
 }
 
-// maySendAgain tells whether the contracts let a request be sent once more.
+// mayRetry reports whether the contracts allow a retry of a request.
 func (c *Core) mayRetry(now time.Duration, r *Request) bool {
 	if c.ledger == nil || r.admission.contract == "" {
 		return true
 	}
 	i, known := c.ledger.Table().Slot(r.admission.contract)
 	if !known {
-		return true // its contract has gone: requests under way keep what they came with, and it bounds nothing now
+		return true // its contract was removed, which limits nothing any more: open requests stay admitted
 	}
 	return c.ledger.Further(now, i, r.Class)
 }
 
-// Pace charges bytes of a request's body or tunnel to its contract, and tells how long to wait before any more are passed.
+// Pace charges bytes of a request's body or tunnel to its contract, and returns how long to wait before more bytes are passed on.
 func (c *Core) Pace(r *Request, bytes int) time.Duration {
 	c.Lock()
 	defer c.Unlock()
@@ -125,8 +127,8 @@
 	return c.ledger.Pace(c.Now(), r.admission.contract, r.admission.verdict, bytes)
 }
 
-// Explain tells what the contracts would say to a caller now, and charges nothing. The level is of its contract; where the
-// verdict's is -1 there is none. An error is ErrNoContracts.
+// Explain returns the verdict that the contracts would give a caller now, without charging it, and the level of its contract. If
+// the verdict's Contract is -1 the caller has none, and the level is zero. The only error is ErrNoContracts.
 func (c *Core) Explain(who *contract.Caller, class string, repeat bool) (contract.Verdict, contract.Level, error) {
 	c.Lock()
 	defer c.Unlock()
@@ -140,17 +142,19 @@
 	return c.ledger.Try(now, i, class, repeat), c.ledger.Level(now, i), nil
 }
 
-// Stats is what a core can tell of itself.
+// Stats are the figures that a Core reports about itself.
 type Stats struct {
-	Pressure       float64 // part of the latest requests that met no normal server
-	Open           int     // requests taken and not over
-	Contracts      bool    // some are in force:
-	Allowed, InUse float64 // server-seconds a second that all may use (infinite at ease), and do
-	Part           float64 // of the contracts that this node hands out
+	Pressure  float64 // share of recent requests for which no server in normal mode was available
+	Open      int     // requests accepted and not ended
+	Contracts bool    // contracts are in force; the fields below are set only then
+	// AllowedWork is the work that all requests together may use, in server-seconds per second; it is infinite without pressure.
+	// WorkInUse is the work that they do use.
+	Allowed, InUse float64
+	Part           float64 // share of the contracts that this node hands out
 	Levels         []contract.Level
 }
 
-// Stats tells how it stands, with the levels of at most so many contracts.
+// Stats returns the current figures, with the levels of at most the given number of contracts.
 func (c *Core) Stats(levels int) Stats {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core is the life of requests at one node: each is taken from a front, let in by the contracts, decided on by the
-// policy, carried out by a back as often as both allow, and given exactly one final answer. It owns the order of the node's
-// events. It knows no protocol and no socket, and its time is its Clock's.
+// Package core manages the life cycle of requests at one node. A front hands each request in, the contracts admit it, the policy
+// routes it, a Sender sends it as often as both allow, and it gets exactly one final response. The package defines the order of
+// the node's events. It knows no protocol and no socket, and takes the time from its Clock.
 package core
 
 import (
@@ -16,100 +16,110 @@
 	"portstall/policy"
 )
 
-// Clock tells the time and wakes. Real ones tell Unix time that runs on evenly when the system's clock is set.
+// Clock returns the current time and runs functions later. Clocks in production return Unix time that advances evenly even when
+// the system's clock is set.
 type Clock interface {
 	Now() time.Duration
 	AfterFunc(d time.Duration, f func())
 }
 
-// Body is what a request carries beyond its head.
+// Body is the part of a request after its head.
 type Body interface {
-	// Spent tells whether a part of it is gone, so that no further attempt can have it.
+	// Spent reports whether a part of the body has been consumed, so that a retry can't send it any more.
 	Spent() bool
 }
 
-// Payload is what a served request's answer consists of. Whoever holds one releases it once.
+// Payload is the content of a served request's response. Its holder calls Release exactly once.
 type Payload interface{ Release() }
 
-// Back carries out attempts.
+// Sender sends attempts to web servers.
 type Back interface {
-	// Attempt sends a request once and waits for what comes of it. It returns only after nothing more of the attempt can
-	// reach its server, so that one that follows is never a second copy. It runs in a goroutine of its own; ctx ends when the
-	// attempt is given up, with ErrCanceled as its cause, or the node ends.
+	// Attempt sends a request once and waits for the outcome. It returns only after nothing more of the attempt can reach its
+	// server, so that the next attempt is never a concurrent second copy. It runs in a goroutine of its own. ctx ends when the
+	// attempt is given up, with ErrCanceled as its cause, or when the core is closed.
 	Attempt(ctx context.Context, a *Attempt) Result
 }
 
-// Roster knows the web servers. Its methods are called with the core's lock held, and must not wait.
+// Discovery provides the web servers. Its methods are called with the core's lock held, and must not block.
 type Roster interface {
-	// Server is what the back is to be told of a server by the policy's number; false: it is in no list any more.
+	// Server returns what the Sender needs to reach the server with the policy's number, and false if no server list has it any
+	// more.
 	Server(number uint32) (any, bool)
-	Watch() // ask for changes from now on
-	Fetch() // ask for the whole list once
+	// Watch subscribes to changes of the server list.
+	Watch()
+	// Fetch requests the complete server list once.
+	Fetch()
 }
 
-// Cells say where requests may go. Their methods are called with the core's lock held, and must not wait. Servers go by the
-// policy's numbers, and lists of them are not changed afterwards.
+// Cells restrict which web servers a request may be sent to. Their methods are called with the core's lock held, and must not
+// block. Servers are identified by the policy's numbers. A returned list must not be modified.
 type Cells interface {
-	// Place tells to which servers a request may go; nil: to all. Doubt: to none, and it is turned away.
-	Place(now time.Duration, r *Request) (among []uint32, doubt bool)
-	// Sent tells that a request is sent to a server.
+	// Place returns the servers that a request may be sent to; nil means all. If ambiguous is true it may be sent to none, and
+	// is refused.
+	Place(now time.Duration, r *Request) (candidates []uint32, ambiguous bool)
+	// Sent records that a request is sent to a server.
 	Sent(now time.Duration, r *Request, server uint32)
-	// Ended tells how an attempt of a request ended.
+	// Ended records how an attempt of a request ended.
 	Ended(now time.Duration, r *Request, outcome policy.Outcome)
-	// Spill tells to which servers a request may go that no server of its own took, and that was sent nowhere; nil: nowhere.
+	// Spill returns the servers outside its cell that a request may be sent to which no server of its cell accepted and which
+	// was sent nowhere; nil means none.
 	Spill(now time.Duration, r *Request) []uint32
 }
 
-// ErrCanceled is why an attempt's context ends when nobody waits for the attempt any more.
-var ErrCanceled = errors.New("the attempt was cancelled")
+// ErrCanceled is the cause with which an attempt's context ends when nobody waits for the attempt any more.
+var ErrCanceled = errors.New("attempt canceled")
 
-// Heir is the process that takes over from this one, and decides which ids may begin here.
+// Successor is the process that takes over from this one. It decides which request ids may begin here.
 type Successor interface {
-	// Claim asks whether a request may begin that lasts until then at most. It waits for the answer, for a short time.
+	// Claim asks whether a request that ends by the given time may begin. It waits a short time for the reply.
 	Claim(id string, until time.Duration) handover.Verdict
-	// Ended tells that a request has ended. It is called with the core's lock held, and must not wait.
+	// Ended reports that a request has ended. It is called with the core's lock held, and must not block.
 	Ended(id string)
 }
 
-// busyAfter is when a client is to come back whose request met a successor that did not say whether it may begin.
+// busyRetryAfter is the Retry-After of a request for which the successor did not reply whether it may begin.
 const busyRetryAfter = 250 * time.Millisecond
 
-// Request is one client request. Its fields are set by the front before Begin and not changed afterwards.
+// Request is one client request. The front sets the exported fields before Begin, and they are not changed afterwards. The
+// unexported ones are guarded by the core's lock, except clientGone and the channel.
 type Request struct {
 	ID, Class, Tenant string
-	Key               string          // its idempotency key, where it has one
-	Repeat            bool            // a client's repeat of an earlier try, where it says so
-	Hint              float64         // expected cost in seconds; 0: none was told
-	Caller            contract.Caller // who asks
-	Arrived           time.Duration   // when its last byte was there, or its head where the body is still to come
-	Patience          time.Duration   // how long its client waits from then
+	Key               string          // idempotency key; empty if the client sent none
+	Repeat            bool            // the client marked it as a repeat of an earlier request
+	Hint              float64         // expected cost in seconds; 0 if not specified
+	Caller            contract.Caller // identity by which the contract is found
+	Arrived           time.Duration   // when its last byte arrived, or its head if the body is still to come
+	Patience          time.Duration   // how long its client waits, counted from Arrived
 	Body              Body
-	Message           any // what the front has read and the back sends
-	// Left tells, without waiting, whether its client has left, though Gone may not have been called yet; nil: that can't be
-	// told. It is called from the attempts' goroutines.
+	Message           any // what the front has read and the Sender sends
+	// ClientLeft reports, without blocking, whether the client has disconnected, which may be before ClientGone is called. It is
+	// nil where that can't be determined. It is called from the attempts' goroutines.
 	Left func() bool
-	// Holds tells whether what the front looked up for it is still so; nil: it looked nothing up. It is called with the core's lock
-	// held, in the hold in which its contract and its cell are looked up. Where it is not so Begin takes nothing.
+	// StillValid reports whether what the front looked up for the request is still current. It is nil if the front looked up
+	// nothing. It is called with the core's lock held, in the same critical section in which the contract and the cell are
+	// looked up. Begin does not accept the request if it returns false.
 	Holds func() bool
-	// Waits is called, without the core's lock, before Begin waits for a successor's word (0.2 s at most): a client may leave
-	// meanwhile. Nil: nothing is to be done then.
+	// BeforeWait is called without the core's lock before Begin waits for the successor's reply, which takes 0.2 s at most and
+	// during which the client may disconnect. It may be nil.
 	Waits func()
 
-	clientGone   atomic.Bool // Gone was called
+	clientGone   atomic.Bool // set by ClientGone
 	deadline     time.Duration
 	attempts     []*Attempt
 	openAttempts int
 	responded    bool
-	written      bool // its answer is with the client, or nobody waits for one
-	spilled      bool // it goes to its cell's neighbour
+	written      bool // the client has the response, or nobody waits for one
+	spilled      bool // it was submitted again for the servers that Cells.Spill returned
 	admission    admission
-	response     chan Answer // holds the one final answer; never blocks
+	response     chan Answer // has room for the one final response, so that sending never blocks
 }
 
-// Answer is where the request's one final answer comes. Whoever takes it tells Written once it has passed it on.
+// Response returns the channel on which the one final response arrives. The receiver calls Core.ResponseWritten once it has
+// passed the response on.
 func (r *Request) Answer() <-chan Answer { return r.response }
 
-// Await waits for the one final answer, or until end is closed before that came: not ok, and Gone is to be told.
+// Await waits for the final response. ok is false if end was closed before the response arrived; the caller must then call
+// Core.ClientGone.
 func (r *Request) Await(end <-chan struct{}) (a Answer, ok bool) {
 	select {
 	case a = <-r.response:
@@ -117,7 +127,7 @@
 	case <-end:
 	}
 	select {
-	case a = <-r.response: // it was first
+	case a = <-r.response: // it arrived before end was closed
 		return a, true
 	default:
 		return Answer{}, false
@@ -128,100 +138,106 @@
 type Attempt struct {
 	Request      *Request
 	Index        int
-	Server       any           // as the Roster knew it
-	Wait         time.Duration // it is given up after that
+	Server       any           // as Discovery returned it
+	Wait         time.Duration // the attempt is given up after this time
 	serverNumber uint32
 	sentAt       time.Duration
 	cancel       context.CancelCauseFunc
 }
 
-// Wanted tells, without waiting, whether anybody waits for the attempt. A back asks it before the first byte: a request whose
-// client left while it waited for a place or a connection is not sent on. It is safe for concurrent use.
+// Wanted reports, without blocking, whether anybody waits for the attempt. A Sender calls it before it sends the first byte, so
+// that a request is not sent on whose client disconnected while the request waited for a slot or a connection. It is safe for
+// concurrent use.
 func (a *Attempt) Wanted() bool {
 	r := a.Request
 	return !r.clientGone.Load() && (r.Left == nil || !r.Left())
 }
 
-// Result is how an attempt ended.
+// Result is the end of an attempt.
 type Result struct {
 	Outcome policy.Outcome
 	Load    policy.Load
-	Payload Payload       // of one that is OK
-	First   time.Duration // when the first byte of an answer came, on the Clock; 0: none did
+	Payload Payload       // set if the outcome is OK
+	First   time.Duration // when the first byte of a response arrived, on the Clock; 0 if none did
 }
 
-// Kind is what a final answer says.
+// ResponseKind is the kind of a final response.
 type ResponseKind uint8
 
 const (
-	Served             ResponseKind = iota
-	Refused                         // nothing ran, or all that ran may be repeated: the client may try again
-	Failed                          // no promise
-	RejectedByContract              // the contracts refuse it: nothing ran
+	// Served responses carry a web server's response.
+	Served ResponseKind = iota
+	// Refused requests did not run, or all that ran may be repeated: the client may retry.
+	Refused
+	// Failed requests may or may not have run.
+	Failed
+	// RejectedByContract requests did not run, because a contract does not admit them.
+	RejectedByContract
 )
 
-// Answer is the final answer to a request.
+// Response is the final response to a request.
 type Answer struct {
 	Kind       ResponseKind
-	RetryAfter time.Duration // of Refused and Barred; 0: nothing is said
-	Payload    Payload       // of Served; whoever takes the answer releases it
-	Rule       contract.Rule // of Barred: what was passed,
-	Contract   string        // and in which contract; empty: there is none for the caller
+	RetryAfter time.Duration // for Refused and RejectedByContract; 0 if not specified
+	Payload    Payload       // for Served; the receiver of the response releases it
+	Rule       contract.Rule // for RejectedByContract: the rule that the request exceeded
+	Contract   string        // for RejectedByContract: the contract; empty if the caller has none
 }
 
-// Core holds a node's requests. All its methods are safe for concurrent use; those that say so want the lock held.
+// Core holds a node's requests and hands the node's events to the policy one by one. All methods are safe for concurrent use;
+// those whose comments say so must be called with the lock held.
 type Core struct {
-	sync.Mutex // whoever holds it hands in the next event; nothing under it waits for a socket
+	sync.Mutex // guards all mutable state and orders the events; nothing waits for a socket while holding it
 
 	clock           Clock
 	sender          Back
 	discovery       Roster
-	cells           Cells // nil: there are none
+	cells           Cells // nil without cells
 	log             *slog.Logger
 	clientRoundTrip time.Duration
-	ctx             context.Context // ends when the node does; attempts hang on it
+	ctx             context.Context // ends when the core is closed; parent of the attempts' contexts
 	cancel          context.CancelFunc
 	wg              sync.WaitGroup
 
 	balancer     *policy.Balancer
-	ledger       *contract.Ledger // nil where there are no contracts
-	initialShare float64          // part of them that this node hands out to begin with
+	ledger       *contract.Ledger // nil without contracts
+	initialShare float64          // share of the contracts that this node hands out at first
 	actions      []policy.Action
-	requests     map[string]*Request // by the clients' ids
-	stall        stall               // when this process did not run
-	requestIDs   handover.Ids        // those that other processes of this node have open
-	successor    Successor           // is asked before each request; nil: nobody is
+	requests     map[string]*Request // by request id
+	stall        stall               // latest time in which this process did not run
+	requestIDs   handover.Ids        // requests that other processes of this node have open
+	successor    Successor           // is asked before each request; nil if there is none
 }
 
-// Options are what a core is made of.
+// Options are the parts that a Core is built from.
 type Options struct {
 	Clock   Clock
 	Back    Back
 	Roster  Roster
-	Cells   Cells // nil: there are none
+	Cells   Cells // nil without cells
 	Log     *slog.Logger
-	Transit time.Duration // the way to a client and back, which is off each request's patience
+	Transit time.Duration // network time to a client and back, which is subtracted from each request's timeout
 }
 
-// New makes a core that decides by a policy started with the seed. It is to be closed.
+// New returns a Core whose policy starts with the seed. The caller must call Close.
 func New(set policy.Settings, seed uint64, o Options) (*Core, error) {
-	bal, err := policy.New(set, seed)
+	balancer, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{clock: o.Clock, sender: o.Back, discovery: o.Roster, cells: o.Cells, log: o.Log, clientRoundTrip: o.Transit, balancer: bal,
+	c := &Core{clock: o.Clock, sender: o.Back, discovery: o.Roster, cells: o.Cells, log: o.Log, clientRoundTrip: o.Transit, balancer: balancer,
 		initialShare: 1 / float64(max(1, set.Nodes)), requests: map[string]*Request{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c, nil
 }
 
-// Context ends when the core is closed.
+// Context returns a context that ends when the core is closed.
 func (c *Core) Context() context.Context { return c.ctx }
 
-// Now is the clock's time.
+// Now returns the Clock's time.
 func (c *Core) Now() time.Duration { return c.clock.Now() }
 
-// Go runs f in a goroutine that Close waits for. The lock is held, or the core is not shared yet.
+// Go runs f in a goroutine that Close waits for. It must be called with the lock held, or before the core is shared.
 func (c *Core) Go(f func()) {
 	c.wg.Add(1)
 	go func() {
@@ -230,36 +246,36 @@
 	}()
 }
 
-// Close gives up what is under way and waits for it to end.
+// Close cancels all open attempts and waits for them to end.
 func (c *Core) Close() {
-	// Under the lock, which each Go holds too: a timer may be about to start something. None does after this.
+	// The lock is held here and at each call of Go: a timer may be about to start an attempt, and none does after this.
 	c.Lock()
 	c.cancel()
 	c.Unlock()
 	c.wg.Wait()
 }
 
-// Begin takes a request, unless one with its id is open or what its front looked up holds no longer. Its final answer comes on
-// Answer.
+// Begin accepts a request and returns true, unless a request with its id is open or what its front looked up is no longer valid.
+// The final response arrives on Response.
 func (c *Core) Begin(r *Request) bool {
 	c.Lock()
 	defer c.Unlock()
 	now := c.Now()
 	verdict := c.requestIDs.Begin(now, r.ID, c.requests[r.ID] != nil)
 	if verdict == handover.Ask {
-		heir := c.successor
+		successor := c.successor
 		c.Unlock()
 		if r.Waits != nil {
 			r.Waits()
 		}
-		verdict = heir.Claim(r.ID, now+r.Patience)
+		verdict = successor.Claim(r.ID, now+r.Patience)
 		c.Lock()
 		c.requestIDs.Answered(r.ID)
 		now = c.Now()
 		if verdict != handover.Open {
 			defer func() {
-				if c.requests[r.ID] == nil { // it was not taken, or is over already
-					heir.Ended(r.ID)
+				if c.requests[r.ID] == nil { // it was not accepted, or has ended already
+					successor.Ended(r.ID)
 				}
 			}()
 		}
@@ -267,7 +283,7 @@
 	switch verdict {
 	case handover.Open:
 		return false
-	case handover.Busy: // nothing was sent, and who serves now can't be asked
+	case handover.Busy: // nothing was sent, and the process that serves now can't be asked
 		r.response = make(chan Answer, 1)
 		r.responded = true
 		r.response <- Answer{Kind: Refused, RetryAfter: busyRetryAfter}
@@ -276,53 +292,54 @@
 	if r.Holds != nil && !r.Holds() {
 		return false
 	}
-	// The answer must be with the client when its time is up: the way there and back and the time that the
-	// request has spent here are off.
-	left := max(0, r.Patience-(now-c.stall.timeoutStart(r.Arrived))-c.clientRoundTrip)
-	r.deadline, r.response = now+left, make(chan Answer, 1)
+	// The client must have the response before its timeout: the network time there and back and the time that the request has
+	// spent here are subtracted.
+	remaining := max(0, r.Patience-(now-c.stall.timeoutStart(r.Arrived))-c.clientRoundTrip)
+	r.deadline, r.response = now+remaining, make(chan Answer, 1)
 	if !c.admit(now, r) {
 		return true
 	}
 	c.requests[r.ID] = r
-	var among []uint32
+	var candidates []uint32
 	if c.cells != nil {
-		var doubt bool
-		if among, doubt = c.cells.Place(now, r); doubt {
+		var ambiguous bool
+		if candidates, ambiguous = c.cells.Place(now, r); ambiguous {
 			c.respond(r.ID, Answer{Kind: Refused, RetryAfter: time.Second})
 			return true
 		}
 	}
-	c.submit(now, r, among)
+	c.submit(now, r, candidates)
 	return true
 }
 
-// offer hands a request to the policy, for some servers or (nil) all.
-func (c *Core) submit(now time.Duration, r *Request, among []uint32) {
+// submit hands a request to the policy with the servers that it may be sent to; nil means all.
+func (c *Core) submit(now time.Duration, r *Request, candidates []uint32) {
 	c.handleAt(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: r.deadline - now,
-		Repeat: r.Repeat, Borrowed: r.admission.verdict.Borrowed, Among: among})
+		Repeat: r.Repeat, Borrowed: r.admission.verdict.Borrowed, Among: candidates})
 }
 
-// Gone tells that a request's client has left. Its answer, if it has one, is released. Tried: an attempt was begun, so that the
-// request may have run.
-func (c *Core) Gone(r *Request) (tried bool) {
+// ClientGone reports that a request's client has disconnected. The response, if there is one, is released. attempted is true if an
+// attempt was started, so that the request may have run.
+func (c *Core) Gone(r *Request) (attempted bool) {
 	r.clientGone.Store(true)
 	c.Lock()
 	defer c.Unlock()
-	tried = len(r.attempts) > 0
+	attempted = len(r.attempts) > 0
 	if r.responded {
 		releasePayload((<-r.response).Payload)
 		r.written = true
 		c.removeIfDone(r)
-		return tried
+		return attempted
 	}
 	r.responded, r.written = true, true
 	c.handleAt(c.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
 	c.removeIfDone(r)
-	return tried
+	return attempted
 }
 
-// Written tells that a request's answer is with its client, or can't be any more. Until then its id stays open: a large answer
-// is still on its way from its server, and another request of that id would be a second copy there.
+// ResponseWritten reports that the client has the response to a request, or can't get it any more. Until then the request's id
+// stays open: a large response is still on its way from the web server, and another request with that id would be a second copy
+// there.
 func (c *Core) Written(r *Request) {
 	c.Lock()
 	defer c.Unlock()
@@ -330,13 +347,14 @@
 	c.removeIfDone(r)
 }
 
+// releasePayload releases a payload, which may be nil.
 func releasePayload(p Payload) {
 	if p != nil {
 		p.Release()
 	}
 }
 
-// Uploaded notes that the last byte of a body that was not whole at the start has come: the request's time begins.
+// Uploaded reports that the last byte of a body has arrived which was incomplete at Begin. The request's timeout starts here.
 func (c *Core) Uploaded(a *Attempt) {
 	c.Lock()
 	defer c.Unlock()
@@ -344,8 +362,9 @@
 	a.Request.deadline = a.sentAt + a.Request.Patience - c.clientRoundTrip
 }
 
-// Established gives a request its final answer while its attempt goes on: what was asked for is the way to the server itself.
-// The attempt counts as work in flight until it ends. False: the request has its answer, and nobody takes the payload.
+// Established gives a request its final response while the attempt goes on, for a request that asks for a connection to the
+// server itself. The attempt counts as in flight until it ends. It returns false if the request has its response already; the
+// payload is then not taken over.
 func (c *Core) Established(a *Attempt, p Payload) bool {
 	c.Lock()
 	defer c.Unlock()
@@ -358,7 +377,7 @@
 	return true
 }
 
-// ended hands in an attempt's outcome, and passes on the answer of one that was served.
+// attemptEnded hands an attempt's outcome to the policy, and passes on the response of a successful one.
 func (c *Core) attemptEnded(a *Attempt, res Result) {
 	c.Lock()
 	defer c.Unlock()
@@ -368,24 +387,24 @@
 		r.responded = true
 		r.response <- Answer{Kind: Served, Payload: res.Payload}
 	} else {
-		releasePayload(res.Payload) // nobody waits for it
+		releasePayload(res.Payload) // nobody waits for the response
 	}
 	now := c.Now()
 	if c.cells != nil {
 		c.cells.Ended(now, r, res.Outcome)
 	}
-	took := now - a.sentAt
-	if res.First > 0 { // what follows tells of the network and of the body's size
-		took = max(0, res.First-a.sentAt)
+	elapsed := now - a.sentAt
+	if res.First > 0 { // the time after the first byte depends on the network and on the body's size
+		elapsed = max(0, res.First-a.sentAt)
 	}
 	r.admission.serverTime += now - a.sentAt
 	spent := r.Body.Spent() || !r.responded && !c.mayRetry(now, r)
 	c.handleAt(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Server: a.serverNumber, Attempt: a.Index,
-		Took: took, Last: r.responded, Spent: spent, Outcome: res.Outcome, Load: res.Load})
+		Took: elapsed, Last: r.responded, Spent: spent, Outcome: res.Outcome, Load: res.Load})
 	c.removeIfDone(r)
 }
 
-// finish gives a request its final answer, unless it has one.
+// respond gives a request its final response, unless it has one.
 func (c *Core) respond(id string, a Answer) {
 	if r := c.requests[id]; r != nil && !r.responded {
 		r.responded = true
@@ -394,9 +413,10 @@
 	}
 }
 
-// forget drops a request that nothing more can come of. Its contract is settled as soon as no attempt is out.
+// removeIfDone settles a request's contract as soon as it has its response and no open attempt, and removes the request once the
+// response is written as well.
 func (c *Core) removeIfDone(r *Request) {
-	if c.requests[r.ID] != r || !r.responded || r.openAttempts > 0 { // one that was barred is not held, and owes no contract
+	if c.requests[r.ID] != r || !r.responded || r.openAttempts > 0 { // a rejected request was never added, and has no contract to settle
 		return
 	}
 	c.settleAdmission(r)
@@ -408,14 +428,14 @@
 	}
 }
 
-// Handle hands one event to the policy and carries out what it wants. The lock is held.
+// Handle hands an event to the policy and carries out the resulting actions. The lock must be held.
 func (c *Core) Handle(ev *policy.Event) { c.handleAt(c.Now(), ev) }
 
-// handle carries out what the policy wants, in its order.
+// handleAt hands an event to the policy and carries out the resulting actions in their order.
 func (c *Core) handleAt(now time.Duration, ev *policy.Event) {
 	c.actions = c.balancer.Handle(now, ev, c.actions[:0])
-	var spilt *Request // an event refuses one request at most
-	var among []uint32
+	var spilled *Request // an event refuses at most one request
+	var candidates []uint32
 	for i := range c.actions {
 		a := &c.actions[i]
 		switch a.Kind {
@@ -427,8 +447,8 @@
 			}
 		case policy.ActRefuse:
 			if r := c.requests[a.ID]; c.cells != nil && r != nil && len(r.attempts) == 0 && !r.spilled && !r.responded {
-				if among = c.cells.Spill(now, r); among != nil {
-					r.spilled, spilt = true, r
+				if candidates = c.cells.Spill(now, r); candidates != nil {
+					r.spilled, spilled = true, r
 					continue
 				}
 			}
@@ -447,12 +467,12 @@
 			c.log.Info(a.Text)
 		}
 	}
-	if spilt != nil { // once all that was wanted before is done
-		c.submit(now, spilt, among)
+	if spilled != nil { // after all other actions of this event
+		c.submit(now, spilled, candidates)
 	}
 }
 
-// due hands in a timer.
+// timerFired hands a timer event to the policy, unless the core is closed.
 func (c *Core) timerFired(token string) {
 	c.Lock()
 	defer c.Unlock()
@@ -461,7 +481,7 @@
 	}
 }
 
-// send starts an attempt. Its outcome is handed in later, whatever comes of it.
+// startAttempt starts an attempt. Its outcome is always handed to the policy later.
 func (c *Core) startAttempt(now time.Duration, act *policy.Action) {
 	r := c.requests[act.ID]
 	if r == nil {
@@ -483,40 +503,42 @@
 	c.Go(func() {
 		defer cancel(nil)
 		res := Result{Outcome: policy.Moot}
-		if known { // else it is never sent
+		if known { // otherwise it is never sent
 			res = c.sender.Attempt(ctx, a)
 		}
 		c.attemptEnded(a, res)
 	})
 }
 
-// Ids are the requests that other processes of this node have open. The lock is held.
+// RequestIDs returns the tracker of requests that other processes of this node have open. The lock must be held.
 func (c *Core) Ids() *handover.Ids { return &c.requestIDs }
 
-// Claim takes in that another process wants to begin a request.
+// Claim decides whether another process may begin a request.
 func (c *Core) Claim(from handover.Peer, id string, until time.Duration) handover.Verdict {
 	c.Lock()
 	defer c.Unlock()
 	return c.requestIDs.Claim(c.Now(), from, id, c.requests[id] != nil, until)
 }
 
-// Yield lets another process decide from now on which requests may begin here; nil: this one decides again. The lock is held.
+// SetSuccessor makes another process decide from now on which requests may begin here; with nil this one decides again. The lock
+// must be held.
 func (c *Core) Yield(to Successor) { c.successor, c.requestIDs.Asks = to, to != nil }
 
-// Open names the requests that are open here, or are to begin, and until when. The lock is held.
+// OpenRequests returns the ids of the requests that are open here or about to begin, with their deadlines. The lock must be held.
 func (c *Core) Open() map[string]time.Duration {
 	open := make(map[string]time.Duration, len(c.requests))
 	for id, r := range c.requests {
 		open[id] = r.deadline
 	}
 	for _, id := range c.requestIDs.Asked() {
-		open[id] = c.Now() + time.Minute // its patience is not known here; its end is told
+		open[id] = c.Now() + time.Minute // its timeout is not known here; its end is reported
 	}
 	return open
 }
 
-// Learnt is what the policy has learnt. The lock is held.
+// LearnedState returns what the policy has learned. The lock must be held.
 func (c *Core) Learnt() *policy.Learnt { return c.balancer.Learnt() }
 
-// Adopt gives the policy what another process has learnt, behind the list and before any request. The lock is held.
+// Adopt gives the policy what another process has learned. It is called after the server list is set and before the first
+// request. The lock must be held.
 func (c *Core) Adopt(l *policy.Learnt) { c.balancer.Adopt(c.Now(), l) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,8 @@
 	"portstall/policy"
 )
 
-// bubble is the clock of a synctest bubble: it runs as fast as everything waits.
+// stubEnvironment is the Clock of a synctest bubble, where time advances as soon as all goroutines wait. It is also an empty Body,
+// and a Discovery whose server 3 has been removed from the list.
 type stubEnvironment struct{}
 
 func (stubEnvironment) Now() time.Duration                  { return time.Duration(time.Now().UnixNano()) }
@@ -23,7 +24,9 @@
 func (stubEnvironment) Watch()                              {}
 func (stubEnvironment) Among(*Request) []uint32             { return nil }
 func (stubEnvironment) Fetch()                              {}
-func (stubEnvironment) Server(number uint32) (any, bool)    { return number, number != 3 } // one that has left the roster
+func (stubEnvironment) Server(number uint32) (any, bool)    { return number, number != 3 }
+
+// settings returns the policy's settings for a node that is one of two.
 func settings() policy.Settings {
 	return policy.Settings{Nodes: 2, MaxAttempts: 3, Cancel: true, Classes: []policy.Class{
 		{Name: "view", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: policy.Safe},
@@ -31,21 +34,21 @@
 		DrainGrace: time.Second, ColdFor: time.Second, ColdShare: 0.5, FallFor: time.Second, FallFactor: 4}
 }
 
-// payload counts how often it was released.
+// countedPayload counts its calls of Release.
 type countedPayload struct{ released *int }
 
 func (p countedPayload) Release() { *p.released++ }
 
-// servers is a back whose attempts end as chance has it, and which holds the rules against what it is sent.
+// stubServers is a Sender whose attempts end with random outcomes, and which checks the rules for sending attempts.
 type stubServers struct {
 	t      *testing.T
 	mu     sync.Mutex
 	random *rand.Rand
 
-	open           map[string]int // attempts under way, by request
-	mayHaveRun     map[string]bool
+	open           map[string]int  // open attempts by request id
+	mayHaveRun     map[string]bool // by request id
 	attempts       int
-	served         map[string]*int
+	served         map[string]*int // how often each request's payload was released
 	clock          Clock
 	maxServiceTime time.Duration
 	outcomes       []policy.Outcome
@@ -56,33 +59,33 @@
 	s.mu.Lock()
 	s.attempts++
 	if s.open[id]++; s.open[id] > 1 {
-		s.t.Errorf("%s: two attempts are under way", id)
+		s.t.Errorf("%s: two attempts are open at once", id)
 	}
 	if s.mayHaveRun[id] && a.Request.Class == "buy" {
 		s.t.Errorf("%s: sent again after an attempt that may have run", id)
 	}
-	out, takes := s.outcomes[s.random.IntN(len(s.outcomes))], time.Duration(s.random.Int64N(int64(s.maxServiceTime)))
+	outcome, duration := s.outcomes[s.random.IntN(len(s.outcomes))], time.Duration(s.random.Int64N(int64(s.maxServiceTime)))
 	s.mu.Unlock()
-	if out == policy.TimedOut {
-		takes = a.Wait
+	if outcome == policy.TimedOut {
+		duration = a.Wait
 	}
 	select {
-	case <-time.After(min(takes, a.Wait)):
-		if takes >= a.Wait {
-			out = policy.TimedOut
+	case <-time.After(min(duration, a.Wait)):
+		if duration >= a.Wait {
+			outcome = policy.TimedOut
 		}
 	case <-ctx.Done():
-		out = policy.Canceled
+		outcome = policy.Canceled
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[id]--
-	s.mayHaveRun[id] = s.mayHaveRun[id] || out != policy.Full && out != policy.ConnectFailed
-	res := Result{Outcome: out, Load: policy.Load{Queue: -1, Held: -1}}
-	if out == policy.OK {
-		n := new(int)
-		s.served[id] = n
-		res.Payload, res.First = countedPayload{n}, s.clock.Now()
+	s.mayHaveRun[id] = s.mayHaveRun[id] || outcome != policy.Full && outcome != policy.ConnectFailed
+	res := Result{Outcome: outcome, Load: policy.Load{Queue: -1, Held: -1}}
+	if outcome == policy.OK {
+		released := new(int)
+		s.served[id] = released
+		res.Payload, res.First = countedPayload{released}, s.clock.Now()
 	}
 	return res
 }
@@ -109,10 +112,11 @@
 	return c
 }
 
-// Whatever the servers do and whenever clients leave: one final answer each, before the client gives up, never two attempts
-// at once, no unsafe request twice, each payload released once, and nothing remembered in the end.
+// Random outcomes at the servers and clients that disconnect at random times must not break these rules: each request gets one
+// final response before its client's timeout, never has two open attempts, an unsafe request is not sent again after it may have
+// run, each payload is released once, and no request is left in the core at the end.
 func TestExactlyOneFinalResponse(t *testing.T) {
-	kinds, sent := make([]int, 4), 0
+	responses, attempts := make([]int, 4), 0
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
 			b := newStubServers(t, seed)
@@ -121,95 +125,95 @@
 			var wg sync.WaitGroup
 			for i := range 40 {
 				q := &Request{ID: fmt.Sprint("r", i), Class: []string{"view", "buy"}[r.IntN(2)], Patience: 4 * time.Second, Body: stubEnvironment{}}
-				starts, leaves := time.Duration(r.Int64N(5e9)), time.Duration(0)
+				start, disconnect := time.Duration(r.Int64N(5e9)), time.Duration(0)
 				if r.IntN(5) == 0 {
-					leaves = time.Duration(r.Int64N(4e9))
+					disconnect = time.Duration(r.Int64N(4e9))
 				}
 				wg.Go(func() {
-					time.Sleep(starts)
+					time.Sleep(start)
 					q.Arrived = stubEnvironment{}.Now()
 					if !c.Begin(q) {
-						t.Errorf("%s is not taken", q.ID)
+						t.Errorf("Begin did not accept %s", q.ID)
 						return
 					}
-					left, end := (<-chan time.Time)(nil), time.After(q.Patience)
-					if leaves > 0 {
-						left = time.After(leaves)
+					disconnected, timeout := (<-chan time.Time)(nil), time.After(q.Patience)
+					if disconnect > 0 {
+						disconnected = time.After(disconnect)
 					}
 					select {
 					case a := <-q.Answer():
 						b.mu.Lock()
-						kinds[a.Kind]++
+						responses[a.Kind]++
 						b.mu.Unlock()
 						releasePayload(a.Payload)
 						c.Written(q)
-					case <-left:
+					case <-disconnected:
 						c.Gone(q)
-					case <-end:
-						t.Errorf("seed %d: %s has no answer", seed, q.ID)
+					case <-timeout:
+						t.Errorf("seed %d: %s got no response within its timeout", seed, q.ID)
 					}
 					time.Sleep(20 * time.Second)
 					if len(q.Answer()) != 0 {
-						t.Errorf("%s has a second answer", q.ID)
+						t.Errorf("%s got a second response", q.ID)
 					}
 				})
 			}
 			wg.Wait()
 			if st := c.Stats(0); st.Open != 0 {
-				t.Errorf("%d requests are remembered", st.Open)
+				t.Errorf("%d requests are still open at the end, want 0", st.Open)
 			}
-			for id, n := range b.served {
-				if *n != 1 {
-					t.Errorf("%s: its payload was released %d times", id, *n)
+			for id, released := range b.served {
+				if *released != 1 {
+					t.Errorf("%s: its payload was released %d times, want once", id, *released)
 				}
 			}
-			sent += b.attempts
+			attempts += b.attempts
 			c.Close()
 		})
 	}
-	if kinds[Served] < 100 || kinds[Failed] < 100 || kinds[Refused] < 100 || sent < 1000 {
-		t.Errorf("answers %v of %d attempts: the days test too little", kinds, sent)
+	if responses[Served] < 100 || responses[Failed] < 100 || responses[Refused] < 100 || attempts < 1000 {
+		t.Errorf("responses by kind %v and %d attempts: too few of a kind for the test to mean anything", responses, attempts)
 	}
 }
 
-// An id that is open here or in another process of the node does not begin; once it is over it does.
+// A request whose id is open here or in another process of the node is not accepted; once that request has ended it is.
 func TestOpenRequestIDIsNotAdmittedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCore(t, newStubServers(t, 1), 1)
 		defer c.Close()
-		ask := func(id string) (*Request, bool) {
+		begin := func(id string) (*Request, bool) {
 			q := &Request{ID: id, Class: "view", Patience: 4 * time.Second, Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			return q, c.Begin(q)
 		}
-		first, ok := ask("a")
-		if _, twice := ask("a"); !ok || twice {
-			t.Errorf("begun %v, and again %v", ok, twice)
+		first, ok := begin("a")
+		if _, again := begin("a"); !ok || again {
+			t.Errorf("first request accepted: %v; second one with the same id: %v", ok, again)
 		}
 		c.Lock()
 		c.Ids().Hold(1, map[string]time.Duration{"b": stubEnvironment{}.Now() + time.Second}, nil)
 		if open := c.Open(); len(open) != 1 || open["a"] == 0 {
-			t.Errorf("open: %v", open)
+			t.Errorf("open requests %v, want only a", open)
 		}
 		c.Unlock()
-		if _, ok := ask("b"); ok {
-			t.Error("one that another process has open was begun")
+		if _, ok := begin("b"); ok {
+			t.Error("a request was accepted that another process has open")
 		}
 		a := <-first.Answer()
-		if _, twice := ask("a"); twice {
-			t.Error("its id begins again while its answer is on its way")
+		if _, again := begin("a"); again {
+			t.Error("an id was accepted again before its response was written")
 		}
 		releasePayload(a.Payload)
 		c.Written(first)
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"a", "b"} {
-			if _, ok := ask(id); !ok {
-				t.Errorf("%s is not taken once it is over", id)
+			if _, ok := begin(id); !ok {
+				t.Errorf("%s was not accepted after the request with its id had ended", id)
 			}
 		}
 	})
 }
 
-// A request that contracts bar is answered at once, reaches no server and is not remembered.
+// A request that the contracts reject gets its response at once, reaches no server and does not stay in the core.
 func TestRequestRejectedByContractReachesNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newStubServers(t, 1)
@@ -221,41 +225,41 @@
 			t.Fatal(err)
 		}
 		if _, _, err := c.Explain(&contract.Caller{}, "view", false); err != ErrNoContracts {
-			t.Errorf("without contracts: %v", err)
+			t.Errorf("Explain without contracts: error %v", err)
 		}
 		c.Lock()
 		c.Bind(table)
 		c.Unlock()
-		ask := func(id, tenant string) Answer {
+		request := func(id, tenant string) Answer {
 			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
 				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
-				t.Fatalf("%s is not taken", id)
+				t.Fatalf("Begin did not accept %s", id)
 			}
 			a := <-q.Answer()
 			releasePayload(a.Payload)
 			c.Written(q)
 			return a
 		}
-		if a := ask("a", "none"); a.Kind != RejectedByContract || a.Rule != contract.None || a.Contract != "" {
-			t.Errorf("without a contract: %+v", a)
+		if a := request("a", "none"); a.Kind != RejectedByContract || a.Rule != contract.None || a.Contract != "" {
+			t.Errorf("response to a caller without a contract: %+v", a)
 		}
 		if b.attempts != 0 {
-			t.Errorf("%d attempts for one that is barred", b.attempts)
+			t.Errorf("%d attempts for a rejected request", b.attempts)
 		}
-		if a := ask("b", "one"); a.Kind == RejectedByContract {
-			t.Errorf("within its rate: %+v", a)
+		if a := request("b", "one"); a.Kind == RejectedByContract {
+			t.Errorf("request within the contract's rate: %+v", a)
 		}
-		if a := ask("c", "one"); a.Kind != RejectedByContract || a.Rule != contract.Rate || a.Contract != "one" || a.RetryAfter <= 0 {
-			// each of two nodes hands out half: a burst of one
-			t.Errorf("past its rate: %+v", a)
+		if a := request("c", "one"); a.Kind != RejectedByContract || a.Rule != contract.Rate || a.Contract != "one" || a.RetryAfter <= 0 {
+			// each of the two nodes hands out half of the burst of two
+			t.Errorf("request beyond the contract's rate: %+v", a)
 		}
 		v, level, err := c.Explain(&contract.Caller{Tenant: "one"}, "view", false)
 		if err != nil || level.Name != "one" || v.Contract != 0 || level.Admitted != 1 {
-			t.Errorf("explained as %+v %+v, %v", v, level, err)
+			t.Errorf("Explain returned %+v, level %+v, error %v", v, level, err)
 		}
 		if st := c.Stats(10); st.Open != 0 || !st.Contracts || len(st.Levels) != 1 || st.Part != 0.5 {
-			t.Errorf("stats %+v", st)
+			t.Errorf("statistics %+v", st)
 		}
 	})
 }
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// heldLeast is how late the policy's timer is at least where this process was held up: nothing in it takes that long.
+	// minStall is the smallest delay of the policy's timer that counts as a stall of the process: nothing in the process itself
+	// takes that long.
 	minStall = 100 * time.Millisecond
-	// heldSoon is how long after that what stood unread meanwhile is still being read.
+	// backlogReadTime is how long after a stall the process still reads what arrived during it.
 	backlogReadTime = 100 * time.Millisecond
 )
 
-// held is the latest time in which this process did not run, by its machine's doing, as the policy's timer shows, which is due a few
-// times a second. What clients sent meanwhile stood unread, and their time was running. It is guarded by the core's lock.
+// stall is the latest period in which the machine did not run this process. It is detected by the policy's timer, which is due a few
+// times a second. Requests that clients sent meanwhile were not read, but their timeouts were running. It is guarded by the core's
+// lock.
 type stall struct {
-	timerDue time.Duration // when the timer is, 0: none was set yet
+	timerDue time.Duration // when the policy's timer is due; 0 before the first one is set
 	from, to time.Duration
 }
 
-// timer takes in that the timer is set anew: it came, or is given up for lost.
-func (h *stall) timerSet(now, due time.Duration) {
-	if h.timerDue > 0 && now > h.timerDue+minStall {
-		h.from, h.to = h.timerDue, now
+// timerSet records that the policy's timer is set anew, because it fired or is considered lost.
+func (s *stall) timerSet(now, due time.Duration) {
+	if s.timerDue > 0 && now > s.timerDue+minStall {
+		s.from, s.to = s.timerDue, now
 	}
-	h.timerDue = due
+	s.timerDue = due
 }
 
-// since is from when a client's time counts whose request was read at the given time. It may have come at any moment in which
-// nothing was read; the earliest is taken, but for what went by before the timer was due.
-func (h *stall) timeoutStart(read time.Duration) time.Duration {
+// timeoutStart returns when the timeout of a request starts that was read at the given time. A request read during or right after a
+// stall may have arrived at any time in it, of which the earliest is assumed, but no earlier than the timer was due.
+func (s *stall) timeoutStart(read time.Duration) time.Duration {
 	switch {
-	case h.timerDue > 0 && read > h.timerDue+minStall: // the timer is behind this request
-		return h.timerDue
-	case read <= h.to+backlogReadTime:
-		return min(read, h.from)
+	case s.timerDue > 0 && read > s.timerDue+minStall: // this request was read before the overdue timer fired
+		return s.timerDue
+	case read <= s.to+backlogReadTime:
+		return min(read, s.from)
 	}
 	return read
 }
