--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,5 @@
-// Command simhost plays decision modules on the simulator's wire: it reads batches of events on standard
-// input and answers each with the actions of the instances it hosts. It decides nothing itself, and the
-// instances share nothing.
+// Command simhost runs policy instances under the simulator: it reads batches of events on standard input and replies
+// to each with the actions of the instances it hosts. It decides nothing itself, and the instances share nothing.
 package main
 
 import (
@@ -17,28 +16,29 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collecting it often would be billed
+	debug.SetGCPercent(800) // the live heap is small, and the simulator charges the CPU time of frequent collections
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
 
+// host runs the instances of one process and collects the reply to the current batch. It is used by one goroutine.
 type host struct {
-	instances map[int64]*policy.Balancer
+	instances map[int64]*policy.Balancer // by the simulator's number
 	actions   []policy.Action
 	reply     []byte
-	now       time.Duration
+	now       time.Duration // time of the current batch
 }
 
-// run serves batches until the input ends.
+// run handles batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[int64]*policy.Balancer{}}
 	r := bufio.NewReaderSize(in, 1<<20)
-	var dec wire.Decoder
-	var long []byte
+	var decoder wire.Decoder
+	var long []byte // start of a line that exceeds the reader's buffer
 	var batch int64
-	open := false
+	inBatch := false
 	for {
 		line, err := r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -50,7 +50,7 @@
 			line, long = long, long[:0]
 		}
 		if err == io.EOF && len(line) == 0 {
-			if open {
+			if inBatch {
 				return fmt.Errorf("batch %d: input ended inside the batch", batch)
 			}
 			return nil
@@ -58,18 +58,18 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		m, err := dec.Decode(line)
+		m, err := decoder.Decode(line)
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if (m.Kind == wire.BatchStart) == open {
+		if (m.Kind == wire.BatchStart) == inBatch {
 			return fmt.Errorf("batch %d: message out of place", batch)
 		}
 		switch m.Kind {
 		case wire.BatchStart:
-			open, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
+			inBatch, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
 		case wire.BatchEnd:
-			open = false
+			inBatch = false
 			if _, err := out.Write(wire.AppendDone(h.reply, batch)); err != nil {
 				return err
 			}
@@ -81,26 +81,26 @@
 	}
 }
 
-// take hands one message to its instance and appends the instance's actions to the reply.
+// handle passes one message to its instance and appends the instance's actions to the reply.
 func (h *host) handle(m *wire.Message) error {
 	switch m.Kind {
 	case wire.Create:
-		node, err := policy.New(m.Settings, m.Seed)
+		instance, err := policy.New(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("create: %w", err)
 		}
-		h.instances[m.Instance] = node
+		h.instances[m.Instance] = instance
 		return nil
 	case wire.PowerOff:
 		delete(h.instances, m.Instance)
 		return nil
 	}
-	node := h.instances[m.Instance]
-	if node == nil {
+	instance := h.instances[m.Instance]
+	if instance == nil {
 		return fmt.Errorf("instance %d was never created", m.Instance)
 	}
 	h.recoverPanic(m.Instance, func() {
-		h.actions = node.Handle(h.now, &m.Event, h.actions[:0])
+		h.actions = instance.Handle(h.now, &m.Event, h.actions[:0])
 		for i := range h.actions {
 			h.reply = wire.AppendAction(h.reply, m.Instance, &h.actions[i])
 		}
@@ -108,11 +108,11 @@
 	return nil
 }
 
-// guard turns a panic of the decision code into the instance's fault report.
-func (h *host) recoverPanic(who int64, decide func()) {
+// recoverPanic calls decide, and turns a panic in it into a fault report of the instance.
+func (h *host) recoverPanic(instance int64, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply = wire.AppendFault(h.reply, who, fmt.Sprint(p))
+			h.reply = wire.AppendFault(h.reply, instance, fmt.Sprint(p))
 		}
 	}()
 	decide()
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -11,7 +11,7 @@
 const settings = `{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":0.4,"deadline_s":1,` +
 	`"gain":1,"effect":"free","group":"all"}],"policy_limits":{"max_attempts":2,"max_retry_after_s":1}}`
 
-// built returns the path of a freshly built simhost.
+// buildSimhost builds simhost and returns its path.
 func buildSimhost(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "simhost")
@@ -21,13 +21,14 @@
 	return bin
 }
 
-func runSimhost(t *testing.T, bin, in string) (out, problem string, err error) {
+// runSimhost runs simhost with the input and returns what it writes to standard output and standard error.
+func runSimhost(t *testing.T, bin, in string) (stdout, stderr string, err error) {
 	t.Helper()
 	cmd := exec.Command(bin)
-	var o, e bytes.Buffer
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(in), &o, &e
+	var outBuffer, errBuffer bytes.Buffer
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(in), &outBuffer, &errBuffer
 	err = cmd.Run()
-	return o.String(), e.String(), err
+	return outBuffer.String(), errBuffer.String(), err
 }
 
 func TestConversation(t *testing.T) {
@@ -61,9 +62,9 @@
 ["say_no",0,"r-3",0.1]
 ["done",4]
 `
-	out, problem, err := runSimhost(t, bin, in)
-	if err != nil || problem != "" || out != want {
-		t.Errorf("error %v, stderr %q, got\n%s\nwant\n%s", err, problem, out, want)
+	stdout, stderr, err := runSimhost(t, bin, in)
+	if err != nil || stderr != "" || stdout != want {
+		t.Errorf("error %v, stderr %q, got\n%s\nwant\n%s", err, stderr, stdout, want)
 	}
 	for in, want := range map[string]string{
 		"[\"round\",1,7]\n[\"odd\",1]\n":                          `batch 7: unknown message "odd"`,
@@ -75,14 +76,15 @@
 		"[\"round\",1,7]\n[\"create\",0,1,{\"balancers\":1}]\n":   "batch 7: create: policy: Classes",
 		"[\"round\",1,7]\n[\"create\",0,1,{\"balancers\":0,\"grades\":[{\"name\":\"a\",\"effect\":\"free\"}]}]\n": "Nodes",
 	} {
-		_, problem, err := runSimhost(t, bin, in)
-		if err == nil || !strings.Contains(problem, want) || strings.Count(problem, "\n") != 1 {
-			t.Errorf("%q: error %v, stderr %q, want one line with %q", in, err, problem, want)
+		_, stderr, err := runSimhost(t, bin, in)
+		if err == nil || !strings.Contains(stderr, want) || strings.Count(stderr, "\n") != 1 {
+			t.Errorf("%q: error %v, stderr %q, want one line with %q", in, err, stderr, want)
 		}
 	}
 }
 
-// A panic in the module becomes that instance's fault report and hurts no other.
+// A panic in an instance must become that instance's fault report and must not end the process, which hosts other
+// instances.
 func TestPanicIsReportedAsGiveIn(t *testing.T) {
 	var h host
 	h.recoverPanic(5, func() { panic("broken") })
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the line protocol between the simulator and the policy. It decides nothing:
-// it turns lines into policy events and policy actions into lines.
+// Package wire implements the line protocol between the simulator and the policy. It decides nothing: it decodes lines
+// into policy events and encodes policy actions as lines.
 package wire
 
 import (
@@ -15,18 +15,23 @@
 	"portstall/policy"
 )
 
-// Kind says what a line is.
+// MessageKind is the kind of a decoded line. It determines which fields of the Message are set.
 type MessageKind uint8
 
 const (
-	BatchStart MessageKind = iota // a batch starts: Now and Batch
-	BatchEnd                      // the batch ends
-	Create                        // an instance starts: Instance, Seed and Settings
-	PowerOff                      // an instance was killed: Instance
-	Event                         // something happened at an instance: Instance and Event
+	// BatchStart begins a batch; Now and Batch are set.
+	BatchStart MessageKind = iota
+	// BatchEnd ends a batch and asks for the reply.
+	BatchEnd
+	// Create starts an instance; Instance, Seed and Settings are set.
+	Create
+	// PowerOff reports that an instance was killed; Instance is set.
+	PowerOff
+	// Event reports an event at an instance; Instance and Event are set.
+	Event
 )
 
-// Message is one decoded line. The Decoder that filled it reuses it.
+// Message is a decoded line. It belongs to the Decoder that returned it, which reuses it for the next line.
 type Message struct {
 	Kind     MessageKind
 	Now      time.Duration
@@ -41,14 +46,14 @@
 type Decoder struct {
 	parser      fastjson.Parser
 	message     Message
-	row         []*fastjson.Value
+	row         []*fastjson.Value // fields of the message, or of the list entry, that is being decoded
 	messageName string
-	err         error
+	err         error // first error in the current line
 	entries     []policy.Entry
 	interned    map[string]string
 }
 
-// Decode reads one line. The message is valid until the next call.
+// Decode decodes one line. The message is valid until the next call.
 func (d *Decoder) Decode(line []byte) (*Message, error) {
 	v, err := d.parser.ParseBytes(line)
 	if err != nil {
@@ -89,12 +94,13 @@
 	return m, nil
 }
 
+// event decodes the fields of an event, and returns false if no event has the message's name.
 func (d *Decoder) event(ev *policy.Event) bool {
 	switch d.messageName {
 	case "demand":
 		ev.Kind, ev.ID = policy.EvRequest, d.text(1, "corr", true)
 		ev.Class = d.text(2, "service", true)
-		if d.present(3) && d.row[3].Type() == fastjson.TypeString { // 0 stands for none
+		if d.present(3) && d.row[3].Type() == fastjson.TypeString { // the simulator sends 0 if there is no tenant
 			ev.Tenant = d.text(3, "client_group", false)
 		}
 		ev.Left = d.seconds(5, "grace_s", true)
@@ -122,17 +128,19 @@
 	return true
 }
 
+// fail records the error of the line unless it has one.
 func (d *Decoder) fail(field, want string) {
 	if d.err == nil {
 		d.err = fmt.Errorf("%s: %s: %s", d.messageName, field, want)
 	}
 }
 
+// present reports whether field i is there and not null.
 func (d *Decoder) present(i int) bool {
 	return i < len(d.row) && d.row[i].Type() != fastjson.TypeNull
 }
 
-// intern returns b as a string, sharing the few names that come again and again.
+// intern returns b as a string. Equal names share their memory, because a few names recur in most lines.
 func (d *Decoder) intern(b []byte) string {
 	if s, ok := d.interned[string(b)]; ok {
 		return s
@@ -145,6 +153,7 @@
 	return s
 }
 
+// text decodes a string. Request ids (corr) are not interned, because they do not recur.
 func (d *Decoder) text(i int, field string, required bool) string {
 	if !d.present(i) {
 		if required {
@@ -162,6 +171,7 @@
 	return d.intern(b)
 }
 
+// number decodes a finite number.
 func (d *Decoder) number(i int, field string, required bool) float64 {
 	if !d.present(i) {
 		if required {
@@ -177,20 +187,22 @@
 	return f
 }
 
+// seconds decodes a time in seconds.
 func (d *Decoder) seconds(i int, field string, required bool) time.Duration {
 	f := d.number(i, field, required)
-	if math.Abs(f) > 9e9 {
+	if math.Abs(f) > 9e9 { // a time.Duration holds about 9.2e9 s
 		d.fail(field, "is out of range")
 		return 0
 	}
 	return seconds(f)
 }
 
-// seconds turns a number of seconds into a duration, rounded to the wire's microsecond.
+// seconds converts seconds to a duration, rounded to a microsecond, the resolution of the protocol.
 func seconds(f float64) time.Duration {
 	return time.Duration(math.Round(f*1e6)) * time.Microsecond
 }
 
+// integer decodes a required integer.
 func (d *Decoder) integer(i int, field string) int64 {
 	if !d.present(i) {
 		d.fail(field, "missing")
@@ -203,6 +215,7 @@
 	return n
 }
 
+// seed decodes a required integer that may use all 64 bits.
 func (d *Decoder) seed(i int, field string) uint64 {
 	if !d.present(i) {
 		d.fail(field, "missing")
@@ -214,6 +227,7 @@
 	return uint64(d.integer(i, field))
 }
 
+// boolean decodes a required boolean.
 func (d *Decoder) boolean(i int, field string) bool {
 	if !d.present(i) {
 		d.fail(field, "missing")
@@ -226,6 +240,7 @@
 	return v
 }
 
+// server decodes the number of a web server.
 func (d *Decoder) server(i int) uint32 {
 	n := d.integer(i, "backend")
 	if n < 0 || n > math.MaxUint32 {
@@ -234,6 +249,7 @@
 	return uint32(n)
 }
 
+// outcome decodes the outcome of an attempt.
 func (d *Decoder) outcome(i int) policy.Outcome {
 	name := d.text(i, "outcome", true)
 	switch name {
@@ -258,6 +274,7 @@
 	return policy.OK
 }
 
+// load decodes the load report of an outcome. A value that is missing becomes -1, and no work.
 func (d *Decoder) load(i int) policy.Load {
 	if !d.present(i) {
 		return policy.Load{}
@@ -283,6 +300,7 @@
 	return l
 }
 
+// list decodes a server list. The entries are valid until the next line.
 func (d *Decoder) list(ev *policy.Event) {
 	switch how := d.text(1, "how", true); how {
 	case "incr":
@@ -308,7 +326,7 @@
 		d.fail("items", "must be an array")
 		return
 	}
-	event := d.row
+	fields := d.row
 	for _, item := range items {
 		row, err := item.Array()
 		if err != nil {
@@ -333,19 +351,19 @@
 		}
 		d.entries = append(d.entries, e)
 	}
-	d.row = event
+	d.row = fields
 	ev.Entries = d.entries
 }
 
-// Settings is what the settings object holds for the decisions and for the node that carries them out.
+// Settings is the decoded settings object: the policy's settings, and those of the node that carries out its decisions.
 type Settings struct {
 	Policy         policy.Settings
-	ConnIdle       time.Duration // backends close connections idle for this long; 0 when not told
-	ConnectTimeout time.Duration // a connection not up by then has failed; 0 when not told
-	Reports        bool          // answers may hold load reports
+	ConnIdle       time.Duration // web servers close connections that are idle for this long; 0 if not specified
+	ConnectTimeout time.Duration // a connection not established within this time has failed; 0 if not specified
+	Reports        bool          // responses may carry load reports
 }
 
-// info is the settings object of a create message; keys that are not named here are skipped.
+// settingsObject is the settings object of a create message. Keys that are not named here are ignored.
 type settingsObject struct {
 	Balancers *int    `json:"balancers"`
 	Zone      string  `json:"zone"`
@@ -387,6 +405,7 @@
 	} `json:"invariants"`
 }
 
+// settings decodes the settings object of a create message.
 func (d *Decoder) settings(i int) {
 	if !d.present(i) {
 		d.fail("info", "missing")
@@ -400,7 +419,7 @@
 	d.message.Settings = s.Policy
 }
 
-// DecodeSettings reads the settings object, which a create message and a node's configuration share.
+// DecodeSettings decodes the settings object, which create messages and a node's configuration share.
 func DecodeSettings(text []byte) (Settings, error) {
 	var in settingsObject
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -448,33 +467,33 @@
 		Reports: in.Report.How == "piggyback"}, nil
 }
 
-// longest is the longest time that settings may tell, in seconds. What is far longer does not fit a duration, and would
-// wrap around to no time at all: no drain's grace, or no cold server.
+// maxSettingSeconds is the longest time that settings may contain, in seconds. A much longer one does not fit a
+// duration and would wrap around, possibly to 0: no grace for a drain, or no server counted as cold.
 const maxSettingSeconds = 1e8
 
-// inRange names the first time that is longer.
+// checkTimes returns an error that names the first time beyond maxSettingSeconds.
 func (in *settingsObject) checkTimes() error {
-	type told struct {
-		name string
-		s    float64
+	type setting struct {
+		name    string
+		seconds float64
 	}
-	all := []told{{"policy_limits: max_retry_after_s", in.Limits.MaxRetry}, {"policy_limits: conn_idle_s", in.Limits.ConnIdle},
+	all := []setting{{"policy_limits: max_retry_after_s", in.Limits.MaxRetry}, {"policy_limits: conn_idle_s", in.Limits.ConnIdle},
 		{"policy_limits: connect_timeout_s", in.Limits.ConnectTimeout}, {"invariants: cold_s", in.Rules.ColdFor},
 		{"invariants: drain_grace_s", in.Rules.DrainGrace}, {"invariants: fall_s", in.Rules.FallFor},
 		{"invariants: must_ask_in_s", in.Rules.MustAskIn}}
 	for i, g := range in.Grades {
-		p := fmt.Sprintf("grades[%d] (%s): ", i, g.Name)
-		all = append(all, told{p + "aim_s", g.Aim}, told{p + "deadline_s", g.Deadline}, told{p + "repeat_window_s", g.Window})
+		path := fmt.Sprintf("grades[%d] (%s): ", i, g.Name)
+		all = append(all, setting{path + "aim_s", g.Aim}, setting{path + "deadline_s", g.Deadline}, setting{path + "repeat_window_s", g.Window})
 	}
 	for _, v := range all {
-		if math.Abs(v.s) > maxSettingSeconds {
-			return fmt.Errorf("%s: %v is out of range", v.name, v.s)
+		if math.Abs(v.seconds) > maxSettingSeconds {
+			return fmt.Errorf("%s: %v is out of range", v.name, v.seconds)
 		}
 	}
 	return nil
 }
 
-// AppendAction appends the line of one action of an instance.
+// AppendAction appends the line of one action of an instance to buf.
 func AppendAction(buf []byte, who int64, a *policy.Action) []byte {
 	switch a.Kind {
 	case policy.ActSend:
@@ -500,41 +519,44 @@
 	return append(buf, "]\n"...)
 }
 
-// AppendGiveIn appends the line that reports a broken instance.
+// AppendFault appends the line that reports a fault of an instance to buf.
 func AppendFault(buf []byte, who int64, message string) []byte {
 	return append(appendString(appendStart(buf, "give_in", who), message), "]\n"...)
 }
 
-// AppendDone appends the line that ends a reply.
+// AppendDone appends the line that ends a reply to buf.
 func AppendDone(buf []byte, batch int64) []byte {
 	return append(appendStart(buf, "done", batch), "]\n"...)
 }
 
+// appendStart appends the start of a line: its name and the number of the instance or batch.
 func appendStart(buf []byte, name string, n int64) []byte {
 	buf = append(append(append(buf, '[', '"'), name...), '"', ',')
 	return strconv.AppendInt(buf, n, 10)
 }
 
+// appendString appends a string field, and quotes it by JSON's rules only where it needs that.
 func appendString(buf []byte, s string) []byte {
 	buf = append(buf, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			quoted, _ := json.Marshal(s) // a string always marshals
+			quoted, _ := json.Marshal(s) // marshaling a string can't fail
 			return append(buf, quoted...)
 		}
 	}
 	return append(append(append(buf, '"'), s...), '"')
 }
 
+// appendSeconds appends a time as seconds, rounded up to a microsecond, so that no timer is set too early.
 func appendSeconds(buf []byte, t time.Duration) []byte {
 	return strconv.AppendFloat(append(buf, ','), math.Ceil(float64(t)/1e3)/1e6, 'f', -1, 64)
 }
 
-// maxReport is more than any figure of a load report can be.
+// maxReportValue is above any valid value of a load report.
 const maxReportValue = 1e6
 
-// DecodeLoad reads a load report that stands by itself, under this wire's names or the simulator's own. One figure
-// that makes no sense spoils the whole of it.
+// DecodeLoadReport decodes a load report that a response carries by itself, with the names of this protocol or with the
+// simulator's own. One invalid value makes the whole report invalid.
 func DecodeLoad(text string) (policy.Load, error) {
 	var in struct {
 		Depth      *float64 `json:"depth"`
@@ -549,16 +571,16 @@
 	}
 	for _, v := range []*float64{in.Depth, in.Queue, in.Concurrent, in.Inflight, in.Mean, in.Latency} {
 		if v != nil && !(*v >= 0 && *v <= maxReportValue) {
-			return policy.Load{}, fmt.Errorf("%v in a load report", *v)
+			return policy.Load{}, fmt.Errorf("load report value %v is out of range", *v)
 		}
 	}
-	first := func(none float64, values ...*float64) float64 {
+	first := func(missing float64, values ...*float64) float64 {
 		for _, v := range values {
 			if v != nil {
 				return *v
 			}
 		}
-		return none
+		return missing
 	}
 	l := policy.Load{Queue: first(-1, in.Depth, in.Queue), Held: first(-1, in.Concurrent, in.Inflight),
 		Work: max(first(0, in.Mean, in.Latency), 0) / 1e3}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// The decoder reuses its memory: one line must leave nothing behind in the next.
+// The decoder reuses its memory: no value of one line may appear in the message of the next.
 func TestDecoderKeepsNothingFromPreviousLine(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`["ended",3,"r",0,5,0.2,true,"Failed",{"depth":3}]`)); err != nil {
@@ -79,7 +79,7 @@
 	}
 	m, err := d.Decode([]byte(`["demand",3,"q","c",null,null,1]`))
 	if err != nil || m.Event.Last || m.Event.Load.Known || m.Event.Outcome != policy.OK {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("message after one with other fields: %+v, error %v", m, err)
 	}
 }
 
@@ -134,7 +134,7 @@
 		`["say_log",3,"a \"b\" é"]`:       {Kind: policy.ActLog, Text: `a "b" é`},
 	} {
 		if got := string(AppendAction(nil, 3, &a)); got != want+"\n" {
-			t.Errorf("got %swant %s", got, want)
+			t.Errorf("AppendAction returned %swant %s", got, want)
 		}
 	}
 	if got := string(AppendFault(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Whatever a line holds, decoding it ends in a message or in an error, and a started instance takes what it says.
+// Any line decodes to a message or to an error, and an instance that is running handles the message without a panic.
 func FuzzDecode(f *testing.F) {
 	for _, line := range []string{
 		createLine, `["round",8.41225,12]`, `["your_turn"]`, `["power_off",3]`, `["abandoned",5,"r-a"]`, `["tick_due",3,"tick"]`,
@@ -168,7 +168,7 @@
 		}
 		if m.Kind == Create {
 			if node, err = policy.New(m.Settings, m.Seed); err != nil {
-				return // refused with a reason
+				return // settings that the policy rejects
 			}
 		}
 		var buf []byte
@@ -180,8 +180,8 @@
 	})
 }
 
-// A report that makes no sense in one figure is ignored whole: taken in part, it would make a backend look idle or
-// crowded.
+// A load report with one invalid value must be ignored as a whole: the remaining values alone would make a web server
+// look idle or overloaded.
 func TestLoadReportWithAnInvalidValueIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		text  string
@@ -200,7 +200,7 @@
 	} {
 		l, err := DecodeLoad(c.text)
 		if (err == nil) != c.ok || c.ok && l.Queue != c.queue || l.Known != (c.ok && c.queue >= 0) {
-			t.Errorf("%s: %+v, %v", c.text, l, err)
+			t.Errorf("%s: load %+v, error %v", c.text, l, err)
 		}
 	}
 }
