--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -1,10 +1,12 @@
-// Package cell confines who can harm whom: each tenant is served by a small subset of the fleet of its own, so that one whose
-// requests wedge every server that they touch takes down its own subset and no other whole one.
+// Package cell limits how many web servers one tenant can harm. Each tenant is served by a small subset of the fleet,
+// so that a tenant whose requests wedge every server that handles them takes down its own subset and no other complete
+// one.
 //
-// Subsets are drawn by rendezvous hashing (Thaler and Ravishankar, 1998) as shuffle shards: each server's score for a tenant is
-// a hash of the two, and the best scores win. Every node that knows the same servers comes to the same subsets without talk;
-// when a server goes, only the tenants that had it get another, and one that comes takes from each tenant at most one place.
-// The package has no I/O, no clock and no randomness beyond the hash.
+// Subsets are chosen by rendezvous hashing (Thaler and Ravishankar, 1998) as shuffle shards: each server's score for a
+// tenant is a hash of the two, and the best scores win. All nodes that know the same servers choose the same subsets
+// without communicating. When a server is removed only the tenants that had it get another one, and a new server
+// replaces at most one server of each tenant's subset. The package has no I/O, no clock and no randomness beyond the
+// hash.
 package cell
 
 import (
@@ -16,22 +18,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Server is one that tenants can be placed on.
+// Server is a web server that tenants can be placed on.
 type Server struct {
-	ID   string // alike at every node
+	ID   string // the same at every node
 	Zone string
-	Pod  int64 // servers that fail together
+	Pod  int64 // servers of one pod fail together
 
-	Number uint32 // what its owner calls it; no part of the placement
+	Number uint32 // the caller's number for the server; does not affect the placement
 }
 
-// Plan is how tenants are placed.
+// Plan determines how tenants are placed.
 type Plan struct {
-	Size int    // servers a tenant; where there are no more, all
-	Seed uint64 // another one deals all anew
+	Size int    // servers per tenant; a tenant gets all servers if there are fewer
+	Seed uint64 // a different seed changes all subsets
 }
 
-// Check reports the first field that makes no sense, and why.
+// Check returns the first invalid field and the reason, or two empty strings.
+
 func (p Plan) Check() (field, why string) {
 	if p.Size < 1 || p.Size > 10000 {
 		return "size", fmt.Sprintf("%d is outside 1 to 10000", p.Size)
@@ -39,18 +42,19 @@
 	return "", ""
 }
 
-// Map places tenants on a set of servers. Whoever owns it keeps it up to date; it is not safe for concurrent use.
+// Map places tenants on a set of servers. It is not safe for concurrent use; its owner keeps the set up to date.
 type Map struct {
 	plan          Plan
 	servers       []Server
-	idHashes      []uint64       // of their ids
-	indexByID     map[string]int // of each in servers
-	zoneSizes     map[string]int // how many servers each has
-	zoneNames     []string       // of the zones, in order
-	serverHashSum uint64
+	idHashes      []uint64       // hash of the id of each element of servers
+	indexByID     map[string]int // index of each server in servers
+	zoneSizes     map[string]int // number of servers per zone
+	zoneNames     []string       // sorted
+	serverHashSum uint64         // sum of the servers' hashes, which does not depend on their order
 }
 
-// New makes a map. The order of the servers does not matter; of an id that comes twice the last counts.
+// NewMap returns a map of the servers, in any order. If an id occurs more than once the last one counts.
+
 func New(p Plan, servers ...Server) *Map {
 	m := &Map{plan: p, indexByID: make(map[string]int, len(servers)), zoneSizes: map[string]int{}}
 	for _, s := range servers {
@@ -59,7 +63,7 @@
 	return m
 }
 
-// Set enters a server, or what has changed of it.
+// Set adds a server, or updates it.
 func (m *Map) Set(s Server) {
 	if i, known := m.indexByID[s.ID]; known {
 		if m.servers[i] == s {
@@ -76,7 +80,7 @@
 	}
 }
 
-// Remove strikes a server off.
+// Remove removes a server.
 func (m *Map) Remove(id string) {
 	i, known := m.indexByID[id]
 	if !known {
@@ -94,38 +98,41 @@
 	}
 }
 
-// hash is a server's part of the version.
+// hash returns a server's contribution to the version.
 func (s *Server) hash() uint64 {
 	h := mix(xxhash.Sum64String(s.ID))
 	h = mix(h ^ xxhash.Sum64String(s.Zone))
 	return mix(h ^ uint64(s.Pod))
 }
 
-// Version tells two maps apart: nodes whose versions are alike place every tenant alike.
+// Version identifies the map's content: nodes with equal versions place every tenant equally.
 func (m *Map) Version() uint64 {
 	return mix(m.serverHashSum ^ mix(uint64(m.plan.Size)^mix(m.plan.Seed+1)))
 }
 
-// Len is how many servers there are.
+// Len returns the number of servers.
 func (m *Map) Len() int { return len(m.servers) }
 
+// scored is a server's index in Map.servers with its score for a tenant.
 type scored struct {
 	index int
 	score uint64
 }
 
-// Subset is the servers of a tenant, in the order of ids. They are spread evenly over the zones, and over pods within a zone
-// as far as it has other ones. It costs a hash a server and allocates: callers keep it while the version is the same.
+// Subset returns the servers of a tenant, ordered by id. They are spread evenly over the zones, and over the pods of a
+// zone as far as it has enough. It computes a hash per server and allocates; callers cache the result while the version
+// is the same.
 func (m *Map) Subset(tenant string) []Server {
 	return m.toServers(m.subset(xxhash.Sum64String(tenant)))
 }
 
+// subset returns the indexes of the servers of the tenant whose name has the given hash.
 func (m *Map) subset(key uint64) []int {
 	size := min(m.plan.Size, len(m.servers))
-	// Mostly a few of the best scores are all that is looked at: the others need not be put in order.
+	// Usually the best few scores are enough, and the others need not be sorted.
 	few := 64 + 16*uint64(size)
 	if n := uint64(len(m.servers)); n > 2*few {
-		if chosen, whole := m.choose(m.scores(key, math.MaxUint64-math.MaxUint64/n*few), size, key, true); whole {
+		if chosen, complete := m.choose(m.scores(key, math.MaxUint64-math.MaxUint64/n*few), size, key, true); complete {
 			return chosen
 		}
 	}
@@ -133,14 +140,14 @@
 	return chosen
 }
 
-// score is how high a server, by the hash of its id, stands with a tenant.
+// score returns the score for a tenant of the server whose id has the given hash.
 func (m *Map) score(key, id uint64) uint64 { return mix(key ^ mix(id^m.plan.Seed)) }
 
-// scores are those of the servers for a tenant that are at least so high, the best first.
-func (m *Map) scores(key, least uint64) []scored {
+// scores returns the servers whose score for a tenant is at least minScore, the best first.
+func (m *Map) scores(key, minScore uint64) []scored {
 	var all []scored
 	for i, h := range m.idHashes {
-		if s := m.score(key, h); s >= least {
+		if s := m.score(key, h); s >= minScore {
 			all = append(all, scored{i, s})
 		}
 	}
@@ -150,21 +157,22 @@
 	return all
 }
 
-// choose takes the best, but no more of a zone than its part, and first none of a pod that has one already; then, unless only
-// pods of their own will do, whatever the zone has. Whole: the subset has its size.
-func (m *Map) choose(best []scored, size int, key uint64, strictly bool) (chosen []int, whole bool) {
+// choose selects the servers with the best scores, but no more of a zone than its quota and at most one per pod and
+// zone. If distinctPods is false, it then fills the quotas with further servers of the same pods. complete reports
+// whether the subset has its full size.
+func (m *Map) choose(best []scored, size int, key uint64, distinctPods bool) (chosen []int, complete bool) {
 	quota := m.quotas(size, key)
 	taken := make([]bool, len(best))
-	type place struct {
+	type podInZone struct {
 		zone string
 		pod  int64
 	}
-	pods := map[place]bool{}
+	pods := map[podInZone]bool{}
 	for _, strict := range []bool{true, false} {
 		for k, c := range best {
 			s := &m.servers[c.index]
 			z := s.Zone
-			p := place{z, s.Pod}
+			p := podInZone{z, s.Pod}
 			if taken[k] || quota[z] == 0 || strict && pods[p] {
 				continue
 			}
@@ -174,13 +182,14 @@
 				return chosen, true
 			}
 		}
-		if strictly {
+		if distinctPods {
 			break
 		}
 	}
 	return chosen, false
 }
 
+// toServers returns the servers with the given indexes, ordered by id.
 func (m *Map) toServers(chosen []int) []Server {
 	out := make([]Server, len(chosen))
 	for i, k := range chosen {
@@ -190,20 +199,20 @@
 	return out
 }
 
-// quotas deals the places of a tenant's subset over the zones: evenly, those left over from another zone on for each tenant,
-// and what a small zone can't take to the others.
+// quotas divides a subset's size among the zones: evenly, with the remainder going to different zones for different
+// tenants, and with the share that a small zone can't provide going to the others.
 func (m *Map) quotas(size int, key uint64) map[string]int {
 	q := make(map[string]int, len(m.zoneNames))
-	for left, z := min(size, len(m.servers)), key%uint64(max(1, len(m.zoneNames))); left > 0; z++ {
+	for remaining, z := min(size, len(m.servers)), key%uint64(max(1, len(m.zoneNames))); remaining > 0; z++ {
 		if name := m.zoneNames[z%uint64(len(m.zoneNames))]; q[name] < m.zoneSizes[name] {
 			q[name]++
-			left--
+			remaining--
 		}
 	}
 	return q
 }
 
-// mix spreads a hash's bits (the finalizer of MurmurHash3, by Austin Appleby).
+// mix mixes the bits of a hash (the finalizer of MurmurHash3, by Austin Appleby).
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -212,8 +221,9 @@
 	return h ^ h>>33
 }
 
-// Shared is the chance that another tenant has exactly the same subset, by combinatorics: one in the product of the zones'
-// binomials, pods and what is left over of an even split left aside. It is what the measured share is held against.
+// SameSubsetProbability returns the probability that another tenant has exactly the same subset: one in the product of
+// the zones' binomial coefficients. It neglects pods and the remainder of an uneven split over the zones. The measured
+// overlap of subsets is compared with it.
 func (m *Map) Shared() float64 {
 	p := 1.0
 	for z, k := range m.quotas(m.plan.Size, 0) {
@@ -222,7 +232,7 @@
 	return p
 }
 
-// lgamma is the logarithm of n factorial.
+// logFactorial returns the logarithm of n factorial.
 func logFactorial(n int) float64 {
 	v, _ := math.Lgamma(float64(n) + 1)
 	return v
--- a/internal/cell/keys.go
+++ b/internal/cell/keys.go
@@ -6,36 +6,40 @@
 	"time"
 )
 
-// Keys remembers where keys may have run, so that what is in doubt by a Tenant's terms alone can be sent where the node
-// itself has sent it before. It holds a bounded number: past it the oldest is forgotten, and its repeats are in doubt
-// again; none is guessed. Not safe for concurrent use.
+// KeyTracker records to which pod idempotency keys were sent, so that a request whose placement is ambiguous by its
+// Tenant's moves alone can go where the node itself sent the key before. The number of keys is bounded. Beyond it the
+// oldest one is evicted, and its repeats are ambiguous again, rather than placed by a guess. It is not safe for
+// concurrent use.
 type KeyTracker struct {
 	maxKeys int
 	byKey   map[uint64]keyPlacement
-	order   []keyExpiry // a ring of most, oldest first
+	order   []keyExpiry // the keys from index first on, in the order in which they were sent
 	first   int
 	evicted int64
 }
 
+// keyPlacement is the pod that a key was sent to, and the end of the key's window.
 type keyPlacement struct {
 	pod   int64
 	until time.Duration
 }
 
+// keyExpiry is the end of the window of one send of a key.
 type keyExpiry struct {
 	key   uint64
 	until time.Duration
 }
 
-// NewKeys makes a memory for so many keys, at least one; 48 to 80 bytes each once it is full.
-func NewKeyTracker(most int) *KeyTracker {
-	return &KeyTracker{maxKeys: max(1, most), byKey: map[uint64]keyPlacement{}}
+// NewKeyTracker returns a KeyTracker for at least one and at most maxKeys keys, which take 48 to 80 bytes each once it
+// is full.
+func NewKeyTracker(maxKeys int) *KeyTracker {
+	return &KeyTracker{maxKeys: max(1, maxKeys), byKey: map[uint64]keyPlacement{}}
 }
 
-// Sent notes that a key was sent to a pod, where repeats of it are dropped for the window from its first send on.
+// Sent records that a key was sent to a pod, which drops repeats of it during the window after the first send.
 func (k *KeyTracker) Sent(now time.Duration, key uint64, pod int64, window time.Duration) {
 	if r, known := k.byKey[key]; known && now < r.until {
-		return // its window runs from the first
+		return // its window starts at the first send
 	}
 	for len(k.order) > k.first && now >= k.order[k.first].until {
 		k.dropOldest()
@@ -48,7 +52,7 @@
 	k.order = append(k.order, keyExpiry{key, now + window})
 }
 
-// drop forgets the oldest, unless it was sent anew after its time.
+// dropOldest removes the oldest entry, and its key unless that was sent again after the entry's window.
 func (k *KeyTracker) dropOldest() {
 	e := k.order[k.first]
 	if k.byKey[e.key].until == e.until {
@@ -60,20 +64,20 @@
 	}
 }
 
-// Find tells in which pod a key may have run within its window.
+// Find returns the pod in which a key may have run within its window.
 func (k *KeyTracker) Find(now time.Duration, key uint64) (pod int64, known bool) {
 	r, known := k.byKey[key]
 	return r.pod, known && now < r.until
 }
 
-// Kept is a key that is remembered.
+// KeyRecord is the stored form of a key.
 type Kept struct {
 	Key   uint64
 	Pod   int64
 	Until time.Duration
 }
 
-// All are those remembered whose time is not up.
+// All returns the keys whose window has not ended.
 func (k *KeyTracker) All(now time.Duration) (all []Kept) {
 	for key, r := range k.byKey {
 		if now < r.until {
@@ -83,14 +87,16 @@
 	return all
 }
 
-// Restore takes up what another process remembered.
+// Restore adds the keys that another process recorded.
 func (k *KeyTracker) Restore(now time.Duration, all []Kept) {
-	slices.SortFunc(all, func(a, b Kept) int { return cmp.Compare(a.Until, b.Until) }) // the oldest is forgotten first
+	slices.SortFunc(all, func(a, b Kept) int { return cmp.Compare(a.Until, b.Until) }) // the oldest is evicted first
 	for _, e := range all {
 		k.Sent(now, e.Key, e.Pod, e.Until-now)
 	}
 }
 
-// Len is how many are remembered, and Forgot how many were pushed out within their window, since the start.
-func (k *KeyTracker) Len() int       { return len(k.byKey) }
+// Len returns the number of keys.
+func (k *KeyTracker) Len() int { return len(k.byKey) }
+
+// Evicted returns how many keys have been evicted within their window since the start.
 func (k *KeyTracker) Evicted() int64 { return k.evicted }
--- a/internal/cell/move.go
+++ b/internal/cell/move.go
@@ -9,114 +9,125 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tenant is one whose cell is pinned to pods, and who moves from some to others. All that is decided of it follows from
-// these terms and the clock: nodes that have them agree without talk, and one that restarts comes to the same answer.
+// Tenant is a tenant whose cell is pinned to pods, with its moves from some pods to others. Its placement depends only
+// on these settings and the clock, so that nodes with the same settings agree without communicating, also after a
+// restart.
 //
-// Requests with a key go to the key's home, one of the pods: whatever node a repeat comes to, it looks for the key where
-// it may have run. At a cut homes change, and for a while nobody can tell a repeat of a key that ran in the old one from
-// a new key. Then only what is known is sent; see Place.
+// A request with an idempotency key goes to the key's home, which is one of the pods: whichever node gets a repeat, it
+// goes to the pod where the key may have run. At the cut of a move the homes change. For a while it can't be determined
+// whether a key ran in its former home or is new, and only requests with known keys are sent then; see Placer.Place.
 type Tenant struct {
 	Name  string
 	Pods  []int64
 	Moves []Move // in the order of time
 }
 
-// Move takes a tenant's requests, or those with keys of a range, to other pods. Times are Unix time.
+// Move moves a tenant's requests, or those whose keys are in a range, to other pods. Times are Unix time. Its steps
+// are:
 //
-//	prepare     nothing changes yet: every node has the time to read the new file
-//	both        requests without a key go to either side, those with one to the old
-//	(the cut)   all new requests go to the new side
-//	draining    repeats of keys that may have run on the old side go there, or nowhere
-//	drained     nothing of the old side is left
+//	prepare     nothing changes yet, so that every node has time to read the new file
+//	both        requests without a key go to either side, those with a key to the old side
+//	(the cut)   from here on all new requests go to the new side
+//	draining    repeats of keys that may have run on the old side go there, or are refused
+//	drained     the old side gets no requests any more
 type Move struct {
-	To            []int64
-	From, Below   float64 // the keys whose hash, as a part of all, lies in [From, Below); both 0: all, and requests without a key
+	To []int64
+	// The keys with a hash in [KeyFrom, KeyBelow), as a fraction of the range of hashes, are moved. If both are 0 all
+	// keys are moved, and requests without a key as well.
+	From, Below   float64
 	Start         time.Duration
 	Prepare, Both time.Duration
-	Stop          time.Duration // it stays in the step that it is in then, if that is before the cut; 0: it does not
-	Back          time.Duration // all returns to where it came from; 0: it does not
+	Stop          time.Duration // a move that has not reached its cut by then stays in its current step; 0 if not stopped
+	Back          time.Duration // all requests go back to where they came from; 0 if not reverted
 }
 
-// LeastPrepare is how long a move is prepared at least: nodes read a new file within that.
+// MinPrepare is the shortest time that a move can be prepared for. Nodes read a new file within it.
 const LeastPrepare = 10 * time.Second
 
-// Cut is when new requests go to the new side.
+// Cut returns when new requests start to go to the new side.
 func (m *Move) Cut() time.Duration { return m.Start + m.Prepare + m.Both }
 
-// cuts tells whether a move comes to its cut at all.
+// reachesCut reports whether a move reaches its cut at all.
 func (m *Move) reachesCut() bool {
 	return (m.Stop == 0 || m.Stop >= m.Cut()) && (m.Back == 0 || m.Back > m.Cut())
 }
 
+// movesAll reports whether a move is of all requests, not of a range of keys.
 func (m *Move) movesAll() bool { return m.From == 0 && m.Below == 0 }
 
+// covers reports whether a move is of the key with the given hash.
 func (m *Move) covers(key uint64) bool {
-	part := float64(key>>11) / (1 << 53)
-	return m.movesAll() || m.From <= part && part < m.Below
+	fraction := float64(key>>11) / (1 << 53)
+	return m.movesAll() || m.From <= fraction && fraction < m.Below
 }
 
-// end is the last instant at which a move changes anything by itself.
+// lastEffect returns the last time at which a move changes the placement.
 func (m *Move) lastEffect() time.Duration { return max(m.Cut(), m.Back) }
 
-// Check reports the first field that makes no sense, and why.
+// Check returns the first invalid field and the reason, or two empty strings.
 func (t *Tenant) Check() (field, why string) {
 	if len(t.Pods) == 0 {
-		return "pods", "missing: keys have their home in one of them"
+		return "pods", "missing: each key needs one of them as its home"
 	}
 	if !distinct(t.Pods) {
-		return "pods", "one is there twice"
+		return "pods", "contains a pod twice"
 	}
 	last := time.Duration(0)
 	for i := range t.Moves {
 		m := &t.Moves[i]
-		p := fmt.Sprintf("moves[%d].", i)
+		path := fmt.Sprintf("moves[%d].", i)
 		switch {
 		case len(m.To) == 0:
-			return p + "to", "missing"
+			return path + "to", "missing"
 		case !distinct(m.To):
-			return p + "to", "one is there twice"
+			return path + "to", "contains a pod twice"
 		case !(m.From >= 0 && m.Below <= 1 && m.From <= m.Below) || m.From == m.Below && !m.movesAll():
-			return p + "keys", fmt.Sprintf("%v to %v is no range within 0 to 1", m.From, m.Below)
+			return path + "keys", fmt.Sprintf("%v to %v is not a range within 0 to 1", m.From, m.Below)
 		case m.Start <= last:
-			return p + "start", "is not after the end of the move before"
+			return path + "start", "is not after the end of the previous move"
 		case m.Prepare < LeastPrepare:
-			return p + "prepare", fmt.Sprintf("%s is below %s: nodes that have not read the file yet would not take part", m.Prepare, LeastPrepare)
+			return path + "prepare", fmt.Sprintf("%s is below %s: nodes that have not read the file yet would not take part", m.Prepare, LeastPrepare)
 		case m.Both < 0 || m.Prepare > 24*time.Hour || m.Both > 24*time.Hour:
-			return p + "both", "prepare or both is outside 0 to 24h"
+			return path + "both", "prepare or both is outside 0 to 24h"
 		case m.Stop != 0 && m.Stop < m.Start:
-			return p + "stop", "is before the start"
+			return path + "stop", "is before the start"
 		case m.Back != 0 && m.Back < m.Start:
-			return p + "back", "is before the start"
+			return path + "back", "is before the start"
 		}
 		last = m.lastEffect()
 	}
 	return "", ""
 }
 
+// distinct reports whether no pod occurs twice.
 func distinct(pods []int64) bool {
 	s := slices.Sorted(slices.Values(pods))
 	return len(slices.Compact(s)) == len(pods)
 }
 
-// Step is how far a tenant's latest move is.
+// Step is the progress of a tenant's latest move. See Move for what happens in each step.
 type Step uint8
 
 const (
+	// Settled means that no move has started.
 	Settled Step = iota
 	Preparing
 	Both
 	Draining
 	Drained
-	Returning // draining after a way back
+	// Returning means that the move was reverted after its cut and its new side is drained.
+	Returning
+	// Returned means that the move was reverted, and nothing is left on its new side.
 	Returned
 )
 
 var stepNames = [...]string{"settled", "prepare", "both", "draining", "drained", "returning", "returned"}
 
+// String returns the step's name, as reports show it.
 func (s Step) String() string { return stepNames[s] }
 
-// Step tells how far the latest move is that has begun, where repeats are dropped for the window at most and clocks
-// differ by the skew.
+// Step returns the progress of the latest move that has started, and its index, or -1. Pods drop repeats of a key for
+// the window at most, and clocks differ by the skew.
 func (t *Tenant) Step(now, window, skew time.Duration) (step Step, move int) {
 	move = -1
 	for i := range t.Moves {
@@ -142,7 +153,7 @@
 	case m.Back != 0 && now >= m.Back && m.reachesCut():
 		return drained(m.Back, Returning, Returned), move
 	case m.Back != 0 && now >= m.Back:
-		return Returned, move // nothing had left
+		return Returned, move // reverted before the cut: nothing was moved
 	case at < m.Start+m.Prepare:
 		return Preparing, move
 	case at < m.Cut() || !m.reachesCut():
@@ -151,13 +162,14 @@
 	return drained(m.Cut(), Draining, Drained), move
 }
 
-// change is an instant from which on new requests go to other pods.
+// podChange is a time from which new requests go to other pods.
 type podChange struct {
 	at   time.Duration
 	pods []int64
 }
 
-// changes are those that concern a key, or requests without one, in the order of time; the first is the beginning.
+// podChanges appends the changes that affect a key, or requests without one, in the order of time. The first is the
+// beginning.
 func (t *Tenant) podChanges(key uint64, keyed bool, into []podChange) []podChange {
 	into = append(into, podChange{-1 << 62, t.Pods})
 	for i := range t.Moves {
@@ -174,24 +186,24 @@
 	return into
 }
 
-// Doubt says whose clients can be believed, and how well nodes agree on the time.
+// Assumptions state what placement may assume about clients and about the nodes' clocks.
 type Doubt struct {
-	Marked bool          // a client's repeat of an earlier try is always marked as one
-	Skew   time.Duration // clocks of any two nodes differ by at most this
+	Marked bool          // clients always mark a repeat of an earlier request as such
+	Skew   time.Duration // the clocks of any two nodes differ by at most this
 }
 
-// Place is where a request may go.
+// Placement is the set of pods that a request may go to.
 type Placement struct {
-	Pods      []int64 // it may go to these
-	NewPods   []int64 // and to these: both sides of a move
-	KeyBound  bool    // it carries a key that binds it, and Pods is its home alone
-	Ambiguous bool    // nobody can tell where its key may have run: it must be turned away
+	Pods      []int64 // the request may go to these
+	NewPods   []int64 // and to these, the new side of a move, while it is on both sides
+	KeyBound  bool    // the request has a key that binds it, and Pods contains only its home
+	Ambiguous bool    // it can't be determined where the key may have run, and the request must be refused
 }
 
-// Free is where a request goes that no key binds.
+// PlaceUnkeyed places a request that no key binds.
 func (t *Tenant) PlaceUnkeyed(now time.Duration) Placement {
-	var room [8]podChange
-	all := t.podChanges(0, false, room[:0])
+	var buffer [8]podChange
+	all := t.podChanges(0, false, buffer[:0])
 	i := latestChange(all, now)
 	p := Placement{Pods: all[i].pods}
 	if step, move := t.Step(now, 0, 0); step == Both && t.Moves[move].movesAll() {
@@ -200,20 +212,20 @@
 	return p
 }
 
-// Bound is where a request goes with a key, of which repeats are dropped within a pod for the window. Where a change lies
-// so near that the key may have run on either side, and its home is not the same on both, a first try goes by this node's
-// clock if clients mark their repeats; a repeat, or what may be one, is in doubt.
-func (t *Tenant) PlaceKeyed(now time.Duration, key uint64, window time.Duration, repeat bool, d Doubt) Placement {
-	var room [8]podChange
-	all := t.podChanges(key, true, room[:0])
+// PlaceKeyed places a request with a key of which repeats are dropped within a pod during the window. If a change of
+// the key's home is so close that the key may have run on either side, a first request is placed by this node's clock
+// provided that clients mark their repeats. The placement of a repeat, or of a request that may be one, is ambiguous.
+func (t *Tenant) PlaceKeyed(now time.Duration, key uint64, window time.Duration, repeat bool, a Doubt) Placement {
+	var buffer [8]podChange
+	all := t.podChanges(key, true, buffer[:0])
 	i := latestChange(all, now)
 	home := Home(key, all[i].pods)
 	p := Placement{Pods: []int64{home}, KeyBound: true}
-	if d.Marked && !repeat {
+	if a.Marked && !repeat {
 		return p
 	}
 	// Another node's clock may be ahead or behind by the skew.
-	for k := latestChange(all, now-drainTime(window)-d.Skew); k <= latestChange(all, now+d.Skew); k++ {
+	for k := latestChange(all, now-drainTime(window)-a.Skew); k <= latestChange(all, now+a.Skew); k++ {
 		if Home(key, all[k].pods) != home {
 			p.Ambiguous = true
 		}
@@ -221,11 +233,12 @@
 	return p
 }
 
-// drain is how long the old side is drained: repeats of a key that was sent before the cut go there for a window, and the
-// last of them may be the first that runs, from which on its pod drops others for a window more.
+// drainTime returns how long the old side of a move is drained: repeats of a key that was sent before the cut go there
+// during a window, and the last of them may be the first that runs, after which its pod drops repeats for another
+// window.
 func drainTime(window time.Duration) time.Duration { return 2 * window }
 
-// latest is the last change that has come by then.
+// latestChange returns the index of the last change that is not after now.
 func latestChange(all []podChange, now time.Duration) int {
 	i := len(all) - 1
 	for all[i].at > now {
@@ -234,27 +247,27 @@
 	return i
 }
 
-// Key is a tenant's key as a number. Of 100,000 keys two are taken for one with a chance of 3e-10; such a one goes to the
-// other's pod.
+// KeyHash returns the hash of a tenant's key. Among 100,000 keys two have the same hash with a probability of 3e-10;
+// one of them then goes to the pod of the other.
 func Key(tenant, key string) uint64 {
 	return mix(xxhash.Sum64String(tenant) ^ mix(xxhash.Sum64String(key)))
 }
 
-// Home is the pod of a key, by rendezvous hashing: a pod that is in both of two lists keeps its keys, but for those that
-// a new one wins.
+// HomePod returns the pod of a key, chosen by rendezvous hashing: if the list of pods changes, a pod that stays keeps
+// its keys, except those that a new pod wins.
 func Home(key uint64, pods []int64) int64 {
 	return slices.MaxFunc(pods, func(a, b int64) int {
 		return cmp.Or(cmp.Compare(mix(key^mix(uint64(a)+1)), mix(key^mix(uint64(b)+1))), cmp.Compare(a, b))
 	})
 }
 
-// Within is the map of those servers that are in the pods.
+// InPods returns a map of the servers that are in the given pods.
 func (m *Map) InPods(pods ...int64) *Map {
-	var of []Server
+	var matching []Server
 	for _, s := range m.servers {
 		if slices.Contains(pods, s.Pod) {
-			of = append(of, s)
+			matching = append(matching, s)
 		}
 	}
-	return New(m.plan, of...)
+	return New(m.plan, matching...)
 }
--- a/internal/cell/placer.go
+++ b/internal/cell/placer.go
@@ -11,76 +11,85 @@
 )
 
 const (
-	maxTenants          = 10000            // tenants whose subsets and troubles are remembered; past it all begin anew
-	trafficTimeConstant = 10 * time.Second // what a tenant did fades over this
-	minHarmfulAttempts  = 2                // a tenant with so many broken or unanswered attempts lately,
-	minHarmfulShare     = 0.05             // and this part of all, may be what breaks servers
+	// maxTenants limits the tenants whose subsets and traffic are stored. Beyond it all of them are discarded and start
+	// anew.
+	maxTenants = 10000
+	// trafficTimeConstant is the time constant with which a tenant's traffic figures decay.
+	trafficTimeConstant = 10 * time.Second
+	// minHarmfulAttempts is how many recent attempts must have been reset or timed out for a tenant to count as
+	// harmful, that is as one that may break servers.
+	minHarmfulAttempts = 2
+	// minHarmfulShare is the share of a tenant's recent attempts that must have been reset or timed out as well.
+	minHarmfulShare = 0.05
 )
 
-// Terms are what a Placer goes by.
+// Settings are the settings of a Placer.
 type Terms struct {
 	Plan
-	Tenants []Tenant // those that are pinned; checked
+	Tenants []Tenant // the pinned tenants; checked by Tenant.Check
 	Doubt   Doubt
-	Memory  int     // keys that are remembered
-	Spill   float64 // part of a tenant's requests, at each node, that may go to its neighbour where its own cell takes none
+	Memory  int // number of keys that are recorded
+	// SpillShare is the share of a tenant's requests, at each node, that may go to its neighbor cell if no server of its
+	// own cell accepts them.
+	Spill float64
 }
 
-// Request is what placement asks of a request.
+// Request is the part of a request that determines its placement.
 type Request struct {
 	Tenant, Key string
-	Window      time.Duration // repeats of its key are dropped within a pod for so long; 0: no key binds it
-	Repeat      bool          // its client says that it is one
+	Window      time.Duration // how long a pod drops repeats of the key; 0 if no key binds the request
+	Repeat      bool          // the client marked the request as a repeat
 }
 
-// Placer says where each request of a node may go. It holds what is known of the servers and of where keys may have run.
-// Not safe for concurrent use; it has no clock, and its times are Unix time.
+// Placer decides to which servers each request of a node may go. It holds the known servers, and where keys may have
+// run. It is not safe for concurrent use. It has no clock; times are Unix time.
 type Placer struct {
 	settings  Terms
 	serverMap *Map
 	tenants   map[string]*Tenant
 	keys      *KeyTracker
-	maxWindow time.Duration // the longest seen
+	maxWindow time.Duration // the longest window seen
 	subsets   map[subsetKey]*subset
 	traffic   map[string]*tenantTraffic
 }
 
-// subject is what a subset is for.
+// subsetKey identifies a cached subset.
 type subsetKey struct {
 	tenant        string
-	pods, newPods *int64 // the lists, by where they stand in the terms; nil: none
-	keyBound      bool   // to a key's home:
-	home          int64
-	neighbor      bool
+	pods, newPods *int64 // the lists of pods, identified by the address of their first element in the settings; nil if not used
+	keyBound      bool   // the subset is of the servers in a key's home
+	home          int64  // the home, if keyBound is set
+	neighbor      bool   // the subset is the tenant's neighbor cell
 }
 
+// subset is a cached subset, with what decides whether a change of a server affects it.
 type subset struct {
 	servers  []uint32
-	pods     []int64 // it has servers of these alone; nil: of all
+	pods     []int64 // the subset is restricted to these pods and newPods; nil if it may have any server
 	newPods  []int64
 	hash     uint64
-	minScore uint64 // a server that is new to the map and scores no more changes nothing
+	minScore uint64 // a new server with a lower score does not change the subset
 }
 
-// has tells whether it is of a pod's servers.
+// includesPod reports whether the subset is restricted to pods that include the given one.
 func (v *subset) includesPod(pod int64) bool {
 	return slices.Contains(v.pods, pod) || slices.Contains(v.newPods, pod)
 }
 
-// traffic is what a tenant did lately.
+// tenantTraffic holds a tenant's recent traffic. The counts decay with trafficTimeConstant and are as of the time at.
 type tenantTraffic struct {
 	at                                           time.Duration
 	requests, spilled, attempts, harmfulAttempts float64
 }
 
-// NewPlacer makes one that knows no server yet.
+// NewPlacer returns a Placer without servers.
 func NewPlacer(t Terms) *Placer {
 	p := &Placer{serverMap: New(t.Plan), keys: NewKeyTracker(t.Memory)}
 	p.Change(t)
 	return p
 }
 
-// Change puts other terms in force. What is known of servers and keys stays.
+// Reconfigure puts other settings in force. The known servers and keys stay.
 func (p *Placer) Change(t Terms) {
 	if t.Plan != p.serverMap.plan {
 		p.serverMap = New(t.Plan, p.serverMap.servers...)
@@ -93,8 +102,8 @@
 	p.keys.maxKeys = max(1, t.Memory)
 }
 
-// Set enters a server, or what has changed of it. A subset that it does not touch is kept, so that one line of a long list
-// costs a hash a tenant and no walk of the servers.
+// Set adds a server, or updates it. Subsets that it does not affect stay cached, so that one entry of a long server
+// list costs a hash per tenant and no pass over all servers.
 func (p *Placer) Set(s Server) {
 	if i, known := p.serverMap.indexByID[s.ID]; known {
 		if p.serverMap.servers[i] == s {
@@ -105,15 +114,15 @@
 	zones := len(p.serverMap.zoneNames)
 	p.serverMap.Set(s)
 	id := xxhash.Sum64String(s.ID)
-	crowded := len(p.serverMap.zoneNames) == zones && p.serverMap.zoneSizes[s.Zone] > p.settings.Size // quotas do not change
+	quotasStay := len(p.serverMap.zoneNames) == zones && p.serverMap.zoneSizes[s.Zone] > p.settings.Size
 	for k, v := range p.subsets {
-		if v.pods == nil && (!crowded || p.serverMap.score(v.hash, id) >= v.minScore) || v.includesPod(s.Pod) {
+		if v.pods == nil && (!quotasStay || p.serverMap.score(v.hash, id) >= v.minScore) || v.includesPod(s.Pod) {
 			delete(p.subsets, k)
 		}
 	}
 }
 
-// Remove strikes a server off.
+// Remove removes a server.
 func (p *Placer) Remove(id string) {
 	i, known := p.serverMap.indexByID[id]
 	if !known {
@@ -121,20 +130,20 @@
 	}
 	s := p.serverMap.servers[i]
 	p.serverMap.Remove(id)
-	crowded := p.serverMap.zoneSizes[s.Zone] >= p.settings.Size
+	quotasStay := p.serverMap.zoneSizes[s.Zone] >= p.settings.Size
 	for k, v := range p.subsets {
-		if v.pods == nil && !crowded || slices.Contains(v.servers, s.Number) || v.includesPod(s.Pod) {
+		if v.pods == nil && !quotasStay || slices.Contains(v.servers, s.Number) || v.includesPod(s.Pod) {
 			delete(p.subsets, k)
 		}
 	}
 }
 
-// Keys are the keys that are remembered.
+// Keys returns the tracker of the keys that were sent.
 func (p *Placer) Keys() *KeyTracker { return p.keys }
 
-// Place tells to which servers, by their numbers, a request may go; the list is not to be changed. Doubt: its key may have
-// run where nobody can tell, and it must be turned away.
-func (p *Placer) Place(now time.Duration, r *Request) (among []uint32, doubt bool) {
+// Place returns the numbers of the servers that a request may go to, in a list that must not be modified. If ambiguous
+// is true, it can't be determined where the request's key may have run, and the request must be refused.
+func (p *Placer) Place(now time.Duration, r *Request) (candidates []uint32, ambiguous bool) {
 	p.recentTraffic(now, r.Tenant).requests++
 	t := p.tenants[r.Tenant]
 	if t == nil {
@@ -161,14 +170,14 @@
 	return p.subset(subsetKey{tenant: r.Tenant, keyBound: true, home: home}, []int64{home}, nil), false
 }
 
-// Sent notes that a request was sent to a server of the pod.
+// Sent records that a request was sent to a server of the pod.
 func (p *Placer) Sent(now time.Duration, r *Request, pod int64) {
 	if r.Window > 0 && r.Key != "" && p.tenants[r.Tenant] != nil {
 		p.keys.Sent(now, Key(r.Tenant, r.Key), pod, r.Window)
 	}
 }
 
-// Ended notes how an attempt of a tenant ended. It is a harm if the connection broke, or nothing came in time.
+// Ended records how an attempt of a tenant ended. An attempt that was reset or timed out counts as harmful.
 func (p *Placer) Ended(now time.Duration, tenant string, o policy.Outcome) {
 	t := p.recentTraffic(now, tenant)
 	t.attempts++
@@ -177,9 +186,10 @@
 	}
 }
 
-// Spill tells where a request may go that its own cell did not take and that was sent nowhere; nil: nowhere. It is the
-// tenant's neighbour, always the same: where harm follows nevertheless, it stops there. Nothing spills whose key is bound or
-// whose tenant is pinned, and no tenant does whose attempts broke lately: it can't be told from one that breaks servers.
+// Spill returns the servers for a request that no server of its own cell accepted and that was sent nowhere; nil means
+// none. They are the tenant's neighbor cell, which is always the same, so that harm can't spread beyond it. Requests
+// that a key binds or of pinned tenants do not spill, nor do those of a tenant whose attempts were recently harmful,
+// because it may be one that breaks servers.
 func (p *Placer) Spill(now time.Duration, r *Request) []uint32 {
 	t := p.recentTraffic(now, r.Tenant)
 	if r.Window > 0 || p.tenants[r.Tenant] != nil || t.harmful() || t.spilled+1 > p.settings.Spill*t.requests {
@@ -193,11 +203,12 @@
 	return s
 }
 
+// harmful reports whether enough of the recent attempts were harmful for the tenant not to spill.
 func (t *tenantTraffic) harmful() bool {
 	return t.harmfulAttempts >= minHarmfulAttempts && t.harmfulAttempts >= minHarmfulShare*t.attempts
 }
 
-// note is what a tenant did lately, faded to now.
+// recentTraffic returns a tenant's traffic, decayed to now.
 func (p *Placer) recentTraffic(now time.Duration, tenant string) *tenantTraffic {
 	t := p.traffic[tenant]
 	if t == nil {
@@ -214,15 +225,15 @@
 	return t
 }
 
-// subset works one out, or has it.
-func (p *Placer) subset(s subsetKey, pods, also []int64) []uint32 {
+// subset returns a subset from the cache, or computes it.
+func (p *Placer) subset(s subsetKey, pods, newPods []int64) []uint32 {
 	if v := p.subsets[s]; v != nil {
 		return v.servers
 	}
 	if len(p.subsets) >= maxTenants {
 		clear(p.subsets)
 	}
-	v := &subset{servers: []uint32{}, pods: pods, newPods: also} // none is not all
+	v := &subset{servers: []uint32{}, pods: pods, newPods: newPods} // an empty list means no server, nil would mean all
 	tenant := s.tenant
 	if s.neighbor {
 		tenant += "\x00neighbour"
@@ -236,10 +247,10 @@
 			v.minScore = min(v.minScore, p.serverMap.score(v.hash, p.serverMap.idHashes[i]))
 		}
 		if len(chosen) < p.settings.Size || p.sharesPod(chosen) {
-			v.minScore = 0 // whatever comes may be better
+			v.minScore = 0 // a new server may be better at any score
 		}
 	} else {
-		for _, o := range p.pinnedServers(tenant, pods, also) {
+		for _, o := range p.pinnedServers(tenant, pods, newPods) {
 			v.servers = append(v.servers, o.Number)
 		}
 	}
@@ -247,10 +258,10 @@
 	return v.servers
 }
 
-// pinned are a tenant's servers in one list of pods, and those in another.
-func (p *Placer) pinnedServers(tenant string, pods, also []int64) []Server {
+// pinnedServers returns the subset of a tenant in one list of pods, together with its subset in another list.
+func (p *Placer) pinnedServers(tenant string, pods, newPods []int64) []Server {
 	out := p.serverMap.InPods(pods...).Subset(tenant)
-	for _, o := range p.serverMap.InPods(also...).Subset(tenant) {
+	for _, o := range p.serverMap.InPods(newPods...).Subset(tenant) {
 		if !slices.Contains(out, o) {
 			out = append(out, o)
 		}
@@ -258,7 +269,8 @@
 	return out
 }
 
-// doubled tells whether two of a subset share a pod of a zone, so that one of another pod is better at any score.
+// sharesPod reports whether two servers of a subset are in the same pod of a zone, so that one of another pod is better
+// at any score.
 func (p *Placer) sharesPod(chosen []int) bool {
 	for i, a := range chosen {
 		for _, b := range chosen[:i] {
@@ -270,24 +282,24 @@
 	return false
 }
 
-// Version tells two nodes' placements apart, as far as servers go.
+// Version identifies the known servers and the plan: nodes with equal versions place unpinned tenants equally.
 func (p *Placer) Version() uint64 { return p.serverMap.Version() }
 
-// Report is how a tenant's cell stands.
+// Report describes a tenant's cell.
 type Report struct {
 	Servers  []Server
-	Shared   float64 // chance that another unpinned tenant has the same subset
-	Pods     []int64 // it is pinned to
-	Also     []int64
+	Shared   float64 // probability that another unpinned tenant has the same subset; 0 for a pinned tenant
+	Pods     []int64 // pods that the tenant is pinned to
+	Also     []int64 // pods of the new side of a move, while requests go to both sides
 	Step     Step
-	Keys     int   // remembered, of all tenants together
-	Forgot   int64 // since the start
-	Spilt    float64
-	Requests float64 // both lately, fading over 10 s
-	Harmful  bool    // nothing of it spills
+	Keys     int     // number of recorded keys of all tenants
+	Forgot   int64   // keys evicted within their window since the start
+	Spilt    float64 // recent requests that went to the neighbor cell, decaying over 10 s
+	Requests float64 // recent requests, decaying over 10 s
+	Harmful  bool    // recent attempts were harmful, and no requests spill
 }
 
-// Report tells of a tenant.
+// Report describes a tenant's cell.
 func (p *Placer) Report(now time.Duration, tenant string) Report {
 	r := Report{Keys: p.keys.Len(), Forgot: p.keys.Evicted(), Shared: p.serverMap.Shared()}
 	if t := p.tenants[tenant]; t != nil {
--- a/internal/cell/tenants.go
+++ b/internal/cell/tenants.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// Change is what becomes of tenants that are pinned. It costs by what is in it, not by how many there are.
+// Change is a change of the pinned tenants. Applying it takes time that depends on its size, not on the number of
+// tenants.
 type Change struct {
-	Put  []Tenant // new ones, or what is stated now of those that are there; checked (Tenant.Check)
-	Gone []string // names; such a tenant is pinned no more. One that is not is of no interest
+	Put  []Tenant // tenants that are new or have changed; checked by Tenant.Check
+	Gone []string // names of tenants that are not pinned any more; names that are not pinned are ignored
 }
 
-// Apply puts a change in force. The subsets of other tenants stay, as does what is known of servers and keys: what a key of a tenant
-// was sent to is remembered, also while it is pinned no more.
+// Apply applies a change. The subsets of other tenants stay cached, and the known servers and keys stay: where a
+// tenant's keys were sent remains recorded also while the tenant is not pinned.
 func (p *Placer) Apply(c *Change) {
 	for _, name := range c.Gone {
 		p.unpin(name)
@@ -23,7 +24,8 @@
 	}
 }
 
-// Tenants are those that are pinned, in the order of their names, as Terms has them: for other terms under which they are to stay.
+// Tenants returns the pinned tenants in the order of their names, in the form of Settings.Tenants, for new settings
+// that keep them.
 func (p *Placer) Tenants() []Tenant {
 	out := make([]Tenant, 0, len(p.tenants))
 	for _, t := range p.tenants {
@@ -33,8 +35,8 @@
 	return out
 }
 
-// unpin takes a pinned tenant's terms away, and with them the subsets that go by its lists of pods. Those by a key's home, or by no
-// list, do not depend on its terms.
+// unpin removes a pinned tenant, and the cached subsets that depend on its lists of pods. Subsets by a key's home, or
+// without a list of pods, do not depend on the tenant's settings.
 func (p *Placer) unpin(name string) {
 	t := p.tenants[name]
 	if t == nil {
@@ -54,8 +56,8 @@
 		return
 	}
 	for _, pods := range lists[1:] {
-		for _, also := range lists {
-			delete(p.subsets, subsetKey{tenant: name, pods: pods, newPods: also})
+		for _, newPods := range lists {
+			delete(p.subsets, subsetKey{tenant: name, pods: pods, newPods: newPods})
 		}
 	}
 }
--- a/internal/cell/tenants_test.go
+++ b/internal/cell/tenants_test.go
@@ -9,58 +9,59 @@
 	"pgregory.net/rapid"
 )
 
-// A placer whose tenants change in place places as one does that is made anew, while servers come and go as well.
+// A placer whose pinned tenants are changed in place must place requests as a new placer does, also while servers are
+// added and removed.
 func TestChangedPlacerEqualsNewPlacer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := Terms{Plan: Plan{Size: rapid.IntRange(1, 4).Draw(t, "size")}, Doubt: Doubt{Marked: true, Skew: second}, Memory: 1000}
-		kept, there, servers := NewPlacer(plain), map[string]Tenant{}, map[string]Server{}
+		updated, tenants, servers := NewPlacer(plain), map[string]Tenant{}, map[string]Server{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "tenant"))
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
-				kept.Apply(&Change{Gone: []string{name}})
-				delete(there, name)
+				updated.Apply(&Change{Gone: []string{name}})
+				delete(tenants, name)
 			case 1:
 				tenant := Tenant{Name: name, Pods: rapid.SliceOfNDistinct(rapid.Int64Range(1, 6), 1, 3, rapid.ID).Draw(t, "pods")}
-				if rapid.Bool().Draw(t, "moves") {
+				if rapid.Bool().Draw(t, "with a move") {
 					tenant.Moves = []Move{{To: rapid.SliceOfNDistinct(rapid.Int64Range(1, 6), 1, 3, rapid.ID).Draw(t, "to"), Start: 100 * second, Prepare: 10 * second, Both: 20 * second}}
 				}
 				if field, why := tenant.Check(); field != "" {
 					t.Fatal(field, why)
 				}
-				kept.Apply(&Change{Put: []Tenant{tenant}})
-				there[name] = tenant
+				updated.Apply(&Change{Put: []Tenant{tenant}})
+				tenants[name] = tenant
 			default:
 				n := rapid.IntRange(0, 20).Draw(t, "id")
 				s := Server{ID: fmt.Sprint("s-", n), Number: uint32(n), Zone: fmt.Sprint("z", n%2), Pod: rapid.Int64Range(1, 6).Draw(t, "pod")}
-				if rapid.IntRange(0, 3).Draw(t, "goes") == 0 {
-					kept.Remove(s.ID)
+				if rapid.IntRange(0, 3).Draw(t, "remove") == 0 {
+					updated.Remove(s.ID)
 					delete(servers, s.ID)
 				} else {
-					kept.Set(s)
+					updated.Set(s)
 					servers[s.ID] = s
 				}
 			}
-			terms := plain
+			settings := plain
 			for _, n := range []string{"t0", "t1", "t2", "t3"} {
-				if v, pinned := there[n]; pinned {
-					terms.Tenants = append(terms.Tenants, v)
+				if v, pinned := tenants[n]; pinned {
+					settings.Tenants = append(settings.Tenants, v)
 				}
 			}
-			anew := NewPlacer(terms)
+			fresh := NewPlacer(settings)
 			for _, s := range servers {
-				anew.Set(s)
+				fresh.Set(s)
 			}
-			if got, want := len(kept.Tenants()), len(anew.Tenants()); got != want {
-				t.Fatalf("%d are pinned, want %d", got, want)
+			if got, want := len(updated.Tenants()), len(fresh.Tenants()); got != want {
+				t.Fatalf("%d tenants are pinned, want %d", got, want)
 			}
 			at := time.Duration([]int{50, 115, 160}[step%3]) * second
 			for i := range 4 {
-				for _, ask := range []Request{{Tenant: fmt.Sprint("t", i)}, {Tenant: fmt.Sprint("t", i), Key: "k", Window: 12 * second}} {
-					got, doubt := kept.Place(at, &ask)
-					want, doubted := anew.Place(at, &ask)
-					if doubt != doubted || !slices.Equal(slices.Sorted(slices.Values(got)), slices.Sorted(slices.Values(want))) {
-						t.Fatalf("%+v at %v: %v, made anew %v", ask, at, got, want)
+				for _, request := range []Request{{Tenant: fmt.Sprint("t", i)}, {Tenant: fmt.Sprint("t", i), Key: "k", Window: 12 * second}} {
+					got, ambiguous := updated.Place(at, &request)
+					want, wantAmbiguous := fresh.Place(at, &request)
+					if ambiguous != wantAmbiguous || !slices.Equal(slices.Sorted(slices.Values(got)), slices.Sorted(slices.Values(want))) {
+						t.Fatalf("%+v at %v: updated placer %v, new placer %v", request, at, got, want)
 					}
 				}
 			}
@@ -68,8 +69,8 @@
 	})
 }
 
-// One tenant's change keeps the subsets of all others and what is known of keys, leaves none of its own lists behind, and what is
-// remembered of a key holds when its tenant is pinned again.
+// A change of one tenant must keep the cached subsets of all others and the recorded keys, and leave no cached subset
+// of the tenant's former lists of pods. A recorded key must still apply when its tenant is pinned again.
 func TestApplyAffectsOnlyItsTenant(t *testing.T) {
 	p := NewPlacer(testSettings(6, 0))
 	pods := map[uint32]int64{}
@@ -80,9 +81,9 @@
 	}
 	pinned := Tenant{Name: "gulf", Pods: []int64{1, 2}, Moves: []Move{{To: []int64{3}, Start: 100 * second, Prepare: 10 * second, Both: 20 * second}}}
 	p.Apply(&Change{Put: []Tenant{pinned}})
-	ask := &Request{Tenant: "gulf", Key: "k", Window: 12 * second, Repeat: true}
-	home, _ := p.Place(50*second, ask)
-	p.Sent(50*second, ask, pods[home[0]])
+	repeat := &Request{Tenant: "gulf", Key: "k", Window: 12 * second, Repeat: true}
+	home, _ := p.Place(50*second, repeat)
+	p.Sent(50*second, repeat, pods[home[0]])
 	for _, at := range []time.Duration{50, 115, 160} {
 		p.Place(at*second, &Request{Tenant: "gulf"})
 	}
@@ -101,29 +102,30 @@
 		p.Apply(&Change{Put: []Tenant{pinned}})
 		for _, id := range serversOf(p.Place(50*second, &Request{Tenant: "gulf"})) {
 			if pods[id] != 4 && pods[id] != 5 {
-				t.Errorf("pinned to pods 4 and 5, it goes to pod %d", pods[id])
+				t.Errorf("the tenant is pinned to pods 4 and 5, and its request goes to pod %d", pods[id])
 			}
 		}
-		if at, doubt := p.Place(51*second, ask); doubt || !slices.Equal(at, home) {
-			t.Errorf("a key that was sent: %v, %v", at, doubt)
+		if at, ambiguous := p.Place(51*second, repeat); ambiguous || !slices.Equal(at, home) {
+			t.Errorf("recorded key: servers %v, ambiguous %v", at, ambiguous)
 		}
 		p.Apply(&Change{Gone: []string{"gulf", "none"}})
 		if got := serversOf(p.Place(50*second, &Request{Tenant: "gulf"})); len(got) != 6 {
-			t.Errorf("pinned no more, it has %v", got)
+			t.Errorf("the tenant is not pinned any more, and its subset is %v", got)
 		}
 	}
-	left := 0
+	stale := 0
 	for s, v := range p.subsets {
 		if s.tenant != "gulf" {
 			delete(others, v)
 		} else if s.pods != nil {
-			left++
+			stale++
 		}
 	}
-	if len(others) != 0 || left != 0 {
-		t.Errorf("%d subsets of others are worked out anew; %d of its old lists stay", len(others), left)
+	if len(others) != 0 || stale != 0 {
+		t.Errorf("%d subsets of other tenants were computed anew; %d of the tenant's former lists are still cached", len(others), stale)
 	}
-	// With very many moves, and few subsets, its own are found the other way round.
+	// A tenant with many more moves than there are cached subsets takes the other branch of unpin, which walks the
+	// subsets.
 	many := Tenant{Name: "gulf", Pods: []int64{1}}
 	for i := range 20 {
 		many.Moves = append(many.Moves, Move{To: []int64{int64(i%6) + 1}, Start: time.Duration(200+100*i) * second, Prepare: 10 * second})
@@ -134,12 +136,13 @@
 	p.Apply(&Change{Gone: []string{"gulf"}})
 	for s := range p.subsets {
 		if s.tenant == "gulf" && s.pods != nil {
-			t.Error("a subset of its old lists stays")
+			t.Error("a subset of the tenant's former lists is still cached")
 		}
 	}
 	if got := p.Tenants(); len(got) != 1 || got[0].Name != "valley" {
-		t.Errorf("%+v", got)
+		t.Errorf("pinned tenants at the end: %+v", got)
 	}
 }
 
-func serversOf(among []uint32, _ bool) []uint32 { return among }
+// serversOf returns the servers of a placement and ignores whether it is ambiguous.
+func serversOf(servers []uint32, _ bool) []uint32 { return servers }
