--- a/internal/core/contract_change_test.go
+++ b/internal/core/contract_change_test.go
@@ -12,9 +12,9 @@
 	"portstall/policy"
 )
 
-// Contracts change in place: the first change puts the first contracts in force; removing a contract while its request is at a
-// server still lets that request get its response; a contract that is added again has its former state; and once the last
-// contract is removed every caller is admitted, as without contracts.
+// Contracts change in place: the first change puts the first contracts in force; removing a contract while its request
+// is at a server still lets that request get its response; a contract that is added again has its former state; and
+// once the last contract is removed every caller is admitted, as without contracts.
 func TestContractChangesTakeEffectInPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newStubServers(t, 1)
@@ -73,8 +73,9 @@
 	})
 }
 
-// Contracts are removed, added again and changed while their requests are admitted, at servers and responded to. Each request
-// must get one response, and afterwards no contract may count a request in flight, neither a current nor a remembered one.
+// Contracts are removed, added again and changed while their requests are admitted, at servers and responded to. Each
+// request must get one response, and afterwards no contract may count a request in flight, neither a current nor a
+// remembered one.
 func TestContractChangesDuringOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newStubServers(t, 1)
@@ -135,7 +136,7 @@
 		c.Unlock()
 		levels := c.Stats(10).Levels
 		if len(levels) != 4 {
-			t.Fatalf("%d levels, want 4: %+v", len(levels), levels)
+			t.Fatalf("levels %+v, want four", levels)
 		}
 		for _, l := range levels {
 			if l.InFlight != 0 || l.Admitted == 0 {
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -17,8 +17,8 @@
 // ErrNoContracts is returned when no contracts are in force.
 var ErrNoContracts = errors.New("no contracts are in force")
 
-// SetContracts puts a table of contracts in force; nil means none. Contracts that stay keep their remaining quota. The lock must
-// be held.
+// SetContracts puts a table of contracts in force; nil means none. Contracts that stay keep their remaining quota. The
+// lock must be held.
 func (c *Core) Bind(t *contract.Table) {
 	switch {
 	case t == nil:
@@ -30,8 +30,8 @@
 	}
 }
 
-// ChangeContracts applies a change of the contracts, which must have been checked. The time it takes depends on the size of the
-// change, not on the number of contracts. The lock must be held.
+// ChangeContracts applies a change of the contracts, which must have been checked. The time it takes depends on the
+// size of the change, not on the number of contracts. The lock must be held.
 func (c *Core) Change(ch *contract.Change) {
 	if c.ledger == nil {
 		if len(ch.Put) == 0 {
@@ -54,16 +54,16 @@
 	return c.ledger.Left(c.Now())
 }
 
-// AdoptContractStates continues from the contract states of another process. If credit is false only its debts are adopted. The
-// lock must be held.
+// AdoptContractStates continues from the contract states of another process. If credit is false only its debts are
+// adopted. The lock must be held.
 func (c *Core) Resume(states []contract.Left, credit bool) {
 	if c.ledger != nil {
 		c.ledger.Resume(c.Now(), states, credit)
 	}
 }
 
-// SetProcessShare sets the share of this node's quotas that this process hands out. If empty is true the unused quota is dropped
-// first, because it belongs to another process. The lock must be held.
+// SetProcessShare sets the share of this node's quotas that this process hands out. If empty is true the unused quota
+// is dropped first, because it belongs to another process. The lock must be held.
 func (c *Core) Portion(share float64, empty bool) {
 	if c.ledger == nil {
 		return
@@ -117,7 +117,8 @@
 	return c.ledger.Further(now, i, r.Class)
 }
 
-// Pace charges bytes of a request's body or tunnel to its contract, and returns how long to wait before more bytes are passed on.
+// Pace charges bytes of a request's body or tunnel to its contract, and returns how long to wait before more bytes are
+// passed on.
 func (c *Core) Pace(r *Request, bytes int) time.Duration {
 	c.Lock()
 	defer c.Unlock()
@@ -127,8 +128,9 @@
 	return c.ledger.Pace(c.Now(), r.admission.contract, r.admission.verdict, bytes)
 }
 
-// Explain returns the verdict that the contracts would give a caller now, without charging it, and the level of its contract. If
-// the verdict's Contract is -1 the caller has none, and the level is zero. The only error is ErrNoContracts.
+// Explain returns the verdict that the contracts would give a caller now, without charging it, and the level of its
+// contract. If the verdict's Contract is -1 the caller has none, and the level is zero. The only error is
+// ErrNoContracts.
 func (c *Core) Explain(who *contract.Caller, class string, repeat bool) (contract.Verdict, contract.Level, error) {
 	c.Lock()
 	defer c.Unlock()
@@ -147,8 +149,8 @@
 	Pressure  float64 // share of recent requests for which no server in normal mode was available
 	Open      int     // requests accepted and not ended
 	Contracts bool    // contracts are in force; the fields below are set only then
-	// AllowedWork is the work that all requests together may use, in server-seconds per second; it is infinite without pressure.
-	// WorkInUse is the work that they do use.
+	// AllowedWork is the work that all requests together may use, in server-seconds per second; it is infinite without
+	// pressure. WorkInUse is the work that they do use.
 	Allowed, InUse float64
 	Part           float64 // share of the contracts that this node hands out
 	Levels         []contract.Level
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core manages the life cycle of requests at one node. A front hands each request in, the contracts admit it, the policy
-// routes it, a Sender sends it as often as both allow, and it gets exactly one final response. The package defines the order of
-// the node's events. It knows no protocol and no socket, and takes the time from its Clock.
+// Package core manages the life cycle of requests at one node. A front hands each request in, the contracts admit it,
+// the policy routes it, a Sender sends it as often as both allow, and it gets exactly one final response. The package
+// defines the order of the node's events. It knows no protocol and no socket, and takes the time from its Clock.
 package core
 
 import (
@@ -16,8 +16,8 @@
 	"portstall/policy"
 )
 
-// Clock returns the current time and runs functions later. Clocks in production return Unix time that advances evenly even when
-// the system's clock is set.
+// Clock returns the current time and runs functions later. Clocks in production return Unix time that advances evenly
+// even when the system's clock is set.
 type Clock interface {
 	Now() time.Duration
 	AfterFunc(d time.Duration, f func())
@@ -34,16 +34,16 @@
 
 // Sender sends attempts to web servers.
 type Back interface {
-	// Attempt sends a request once and waits for the outcome. It returns only after nothing more of the attempt can reach its
-	// server, so that the next attempt is never a concurrent second copy. It runs in a goroutine of its own. ctx ends when the
-	// attempt is given up, with ErrCanceled as its cause, or when the core is closed.
+	// Attempt sends a request once and waits for the outcome. It returns only after nothing more of the attempt can
+	// reach its server, so that the next attempt is never a concurrent second copy. It runs in a goroutine of its own.
+	// ctx ends when the attempt is given up, with ErrCanceled as its cause, or when the core is closed.
 	Attempt(ctx context.Context, a *Attempt) Result
 }
 
 // Discovery provides the web servers. Its methods are called with the core's lock held, and must not block.
 type Roster interface {
-	// Server returns what the Sender needs to reach the server with the policy's number, and false if no server list has it any
-	// more.
+	// Server returns what the Sender needs to reach the server with the policy's number, and false if no server list
+	// has it any more.
 	Server(number uint32) (any, bool)
 	// Watch subscribes to changes of the server list.
 	Watch()
@@ -51,22 +51,22 @@
 	Fetch()
 }
 
-// Cells restrict which web servers a request may be sent to. Their methods are called with the core's lock held, and must not
-// block. Servers are identified by the policy's numbers. A returned list must not be modified.
+// Cells restrict which web servers a request may be sent to. Their methods are called with the core's lock held, and
+// must not block. Servers are identified by the policy's numbers. A returned list must not be modified.
 type Cells interface {
-	// Place returns the servers that a request may be sent to; nil means all. If ambiguous is true it may be sent to none, and
-	// is refused.
+	// Place returns the servers that a request may be sent to; nil means all. If ambiguous is true it may be sent to
+	// none, and is refused.
 	Place(now time.Duration, r *Request) (candidates []uint32, ambiguous bool)
 	// Sent records that a request is sent to a server.
 	Sent(now time.Duration, r *Request, server uint32)
 	// Ended records how an attempt of a request ended.
 	Ended(now time.Duration, r *Request, outcome policy.Outcome)
-	// Spill returns the servers outside its cell that a request may be sent to which no server of its cell accepted and which
-	// was sent nowhere; nil means none.
+	// Spill returns the servers outside its cell that a request may be sent to which no server of its cell accepted and
+	// which was sent nowhere; nil means none.
 	Spill(now time.Duration, r *Request) []uint32
 }
 
-// ErrCanceled is the cause with which an attempt's context ends when nobody waits for the attempt any more.
+// ErrCanceled is the cause with which an attempt's context ends when the policy needs the attempt no more.
 var ErrCanceled = errors.New("attempt canceled")
 
 // Successor is the process that takes over from this one. It decides which request ids may begin here.
@@ -80,8 +80,8 @@
 // busyRetryAfter is the Retry-After of a request for which the successor did not reply whether it may begin.
 const busyRetryAfter = 250 * time.Millisecond
 
-// Request is one client request. The front sets the exported fields before Begin, and they are not changed afterwards. The
-// unexported ones are guarded by the core's lock, except clientGone and the channel.
+// Request is one client request. The front sets the exported fields before Begin, and they are not changed afterwards.
+// The unexported ones are guarded by the core's lock, except clientGone and the channel.
 type Request struct {
 	ID, Class, Tenant string
 	Key               string          // idempotency key; empty if the client sent none
@@ -92,15 +92,15 @@
 	Patience          time.Duration   // how long its client waits, counted from Arrived
 	Body              Body
 	Message           any // what the front has read and the Sender sends
-	// ClientLeft reports, without blocking, whether the client has disconnected, which may be before ClientGone is called. It is
-	// nil where that can't be determined. It is called from the attempts' goroutines.
+	// ClientLeft reports, without blocking, whether the client has disconnected, which may be before ClientGone is
+	// called. It is nil where that can't be determined. It is called from the attempts' goroutines.
 	Left func() bool
-	// StillValid reports whether what the front looked up for the request is still current. It is nil if the front looked up
-	// nothing. It is called with the core's lock held, in the same critical section in which the contract and the cell are
-	// looked up. Begin does not accept the request if it returns false.
+	// StillValid reports whether what the front looked up for the request is still current. It is nil if the front
+	// looked up nothing. It is called with the core's lock held, in the same critical section in which the contract and
+	// the cell are looked up. Begin does not accept the request if it returns false.
 	Holds func() bool
-	// BeforeWait is called without the core's lock before Begin waits for the successor's reply, which takes 0.2 s at most and
-	// during which the client may disconnect. It may be nil.
+	// BeforeWait is called without the core's lock before Begin waits for the successor's reply, which takes 0.2 s at
+	// most and during which the client may disconnect. It may be nil.
 	Waits func()
 
 	clientGone   atomic.Bool // set by ClientGone
@@ -108,18 +108,18 @@
 	attempts     []*Attempt
 	openAttempts int
 	responded    bool
-	written      bool // the client has the response, or nobody waits for one
+	written      bool // the client has the response, or can't get it any more
 	spilled      bool // it was submitted again for the servers that Cells.Spill returned
 	admission    admission
 	response     chan Answer // has room for the one final response, so that sending never blocks
 }
 
-// Response returns the channel on which the one final response arrives. The receiver calls Core.ResponseWritten once it has
-// passed the response on.
+// Response returns the channel on which the one final response arrives. The receiver calls Core.ResponseWritten once it
+// has passed the response on.
 func (r *Request) Answer() <-chan Answer { return r.response }
 
-// Await waits for the final response. ok is false if end was closed before the response arrived; the caller must then call
-// Core.ClientGone.
+// Await waits for the final response. ok is false if end was closed before the response arrived; the caller must then
+// call Core.ClientGone.
 func (r *Request) Await(end <-chan struct{}) (a Answer, ok bool) {
 	select {
 	case a = <-r.response:
@@ -145,9 +145,9 @@
 	cancel       context.CancelCauseFunc
 }
 
-// Wanted reports, without blocking, whether anybody waits for the attempt. A Sender calls it before it sends the first byte, so
-// that a request is not sent on whose client disconnected while the request waited for a slot or a connection. It is safe for
-// concurrent use.
+// Wanted reports, without blocking, whether the client still waits for the attempt. A Sender calls it before it sends
+// the first byte, so that a request is not sent on whose client disconnected while the request waited for a slot or a
+// connection. It is safe for concurrent use.
 func (a *Attempt) Wanted() bool {
 	r := a.Request
 	return !r.clientGone.Load() && (r.Left == nil || !r.Left())
@@ -184,8 +184,8 @@
 	Contract   string        // for RejectedByContract: the contract; empty if the caller has none
 }
 
-// Core holds a node's requests and hands the node's events to the policy one by one. All methods are safe for concurrent use;
-// those whose comments say so must be called with the lock held.
+// Core holds a node's requests and hands the node's events to the policy one by one. All methods are safe for
+// concurrent use; those whose comments say so must be called with the lock held.
 type Core struct {
 	sync.Mutex // guards all mutable state and orders the events; nothing waits for a socket while holding it
 
@@ -255,8 +255,8 @@
 	c.wg.Wait()
 }
 
-// Begin accepts a request and returns true, unless a request with its id is open or what its front looked up is no longer valid.
-// The final response arrives on Response.
+// Begin accepts a request and returns true, unless a request with its id is open or what its front looked up is no
+// longer valid. The final response arrives on Response.
 func (c *Core) Begin(r *Request) bool {
 	c.Lock()
 	defer c.Unlock()
@@ -292,8 +292,8 @@
 	if r.Holds != nil && !r.Holds() {
 		return false
 	}
-	// The client must have the response before its timeout: the network time there and back and the time that the request has
-	// spent here are subtracted.
+	// The client must have the response before its timeout: the network time there and back and the time that the
+	// request has spent here are subtracted.
 	remaining := max(0, r.Patience-(now-c.stall.timeoutStart(r.Arrived))-c.clientRoundTrip)
 	r.deadline, r.response = now+remaining, make(chan Answer, 1)
 	if !c.admit(now, r) {
@@ -318,8 +318,8 @@
 		Repeat: r.Repeat, Borrowed: r.admission.verdict.Borrowed, Among: candidates})
 }
 
-// ClientGone reports that a request's client has disconnected. The response, if there is one, is released. attempted is true if an
-// attempt was started, so that the request may have run.
+// ClientGone reports that a request's client has disconnected. The response, if there is one, is released. attempted is
+// true if an attempt was started, so that the request may have run.
 func (c *Core) Gone(r *Request) (attempted bool) {
 	r.clientGone.Store(true)
 	c.Lock()
@@ -337,9 +337,9 @@
 	return attempted
 }
 
-// ResponseWritten reports that the client has the response to a request, or can't get it any more. Until then the request's id
-// stays open: a large response is still on its way from the web server, and another request with that id would be a second copy
-// there.
+// ResponseWritten reports that the client has the response to a request, or can't get it any more. Until then the
+// request's id stays open: a large response is still on its way from the web server, and another request with that id
+// would be a second copy there.
 func (c *Core) Written(r *Request) {
 	c.Lock()
 	defer c.Unlock()
@@ -354,7 +354,8 @@
 	}
 }
 
-// Uploaded reports that the last byte of a body has arrived which was incomplete at Begin. The request's timeout starts here.
+// Uploaded reports that the last byte of a body has arrived which was incomplete at Begin. The request's timeout starts
+// here.
 func (c *Core) Uploaded(a *Attempt) {
 	c.Lock()
 	defer c.Unlock()
@@ -362,9 +363,9 @@
 	a.Request.deadline = a.sentAt + a.Request.Patience - c.clientRoundTrip
 }
 
-// Established gives a request its final response while the attempt goes on, for a request that asks for a connection to the
-// server itself. The attempt counts as in flight until it ends. It returns false if the request has its response already; the
-// payload is then not taken over.
+// Established gives a request its final response while the attempt goes on, for a request that asks for a connection to
+// the server itself. The attempt counts as in flight until it ends. It returns false if the request has its response
+// already; the payload is then not taken over.
 func (c *Core) Established(a *Attempt, p Payload) bool {
 	c.Lock()
 	defer c.Unlock()
@@ -387,7 +388,7 @@
 		r.responded = true
 		r.response <- Answer{Kind: Served, Payload: res.Payload}
 	} else {
-		releasePayload(res.Payload) // nobody waits for the response
+		releasePayload(res.Payload) // the request has its response already, or the attempt was not served
 	}
 	now := c.Now()
 	if c.cells != nil {
@@ -413,10 +414,11 @@
 	}
 }
 
-// removeIfDone settles a request's contract as soon as it has its response and no open attempt, and removes the request once the
-// response is written as well.
+// removeIfDone settles a request's contract as soon as it has its response and no open attempt, and removes the request
+// once the response is written as well.
 func (c *Core) removeIfDone(r *Request) {
-	if c.requests[r.ID] != r || !r.responded || r.openAttempts > 0 { // a rejected request was never added, and has no contract to settle
+	// A request that the contracts rejected was never added, and has no contract to settle.
+	if c.requests[r.ID] != r || !r.responded || r.openAttempts > 0 {
 		return
 	}
 	c.settleAdmission(r)
@@ -520,11 +522,12 @@
 	return c.requestIDs.Claim(c.Now(), from, id, c.requests[id] != nil, until)
 }
 
-// SetSuccessor makes another process decide from now on which requests may begin here; with nil this one decides again. The lock
-// must be held.
+// SetSuccessor makes another process decide from now on which requests may begin here; with nil this one decides again.
+// The lock must be held.
 func (c *Core) Yield(to Successor) { c.successor, c.requestIDs.Asks = to, to != nil }
 
-// OpenRequests returns the ids of the requests that are open here or about to begin, with their deadlines. The lock must be held.
+// OpenRequests returns the ids of the requests that are open here or about to begin, with their deadlines. The lock
+// must be held.
 func (c *Core) Open() map[string]time.Duration {
 	open := make(map[string]time.Duration, len(c.requests))
 	for id, r := range c.requests {
@@ -539,6 +542,6 @@
 // LearnedState returns what the policy has learned. The lock must be held.
 func (c *Core) Learnt() *policy.Learnt { return c.balancer.Learnt() }
 
-// Adopt gives the policy what another process has learned. It is called after the server list is set and before the first
-// request. The lock must be held.
+// Adopt gives the policy what another process has learned. It is called after the server list is set and before the
+// first request. The lock must be held.
 func (c *Core) Adopt(l *policy.Learnt) { c.balancer.Adopt(c.Now(), l) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,8 +14,8 @@
 	"portstall/policy"
 )
 
-// stubEnvironment is the Clock of a synctest bubble, where time advances as soon as all goroutines wait. It is also an empty Body,
-// and a Discovery whose server 3 has been removed from the list.
+// stubEnvironment is the Clock of a synctest bubble, where time advances as soon as all goroutines wait. It is also an
+// empty Body, and a Discovery whose server 3 has been removed from the list.
 type stubEnvironment struct{}
 
 func (stubEnvironment) Now() time.Duration                  { return time.Duration(time.Now().UnixNano()) }
@@ -112,9 +112,9 @@
 	return c
 }
 
-// Random outcomes at the servers and clients that disconnect at random times must not break these rules: each request gets one
-// final response before its client's timeout, never has two open attempts, an unsafe request is not sent again after it may have
-// run, each payload is released once, and no request is left in the core at the end.
+// Random outcomes at the servers and clients that disconnect at random times must not break these rules: each request
+// gets one final response before its client's timeout, never has two open attempts, an unsafe request is not sent again
+// after it may have run, each payload is released once, and no request is left in the core at the end.
 func TestExactlyOneFinalResponse(t *testing.T) {
 	responses, attempts := make([]int, 4), 0
 	for seed := range uint64(60) {
