--- a/policy/api.go
+++ b/policy/api.go
@@ -12,60 +12,78 @@
 
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // carries a key; backends of one group drop repeats inside Class.Window
+	Keyed                // carries a key; the servers of one group drop repeats within Class.Window
 	Unsafe               // must never run twice
 )
 
-// Group says which backends share the memory that drops repeats of a keyed request.
+// Group says which servers share the memory that drops repeats of a keyed request.
 type Group uint8
 
 const (
-	GroupAll  Group = iota // every backend
-	GroupZone              // the backends of one zone
-	GroupCell              // the backends of one cell
+	GroupAll  Group = iota // all servers
+	GroupZone              // the servers of one zone
+	GroupCell              // the servers of one cell
 )
 
-// Class describes one kind of request.
+// Class describes one class of requests.
 type Class struct {
-	Name             string
-	Aim              time.Duration // an answer within this earns the full worth
-	Deadline         time.Duration // the client's whole patience; 0 means none was told
-	Worth, LateWorth float64       // of an answer in time; share of it that is paid after the aim
+	Name string
+	// Target latency: a response within it earns the full value.
+	Aim time.Duration
+	// Longest time that a client waits; 0: not specified.
+	Deadline time.Duration
+	// Value of a response in time, and the share of it that a response after the target latency still earns.
+	Worth, LateWorth float64
 	Effect           Effect
 	Group            Group
-	Window           time.Duration // keyed: how long repeats are dropped, from the send of the first attempt
+	// Keyed only: how long repeats are dropped, from the send of the first attempt.
+	Window time.Duration
 }
 
-// Tenant is one customer of the service. QuotaPerS is its share in requests a second, over all nodes.
+// Tenant is one customer of the service. QuotaPerS is its quota in requests per second over all nodes.
 type Tenant struct {
 	Name      string
 	QuotaPerS float64
 }
 
-// Settings is what a node is told at its start, and by EvSettings later. Durations and counts left zero mean "not told".
+// Settings configures a node, at its start and later by EvSettings. A duration or count of zero means "not specified".
 type Settings struct {
-	Zone        string        // zone of this node
-	Nodes       int           // nodes in service, this one included; at least 1
-	MustAsk     bool          // the list comes only when asked for
-	MustAskIn   time.Duration // after a loss the list must be asked for within this; 0 when not told
-	Classes     []Class
-	Tenants     []Tenant
-	OverShare   float64       // worth of a request past its tenant's share, as a part of the usual
-	MaxAttempts int           // attempts for one request; at least 1
-	Cancel      bool          // attempts may be cancelled
-	RetryAfter  time.Duration // longest retry-after that clients honour; 0 when they see none
-	DrainGrace  time.Duration
-	ColdShare   float64 // a cold backend's capacity at its start, as a part of the full
-	ColdFor     time.Duration
-	FallFactor  float64       // this multiple of its present capacity,
-	FallFor     time.Duration // sent for this long, brings a cold backend down
+	// Zone of this node.
+	Zone string
+	// Number of nodes in service, this one included; at least 1.
+	Nodes int
+	// Whether changes of the server list are sent only after a subscription (ActWatch).
+	MustAsk bool
+	// After the subscription is lost, the list must be requested again within this time; 0: not specified.
+	MustAskIn time.Duration
+	Classes   []Class
+	Tenants   []Tenant
+	// Value of a request over its tenant's quota, as a share of the usual value.
+	OverShare float64
+	// Attempts allowed for one request, the first included; at least 1.
+	MaxAttempts int
+	// Whether attempts may be cancelled.
+	Cancel bool
+	// Longest Retry-After that clients honour; 0 when clients see none.
+	RetryAfter time.Duration
+	// How long after the notice that a server drains or was removed requests may still be sent to it.
+	DrainGrace time.Duration
+	// Capacity of a cold server at its start, as a share of its full capacity.
+	ColdShare float64
+	// Time from its start until a server has its full capacity.
+	ColdFor time.Duration
+	// A cold server collapses under this multiple of its present capacity,
+	FallFactor float64
+	// when the load lasts this long.
+	FallFor time.Duration
 }
 
-// Validate reports the first setting that makes no sense.
-func (s *Settings) Validate() (bad error) {
+// Validate reports the first invalid setting. An error names a setting as it has been published (Aim, Worth), which
+// may differ from its name in Go: operators and their tools match these texts.
+func (s *Settings) Validate() (err error) {
 	check := func(ok bool, format string, args ...any) {
-		if !ok && bad == nil {
-			bad = fmt.Errorf("policy: "+format, args...)
+		if !ok && err == nil {
+			err = fmt.Errorf("policy: "+format, args...)
 		}
 	}
 	numbers := func(at, names string, values ...float64) {
@@ -78,8 +96,8 @@
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d] (%s): ", i, c.Name)
 		check(!classes[c.Name], "Classes[%d].Name: %q is empty or used twice", i, c.Name)
-		numbers(at, "Aim Deadline Window Worth LateWorth", c.Aim.Seconds(), c.Deadline.Seconds(), c.Window.Seconds(),
-			c.Worth, c.LateWorth)
+		numbers(at, "Aim Deadline Window Worth LateWorth", c.Aim.Seconds(), c.Deadline.Seconds(),
+			c.Window.Seconds(), c.Worth, c.LateWorth)
 		check(c.Effect <= Unsafe, "%sEffect: unknown value %d", at, c.Effect)
 		check(c.Group <= GroupCell, "%sGroup: unknown value %d", at, c.Group)
 		classes[c.Name] = true
@@ -93,45 +111,48 @@
 	check(s.MaxAttempts >= 1, "MaxAttempts: %d is below 1", s.MaxAttempts)
 	check(s.ColdShare >= 0 && s.ColdShare <= 1, "ColdShare: %v is outside 0 to 1", s.ColdShare)
 	numbers("", "MustAskIn RetryAfter DrainGrace ColdFor FallFor FallFactor OverShare", s.MustAskIn.Seconds(),
-		s.RetryAfter.Seconds(), s.DrainGrace.Seconds(), s.ColdFor.Seconds(), s.FallFor.Seconds(), s.FallFactor, s.OverShare)
-	return bad
+		s.RetryAfter.Seconds(), s.DrainGrace.Seconds(), s.ColdFor.Seconds(), s.FallFor.Seconds(), s.FallFactor,
+		s.OverShare)
+	return err
 }
 
-// EventKind names what happened.
+// EventKind says what happened.
 type EventKind uint8
 
 const (
 	EvRequest  EventKind = iota // a client request arrived
 	EvOutcome                   // an attempt ended
-	EvGone                      // the client gave up
-	EvList                      // news of the server list
+	EvGone                      // the client disconnected or stopped waiting
+	EvList                      // an update of the server list
 	EvTimer                     // a timer set by ActTimer is due
-	EvDisable                   // operators took a server out: nothing new to it, whatever the list says
-	EvEnable                    // and put it back: it may have been restarted meanwhile, and counts as cold
-	EvWeigh                     // what is known of a backend besides requests: it is to get Weight of its usual share
-	EvSettings                  // new settings are in force: what was learnt stays, requests under way keep their class
-	EvOther                     // anything the policy does not act on
+	EvDisable                   // an operator disabled a server: it gets no new requests, whatever the list says
+	EvEnable                    // an operator enabled it again: it may have been restarted and counts as cold
+	EvWeigh                     // health information: the server is to get Weight of its usual share
+	EvSettings                  // new settings apply: statistics stay, and open requests keep their class
+	EvOther                     // anything that the policy does not act on
 )
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome uint8
 
 const (
 	OK            Outcome = iota
-	Failed                // an error answer; may have run
-	Full                  // turned away unseen; never ran
-	TimedOut              // no answer in time; may have run
+	Failed                // an error response; the request may have run
+	Full                  // rejected by the server's queue; never ran
+	TimedOut              // no response in time; may have run
 	ConnectFailed         // no connection in time; never ran
-	Reset                 // the connection dropped; may have run
-	Canceled              // cancelled; may have run
-	Moot                  // never sent; never ran
+	Reset                 // the connection broke; may have run
+	Canceled              // cancelled by the node; may have run
+	Moot                  // the node did not send it; never ran
 )
 
-// Load is a backend's report. Queue and Held are negative when the report does not carry them.
+// Load is a server's load report. Queue and Held are negative when the report does not carry them.
 type Load struct {
-	Known       bool
-	Queue, Held float64 // requests waiting, and those held, waiting or in work; negative when not told
-	Work        float64 // seconds of service lately, without waiting; not positive when not told
+	Known bool // whether there is a report
+	// Requests waiting, and requests held, waiting or in work.
+	Queue, Held float64
+	// Recent service time of a request without waiting, in seconds; not positive when not reported.
+	Work float64
 }
 
 // ListKind says how Event.Entries is to be read.
@@ -139,12 +160,12 @@
 
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // all entries; a backend not in it has left
-	ListCached                 // all entries as last seen, perhaps stale
-	ListFailed                 // no entries: a call for the list failed, or the subscription dropped
+	ListFull                   // all entries; a server that is not among them was removed
+	ListCached                 // all entries as last seen, possibly stale
+	ListFailed                 // no entries: a call for the list failed, or the subscription broke
 )
 
-// State is a backend's standing in the list.
+// State is the state of a server in the list.
 type State uint8
 
 const (
@@ -153,53 +174,71 @@
 	Left
 )
 
-// Entry is one backend in a list.
+// Entry is one server in the server list.
 type Entry struct {
-	ID       uint32
-	Zone     string
-	Cell     int64
-	Kind     string        // machine kind; only ever compared for equality
-	Launched time.Duration // clock time of its last start; 0 means long ago
+	ID   uint32
+	Zone string
+	Cell int64
+	Kind string // machine type; only compared for equality
+	// Time of its latest start on the node's clock; 0: long ago.
+	Launched time.Duration
 	State    State
 }
 
-// Event is one thing that happened at this node. Only the fields of its kind are read.
+// Event is one event at this node. Only the fields of its kind are read.
 type Event struct {
-	Kind          EventKind
-	ID, Token     string        // the request, of EvRequest, EvOutcome and EvGone; of EvTimer
-	Class, Tenant string        // EvRequest
-	Left          time.Duration // EvRequest: the client gives up after this
-	Repeat        bool          // EvRequest: a client's repeat of its earlier try, where clients say so
-	Among         []uint32      // EvRequest: the backends that it may go to; nil: all. Not changed afterwards
-	Borrowed      bool          // EvRequest: it goes on what others leave unused, and is diverted first
-	Server        uint32        // EvOutcome, EvDisable, EvEnable, EvWeigh
-	Weight        float64       // EvWeigh: from 0 (as little as can be) to 1 (the usual)
-	Most          int           // EvWeigh: and no more than so many requests at a time, of all nodes; 0: no bound
-	Attempt       int           // EvOutcome: number of the attempt, from 0 in the order of the sends
-	Took          time.Duration // EvOutcome: since the send
-	Last, Spent   bool          // EvOutcome: the request is finished; a part of its body is gone: it can't be sent again
-	Outcome       Outcome       // EvOutcome
-	Load          Load          // EvOutcome
-	List          ListKind      // EvList
-	Entries       []Entry       // EvList; not kept by the policy
-	Settings      *Settings     // EvSettings; valid, and not changed afterwards
+	Kind EventKind
+	// The request, of EvRequest, EvOutcome and EvClientGone; the token of EvTimer.
+	ID, Token string
+	// EvRequest.
+	Class, Tenant string
+	// EvRequest: the client stops waiting after this time.
+	Left time.Duration
+	// EvRequest: the client repeats an earlier request of its own, where clients say so.
+	Repeat bool
+	// EvRequest: ids of the servers that the request may go to; nil: all. Must not be changed afterwards.
+	Among []uint32
+	// EvRequest: it is over its contract's guarantee and uses capacity that others leave unused; diverted first.
+	Borrowed bool
+	// EvOutcome, EvDisable, EvEnable, EvSetWeight.
+	Server uint32
+	// EvSetWeight: from 0 (as little as possible) to 1 (the usual share).
+	Weight float64
+	// EvSetWeight: limit on concurrent requests at the server, of all nodes together; 0: no limit.
+	Most int
+	// EvOutcome: number of the attempt, from 0 in the order of the sends.
+	Attempt int
+	// EvOutcome: time since the send.
+	Took time.Duration
+	// EvOutcome: the request is finished; a part of its body was consumed, so it can't be sent again.
+	Last, Spent bool
+	// EvOutcome.
+	Outcome Outcome
+	// EvOutcome.
+	Load Load
+	// EvList.
+	List ListKind
+	// EvList; not retained by the policy.
+	Entries []Entry
+	// EvSettings; must be valid and not be changed afterwards.
+	Settings *Settings
 }
 
-// ActionKind names what the node is to do.
+// ActionKind says what the node is to do.
 type ActionKind uint8
 
 const (
-	ActSend   ActionKind = iota // start an attempt of ID at Server, with Wait as its time-out
+	ActSend   ActionKind = iota // start an attempt of ID at Server, with Wait as its timeout
 	ActCancel                   // stop waiting for attempt Attempt of ID
-	ActRefuse                   // final answer: refused, the client may try again after Wait
-	ActFail                     // final answer: failed, no promise
+	ActRefuse                   // final response: refused, the client may retry after Wait
+	ActFail                     // final response: failed, with no statement whether the request ran
 	ActTimer                    // send EvTimer with Token once the clock reaches At
-	ActWatch                    // subscribe to changes of the list
-	ActFetch                    // ask for the whole list once
-	ActLog                      // Text is worth an operator's look
+	ActWatch                    // subscribe to changes of the server list
+	ActFetch                    // request a full snapshot of the list once
+	ActLog                      // log Text for operators
 )
 
-// Action is one thing for the node to do, in the order given.
+// Action is one thing for the node to do. Actions are carried out in the order given.
 type Action struct {
 	Kind        ActionKind
 	ID          string
@@ -209,8 +248,8 @@
 	Token, Text string
 }
 
-// Learnt is what a node has learnt of its servers and clients, for a process that goes on in its place. Times are seconds on
-// the node's clock, and all of it is as of At: whoever hands it to Adopt later has made it older before.
+// LearnedState holds a node's statistics of its servers and classes, for a successor process. Times are seconds on the
+// node's clock, and all of it is as of At: a caller that passes it to Adopt later ages it first.
 type Learnt struct {
 	At      float64
 	Servers []Known
@@ -218,42 +257,61 @@
 	Totals
 }
 
-// Known is what is known of a server that was started at Launched.
+// LearnedServer holds the statistics of a server that was started at Launched, in seconds on the node's clock.
 type Known struct {
 	ID       uint32
 	Launched float64
 	Evidence
 }
 
-// ClassSums are a class's decayed sums.
+// ClassStats holds the decayed sums of a class. It is stored under its field names.
 type ClassSums struct {
-	Requests         float64 // decayed count
-	Latency, Answers float64 // decayed sum of latencies, and the answers behind it
-	Least            float64 // least time left of a first try lately
+	// Decayed count of requests.
+	Requests float64
+	// Decayed sum of latencies in seconds, and the count of responses in it.
+	Latency, Answers float64
+	// Least time left, in seconds, of a recent first request of a client (one that is not a repeat).
+	Least float64
 }
 
-// Totals are decayed sums over all requests and servers.
+// TotalStats holds decayed sums over all requests and servers. It is stored under its field names.
 type Totals struct {
-	Total, Lessers float64 // requests, and of those the ones that are diverted first
-	Picks, Span    float64 // requests' first draws, and the seconds that they were counted in
-	Seen, Mean     float64 // reports, and what others hold at a backend by their mean
-	Strain         float64 // part of the latest draws that met no normal backend
-	Retries        float64 // further attempts that the budget allows
+	// Requests, and those of low priority among them.
+	Total, Lessers float64
+	// Initial selections of requests, and the seconds over which they were counted.
+	Picks, Span float64
+	// Load reports, and the mean of the load that other nodes have at a server by these reports.
+	Seen, Mean float64
+	// Share of the latest selections that found no server in normal mode.
+	Strain float64
+	// Retries that the budget allows.
+	Retries float64
 }
 
-// Evidence is what requests and reports have shown of a server. What each draw reads stands first: of thousands none is in
-// the processor's cache.
+// ServerStats holds what requests and load reports have shown of a server. Times are seconds on the node's clock. The
+// fields that each selection reads come first: in a list of thousands none of them is in the processor's cache.
 type Evidence struct {
-	Mode               Mode
-	Trial              bool    // one attempt at a time until one succeeds
-	Ejected            float64 // nothing is sent until then
-	Others, ReportAt   float64 // occupancy by reports beyond this node's own, smoothed, as of then
-	Full, FullAt       float64 // occupancy when it last turned a request away, and when that was
-	Room, Slots        float64 // smallest occupancy that drew 'full', infinite before; most it had in work at once
-	Latency, Occupancy float64 // decayed sums of latencies, and of the occupancies plus one that they were met at
-	LastOK             float64
-	Work, Base         float64 // reported time in work, smoothed, and the least that its kind's mean has been
-	Bad                float64 // share of failures lately
-	Ejections          int     // ejections in a row
-	Served             float64 // decayed count of answers; sends would also count what a crowded backend turns away
+	Mode Mode
+	// Half-open after an ejection: one attempt at a time until one succeeds.
+	Trial bool
+	// Nothing is sent until this time.
+	Ejected float64
+	// Remote load: reported occupancy beyond this node's requests, smoothed, as of ReportAt.
+	Others, ReportAt float64
+	// Occupancy when the server last rejected a request as full, and the time of that.
+	Full, FullAt float64
+	// Smallest occupancy at which it rejected a request as full, infinite before; most requests in work at once.
+	Room, Slots float64
+	// Decayed sums of latencies, and of the occupancies plus one at which their attempts were sent.
+	Latency, Occupancy float64
+	// Time of the latest successful response.
+	LastOK float64
+	// Reported service time, smoothed, and the least that the mean of its server type has been.
+	Work, Base float64
+	// Share of failures among the latest attempts.
+	Bad float64
+	// Consecutive ejections.
+	Ejections int
+	// Decayed count of responses. A count of sends would include those that an overloaded server rejects.
+	Served float64
 }
--- a/policy/scale_test.go
+++ b/policy/bench_test.go
@@ -8,7 +8,7 @@
 	"portstall/policy"
 )
 
-// BenchmarkRequest is the cost of one request, its decision and its outcome, as the list of servers grows.
+// BenchmarkRequest measures one request, its selection and its outcome, for lists of different lengths.
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{12, 120, 1200, 12000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -46,7 +46,8 @@
 	}
 }
 
-// BenchmarkList is the time for which a list holds up requests: a whole one, taken in anew, and a change of one entry.
+// BenchmarkList measures the time for which an update of the list delays requests: a full snapshot and a change of one
+// entry.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{12, 120, 1200, 12000} {
 		node, err := policy.New(testSettings(1, false), 1)
@@ -54,15 +55,15 @@
 			b.Fatal(err)
 		}
 		now := time.Hour
-		whole := policy.Event{Kind: policy.EvList, List: policy.ListFull}
+		full := policy.Event{Kind: policy.EvList, List: policy.ListFull}
 		for i := range servers {
-			whole.Entries = append(whole.Entries, policy.Entry{ID: uint32(i + 1), Zone: fmt.Sprint(i % 3), Kind: "k"})
+			full.Entries = append(full.Entries, policy.Entry{ID: uint32(i + 1), Zone: fmt.Sprint(i % 3), Kind: "k"})
 		}
 		var out []policy.Action
-		b.Run(fmt.Sprintf("whole/servers=%d", servers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("full/servers=%d", servers), func(b *testing.B) {
 			for b.Loop() {
 				now += ms
-				out = node.Handle(now, &whole, out[:0])
+				out = node.Handle(now, &full, out[:0])
 			}
 		})
 		b.Run(fmt.Sprintf("one/servers=%d", servers), func(b *testing.B) {
@@ -70,7 +71,7 @@
 			for b.Loop() {
 				now += ms
 				i++
-				e := whole.Entries[i%servers]
+				e := full.Entries[i%servers]
 				e.State = policy.State(i / servers % 2) // active, leaving
 				out = node.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{e}}, out[:0])
 			}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"portstall/policy"
 )
 
-// A node feeds its balancer what happens and carries out what it answers.
+// A node passes events to its balancer and carries out the actions that it returns.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Zone: "north", Nodes: 2, MaxAttempts: 3, DrainGrace: time.Second,
@@ -19,15 +19,15 @@
 	}
 	now := 1000 * time.Second
 	step := func(ev policy.Event) policy.Action {
-		var sendOrAnswer policy.Action
+		var sendOrResponse policy.Action
 		for _, a := range b.Handle(now, &ev, nil) {
 			switch a.Kind {
 			case policy.ActTimer: // wake the balancer with EvTimer at a.At
 			default:
-				sendOrAnswer = a
+				sendOrResponse = a
 			}
 		}
-		return sendOrAnswer
+		return sendOrResponse
 	}
 	list := []policy.Entry{{ID: 1, Zone: "north"}}
 	step(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: list})
@@ -44,8 +44,8 @@
 
 	list[0].State = policy.Leaving
 	step(policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: list})
-	answer := step(policy.Event{Kind: policy.EvRequest, ID: "r2", Class: "page", Left: 2 * time.Second})
-	fmt.Println("refused:", answer.Kind == policy.ActRefuse)
+	response := step(policy.Event{Kind: policy.EvRequest, ID: "r2", Class: "page", Left: 2 * time.Second})
+	fmt.Println("refused:", response.Kind == policy.ActRefuse)
 	// Output:
 	// send to 1 for at most 2s
 	// refused: true
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,12 @@
-// Package policy makes the decisions of one HTTP load balancer: which backend a request goes to, which
-// requests are refused, what is tried again. Settings, events and actions are in policy/api.go, what a node
-// remembers in policy/state.go; all decisions are here.
+// Package policy makes the decisions of one HTTP load balancer: which web server a request goes to, which requests are
+// refused and which are retried. It does no input or output: a node passes events to Balancer.Handle and carries out
+// the actions that it returns.
 //
-// Each backend has a mode, after Abaev et al., "Simulation of Overload Control in SIP Server Networks":
-// normal, overload (each request is diverted with probability q) and discard (nothing is sent). Diverted
-// requests take a backend in normal mode or are refused at once. docs/design.md has the whole story.
+// Each server has a mode, after Abaev et al., "Simulation of Overload Control in SIP Server Networks": normal, overload
+// (each request is diverted with a probability q) and discard (nothing is sent). A diverted request goes to a server in
+// normal mode or is refused at once. A server's occupancy, the number of requests that it holds, decides on its mode:
+// from the onset threshold H on it is in overload, from R on in discard, and below the abatement threshold L it is in
+// normal mode again. docs/design.md describes the design.
 package policy
 
 import (
@@ -17,91 +19,134 @@
 	"time"
 )
 
-// Times are in seconds. The constants are the design's, or middles of plateaus over unlike fleets.
+// Parameters of the algorithms. A time constant is that of an exponential decay. The values lie in the middle of ranges
+// that serve unlike fleets equally well.
 const (
-	onset     = 0.90 // H as a part of R
-	abatement = 0.78 // L as a part of R
-	divert    = 0.80 // q: the part of all requests that a backend in overload diverts
-	aimPart   = 0.40 // H is at most what a backend clears in this part of the shortest aim
-	roomPart  = 0.80 // and at most this part of an occupancy that drew 'full', as reports tell of it too late
-	minH      = 1.6  // below this the noise of single requests would decide the modes
-	ownZone   = 1.5  // weight of a backend in this node's own zone
-	othersTau = 3.0  // reports are older than most requests: what others add is known as a mean only
-	lagTau    = 0.5  // about how old a report is when it is read
-	rateTau   = 3.0  // memory of service times and send rates
-	jumpTau   = 0.5  // and over this a rise of the draws' rate is seen that is no chance
-	knowTau   = 2.0  // a report fades towards the mean of the fresh ones over this
-	oldTau    = 10.0 // an occupancy that drew 'full' and class shares fade over this
-	slotTau   = 60.0 // and how many it has in work at once over this
-	prior     = 5.0  // a backend's own service time counts from this many held requests on
-	guess     = 0.1  // service time before any answer was seen
-	silence   = 1.0  // time-outs and "full" are failures of a backend that answered nothing for this long
-	badShare  = 0.5  // a backend that failed more than this lately is ejected
-	badMost   = 0.6  // and no more is remembered: two answers bring it back
-	badTau    = 10.0 // over this many attempts; a broken connection tells as little as an answer,
-	outTau    = 4.0  // but a backend that can't be reached, or answered nothing lately, is out
-	ejectFor  = 1.0  // for this long at first, doubled each time,
-	ejectMost = 8.0  // up to this
-	crowdAt   = 5.0  // time in work beyond this multiple of the kind's best tells of a crowd, not of chance
-	coldPart  = 0.67 // of the multiple that brings a cold backend down: so much it is sent at most
-	fewNodes  = 4    // so many nodes may each have an attempt at a cold backend
-	retryPart = 0.2  // further attempts that each first one allows
-	retryBank = 10.0 // and how many may be saved up
-	askAgain  = 1.0  // after a lost list a node asks again within about this
-	strainN   = 15.0 // pressure is told over so many requests,
-	fadeTau   = 0.7  // and fades over this
-	overMost  = 64   // requests that are over are kept to be used again
-	tick      = 0.25 // plans are renewed this often
-	wide      = 24   // a longer list is sampled for each draw, not walked:
-	sample    = 12   // so many at random,
-	mostLook  = 72   // and as many again up to this while none of them will do
+	// Onset threshold H, as a share of R.
+	onset = 0.90
+	// Abatement threshold L, as a share of R.
+	abatement = 0.78
+	// Probability q: share of all requests that a server in overload diverts.
+	divert = 0.80
+	// H is at most the number of requests that a server completes in this share of the shortest target latency.
+	onsetTargetShare = 0.40
+	// H is at most this share of an occupancy at which the server rejected a request as full: reports show such an
+	// occupancy too late.
+	onsetQueueFullShare = 0.80
+	// Least value of H, in requests. Below it the random variation of single requests would decide on the modes.
+	minOnset = 1.6
+	// Factor on the weight of a server in this node's own zone.
+	localZoneWeight = 1.5
+	// Time constant of the smoothed remote load, in seconds. Reports are older than most requests, so that the load
+	// that other nodes add is known as a mean only.
+	remoteLoadTimeConstant = 3.0
+	// Typical age of a load report when it is read, in seconds.
+	reportLagTimeConstant = 0.5
+	// Time constant of service times, tenants' rates and counts of selections, in seconds.
+	rateTimeConstant = 3.0
+	// Time constant, in seconds, of the short-term rate of selections, which shows a rise that exceeds random
+	// variation.
+	riseTimeConstant = 0.5
+	// Time constant, in seconds, with which a load report fades towards the mean of the recent reports.
+	reportFadeTimeConstant = 2.0
+	// Time constant, in seconds, of the occupancy at which a server rejected a request as full, and of the shares of
+	// the classes.
+	longTimeConstant = 10.0
+	// Time constant of the number of requests that a server has in work at once, in seconds.
+	slotsTimeConstant = 60.0
+	// Weight of the service time of a server's type against its own, in requests held.
+	priorRequests = 5.0
+	// Service time that is assumed before any response was seen, in seconds.
+	initialServiceTime = 0.1
+	// Timeouts and rejections as full count as failures only of a server without a response for this long, in seconds.
+	silenceTimeout = 1.0
+	// A server is ejected when its share of failures lately exceeds this.
+	ejectionFailureShare = 0.5
+	// Upper limit of the remembered share of failures, so that two responses bring a server back.
+	maxFailureShare = 0.6
+	// Time constant of the share of failures, in attempts. A broken connection shows as little of a server as one
+	// response.
+	failureTimeConstant = 10.0
+	// The same, in attempts, for failures that show more: the server could not be reached or was silent lately.
+	unreachableTimeConstant = 4.0
+	// Duration of the first ejection, in seconds. Each further one in a row doubles it.
+	minEjection = 1.0
+	// Longest ejection, in seconds.
+	maxEjection = 8.0
+	// A reported service time beyond this multiple of the server type's best is contention, not random variation.
+	contentionFactor = 5.0
+	// Load that a cold server gets at most, as a share of the multiple of its capacity under which it collapses.
+	coldLoadShare = 0.67
+	// Largest number of nodes that may each have an attempt at a cold server because no other server accepts a request.
+	maxSpareNodes = 4
+	// Retries that each first attempt adds to the budget.
+	retriesPerRequest = 0.2
+	// Retries that the budget holds at first and at most.
+	maxSavedRetries = 10.0
+	// Mean delay, in seconds, before a node subscribes to the server list again after it was lost.
+	resubscribeDelay = 1.0
+	// Number of requests over which the pressure is averaged.
+	pressureWindow = 15.0
+	// Time constant with which the pressure decays between requests, in seconds.
+	pressureTimeConstant = 0.7
+	// Largest number of finished requests in the free list.
+	maxFreeRequests = 64
+	// Interval between refreshes of the statistics, in seconds.
+	refreshInterval = 0.25
+	// Length of the longest list in which each selection looks at all servers; a longer one is sampled.
+	maxFullScan = 24
+	// Number of servers in one random sample of a long list.
+	sampleSize = 12
+	// Number of servers that a selection looks at in all, sample by sample, while none of them is suitable.
+	maxSampled = 72
 )
 
-// New returns the balancer of one node, or an error that names the setting that makes no sense.
+// New returns the balancer of one node, or an error that names the first invalid setting.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0)), servers: map[uint32]*server{},
-		requests: map[string]*request{}, Totals: Totals{Retries: retryBank}}
-	b.retune(&set)
+		requests: map[string]*request{}, Totals: Totals{Retries: maxSavedRetries}}
+	b.applySettings(&set)
 	return b, nil
 }
 
-// retune puts settings in force. What was learnt of a class or tenant goes to the one of the same name.
-func (b *Balancer) retune(set *Settings) {
+// applySettings applies new settings. The statistics of a class or tenant pass to the one of the same name.
+func (b *Balancer) applySettings(set *Settings) {
 	classes, tenants := b.classes, b.tenants
-	b.classes, b.tenants, b.set, b.aim, b.half = nil, nil, *set, math.Inf(1), math.Inf(1)
+	b.classes, b.tenants, b.settings, b.minTargetLatency, b.halfMinDeadline = nil, nil, *set, math.Inf(1), math.Inf(1)
 	for _, c := range set.Classes {
-		k := &class{Class: c, ClassSums: ClassSums{Least: c.Deadline.Seconds()}}
-		if i := slices.IndexFunc(classes, func(o *class) bool { return o.Name == c.Name }); i >= 0 {
-			*k = *classes[i] // a copy: requests under way keep the old one
-			k.Class, k.Least = c, min(k.Least, c.Deadline.Seconds())
+		state := &classState{Class: c, ClassSums: ClassSums{Least: c.Deadline.Seconds()}}
+		if i := slices.IndexFunc(classes, func(old *classState) bool { return old.Name == c.Name }); i >= 0 {
+			*state = *classes[i] // a copy: open requests keep the old one
+			state.Class, state.Least = c, min(state.Least, c.Deadline.Seconds())
 		}
-		b.classes = append(b.classes, k)
-		if d := c.Deadline.Seconds(); d > 0 {
-			b.half = min(b.half, d/2)
+		b.classes = append(b.classes, state)
+		if deadline := c.Deadline.Seconds(); deadline > 0 {
+			b.halfMinDeadline = min(b.halfMinDeadline, deadline/2)
 		}
-		if a := c.Aim.Seconds(); a > 0 {
-			b.aim = min(b.aim, a)
+		if target := c.Aim.Seconds(); target > 0 {
+			b.minTargetLatency = min(b.minTargetLatency, target)
 		}
 	}
 	for _, t := range set.Tenants {
-		k := &tenant{Tenant: t}
-		if i := slices.IndexFunc(tenants, func(o *tenant) bool { return o.Name == t.Name }); i >= 0 {
-			*k = *tenants[i]
-			k.Tenant = t
+		state := &tenantState{Tenant: t}
+		if i := slices.IndexFunc(tenants, func(old *tenantState) bool { return old.Name == t.Name }); i >= 0 {
+			*state = *tenants[i]
+			state.Tenant = t
 		}
-		b.tenants = append(b.tenants, k)
+		b.tenants = append(b.tenants, state)
 	}
 }
 
-// Learnt tells what was learnt so far. It shares nothing with the balancer.
+// LearnedState returns a copy of the statistics.
 func (b *Balancer) Learnt() *Learnt {
-	l := &Learnt{At: b.now, Totals: b.Totals, Servers: make([]Known, len(b.order)), Classes: map[string]ClassSums{}}
-	for i, s := range b.order {
-		l.Servers[i] = Known{s.ID, s.launched, s.Evidence}
-		l.Servers[i].Others += s.own // to whoever goes on, what this node has in flight is others'
+	l := &Learnt{At: b.now, Totals: b.Totals, Servers: make([]Known, len(b.sorted)),
+		Classes: map[string]ClassSums{}}
+	for i, s := range b.sorted {
+		l.Servers[i] = Known{s.ID, s.launchedAt, s.Evidence}
+		l.Servers[i].Others += s.localInFlight // requests of this process are remote load to its successor
 	}
 	for _, c := range b.classes {
 		l.Classes[c.Name] = c.ClassSums
@@ -109,145 +154,147 @@
 	return l
 }
 
-// Adopt takes over what another process has learnt: of the servers that were not started anew since, and of the classes that
-// are told. It comes behind a list and before any request.
+// Adopt adopts the statistics of another process: of the servers that were not restarted since, and of the classes that
+// are present. It must follow a server list and precede the first request.
 func (b *Balancer) Adopt(now time.Duration, l *Learnt) {
-	b.now, b.Totals, b.began = max(now.Seconds(), b.now), l.Totals, math.Inf(-1)
+	b.now, b.Totals, b.statsStart = max(now.Seconds(), b.now), l.Totals, math.Inf(-1)
 	for i := range l.Servers {
-		if k := &l.Servers[i]; b.servers[k.ID] != nil && b.servers[k.ID].launched == k.Launched {
-			b.servers[k.ID].Evidence = k.Evidence
+		if known := &l.Servers[i]; b.servers[known.ID] != nil && b.servers[known.ID].launchedAt == known.Launched {
+			b.servers[known.ID].Evidence = known.Evidence
 		}
 	}
 	for _, c := range b.classes {
-		if sums, told := l.Classes[c.Name]; told {
-			sums.Least = min(sums.Least, c.Least)
-			c.ClassSums = sums
+		if stats, present := l.Classes[c.Name]; present {
+			stats.Least = min(stats.Least, c.Least)
+			c.ClassSums = stats
 		}
 	}
-	b.plan(b.now)
+	b.refresh(b.now)
 }
 
-// Handle takes one event at the given time and appends what is to be done to out.
+// Handle processes one event at the given time and appends the resulting actions to out.
 func (b *Balancer) Handle(now time.Duration, ev *Event, out []Action) []Action {
-	b.out = out
-	t := max(now.Seconds(), b.now) // a clock that steps back must not undo what was learnt
+	b.actions = out
+	t := max(now.Seconds(), b.now) // a clock that steps back must not undo the statistics
 	b.now = t
 	switch ev.Kind {
 	case EvRequest:
-		b.arrive(t, ev)
+		b.handleRequest(t, ev)
 	case EvOutcome:
-		b.ended(t, ev)
+		b.handleOutcome(t, ev)
 	case EvGone:
-		b.gone(ev)
+		b.handleClientGone(ev)
 	case EvList:
-		b.list(t, ev)
+		b.handleList(t, ev)
 	case EvEnable:
-		b.enable(t, ev)
+		b.handleEnable(t, ev)
 	case EvDisable, EvWeigh:
 		if s := b.servers[ev.Server]; s != nil && ev.Kind == EvDisable {
 			s.disabled = true
 		} else if s != nil {
-			s.less, s.most = 1-min(1, max(1e-3, ev.Weight)), float64(ev.Most)
+			s.weightReduction, s.maxConcurrent = 1-min(1, max(1e-3, ev.Weight)), float64(ev.Most)
 		}
 	case EvSettings:
-		b.retune(ev.Settings)
+		b.applySettings(ev.Settings)
 	case EvTimer:
-		b.plan(t)
-		if b.askAt > 0 && t >= b.askAt {
-			b.askAt = 0
-			b.do(Action{Kind: ActWatch})
+		b.refresh(t)
+		if b.resubscribeAt > 0 && t >= b.resubscribeAt {
+			b.resubscribeAt = 0
+			b.emit(Action{Kind: ActWatch})
 		}
 	}
-	// One timer is out at a time, whatever timers come in; one that was lost is set anew.
-	if t >= b.tickAt-1e-6 && (ev.Kind == EvTimer || t > b.tickAt+tick) {
-		b.tickAt = t + tick
-		b.do(Action{Kind: ActTimer, Token: "tick", At: span(b.tickAt)})
+	// One timer is set at a time, whatever timer events arrive; a timer that was lost is set again.
+	if t >= b.nextRefreshAt-1e-6 && (ev.Kind == EvTimer || t > b.nextRefreshAt+refreshInterval) {
+		b.nextRefreshAt = t + refreshInterval
+		b.emit(Action{Kind: ActTimer, Token: "tick", At: duration(b.nextRefreshAt)})
 	}
-	out, b.out = b.out, nil
+	out, b.actions = b.actions, nil
 	return out
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) log(format string, args ...any) {
-	b.do(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
+func (b *Balancer) logf(format string, args ...any) {
+	b.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
 
-func span(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// arrive admits a request or refuses it at once; nothing is ever held.
-func (b *Balancer) arrive(now float64, ev *Event) {
+// handleRequest sends a new request to a server or refuses it at once; no request is queued here.
+func (b *Balancer) handleRequest(now float64, ev *Event) {
 	if _, known := b.requests[ev.ID]; known {
 		return
 	}
-	var c *class
-	if i := slices.IndexFunc(b.classes, func(k *class) bool { return k.Name == ev.Class }); i >= 0 {
+	var c *classState
+	if i := slices.IndexFunc(b.classes, func(c *classState) bool { return c.Name == ev.Class }); i >= 0 {
 		c = b.classes[i]
-	} else { // a class never told of must be taken as one that must not run twice
-		c = &class{Class: Class{Name: ev.Class, Effect: Unsafe}}
+	} else { // a request of an unknown class must be treated as one that must not run twice
+		c = &classState{Class: Class{Name: ev.Class, Effect: Unsafe}}
 	}
 	c.Requests++
-	left := ev.Left.Seconds()
+	timeLeft := ev.Left.Seconds()
 	var r *request
-	if n := len(b.over); n > 0 {
-		r, b.over = b.over[n-1], b.over[:n-1]
+	if n := len(b.freeRequests); n > 0 {
+		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
 	} else {
 		r = &request{}
 	}
-	*r = request{id: ev.ID, class: c, until: now + left, aim: now + left, most: b.set.MaxAttempts, attempts: r.attempts[:0]}
-	if aim := c.Aim.Seconds(); aim > 0 && c.LateWorth == 0 {
-		// A repeat with less time left than any first try lately has what is left of the deadline: that tells
-		// the age of its request. Work for one past its aim would only make others late.
-		if ev.Repeat && left < c.Least-1e-3 {
-			aim -= max(0, c.Deadline.Seconds()-left)
-		} else if !ev.Repeat && left > c.Deadline.Seconds()/2 { // little patience tells nothing of the others
-			c.Least = min(c.Least*1.001, left)
+	*r = request{id: ev.ID, class: c, expiresAt: now + timeLeft, usefulUntil: now + timeLeft,
+		maxAttempts: b.settings.MaxAttempts, attempts: r.attempts[:0]}
+	if target := c.Aim.Seconds(); target > 0 && c.LateWorth == 0 {
+		// A repeat with less time left than any recent first request has what remains of the deadline, which shows the
+		// age of the original request. Work on one past its target latency earns nothing and only delays others. A
+		// first request with a short timeout says nothing of the time that other clients have.
+		if ev.Repeat && timeLeft < c.Least-1e-3 {
+			target -= max(0, c.Deadline.Seconds()-timeLeft)
+		} else if !ev.Repeat && timeLeft > c.Deadline.Seconds()/2 {
+			c.Least = min(c.Least*1.001, timeLeft)
 		}
-		r.aim = min(r.aim, now+aim)
+		r.usefulUntil = min(r.usefulUntil, now+target)
 	}
 	b.requests[ev.ID] = r
 	b.Total++
-	r.among = ev.Among
-	r.borrowed = ev.Borrowed // others' guarantees go before it wherever anything waits
-	if r.lesser = b.overShare(ev.Tenant) || c.lesser || r.borrowed; r.lesser {
+	r.candidates = ev.Among
+	r.overQuota = ev.Borrowed // guarantees of others come first wherever anything waits
+	if r.lowPriority = b.exceedsQuota(ev.Tenant) || c.lowPriority || r.overQuota; r.lowPriority {
 		b.Lessers++
 	}
-	if left <= 0 || r.aim <= now || !b.try(now, r) {
+	if timeLeft <= 0 || r.usefulUntil <= now || !b.dispatch(now, r) {
 		b.finish(now, r)
 		return
 	}
-	b.Retries = min(retryBank, b.Retries+retryPart)
+	b.Retries = min(maxSavedRetries, b.Retries+retriesPerRequest)
 }
 
-// drop forgets a request that nothing more can come of. A few are kept to be used again.
-func (b *Balancer) drop(r *request) {
+// release forgets a request that no event can concern any more, and puts it on the free list.
+func (b *Balancer) release(r *request) {
 	delete(b.requests, r.id)
-	b.over = append(b.over[:min(len(b.over), overMost-1)], r)
+	b.freeRequests = append(b.freeRequests[:min(len(b.freeRequests), maxFreeRequests-1)], r)
 }
 
-// overShare draws whether a request lies past its tenant's share: the node takes its own part of the share,
-// and of what goes beyond it as many at random as there are too many.
-func (b *Balancer) overShare(name string) bool {
-	i := slices.IndexFunc(b.tenants, func(t *tenant) bool { return t.Name == name })
-	if i < 0 || b.set.OverShare >= 1 {
+// exceedsQuota decides at random whether a request counts as over its tenant's quota. The node takes its share of the
+// quota, and of the requests beyond it as many count as there are too many.
+func (b *Balancer) exceedsQuota(name string) bool {
+	i := slices.IndexFunc(b.tenants, func(t *tenantState) bool { return t.Name == name })
+	if i < 0 || b.settings.OverShare >= 1 {
 		return false
 	}
 	t := b.tenants[i]
-	t.count++
-	return b.rng.Float64()*t.rate > t.QuotaPerS*b.part
+	t.arrivals++
+	return b.rng.Float64()*t.arrivalRate > t.QuotaPerS*b.trafficShare
 }
 
-// try sends a request on the ordinary path of the design, or tells that no backend takes it: draw a backend,
-// let one in overload divert the request with probability q, and diverted requests draw a normal one.
-func (b *Balancer) try(now float64, r *request) bool {
-	s := b.pick(now, r, overload)
-	met := 0.0
+// dispatch sends a request to a server and reports whether one accepts it: it selects a server, one in overload diverts
+// the request with probability q, and for a diverted request a server in normal mode is selected.
+func (b *Balancer) dispatch(now float64, r *request) bool {
+	s := b.selectServer(now, r, overload)
+	noneNormal := 0.0
 	if s == nil || s.Mode != normal {
-		met = 1
+		noneNormal = 1
 	}
-	b.Strain += (met - b.Strain) / strainN
-	if s != nil && s.Mode == overload && (r.borrowed || b.diverts(now, s, r.lesser)) {
-		s = b.pick(now, r, normal)
+	b.Strain += (noneNormal - b.Strain) / pressureWindow
+	if s != nil && s.Mode == overload && (r.overQuota || b.shouldDivert(now, s, r.lowPriority)) {
+		s = b.selectServer(now, r, normal)
 	}
 	if s != nil {
 		b.send(now, r, s)
@@ -255,246 +302,256 @@
 	return s != nil
 }
 
+// send starts an attempt of a request at a server.
 func (b *Balancer) send(now float64, r *request, s *server) {
-	r.attempts = append(r.attempts, attempt{s, true, b.waiting(s, now) + 1, now})
-	r.open++
-	s.own++
-	until := r.until // ended at the aim, it would draw a client's retry that is worth nothing
+	r.attempts = append(r.attempts, attempt{s, true, b.estimateOccupancy(s, now) + 1, now})
+	r.pending++
+	s.localInFlight++
+	until := r.expiresAt // ended at its target latency, it would cause a client's retry that has no value
 	if s.Mode != normal {
-		until = r.aim // here it mostly waits, and keeps others from being in time
+		until = r.usefulUntil // in this mode it mostly waits, and keeps others from being in time
 	}
-	if r.mayRun != nil && r.class.Effect == Keyed {
-		until = min(until, r.windowEnd()) // a connection that comes up later would carry it past its window
+	if r.mayHaveRunOn != nil && r.class.Effect == Keyed {
+		until = min(until, r.repeatWindowEnd()) // a connection that is established later would carry it past its window
 	}
-	b.do(Action{Kind: ActSend, ID: r.id, Server: s.ID, Wait: span(max(until-now, 1e-6))})
+	b.emit(Action{Kind: ActSend, ID: r.id, Server: s.ID, Wait: duration(max(until-now, 1e-6))})
 }
 
-// Pressure is the part of the latest requests that met no normal backend.
+// Pressure returns the share of the latest requests for which no server in normal mode was selected.
 func (b *Balancer) Pressure() float64 { return b.Strain }
 
-// Part is this node's part of what the servers hold, known where the latest report told that and not a queue
-// alone, from which it can't be told.
-func (b *Balancer) Part() (part float64, known bool) { return b.part, b.helds }
+// TrafficShare returns this node's share of the requests that the servers hold. It is known only where the latest
+// report had the number of requests held: it can't be derived from the length of a queue alone.
+func (b *Balancer) Part() (share float64, known bool) { return b.trafficShare, b.heldReported }
 
-// finish gives the final answer: a refusal where the client may safely try again, a failure elsewhere.
+// finish gives the final response: a refusal where the client may safely retry, a failure elsewhere.
 func (b *Balancer) finish(now float64, r *request) {
-	b.drop(r) // no attempt is out: nothing more can come of it
+	b.release(r) // no attempt is pending: no further event concerns it
 	c := r.class
-	if r.mayRun != nil && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
-		b.do(Action{Kind: ActFail, ID: r.id}) // it may have run: a refusal would promise too much
+	if r.mayHaveRunOn != nil && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		b.emit(Action{Kind: ActFail, ID: r.id}) // it may have run: a refusal would wrongly state that it did not
 		return
 	}
-	wait := b.set.RetryAfter.Seconds() // within the aim: back after a backend cleared a good part of its queue
-	if now < r.aim {
-		wait = min(wait, b.aim/4)
+	wait := b.settings.RetryAfter.Seconds()
+	if now < r.usefulUntil { // soon enough for the target latency, after a server completed a good part of its queue
+		wait = min(wait, b.minTargetLatency/4)
 	}
-	b.do(Action{Kind: ActRefuse, ID: r.id, Wait: span(wait)})
+	b.emit(Action{Kind: ActRefuse, ID: r.id, Wait: duration(wait)})
 }
 
-// ended takes an attempt's outcome. Outcomes that are late, doubled or of unknown requests change nothing.
-func (b *Balancer) ended(now float64, ev *Event) {
+// handleOutcome processes the outcome of an attempt. An outcome that is late, repeated or of an unknown request changes
+// nothing.
+func (b *Balancer) handleOutcome(now float64, ev *Event) {
 	r := b.requests[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].pending {
 		return
 	}
 	s := r.attempts[ev.Attempt].server
-	r.attempts[ev.Attempt].open = false
-	r.open--
-	b.learn(now, s, r, ev)
-	r.final = r.final || ev.Last
-	if r.final {
-		if r.open == 0 {
-			b.drop(r)
+	r.attempts[ev.Attempt].pending = false
+	r.pending--
+	b.recordOutcome(now, s, r, ev)
+	r.finished = r.finished || ev.Last
+	if r.finished {
+		if r.pending == 0 {
+			b.release(r)
 		}
 		return
 	}
-	if r.mayRun == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != Moot {
-		r.mayRun, r.mayRunAt = s, r.attempts[ev.Attempt].at
+	if r.mayHaveRunOn == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != Moot {
+		r.mayHaveRunOn, r.mayHaveRunAt = s, r.attempts[ev.Attempt].sentAt
 	}
-	r.avoid = s
-	if !ev.Spent && b.mayRetry(now, r) && b.try(now, r) {
+	r.lastTried = s
+	if !ev.Spent && b.canRetry(now, r) && b.dispatch(now, r) {
 		b.Retries--
 	} else {
 		b.finish(now, r)
 	}
 }
 
-// diverts draws whether a backend in overload diverts a request of a class. The share q of all requests is
-// diverted, lesser classes first; what passes falls as the occupancy exceeds H.
-func (b *Balancer) diverts(now float64, s *server, lesser bool) bool {
-	service := b.service(s)
-	q := 1 - (1-divert)*min(1, s.high(b, s.limit(b, service), service)/max(b.waiting(s, now), 1))
-	part := b.Lessers / max(b.Total, 1)
-	if lesser {
-		return b.rng.Float64()*part < q
+// shouldDivert decides at random whether a server in overload diverts a request of the given priority. It diverts the
+// share q of all requests, those of low priority first; the share that passes falls as the occupancy exceeds H.
+func (b *Balancer) shouldDivert(now float64, s *server, lowPriority bool) bool {
+	service := b.serviceTime(s)
+	q := 1 - (1-divert)*min(1,
+		s.onsetThreshold(b, s.discardThreshold(b, service), service)/max(b.estimateOccupancy(s, now), 1))
+	lowShare := b.Lessers / max(b.Total, 1)
+	if lowPriority {
+		return b.rng.Float64()*lowShare < q
 	}
-	return b.rng.Float64()*(1-part) < q-part
+	return b.rng.Float64()*(1-lowShare) < q-lowShare
 }
 
-// mayRetry tells whether the rules and the budget allow a further attempt. Retries must never add to an
-// overload: they take the ordinary path again, and share a budget that only first attempts fill.
-func (b *Balancer) mayRetry(now float64, r *request) bool {
+// canRetry reports whether the rules and the budget allow a retry. Retries must never add to an overload: they are
+// dispatched like first attempts, and share a budget that only first attempts fill.
+func (b *Balancer) canRetry(now float64, r *request) bool {
 	c := r.class
-	if len(r.attempts) >= min(r.most, b.set.MaxAttempts) || now >= r.aim || b.Retries < 1 {
+	if len(r.attempts) >= min(r.maxAttempts, b.settings.MaxAttempts) || now >= r.usefulUntil || b.Retries < 1 {
 		return false
 	}
-	return r.mayRun == nil || c.Effect == Safe || c.Effect == Keyed && now < r.windowEnd()
+	return r.mayHaveRunOn == nil || c.Effect == Safe || c.Effect == Keyed && now < r.repeatWindowEnd()
 }
 
-// windowEnd is until when a keyed request may be sent again. The window runs from the send, however slow its answer is.
-func (r *request) windowEnd() float64 { return r.mayRunAt + r.class.Window.Seconds() }
+// repeatWindowEnd returns the time until which a keyed request may be sent again. The window begins at the send,
+// however slow the response is.
+func (r *request) repeatWindowEnd() float64 { return r.mayHaveRunAt + r.class.Window.Seconds() }
 
-// learn books what an outcome shows of its backend.
-func (b *Balancer) learn(now float64, s *server, r *request, ev *Event) {
-	s.settle(now)
-	s.own = max(0, s.own-1)
-	took := max(0, ev.Took.Seconds())
+// recordOutcome updates a server's statistics by the outcome of an attempt.
+func (b *Balancer) recordOutcome(now float64, s *server, r *request, ev *Event) {
+	s.updateLagged(now)
+	s.localInFlight = max(0, s.localInFlight-1)
+	elapsed := max(0, ev.Took.Seconds())
 	n := max(ev.Load.Queue, ev.Load.Held, 0)
-	if w := ev.Load.Work; ev.Load.Held < 0 && w > 0 && w < math.MaxInt32 && b.ramp(s, now) == 1 {
-		// Where the queue alone is told, many slots hide a crowd from it: a backend chokes on what is in work
-		// with nothing waiting. Requests then take many times as long as at their best.
+	if work := ev.Load.Work; ev.Load.Held < 0 && work > 0 && work < math.MaxInt32 && b.capacityShare(s, now) == 1 {
+		// Where only the queue is reported, a server with many slots can be overloaded by the requests in work while
+		// nothing waits. Requests then take many times as long as at their best.
 		if s.Work == 0 {
-			s.Work = w
+			s.Work = work
 		}
-		s.Work += (w - s.Work) * (1 - math.Exp((s.ReportAt-now)/othersTau))
-		n += max(0, s.Work/s.Base/crowdAt-1)
+		s.Work += (work - s.Work) * (1 - math.Exp((s.ReportAt-now)/remoteLoadTimeConstant))
+		n += max(0, s.Work/s.Base/contentionFactor-1)
 	}
-	if q, h := ev.Load.Queue, ev.Load.Held; q >= 0 && h-q < math.MaxInt32 {
-		s.Slots = max(s.Slots, h-q) // so many it has in work at once
+	if queue, held := ev.Load.Queue, ev.Load.Held; queue >= 0 && held-queue < math.MaxInt32 {
+		s.Slots = max(s.Slots, held-queue) // as many are in work at once
 	}
 	if ev.Load.Known && n < math.MaxInt32 { // and not NaN
-		b.helds = ev.Load.Held >= 0
-		s.Others += (n - s.ownLag - s.Others) * (1 - math.Exp((s.ReportAt-now)/othersTau))
+		b.heldReported = ev.Load.Held >= 0
+		s.Others += (n - s.laggedInFlight - s.Others) * (1 - math.Exp((s.ReportAt-now)/remoteLoadTimeConstant))
 		s.ReportAt = now
 		b.Seen++
-		b.Mean += (max(0, n-s.ownLag) - b.Mean) / b.Seen
+		b.Mean += (max(0, n-s.laggedInFlight) - b.Mean) / b.Seen
 	}
 	switch ev.Outcome {
 	case OK:
 		s.LastOK = now
 		s.Served++
-		s.Bad *= 1 - 1/badTau
-		if s.Trial && s.Bad < badShare { // also when what was in flight shows that it is not out after all
+		s.Bad *= 1 - 1/failureTimeConstant
+		if s.Trial && s.Bad < ejectionFailureShare { // also when an attempt that was in flight shows it to be healthy
 			s.Trial, s.Ejections, s.Ejected = false, 0, now
-			b.log("backend %d answers again", s.ID)
+			b.logf("backend %d answers again", s.ID)
 		}
-		b.latency(s, r, ev.Attempt, took)
+		b.recordLatency(s, r, ev.Attempt, elapsed)
 	case Full:
-		// A draining or broken backend turns requests away with nothing waiting: that is no limit.
-		if n := b.waiting(s, now) + 1; n >= minH {
+		// A draining or broken server rejects requests with nothing waiting: that shows no limit.
+		if n := b.estimateOccupancy(s, now) + 1; n >= minOnset {
 			s.Room = min(s.Room, n)
 		}
-		// Turned away is the freshest report there is: R is reached, whatever older reports still arrive.
-		// Without this a full backend looks best, as what it turns away at once never counts as in flight.
-		// Where no deadline is told and no limit was met, no R is known that it could have reached.
-		if full := s.limit(b, b.service(s)); !math.IsInf(full, 1) {
+		// A rejection is the most recent report possible: R is reached, whatever older reports still arrive. Without
+		// this a full server would look best, as requests that it rejects at once never count as in flight. Where no
+		// deadline is specified and no limit was seen, there is no known R that it could have reached.
+		if full := s.discardThreshold(b, b.serviceTime(s)); !math.IsInf(full, 1) {
 			s.Full, s.FullAt = full, now
 		}
-		// A draining backend turns all away until the list tells; a crowded one still answers others.
-		if s.LastOK < now-silence {
-			b.blame(now, s, outTau)
+		// A draining server rejects all requests until the list announces the drain; an overloaded one still serves
+		// others.
+		if s.LastOK < now-silenceTimeout {
+			b.recordFailure(now, s, unreachableTimeConstant)
 		}
 	case TimedOut:
-		// The true latency is longer than was waited for; taking it as seen would make a slow backend look
-		// as good as the time-out.
-		b.latency(s, r, ev.Attempt, 2*took)
-		s.Others++ // the backend may well run on with it; the next reports will tell
-		// A slow backend still answers some; one that answered nothing meanwhile is not slow but out.
-		if s.LastOK < now-max(took, silence) {
-			b.blame(now, s, outTau)
+		// The true latency exceeds the timeout; recorded as it was seen, it would make a slow server look as good as
+		// the timeout.
+		b.recordLatency(s, r, ev.Attempt, 2*elapsed)
+		s.Others++ // the server may well go on with the request; the next reports will show it
+		// A slow server still responds to some requests; one without any response meanwhile is unhealthy, not slow.
+		if s.LastOK < now-max(elapsed, silenceTimeout) {
+			b.recordFailure(now, s, unreachableTimeConstant)
 		}
 	case ConnectFailed:
-		b.blame(now, s, outTau)
+		b.recordFailure(now, s, unreachableTimeConstant)
 	case Failed, Reset:
-		b.blame(now, s, badTau)
+		b.recordFailure(now, s, failureTimeConstant)
 	}
-	s.update(now, b)
+	s.updateMode(now, b)
 }
 
-// latency books an answer's time against the occupancy it met when it was sent. Taking the occupancy of the
-// moment it came back would make a backend that is filling up look fast, as its quick answers come first.
-func (b *Balancer) latency(s *server, r *request, i int, took float64) {
-	s.Latency += took
-	s.Occupancy += r.attempts[i].met
-	r.class.Latency += took
+// recordLatency records the latency of attempt i against the server's occupancy at its send. With the occupancy at the
+// response, a server that fills up would look fast, as its quick responses come first.
+func (b *Balancer) recordLatency(s *server, r *request, i int, elapsed float64) {
+	s.Latency += elapsed
+	s.Occupancy += r.attempts[i].occupancy
+	r.class.Latency += elapsed
 	r.class.Answers++
 }
 
-// blame counts a failed attempt. A broken backend can look best (fast errors, an empty queue), so one that
-// fails too often is ejected for a growing time and comes back by trickle. However many are ejected, the
-// rest are not pushed over: their modes refuse what they cannot take.
-func (b *Balancer) blame(now float64, s *server, tau float64) {
-	s.Bad = min(badMost, s.Bad+(1-s.Bad)/tau)
-	if now < s.Ejected || !s.Trial && s.Bad < badShare {
+// recordFailure counts a failed attempt with the given time constant, in attempts. A broken server can look best (fast
+// errors, an empty queue), so one that fails too often is ejected for a growing time and comes back with one attempt at
+// a time. However many servers are ejected, the others are not overloaded by that: their modes refuse what exceeds
+// their capacity.
+func (b *Balancer) recordFailure(now float64, s *server, timeConstant float64) {
+	s.Bad = min(maxFailureShare, s.Bad+(1-s.Bad)/timeConstant)
+	if now < s.Ejected || !s.Trial && s.Bad < ejectionFailureShare {
 		return
 	}
 	s.Ejections++
-	s.Ejected = now + min(ejectMost, ejectFor*math.Pow(2, float64(s.Ejections-1)))*(0.75+0.5*b.rng.Float64())
+	s.Ejected = now + min(maxEjection, minEjection*math.Pow(2, float64(s.Ejections-1)))*(0.75+0.5*b.rng.Float64())
 	s.Trial = true
-	b.log("backend %d ejected for %.1f s: too many attempts failed", s.ID, s.Ejected-now)
+	b.logf("backend %d ejected for %.1f s: too many attempts failed", s.ID, s.Ejected-now)
 }
 
-func (b *Balancer) gone(ev *Event) {
+// handleClientGone cancels the pending attempts of a request whose client has disconnected.
+func (b *Balancer) handleClientGone(ev *Event) {
 	r := b.requests[ev.ID]
-	if r == nil || r.final {
+	if r == nil || r.finished {
 		return
 	}
-	r.final = true
+	r.finished = true
 	for i, a := range r.attempts {
-		if a.open && b.set.Cancel {
-			b.do(Action{Kind: ActCancel, ID: r.id, Attempt: i}) // nobody waits for this work any more
+		if a.pending && b.settings.Cancel {
+			b.emit(Action{Kind: ActCancel, ID: r.id, Attempt: i}) // no client waits for this work any more
 		}
 	}
-	if r.open == 0 {
-		b.drop(r)
+	if r.pending == 0 {
+		b.release(r)
 	}
 }
 
-// settle moves ownLag towards own, so that it tells what was in flight when the report was made.
-func (s *server) settle(now float64) {
-	s.ownLag += (s.own - s.ownLag) * (1 - math.Exp((s.ownAt-now)/lagTau))
-	s.ownAt = now
+// updateLagged moves laggedInFlight towards localInFlight, so that it approximates the number of attempts that were in
+// flight when the latest report was made.
+func (s *server) updateLagged(now float64) {
+	s.laggedInFlight += (s.localInFlight - s.laggedInFlight) * (1 - math.Exp((s.laggedAt-now)/reportLagTimeConstant))
+	s.laggedAt = now
 }
 
-// waiting estimates the present occupancy: the report, and own sends it does not show yet. A node of hundreds
-// hears from a backend every tens of seconds: an old report fades towards what fresh ones show of the fleet.
-// Fading towards nothing would make the least known backend look best.
-func (b *Balancer) waiting(s *server, now float64) float64 {
-	s.settle(now)
-	n := max(0, b.Mean+(s.Others-b.Mean)*math.Exp((s.ReportAt-now)/knowTau)+s.own)
+// estimateOccupancy estimates the present occupancy: that of the report, and this node's sends that the report does not
+// include yet. One of hundreds of nodes gets a report of a server every tens of seconds only, so an old report fades
+// towards the mean of the recent ones of all servers. If it faded to zero, the least known server would look best.
+func (b *Balancer) estimateOccupancy(s *server, now float64) float64 {
+	s.updateLagged(now)
+	n := max(0, b.Mean+(s.Others-b.Mean)*math.Exp((s.ReportAt-now)/reportFadeTimeConstant)+s.localInFlight)
 	if s.Full > 0 {
-		n = max(n, s.Full-(now-s.FullAt)/b.service(s)) // it cannot have cleared more than this
+		n = max(n, s.Full-(now-s.FullAt)/b.serviceTime(s)) // it can't have completed more than this
 	}
 	return n
 }
 
-// service is the time a backend needs for each request it holds. A node alone sees few answers of each
-// backend and their work varies widely, so they are weighed against those of its kind.
-func (b *Balancer) service(s *server) float64 {
-	return (s.Latency + prior*s.typical) / (s.Occupancy + prior)
+// serviceTime returns the time that a server needs for each request that it holds. One node sees few responses of each
+// server, and their costs vary widely, so they are averaged with those of its server type.
+func (b *Balancer) serviceTime(s *server) float64 {
+	return (s.Latency + priorRequests*s.typeServiceTime) / (s.Occupancy + priorRequests)
 }
 
-// limit is R: the queue a backend clears in half the shortest told deadline, capped where 'full' was met.
-func (s *server) limit(b *Balancer, service float64) float64 {
-	return max(min(s.Room, b.half/service), s.least()/onset)
+// discardThreshold returns R: the number of requests that a server completes in half the shortest specified deadline,
+// limited to the occupancy at which it rejected a request as full.
+func (s *server) discardThreshold(b *Balancer, service float64) float64 {
+	return max(min(s.Room, b.halfMinDeadline/service), s.onsetFloor()/onset)
 }
 
-// high is H. It never lets a backend hold more than it clears in a part of the shortest aim: an answer past
-// its aim is wasted work, however long the deadline.
-func (s *server) high(b *Balancer, r, service float64) float64 {
-	return max(min(onset*r, roomPart*s.Room, aimPart*b.aim/service), s.least())
+// onsetThreshold returns H for a given R. A server never gets more requests than it completes in a share of the
+// shortest target latency: work on a response past its target latency is wasted, however long the deadline.
+func (s *server) onsetThreshold(b *Balancer, r, service float64) float64 {
+	return max(min(onset*r, onsetQueueFullShare*s.Room, onsetTargetShare*b.minTargetLatency/service), s.onsetFloor())
 }
 
-// least is what H never falls below: as many requests as a backend was seen to have in work at once. Until
-// they are exceeded nothing waits, however long each takes. A few requests with nothing waiting make the
-// service time look long, and with it H low: a node that refuses for that reason would never see better.
-func (s *server) least() float64 { return max(minH, min(s.Slots, roomPart*s.Room)) }
+// onsetFloor returns the value that H never falls below: the number of requests that a server was seen to have in work
+// at once. Up to that number nothing waits, however long each request takes. A few requests with nothing waiting make
+// the service time look long, and with it H low: a node that refused requests for that reason would never see better
+// values.
+func (s *server) onsetFloor() float64 { return max(minOnset, min(s.Slots, onsetQueueFullShare*s.Room)) }
 
-// update moves a backend between its modes, and tells its occupancy and service time.
-func (s *server) update(now float64, b *Balancer) (occupancy, service float64) {
-	n, service := b.waiting(s, now), b.service(s)
-	r := s.limit(b, service)
-	h := s.high(b, r, service)
+// updateMode moves a server between its modes, and returns its occupancy and service time.
+func (s *server) updateMode(now float64, b *Balancer) (occupancy, service float64) {
+	n, service := b.estimateOccupancy(s, now), b.serviceTime(s)
+	r := s.discardThreshold(b, service)
+	h := s.onsetThreshold(b, r, service)
 	if s.Mode == normal && n >= h || s.Mode == discard && n < h {
 		s.Mode = overload
 	}
@@ -502,7 +559,7 @@
 		s.Mode = discard
 	}
 	if s.Mode == discard && now-max(s.ReportAt, s.FullAt) > r*service {
-		s.Mode = overload // passing sends bring a new report
+		s.Mode = overload // requests that pass bring a new report
 	}
 	if s.Mode == overload && n < h*abatement/onset {
 		s.Mode = normal
@@ -510,122 +567,130 @@
 	return n, service
 }
 
-// ramp is the least part of its capacity that a backend has, by the time since its start.
-func (b *Balancer) ramp(s *server, now float64) float64 {
-	age, span := now-s.launched, b.set.ColdFor.Seconds()
-	if s.launched <= 0 || age >= span {
+// capacityShare returns the least share of its full capacity that a server has, by the time since its start.
+func (b *Balancer) capacityShare(s *server, now float64) float64 {
+	age, coldFor := now-s.launchedAt, b.settings.ColdFor.Seconds()
+	if s.launchedAt <= 0 || age >= coldFor {
 		return 1
 	}
-	return b.set.ColdShare + (1-b.set.ColdShare)*max(0, age)/span
+	return b.settings.ColdShare + (1-b.settings.ColdShare)*max(0, age)/coldFor
 }
 
-// usable tells whether a request may go to a backend at all, whatever its mode.
-func (b *Balancer) usable(now float64, r *request, s *server) bool {
-	if s.disabled || s.State != Active && now >= s.grace {
+// eligible reports whether a request may go to a server at all, whatever its mode.
+func (b *Balancer) eligible(now float64, r *request, s *server) bool {
+	if s.disabled || s.State != Active && now >= s.graceUntil {
 		return false
 	}
-	if now < s.Ejected || s.Trial && s.own > 0 || s == r.avoid {
+	if now < s.Ejected || s.Trial && s.localInFlight > 0 || s == r.lastTried {
 		return false
 	}
-	m, g := r.mayRun, r.class.Group
-	return m == nil || r.class.Effect != Keyed || (g != GroupZone || s.Zone == m.Zone) && (g != GroupCell || s.Cell == m.Cell)
+	m, g := r.mayHaveRunOn, r.class.Group
+	return m == nil || r.class.Effect != Keyed ||
+		(g != GroupZone || s.Zone == m.Zone) && (g != GroupCell || s.Cell == m.Cell)
 }
 
-// pick draws a backend in the given mode or a better one, by weights that fall with the expected delay.
-func (b *Balancer) pick(now float64, r *request, worst Mode) *server {
+// selectServer selects a server in the given mode or a better one at random, with weights that fall with the expected
+// delay. It returns nil if there is none.
+func (b *Balancer) selectServer(now float64, r *request, maxMode Mode) *server {
 	var chosen, spare *server
-	from, sum, fresh := b.candidates(r), 0.0, worst == overload && len(r.attempts) == 0
-	if fresh {
-		b.Picks, b.latest = b.Picks+1, b.latest+1
+	candidates, weightSum, initial := b.candidates(r), 0.0, maxMode == overload && len(r.attempts) == 0
+	if initial {
+		b.Picks, b.selectionsSinceRefresh = b.Picks+1, b.selectionsSinceRefresh+1
 	}
-	first, at, step, part, n := 0, 0, 1, 1.0, len(from)
-	if n > wide { // each is as likely to be looked at as any other, and none twice
+	first, at, step, sampledShare, n := 0, 0, 1, 1.0, len(candidates)
+	if n > maxFullScan { // each candidate is as likely to be sampled as any other, and none twice
 		for at, step = b.rng.IntN(n), n; gcd(step, n) > 1; step = 1 + b.rng.IntN(n-1) {
 		}
-		part = sample / float64(n)
-		if r.among == nil { // those that did well lately are looked at each time; a cell may not have them
-			first = -len(b.lately)
+		sampledShare = sampleSize / float64(n)
+		if r.candidates == nil { // also look at the recently selected ones; a request's own candidates may lack them
+			first = -len(b.recentlySelected)
 		}
 	}
 	for i := first; i < n; i++ {
-		if n > wide && i > 0 && i%sample == 0 && (chosen != nil || i == mostLook) {
+		if n > maxFullScan && i > 0 && i%sampleSize == 0 && (chosen != nil || i == maxSampled) {
 			break
 		}
 		var s *server
 		if i < 0 {
-			if s = b.lately[-1-i]; s == nil || b.servers[s.ID] != s || b.ramp(s, now) < 1 {
+			if s = b.recentlySelected[-1-i]; s == nil || b.servers[s.ID] != s || b.capacityShare(s, now) < 1 {
 				continue
 			}
 		} else {
-			s, at = from[at], (at+step)%n
-			if first < 0 && slices.Contains(b.lately[:], s) && b.ramp(s, now) == 1 {
-				continue // it was looked at
+			s, at = candidates[at], (at+step)%n
+			if first < 0 && slices.Contains(b.recentlySelected[:], s) && b.capacityShare(s, now) == 1 {
+				continue // it was looked at already
 			}
 		}
-		occupancy, service := s.update(now, b)
-		if s.Mode > worst || !b.usable(now, r, s) || s.most > 0 && occupancy >= s.most {
+		occupancy, service := s.updateMode(now, b)
+		if s.Mode > maxMode || !b.eligible(now, r, s) || s.maxConcurrent > 0 && occupancy >= s.maxConcurrent {
 			continue
 		}
-		if ramp := b.ramp(s, now); ramp < 1 {
-			// A cold backend is kept from being pushed over by a fixed share of each node's requests: its ramp's part of what a
-			// warm one serves, times a part of the multiple that brings it down. The rest is for bursts and for backends slower
-			// than their kind. Nothing is saved up: budgets that hundreds of nodes begin at the same start would come due
-			// together. One that is looked at by chance has its share of that chance. Only a request's first draw counts: the
-			// others come in crowds, and at once, when the warm ones fill.
-			if fresh && (n <= wide || i < sample) && b.rng.Float64() < s.chance*ramp*b.set.FallFactor*coldPart/part {
+		if capacity := b.capacityShare(s, now); capacity < 1 {
+			// A cold server gets a fixed share of each node's requests, so that it is not overloaded: its share of
+			// capacity times what a warm one serves, times a share of the multiple under which it collapses. The rest
+			// of that multiple is for bursts and for servers slower than their type. No budget is saved up: budgets
+			// that hundreds of nodes begin at the same start would all be spent at the same time. In a sampled list,
+			// the share is divided by the probability that the server is sampled. Only the initial selection of a
+			// request counts: the others come in bursts, and all at once, when the warm servers fill.
+			if initial && (n <= maxFullScan || i < sampleSize) &&
+				b.rng.Float64() < s.warmShare*capacity*b.settings.FallFactor*coldLoadShare/sampledShare {
 				return s
 			}
-			// It may also take what nobody else does: with so many in flight, of a few nodes together, it is sent only as fast
-			// as it answers and so many at first, half of what the rule leaves beyond its capacity.
-			flight := max(1, (b.set.FallFactor-1)/2*ramp*b.set.FallFor.Seconds()/s.typical)
-			idle := s.Mode == normal && s.own < max(1, flight/float64(b.set.Nodes)) && occupancy < flight
-			if idle && b.set.Nodes <= fewNodes && (spare == nil || b.rng.Float64() < 0.5) {
+			// It may also get a request that no other server accepts: with a limit on the requests in flight, of a few
+			// nodes together, it gets them only as fast as it responds. The limit is half of what the rule on cold
+			// servers leaves beyond its capacity.
+			maxInFlight := max(1, (b.settings.FallFactor-1)/2*capacity*b.settings.FallFor.Seconds()/s.typeServiceTime)
+			idle := s.Mode == normal && s.localInFlight < max(1, maxInFlight/float64(b.settings.Nodes)) &&
+				occupancy < maxInFlight
+			if idle && b.settings.Nodes <= maxSpareNodes && (spare == nil || b.rng.Float64() < 0.5) {
 				spare = s
 			}
 			continue
 		}
-		// Other nodes see the same and do alike: an own attempt stands for one of each. Without this many
-		// nodes, each with few attempts out, meet on the same backends by chance, and one gone silent fills.
-		delay := max(service*(occupancy+1+s.own*float64(b.set.Nodes-1)), 1e-3)
+		// Other nodes see the same and act alike, so a local attempt stands for one of each node. Without this, many
+		// nodes with few attempts each would choose the same servers by random variation, and one that stops responding
+		// would fill.
+		delay := max(service*(occupancy+1+s.localInFlight*float64(b.settings.Nodes-1)), 1e-3)
 		delay *= delay
 		delay *= delay
-		weight := 1 / (delay * delay) // the eighth power: the split is sharp
-		if s.near {
-			weight *= ownZone
+		weight := 1 / (delay * delay) // the eighth power gives the faster servers nearly all requests
+		if s.inLocalZone {
+			weight *= localZoneWeight
 		}
-		weight *= 1 - s.less
-		sum += weight
-		if b.rng.Float64()*sum < weight { // so that each is drawn with its part of the whole sum
+		weight *= 1 - s.weightReduction
+		weightSum += weight
+		if b.rng.Float64()*weightSum < weight { // so that each is selected with its share of the complete sum
 			chosen = s
 		}
 	}
-	if first < 0 && chosen != nil && !slices.Contains(b.lately[:], chosen) {
-		b.lately[b.rng.IntN(len(b.lately))] = chosen
+	if first < 0 && chosen != nil && !slices.Contains(b.recentlySelected[:], chosen) {
+		b.recentlySelected[b.rng.IntN(len(b.recentlySelected))] = chosen
 	}
 	return cmp.Or(chosen, spare)
 }
 
-// candidates are the backends among which a request may be drawn: those of its cell, or all. A long list is
-// not sampled for what may not be sent to; of a short one usable tells.
+// candidates returns the servers among which a request's server is selected: those that the request is limited to, or
+// all. From a long list a keyed request that may have run gets only the servers that it may be sent to again, as
+// sampling would miss them; in a short one eligible excludes the others.
 func (b *Balancer) candidates(r *request) []*server {
-	if r.among != nil {
-		b.cell = b.cell[:0]
-		for _, id := range r.among {
+	if r.candidates != nil {
+		b.candidateBuffer = b.candidateBuffer[:0]
+		for _, id := range r.candidates {
 			if s := b.servers[id]; s != nil {
-				b.cell = append(b.cell, s)
+				b.candidateBuffer = append(b.candidateBuffer, s)
 			}
 		}
-		return b.cell
+		return b.candidateBuffer
 	}
-	if m := r.mayRun; m != nil && r.class.Effect == Keyed && len(b.order) > wide {
+	if m := r.mayHaveRunOn; m != nil && r.class.Effect == Keyed && len(b.sorted) > maxFullScan {
 		switch r.class.Group {
 		case GroupZone:
-			return b.zones[m.Zone]
+			return b.byZone[m.Zone]
 		case GroupCell:
-			return b.cells[m.Cell]
+			return b.byCell[m.Cell]
 		}
 	}
-	return b.order
+	return b.sorted
 }
 
 func gcd(x, y int) int {
@@ -635,221 +700,231 @@
 	return x
 }
 
-// plan runs a few times a second: it ages what was learnt and renews what the requests then use.
-func (b *Balancer) plan(now float64) {
-	all := &kind{}
-	b.fleet, b.kinds = all, map[string]*kind{}
-	dt := max(now-b.planAt, 1e-3)
-	b.planAt = now
-	f, wider, fewer := math.Exp(-dt/rateTau), math.Exp(dt/oldTau), math.Exp(-dt/slotTau)
-	b.Seen *= f
-	b.Strain *= math.Exp(-dt / fadeTau) // who refuses all requests would else never see better
-	b.Picks, b.Span = b.Picks*f, b.Span*f+rateTau*(1-f)
-	b.jump, b.latest, b.began = b.jump+(b.latest/dt-b.jump)*(1-math.Exp(-dt/jumpTau)), 0, cmp.Or(b.began, now)
-	for _, s := range b.order {
-		s.Latency, s.Occupancy, s.Served = s.Latency*f, s.Occupancy*f, s.Served*f
-		s.Room *= wider
-		s.Slots *= fewer
-		k := b.kinds[s.Kind]
-		if k == nil {
-			k = &kind{}
-			b.kinds[s.Kind] = k
-		}
-		s.kin = k
-		for _, p := range [...]*kind{k, all} {
-			p.latency += s.Latency
+// refresh runs a few times per second: it ages the statistics and recomputes the values that selections use.
+func (b *Balancer) refresh(now float64) {
+	all := &serverType{}
+	b.allTypes, b.serverTypes = all, map[string]*serverType{}
+	dt := max(now-b.lastRefreshAt, 1e-3)
+	b.lastRefreshAt = now
+	decay, growth, slotsDecay := math.Exp(-dt/rateTimeConstant), math.Exp(dt/longTimeConstant),
+		math.Exp(-dt/slotsTimeConstant)
+	b.Seen *= decay
+	b.Strain *= math.Exp(-dt / pressureTimeConstant) // else a node that refuses all requests would do so forever
+	b.Picks, b.Span = b.Picks*decay, b.Span*decay+rateTimeConstant*(1-decay)
+	b.selectionRate, b.selectionsSinceRefresh, b.statsStart =
+		b.selectionRate+(b.selectionsSinceRefresh/dt-b.selectionRate)*(1-math.Exp(-dt/riseTimeConstant)), 0,
+		cmp.Or(b.statsStart, now)
+	for _, s := range b.sorted {
+		s.Latency, s.Occupancy, s.Served = s.Latency*decay, s.Occupancy*decay, s.Served*decay
+		s.Room *= growth
+		s.Slots *= slotsDecay
+		t := b.serverTypes[s.Kind]
+		if t == nil {
+			t = &serverType{}
+			b.serverTypes[s.Kind] = t
+		}
+		s.typeStats = t
+		for _, stats := range [...]*serverType{t, all} {
+			stats.latency += s.Latency
 			if s.Work > 0 {
-				p.work += s.Work
-				p.told++
+				stats.timeInWork += s.Work
+				stats.reporting++
 			}
-			p.occupancy += s.Occupancy
-			if s.State == Active && !s.disabled && now >= s.Ejected && b.ramp(s, now) == 1 {
-				p.served += s.Served
-				p.warm++
+			stats.occupancy += s.Occupancy
+			if s.State == Active && !s.disabled && now >= s.Ejected && b.capacityShare(s, now) == 1 {
+				stats.served += s.Served
+				stats.warmServers++
 			}
 		}
 	}
-	fleet := (all.latency + prior*guess) / (all.occupancy + prior)
-	all.settle(b, all, fleet)
-	for _, k := range b.kinds {
-		k.settle(b, all, fleet)
+	fleetServiceTime := (all.latency + priorRequests*initialServiceTime) / (all.occupancy + priorRequests)
+	all.derive(b, all, fleetServiceTime)
+	for _, t := range b.serverTypes {
+		t.derive(b, all, fleetServiceTime)
 	}
-	own, others := 1.0, float64(b.set.Nodes-1) // what this node and the others have in flight
-	for _, s := range b.order {
-		s.take(b)
-		own += s.ownLag
-		others += max(0, s.Others)
+	local, remote := 1.0, float64(b.settings.Nodes-1) // requests in flight of this node and of the others
+	for _, s := range b.sorted {
+		s.applyType(b)
+		local += s.laggedInFlight
+		remote += max(0, s.Others)
 	}
-	b.part = own / (own + others)
+	b.trafficShare = local / (local + remote)
 	for _, t := range b.tenants {
-		t.rate, t.count = t.rate*f+t.count/dt*(1-f), 0
+		t.arrivalRate, t.arrivals = t.arrivalRate*decay+t.arrivals/dt*(1-decay), 0
 	}
-	b.shares(math.Exp(-dt / oldTau))
+	b.classifyClasses(math.Exp(-dt / longTimeConstant))
 }
 
-// settle works out what each backend of a kind has of its sums; all is the fleet's kind.
-func (k *kind) settle(b *Balancer, all *kind, fleet float64) {
-	k.typical = (k.latency + prior*fleet) / (k.occupancy + prior)
-	k.base = math.Inf(1)
-	if k.told > 0 {
-		k.base = k.work / k.told
+// derive computes the values for each server of a type from the type's sums; all holds the sums over all servers.
+func (t *serverType) derive(b *Balancer, all *serverType, fleetServiceTime float64) {
+	t.serviceTime = (t.latency + priorRequests*fleetServiceTime) / (t.occupancy + priorRequests)
+	t.baseTimeInWork = math.Inf(1)
+	if t.reporting > 0 {
+		t.baseTimeInWork = t.timeInWork / t.reporting
 	}
-	span := b.Span * (1 - math.Exp((b.began-b.planAt)/rateTau)) // since the node began: what it has drawn is no older
-	k.chance = span / k.typical / float64(b.set.Nodes)          // one after the other, where no backend is warm
-	if k.warm > 0 {
-		k.chance = k.served / k.warm
-	} else if all.warm > 0 {
-		k.chance = all.served / all.warm / 2 // its kind may be the slower one
+	// The selections of a node that has just started were counted over less than the long-term span.
+	span := b.Span * (1 - math.Exp((b.statsStart-b.lastRefreshAt)/rateTimeConstant))
+	t.warmShare = span / t.serviceTime / float64(b.settings.Nodes) // one after the other, where no server is warm
+	if t.warmServers > 0 {
+		t.warmShare = t.served / t.warmServers
+	} else if all.warmServers > 0 {
+		t.warmShare = all.served / all.warmServers / 2 // this type may be slower
 	}
-	// Hundreds of nodes see a rise of their draws at the same time, and each too late by the long memory alone. One over a
-	// standard deviation counts whole: chance evens out among the nodes, and one rise of all of them adds up.
-	draws := b.Picks + 1
-	if (b.jump-math.Sqrt(b.jump/2/jumpTau))*span > draws {
-		draws = b.jump * span
+	// Hundreds of nodes see a rise of their selections at the same time, and by the long-term count alone each of them
+	// sees it too late. A rise of more than a standard deviation counts in full: random variation evens out among the
+	// nodes, while a rise that all of them have adds up.
+	selections := b.Picks + 1
+	if (b.selectionRate-math.Sqrt(b.selectionRate/2/riseTimeConstant))*span > selections {
+		selections = b.selectionRate * span
 	}
-	k.chance /= draws
+	t.warmShare /= selections
 }
 
-// take takes over what is known of a backend's kind, and of where it is.
-func (s *server) take(b *Balancer) {
-	s.typical, s.chance, s.Base = s.kin.typical, s.kin.chance, min(s.Base, s.kin.base)
-	s.near = s.Zone == b.set.Zone
+// applyType copies the values of a server's type to the server, and notes whether it is in this node's zone.
+func (s *server) applyType(b *Balancer) {
+	s.typeServiceTime, s.warmShare, s.Base = s.typeStats.serviceTime, s.typeStats.warmShare,
+		min(s.Base, s.typeStats.baseTimeInWork)
+	s.inLocalZone = s.Zone == b.settings.Zone
 }
 
-// shares finds the lesser classes, those worth less than the average for their work. They are not ranked
-// further: the worst of them counts too.
-func (b *Balancer) shares(f float64) {
-	b.Total, b.Lessers = b.Total*f, b.Lessers*f
-	var worth, work float64
+// classifyClasses finds the classes of low priority, those worth less than the average for their cost. There is no
+// further order among them, as requests of the worst class count too.
+func (b *Balancer) classifyClasses(decay float64) {
+	b.Total, b.Lessers = b.Total*decay, b.Lessers*decay
+	var value, cost float64
 	for _, c := range b.classes {
-		c.Requests, c.Latency, c.Answers = c.Requests*f, c.Latency*f, c.Answers*f
-		worth += c.Requests * c.Worth
-		work += c.Requests * c.work()
+		c.Requests, c.Latency, c.Answers = c.Requests*decay, c.Latency*decay, c.Answers*decay
+		value += c.Requests * c.Worth
+		cost += c.Requests * c.cost()
 	}
 	for _, c := range b.classes {
-		c.lesser = c.Worth*work < worth*c.work()
+		c.lowPriority = c.Worth*cost < value*c.cost()
 	}
 }
 
-// work is the mean latency of a class, as a measure of what its requests cost.
-func (c *class) work() float64 { return (c.Latency + guess) / (c.Answers + 1) }
+// cost returns the mean latency of a class, as a measure of what its requests cost.
+func (c *classState) cost() float64 { return (c.Latency + initialServiceTime) / (c.Answers + 1) }
 
-// list follows the server list.
-func (b *Balancer) list(now float64, ev *Event) {
+// handleList applies an update of the server list.
+func (b *Balancer) handleList(now float64, ev *Event) {
 	if ev.List == ListFailed {
-		// Every node loses the list at once: ask again after a random wait, so that they do not ask together.
-		wait := min(askAgain, cmp.Or(b.set.MustAskIn, time.Hour).Seconds()/3)
-		b.askAt = now + wait*(0.5+b.rng.Float64())
+		// All nodes lose the list at once: each subscribes again after a random delay, so that they don't do so
+		// together.
+		wait := min(resubscribeDelay, cmp.Or(b.settings.MustAskIn, time.Hour).Seconds()/3)
+		b.resubscribeAt = now + wait*(0.5+b.rng.Float64())
 		return
 	}
-	if ev.List == ListCached && b.set.MustAsk {
-		b.do(Action{Kind: ActWatch})
+	if ev.List == ListCached && b.settings.MustAsk {
+		b.emit(Action{Kind: ActWatch})
 	}
 	if ev.List != ListDelta {
-		grace := 0.0
-		if len(ev.Entries) == 0 && len(b.order) > 0 {
-			// An empty list is more likely a broken list than an empty fleet: ask once more, and go on
-			// with the old one for as long as the drain rule lets us.
-			grace = now + b.set.DrainGrace.Seconds()*0.8
-			b.do(Action{Kind: ActFetch})
-			b.log("the server list came empty; using the old one for its grace")
-		}
-		for _, s := range b.order {
+		graceUntil := 0.0
+		if len(ev.Entries) == 0 && len(b.sorted) > 0 {
+			// An empty list is more likely a fault of discovery than an empty fleet: fetch it once more, and use the
+			// old one for as long as the rule on drains allows.
+			graceUntil = now + b.settings.DrainGrace.Seconds()*0.8
+			b.emit(Action{Kind: ActFetch})
+			b.logf("the server list came empty; using the old one for its grace")
+		}
+		for _, s := range b.sorted {
 			if s.State == Active {
-				s.grace = grace
+				s.graceUntil = graceUntil
 			}
-			s.State = Left // those still listed are put back below
+			s.State = Left // the listed ones are restored below
 		}
-		if grace > 0 {
+		if graceUntil > 0 {
 			return
 		}
 	}
-	var others []*server
-	few := ev.List == ListDelta && len(b.order) > wide && len(ev.Entries)*20 < len(b.order)
+	var added []*server
+	incremental := ev.List == ListDelta && len(b.sorted) > maxFullScan && len(ev.Entries)*20 < len(b.sorted)
 	for _, e := range ev.Entries {
 		old := b.servers[e.ID]
 		s := old
-		if s == nil || e.Launched.Seconds() > s.launched && e.State == Active {
-			s = started(now, e.Launched.Seconds())
-			s.disabled = old != nil && old.disabled // a restart does not put it back
+		if s == nil || e.Launched.Seconds() > s.launchedAt && e.State == Active {
+			s = newServer(now, e.Launched.Seconds())
+			s.disabled = old != nil && old.disabled // a restart does not enable it
 			b.servers[e.ID] = s
-			others = append(others, s)
+			added = append(added, s)
 		}
-		if few && old != nil {
-			b.file(old, false)
+		if incremental && old != nil {
+			b.updateIndexes(old, false)
 		}
-		s.Entry, s.grace = e, 0
-		if few {
-			b.introduce(s)
+		s.Entry, s.graceUntil = e, 0
+		if incremental {
+			b.addServer(s)
 		}
 	}
-	if !few { // else the next plan is soon enough, and a long list is not walked for a line of it
-		b.arrange(others...)
-		b.plan(now)
+	if !incremental { // otherwise the next refresh is early enough, and a long list is not walked for one entry of it
+		b.rebuildIndexes(added...)
+		b.refresh(now)
 	}
 }
 
-// introduce puts a server into a long list, with what is known of its kind.
-func (b *Balancer) introduce(s *server) {
+// addServer adds a server to a long list, with the statistics of its type. A server that was removed is dropped.
+func (b *Balancer) addServer(s *server) {
 	if s.State == Left {
 		delete(b.servers, s.ID)
 		return
 	}
-	s.kin = cmp.Or(b.kinds[s.Kind], b.fleet) // a new kind: for the moment as all together
-	s.take(b)
-	b.file(s, true)
+	s.typeStats = cmp.Or(b.serverTypes[s.Kind], b.allTypes) // until the next refresh, a new type has those of all
+	s.applyType(b)
+	b.updateIndexes(s, true)
 }
 
-// file enters a server into the orders that draws go by, or strikes it off.
-func (b *Balancer) file(s *server, enter bool) {
-	b.order = filed(b.order, s, enter)
-	b.zones[s.Zone] = filed(b.zones[s.Zone], s, enter)
-	b.cells[s.Cell] = filed(b.cells[s.Cell], s, enter)
+// updateIndexes adds a server to the ordered lists that selections use, or removes it from them.
+func (b *Balancer) updateIndexes(s *server, add bool) {
+	b.sorted = updateSorted(b.sorted, s, add)
+	b.byZone[s.Zone] = updateSorted(b.byZone[s.Zone], s, add)
+	b.byCell[s.Cell] = updateSorted(b.byCell[s.Cell], s, add)
 }
 
 func byID(x, y *server) int { return cmp.Compare(x.ID, y.ID) }
 
-func filed(list []*server, s *server, enter bool) []*server {
+// updateSorted adds a server to a list ordered by id, or removes it, and returns the list.
+func updateSorted(list []*server, s *server, add bool) []*server {
 	i, found := slices.BinarySearchFunc(list, s, byID)
 	switch {
-	case enter && !found:
+	case add && !found:
 		return slices.Insert(list, i, s)
-	case !enter && found:
+	case !add && found:
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// started is what is known of a server that was started at the given time.
-func started(now, launched float64) *server {
+// newServer returns a server that was started at the given time and has no statistics yet.
+func newServer(now, launchedAt float64) *server {
 	inf := math.Inf(1)
-	return &server{launched: launched, ownAt: now, Evidence: Evidence{Room: inf, Base: inf, ReportAt: now, LastOK: now}}
+	return &server{launchedAt: launchedAt, laggedAt: now,
+		Evidence: Evidence{Room: inf, Base: inf, ReportAt: now, LastOK: now}}
 }
 
-// enable puts a server back that operators had taken out. They may have restarted it, which the list tells
-// late or not at all: it is taken for one that starts now.
-func (b *Balancer) enable(now float64, ev *Event) {
+// handleEnable enables a server that an operator had disabled. It may have been restarted meanwhile, which the list
+// announces late or not at all, so it is treated as one that starts now.
+func (b *Balancer) handleEnable(now float64, ev *Event) {
 	old := b.servers[ev.Server]
 	if old == nil || !old.disabled {
 		return
 	}
-	s := started(now, now)
-	s.Entry, s.grace, s.less, s.most = old.Entry, old.grace, old.less, old.most
-	b.servers[ev.Server] = s // attempts that are out keep their own hold on the old one
-	b.arrange(s)
-	b.plan(now)
+	s := newServer(now, now)
+	s.Entry, s.graceUntil, s.weightReduction, s.maxConcurrent = old.Entry, old.graceUntil, old.weightReduction,
+		old.maxConcurrent
+	b.servers[ev.Server] = s // pending attempts hold on to the old one
+	b.rebuildIndexes(s)
+	b.refresh(now)
 }
 
-// arrange drops servers that have left or were started anew, takes in others, and keeps all in order of ids.
-func (b *Balancer) arrange(others ...*server) {
-	// Attempts that are out keep their own hold on those that go.
+// rebuildIndexes drops the servers that were removed or restarted, adds the given ones, and orders the lists by id.
+func (b *Balancer) rebuildIndexes(added ...*server) {
+	// Pending attempts hold on to the servers that are dropped.
 	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Left })
-	b.order = slices.DeleteFunc(append(b.order, others...), func(s *server) bool { return b.servers[s.ID] != s })
-	slices.SortFunc(b.order, byID)
-	b.zones, b.cells = map[string][]*server{}, map[int64][]*server{}
-	if len(b.order) > wide { // where draws ask for them
-		for _, s := range b.order {
-			b.zones[s.Zone], b.cells[s.Cell] = append(b.zones[s.Zone], s), append(b.cells[s.Cell], s)
+	b.sorted = slices.DeleteFunc(append(b.sorted, added...), func(s *server) bool { return b.servers[s.ID] != s })
+	slices.SortFunc(b.sorted, byID)
+	b.byZone, b.byCell = map[string][]*server{}, map[int64][]*server{}
+	if len(b.sorted) > maxFullScan { // only selections from a long list use them
+		for _, s := range b.sorted {
+			b.byZone[s.Zone], b.byCell[s.Cell] = append(b.byZone[s.Zone], s), append(b.byCell[s.Cell], s)
 		}
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Mode is the design's mode of a server. Here is what a node remembers; all decisions are in policy.go.
+// Mode is the overload mode of a server; see the package comment.
 type Mode uint8
 
 const (
@@ -11,76 +11,102 @@
 	discard
 )
 
-type class struct {
+// classState is a class with its statistics.
+type classState struct {
 	Class
 	ClassSums
-	lesser bool // worth less than the average for its work
+	lowPriority bool // worth less than the average for its cost
 }
 
-type tenant struct {
+// tenantState is a tenant with its request rate.
+type tenantState struct {
 	Tenant
-	count, rate float64 // requests since the last plan; requests a second lately
+	arrivals, arrivalRate float64 // requests since the latest refresh; recent rate per second
 }
 
+// attempt is one attempt of a request.
 type attempt struct {
-	server  *server
-	open    bool
-	met, at float64 // occupancy plus one that it met, and when it was sent
+	server            *server
+	pending           bool    // has no outcome yet
+	occupancy, sentAt float64 // occupancy plus one of the server at the send; time of the send
 }
 
+// request is a request that has not been answered, or that still has a pending attempt.
 type request struct {
-	id               string
-	class            *class
-	lesser, borrowed bool     // diverted first; diverted always
-	among            []uint32 // its cell; nil: all
-	until, aim       float64  // when the client gives up, and when its answer stops being worth anything
-	open, most       int      // attempts without an outcome; attempts that were allowed when it came
-	attempts         []attempt
-	final            bool    // the client has its answer; nothing more may be sent
-	mayRun           *server // backend of the first attempt that may have run
-	mayRunAt         float64 // when that was sent
-	avoid            *server // the backend just tried: not twice in a row
+	id                     string
+	class                  *classState
+	lowPriority, overQuota bool     // diverted before others; diverted always
+	candidates             []uint32 // ids of the servers that it may go to; nil: all
+	expiresAt, usefulUntil float64  // when the client stops waiting; when its response loses all value
+	pending, maxAttempts   int      // attempts without an outcome; limit on attempts when the request arrived
+	attempts               []attempt
+	finished               bool    // the client has its final response or has disconnected; nothing more may be sent
+	mayHaveRunOn           *server // server of the first attempt that may have run
+	mayHaveRunAt           float64 // send time of that attempt
+	lastTried              *server // server of the latest attempt: not used twice in a row
 }
 
-// kind is what is known of all backends of one kind together, as of the latest plan.
-type kind struct {
-	latency, occupancy, served, warm, work, told float64 // sums
-	typical, chance, base                        float64 // what each of them has of that
+// serverType holds the statistics of all servers of one type together, as of the latest refresh.
+type serverType struct {
+	latency, occupancy, served, warmServers, timeInWork, reporting float64 // sums over the servers
+	// Values for each server: service time in seconds, the share of initial selections that a warm one serves, and the
+	// mean of the reported service times.
+	serviceTime, warmShare, baseTimeInWork float64
 }
 
+// server is a server of the list. An attempt holds on to its server after that one is removed or restarted. Times are
+// seconds on the node's clock.
 type server struct {
 	Entry
 	Evidence
-	disabled, near     bool    // taken out by operators; in this node's own zone
-	less, most         float64 // part of its usual share that it is not to get; most requests that it is to hold, 0: no bound
-	grace              float64 // not listed any more, but used until then: the list came empty
-	launched           float64
-	own, ownLag, ownAt float64 // this node's attempts in flight; the same, at about the time of the latest report
-	typical, chance    float64 // service time of its kind; part of this node's first draws that a warm one of its kind serves
-	kin                *kind
+	// Disabled by an operator; in this node's own zone.
+	disabled, inLocalZone bool
+	// Share of its usual weight that it does not get; limit on the requests that it holds, 0: no limit.
+	weightReduction, maxConcurrent float64
+	// No longer listed, but used until this time: an empty list was received.
+	graceUntil float64
+	launchedAt float64
+	// This node's attempts in flight; their smoothed count at about the time of the latest report; when that count was
+	// updated.
+	localInFlight, laggedInFlight, laggedAt float64
+	// Service time of its type; share of this node's initial selections that a warm server of its type serves.
+	typeServiceTime, warmShare float64
+	typeStats                  *serverType
 }
 
-// Balancer is the state of one node. It is not safe for concurrent use.
+// Balancer makes the decisions of one node. It is not safe for concurrent use. Times are seconds on the node's clock.
 type Balancer struct {
-	set                   Settings
-	rng                   *rand.Rand
-	aim, half             float64 // shortest told aim, and half the shortest told deadline; infinite when none was told
-	classes               []*class
-	servers               map[uint32]*server
-	order                 []*server            // sorted by id
-	lately                [8]*server           // some that were drawn lately from a long list
-	cell                  []*server            // of the draw under way
-	zones                 map[string][]*server // the same by zone,
-	cells                 map[int64][]*server  // and by cell, where the list is long
-	kinds                 map[string]*kind
-	fleet                 *kind // all of them together
-	requests              map[string]*request
-	over                  []*request // done with, to be used again
-	tenants               []*tenant
-	part, now             float64 // this node's part of all traffic; latest time seen
-	helds                 bool    // the latest report told how many requests its server holds
-	latest, jump, began   float64 // first draws since the latest plan, and their rate lately; when its long memory was empty
-	planAt, tickAt, askAt float64 // when the latest plan was made, the next is due, and to ask for the list again (0: not)
-	out                   []Action
+	settings Settings
+	rng      *rand.Rand
+	// Shortest specified target latency, and half the shortest specified deadline; infinite when none is specified.
+	minTargetLatency, halfMinDeadline float64
+	classes                           []*classState
+	servers                           map[uint32]*server
+	// All servers, ordered by id.
+	sorted []*server
+	// Some of the servers that were selected recently from a long list.
+	recentlySelected [8]*server
+	// Candidates of the selection in progress, reused.
+	candidateBuffer []*server
+	// Servers by zone and by cell, filled only where the list is long.
+	byZone      map[string][]*server
+	byCell      map[int64][]*server
+	serverTypes map[string]*serverType
+	// Statistics of all servers together.
+	allTypes *serverType
+	requests map[string]*request
+	// Free list of finished requests.
+	freeRequests []*request
+	tenants      []*tenantState
+	// This node's share of all traffic; latest time seen.
+	trafficShare, now float64
+	// Whether the latest report had the number of requests that its server holds.
+	heldReported bool
+	// Initial selections since the latest refresh; their recent rate per second; time when the long-term counts were
+	// empty.
+	selectionsSinceRefresh, selectionRate, statsStart float64
+	// Time of the latest refresh; time when the next is due; time to subscribe to the list again, 0: not due.
+	lastRefreshAt, nextRefreshAt, resubscribeAt float64
+	actions                                     []Action
 	Totals
 }
