--- /dev/null
+++ b/policy/outcomes.go
@@ -0,0 +1,95 @@
+package policy
+
+import "math"
+
+// recordOutcome updates a server's statistics by the outcome of an attempt.
+func (b *Balancer) recordOutcome(now float64, s *server, r *request, ev *Event) {
+	s.updateLagged(now)
+	s.localInFlight = max(0, s.localInFlight-1)
+	elapsed := max(0, ev.Took.Seconds())
+	n := max(ev.Load.Queue, ev.Load.Held, 0)
+	if work := ev.Load.Work; ev.Load.Held < 0 && work > 0 && work < math.MaxInt32 && b.capacityShare(s, now) == 1 {
+		// Where only the queue is reported, a server with many slots can be overloaded by the requests in work while
+		// nothing waits. Requests then take many times as long as at their best.
+		if s.Work == 0 {
+			s.Work = work
+		}
+		s.Work += (work - s.Work) * (1 - math.Exp((s.ReportAt-now)/remoteLoadTimeConstant))
+		n += max(0, s.Work/s.Base/contentionFactor-1)
+	}
+	if queue, held := ev.Load.Queue, ev.Load.Held; queue >= 0 && held-queue < math.MaxInt32 {
+		s.Slots = max(s.Slots, held-queue) // as many are in work at once
+	}
+	if ev.Load.Known && n < math.MaxInt32 { // and not NaN
+		b.heldReported = ev.Load.Held >= 0
+		s.Others += (n - s.laggedInFlight - s.Others) * (1 - math.Exp((s.ReportAt-now)/remoteLoadTimeConstant))
+		s.ReportAt = now
+		b.Seen++
+		b.Mean += (max(0, n-s.laggedInFlight) - b.Mean) / b.Seen
+	}
+	switch ev.Outcome {
+	case OK:
+		s.LastOK = now
+		s.Served++
+		s.Bad *= 1 - 1/failureTimeConstant
+		if s.Trial && s.Bad < ejectionFailureShare { // also when an attempt that was in flight shows it to be healthy
+			s.Trial, s.Ejections, s.Ejected = false, 0, now
+			b.logf("backend %d answers again", s.ID)
+		}
+		b.recordLatency(s, r, ev.Attempt, elapsed)
+	case Full:
+		// A draining or broken server rejects requests with nothing waiting: that shows no limit.
+		if n := b.estimateOccupancy(s, now) + 1; n >= minOnset {
+			s.Room = min(s.Room, n)
+		}
+		// A rejection is the most recent report possible: R is reached, whatever older reports still arrive. Without
+		// this a full server would look best, as requests that it rejects at once never count as in flight. Where no
+		// deadline is specified and no limit was seen, there is no known R that it could have reached.
+		if full := s.discardThreshold(b, b.serviceTime(s)); !math.IsInf(full, 1) {
+			s.Full, s.FullAt = full, now
+		}
+		// A draining server rejects all requests until the list announces the drain; an overloaded one still serves
+		// others.
+		if s.LastOK < now-silenceTimeout {
+			b.recordFailure(now, s, unreachableTimeConstant)
+		}
+	case TimedOut:
+		// The true latency exceeds the timeout; recorded as it was seen, it would make a slow server look as good as
+		// the timeout.
+		b.recordLatency(s, r, ev.Attempt, 2*elapsed)
+		s.Others++ // the server may well go on with the request; the next reports will show it
+		// A slow server still responds to some requests; one without any response meanwhile is unhealthy, not slow.
+		if s.LastOK < now-max(elapsed, silenceTimeout) {
+			b.recordFailure(now, s, unreachableTimeConstant)
+		}
+	case ConnectFailed:
+		b.recordFailure(now, s, unreachableTimeConstant)
+	case Failed, Reset:
+		b.recordFailure(now, s, failureTimeConstant)
+	}
+	s.updateMode(now, b)
+}
+
+// recordLatency records the latency of attempt i against the server's occupancy at its send. With the occupancy at the
+// response, a server that fills up would look fast, as its quick responses come first.
+func (b *Balancer) recordLatency(s *server, r *request, i int, elapsed float64) {
+	s.Latency += elapsed
+	s.Occupancy += r.attempts[i].occupancy
+	r.class.Latency += elapsed
+	r.class.Answers++
+}
+
+// recordFailure counts a failed attempt with the given time constant, in attempts. A broken server can look best (fast
+// errors, an empty queue), so one that fails too often is ejected for a growing time and comes back with one attempt at
+// a time. However many servers are ejected, the others are not overloaded by that: their modes refuse what exceeds
+// their capacity.
+func (b *Balancer) recordFailure(now float64, s *server, timeConstant float64) {
+	s.Bad = min(maxFailureShare, s.Bad+(1-s.Bad)/timeConstant)
+	if now < s.Ejected || !s.Trial && s.Bad < ejectionFailureShare {
+		return
+	}
+	s.Ejections++
+	s.Ejected = now + min(maxEjection, minEjection*math.Pow(2, float64(s.Ejections-1)))*(0.75+0.5*b.rng.Float64())
+	s.Trial = true
+	b.logf("backend %d ejected for %.1f s: too many attempts failed", s.ID, s.Ejected-now)
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,15 +2,6 @@
 
 import "math/rand/v2"
 
-// Mode is the overload mode of a server; see the package comment.
-type Mode uint8
-
-const (
-	normal Mode = iota
-	overload
-	discard
-)
-
 // classState is a class with its statistics.
 type classState struct {
 	Class
--- /dev/null
+++ b/policy/statistics.go
@@ -0,0 +1,93 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+)
+
+// refresh runs a few times per second: it ages the statistics and recomputes the values that selections use.
+func (b *Balancer) refresh(now float64) {
+	all := &serverType{}
+	b.allTypes, b.serverTypes = all, map[string]*serverType{}
+	dt := max(now-b.lastRefreshAt, 1e-3)
+	b.lastRefreshAt = now
+	decay, growth, slotsDecay := math.Exp(-dt/rateTimeConstant), math.Exp(dt/longTimeConstant),
+		math.Exp(-dt/slotsTimeConstant)
+	b.Seen *= decay
+	b.Strain *= math.Exp(-dt / pressureTimeConstant) // else a node that refuses all requests would do so forever
+	b.Picks, b.Span = b.Picks*decay, b.Span*decay+rateTimeConstant*(1-decay)
+	b.selectionRate, b.selectionsSinceRefresh, b.statsStart =
+		b.selectionRate+(b.selectionsSinceRefresh/dt-b.selectionRate)*(1-math.Exp(-dt/riseTimeConstant)), 0,
+		cmp.Or(b.statsStart, now)
+	for _, s := range b.sorted {
+		s.Latency, s.Occupancy, s.Served = s.Latency*decay, s.Occupancy*decay, s.Served*decay
+		s.Room *= growth
+		s.Slots *= slotsDecay
+		t := b.serverTypes[s.Kind]
+		if t == nil {
+			t = &serverType{}
+			b.serverTypes[s.Kind] = t
+		}
+		s.typeStats = t
+		for _, stats := range [...]*serverType{t, all} {
+			stats.latency += s.Latency
+			if s.Work > 0 {
+				stats.timeInWork += s.Work
+				stats.reporting++
+			}
+			stats.occupancy += s.Occupancy
+			if s.State == Active && !s.disabled && now >= s.Ejected && b.capacityShare(s, now) == 1 {
+				stats.served += s.Served
+				stats.warmServers++
+			}
+		}
+	}
+	fleetServiceTime := (all.latency + priorRequests*initialServiceTime) / (all.occupancy + priorRequests)
+	all.derive(b, all, fleetServiceTime)
+	for _, t := range b.serverTypes {
+		t.derive(b, all, fleetServiceTime)
+	}
+	local, remote := 1.0, float64(b.settings.Nodes-1) // requests in flight of this node and of the others
+	for _, s := range b.sorted {
+		s.applyType(b)
+		local += s.laggedInFlight
+		remote += max(0, s.Others)
+	}
+	b.trafficShare = local / (local + remote)
+	for _, t := range b.tenants {
+		t.arrivalRate, t.arrivals = t.arrivalRate*decay+t.arrivals/dt*(1-decay), 0
+	}
+	b.classifyClasses(math.Exp(-dt / longTimeConstant))
+}
+
+// derive computes the values for each server of a type from the type's sums; all holds the sums over all servers.
+func (t *serverType) derive(b *Balancer, all *serverType, fleetServiceTime float64) {
+	t.serviceTime = (t.latency + priorRequests*fleetServiceTime) / (t.occupancy + priorRequests)
+	t.baseTimeInWork = math.Inf(1)
+	if t.reporting > 0 {
+		t.baseTimeInWork = t.timeInWork / t.reporting
+	}
+	// The selections of a node that has just started were counted over less than the long-term span.
+	span := b.Span * (1 - math.Exp((b.statsStart-b.lastRefreshAt)/rateTimeConstant))
+	t.warmShare = span / t.serviceTime / float64(b.settings.Nodes) // one after the other, where no server is warm
+	if t.warmServers > 0 {
+		t.warmShare = t.served / t.warmServers
+	} else if all.warmServers > 0 {
+		t.warmShare = all.served / all.warmServers / 2 // this type may be slower
+	}
+	// Hundreds of nodes see a rise of their selections at the same time, and by the long-term count alone each of them
+	// sees it too late. A rise of more than a standard deviation counts in full: random variation evens out among the
+	// nodes, while a rise that all of them have adds up.
+	selections := b.Picks + 1
+	if (b.selectionRate-math.Sqrt(b.selectionRate/2/riseTimeConstant))*span > selections {
+		selections = b.selectionRate * span
+	}
+	t.warmShare /= selections
+}
+
+// applyType copies the values of a server's type to the server, and notes whether it is in this node's zone.
+func (s *server) applyType(b *Balancer) {
+	s.typeServiceTime, s.warmShare, s.Base = s.typeStats.serviceTime, s.typeStats.warmShare,
+		min(s.Base, s.typeStats.baseTimeInWork)
+	s.inLocalZone = s.Zone == b.settings.Zone
+}
