--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -10,40 +10,42 @@
 	"portstall/policy"
 )
 
-// cells are the subsets of the web servers that tenants have. They make a core.Cells, and belong to the core's lock.
+// cells is the placement of tenants on subsets of the web servers. It implements core.Cells, and is guarded by the
+// core's lock.
 type cells struct {
 	*cell.Placer
 	node *node
 }
 
-// changed takes in what the list tells of a web server. One that drains, or has left, is no member any more.
-func (c *cells) changed(b *backend) {
+// serverChanged updates the placement for a web server on the list. One that drains or was removed is no longer a member.
+func (c *cells) serverChanged(server *backend) {
 	switch {
 	case c == nil:
-	case b.left || b.Stop.Load() != 0:
-		c.Remove(b.ID)
+	case server.left || server.Stop.Load() != 0:
+		c.Remove(server.ID)
 	default:
-		c.Set(cell.Server{ID: b.ID, Zone: b.entry.Zone, Pod: b.entry.Cell, Number: b.number})
+		c.Set(cell.Server{ID: server.ID, Zone: server.entry.Zone, Pod: server.entry.Cell, Number: server.number})
 	}
 }
 
-// ask is what placement asks of a request. A key binds it where its repeats are dropped by some servers and not by others;
-// within a pod it is within its zone as well.
-func (c *cells) ask(r *core.Request) *cell.Request {
-	ask := cell.Request{Tenant: r.Tenant, Key: r.Key, Repeat: r.Repeat}
+// placementRequest returns what placement needs to know of a request. A key binds a request where its repeats are
+// recognized by some servers and not by others; a request that is bound to a pod is bound to the pod's zone as well.
+func (c *cells) placementRequest(r *core.Request) *cell.Request {
+	request := cell.Request{Tenant: r.Tenant, Key: r.Key, Repeat: r.Repeat}
 	if r.Key != "" {
-		ask.Window = c.node.set.Load().windows[r.Class]
+		request.Window = c.node.set.Load().windows[r.Class]
 	}
-	return &ask
+	return &request
 }
 
+// Place, Sent, Ended and Spill implement core.Cells.
 func (c *cells) Place(now time.Duration, r *core.Request) ([]uint32, bool) {
-	return c.Placer.Place(now, c.ask(r))
+	return c.Placer.Place(now, c.placementRequest(r))
 }
 
 func (c *cells) Sent(now time.Duration, r *core.Request, server uint32) {
-	if b := c.node.backends[server]; b != nil {
-		c.Placer.Sent(now, c.ask(r), b.entry.Cell)
+	if listed := c.node.backends[server]; listed != nil {
+		c.Placer.Sent(now, c.placementRequest(r), listed.entry.Cell)
 	}
 }
 
@@ -52,25 +54,27 @@
 }
 
 func (c *cells) Spill(now time.Duration, r *core.Request) []uint32 {
-	return c.Placer.Spill(now, c.ask(r))
+	return c.Placer.Spill(now, c.placementRequest(r))
 }
 
-// Cell tells operators where a tenant is placed.
+// Cell is the placement of a tenant, for operators.
 type Cell struct {
-	Version  string   `json:"version"` // alike at all nodes that place alike
+	Version  string   `json:"version"` // the same at all nodes that place alike
 	Tenant   string   `json:"tenant"`
 	Servers  []string `json:"servers"`
-	Shared   float64  `json:"chance_that_another_has_the_same"` // of a tenant that is pinned nowhere; else 0
-	Pods     []int64  `json:"pods,omitempty"`                   // it is pinned to
-	Also     []int64  `json:"also,omitempty"`                   // and to these, on both sides of a move
-	Step     string   `json:"step"`                             // of its latest move
-	Keys     int      `json:"keys"`                             // remembered, of all tenants
-	Forgot   int64    `json:"keys_forgot"`
-	Requests float64  `json:"requests"` // lately, fading over 10 s,
-	Spilt    float64  `json:"spilt"`    // and of them to the neighbour
-	Harmful  bool     `json:"harmful"`  // its attempts break: nothing spills
+	Shared   float64  `json:"chance_that_another_has_the_same"` // the probability; 0 for a pinned tenant
+	Pods     []int64  `json:"pods,omitempty"`                   // pods that the tenant is pinned to
+	Also     []int64  `json:"also,omitempty"`                   // further pods during a move, when both sides count
+	Step     string   `json:"step"`                             // step of the tenant's latest move
+	Keys     int      `json:"keys"`                             // remembered keys, of all tenants
+	Forgot   int64    `json:"keys_forgot"`                      // keys displaced within their window since the start, of all tenants
+	Requests float64  `json:"requests"`                         // recent requests, decaying over 10 s
+	Spilt    float64  `json:"spilt"`                            // recent requests that spilled to the neighbour, decaying over 10 s
+	Harmful  bool     `json:"harmful"`                          // the tenant's attempts break web servers: none of its requests spills
 }
 
+// cellOf returns the placement of a tenant, or false where there are no cells.
+
 // cellOf is the cell of a tenant; false where there are no cells.
 func (n *node) cellOf(tenant string) (Cell, bool) {
 	n.core.Lock()
@@ -78,20 +82,20 @@
 	if n.cells == nil {
 		return Cell{}, false
 	}
-	r := n.cells.Report(n.core.Now(), tenant)
-	out := Cell{Tenant: tenant, Version: strconv.FormatUint(n.cells.Version(), 16), Servers: []string{}, Shared: r.Shared, Pods: r.Pods, Also: r.Also,
-		Step: r.Step.String(), Keys: r.Keys, Forgot: r.Forgot, Requests: r.Requests, Spilt: r.Spilt, Harmful: r.Harmful}
-	for _, s := range r.Servers {
-		out.Servers = append(out.Servers, s.ID)
+	report := n.cells.Report(n.core.Now(), tenant)
+	out := Cell{Tenant: tenant, Version: strconv.FormatUint(n.cells.Version(), 16), Servers: []string{}, Shared: report.Shared, Pods: report.Pods, Also: report.Also,
+		Step: report.Step.String(), Keys: report.Keys, Forgot: report.Forgot, Requests: report.Requests, Spilt: report.Spilt, Harmful: report.Harmful}
+	for _, server := range report.Servers {
+		out.Servers = append(out.Servers, server.ID)
 	}
 	return out, true
 }
 
-// terms are the cells' of a file that was read again. Whether there are cells is settled at the start.
-func (n *node) terms(cfg Config) (cell.Terms, error) {
+// cellTerms returns the terms of the cells in a file that was read again. Whether there are cells is decided at the start.
+func (n *node) cellTerms(cfg Config) (cell.Terms, error) {
 	has := cfg.Product != nil && cfg.Product.Cells != nil
 	if has != (n.cells != nil) {
-		return cell.Terms{}, errors.New("cells: can't be put in or taken out by a reload")
+		return cell.Terms{}, errors.New("cells: can't be added or removed by a reload")
 	}
 	if !has {
 		return cell.Terms{}, nil
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,49 +19,53 @@
 	"portstall/internal/wire"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node at its start.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list of backends comes from
-	Mgmt      string // where operators call; nobody can where it is empty
-	AcceptFD  int    // descriptor of the clients' listening socket where another process holds it; else 0
+	Listen    string // address on which clients connect
+	Discovery string // address from which the list of web servers comes
+	Mgmt      string // address on which operators call; empty: none
+	AcceptFD  int    // descriptor of the clients' listening socket where another process holds it; otherwise 0
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int
 	Sockets   int  // descriptors that the process may hold
-	Known     list // the backends as this node last had them
+	Known     list // the web servers as this node last knew them
 	Settings  wire.Settings
 	Product   *config.File // the product's own file; nil where none is named, as on the platform
 
-	file map[string]any // the file itself, for what may not be missing in the next
-	// process: the whole process is this node, so that its limits are the process's. Not so in tests, which run many in one.
+	// rawFile is the parsed file itself. A file that replaces it must have the same keys.
+	rawFile map[string]any
+	// process is set where the whole process is this node, so that the process's limits are the node's. Tests run many
+	// nodes in one.
 	process bool
-	meet    string        // in tests, the socket where processes of one node meet
-	slack   time.Duration // in tests, is added to what clients, web servers and other processes have for what is begun
-	clock   core.Clock    // in tests, the node's; nil: the system's
-	// watch is how tests set the times of a call to discovery: its wait and the limit on the whole.
+	meet    string        // in tests, the socket through which the processes of one node find each other
+	slack   time.Duration // in tests, added to the limits on clients, web servers and other processes once something has begun
+	clock   core.Clock    // in tests, the node's clock; nil: the system's
+	// watch replaces, in tests, the times of a call to discovery: its wait and the limit on the whole call.
 	watch func(wait, limit time.Duration) (time.Duration, time.Duration)
 
-	followed *followed             // what control tells; nil where none is named
-	follow   func(*follow.Options) // in tests, sets how control is asked
-	prepared func()                // in tests, is called behind each check of a change, before the change is in force
+	followed     *configFollower       // follows control's configuration; nil where no control is named
+	adjustFollow func(*follow.Options) // in tests, changes how control is asked
+	onPrepared   func()                // in tests, called after each check of a change, before the change is applied
 }
 
-// What a file may tell at most: beyond it a figure is a mistake, and would overflow what is worked out from it.
+// Largest values that a file may have. A larger one is a mistake, and would overflow the values computed from it.
 const (
 	maxCores    = 4096
 	maxMemoryMB = 1 << 24
 	maxSockets  = 1 << 24
 )
 
-// clientLimit is how many of the descriptors are for clients, poolLimit for backends. The front takes an eighth more than
-// clientLimit, to refuse those; together they leave a sixteenth of what is shared. What the node needs for itself, discovery
-// and control among it, is off before and never theirs.
-func (c *Config) clientLimit() int { return c.shared() / 2 }
-func (c *Config) poolLimit() int   { return c.shared() * 3 / 8 }
+// clientLimit returns how many descriptors are for clients. The front accepts an eighth more, to refuse those clients.
+// With that eighth, clientLimit and poolLimit leave a sixteenth of the shared descriptors. What the node needs for
+// itself, for discovery and control among others, is set apart before.
+func (c *Config) clientLimit() int { return c.sharedSockets() / 2 }
 
-// newClock is the clock of a node that starts now.
+// poolLimit returns how many descriptors are for web servers.
+func (c *Config) poolLimit() int { return c.sharedSockets() * 3 / 8 }
+
+// newClock returns the clock of a node that starts now.
 func (c *Config) newClock() core.Clock {
 	if c.clock != nil {
 		return c.clock
@@ -69,7 +73,7 @@
 	return follow.SystemClock()
 }
 
-// bodyBytes is how much of the bodies of all requests and answers may be held at a time.
+// maxBodyBytes returns how many bytes of the bodies of all requests and responses may be buffered at a time.
 func (c *Config) bodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return 64 << 20
@@ -77,74 +81,79 @@
 	return int64(c.MemoryMB) << 20 / 8
 }
 
-// leastShared is what clients and backends share at least, however few descriptors there are.
-const leastShared = 8
+// minSharedSockets is the least number of descriptors that clients and web servers share, however few the process has.
+const minSharedSockets = 8
 
-// shared is how many descriptors clients and backends share.
-func (c *Config) shared() int {
-	all := c.Sockets
-	if all == 0 {
-		all = 1 << 21 // no limit was told
+// sharedSockets returns how many descriptors clients and web servers share.
+func (c *Config) sharedSockets() int {
+	total := c.Sockets
+	if total == 0 {
+		total = 1 << 21 // no limit is configured
 	}
 	if c.process {
-		// What was told may be more than what the system gives: then it counts, as nothing would be kept back otherwise.
+		// The configured limit may exceed the system's. Then the system's counts, as nothing would be left in reserve
+		// otherwise.
 		var lim syscall.Rlimit
-		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err == nil && lim.Cur < uint64(all) {
-			all = int(lim.Cur)
+		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err == nil && lim.Cur < uint64(total) {
+			total = int(lim.Cur)
 		}
 	}
-	own := ownSockets
+	reserved := ownSockets
 	if c.Mgmt != "" {
-		own += mgmtSockets
+		reserved += mgmtSockets
 	}
-	rest := all - own
-	// What the product's file asks for is never more than half of what is left: the node is there for clients.
-	rest -= max(0, min(c.productSockets(), rest/2))
-	return max(leastShared, rest)
+	remaining := total - reserved
+	// The product's file gets at most half of what is left, so that clients are served in any case.
+	remaining -= max(0, min(c.productSockets(), remaining/2))
+	return max(minSharedSockets, remaining)
 }
 
-// mgmtSockets is the operators' listener, their connections, and one that comes and has not made the oldest go yet.
+// mgmtSockets is the number of descriptors of the management endpoint: its listener, the operators' connections, and
+// one that was accepted and has not displaced the oldest yet.
 const mgmtSockets = mgmt.MaxConns + 2
 
-// pipeSockets is what opaque tunnels' pipes hold: two descriptors each of those in use, and of those that rest unseen with the
-// runtime until it collects them, two a core (sync.Pool's own and its victim). That is for 16 cores; a node has one to four.
+// pipeSockets is the number of descriptors of the opaque tunnels' pipes: two for each pipe in use, and two for each
+// pipe that is idle in a sync.Pool until the runtime collects it, of which there are two a core (the pool's own and its
+// victim). It allows for 16 cores; a node has one to four.
 const pipeSockets = 2 * (backtunnel.PipesMost + 2*16)
 
-// productSockets is what the parts of the product's file hold at most beside what they share with clients and backends.
+// productSockets returns the most descriptors that the parts of the product's file hold besides those shared with
+// clients and web servers.
 func (c *Config) productSockets() int {
-	f, n := c.Product, 0
-	if f == nil {
+	product, count := c.Product, 0
+	if product == nil {
 		return 0
 	}
-	if f.Tunnels != nil {
-		n += 2 + 2 + 64 // listeners, a connection that each has just taken, and clients that ask
-		n += pipeSockets
+	if product.Tunnels != nil {
+		count += 2 + 2 + 64 // listeners, a connection just accepted on each, and clients that wait for their tunnel
+		count += pipeSockets
 	}
-	if f.Members != nil {
-		n += 2 + 1 + 2*32 // sockets, one that was just taken, and lists that come and go
+	if product.Members != nil {
+		count += 2 + 1 + 2*32 // sockets, a connection just accepted, and connections for member lists
 	}
-	if f.State != nil {
-		n += 3 // the directory, its lock, a file that is being written
+	if product.State != nil {
+		count += 3 // the directory, its lock, and a file that is being written
 	}
-	if f.Health != nil && f.Health.Checks != nil {
-		n += probesMost
+	if product.Health != nil && product.Health.Checks != nil {
+		count += maxProbes
 	}
-	if f.Health != nil && f.Health.Answer != nil {
-		n += 3 * (1 + 128) // listeners, and who checks at each
+	if product.Health != nil && product.Health.Answer != nil {
+		count += 3 * (1 + 128) // listeners, and the checkers connected to each
 	}
-	return n
+	return count
 }
 
-// Load reads the configuration from the GW_* variables and the file that GW_CONFIG names; a variable that is
-// set goes before the file. An error names the field that is at fault, on one line.
+// Load reads the configuration from the GW_* variables and the file that GW_CONFIG names; a variable that is set
+// overrides the file. An error names the field at fault, on one line.
 func Load(getenv func(string) string) (Config, error) { return load(getenv, nil) }
 
-// Reload reads the configuration again, to replace the one in force. The file's discovery now goes before
-// GW_DISCOVERY, which tells the one at the start. An error means that all stays as it is.
+// Reload reads the configuration again, to replace the one in force. The file's discovery address now overrides
+// GW_DISCOVERY, which applies to the start. After an error the configuration in force stays.
 func Reload(getenv func(string) string, inForce Config) (Config, error) {
 	return load(getenv, &inForce)
 }
 
+// load reads the configuration; inForce is nil at a start, and the configuration to replace at a reload.
 func load(getenv func(string) string, inForce *Config) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -169,24 +178,24 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return Config{}, fmt.Errorf("GW_CONFIG: %w", err) // a wrong type's message names its field
+		return Config{}, fmt.Errorf("GW_CONFIG: %w", err) // the error about a wrong type names its field
 	}
 	cfg := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Mgmt: file.Mgmt, Cores: file.Limits.Cores,
 		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known}
-	for _, v := range []struct {
+	for _, override := range []struct {
 		name  string
 		field *string
 	}{{"GW_NAME", &cfg.Name}, {"GW_LISTEN", &cfg.Listen}, {"GW_DISCOVERY", &cfg.Discovery}, {"GW_MGMT", &cfg.Mgmt}} {
-		if inForce != nil && v.field == &cfg.Discovery && cfg.Discovery != "" {
+		if inForce != nil && override.field == &cfg.Discovery && cfg.Discovery != "" {
 			continue
 		}
-		if s := getenv(v.name); s != "" {
-			*v.field = s
+		if value := getenv(override.name); value != "" {
+			*override.field = value
 		}
 	}
 	if s := getenv("GW_ACCEPT_FD"); s != "" {
 		if cfg.AcceptFD, err = strconv.Atoi(s); err != nil || cfg.AcceptFD < 3 {
-			return Config{}, fmt.Errorf("GW_ACCEPT_FD: %q is no descriptor", s)
+			return Config{}, fmt.Errorf("GW_ACCEPT_FD: %q is not a file descriptor", s)
 		}
 	}
 	for _, f := range []struct{ name, addr string }{{"listen", cfg.Listen}, {"discovery", cfg.Discovery}, {"mgmt", cfg.Mgmt}} {
@@ -237,15 +246,15 @@
 			return Config{}, fmt.Errorf("PORTSTALL_FILE: %s: %w", path, err)
 		}
 	}
-	json.Unmarshal(text, &cfg.file) // it parsed before
-	delete(cfg.file, "known")       // told once, at the start
+	json.Unmarshal(text, &cfg.rawFile) // can't fail: the same text was decoded above
+	delete(cfg.rawFile, "known")       // used only at the start; a later file needs none
 	if inForce != nil {
-		if err := replaces(cfg.file, inForce.file, cfg.Settings); err != nil {
+		if err := checkReplacement(cfg.rawFile, inForce.rawFile, cfg.Settings); err != nil {
 			return Config{}, err
 		}
 	}
 	h := fnv.New64a()
-	h.Write([]byte(file.Seed)) // whatever its form: all of it counts
+	h.Write([]byte(file.Seed)) // the seed may have any form; every byte counts
 	cfg.Seed = h.Sum64()
 	return cfg, nil
 }
--- a/internal/node/contracts.go
+++ b/internal/node/contracts.go
@@ -13,8 +13,9 @@
 	"portstall/policy"
 )
 
-// contracts compiles those of the product's own file for the classes that the settings know. Nil where there are none, and none where
-// control tells them: the part of them that a process hands out, and what a predecessor has spent, count from the first on.
+// contractTable compiles the contracts of the product's own file for the classes that the settings know. It returns nil
+// where the file has none. Where control provides the contracts it returns an empty table, so that the process share
+// and what a predecessor has spent count from the first contract on.
 func (c *Config) contracts() (*contract.Table, error) {
 	if c.followed != nil {
 		return contract.NewTable(nil)
@@ -22,11 +23,11 @@
 	if c.Product == nil {
 		return nil, nil
 	}
-	return config.Compile(c.Product, c.effects())
+	return config.Compile(c.Product, c.classEffects())
 }
 
-// effects are those of the classes that the settings know, as the product's own file names them.
-func (c *Config) effects() map[string]string {
+// classEffects returns the effects of the classes that the settings know, under their names in the product's own file.
+func (c *Config) classEffects() map[string]string {
 	names := map[policy.Effect]string{policy.Safe: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}
 	effects := map[string]string{}
 	for _, class := range c.Settings.Policy.Classes {
@@ -35,42 +36,42 @@
 	return effects
 }
 
-// Explanation is what a node answers an operator who asks why.
+// Explanation is a node's reply to an operator who asks how a request would be treated.
 type Explanation struct {
-	Contract string          `json:"contract"` // empty: none is for this caller
-	Rule     contract.Rule   `json:"rule"`     // by which it would be refused now; empty: it would be let in
+	Contract string          `json:"contract"` // the contract that applies; empty: none applies to this caller
+	Rule     contract.Rule   `json:"rule"`     // the rule by which the request would be refused now; empty: it would be admitted
 	Why      string          `json:"why"`
 	Level    *contract.Level `json:"level,omitempty"`
 }
 
-// Explain tells which contract a request would fall under and whether it would be let in now: tenant, class, from, token
-// and any number of header=Name: value. It charges nothing.
-func (n *node) Explain(q url.Values) (any, error) {
-	h := http.Header{}
-	h.Set("X-Tenant", q.Get("tenant"))
-	for _, line := range q["header"] {
+// Explain reports which contract a request would fall under and whether it would be admitted now. The query has tenant,
+// class, from, token and any number of header=Name: value. It charges nothing to the contract.
+func (n *node) Explain(query url.Values) (any, error) {
+	header := http.Header{}
+	header.Set("X-Tenant", query.Get("tenant"))
+	for _, line := range query["header"] {
 		name, value, _ := strings.Cut(line, ":")
-		h.Set(strings.TrimSpace(name), strings.TrimSpace(value))
+		header.Set(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
 	var from netip.Addr
-	if text := q.Get("from"); text != "" {
+	if text := query.Get("from"); text != "" {
 		var err error
 		if from, err = netip.ParseAddr(text); err != nil {
-			return nil, fmt.Errorf("from: %q is no address", text)
+			return nil, fmt.Errorf("from: %q is not an IP address", text)
 		}
 	}
-	c := fronthttp.Caller(h, from, q.Get("user"))
-	c.Token = q.Get("token")
-	v, level, err := n.core.Explain(&c, q.Get("class"), q.Get("repeat") == "1")
+	caller := fronthttp.Caller(header, from, query.Get("user"))
+	caller.Token = query.Get("token")
+	verdict, level, err := n.core.Explain(&caller, query.Get("class"), query.Get("repeat") == "1")
 	if err != nil {
 		return nil, err
 	}
-	e := Explanation{Rule: v.Rule, Why: "it would be let in"}
-	if v.Rule != contract.Kept {
-		e.Why = v.Rule.Why()
+	explanation := Explanation{Rule: verdict.Rule, Why: "it would be admitted"}
+	if verdict.Rule != contract.Kept {
+		explanation.Why = verdict.Rule.Why()
 	}
-	if v.Contract >= 0 {
-		e.Contract, e.Level = level.Name, &level
+	if verdict.Contract >= 0 {
+		explanation.Contract, explanation.Level = level.Name, &level
 	}
-	return e, nil
+	return explanation, nil
 }
--- a/internal/node/contracts_test.go
+++ b/internal/node/contracts_test.go
@@ -18,7 +18,7 @@
 	"portstall/internal/mgmt"
 )
 
-// under gives a node the contracts of a file.
+// withProductFile sets a node's product file.
 func under(t testing.TB, text string) func(*Config) {
 	t.Helper()
 	f, err := config.Parse("p.yaml", []byte(text))
@@ -28,7 +28,7 @@
 	return func(c *Config) { c.Product = f }
 }
 
-// with words a call with more headers.
+// withHeaders returns the text of a call with further headers.
 func with(q call, headers ...string) string {
 	return strings.Replace(q.text(), "\r\n\r\n", "\r\n"+strings.Join(headers, "\r\n")+"\r\n\r\n", 1)
 }
@@ -41,22 +41,22 @@
 - {name: batch, match: [{token_sha256: 2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b}], in_flight: 1}
 `
 
-// Each rule's refusal comes at once, with its status, its reason and the time to come back; what is let in is served. A
-// refused request is never sent.
+// Each rule's refusal comes at once, with its status, its reason and the time after which to retry, and the request is
+// never sent. What is admitted is served.
 func TestContractsRefuse(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, teams), b.entry("s-1"))
-	c := r.dial(t)
-	n := 0
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"))
+	client := node.dial(t)
+	seq := 0
 	ask := func(q func(string) call, headers ...string) *http.Response {
 		t.Helper()
-		n++
-		c.send(with(q(fmt.Sprint("r", n)), headers...))
-		resp, _ := c.answer()
+		seq++
+		client.send(with(q(fmt.Sprint("r", seq)), headers...))
+		resp, _ := client.answer()
 		return resp
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		q       func(string) call
 		headers []string
 		status  int
@@ -72,101 +72,102 @@
 		{view, []string{"Authorization: Bearer secret"}, 200, ""},
 		{view, []string{"Authorization: Bearer wrong"}, 403, "rule=none"},
 	} {
-		resp := ask(k.q, k.headers...)
+		resp := ask(test.q, test.headers...)
 		reason := resp.Header.Get(message.RefusalHeader)
-		if resp.StatusCode != k.status || !strings.HasPrefix(reason, k.rule) || (reason == "") != (k.rule == "") {
-			t.Errorf("%v: %d %q, want %d %q", k.headers, resp.StatusCode, reason, k.status, k.rule)
+		if resp.StatusCode != test.status || !strings.HasPrefix(reason, test.rule) || (reason == "") != (test.rule == "") {
+			t.Errorf("%v: %d %q, want %d %q", test.headers, resp.StatusCode, reason, test.status, test.rule)
 		}
-		if (k.status == 429) != (resp.Header.Get("Retry-After") != "") {
-			t.Errorf("%v: %d with Retry-After %q", k.headers, resp.StatusCode, resp.Header.Get("Retry-After"))
+		if (test.status == 429) != (resp.Header.Get("Retry-After") != "") {
+			t.Errorf("%v: %d with Retry-After %q", test.headers, resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 	}
-	if got := len(b.requests()); got != 4 {
-		t.Errorf("%d requests reached the web server, want the 4 that were let in", got)
+	if got := len(server.requests()); got != 4 {
+		t.Errorf("%d requests reached the web server, want the 4 that were admitted", got)
 	}
-	st := r.core.Stats(10)
-	if st.Open != 0 {
-		t.Errorf("%d requests are remembered", st.Open)
+	stats := node.core.Stats(10)
+	if stats.Open != 0 {
+		t.Errorf("%d requests are still open", stats.Open)
 	}
-	for _, l := range st.Levels {
-		if l.InFlight != 0 {
-			t.Errorf("%s has %d in flight after all have ended", l.Name, l.InFlight)
+	for _, level := range stats.Levels {
+		if level.InFlight != 0 {
+			t.Errorf("%s has %d requests in flight after all have ended", level.Name, level.InFlight)
 		}
 	}
 }
 
-// A contract that leaves no further attempts turns a failure into the final answer, at once.
-func TestContractsBoundAttempts(t *testing.T) {
+// With a contract that allows no retries a failure is the final response, at once.
+func TestContractsLimitRetries(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool { return reply(c, 500, "", "") })
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool { return reply(c, 500, "", "") })
 	text := "contracts:\n- {name: all, attempts: {ratio: 0, window: 10s}}\n"
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, text), b.entry("s-1"), b.entry("s-2"))
-	if resp, _ := r.dial(t).ask(view("r1")); resp.StatusCode == 200 {
-		t.Errorf("answered %d", resp.StatusCode)
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, text), server.entry("s-1"), server.entry("s-2"))
+	if resp, _ := node.dial(t).ask(view("r1")); resp.StatusCode == 200 {
+		t.Errorf("the response is %d", resp.StatusCode)
 	}
-	if got := len(b.requests()); got != 1 {
+	if got := len(server.requests()); got != 1 {
 		t.Errorf("%d attempts, want one", got)
 	}
 }
 
-// A reload swaps the contracts whole. Budgets of those that stay go on, requests under way end as they began, and a file
-// whose contracts are bad changes nothing.
+// A reload replaces the contracts as a whole. Contracts that stay keep their budgets, requests in flight end as they
+// began, and a file with invalid contracts changes nothing.
 func TestContractsReload(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	b := newSlowBox(t, hold)
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, teams), b.entry("s-1"), b.entry("s-2"))
-	slow := r.dial(t)
+	server := newSlowBox(t, hold)
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"), server.entry("s-2"))
+	slow := node.dial(t)
 	slow.send(with(view("slow"), "Authorization: Bearer secret"))
-	wait(t, "the slow request", func() bool { return len(b.requests()) == 1 })
-	c := r.dial(t)
+	wait(t, "the slow request", func() bool { return len(server.requests()) == 1 })
+	client := node.dial(t)
 	status := func(id string, headers ...string) int {
-		c.send(with(view(id), headers...))
-		resp, _ := c.answer()
+		client.send(with(view(id), headers...))
+		resp, _ := client.answer()
 		return resp.StatusCode
 	}
 	status("a1", "X-Tenant: app")
 	status("a2", "X-Tenant: app")
-	cfg := r.cfg
-	cfg.Discovery = r.disc.addr
+	cfg := node.cfg
+	cfg.Discovery = node.disc.addr
 	under(t, "contracts:\n- {name: app, match: [{tenant: app}], rate: 0.001, burst: 2}\n- {name: rest}\n")(&cfg)
-	r.reload(cfg)
+	node.reload(cfg)
 	if got := status("a3", "X-Tenant: app"); got != 429 {
 		t.Errorf("a reload refills the rate: %d", got)
 	}
 	if got := status("b1", "X-Tenant: nobody"); got != 200 {
-		t.Errorf("the new default: %d", got)
+		t.Errorf("by the new default contract: %d", got)
 	}
 	close(hold)
 	if resp, _ := slow.answer(); resp.StatusCode != 200 {
-		t.Errorf("the request whose contract has gone: %d", resp.StatusCode)
+		t.Errorf("the request whose contract was removed: %d", resp.StatusCode)
 	}
 	bad := cfg
 	bad.Product = &config.File{Contracts: []config.Contract{{Name: "a"}, {Name: "b"}}}
-	r.reload(bad)
+	node.reload(bad)
 	if got := status("b2", "X-Tenant: nobody"); got != 200 {
-		t.Errorf("after a bad reload: %d", got)
+		t.Errorf("after an invalid reload: %d", got)
 	}
 	cfg.Product = nil
-	r.reload(cfg)
+	node.reload(cfg)
 	if got := status("a4", "X-Tenant: app"); got != 200 {
 		t.Errorf("without contracts: %d", got)
 	}
 }
 
-// Operators read which contract a request would fall under, why it would be refused, what is left, and the metrics.
+// Operators can read which contract a request would fall under, why it would be refused, what is left of it, and the
+// metrics.
 func TestExplain(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, teams), b.entry("s-1"))
-	c := r.dial(t)
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"))
+	client := node.dial(t)
 	for i := range 3 {
-		c.send(with(view(fmt.Sprint("v", i)), "X-Tenant: app"))
-		c.answer()
+		client.send(with(view(fmt.Sprint("v", i)), "X-Tenant: app"))
+		client.answer()
 	}
 	ln, err := standin.Listen()
 	must(t, err)
-	defer mgmt.Serve(ln, r, slog.New(slog.DiscardHandler), r.pages()...).Close()
+	defer mgmt.Serve(ln, node, slog.New(slog.DiscardHandler), node.pages()...).Close()
 	get := func(path string) (int, string) {
 		t.Helper()
 		resp, err := http.Get("http://" + ln.Addr().String() + "/-/" + path)
@@ -175,7 +176,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(text)
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		path   string
 		status int
 		want   []string
@@ -183,7 +184,7 @@
 		{"explain?tenant=app&class=view", 200, []string{`"contract": "app"`, `"rule": "rate"`, `"admitted": 2`}},
 		{"explain?tenant=app&class=view", 200, []string{`"admitted": 2`}}, // asking charges nothing
 		{"explain?header=" + url.QueryEscape("x-team: jobs") + "&class=save", 200, []string{`"rule": "service"`}},
-		{"explain?token=secret&class=save", 200, []string{`"contract": "batch"`, "let in"}},
+		{"explain?token=secret&class=save", 200, []string{`"contract": "batch"`, "would be admitted"}},
 		{"explain?tenant=nobody", 200, []string{`"rule": "none"`}},
 		{"explain?from=here", 400, []string{"from"}},
 		{"contracts", 200, []string{`"name": "app"`, `"rule": "rate"`}},
@@ -191,24 +192,24 @@
 			`portstall_contract_refused_total{contract="app",rule="rate"} 1`, "portstall_pressure", "portstall_work_allowed"}},
 		{"nothing", 404, nil},
 	} {
-		status, text := get(k.path)
-		if status != k.status {
-			t.Errorf("%s: %d\n%s", k.path, status, text)
+		status, text := get(test.path)
+		if status != test.status {
+			t.Errorf("%s: %d\n%s", test.path, status, text)
 		}
-		for _, want := range k.want {
+		for _, want := range test.want {
 			if !strings.Contains(text, want) {
-				t.Errorf("%s lacks %q:\n%s", k.path, want, text)
+				t.Errorf("%s lacks %q:\n%s", test.path, want, text)
 			}
 		}
 	}
-	bare := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	bare := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
 	if _, err := bare.Explain(nil); err == nil {
 		t.Error("a node without contracts explains")
 	}
 }
 
-// BenchmarkContracts pairs a node without contracts and one with a hundred: a request through each in turn, so that both
-// meet the same machine. It reports what the contracts add.
+// BenchmarkContracts compares a node without contracts and one with a hundred: a request through each in turn, so that
+// both meet the same load of the machine. It reports what the contracts add.
 func BenchmarkContracts(b *testing.B) {
 	var text strings.Builder
 	text.WriteString("contracts:\n")
@@ -227,13 +228,13 @@
 		for k := range nodes {
 			i := (k + n) % 2 // each goes first as often
 			nodes[i].SetDeadline(time.Now().Add(patience))
-			begun, used := time.Now(), processorTime(b)
+			begun, used := time.Now(), cpuTime(b)
 			nodes[i].send(q)
 			if resp, _ := nodes[i].answer(); resp.StatusCode != http.StatusOK {
 				b.Fatal(resp.StatusCode)
 			}
 			took[i] += time.Since(begun)
-			spent[i] += processorTime(b) - used
+			spent[i] += cpuTime(b) - used
 		}
 	}
 	b.ReportMetric(float64(took[0].Nanoseconds())/float64(n), "ns/bare")
@@ -242,11 +243,11 @@
 	b.ReportMetric(100*(float64(spent[1])/float64(spent[0])-1), "%more-cpu")
 }
 
-// processorTime is what the process has used, its stand-ins of clients and servers with it.
-func processorTime(t testing.TB) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// cpuTime returns the processor time of the process, which includes the stub clients and servers.
+func cpuTime(t testing.TB) time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		t.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -18,178 +18,185 @@
 )
 
 const (
-	gcStart  = 50  // percent, while a first configuration is read
-	gcMost   = 400 // where there are few resources, as without control
-	gcLeast  = 50
-	ownHeap  = 4 << 20 // bytes of live heap that a node has without resources, about,
-	eachHeap = 900     // and for each of them, as measured at 21,051
+	initialGCPercent = 50      // percent, while the first configuration is read
+	maxGCPercent     = 400     // percent, with few resources, as in a node without control
+	minGCPercent     = 50      // percent, with many resources
+	baseHeap         = 4 << 20 // approximate bytes of live heap in a node without resources
+	heapPerResource  = 900     // approximate bytes of live heap per resource, at 21,051 resources
 )
 
-// gcPercent is how much garbage there may be before the next collection, as a part of the live heap: with few resources what a node
-// without control has, and with more of them less, so that the garbage stays the same and the resident set goes with the live heap.
+// gcPercent returns how much garbage may accumulate before the next collection, as a percentage of the live heap. With
+// few resources it is that of a node without control. With more it falls, so that the garbage stays about the same and
+// the resident set grows with the live heap alone.
 func gcPercent(resources int) int {
-	return max(gcLeast, min(gcMost, gcMost*ownHeap/(ownHeap+eachHeap*resources)))
+	return max(minGCPercent, min(maxGCPercent, maxGCPercent*baseHeap/(baseHeap+heapPerResource*resources)))
 }
 
-// followed is the part of a node's configuration that control tells: services, routes, contracts and pinned tenants. What changes
-// it, deltas and SIGHUP, comes one after the other under mu, and is put in force in one hold of the core's lock.
-type followed struct {
-	cfg    Config // as at the start
-	log    *slog.Logger
-	mark   string // of this process at control: another one of the node may bear its name
-	clock  core.Clock
-	began  time.Time
-	status follow.Status
-	had    chan struct{} // closed once a first configuration was taken
-	cancel context.CancelFunc
-	done   chan struct{} // closed when nobody is asked any more
+// configFollower holds the part of a node's configuration that control provides: services, routes, contracts and pinned
+// tenants. What changes it, deltas and SIGHUP, is handled one after the other under mu, and applied within one hold of
+// the core's lock.
+type configFollower struct {
+	cfg          Config // the configuration at the start
+	log          *slog.Logger
+	processID    string // identifies this process to control: another process of the node may have the same name
+	clock        core.Clock
+	startedAt    time.Time
+	status       follow.Status
+	firstApplied chan struct{} // closed once a first configuration was accepted
+	cancel       context.CancelFunc
+	done         chan struct{} // closed once no calls are made any more
 
-	mu      sync.Mutex // comes before the core's lock
-	set     *resource.Set
-	catalog *catalog.Catalog
-	node    *node             // nil: it is not up, and what was taken waits in
-	early   []*catalog.Change // in their order
-	counts  map[resource.Kind]int
-	taken   int64 // changes in force, the first one included
-	since   time.Time
-	refused *refusedChange // the latest that was checked here
-	sources []string
-	turn    context.CancelFunc // ends the calls to the sources
-	tuned   int                // resources by which the collector was tuned; 0: not yet
+	mu             sync.Mutex // locked before the core's lock; guards the fields below
+	set            *resource.Set
+	catalog        *catalog.Catalog
+	node           *node             // nil until the node is up; until then accepted changes wait in pending
+	pending        []*catalog.Change // in the order of their acceptance
+	counts         map[resource.Kind]int
+	changesApplied int64 // changes applied since the start, the first configuration included
+	appliedAt      time.Time
+	lastRefusal    *refusedChange // the latest change that was checked here and refused
+	sources        []string
+	cancelCalls    context.CancelFunc // ends the calls to the sources
+	tunedResources int                // number of resources by which the garbage collector was last tuned; 0: not yet
 }
 
-// refusedChange is a change that was not taken.
+// refusedChange is a change of the configuration that was refused.
 type refusedChange struct {
 	At       time.Time `json:"at"`
 	Version  string    `json:"version"`
-	Resource string    `json:"resource,omitempty"` // at fault; empty: the change as a whole
+	Resource string    `json:"resource,omitempty"` // the resource at fault; empty: the change as a whole
 	Field    string    `json:"field,omitempty"`
 	Why      string    `json:"why"`
 }
 
-// newFollowed begins to ask the control processes that the configuration names, until close.
-func newFollowed(cfg Config, log *slog.Logger) *followed {
-	f := &followed{cfg: cfg, log: log, mark: fmt.Sprintf("%016x", rand.Uint64()), clock: cfg.newClock(), began: time.Now(), had: make(chan struct{}), done: make(chan struct{}),
+// newConfigFollower starts to follow the control processes that the configuration names, until close.
+func newConfigFollower(cfg Config, log *slog.Logger) *configFollower {
+	f := &configFollower{cfg: cfg, log: log, processID: fmt.Sprintf("%016x", rand.Uint64()), clock: cfg.newClock(), startedAt: time.Now(), firstApplied: make(chan struct{}), done: make(chan struct{}),
 		set: resource.NewSet(false), counts: map[resource.Kind]int{}, sources: cfg.Product.Control.Addresses}
-	f.catalog = catalog.New(catalog.Options{Effects: cfg.effects(), Cells: cfg.Product.Cells != nil, Even: cfg.Product.Parts == "even"})
+	f.catalog = catalog.New(catalog.Options{Effects: cfg.classEffects(), Cells: cfg.Product.Cells != nil, Even: cfg.Product.Parts == "even"})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	go f.follow(ctx)
+	go f.run(ctx)
 	return f
 }
 
-// close ends the calls, and waits until no change is being taken any more.
-func (f *followed) close() {
+// close ends the calls to control, and waits until no change is being applied.
+func (f *configFollower) close() {
 	f.cancel()
 	<-f.done
 }
 
-// lock and unlock do nothing where nothing is followed.
-func (f *followed) lock() {
+// lock locks f. Without a follower (f is nil) it does nothing.
+func (f *configFollower) lock() {
 	if f != nil {
 		f.mu.Lock()
 	}
 }
 
-func (f *followed) unlock() {
+// unlock unlocks f. Without a follower (f is nil) it does nothing.
+func (f *configFollower) unlock() {
 	if f != nil {
 		f.mu.Unlock()
 	}
 }
 
-// follow asks until ctx ends, and begins anew where SIGHUP named other control processes, or other settings may let in what was
-// refused.
-func (f *followed) follow(ctx context.Context) {
+// run follows control until ctx ends. It starts the calls again where SIGHUP named other control processes, or where
+// other settings may admit a version that was refused.
+func (f *configFollower) run(ctx context.Context) {
 	defer close(f.done)
 	for ctx.Err() == nil {
-		turn, cancel := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		f.mu.Lock()
-		f.turn = cancel
-		o := follow.Options{Name: f.cfg.Name, Process: f.mark, Role: "node", Sources: f.sources, Set: f.set, Take: f.take, Log: f.log, Status: &f.status, Clock: f.clock}
+		f.cancelCalls = cancel
+		options := follow.Options{Name: f.cfg.Name, Process: f.processID, Role: "node", Sources: f.sources, Set: f.set, Take: f.applyDelta, Log: f.log, Status: &f.status, Clock: f.clock}
 		f.mu.Unlock()
-		if f.cfg.follow != nil {
-			f.cfg.follow(&o)
+		if f.cfg.adjustFollow != nil {
+			f.cfg.adjustFollow(&options)
 		}
-		if err := follow.Run(turn, o); err != nil && turn.Err() == nil {
-			f.log.Error("control is not followed any more", "err", err) // a mistake of ours: the node serves on with what it has
-			<-turn.Done()
+		if err := follow.Run(callCtx, options); err != nil && callCtx.Err() == nil {
+			f.log.Error("following control has stopped", "err", err) // a bug: the node goes on serving with its configuration
+			<-callCtx.Done()
 		}
 		cancel()
 	}
 }
 
-// take puts a delta in force, whole, or says why it does not and changes nothing. The follower has checked that it fits the set.
-func (f *followed) take(d *resource.Delta) error {
+// applyDelta applies a delta completely, or returns why it can't and changes nothing. The caller has checked that the
+// delta continues the set.
+func (f *configFollower) applyDelta(delta *resource.Delta) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d = f.set.Difference(d) // of a whole one only what differs is touched
-	change, err := f.catalog.Prepare(d)
+	delta = f.set.Difference(delta) // of a full snapshot only the differences are touched
+	change, err := f.catalog.Prepare(delta)
 	if err != nil {
-		return f.refuse(d, err)
+		return f.recordRefusal(delta, err)
 	}
-	if f.cfg.prepared != nil {
-		f.cfg.prepared()
+	if f.cfg.onPrepared != nil {
+		f.cfg.onPrepared()
 	}
-	f.enforce(change)
+	f.applyOrQueue(change)
 	f.catalog.Commit(change)
-	f.count(d)
-	if err := f.set.Apply(d); err != nil {
-		return err // can't be: it was checked
+	f.updateCounts(delta)
+	if err := f.set.Apply(delta); err != nil {
+		return err // can't happen: the delta was checked above
 	}
-	f.tune()
-	f.since = time.Now()
-	if f.taken++; f.taken == 1 {
-		close(f.had)
+	f.tuneGC()
+	f.appliedAt = time.Now()
+	if f.changesApplied++; f.changesApplied == 1 {
+		close(f.firstApplied)
 	}
 	return nil
 }
 
-// enforce puts a checked change in force in one hold of the core's lock, or keeps it until there is a core. f.mu is held.
-func (f *followed) enforce(c *catalog.Change) {
+// applyOrQueue applies a checked change within one hold of the core's lock, or queues it until the node is up. f.mu is
+// held.
+func (f *configFollower) applyOrQueue(c *catalog.Change) {
 	if f.node == nil {
-		f.early = append(f.early, c)
+		f.pending = append(f.pending, c)
 		return
 	}
 	f.node.core.Lock()
 	defer f.node.core.Unlock()
-	f.node.apply(c)
+	f.node.applyCatalogChange(c)
 }
 
-// tune tells the collector how large the live heap is by now. It is the process's, and is not touched before the first configuration
-// is in force. f.mu is held.
-func (f *followed) tune() {
+// tuneGC sets the garbage collector's target for the current number of resources. The target is the process's, and is
+// left alone before the first configuration is in force. f.mu is held.
+func (f *configFollower) tuneGC() {
 	n := f.set.Len()
-	if !f.cfg.process || f.node == nil || f.tuned > 0 && n < f.tuned*5/4+100 && n > f.tuned*3/4-100 {
+	if !f.cfg.process || f.node == nil || f.tunedResources > 0 && n < f.tunedResources*5/4+100 && n > f.tunedResources*3/4-100 {
 		return
 	}
-	f.tuned = max(n, 1)
+	f.tunedResources = max(n, 1)
 	debug.SetGCPercent(gcPercent(n))
 }
 
-// attach puts in force what was taken before there was a core. f.mu and the core's lock are held.
-func (f *followed) attach(n *node) {
+// attach connects the node and applies the changes that were accepted before it was up. f.mu and the core's lock are held.
+func (f *configFollower) attach(n *node) {
 	if f == nil {
 		return
 	}
-	for _, c := range f.early {
-		n.apply(c)
+	for _, c := range f.pending {
+		n.applyCatalogChange(c)
 	}
-	f.node, f.early = n, nil
+	f.node, f.pending = n, nil
 }
 
-// settle lets go what the first configuration was made from, before clients come. It is called once, outside of all locks.
-func (f *followed) settle() {
+// freeStartupMemory frees what the first configuration was decoded from, before clients come. It is called once, with
+// no lock held.
+func (f *configFollower) settle() {
 	if f == nil {
 		return
 	}
 	debug.FreeOSMemory()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tune()
+	f.tuneGC()
 }
 
-// apply puts a checked change in force. The core's lock is held: a request looks up its route, contract and cell under it.
-func (n *node) apply(c *catalog.Change) {
+// applyCatalogChange applies a checked change. The core's lock is held: requests look up their route, contract and cell
+// under it.
+func (n *node) applyCatalogChange(c *catalog.Change) {
 	n.core.Change(&c.Contracts)
 	if n.routes != nil {
 		n.routes.Change(&c.Routes)
@@ -199,108 +206,108 @@
 	}
 }
 
-// refuse notes that a change is not taken. f.mu is held.
-func (f *followed) refuse(d *resource.Delta, err error) error {
-	var r *resource.Refusal
-	if !errors.As(err, &r) {
-		return err // lost, doubled or made for another content: the follower asks anew
+// recordRefusal records that a change was refused, and returns err. f.mu is held.
+func (f *configFollower) recordRefusal(delta *resource.Delta, err error) error {
+	var refusal *resource.Refusal
+	if !errors.As(err, &refusal) {
+		return err // lost, repeated or made for another content: the follower asks again
 	}
-	f.refused = &refusedChange{At: time.Now(), Version: d.To.String(), Field: r.Field, Why: r.Why}
-	if r.Key != (resource.Key{}) {
-		f.refused.Resource = r.Key.String()
+	f.lastRefusal = &refusedChange{At: time.Now(), Version: delta.To.String(), Field: refusal.Field, Why: refusal.Why}
+	if refusal.Key != (resource.Key{}) {
+		f.lastRefusal.Resource = refusal.Key.String()
 	}
 	return err
 }
 
-// count counts what there is by kind once a delta is in force. f.mu is held.
-func (f *followed) count(d *resource.Delta) {
-	if d.Whole() {
+// updateCounts updates the counts by kind for a delta that is about to be stored in the set. f.mu is held.
+func (f *configFollower) updateCounts(delta *resource.Delta) {
+	if delta.Whole() {
 		clear(f.counts)
 	}
-	for _, r := range d.Put {
-		if d.Whole() || !f.set.Has(r.Key) {
-			f.counts[r.Kind]++
+	for _, added := range delta.Put {
+		if delta.Whole() || !f.set.Has(added.Key) {
+			f.counts[added.Kind]++
 		}
 	}
-	for _, k := range d.Gone {
-		if f.set.Has(k) {
-			f.counts[k.Kind]--
+	for _, key := range delta.Gone {
+		if f.set.Has(key) {
+			f.counts[key.Kind]--
 		}
 	}
 }
 
-// recheck holds what is in force against other settings, and returns what is to be compiled anew. An error says by resource and
-// field what does not fit: then the settings are not taken. f.mu is held, until the change has been put in force and passed to
-// renewed.
-func (f *followed) recheck(cfg Config) (*catalog.Change, error) {
+// recheck checks the configuration in force against other settings, and returns what must be compiled again. An error
+// names the resource and field that do not fit: then the settings are not accepted. f.mu is held until the change has
+// been applied and passed to commitReload.
+func (f *configFollower) recheck(cfg Config) (*catalog.Change, error) {
 	if (cfg.Product == nil) || cfg.Product.Control == nil {
-		return nil, errors.New("control: can't be taken out by a reload")
+		return nil, errors.New("control: can't be removed by a reload")
 	}
 	if (cfg.Product.Cells == nil) != (f.cfg.Product.Cells == nil) {
-		return nil, errors.New("cells: can't be put in or taken out by a reload")
+		return nil, errors.New("cells: can't be added or removed by a reload")
 	}
-	change, err := f.catalog.Recheck(cfg.effects())
+	change, err := f.catalog.Recheck(cfg.classEffects())
 	if err != nil {
-		return nil, fmt.Errorf("settings: the configuration in force, %s, does not fit them: %w", f.set.Version(), err)
+		return nil, fmt.Errorf("settings: incompatible with configuration %s in force: %w", f.set.Version(), err)
 	}
 	change.Contracts.Even = cfg.Product.Parts == "even"
 	return change, nil
 }
 
-// renewed notes that other settings are in force. Calls are made anew, at once, where they go elsewhere, or where a version was
-// refused by the settings before. f.mu is held.
-func (f *followed) renewed(cfg Config, change *catalog.Change) {
+// commitReload records that other settings are in force. The calls are restarted at once where the sources have
+// changed, or where a version was refused under the previous settings. f.mu is held.
+func (f *configFollower) commitReload(cfg Config, change *catalog.Change) {
 	f.catalog.SetEven(change.Contracts.Even)
 	f.catalog.Commit(change)
 	elsewhere := !slices.Equal(f.sources, cfg.Product.Control.Addresses)
-	if f.sources = cfg.Product.Control.Addresses; f.turn != nil && (elsewhere || !f.status.Read().Refused.IsZero()) {
-		f.turn()
+	if f.sources = cfg.Product.Control.Addresses; f.cancelCalls != nil && (elsewhere || !f.status.Read().Refused.IsZero()) {
+		f.cancelCalls()
 	}
 }
 
-// await waits for the first configuration. A file that is read again meanwhile counts: control may have another address, or the
-// settings may be what it does not fit.
-func (f *followed) await(ctx context.Context, cfg *Config, reload <-chan Change) error {
+// await waits for the first configuration. A file that is read again in the meantime is applied: it may name another
+// address of control, or settings that the configuration fits.
+func (f *configFollower) await(ctx context.Context, cfg *Config, reload <-chan Change) error {
 	for {
 		select {
-		case <-f.had:
+		case <-f.firstApplied:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		case change := <-reload:
-			change.Taken <- f.reconsider(cfg, change.Config)
+			change.Taken <- f.reloadBeforeStart(cfg, change.Config)
 		}
 	}
 }
 
-// reconsider takes in a file that was read again before there is a node.
-func (f *followed) reconsider(cfg *Config, with Config) error {
+// reloadBeforeStart applies a file that was read again before the node is up.
+func (f *configFollower) reloadBeforeStart(cfg *Config, next Config) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change, err := f.recheck(with)
+	change, err := f.recheck(next)
 	if err != nil {
-		f.log.Error("the new configuration is bad; keeping the old one", "err", err)
+		f.log.Error("new configuration rejected; keeping the old one", "err", err)
 		return err
 	}
-	f.enforce(change)
-	f.renewed(with, change)
-	cfg.Settings, cfg.Product, cfg.Discovery, cfg.file = with.Settings, with.Product, with.Discovery, with.file
+	f.applyOrQueue(change)
+	f.commitReload(next, change)
+	cfg.Settings, cfg.Product, cfg.Discovery, cfg.rawFile = next.Settings, next.Product, next.Discovery, next.rawFile
 	return nil
 }
 
-// missing says why there is no configuration yet; nil: there is one.
-func (f *followed) missing() error {
+// missingConfiguration returns an error that says why there is no configuration yet, or nil where there is one.
+func (f *configFollower) missingConfiguration() error {
 	select {
-	case <-f.had:
+	case <-f.firstApplied:
 		return nil
 	default:
 	}
-	s, why := f.status.Read(), "control has not answered"
+	status, reason := f.status.Read(), "control has not replied"
 	switch {
-	case !s.Refused.IsZero():
-		why = fmt.Sprintf("version %s is refused: %s", s.Refused, s.Why)
-	case s.LastError != "":
-		why = s.LastError
+	case !status.Refused.IsZero():
+		reason = fmt.Sprintf("version %s is refused: %s", status.Refused, status.Why)
+	case status.LastError != "":
+		reason = status.LastError
 	}
-	return fmt.Errorf("no configuration yet: %s; asked since %s, %d calls", why, f.began.UTC().Format(time.RFC3339), s.Calls)
+	return fmt.Errorf("no configuration yet: %s; asked since %s, %d calls", reason, f.startedAt.UTC().Format(time.RFC3339), status.Calls)
 }
--- a/internal/node/control_report.go
+++ b/internal/node/control_report.go
@@ -14,88 +14,90 @@
 	"portstall/internal/resource"
 )
 
-// page is what operators read of it, at any time.
-func (f *followed) page() mgmt.Page {
+// page returns the management page with the follower's report. It can be read at any time.
+func (f *configFollower) page() mgmt.Page {
 	return mgmt.Page{Path: "configuration", Type: "application/json", Write: func(w io.Writer, _ url.Values) error {
-		return asJSON(w, f.report(), nil)
+		return writeJSON(w, f.report(), nil)
 	}}
 }
 
-// Configuration tells operators how a node stands with control.
+// Configuration is a node's report of the configuration that it has from control.
 type Configuration struct {
-	Version     string                `json:"version"`         // in force; 0.0: none is
-	Since       *time.Time            `json:"since,omitempty"` // it is
+	Version     string                `json:"version"`         // version in force; 0.0: none
+	Since       *time.Time            `json:"since,omitempty"` // since when that version is in force
 	Missing     string                `json:"missing,omitempty"`
 	Resources   map[resource.Kind]int `json:"resources"`
-	Sources     []string              `json:"sources"`             // as they are asked, the nearest first
-	Source      string                `json:"source,omitempty"`    // that answered last,
-	LastGood    *time.Time            `json:"last_good,omitempty"` // and when
+	Sources     []string              `json:"sources"`             // in the order in which they are asked, the nearest first
+	Source      string                `json:"source,omitempty"`    // the source that replied last
+	LastGood    *time.Time            `json:"last_good,omitempty"` // when a source last replied
 	LastFailure string                `json:"last_failure,omitempty"`
-	Refused     string                `json:"refused,omitempty"` // the version that is not taken, until a later one is
+	Refused     string                `json:"refused,omitempty"` // a version that was refused; empty again once a later one is accepted
 	LastRefusal *refusedChange        `json:"last_refusal,omitempty"`
 	Refusals    int64                 `json:"refusals"`
-	Changes     int64                 `json:"changes"` // put in force since the start, the first one included
+	Changes     int64                 `json:"changes"` // changes applied since the start, the first configuration included
 	Calls       follow.Figures        `json:"calls"`
 }
 
-func (f *followed) report() Configuration {
-	s := f.status.Read()
-	c := Configuration{Source: s.Source, LastFailure: s.LastError, Calls: s}
-	if s.Heard > 0 {
-		at := time.Unix(0, int64(s.Heard)).UTC()
-		c.LastGood = &at
+// report returns the follower's state for operators.
+
+func (f *configFollower) report() Configuration {
+	status := f.status.Read()
+	report := Configuration{Source: status.Source, LastFailure: status.LastError, Calls: status}
+	if status.Heard > 0 {
+		at := time.Unix(0, int64(status.Heard)).UTC()
+		report.LastGood = &at
 	}
-	if !s.Refused.IsZero() {
-		c.Refused = s.Refused.String()
+	if !status.Refused.IsZero() {
+		report.Refused = status.Refused.String()
 	}
-	if err := f.missing(); err != nil {
-		c.Missing = err.Error()
+	if err := f.missingConfiguration(); err != nil {
+		report.Missing = err.Error()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c.Version, c.Sources, c.LastRefusal, c.Refusals, c.Changes = f.set.Version().String(), f.sources, f.refused, s.Failures[follow.Refused], f.taken
-	if c.Refused != "" && (f.refused == nil || f.refused.Version != c.Refused) { // it did not come so far as to be checked here
-		c.LastRefusal = &refusedChange{At: time.Unix(0, int64(s.Heard)).UTC(), Version: c.Refused, Why: s.Why}
+	report.Version, report.Sources, report.LastRefusal, report.Refusals, report.Changes = f.set.Version().String(), f.sources, f.lastRefusal, status.Failures[follow.Refused], f.changesApplied
+	if report.Refused != "" && (f.lastRefusal == nil || f.lastRefusal.Version != report.Refused) { // refused before it was checked here
+		report.LastRefusal = &refusedChange{At: time.Unix(0, int64(status.Heard)).UTC(), Version: report.Refused, Why: status.Why}
 	}
-	if f.taken > 0 {
-		at := f.since.UTC()
-		c.Since = &at
+	if f.changesApplied > 0 {
+		at := f.appliedAt.UTC()
+		report.Since = &at
 	}
-	c.Resources = maps.Clone(f.counts)
-	return c
+	report.Resources = maps.Clone(f.counts)
+	return report
 }
 
 var (
-	versionDesc  = prometheus.NewDesc("portstall_configuration_version", "The configuration in force; always 1.", []string{"epoch", "number"}, nil)
-	heardDesc    = prometheus.NewDesc("portstall_configuration_age_seconds", "Time since control last answered.", nil, nil)
-	changesDesc  = prometheus.NewDesc("portstall_configuration_changes_total", "Changes put in force, the first configuration included.", nil, nil)
-	refusalsDesc = prometheus.NewDesc("portstall_configuration_refusals_total", "Changes that did not fit and were refused.", nil, nil)
-	failuresDesc = prometheus.NewDesc("portstall_configuration_failures_total", "Calls to control that failed, by how.", []string{"kind"}, nil)
-	callsDesc    = prometheus.NewDesc("portstall_configuration_calls_total", "Calls to control.", nil, nil)
-	bytesDesc    = prometheus.NewDesc("portstall_configuration_bytes_total", "Bytes from and to control.", []string{"way"}, nil)
-	kindsDesc    = prometheus.NewDesc("portstall_configuration_resources", "Resources in force, by kind.", []string{"kind"}, nil)
+	versionDesc   = prometheus.NewDesc("portstall_configuration_version", "The configuration in force; always 1.", []string{"epoch", "number"}, nil)
+	ageDesc       = prometheus.NewDesc("portstall_configuration_age_seconds", "Time since the last reply of control.", nil, nil)
+	changesDesc   = prometheus.NewDesc("portstall_configuration_changes_total", "Changes applied, the first configuration included.", nil, nil)
+	refusalsDesc  = prometheus.NewDesc("portstall_configuration_refusals_total", "Changes refused as invalid.", nil, nil)
+	failuresDesc  = prometheus.NewDesc("portstall_configuration_failures_total", "Failed calls to control, by kind of failure.", []string{"kind"}, nil)
+	callsDesc     = prometheus.NewDesc("portstall_configuration_calls_total", "Calls to control.", nil, nil)
+	bytesDesc     = prometheus.NewDesc("portstall_configuration_bytes_total", "Bytes from and to control.", []string{"way"}, nil)
+	resourcesDesc = prometheus.NewDesc("portstall_configuration_resources", "Resources in force, by kind.", []string{"kind"}, nil)
 )
 
-// collect tells how a node stands with control.
-func (f *followed) collect(ch chan<- prometheus.Metric) {
-	count := func(desc *prometheus.Desc, n int64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(n), labels...)
+// collect sends the follower's metrics.
+func (f *configFollower) collect(ch chan<- prometheus.Metric) {
+	count := func(desc *prometheus.Desc, value int64, labels ...string) {
+		ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), labels...)
 	}
-	r := f.report()
-	epoch, number, _ := strings.Cut(r.Version, ".")
+	report := f.report()
+	epoch, number, _ := strings.Cut(report.Version, ".")
 	ch <- prometheus.MustNewConstMetric(versionDesc, prometheus.GaugeValue, 1, epoch, number)
-	if r.LastGood != nil {
-		ch <- prometheus.MustNewConstMetric(heardDesc, prometheus.GaugeValue, time.Since(*r.LastGood).Seconds())
+	if report.LastGood != nil {
+		ch <- prometheus.MustNewConstMetric(ageDesc, prometheus.GaugeValue, time.Since(*report.LastGood).Seconds())
 	}
-	for kind, n := range r.Resources {
-		ch <- prometheus.MustNewConstMetric(kindsDesc, prometheus.GaugeValue, float64(n), string(kind))
+	for kind, value := range report.Resources {
+		ch <- prometheus.MustNewConstMetric(resourcesDesc, prometheus.GaugeValue, float64(value), string(kind))
 	}
-	for kind, n := range r.Calls.Failures {
-		count(failuresDesc, n, string(kind))
+	for kind, value := range report.Calls.Failures {
+		count(failuresDesc, value, string(kind))
 	}
-	count(changesDesc, r.Changes)
-	count(refusalsDesc, r.Refusals)
-	count(callsDesc, r.Calls.Calls)
-	count(bytesDesc, r.Calls.BytesIn, "in")
-	count(bytesDesc, r.Calls.BytesOut, "out")
+	count(changesDesc, report.Changes)
+	count(refusalsDesc, report.Refusals)
+	count(callsDesc, report.Calls.Calls)
+	count(bytesDesc, report.Calls.BytesIn, "in")
+	count(bytesDesc, report.Calls.BytesOut, "out")
 }
--- a/internal/node/control_serve_test.go
+++ b/internal/node/control_serve_test.go
@@ -17,17 +17,17 @@
 	"portstall/internal/wire"
 )
 
-// writer is a real control process of the test's own, which reads one file.
-type writer struct {
+// controlProcess is a real control process of the test's own, which reads one file.
+type controlProcess struct {
 	t      *testing.T
 	path   string
 	addr   string
 	reload chan struct{}
 }
 
-func newWriter(t *testing.T, text string) *writer {
+func startControlProcess(t *testing.T, text string) *controlProcess {
 	t.Helper()
-	w := &writer{t: t, path: filepath.Join(t.TempDir(), "all.yaml"), reload: make(chan struct{})}
+	w := &controlProcess{t: t, path: filepath.Join(t.TempDir(), "all.yaml"), reload: make(chan struct{})}
 	must(t, os.WriteFile(w.path, []byte(text), 0o600))
 	ln, err := standin.Listen()
 	must(t, err)
@@ -46,8 +46,8 @@
 	return w
 }
 
-// change writes another file, has it read, and returns the version that it makes.
-func (w *writer) change(text string) (version string) {
+// change replaces the file, has control read it, and returns the resulting version.
+func (w *controlProcess) change(text string) (version string) {
 	w.t.Helper()
 	before := w.status().Version
 	must(w.t, os.WriteFile(w.path+".new", []byte(text), 0o600))
@@ -64,8 +64,8 @@
 	return version
 }
 
-// status is what control tells its operators.
-func (w *writer) status() (s struct {
+// status returns control's status for operators.
+func (w *controlProcess) status() (s struct {
 	Version  string `json:"version"`
 	Callers  int    `json:"callers"`
 	Watches  int    `json:"watches"`
@@ -82,59 +82,64 @@
 	return s
 }
 
-// A node and a control process as they are: a change in a file is in force, one that does not fit the node's settings is shown by
-// control with the node's name and the reason, and the two processes of a hand-over, which bear one name, both have each change.
+// A real node and a real control process: a change of the file is applied. One that does not fit the node's settings is
+// reported by control with the node's name and the reason. The two processes of a hand-over, which have the same name,
+// both get each change.
 func TestNodeAndControl(t *testing.T) {
 	t.Parallel()
 	const file = "services:\n- {name: s, classes: [{name: view%s}]}\ncontracts:\n- {name: app, match: [{tenant: app}], services: [s], rate: %d, burst: 100}\n...\n"
-	w := newWriter(t, fmt.Sprintf(file, "", 1000))
-	b := newBox(t, served)
-	old, succeeds := predecessor(t, &director{&standin.Control{Addr: w.addr}, t}, newRegistry(t), b)
-	if got := old.dial(t).statusOf("a", "app"); got != 200 {
+	control := startControlProcess(t, fmt.Sprintf(file, "", 1000))
+	server := newBox(t, served)
+	predecessor, startSuccessor := startPredecessor(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newRegistry(t), server)
+	if got := predecessor.dial(t).statusOf("a", "app"); got != 200 {
 		t.Errorf("by the first configuration: %d", got)
 	}
-	v := w.change(fmt.Sprintf(file, "", 900))
-	wait(t, "the change", func() bool { return old.inForce().String() == v })
+	version := control.change(fmt.Sprintf(file, "", 900))
+	wait(t, "the change", func() bool { return predecessor.versionInForce().String() == version })
 
-	before := old.inForce()
-	w.change(fmt.Sprintf(file, ", effect: unsafe", 800))
+	before := predecessor.versionInForce()
+	control.change(fmt.Sprintf(file, ", effect: unsafe", 800))
 	wait(t, "the refusal at control", func() bool {
-		r := w.status().Refusals
-		return len(r) == 1 && r[0].Name == "n0" && strings.Contains(r[0].Why, `service "s": classes[0].effect: unsafe`)
+		refusals := control.status().Refusals
+		return len(refusals) == 1 && refusals[0].Name == "n0" && strings.Contains(refusals[0].Why, `service "s": classes[0].effect: unsafe`)
 	})
-	if old.inForce() != before {
-		t.Errorf("%s is in force", old.inForce())
+	if predecessor.versionInForce() != before {
+		t.Errorf("%s is in force", predecessor.versionInForce())
 	}
-	v = w.change(fmt.Sprintf(file, "", 700))
-	wait(t, "the mended one", func() bool { return old.inForce().String() == v && len(w.status().Refusals) == 0 })
+	version = control.change(fmt.Sprintf(file, "", 700))
+	wait(t, "the corrected change", func() bool {
+		return predecessor.versionInForce().String() == version && len(control.status().Refusals) == 0
+	})
 
-	young := succeeds()
+	successor := startSuccessor()
 	for i := range 3 {
-		v := w.change(fmt.Sprintf(file, "", 600+i))
-		wait(t, "the change at both", func() bool { return young.inForce().String() == v && old.inForce().String() == v })
+		version := control.change(fmt.Sprintf(file, "", 600+i))
+		wait(t, "the change at both", func() bool {
+			return successor.versionInForce().String() == version && predecessor.versionInForce().String() == version
+		})
 	}
-	wait(t, "a watch of each at control", func() bool { s := w.status(); return s.Callers == 2 && s.Watches == 2 })
-	old.cfg.followed.close()
-	wait(t, "control to forget the one that has ended", func() bool { return w.status().Callers == 1 })
-	calls := old.cfg.followed.status.Read().Calls + young.cfg.followed.status.Read().Calls
-	t.Logf("%d calls of both", calls)
+	wait(t, "a watch of each at control", func() bool { status := control.status(); return status.Callers == 2 && status.Watches == 2 })
+	predecessor.cfg.followed.close()
+	wait(t, "control to forget the process that ended", func() bool { return control.status().Callers == 1 })
+	calls := predecessor.cfg.followed.status.Read().Calls + successor.cfg.followed.status.Read().Calls
+	t.Logf("%d calls of both processes", calls)
 }
 
-// A version that a node's settings refused is asked for again as soon as SIGHUP brings settings that it fits, of a control process as it is,
-// which does not tell a version again to who refused it.
-func TestReloadLetsInWhatWasRefused(t *testing.T) {
+// A version that was refused under a node's settings is asked for again as soon as SIGHUP brings settings that it fits.
+// A real control process does not send a version again to a node that refused it, so that the node has to ask again.
+func TestReloadAcceptsRefusedVersion(t *testing.T) {
 	t.Parallel()
-	w := newWriter(t, "contracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
-	r := directed(t, &director{&standin.Control{Addr: w.addr}, t}, newRegistry(t), "", nil)
-	before := r.inForce()
-	v := w.change("services:\n- {name: s, classes: [{name: quote, effect: safe}]}\ncontracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
-	wait(t, "the refusal at control, and a watch behind it", func() bool { s := w.status(); return len(s.Refusals) == 1 && s.Watches == 1 })
-	if r.inForce() != before {
-		t.Errorf("%s is in force", r.inForce())
+	control := startControlProcess(t, "contracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
+	node := newControlledNode(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newRegistry(t), "", nil)
+	before := node.versionInForce()
+	version := control.change("services:\n- {name: s, classes: [{name: quote, effect: safe}]}\ncontracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
+	wait(t, "the refusal at control, and a later watch", func() bool { status := control.status(); return len(status.Refusals) == 1 && status.Watches == 1 })
+	if node.versionInForce() != before {
+		t.Errorf("%s is in force", node.versionInForce())
 	}
-	set, err := wire.DecodeSettings([]byte(quoteSafe))
+	set, err := wire.DecodeSettings([]byte(quoteSafeSettingsJSON))
 	must(t, err)
-	must(t, r.reload(Config{Discovery: r.disc.addr, Settings: set, Product: r.cfg.Product}))
-	wait(t, "what was refused", func() bool { return r.inForce().String() == v })
-	wait(t, "control to see it", func() bool { return len(w.status().Refusals) == 0 })
+	must(t, node.reload(Config{Discovery: node.disc.addr, Settings: set, Product: node.cfg.Product}))
+	wait(t, "the version that was refused", func() bool { return node.versionInForce().String() == version })
+	wait(t, "control to notice it", func() bool { return len(control.status().Refusals) == 0 })
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -10,29 +10,30 @@
 	"portstall/internal/mgmt"
 )
 
-// ownNeeds is all that a process of a node holds at the worst beside clients, web servers, operators and the product's parts.
-var ownNeeds = map[string]int{
-	"standard input, output and error":                                  3,
-	"the runtime's poller, and what wakes it":                           2,
-	"the runtime's files on its share of the processor":                 2,
-	"the clients' listener":                                             1,
-	"discovery: a watch, a whole list, a dial that is no longer needed": 3,
-	"the discovery that a reload names, while the old one is left":      3,
-	"control: the connection that it follows, and that one's successor": 2,
-	"a configuration that is read again":                                1,
-	"a hand-over: token, listener, two other processes, one more dial":  5,
+// ownDescriptors is the most that the process of a node holds for itself, besides clients, web servers, operators and
+// the product's parts.
+var ownDescriptors = map[string]int{
+	"standard input, output and error":                                     3,
+	"the runtime's poller, and its wake-up descriptor":                     2,
+	"the runtime's files on its share of the processor":                    2,
+	"the clients' listener":                                                1,
+	"discovery: a watch, a complete list, a dial that is no longer needed": 3,
+	"the discovery that a reload names, next to the old one":               3,
+	"control: the connection in use, and the next one":                     2,
+	"a configuration that is read again":                                   1,
+	"a hand-over: token, listener, two other processes, a further dial":    5,
 }
 
-// The sum of all that a process may hold at the worst is within its limit, so that what it needs for discovery, control and web
-// servers is there without luck, whatever clients do.
-func TestDescriptorsAddUp(t *testing.T) {
+// The sum of all descriptors that a process may hold is within its limit, so that those for discovery, control and web
+// servers are available whatever clients do.
+func TestDescriptorsStayWithinLimit(t *testing.T) {
 	t.Parallel()
 	own := 0
-	for _, name := range slices.Sorted(maps.Keys(ownNeeds)) {
-		own += ownNeeds[name]
+	for _, name := range slices.Sorted(maps.Keys(ownDescriptors)) {
+		own += ownDescriptors[name]
 	}
 	if own > ownSockets {
-		t.Errorf("it needs %d for itself, and keeps %d", own, ownSockets)
+		t.Errorf("the node needs %d descriptors for itself, and reserves %d", own, ownSockets)
 	}
 	parts := &config.File{Tunnels: &config.Tunnels{}, Members: &config.Members{}, State: &config.State{},
 		Health: &config.Health{Checks: &config.Checks{}, Answer: &config.Answer{}}}
@@ -60,20 +61,20 @@
 	}
 }
 
-// What the system gives counts where it is less than what was told, and only in a process that is the node's own.
-func TestSystemsLimitCounts(t *testing.T) {
+// The system's limit applies where it is below the configured one, and only in a process that is the node's own.
+func TestSystemDescriptorLimitApplies(t *testing.T) {
 	t.Parallel()
 	var lim syscall.Rlimit
 	must(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim))
 	system := int(min(lim.Cur, maxSockets))
-	for _, c := range []struct{ told, most int }{{0, min(system, 1<<21)}, {maxSockets, system}, {minSockets, min(system, minSockets)}} {
-		cfg := Config{Sockets: c.told, process: true}
-		if got := cfg.shared(); got != c.most-ownSockets {
-			t.Errorf("%d told, the system gives %d: %d are shared, want %d", c.told, lim.Cur, got, c.most-ownSockets)
+	for _, c := range []struct{ configured, most int }{{0, min(system, 1<<21)}, {maxSockets, system}, {minSockets, min(system, minSockets)}} {
+		cfg := Config{Sockets: c.configured, process: true}
+		if got := cfg.sharedSockets(); got != c.most-ownSockets {
+			t.Errorf("%d configured, %d by the system: %d are shared, want %d", c.configured, lim.Cur, got, c.most-ownSockets)
 		}
 		cfg.process = false
-		if got := cfg.shared(); c.told == maxSockets && got != maxSockets-ownSockets {
-			t.Errorf("one of many nodes in a process: %d are shared", got)
+		if got := cfg.sharedSockets(); c.configured == maxSockets && got != maxSockets-ownSockets {
+			t.Errorf("one of many nodes in a process: %d descriptors are shared", got)
 		}
 	}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -23,19 +23,26 @@
 )
 
 const (
-	watchRest = 50 * time.Millisecond // between watches that are answered at once; within 200 ms a watch goes on
-	maxList   = 16 << 20
-	lastStart = math.MaxInt64 / int64(time.Millisecond) // what is later than this would wrap around to long ago: warm
+	// minWatchInterval is the least time between the starts of two watches whose responses come at once. Discovery
+	// counts a call within 200 ms of a response as the continuation of that watch.
+	minWatchInterval = 50 * time.Millisecond
+	maxListBytes     = 16 << 20
+	// lastStart is the largest start time in ms that a time.Duration holds. A later one would overflow to the distant
+	// past, so that a new process would be taken for a warm one.
+	lastStart = math.MaxInt64 / int64(time.Millisecond)
 )
 
-// list is discovery's answer.
+// serverList is discovery's response: the complete server list, or the entries that changed since the version asked for.
 type list struct {
-	Version int64         `json:"version"`
-	Full    bool          `json:"full"`
-	Servers []listed      `json:"servers"`
-	came    time.Duration // when its first byte was there, on the node's clock: it was told before; 0: as it is handled
+	Version int64    `json:"version"`
+	Full    bool     `json:"full"`
+	Servers []listed `json:"servers"`
+	// receivedAt is when the first byte of the response arrived, on the node's clock: its contents were announced
+	// before that. 0 stands for the time at which the list is applied.
+	receivedAt time.Duration
 }
 
+// serverEntry is a web server as discovery lists it.
 type listed struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
@@ -46,34 +53,40 @@
 	StartedMS int64  `json:"started_ms"`
 }
 
-// discovery keeps a node's list up to date from one address. Another address means another discovery.
+// discoveryClient keeps a node's server list up to date from one discovery address. For another address the node
+// replaces the client.
 type discovery struct {
-	node  *node
-	http  *http.Client
-	addr  string
-	ctx   context.Context // ends when this discovery is left; only under the core's lock
-	leave context.CancelFunc
+	node   *node
+	http   *http.Client
+	addr   string
+	ctx    context.Context // ends when the client is replaced; canceled only under the core's lock
+	cancel context.CancelFunc
 
-	watching bool          // guarded by the core's lock
-	rhythm   rhythm        // the watch loop's: what it has seen of discovery outlasts a loss
-	whole    bool          // its whole list is still to be asked for: its versions tell nothing before; guarded by the core's lock
-	told     time.Duration // what it has counts as told then, whether or not it was asked; 0: it is not said. Set before it is shared
+	watching bool         // whether the watch loop runs; guarded by the core's lock
+	schedule pollSchedule // belongs to the watch loop; survives the end of one, so that the next keeps what was learned of discovery
+	// whole is set until the complete list of this discovery has arrived: until then its version numbers can't be
+	// compared with the node's. Guarded by the core's lock.
+	whole bool
+	// announcedBy is the time by which everything in this discovery's list counts as announced, whether or not the node
+	// asked for it. 0 stands for no such time. It is set before the client is shared.
+	announcedBy time.Duration
 }
 
 func newDiscovery(n *node, addr string) *discovery {
 	d := &discovery{node: n, addr: addr, http: &http.Client{Transport: &http.Transport{DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: dialWait}).DialContext}}}
-	d.ctx, d.leave = context.WithCancel(n.core.Context())
+		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
+	d.ctx, d.cancel = context.WithCancel(n.core.Context())
 	return d
 }
 
-// follow turns to another discovery. The backends stay until it tells its list. The core's lock is held.
-func (n *node) follow(addr string) {
+// switchDiscovery replaces the discovery client. The web servers stay until the new discovery returns its list. The
+// core's lock is held.
+func (n *node) switchDiscovery(addr string) {
 	n.log.Info("following another discovery", "from", n.disc.addr, "to", addr)
 	old := n.disc
-	old.leave()
+	old.cancel()
 	n.disc = newDiscovery(n, addr)
-	n.disc.whole, n.disc.told = true, n.core.Now()+reloadTold
+	n.disc.whole, n.disc.announcedBy = true, n.core.Now()+reloadAnnounceDelay
 	n.disc.watch()
 	old.http.CloseIdleConnections()
 }
@@ -84,43 +97,43 @@
 		return
 	}
 	d.watching = true
-	d.node.core.Go(d.loop)
+	d.node.core.Go(d.watchLoop)
 }
 
-// loop watches until the discovery is left. Where lists are pushed, or a fresh one is owed, it goes on after a failure;
-// elsewhere a failure is told to the policy, which says when to ask again.
-func (d *discovery) loop() {
-	r := &d.rhythm
-	r.resume()
+// watchLoop watches until the client is replaced. Where lists are pushed, or a fresh list is due, it retries after a
+// failure; otherwise it reports the failure to the policy, which decides when to ask again.
+func (d *discovery) watchLoop() {
+	schedule := &d.schedule
+	schedule.reset()
 	for d.ctx.Err() == nil {
-		begun, set := time.Now(), d.node.set.Load().Policy // a reload may have changed them
-		r.push, r.grace = !set.MustAsk, set.DrainGrace
+		started, current := time.Now(), d.node.set.Load().Policy // a reload may have changed them
+		schedule.push, schedule.grace = !current.MustAsk, current.DrainGrace
 		d.node.core.Lock()
-		since, whole := d.node.version, d.whole
+		since, full := d.node.version, d.whole
 		d.node.core.Unlock()
-		if whole && d.told > 0 {
-			r.owe(d.told)
+		if full && d.announcedBy > 0 {
+			schedule.requireFresh(d.announcedBy)
 		}
-		wait, limit := r.call(whole, rand.Float64())
-		if t := d.node.cfg.watch; t != nil {
-			wait, limit = t(wait, limit)
+		wait, limit := schedule.callTimes(full, rand.Float64())
+		if adjust := d.node.cfg.watch; adjust != nil {
+			wait, limit = adjust(wait, limit)
 		}
-		r.begin(d.node.core.Now())
-		over := r.began + wait
+		schedule.callStarted(d.node.core.Now())
+		waitEnd := schedule.callStart + wait
 		query := fmt.Sprintf("?since=%d&timeout_ms=%d", since, wait.Milliseconds())
-		if whole {
+		if full {
 			query = ""
 		}
-		l, how, err := d.call(query, limit, r.body()+d.node.cfg.slack)
+		update, failure, err := d.call(query, limit, schedule.bodyTimeout()+d.node.cfg.slack)
 		if err == nil {
-			r.answered(d.node.core.Now(), whole || l.Full || len(l.Servers) > 0)
+			schedule.callSucceeded(d.node.core.Now(), full || update.Full || len(update.Servers) > 0)
 			kind := policy.ListDelta
-			if whole || l.Full {
+			if full || update.Full {
 				kind = policy.ListFull
 			}
-			d.news(l, kind, true)
-			if rest := watchRest - time.Since(begun); rest > 0 {
-				sleep(d.ctx, rest)
+			d.news(update, kind, true)
+			if pause := minWatchInterval - time.Since(started); pause > 0 {
+				sleep(d.ctx, pause)
 			}
 			continue
 		}
@@ -128,17 +141,17 @@
 			return
 		}
 		d.node.log.Warn("watching discovery failed", "err", err)
-		rest, again := r.failed(d.node.core.Now(), over, how, rand.Float64())
-		if !again {
-			d.lost()
+		pause, retry := schedule.callFailed(d.node.core.Now(), waitEnd, failure, rand.Float64())
+		if !retry {
+			d.watchEnded()
 			return
 		}
-		sleep(d.ctx, rest)
+		sleep(d.ctx, pause)
 	}
 }
 
-// lost tells the policy that the watch is over.
-func (d *discovery) lost() {
+// watchEnded notifies the policy that the watch loop has ended.
+func (d *discovery) watchEnded() {
 	n := d.node
 	n.core.Lock()
 	defer n.core.Unlock()
@@ -148,16 +161,16 @@
 	}
 }
 
-// fetch asks for the whole list once. The core's lock is held.
+// fetch asks for the complete list once. The core's lock is held.
 func (d *discovery) fetch() {
 	n := d.node
 	n.core.Go(func() {
-		l, _, err := d.call("", fetchWait, fetchWait)
+		update, _, err := d.call("", fetchTimeout, fetchTimeout)
 		if err == nil {
-			d.news(l, policy.ListFull, false)
+			d.news(update, policy.ListFull, false)
 			return
 		}
-		n.log.Warn("asking discovery failed", "err", err)
+		n.log.Warn("fetching the server list failed", "err", err)
 		n.core.Lock()
 		defer n.core.Unlock()
 		if d.ctx.Err() == nil {
@@ -166,54 +179,55 @@
 	})
 }
 
-// call asks once. The answer is to begin within a limit, and to be whole within another one from its first byte on.
-func (d *discovery) call(query string, limit, body time.Duration) (l *list, how failure, err error) {
+// call sends one request. The response must begin within limit, and be complete within body of its first byte.
+func (d *discovery) call(query string, limit, body time.Duration) (update *list, failure callFailure, err error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
-	var late atomic.Bool
-	end := time.AfterFunc(limit, func() {
-		late.Store(true)
+	var timedOut atomic.Bool
+	timer := time.AfterFunc(limit, func() {
+		timedOut.Store(true)
 		cancel()
 	})
-	defer end.Stop()
-	var came atomic.Int64
+	defer timer.Stop()
+	var firstByte atomic.Int64
 	defer func() {
 		switch {
 		case err == nil:
-		case came.Load() > 0:
-			how = brokenOff
-		case late.Load():
-			how, err = noAnswer, fmt.Errorf("no answer within %v: %w", limit, err)
+		case firstByte.Load() > 0:
+			failure = responseBroken
+		case timedOut.Load():
+			failure, err = callTimeout, fmt.Errorf("no response within %v: %w", limit, err)
 		}
 	}()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
-		came.Store(int64(d.node.core.Now()))
-		end.Reset(body)
+		firstByte.Store(int64(d.node.core.Now()))
+		timer.Reset(body)
 	}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.addr+"/v1/endpoints"+query, nil)
 	if err != nil {
-		return nil, failedCall, err
+		return nil, callError, err
 	}
 	resp, err := d.http.Do(req)
 	if err != nil {
-		return nil, failedCall, err
+		return nil, callError, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		return nil, failedCall, err
+		return nil, callError, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		came.Store(0) // it tells nothing of the list
-		return nil, turnedAway, errors.New("discovery answered " + strconv.Itoa(resp.StatusCode))
+		firstByte.Store(0) // a refusal announces nothing of the list
+		return nil, callRejected, errors.New("discovery responded with status " + strconv.Itoa(resp.StatusCode))
 	}
-	l = &list{came: time.Duration(came.Load())}
-	if err := json.Unmarshal(text, l); err != nil {
-		return nil, failedCall, fmt.Errorf("discovery's list: %w", err)
+	update = &list{receivedAt: time.Duration(firstByte.Load())}
+	if err := json.Unmarshal(text, update); err != nil {
+		return nil, callError, fmt.Errorf("decode discovery's list: %w", err)
 	}
-	return l, failedCall, nil
+	return update, callError, nil
 }
 
+// sleep returns after d, or when ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -223,210 +237,215 @@
 	}
 }
 
-// news takes in an answer of discovery, unless it has been left or what it tells is older than what is known: a
-// whole list asked for and a watch may cross.
-func (d *discovery) news(l *list, kind policy.ListKind, watched bool) {
+// applyResponse applies a response of discovery, unless the client was replaced or the response is older than the list
+// in force: the complete list that was asked for may cross with the response to a watch.
+func (d *discovery) news(update *list, kind policy.ListKind, watched bool) {
 	n := d.node
 	n.core.Lock()
 	defer n.core.Unlock()
-	old := l.Version <= n.version
-	if kind == policy.ListFull { // a watch's comes also from a discovery that counts anew
-		old = l.Version < n.version && !watched && !d.whole
+	old := update.Version <= n.version
+	if kind == policy.ListFull { // a discovery that starts its version numbers again sends a full list to a watch as well
+		old = update.Version < n.version && !watched && !d.whole
 	}
 	if old || d.ctx.Err() != nil {
 		return
 	}
 	d.whole = false
-	n.takeList(l, kind)
+	n.takeList(update, kind)
 }
 
-// takeList brings the node's backends up to date and hands the list to the policy. The core's lock is held.
-func (n *node) takeList(l *list, kind policy.ListKind) {
-	told := cmp.Or(l.came, n.core.Now())
-	// A whole list may be an older one than what is known: its sender lags behind the one that told it, or counts anew. It
-	// brings back nobody who was told to drain or to be gone; a later one, or a start since, does.
-	older := kind == policy.ListFull && l.Version < n.version
-	n.version = l.Version
-	entries := make([]policy.Entry, 0, len(l.Servers))
+// applyList updates the node's web servers and passes the list to the policy. The core's lock is held.
+func (n *node) takeList(update *list, kind policy.ListKind) {
+	announced := cmp.Or(update.receivedAt, n.core.Now())
+	// A full list may be older than the one in force: its sender may lag behind the discovery that announced the newer
+	// one, or may have started its version numbers again. Such a list does not bring back a server that was announced
+	// as draining or removed; a later list does, and so does a later start of the server.
+	older := kind == policy.ListFull && update.Version < n.version
+	n.version = update.Version
+	entries := make([]policy.Entry, 0, len(update.Servers))
 	seen := map[string]bool{}
-	for i := range l.Servers {
-		seen[l.Servers[i].ID] = true
+	for i := range update.Servers {
+		seen[update.Servers[i].ID] = true
 	}
-	for i := range l.Servers {
-		s := &l.Servers[i]
-		if s.ID == "" || s.Addr == "" && n.names[s.ID] == nil {
-			continue // nothing can be sent there
+	for i := range update.Servers {
+		item := &update.Servers[i]
+		if item.ID == "" || item.Addr == "" && n.names[item.ID] == nil {
+			continue // there is no address to send to
 		}
-		e := policy.Entry{Zone: s.Zone, Cell: s.Cell, Kind: s.Kind,
-			Launched: max(time.Duration(min(s.StartedMS, lastStart))*time.Millisecond, n.hand.returned[s.ID])}
-		switch s.State {
+		entry := policy.Entry{Zone: item.Zone, Cell: item.Cell, Kind: item.Kind,
+			Launched: max(time.Duration(min(item.StartedMS, lastStart))*time.Millisecond, n.hand.returned[item.ID])}
+		switch item.State {
 		case "Ready":
 		case "Gone":
-			e.State = policy.Left
-		default: // Terminating, or a state that is not known here: nothing new for either
-			e.State = policy.Leaving
+			entry.State = policy.Left
+		default: // Terminating, or an unknown state: no new requests in either case
+			entry.State = policy.Leaving
 		}
-		b := n.names[s.ID]
-		if older && b == nil && n.isPast(s) {
+		server := n.names[item.ID]
+		if older && server == nil && n.wasRemoved(item) {
 			continue
 		}
-		if older && b != nil && b.Stop.Load() != 0 && b.started == s.StartedMS && e.State == policy.Active {
-			e.State = policy.Leaving
+		if older && server != nil && server.Stop.Load() != 0 && server.started == item.StartedMS && entry.State == policy.Active {
+			entry.State = policy.Leaving
 		}
-		if b != nil && b.Addr != s.Addr && s.Addr != "" {
-			// Another address is another process, even where the start time does not tell.
-			entries = append(entries, policy.Entry{ID: b.number, State: policy.Left})
-			n.drop(b, told)
-			b = nil
+		if server != nil && server.Addr != item.Addr && item.Addr != "" {
+			// Another address is another process, even where the start time is the same.
+			entries = append(entries, policy.Entry{ID: server.number, State: policy.Left})
+			n.removeServer(server, announced)
+			server = nil
 		}
 		switch {
-		case b == nil && e.State == policy.Left:
+		case server == nil && entry.State == policy.Left:
 			continue
-		case b == nil:
-			for _, o := range n.addrs[s.Addr] {
-				if !o.left && !seen[o.ID] {
-					// Its process can't be there any more: what goes to its address reaches the new one.
-					entries = append(entries, policy.Entry{ID: o.number, State: policy.Left})
-					n.drop(o, told)
+		case server == nil:
+			for _, other := range n.addrs[item.Addr] {
+				if !other.left && !seen[other.ID] {
+					// The process at this address must have ended: what is sent there reaches the new one.
+					entries = append(entries, policy.Entry{ID: other.number, State: policy.Left})
+					n.removeServer(other, announced)
 				}
 			}
 			n.nextNum++
-			b = &backend{number: n.nextNum, started: s.StartedMS, Server: &back.Server{ID: s.ID, Addr: s.Addr, Via: n.way(s.ID), Gate: n.gate(s.ID), Now: n.core.Now}}
-		case b.started != s.StartedMS:
-			old := b
-			// the policy tells the two apart by the start
-			b = &backend{number: old.number, started: s.StartedMS, Server: &back.Server{ID: s.ID, Addr: s.Addr, Via: old.Via, Gate: old.Gate, Now: n.core.Now}}
+			server = &backend{number: n.nextNum, started: item.StartedMS, Server: &back.Server{ID: item.ID, Addr: item.Addr, Via: n.way(item.ID), Gate: n.gateFor(item.ID), Now: n.core.Now}}
+		case server.started != item.StartedMS:
+			old := server
+			// The policy distinguishes the two processes by their start times.
+			server = &backend{number: old.number, started: item.StartedMS, Server: &back.Server{ID: item.ID, Addr: item.Addr, Via: old.Via, Gate: old.Gate, Now: n.core.Now}}
 			n.pool.Clear(old.Server, true)
-			n.drainBackend(old, told) // a send that holds it passes no other stop
+			n.drainServer(old, announced) // an attempt that already holds the old server is stopped by nothing else
 		}
-		entry := *s
-		b.entry = &entry
-		n.enlist(b)
-		e.ID = b.number
-		entries = append(entries, e)
-		switch e.State {
+		current := *item
+		server.entry = &current
+		n.indexServer(server)
+		entry.ID = server.number
+		entries = append(entries, entry)
+		switch entry.State {
 		case policy.Active:
-			b.left = false
-			b.Stop.Store(0)
+			server.left = false
+			server.Stop.Store(0)
 		case policy.Leaving:
-			n.drainBackend(b, told)
+			n.drainServer(server, announced)
 		case policy.Left:
-			n.drop(b, told)
+			n.removeServer(server, announced)
 		}
-		n.cells.changed(b)
+		n.cells.serverChanged(server)
 	}
 	if kind != policy.ListDelta {
-		for id, b := range n.names {
+		for id, server := range n.names {
 			if !seen[id] {
-				n.drop(b, told)
+				n.removeServer(server, announced)
 			}
 		}
 	}
 	n.core.Handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
 	n.hand.listed(n, n.core.Now())
 	if n.checker != nil {
-		for _, e := range entries {
-			if b := n.backends[e.ID]; b != nil {
-				n.checker.listed(b)
+		for _, entry := range entries {
+			if server := n.backends[entry.ID]; server != nil {
+				n.checker.serverChanged(server)
 			}
 		}
 	}
 	n.ready = false
-	for _, b := range n.names {
-		if b.Stop.Load() == 0 {
+	for _, server := range n.names {
+		if server.Stop.Load() == 0 {
 			n.ready = true
 			break
 		}
 	}
 }
 
-// enlist makes a backend the one of its id, number and address.
-func (n *node) enlist(b *backend) {
-	if old := n.names[b.ID]; old != b {
-		n.delist(old)
-		n.names[b.ID], n.addrs[b.Addr] = b, append(n.addrs[b.Addr], b)
+// indexServer makes a server the current one of its ID, number and address.
+func (n *node) indexServer(server *backend) {
+	if old := n.names[server.ID]; old != server {
+		n.unindexServer(old)
+		n.names[server.ID], n.addrs[server.Addr] = server, append(n.addrs[server.Addr], server)
 	}
-	n.backends[b.number] = b
+	n.backends[server.number] = server
 }
 
-// delist forgets the backend of an id, which may be none.
-func (n *node) delist(b *backend) {
-	if b == nil {
+// unindexServer removes a server from the indexes by ID and address. The server may be nil.
+func (n *node) unindexServer(server *backend) {
+	if server == nil {
 		return
 	}
-	delete(n.names, b.ID)
-	n.addrs[b.Addr] = slices.DeleteFunc(n.addrs[b.Addr], func(o *backend) bool { return o == b })
-	if len(n.addrs[b.Addr]) == 0 {
-		delete(n.addrs, b.Addr)
+	delete(n.names, server.ID)
+	n.addrs[server.Addr] = slices.DeleteFunc(n.addrs[server.Addr], func(other *backend) bool { return other == server })
+	if len(n.addrs[server.Addr]) == 0 {
+		delete(n.addrs, server.Addr)
 	}
 }
 
-// drainBackend lets nothing new be written to a backend once its grace is over, less what the news took on the way. Told is
-// when they came, on the node's clock. The core's lock is held.
-func (n *node) drainBackend(b *backend, told time.Duration) {
-	stop := told + n.set.Load().Policy.DrainGrace*9/10
-	if b.Stop.CompareAndSwap(0, int64(stop)) {
-		// Behind the grace, so that no tunnel that still comes to stand within it is missed.
+// drainServer stops new writes to a server once its grace has passed, less a tenth for the time that the announcement
+// took on its way. announced is when the announcement arrived, on the node's clock. The core's lock is held.
+func (n *node) drainServer(server *backend, announced time.Duration) {
+	stop := announced + n.set.Load().Policy.DrainGrace*9/10
+	if server.Stop.CompareAndSwap(0, int64(stop)) {
+		// The tunnels are drained after the grace, so that none that is established within it is missed.
 		time.AfterFunc(stop-n.core.Now(), func() {
-			if b.Stop.Load() != 0 {
-				n.opaque.Drain(b.Server)
+			if server.Stop.Load() != 0 {
+				n.opaque.Drain(server.Server)
 			}
 		})
 	}
 }
 
-// drop takes a backend off the list. It stays known until its grace is over: the policy may go on with the
-// last of a list that came empty, and a backend that is listed again keeps its number and its connections. Told is as for
-// drainBackend.
-func (n *node) drop(b *backend, told time.Duration) {
-	if b.left {
+// removeServer takes a server off the list. The node knows it until its grace has passed: the policy may go on with the
+// last servers of a list that became empty, and a server that is listed again keeps its number and connections.
+// announced is as for drainServer.
+func (n *node) removeServer(server *backend, announced time.Duration) {
+	if server.left {
 		return
 	}
-	b.left = true
-	n.drainBackend(b, told)
-	n.cells.changed(b)
-	n.checker.listed(b)
-	stop := b.Stop.Load()
+	server.left = true
+	n.drainServer(server, announced)
+	n.cells.serverChanged(server)
+	n.checker.serverChanged(server)
+	stopAt := server.Stop.Load()
 	time.AfterFunc(n.set.Load().Policy.DrainGrace, func() {
 		n.core.Lock()
 		defer n.core.Unlock()
-		if !b.left || b.Stop.Load() != stop {
-			return // listed again meanwhile
+		if !server.left || server.Stop.Load() != stopAt {
+			return // listed again in the meantime
 		}
-		if n.names[b.ID] == b {
-			n.delist(b)
-			n.toPast(b)
+		if n.names[server.ID] == server {
+			n.unindexServer(server)
+			n.rememberRemoved(server)
 		}
-		if n.backends[b.number] == b {
-			delete(n.backends, b.number)
+		if n.backends[server.number] == server {
+			delete(n.backends, server.number)
 		}
-		n.pool.Clear(b.Server, true)
+		n.pool.Clear(server.Server, true)
 	})
 }
 
-// past is a web server that was told to be gone, so that an older list does not bring it back.
+// removedServer is the process of a web server that was announced as removed. It is remembered so that an older list
+// does not bring the server back.
 type past struct {
-	started int64
-	since   time.Duration
+	started   int64
+	removedAt time.Duration
 }
 
 const (
-	pastFor  = time.Minute // no list is older than this
-	pastMost = 4096        // beyond so many at a time all are forgotten: then a send finds that nobody is there
+	// removedRetention is how long a removed server is remembered; no list is older than this.
+	removedRetention = time.Minute
+	// maxRemoved bounds the servers remembered. When it is reached all are forgotten; a server that an older list then
+	// brings back fails at its first attempt.
+	maxRemoved = 4096
 )
 
-// isPast tells whether the process that an entry speaks of was told to be gone. The core's lock is held.
-func (n *node) isPast(s *listed) bool {
-	p, told := n.past[s.ID]
-	return told && p.started == s.StartedMS
+// wasRemoved reports whether the process of an entry was announced as removed. The core's lock is held.
+func (n *node) wasRemoved(entry *listed) bool {
+	removed, known := n.past[entry.ID]
+	return known && removed.started == entry.StartedMS
 }
 
-// toPast notes that a backend is gone, and forgets who has been for long. The core's lock is held.
-func (n *node) toPast(b *backend) {
+// rememberRemoved records that a server was removed, and forgets those removed long ago. The core's lock is held.
+func (n *node) rememberRemoved(server *backend) {
 	now := n.core.Now()
-	maps.DeleteFunc(n.past, func(_ string, p past) bool { return now-p.since > pastFor })
-	if len(n.past) >= pastMost {
+	maps.DeleteFunc(n.past, func(_ string, removed past) bool { return now-removed.removedAt > removedRetention })
+	if len(n.past) >= maxRemoved {
 		clear(n.past)
 	}
-	n.past[b.ID] = past{b.started, now}
+	n.past[server.ID] = past{server.started, now}
 }
--- /dev/null
+++ b/internal/node/discovery_schedule.go
@@ -0,0 +1,170 @@
+package node
+
+import "time"
+
+const (
+	// pushWait is how long a watch waits where waiting costs nothing. It is short so that a silent agent is noticed soon.
+	pushWait = 2 * time.Second
+	// pushMargin is how long after its wait a response may still come; a later one is not expected any more.
+	pushMargin = 1500 * time.Millisecond
+
+	// minAskWait and maxAskWait are the bounds of a watch's wait where each call costs the discovery of all nodes work,
+	// so that a watch waits as long as it may: one that falls silent once discovery has accepted its call is reopened
+	// within maxAnnounceDelay, and a drain grace of 0.5 s covers the time between two calls.
+	minAskWait = 5200 * time.Millisecond
+	maxAskWait = 5600 * time.Millisecond
+	// askMargin is how long after its wait a response may still come. A call that then queues for 2 s is answered within
+	// silentAnnounceDelay and a short grace.
+	askMargin = 400 * time.Millisecond
+	// minSpreadAskWait replaces minAskWait after a response that many nodes got at the same time. Their next calls are
+	// then spread over about the time that discovery takes to hear all of them.
+	minSpreadAskWait = 500 * time.Millisecond
+	// minOverloadWait and maxOverloadWait are the bounds of a watch's wait while discovery can't bear the usual rate.
+	// It shows that by rejecting a call that is not part of a burst of many nodes' calls.
+	minOverloadWait = 8 * time.Second
+	maxOverloadWait = 24 * time.Second
+	// overloadPeriod is the mean time for which the overload waits apply; the actual one is random, up to half more or
+	// less.
+	overloadPeriod = 10 * time.Minute
+
+	// queuedCallTime is the duration from which on a failed call counts as having queued at discovery: it has waited
+	// long enough.
+	queuedCallTime = 500 * time.Millisecond
+
+	// fetchTimeout limits the wait for any response. Discovery lets a call queue for less.
+	fetchTimeout = 2500 * time.Millisecond
+	// dialTimeout limits connecting. An address where no connection is established in this time is as good as one that
+	// refuses.
+	dialTimeout = time.Second
+
+	// silentAnnounceDelay is from the protocol: what a silent watch misses counts as announced this long after the
+	// watch's wait.
+	silentAnnounceDelay = 2 * time.Second
+	// maxAnnounceDelay is from the protocol: whatever else holds, once a call failed or timed out a change counts as
+	// announced this long after discovery had it and could be reached.
+	maxAnnounceDelay = 6 * time.Second
+	// reloadAnnounceDelay is from the protocol: all that another discovery lists counts as announced this long after
+	// SIGHUP.
+	reloadAnnounceDelay = 4 * time.Second
+
+	// minBodyTimeout is the least time that the rest of a response may take once it has begun.
+	minBodyTimeout = 250 * time.Millisecond
+
+	// minBackoff and maxBackoff bound the delay before a failed call is retried.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+)
+
+// pollSchedule decides how long a call to discovery may take and when the next one follows, so that a fresh list
+// arrives before the changes missed by a broken watch count as announced and the drain grace has passed. It is a pure
+// state machine: its caller passes the time and the random numbers. It belongs to one watch loop and needs no lock.
+type pollSchedule struct {
+	push    bool          // lists are pushed: a call costs nobody else anything, and the agent's changes count whether or not it is asked
+	grace   time.Duration // grace of drains
+	listDue time.Duration // until then a fresh list is due, and a failed call is retried without the policy
+	delay   time.Duration // delay after the latest failure; 0: none since a response
+	// brokenResponses counts the responses since the latest complete one that broke off after they had begun.
+	brokenResponses int
+
+	callStart    time.Duration // when the latest call began
+	lastResponse time.Duration // when the latest response arrived; 0: none yet
+	// staggered is set where the latest response came while most other nodes got none, so that this node's next call is
+	// made at another time than theirs.
+	staggered     bool
+	failing       bool          // a call has failed since the latest response
+	overloadUntil time.Duration // until then the overload waits apply; 0: they don't
+}
+
+// callFailure is the way in which a call failed.
+type callFailure uint8
+
+const (
+	callError      callFailure = iota // an error, or the connection broke before a response
+	callRejected                      // a response that is no list, such as 503 where too many calls are queued
+	callTimeout                       // no response within the call's limit
+	responseBroken                    // a response had begun: what it contained may count as announced
+)
+
+// bodyTimeout returns how long the rest of a response that has begun may take. Its contents were announced as it was
+// written, so that only a part of the grace is available. Where responses keep breaking off at that limit they need
+// longer, and the limit doubles with each: half a grace can't be met there.
+func (r *pollSchedule) bodyTimeout() time.Duration {
+	return min(max(minBodyTimeout, r.grace/2)<<min(r.brokenResponses, 8), fetchTimeout)
+}
+
+// callTimes returns how long a call waits for a change, and the limit on the whole call. draw is a random number from
+// [0, 1).
+func (r *pollSchedule) callTimes(full bool, draw float64) (wait, limit time.Duration) {
+	switch {
+	case full:
+		return 0, fetchTimeout
+	case r.push:
+		return pushWait, pushWait + pushMargin
+	}
+	least, most := minSpreadAskWait, maxAskWait
+	switch {
+	case r.overloadUntil > 0:
+		least, most = minOverloadWait, maxOverloadWait
+	case r.staggered:
+		least = minAskWait
+	}
+	wait = least + time.Duration(draw*float64(most-least))
+	if limit = wait + askMargin; r.failing {
+		limit = max(limit, fetchTimeout) // it queues with the calls of all nodes that lost theirs, and must not time out before its turn
+	}
+	return wait, limit
+}
+
+// reset records that the policy has asked for a watch.
+func (r *pollSchedule) reset() { r.listDue, r.delay, r.brokenResponses = 0, 0, 0 }
+
+// callStarted records that a call begins.
+func (r *pollSchedule) callStarted(now time.Duration) {
+	r.callStart = now
+	if now >= r.overloadUntil {
+		r.overloadUntil = 0
+	}
+}
+
+// requireFresh records that a fresh list must arrive before the grace of changes announced at the given time has passed.
+func (r *pollSchedule) requireFresh(announced time.Duration) {
+	r.listDue = max(r.listDue, announced+r.grace)
+}
+
+// callSucceeded records that a call returned a list, and whether that contained a change. A change reaches all nodes
+// that watch at the same moment; a response after a failure comes in this node's turn at discovery, and one without a
+// change at the end of its wait.
+func (r *pollSchedule) callSucceeded(now time.Duration, changed bool) {
+	r.staggered = !changed || r.failing
+	r.listDue, r.delay, r.brokenResponses, r.lastResponse, r.failing = 0, 0, 0, now, false
+}
+
+// callFailed records that a call has failed whose wait was to end at waitEnd, and returns the delay before the next
+// one. retry is false where no list is due: then the policy decides when to ask.
+func (r *pollSchedule) callFailed(now, waitEnd time.Duration, how callFailure, draw float64) (delay time.Duration, retry bool) {
+	first, staggered := !r.failing, r.staggered
+	r.failing = true
+	r.staggered = staggered && how == callTimeout // other failures hit many nodes at once, but each times out at the end of its own wait
+	switch how {
+	case callRejected:
+		if !r.push && first && staggered { // the call was not part of a burst: discovery is overloaded by the usual calls of all nodes
+			r.overloadUntil = now + time.Duration(float64(overloadPeriod)*(0.5+draw))
+		}
+	case callTimeout:
+		r.requireFresh(waitEnd + silentAnnounceDelay)
+	case responseBroken:
+		r.requireFresh(now)
+		r.brokenResponses++
+	}
+	queued := now-r.callStart >= queuedCallTime && r.lastResponse > 0 && now < r.lastResponse+maxAnnounceDelay+r.grace
+	if !r.push && now >= r.listDue && !queued {
+		return 0, false
+	}
+	if how == callTimeout && r.delay == 0 {
+		r.delay = minBackoff
+		return 0, true // the call itself has waited long enough
+	}
+	// The changes of an agent that is back count at once: no more than a part of the grace may pass between two calls.
+	r.delay = min(max(2*r.delay, minBackoff), max(minBackoff, min(r.grace/4, maxBackoff)))
+	return time.Duration(float64(r.delay) * (0.5 + draw)), true
+}
--- /dev/null
+++ b/internal/node/discovery_schedule_test.go
@@ -0,0 +1,219 @@
+package node
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// The scenarios of docs/discovery.md, at a discovery that has been up for a while.
+var (
+	quietScenario  = day{length: 150 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second}
+	outageScenario = day{length: 60 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second, down: span{30 * time.Second, 38 * time.Second},
+		changes: []time.Duration{33 * time.Second, ms(38500), 40 * time.Second}}
+	partitionScenario = day{length: 60 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second, partition: span{30 * time.Second, 36 * time.Second},
+		partitionedNodes: fleet / 5, changes: []time.Duration{32 * time.Second}}
+	silenceScenario = day{length: 60 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second, silentAt: ms(30300),
+		changes: []time.Duration{30 * time.Second}} // all watches fall silent together, just after a change
+)
+
+// At a discovery of 300 nodes, each node has a fresh list or has asked again within 6 s and the grace of any moment at
+// which it could reach discovery. That holds wherever a call that continues a watch costs nothing. Where such a call
+// costs as much as any other it holds under normal load, unless discovery takes longer to handle all nodes than a watch
+// may wait: then rejected nodes wait longer. With the former, longer watches it holds in none of the scenarios.
+func TestFleetReceivesChangesInTime(t *testing.T) {
+	t.Parallel()
+	within := maxAnnounceDelay + ms(500)
+	for _, free := range []bool{true, false} {
+		for _, roundTime := range []time.Duration{ms(5200), ms(7900)} {
+			for _, course := range []struct {
+				name string
+				day
+			}{{"quiet", quietScenario}, {"outage", outageScenario}, {"partition", partitionScenario}, {"silence", silenceScenario}} {
+				setup := site{all: roundTime, stand: ms(2400), free: free, grace: ms(500)}
+				if course.name == "outage" {
+					setup.callers = 60
+				}
+				bearable := free || course.name == "quiet" && roundTime < maxAskWait // without free continuations, only this scenario is bearable
+				for _, seed := range []uint64{1, 2} {
+					at := fmt.Sprintf("%s, all handled in %v, free continuations %v, seed %d", course.name, roundTime, free, seed)
+					t.Run(at, func(t *testing.T) {
+						t.Parallel()
+						before, after := play(setup, course.day, fleet, seed, newFormerSchedule).figures, play(setup, course.day, fleet, seed, paced).figures
+						t.Logf("%s\n  before: %v\n  now:    %v", at, before, after)
+						if before.maxNoContact <= within {
+							t.Errorf("%s: with the former schedule all nodes asked within %v: the scenario shows nothing", at, before.maxNoContact)
+						}
+						if bearable && after.maxNoContact > within {
+							t.Errorf("%s: a node that could reach discovery did not ask for %v, want at most %v", at, after.maxNoContact, within)
+						}
+						if course.name == "quiet" && after.rejected > after.calls/100 || course.name == "quiet" && bearable && after.rejected > 0 {
+							t.Errorf("%s: %d of %d calls rejected", at, after.rejected, after.calls)
+						}
+						if free && (course.name == "partition" || roundTime < maxAnnounceDelay) && after.blindNodes > 0 {
+							t.Errorf("%s: %d nodes without a fresh list or a working watch for up to %v", at, after.blindNodes, after.maxBlind)
+						}
+						if free && course.name == "outage" && after.maxBlind > roundTime+ms(100) { // discovery is never idle while a node waits for it
+							t.Errorf("%s: a node without a fresh list or a working watch for %v, want at most %v", at, after.maxBlind, roundTime)
+						}
+						if free && after.inRow > 3*int(roundTime/time.Second) { // as many as handling all other nodes first takes, not a loop
+							t.Errorf("%s: a node was rejected %d times in a row", at, after.inRow)
+						}
+					})
+				}
+			}
+		}
+	}
+}
+
+// A discovery that takes longer to handle all nodes than a watch may wait rejects some calls at first. Those nodes wait
+// longer, so that the queue empties. A single rejection within a burst, or of a call after a failure, must not make a
+// node wait longer.
+func TestOverloadedDiscoveryIsPolledLess(t *testing.T) {
+	t.Parallel()
+	setup := site{all: ms(7900), stand: ms(2400), grace: ms(500)}
+	course := quietScenario
+	course.measureFrom = 90 * time.Second
+	got := play(setup, course, fleet, 1, paced).figures
+	if got.slowedNodes == 0 || got.slowedNodes == fleet || got.rejected > got.calls/100 || got.maxQueueTime > ms(1000) {
+		t.Errorf("%v", got)
+	}
+	for _, c := range []struct {
+		name    string
+		prepare func(schedule *pollSchedule)
+		want    bool
+	}{
+		{"a response without a change", func(schedule *pollSchedule) { schedule.callSucceeded(time.Second, false) }, true},
+		{"a change that all nodes got", func(schedule *pollSchedule) { schedule.callSucceeded(time.Second, true) }, false},
+		{"a change after a failure, in the node's turn", func(schedule *pollSchedule) {
+			schedule.callFailed(0, 0, callError, 0)
+			schedule.callSucceeded(time.Second, true)
+		}, true},
+		{"a failed call", func(schedule *pollSchedule) {
+			schedule.callSucceeded(time.Second, false)
+			schedule.callFailed(2*time.Second, 0, callError, 0)
+		}, false},
+		{"a silent watch", func(schedule *pollSchedule) {
+			schedule.callSucceeded(time.Second, false)
+			schedule.callFailed(2*time.Second, 0, callTimeout, 0)
+		}, false},
+	} {
+		schedule := &pollSchedule{grace: ms(500)}
+		c.prepare(schedule)
+		schedule.callStarted(3 * time.Second)
+		schedule.callFailed(4*time.Second, 0, callRejected, 0.5)
+		if wait, _ := schedule.callTimes(false, 0); (wait >= minOverloadWait) != c.want {
+			t.Errorf("rejected after %s: a watch waits %v", c.name, wait)
+		}
+		schedule.callStarted(4*time.Second + overloadPeriod + time.Second)
+		if wait, _ := schedule.callTimes(false, 0.999); wait > maxAskWait {
+			t.Errorf("rejected after %s: after %v a watch still waits %v", c.name, overloadPeriod, wait)
+		}
+	}
+}
+
+// Nodes that got a change, or lost discovery, at the same moment select their next wait from its whole range, so that
+// their calls do not come together again; those that are spread already wait nearly as long as they may, as each call
+// is work.
+func TestWatchesSpreadAfterSimultaneousResponses(t *testing.T) {
+	quiet := func(schedule *pollSchedule) { schedule.callSucceeded(time.Second, false) }
+	for _, c := range []struct {
+		name    string
+		prepare func(schedule *pollSchedule)
+		least   time.Duration
+	}{
+		{"the first call", func(*pollSchedule) {}, minSpreadAskWait},
+		{"a change", func(schedule *pollSchedule) { schedule.callSucceeded(time.Second, true) }, minSpreadAskWait},
+		{"no change", quiet, minAskWait},
+		{"a reset", func(schedule *pollSchedule) { quiet(schedule); schedule.callFailed(2*time.Second, 0, callError, 0) }, minSpreadAskWait},
+		{"a rejection within a burst", func(schedule *pollSchedule) {
+			quiet(schedule)
+			schedule.callFailed(2*time.Second, 0, callError, 0)
+			schedule.callFailed(3*time.Second, 0, callRejected, 0)
+		}, minSpreadAskWait},
+		{"a silent watch's time-out", func(schedule *pollSchedule) { quiet(schedule); schedule.callFailed(2*time.Second, 0, callTimeout, 0) }, minAskWait},
+		{"a silent first watch's time-out", func(schedule *pollSchedule) { schedule.callFailed(2*time.Second, 0, callTimeout, 0) }, minSpreadAskWait},
+		{"a change in the node's turn, after a failure", func(schedule *pollSchedule) {
+			schedule.callFailed(2*time.Second, 0, callError, 0)
+			schedule.callSucceeded(3*time.Second, true)
+		}, minAskWait},
+	} {
+		schedule := &pollSchedule{grace: ms(500)}
+		c.prepare(schedule)
+		if wait, limit := schedule.callTimes(false, 0); wait != c.least || schedule.failing && limit < fetchTimeout {
+			t.Errorf("after %s: waits %v, times out after %v; want a wait of %v", c.name, wait, limit, c.least)
+		}
+		if wait, limit := schedule.callTimes(false, 0.9999); wait > maxAskWait || limit > maxAnnounceDelay {
+			t.Errorf("after %s: waits up to %v, times out after %v", c.name, wait, limit)
+		}
+	}
+}
+
+// However its calls fail, a node that can reach discovery has a fresh list within 6 s and the grace of the first moment
+// at which it might miss a change. The cases where the former schedule failed are marked, and must still show that.
+func TestListIsFreshAfterFailedCalls(t *testing.T) {
+	t.Parallel()
+	// rejectAfter lets the calls with the given numbers queue for a time and rejects them.
+	rejectAfter := func(queueTime time.Duration, from, to int) func(*hub, *ask, int) bool {
+		return func(model *hub, call *ask, nth int) bool {
+			if nth >= from && nth <= to {
+				model.at(model.now+queueTime, func() { model.refuse(call) })
+			}
+			return nth >= from && nth <= to
+		}
+	}
+	silent := func(_ *hub, call *ask, nth int) bool {
+		call.silent = nth == 2
+		return call.silent
+	}
+	for _, c := range []struct {
+		name          string
+		script        func(*hub, *ask, int) bool
+		announceDelay time.Duration
+		down          time.Duration // discovery is down until then
+		formerFails   bool          // the former schedule is too late in some runs
+	}{
+		{name: "a watch falls silent right after its call was accepted", script: silent, formerFails: true},
+		{name: "a call queues for 2.4 s and is rejected", script: rejectAfter(ms(2400), 2, 2)},
+		{name: "a call is rejected twice in a row at once", script: rejectAfter(ms(1), 2, 3)},
+		{name: "a call is rejected twice in a row, each time after 2.4 s in the queue", script: rejectAfter(ms(2400), 2, 3), formerFails: true},
+		{name: "the complete list is rejected twice in a row at once", script: rejectAfter(ms(1), 1, 2), announceDelay: reloadAnnounceDelay},
+		{name: "the complete list is rejected twice in a row after 1.5 s in the queue", script: rejectAfter(ms(1500), 1, 2), announceDelay: reloadAnnounceDelay},
+		{name: "the call for the complete list gets no response", announceDelay: reloadAnnounceDelay, script: func(_ *hub, call *ask, nth int) bool {
+			call.silent = nth == 1
+			return call.silent
+		}},
+		{name: "discovery is down for 8 s and returns", down: 8 * time.Second},
+	} {
+		for _, push := range []bool{false, true} {
+			for _, grace := range []time.Duration{ms(500), time.Second} {
+				newSchedule, late, worst := paced, 0, time.Duration(0)
+				if push {
+					newSchedule = newPushSchedule
+				}
+				for seed := range uint64(300) {
+					setup := site{all: ms(20), stand: ms(2400), grace: grace, push: push, script: c.script, announceDelay: c.announceDelay}
+					course := day{length: 60 * time.Second, down: span{0, c.down}, changes: []time.Duration{c.down + 1}}
+					within := maxAnnounceDelay + grace
+					if c.announceDelay > 0 {
+						within = c.announceDelay + grace
+					}
+					got := play(setup, course, 1, seed, newSchedule).figures
+					if worst = max(worst, got.maxBlind); got.maxBlind > within {
+						t.Fatalf("%s, push %v, grace %v, seed %d: no fresh list for %v", c.name, push, grace, seed, got.maxBlind)
+					}
+					if got.maxNoContact > maxAnnounceDelay+grace {
+						t.Fatalf("%s, push %v, grace %v, seed %d: did not ask for %v", c.name, push, grace, seed, got.maxNoContact)
+					}
+					if !push && play(setup, course, 1, seed, newFormerSchedule).maxBlind > within {
+						late++
+					}
+				}
+				t.Logf("%s, push %v, grace %v: a list within %v; with the former schedule too late in %d of 300", c.name, push, grace, worst, late)
+				if (late > 0) != (c.formerFails && !push) {
+					t.Errorf("%s, push %v, grace %v: with the former schedule too late in %d of 300", c.name, push, grace, late)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/discovery_watch_test.go
@@ -0,0 +1,335 @@
+package node
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"portstall/internal/back"
+	"portstall/internal/control/follow"
+	"portstall/internal/core"
+	"portstall/internal/lab/standin"
+	"portstall/policy"
+)
+
+// However a watch fails, and however long calls queue at discovery, the next call that discovery may answer is made
+// before the grace of what was missed has passed. Simulated in virtual time, in both modes, with graces of 0.5 and 1 s.
+func TestPollScheduleMeetsDeadlines(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	for _, push := range []bool{false, true} {
+		for _, grace := range []time.Duration{500 * time.Millisecond, time.Second} {
+			for range 2000 {
+				schedule := &pollSchedule{push: push, grace: grace}
+				started := time.Duration(rng.Int64N(int64(time.Hour)))
+				wait, limit := schedule.callTimes(false, rng.Float64())
+				silentAt := started + time.Duration(rng.Int64N(int64(wait))) // when it fell silent
+				announced := max(silentAt+6*time.Second, started+wait+2*time.Second)
+				now := started + limit
+				delay, retry := schedule.callFailed(now, started+wait, callTimeout, rng.Float64())
+				queueTime := time.Duration(rng.Int64N(int64(2 * time.Second))) // how long the call queues where none failed before
+				failures := rng.IntN(3)                                        // how many calls fail before
+				for range failures {
+					if !retry {
+						t.Fatalf("push %v, grace %v: the loop ends %v before what was missed counts as announced", push, grace, announced-now)
+					}
+					now += delay + 50*time.Millisecond
+					delay, retry = schedule.callFailed(now, 0, callError, rng.Float64())
+				}
+				if now += delay; failures == 0 {
+					now += queueTime
+				}
+				if !retry || now > announced+grace*9/10 {
+					t.Fatalf("push %v, grace %v: a list only at %v, but what was missed counts as announced at %v", push, grace, now-started, announced-started)
+				}
+			}
+			// While the agent of a pushed list is down, no delay exceeds a part of the grace. Elsewhere the policy
+			// decides when to ask.
+			schedule := &pollSchedule{push: push, grace: grace}
+			for range 50 {
+				delay, retry := schedule.callFailed(time.Hour, 0, callError, 0.999)
+				if retry != push || delay > grace/2 {
+					t.Fatalf("push %v, grace %v: delay of %v, retry %v", push, grace, delay, retry)
+				}
+			}
+			// The contents of a response that broke off were announced: it is asked for again within the grace. A
+			// response that always takes longer than its limit gets through in the end.
+			schedule = &pollSchedule{push: push, grace: grace}
+			if timeout := schedule.bodyTimeout(); timeout > grace/2 {
+				t.Errorf("push %v, grace %v: the rest of a response may take %v", push, grace, timeout)
+			}
+			if delay, retry := schedule.callFailed(time.Hour, 0, responseBroken, 0.999); !retry || schedule.delay == 0 || delay > grace/4 {
+				t.Errorf("push %v, grace %v: after a broken response, delay of %v, retry %v", push, grace, delay, retry)
+			}
+			for range 8 {
+				schedule.callFailed(time.Hour, 0, responseBroken, 0)
+			}
+			if timeout := schedule.bodyTimeout(); timeout != fetchTimeout {
+				t.Errorf("push %v, grace %v: slow responses may take %v in the end", push, grace, timeout)
+			}
+			schedule.requireFresh(time.Hour)
+			if _, retry := schedule.callFailed(time.Hour+grace/2, 0, callError, 0); !retry {
+				t.Errorf("push %v, grace %v: the loop ends though a list is due", push, grace)
+			}
+		}
+	}
+}
+
+// timerlessClock is a clock whose timers never fire: nothing that the policy wants later is done.
+type timerlessClock struct{ core.Clock }
+
+func (timerlessClock) AfterFunc(time.Duration, func()) {}
+
+// scriptedDiscovery is a stub discovery whose responses a test writes.
+type scriptedDiscovery struct {
+	addr  string
+	calls atomic.Int64
+}
+
+// newScriptedDiscovery starts a stub discovery. respond is called for each request, with its number from 1 on, and
+// returns whether the connection goes on; otherwise it stays silent until the node closes it.
+func newMute(t *testing.T, respond func(c net.Conn, nth int64, url string) bool) *scriptedDiscovery {
+	t.Helper()
+	ln, err := standin.Listen()
+	must(t, err)
+	discovery := &scriptedDiscovery{addr: ln.Addr().String()}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				in := bufio.NewReader(c)
+				for {
+					r, err := http.ReadRequest(in)
+					if err != nil || !respond(c, discovery.calls.Add(1), r.URL.String()) {
+						io.Copy(io.Discard, in) // silent until the node closes the connection
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return discovery
+}
+
+// listResponse is a response of discovery as it is sent, with the JSON indented.
+func listText(response list) string {
+	text, _ := json.MarshalIndent(response, "", "\t")
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+}
+
+// A watch that falls silent after its call was accepted, after the response's head or within its body is reopened from
+// the version that the node has, and the missed change arrives. The policy can't help: its timers never fire here.
+func TestSilentWatchIsReopened(t *testing.T) {
+	t.Parallel()
+	for _, mode := range []string{"push", "ask"} {
+		for _, grace := range []string{"0.5", "1"} {
+			for _, silentAfter := range []string{"the call", "the head", "half a body"} {
+				t.Run(mode+" "+grace+" "+silentAfter, func(t *testing.T) {
+					t.Parallel()
+					first, second := newBox(t, served), newBox(t, served)
+					draining := first.entry("s-1")
+					draining.State = "Terminating"
+					text := listText(list{Version: 2, Servers: []listed{draining}})
+					sentBytes := map[string]int{"the call": 0, "the head": strings.Index(text, "\r\n\r\n") + 4, "half a body": len(text) - 9}[silentAfter]
+					urls := make(chan string, 10)
+					discovery := newMute(t, func(c net.Conn, nth int64, url string) bool {
+						urls <- url
+						if nth == 1 {
+							io.WriteString(c, text[:sentBytes])
+							return false
+						}
+						io.WriteString(c, text)
+						return nth == 2
+					})
+					stub := &registry{addr: discovery.addr}
+					settings := strings.NewReplacer(`"push"`, `"`+mode+`"`, `"drain_grace_s":2`, `"drain_grace_s":`+grace).Replace(settingsJSON)
+					node := newRig(t, stub, settings, func(c *Config) {
+						c.clock = timerlessClock{follow.SystemClock()}
+						c.watch = func(wait, limit time.Duration) (time.Duration, time.Duration) {
+							if discovery.calls.Load() == 0 {
+								return 0, 200 * time.Millisecond // until a call was accepted, which is the one that falls silent
+							}
+							return longWatch(wait, limit)
+						}
+						hurried(c)
+					}, first.entry("s-1"), second.entry("s-2"))
+					for range 2 {
+						select {
+						case url := <-urls:
+							if !strings.HasPrefix(url, "/v1/endpoints?since=1&") {
+								t.Errorf("asked %q, want a watch from version 1", url)
+							}
+						case <-time.After(patience):
+							t.Fatal("the watch is not reopened")
+						}
+					}
+					wait(t, "the missed drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+				})
+			}
+		}
+	}
+}
+
+// The contents of a response that has begun were announced. A response that stalls, is cut off or is malformed is asked
+// for again at once and without the policy, though the watch could wait for long.
+func TestBrokenResponseIsRetried(t *testing.T) {
+	t.Parallel()
+	for _, how := range []string{"stalls", "cut off", "no list"} {
+		t.Run(how, func(t *testing.T) {
+			t.Parallel()
+			first, second := newBox(t, served), newBox(t, served)
+			draining := first.entry("s-1")
+			draining.State = "Terminating"
+			text := listText(list{Version: 2, Servers: []listed{draining}})
+			discovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+				switch {
+				case nth > 1:
+					io.WriteString(c, text)
+				case how == "no list":
+					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"versio:")
+				default:
+					io.WriteString(c, text[:len(text)-9])
+					if how == "cut off" {
+						c.Close()
+					}
+					return false
+				}
+				return true
+			})
+			node := newRig(t, &registry{addr: discovery.addr}, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), func(c *Config) {
+				hurried(c)
+				c.clock, c.watch = timerlessClock{follow.SystemClock()}, longWatch
+			}, first.entry("s-1"), second.entry("s-2"))
+			wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+		})
+	}
+}
+
+// The drain grace runs from the first byte of a response, however long the rest takes: the drain was announced before
+// that.
+func TestDrainGraceStartsAtFirstResponseByte(t *testing.T) {
+	t.Parallel()
+	server := newBox(t, served)
+	draining := server.entry("s-1")
+	draining.State = "Terminating"
+	text := listText(list{Version: 2, Servers: []listed{draining}})
+	var now, reads atomic.Int64
+	now.Store(int64(time.Hour))
+	callStarted, sendRest := make(chan int64), make(chan struct{})
+	discovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+		if nth > 1 {
+			return false
+		}
+		callStarted <- reads.Load() // the node has nothing to do but to read the response
+		io.WriteString(c, text[:20])
+		<-sendRest
+		io.WriteString(c, text[20:])
+		return true
+	})
+	node := newRig(t, &registry{addr: discovery.addr}, settingsJSON, func(c *Config) {
+		unhurried(c)
+		c.clock, c.watch = manualClock{&now, &reads}, longWatch
+	}, server.entry("s-1"))
+	before := receive(t, "the call to discovery", callStarted)
+	wait(t, "the node to read the first bytes", func() bool { return reads.Load() > before })
+	now.Add(int64(time.Minute)) // the delay of a node that is short of processor time
+	close(sendRest)
+	wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+	if stop := time.Duration(node.backendOf("s-1").Stop.Load()); stop > time.Hour+2*time.Second {
+		t.Errorf("sends stop %v after the first byte, want them to stop within the grace of 2 s", stop-time.Hour)
+	}
+}
+
+// manualClock is a clock that a test sets, and that counts its reads. Its timers never fire.
+type manualClock struct{ now, reads *atomic.Int64 }
+
+func (m manualClock) Now() time.Duration {
+	m.reads.Add(1)
+	return time.Duration(m.now.Load())
+}
+
+func (manualClock) AfterFunc(time.Duration, func()) {}
+
+// A server that was announced as draining or removed is not brought back by an older full list, of a watch whose sender
+// lags or of the discovery that a reload names. A later list brings it back, and so does a later start of the server.
+func TestOlderListDoesNotUndoDrain(t *testing.T) {
+	t.Parallel()
+	first, second := newBox(t, served), newBox(t, served)
+	entry := func(state string) listed {
+		current := first.entry("s-1")
+		current.State = state
+		return current
+	}
+	for _, source := range []string{"watch", "reload"} {
+		for _, state := range []string{"Terminating", "Gone"} {
+			node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, entry("Ready"), second.entry("s-2"))
+			drained := func() bool {
+				server := node.backendOf("s-1")
+				return server == nil || server.Stop.Load() != 0
+			}
+			client := node.disc
+			applyFull := func(l list) {
+				if source == "reload" {
+					node.core.Lock()
+					client.whole = true
+					node.core.Unlock()
+				}
+				client.news(&l, policy.ListFull, true)
+			}
+			client.news(&list{Version: 9, Servers: []listed{entry(state)}}, policy.ListDelta, true)
+			if state == "Gone" {
+				wait(t, "the end of the grace", func() bool { return node.backendOf("s-1") == nil })
+			}
+			applyFull(list{Version: 8, Full: true, Servers: []listed{entry("Ready"), second.entry("s-2")}})
+			if !drained() {
+				t.Errorf("%s, announced %s: an older list brings it back", source, state)
+			}
+			restarted := entry("Ready")
+			restarted.StartedMS = time.Now().UnixMilli()
+			applyFull(list{Version: 7, Full: true, Servers: []listed{restarted, second.entry("s-2")}})
+			if drained() {
+				t.Errorf("%s, announced %s: an older list with a later start does not bring it back", source, state)
+			}
+			client.news(&list{Version: 10, Servers: []listed{entry("Terminating")}}, policy.ListDelta, true)
+			client.news(&list{Version: 11, Servers: []listed{entry("Ready")}}, policy.ListDelta, true)
+			if drained() {
+				t.Errorf("%s, announced %s: a later list does not bring it back", source, state)
+			}
+		}
+	}
+}
+
+// An attempt that waits after its server was selected holds the old process. Once the server was started again, at the
+// same address or another, or another ID took over its address, such an attempt is stopped by the grace, whatever is
+// announced of the new process.
+func TestSendToReplacedProcessStopsAfterGrace(t *testing.T) {
+	t.Parallel()
+	server := newBox(t, served)
+	moved := newBox(t, served).entry("s-1")
+	again := server.entry("s-1")
+	again.StartedMS = time.Now().UnixMilli()
+	other := server.entry("s-9")
+	for name, next := range map[string]listed{"restarted": again, "moved": moved, "another id there": other} {
+		node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, server.entry("s-1"))
+		held := node.backendOf("s-1").Server
+		node.lists(2, next)
+		drain := next
+		drain.State = "Terminating"
+		node.lists(3, drain)
+		wait(t, name+": the end of sends to the old process", func() bool {
+			return held.Pass(func() error { return nil }) == back.ErrShut
+		})
+	}
+}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -20,161 +20,164 @@
 )
 
 const (
-	probesMost  = 256                    // probes under way at a time
-	weighEach   = 250 * time.Millisecond // words fade: all verdicts are worked out anew
-	lateFailure = 250 * time.Millisecond // a probe that ended this long past its time-out tells of this node, not of its server
+	maxProbes = 256 // probes under way at a time, of all protocols
+	// verdictInterval is the pause between two evaluations of all verdicts, which change with time as reports expire.
+	verdictInterval = 250 * time.Millisecond
+	// lateProbeMargin is how long after its time-out a failed probe may end and still count against the server. A later
+	// one shows that this node was slow.
+	lateProbeMargin = 250 * time.Millisecond
 )
 
-// checker probes the listed web servers, weighs what is said of them, and hands the verdicts to the policy. Its own lock
-// comes after the core's where both are held.
+// healthChecker probes the listed web servers, combines the reports about them, and passes the verdicts to the policy.
+// Where both locks are held, the core's lock is taken first and mu after it.
 type checker struct {
-	node  *node
-	set   config.Checks
-	kinds []*protocol
-	slots chan struct{}
+	node      *node
+	checks    config.Checks
+	protocols []*probeProtocol
+	slots     chan struct{} // limits the probes under way
 
-	mu      sync.Mutex
-	book    *health.Book
-	servers map[uint32]*checked
-	ids     map[string]uint32 // numbers, by discovery's ids
-	probes  int64
-	failed  int64
-	late    int64
+	mu      sync.Mutex // guards the fields below and the protocols' schedules
+	tracker *health.Book
+	servers map[uint32]*checkedServer // by number
+	ids     map[string]uint32         // numbers by discovery's IDs
+	probes  int64                     // probes since the start
+	failed  int64                     // probes that failed for another reason than lateness
+	late    int64                     // failed probes that ended late, or failed, because of this node
 }
 
-// protocol is one that servers are probed by.
-type protocol struct {
-	name   string
-	prober probe.Prober
-	agent  bool // its words are an agent's
-	due    *health.Schedule
-	wake   chan struct{} // something has become due earlier than was thought
+// probeProtocol is a protocol by which servers are probed.
+type probeProtocol struct {
+	name     string
+	prober   probe.Prober
+	agent    bool // an agent check: its reports come from the server's agent
+	schedule *health.Schedule
+	wake     chan struct{} // signals that a probe is due earlier than the loop expects
 }
 
-// nudge lets the protocol's loop look again.
-func (k *protocol) nudge() {
+// wakeUp lets the protocol's loop read its schedule again.
+func (k *probeProtocol) wakeUp() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// checked is what the checker knows of a server besides the book.
-type checked struct {
+// checkedServer is what the checker knows of a server besides the tracker's state. It is guarded by the checker's lock.
+type checkedServer struct {
 	*back.Server
-	number  uint32
-	applied health.Verdict // what the policy was told
-	unknown string         // words that its agent said and nobody knows
-	oks     float64        // real requests answered lately,
-	kos     float64        // and failed
+	number       uint32
+	applied      health.Verdict // the verdict that the policy was notified of
+	unknownWords string         // words in its agent's latest report that are not known
+	successes    float64        // real requests answered lately, decaying
+	failures     float64        // real requests failed lately, decaying
 }
 
-// newChecker makes the checker of a file; nil where it asks for none. It begins with start.
-func newChecker(n *node, set *config.Checks) (*checker, error) {
-	if set == nil {
+// newHealthChecker returns the checker for a file's checks, or nil where the file has none. start starts it.
+func newChecker(n *node, checks *config.Checks) (*checker, error) {
+	if checks == nil {
 		return nil, nil
 	}
-	ready, err := set.Ready()
+	checked, err := checks.Ready()
 	if err != nil {
 		return nil, err
 	}
-	c := &checker{node: n, set: ready, slots: make(chan struct{}, probesMost), servers: map[uint32]*checked{}, ids: map[string]uint32{}}
-	pace, rules := ready.Weighing(n.cfg.Settings.Policy.Nodes)
-	c.book = health.NewBook(rules)
-	for name, p := range ready.Probers() {
-		if a, ok := p.(*probe.AgentCheck); ok {
-			a.Unknown = c.unknown
+	c := &checker{node: n, checks: checked, slots: make(chan struct{}, maxProbes), servers: map[uint32]*checkedServer{}, ids: map[string]uint32{}}
+	pace, rules := checked.Weighing(n.cfg.Settings.Policy.Nodes)
+	c.tracker = health.NewBook(rules)
+	for name, prober := range checked.Probers() {
+		if agent, ok := prober.(*probe.AgentCheck); ok {
+			agent.Unknown = c.logUnknownWords
 		}
-		c.kinds = append(c.kinds, &protocol{name: name, prober: p, agent: name == "agent",
-			due: health.NewSchedule(pace, rand.Float64), wake: make(chan struct{}, 1)})
+		c.protocols = append(c.protocols, &probeProtocol{name: name, prober: prober, agent: name == "agent",
+			schedule: health.NewSchedule(pace, rand.Float64), wake: make(chan struct{}, 1)})
 	}
 	return c, nil
 }
 
-// start begins to probe.
+// start starts the probes.
 func (c *checker) start() {
-	for _, k := range c.kinds {
-		c.node.core.Go(func() { c.run(k) })
+	for _, protocol := range c.protocols {
+		c.node.core.Go(func() { c.probeLoop(protocol) })
 	}
-	c.node.core.Go(c.weigh)
+	c.node.core.Go(c.verdictLoop)
 }
 
-// stop ends what the probers keep. The core has been closed.
+// stop releases the probers' connections. The core has been closed before.
 func (c *checker) stop() {
 	if c != nil {
-		for _, k := range c.kinds {
-			k.prober.Close()
+		for _, protocol := range c.protocols {
+			protocol.prober.Close()
 		}
 	}
 }
 
-// listed takes in what the list tells of a server: one that is new or has started anew is probed from now on and nothing is
-// known of it, one that drains or has left is no longer probed. The core's lock is held.
-func (c *checker) listed(b *backend) {
+// serverChanged updates the checker for a server on the list. One that is new, or has been started again, is probed
+// from now on and nothing is known of it; one that drains or was removed is no longer probed. The core's lock is held.
+func (c *checker) serverChanged(server *backend) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	old := c.servers[b.number]
-	gone := b.left || b.Stop.Load() != 0
-	if old != nil && (gone || old.Server != b.Server) {
-		c.book.Remove(b.number)
-		delete(c.servers, b.number)
+	old := c.servers[server.number]
+	removed := server.left || server.Stop.Load() != 0
+	if old != nil && (removed || old.Server != server.Server) {
+		c.tracker.Remove(server.number)
+		delete(c.servers, server.number)
 		delete(c.ids, old.ID)
-		for _, k := range c.kinds {
-			k.due.Remove(b.number)
-			if g, ok := k.prober.(*probe.GRPC); ok {
-				g.Forget(old.ID)
+		for _, protocol := range c.protocols {
+			protocol.schedule.Remove(server.number)
+			if grpc, ok := protocol.prober.(*probe.GRPC); ok {
+				grpc.Forget(old.ID)
 			}
 		}
 		if old.applied.Out {
-			c.node.core.Go(func() { c.lift(old) })
+			c.node.core.Go(func() { c.clearVerdict(old) })
 		}
 	}
-	if gone || old != nil && old.Server == b.Server {
+	if removed || old != nil && old.Server == server.Server {
 		return
 	}
-	c.book.Add(b.number)
-	c.servers[b.number] = &checked{Server: b.Server, number: b.number, applied: health.Verdict{Weight: 1}}
-	c.ids[b.ID] = b.number
-	for _, k := range c.kinds {
-		k.due.Add(c.node.core.Now(), b.number)
-		k.nudge()
+	c.tracker.Add(server.number)
+	c.servers[server.number] = &checkedServer{Server: server.Server, number: server.number, applied: health.Verdict{Weight: 1}}
+	c.ids[server.ID] = server.number
+	for _, protocol := range c.protocols {
+		protocol.schedule.Add(c.node.core.Now(), server.number)
+		protocol.wakeUp()
 	}
 }
 
-// lift takes back that a server is out which is another process by now, or is not listed: if it comes back, nothing is
-// known of it.
-func (c *checker) lift(s *checked) {
+// clearVerdict revokes the verdict that had a server out of service, once that was started again or was removed from
+// the list: when it comes back, nothing is known of it.
+func (c *checker) clearVerdict(server *checkedServer) {
 	n := c.node
-	n.hand.order.Lock()
-	defer n.hand.order.Unlock()
+	n.hand.callMu.Lock()
+	defer n.hand.callMu.Unlock()
 	n.core.Lock()
-	stays := n.keptOut(s.ID, s.number)
-	if !stays {
-		n.core.Handle(&policy.Event{Kind: policy.EvEnable, Server: s.number})
+	stillOut := n.keptOut(server.ID, server.number)
+	if !stillOut {
+		n.core.Handle(&policy.Event{Kind: policy.EvEnable, Server: server.number})
 	}
 	n.core.Unlock()
-	s.Gate.Set(stays)
+	server.Gate.Set(stillOut)
 }
 
-// run probes by one protocol until the node ends.
-func (c *checker) run(k *protocol) {
+// probeLoop probes the servers by one protocol until the node ends.
+func (c *checker) probeLoop(protocol *probeProtocol) {
 	ctx := c.node.core.Context()
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		id, due, wait := k.due.Next(c.node.core.Now())
-		s := c.servers[id]
+		id, due, wait := protocol.schedule.Next(c.node.core.Now())
+		server := c.servers[id]
 		c.mu.Unlock()
 		if !due {
-			t := time.NewTimer(max(wait, time.Millisecond))
+			timer := time.NewTimer(max(wait, time.Millisecond))
 			select {
-			case <-t.C:
-			case <-k.wake:
+			case <-timer.C:
+			case <-protocol.wake:
 			case <-ctx.Done():
 			}
-			t.Stop()
+			timer.Stop()
 			continue
 		}
 		select {
@@ -185,149 +188,150 @@
 		c.node.core.Lock()
 		c.node.core.Go(func() {
 			defer func() { <-c.slots }()
-			c.probe(ctx, k, s)
+			c.probe(ctx, protocol, server)
 		})
 		c.node.core.Unlock()
 	}
 }
 
-// probe asks one server once, and acts on what it says.
-func (c *checker) probe(ctx context.Context, k *protocol, s *checked) {
+// probe probes one server once, and applies the result.
+func (c *checker) probe(ctx context.Context, protocol *probeProtocol, server *checkedServer) {
 	dial := probe.Dial((&net.Dialer{}).DialContext)
-	if via := s.Via; via != nil {
+	if via := server.Via; via != nil {
 		dial = func(ctx context.Context, _, addr string) (net.Conn, error) { return via(ctx, &net.Dialer{}, addr) }
 	}
-	begun := time.Now()
-	limited, cancel := context.WithTimeout(ctx, c.set.Timeout)
-	w, err := k.prober.Probe(limited, probe.Target{ID: s.ID, Addr: s.Addr, Dial: dial})
+	started := time.Now()
+	limited, cancel := context.WithTimeout(ctx, c.checks.Timeout)
+	report, err := protocol.prober.Probe(limited, probe.Target{ID: server.ID, Addr: server.Addr, Dial: dial})
 	cancel()
-	late := err != nil && (time.Since(begun) > c.set.Timeout+lateFailure || back.OwnTrouble(err))
+	late := err != nil && (time.Since(started) > c.checks.Timeout+lateProbeMargin || back.OwnTrouble(err))
 	c.mu.Lock()
 	now := c.node.core.Now()
 	changed := false
-	if ctx.Err() == nil && c.servers[s.number] == s {
+	if ctx.Err() == nil && c.servers[server.number] == server {
 		c.probes++
 		switch {
 		case late: // this node was slow itself
 			c.late++
 		case err != nil:
 			c.failed++
-			if !k.agent { // one that says nothing says nothing; its earlier words fade
-				c.book.Check(now, s.number, false, k.name+": "+err.Error())
+			if !protocol.agent { // an agent without a reply reports nothing; its earlier reports expire
+				c.tracker.Check(now, server.number, false, protocol.name+": "+err.Error())
 			}
-		case k.agent:
-			c.book.Agent(now, s.number, w)
-		case w.State != health.Untold:
-			c.book.Check(now, s.number, w.State == health.Up, k.name+": "+w.Reason)
+		case protocol.agent:
+			c.tracker.Agent(now, server.number, report)
+		case report.State != health.Untold:
+			c.tracker.Check(now, server.number, report.State == health.Up, protocol.name+": "+report.Reason)
 		}
-		_, changed = c.book.Weigh(now, s.number)
+		_, changed = c.tracker.Weigh(now, server.number)
 	}
-	k.due.Done(now, s.number, c.book.Spoken(now, s.number))
+	protocol.schedule.Done(now, server.number, c.tracker.Spoken(now, server.number))
 	c.mu.Unlock()
 	if changed {
-		c.apply(s.number)
+		c.applyVerdict(server.number)
 	}
 }
 
-// weigh works all verdicts out anew, a few times a second.
-func (c *checker) weigh() {
-	for ctx := c.node.core.Context(); ctx.Err() == nil; sleep(ctx, weighEach) {
+// verdictLoop evaluates all verdicts every verdictInterval.
+func (c *checker) verdictLoop() {
+	for ctx := c.node.core.Context(); ctx.Err() == nil; sleep(ctx, verdictInterval) {
 		var changed []uint32
 		c.mu.Lock()
-		now, before := c.node.core.Now(), c.book.Panic()
+		now, panickedBefore := c.node.core.Now(), c.tracker.Panic()
 		for id := range c.servers {
-			if _, ch := c.book.Weigh(now, id); ch {
+			if _, verdictChanged := c.tracker.Weigh(now, id); verdictChanged {
 				changed = append(changed, id)
 			}
 		}
-		panics := c.book.Panic()
+		panicked := c.tracker.Panic()
 		c.mu.Unlock()
-		if panics != before {
-			c.node.log.Warn("health: most of the fleet is said to be bad", "suspected", panics)
+		if panicked != panickedBefore {
+			c.node.log.Warn("health: most of the fleet is reported unhealthy", "suspected", panicked)
 		}
 		for _, id := range changed {
-			c.apply(id)
+			c.applyVerdict(id)
 		}
 	}
 }
 
-// real takes in how an attempt at a server ended.
-func (c *checker) real(s *back.Server, o policy.Outcome) {
-	if c == nil || !health.Tells(o) {
+// recordOutcome records how an attempt at a server ended.
+func (c *checker) real(target *back.Server, outcome policy.Outcome) {
+	if c == nil || !health.Tells(outcome) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if id, known := c.ids[s.ID]; known {
-		c.book.Real(c.node.core.Now(), id, o == policy.OK)
-		if s := c.servers[id]; o == policy.OK {
-			s.oks++
+	if id, known := c.ids[target.ID]; known {
+		c.tracker.Real(c.node.core.Now(), id, outcome == policy.OK)
+		if server := c.servers[id]; outcome == policy.OK {
+			server.successes++
 		} else {
-			s.kos++
+			server.failures++
 		}
 	}
 }
 
-// apply hands a server's verdict to the policy and shuts or opens its gate. An order of operators goes before it.
-func (c *checker) apply(id uint32) {
+// applyVerdict passes a server's verdict to the policy and opens or closes its gate. An operator's override has
+// precedence.
+func (c *checker) applyVerdict(id uint32) {
 	n := c.node
-	n.hand.order.Lock()
-	defer n.hand.order.Unlock()
+	n.hand.callMu.Lock()
+	defer n.hand.callMu.Unlock()
 	n.core.Lock()
 	c.mu.Lock()
-	s := c.servers[id]
-	if s == nil {
+	server := c.servers[id]
+	if server == nil {
 		c.mu.Unlock()
 		n.core.Unlock()
 		return
 	}
-	v, old := c.book.Verdict(id), s.applied
-	s.applied = v
+	verdict, old := c.tracker.Verdict(id), server.applied
+	server.applied = verdict
 	c.mu.Unlock()
-	steps := health.Steps(id, old, v, n.hand.disabled[s.ID])
+	steps := health.Steps(id, old, verdict, n.hand.disabled[server.ID])
 	for i := range steps {
 		n.core.Handle(&steps[i])
 	}
-	stays := n.keptOut(s.ID, id)
+	stillOut := n.keptOut(server.ID, id)
 	n.core.Unlock()
-	if v.Out != old.Out {
-		s.Gate.Set(stays) // not under the core's lock: it waits for what is being written
+	if verdict.Out != old.Out {
+		server.Gate.Set(stillOut) // not under the core's lock: it waits for writes under way
 	}
-	if v.Drain && !old.Drain {
-		n.opaque.Drain(s.Server)
+	if verdict.Drain && !old.Drain {
+		n.opaque.Drain(server.Server)
 	}
-	if v.Out != old.Out || v.Against != old.Against {
-		n.log.Info("health", "server", s.ID, "out", v.Out, "weight", v.Weight, "why", v.Why, "against", v.Against)
+	if verdict.Out != old.Out || verdict.Against != old.Against {
+		n.log.Info("health verdict changed", "server", server.ID, "out", verdict.Out, "weight", verdict.Weight, "why", verdict.Why, "against", verdict.Against)
 	}
 }
 
-// out tells whether a server is out by what is said of it. The core's lock is held.
-func (c *checker) out(number uint32) bool {
+// isUnhealthy reports whether the health verdict has a server out of service. The core's lock is held.
+func (c *checker) isUnhealthy(number uint32) bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.servers[number]
-	return s != nil && s.applied.Out
+	server := c.servers[number]
+	return server != nil && server.applied.Out
 }
 
-// unknown logs words that an agent says and nobody knows, once for as long as they are the same.
-func (c *checker) unknown(id string, words []string) {
+// logUnknownWords logs words of an agent's report that are not known, once until they change.
+func (c *checker) logUnknownWords(id string, words []string) {
 	c.mu.Lock()
-	s, text := c.servers[c.ids[id]], fmt.Sprint(words)
-	fresh := s != nil && s.unknown != text
-	if fresh {
-		s.unknown = text
+	server, text := c.servers[c.ids[id]], fmt.Sprint(words)
+	changed := server != nil && server.unknownWords != text
+	if changed {
+		server.unknownWords = text
 	}
 	c.mu.Unlock()
-	if fresh {
-		c.node.log.Warn("health: an agent says what is not known", "server", id, "words", text)
+	if changed {
+		c.node.log.Warn("health: agent report has unknown words", "server", id, "words", text)
 	}
 }
 
-// Health tells operators what is made of what is said of a server.
-type Health struct {
+// ServerHealth is the health of a web server, for operators.
+type ServerHealth struct {
 	Server  string  `json:"server"`
 	Out     bool    `json:"out"`
 	Drain   bool    `json:"drain"`
@@ -335,65 +339,67 @@
 	MaxConn int     `json:"maxconn,omitempty"`
 	Why     string  `json:"why"`
 	Against string  `json:"against,omitempty"`
-	ByHand  bool    `json:"by_hand"` // operators have it out; that goes before all else
+	ByHand  bool    `json:"by_hand"` // disabled by an operator, which has precedence over all else
 }
 
-// Checks tells operators how the checker stands, and of a server or (none named) all of which anything is said.
-type Checks struct {
-	Suspected bool     `json:"suspected"` // most of the fleet is said to be bad: that is not believed
-	Probes    int64    `json:"probes"`    // since the start,
-	Failed    int64    `json:"failed"`    // and of them without an answer that can be used,
-	Late      int64    `json:"late"`      // or with none because this node was slow itself
-	Servers   []Health `json:"servers"`
+// HealthReport is the checker's state, for operators: with one server, or with all of which something is reported.
+type HealthReport struct {
+	Suspected bool           `json:"suspected"` // most servers are reported unhealthy, so that the reports are not believed
+	Probes    int64          `json:"probes"`    // probes since the start
+	Failed    int64          `json:"failed"`    // probes without a usable reply
+	Late      int64          `json:"late"`      // probes without a reply because this node was slow itself
+	Servers   []ServerHealth `json:"servers"`
 }
 
+// healthOf returns the health of a server, or of all where id is empty. An error is mgmt.ErrUnknown.
+
 // healthOf is what the checker makes of a server, or of all. An error is mgmt.ErrUnknown.
-func (n *node) healthOf(id string) (*Checks, error) {
+func (n *node) healthOf(id string) (*HealthReport, error) {
 	c := n.checker
 	n.core.Lock()
 	defer n.core.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := &Checks{Suspected: c.book.Panic(), Probes: c.probes, Failed: c.failed, Late: c.late, Servers: []Health{}}
-	for number, s := range c.servers {
-		v, byHand := c.book.Verdict(number), n.hand.disabled[s.ID]
-		if id == s.ID || id == "" && (byHand || v.Why != "" || v.Against != "") {
-			out.Servers = append(out.Servers, Health{s.ID, v.Out || byHand, v.Drain, v.Weight, v.MaxConn, v.Why, v.Against, byHand})
+	report := &HealthReport{Suspected: c.tracker.Panic(), Probes: c.probes, Failed: c.failed, Late: c.late, Servers: []ServerHealth{}}
+	for number, server := range c.servers {
+		verdict, byHand := c.tracker.Verdict(number), n.hand.disabled[server.ID]
+		if id == server.ID || id == "" && (byHand || verdict.Why != "" || verdict.Against != "") {
+			report.Servers = append(report.Servers, ServerHealth{server.ID, verdict.Out || byHand, verdict.Drain, verdict.Weight, verdict.MaxConn, verdict.Why, verdict.Against, byHand})
 		}
 	}
-	if id != "" && len(out.Servers) == 0 {
+	if id != "" && len(report.Servers) == 0 {
 		return nil, mgmt.ErrUnknown
 	}
-	slices.SortFunc(out.Servers, func(a, b Health) int { return cmp.Compare(a.Server, b.Server) })
-	return out, nil
+	slices.SortFunc(report.Servers, func(a, b ServerHealth) int { return cmp.Compare(a.Server, b.Server) })
+	return report, nil
 }
 
-// answers opens the listeners on which this node is checked; nil where the file names none.
+// startHealthResponder opens the listeners on which others check this node; it returns nil where the file names none.
 func (n *node) answers(ctx context.Context) (*party.Party, error) {
-	f := n.cfg.Product
-	if f == nil || f.Health == nil || f.Health.Answer == nil {
+	product := n.cfg.Product
+	if product == nil || product.Health == nil || product.Health.Answer == nil {
 		return nil, nil
 	}
-	o := party.Options{Agent: f.Health.Answer.Agent, HTTP: f.Health.Answer.HTTP, GRPC: f.Health.Answer.GRPC, Look: n.standing, Log: n.log}
-	for _, s := range f.Services {
-		o.Services = append(o.Services, s.Name)
+	options := party.Options{Agent: product.Health.Answer.Agent, HTTP: product.Health.Answer.HTTP, GRPC: product.Health.Answer.GRPC, Look: n.standing, Log: n.log}
+	for _, service := range product.Services {
+		options.Services = append(options.Services, service.Name)
 	}
-	return party.Listen(ctx, o)
+	return party.Listen(ctx, options)
 }
 
-// standing is how the node stands, for those that check it.
+// healthStatus returns the state of the node for those that check it.
 func (n *node) standing() party.Status {
-	s := party.Status{Headroom: 1 - n.core.Stats(0).Pressure}
+	status := party.Status{Headroom: 1 - n.core.Stats(0).Pressure}
 	n.core.Lock()
 	ready := n.ready
 	n.core.Unlock()
 	switch {
 	case n.life.sendsAway():
-		s.State = party.Draining
+		status.State = party.Draining
 	case !ready:
-		s.State, s.Reason = party.Down, "no web server is listed as ready"
-	case s.Headroom < 1:
-		s.Reason = "part of the latest requests met no normal web server"
+		status.State, status.Reason = party.Down, "no web server is listed as ready"
+	case status.Headroom < 1:
+		status.Reason = "some of the latest requests found no normal web server"
 	}
-	return s
+	return status
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -13,38 +13,40 @@
 	"portstall/internal/lab/standin"
 )
 
-// ward is some web servers, each on a host of its own with an agent beside it, and a node that asks the agents.
-type ward struct {
+// checkedNode is a node that asks agents, and the web servers that it checks: each on a host of its own with an agent
+// beside it.
+type checkedNode struct {
 	*rig
-	boxes  []*box
-	agents []*standin.Agent
-	list   []listed
-	told   atomic.Bool // requests from now on name that in their ids
+	servers     []*box
+	agents      []*standin.Agent
+	entries     []listed
+	afterReport atomic.Bool // marks requests from now on in their IDs
 }
 
-// newWard makes one of so many servers; more is what the checks say beyond their agents and their interval.
-func newWard(t *testing.T, servers int, more string) *ward {
+// newCheckedNode starts a node with a number of web servers. settings is added to the checks' settings of agents and
+// interval.
+func newCheckedNode(t *testing.T, servers int, settings string) *checkedNode {
 	t.Helper()
-	w := &ward{}
-	const port = "9777" // hosts are each box's own, and no kernel hands this port out
+	node := &checkedNode{}
+	const port = "9777" // each server has a host of its own, and no kernel assigns this port
 	for i := range servers {
-		box := newBox(t, served)
-		host, _, err := net.SplitHostPort(box.ln.Addr().String())
+		server := newBox(t, served)
+		host, _, err := net.SplitHostPort(server.ln.Addr().String())
 		must(t, err)
-		a, err := standin.StartAgent(net.JoinHostPort(host, port))
+		agent, err := standin.StartAgent(net.JoinHostPort(host, port))
 		must(t, err)
-		t.Cleanup(a.Stop)
-		w.boxes, w.agents, w.list = append(w.boxes, box), append(w.agents, a), append(w.list, box.entry(fmt.Sprint("s-", i)))
+		t.Cleanup(agent.Stop)
+		node.servers, node.agents, node.entries = append(node.servers, server), append(node.agents, agent), append(node.entries, server.entry(fmt.Sprint("s-", i)))
 	}
-	w.rig = newRig(t, newRegistry(t), settingsJSON, under(t, fmt.Sprintf(
-		"health:\n  checks: {interval: 100ms, timeout: 20s, calm: 1, per_server: 100, rate: 1000, rise: 1, agent: {port: %s}%s}\n", port, more)), w.list...)
-	return w
+	node.rig = newRig(t, newRegistry(t), settingsJSON, under(t, fmt.Sprintf(
+		"health:\n  checks: {interval: 100ms, timeout: 20s, calm: 1, per_server: 100, rate: 1000, rise: 1, agent: {port: %s}%s}\n", port, settings)), node.entries...)
+	return node
 }
 
-// says waits until the node makes of a server what is wanted.
-func (w *ward) says(t *testing.T, i int, what string, ok func(h Health) bool) Health {
+// waitForHealth waits until the health of a server at the node is as wanted.
+func (w *checkedNode) waitForHealth(t *testing.T, i int, what string, ok func(h ServerHealth) bool) ServerHealth {
 	t.Helper()
-	var h Health
+	var h ServerHealth
 	wait(t, what, func() bool {
 		c, err := w.healthOf(fmt.Sprint("s-", i))
 		if err != nil {
@@ -56,206 +58,211 @@
 	return h
 }
 
-// busy lets so many clients ask without pause, until rest is called.
-func (w *ward) busy(t *testing.T, clients int) (rest func()) {
-	stop := make(chan struct{})
+// startLoad starts clients that send requests without pause, until the returned function is called.
+func (w *checkedNode) startLoad(t *testing.T, clients int) (stop func()) {
+	done := make(chan struct{})
 	var wg sync.WaitGroup
-	for k := range clients {
-		c := w.dial(t)
+	for worker := range clients {
+		client := w.dial(t)
 		wg.Go(func() {
-			for n := 0; ; n++ {
+			for seq := 0; ; seq++ {
 				select {
-				case <-stop:
+				case <-done:
 					return
 				default:
-					id := fmt.Sprint("r", k, "-", n)
-					if w.told.Load() {
-						id = "told-" + id
+					id := fmt.Sprint("r", worker, "-", seq)
+					if w.afterReport.Load() {
+						id = "after-" + id
 					}
-					c.ask(view(id))
+					client.ask(view(id))
 				}
 			}
 		})
 	}
 	return func() {
-		close(stop)
+		close(done)
 		wg.Wait()
 	}
 }
 
-func out(h Health) bool { return h.Out }
-func in(h Health) bool  { return !h.Out && h.Weight == 1 }
+func outOfService(h ServerHealth) bool { return h.Out }
+func healthy(h ServerHealth) bool      { return !h.Out && h.Weight == 1 }
 
-// What an agent says takes its server out, lowers its weight or brings it back, and an order of operators goes before it.
-func TestAgentAtNode(t *testing.T) {
+// An agent's report takes its server out of service, lowers its weight or brings it back. An operator's override has
+// precedence.
+func TestAgentReportControlsTraffic(t *testing.T) {
 	t.Parallel()
-	w := newWard(t, 4, "")
-	c := w.dial(t)
+	node := newCheckedNode(t, 4, "")
+	client := node.dial(t)
 	asked := 0
 	ask := func(times int) (used [4]int) {
 		t.Helper()
-		for i := range w.boxes {
-			w.boxes[i].mu.Lock()
-			w.boxes[i].got = nil
-			w.boxes[i].mu.Unlock()
+		for i := range node.servers {
+			node.servers[i].mu.Lock()
+			node.servers[i].got = nil
+			node.servers[i].mu.Unlock()
 		}
 		for range times {
 			asked++
-			if resp, _ := c.ask(view(fmt.Sprint("r", asked))); resp.StatusCode != 200 {
+			if resp, _ := client.ask(view(fmt.Sprint("r", asked))); resp.StatusCode != 200 {
 				t.Fatalf("%d", resp.StatusCode)
 			}
 		}
-		for i, b := range w.boxes {
+		for i, b := range node.servers {
 			used[i] = len(b.requests())
 		}
 		return
 	}
-	w.agents[0].Says("down #disk\n")
-	if h := w.says(t, 0, "a server that is down", out); h.Drain || !strings.Contains(h.Why, "disk") {
+	node.agents[0].Says("down #disk\n")
+	if h := node.waitForHealth(t, 0, "a server that is down", outOfService); h.Drain || !strings.Contains(h.Why, "disk") {
 		t.Errorf("%+v", h)
 	}
 	if used := ask(40); used[0] > 0 {
 		t.Errorf("used: %v", used)
 	}
-	w.agents[1].Says("drain\n")
-	w.says(t, 1, "a server that drains", func(h Health) bool { return h.Out && h.Drain })
+	node.agents[1].Says("drain\n")
+	node.waitForHealth(t, 1, "a server that drains", func(h ServerHealth) bool { return h.Out && h.Drain })
 	if used := ask(40); used[0]+used[1] > 0 {
 		t.Errorf("used: %v", used)
 	}
-	w.agents[0].Says("up 50% purple\n")
-	w.says(t, 0, "a weight", func(h Health) bool { return h.Weight == 0.5 })
-	// Operators: out whatever the agent says, and their way back does not undo the agent's word.
-	must(t, w.Disable(t.Context(), "s-3"))
-	must(t, w.Disable(t.Context(), "s-1"))
-	if h := w.says(t, 3, "an order", func(h Health) bool { return h.ByHand }); !h.Out {
+	node.agents[0].Says("up 50% purple\n")
+	node.waitForHealth(t, 0, "a weight", func(h ServerHealth) bool { return h.Weight == 0.5 })
+	// Operators: a disabled server is out of service whatever its agent reports, and enabling it does not undo the
+	// agent's report.
+	must(t, node.Disable(t.Context(), "s-3"))
+	must(t, node.Disable(t.Context(), "s-1"))
+	if h := node.waitForHealth(t, 3, "an override", func(h ServerHealth) bool { return h.ByHand }); !h.Out {
 		t.Errorf("%+v", h)
 	}
-	must(t, w.Enable(t.Context(), "s-1"))
+	must(t, node.Enable(t.Context(), "s-1"))
 	if used := ask(40); used[1]+used[3] > 0 {
 		t.Errorf("used: %v", used)
 	}
-	w.agents[1].Says("ready up\n")
-	must(t, w.Enable(t.Context(), "s-3"))
-	w.says(t, 1, "the way back", in)
-	w.says(t, 3, "the other's", in)
-	// Others out, it must serve: its gate is open again.
+	node.agents[1].Says("ready up\n")
+	must(t, node.Enable(t.Context(), "s-3"))
+	node.waitForHealth(t, 1, "the server back in service", healthy)
+	node.waitForHealth(t, 3, "the enabled server back in service", healthy)
+	// With the other servers disabled it must serve: its gate is open again.
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
-		must(t, w.Disable(t.Context(), id))
+		must(t, node.Disable(t.Context(), id))
 	}
-	wait(t, "a request at the one that came back", func() bool {
+	wait(t, "a request at the server that came back", func() bool {
 		asked++
-		resp, _ := c.ask(view(fmt.Sprint("r", asked)))
+		resp, _ := client.ask(view(fmt.Sprint("r", asked)))
 		return resp.StatusCode == 200
 	})
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
-		must(t, w.Enable(t.Context(), id))
+		must(t, node.Enable(t.Context(), id))
 	}
-	// A server that is out starts anew, and another leaves the list and returns: nothing is known of either.
-	w.agents[0].Says("down\n")
-	w.says(t, 0, "down again", out)
-	w.agents[0].Says("")
-	started := append([]listed(nil), w.list...)
+	// A server that is out of service is started again, and another is removed from the list and returns: nothing is
+	// known of either.
+	node.agents[0].Says("down\n")
+	node.waitForHealth(t, 0, "down again", outOfService)
+	node.agents[0].Says("")
+	started := append([]listed(nil), node.entries...)
 	started[0].StartedMS = time.Now().UnixMilli()
-	w.lists(2, started...)
-	w.says(t, 0, "a new start", in)
-	w.agents[1].Says("drain\n")
-	w.says(t, 1, "a drain", out)
-	w.agents[1].Says("")
-	w.lists(3, append(append([]listed(nil), started[0]), started[2:]...)...)
-	if _, err := w.healthOf("s-1"); err == nil {
+	node.lists(2, started...)
+	node.waitForHealth(t, 0, "a new start", healthy)
+	node.agents[1].Says("drain\n")
+	node.waitForHealth(t, 1, "a drain", outOfService)
+	node.agents[1].Says("")
+	node.lists(3, append(append([]listed(nil), started[0]), started[2:]...)...)
+	if _, err := node.healthOf("s-1"); err == nil {
 		t.Error("a server that is not listed is checked")
 	}
-	w.lists(4, started...)
-	w.says(t, 1, "a server that came back", in)
+	node.lists(4, started...)
+	node.waitForHealth(t, 1, "a server that came back", healthy)
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
-		must(t, w.Disable(t.Context(), id))
+		must(t, node.Disable(t.Context(), id))
 	}
-	wait(t, "a request at the one that returned", func() bool {
+	wait(t, "a request at the server that returned", func() bool {
 		asked++
-		resp, _ := c.ask(view(fmt.Sprint("r", asked)))
+		resp, _ := client.ask(view(fmt.Sprint("r", asked)))
 		return resp.StatusCode == 200
 	})
-	// More than half the fleet: the sayers are suspected, and none is out by their word.
-	for i := range w.agents {
-		w.agents[i].Says("maint\n")
+	// More than half the fleet is reported unhealthy: the reports are suspected, and take no server out of service.
+	for i := range node.agents {
+		node.agents[i].Says("maint\n")
 	}
-	for i := range w.agents {
-		w.says(t, i, "suspicion", func(h Health) bool { return h.ByHand == (i != 1) && strings.Contains(h.Why, "suspected") })
+	for i := range node.agents {
+		node.waitForHealth(t, i, "suspicion", func(h ServerHealth) bool { return h.ByHand == (i != 1) && strings.Contains(h.Why, "suspected") })
 	}
 }
 
-// behindTheWord counts the requests at a box that clients sent once the node had made something of an agent's word.
-func (w *ward) behindTheWord(i int) (n int) {
-	for _, r := range w.boxes[i].requests() {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "told-") {
+// requestsAfterReport counts a server's requests that clients sent after the node had applied an agent's report.
+func (w *checkedNode) requestsAfterReport(i int) (n int) {
+	for _, r := range w.servers[i].requests() {
+		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "after-") {
 			n++
 		}
 	}
 	return n
 }
 
-// An agent says drain under load: once the node has taken it in, its server is sent nothing new, while the others serve. That
-// the node takes words in at once, and has a second for it, is held in virtual time: TestDrainWord.
-func TestAgentDrain(t *testing.T) {
+// An agent reports a drain under load: once the node has applied it, the server is sent nothing new while the others
+// serve. That the node applies reports at once, within a second, is tested in virtual time in internal/lab/model.
+func TestAgentDrainStopsNewRequests(t *testing.T) {
 	t.Parallel()
 	for i := range 3 {
-		w := newWard(t, 3, "")
-		rest := w.busy(t, 4)
-		wait(t, "load", func() bool { return len(w.boxes[i].requests()) > 20 })
-		asked := w.agents[i].Asked()
-		w.agents[i].Says("drain\n")
-		wait(t, "an answer", func() bool { return w.agents[i].Asked() > asked })
-		w.says(t, i, "a drain", func(h Health) bool { return h.Out && h.Drain })
-		w.told.Store(true)
-		wait(t, "requests behind the word", func() bool { return w.behindTheWord((i+1)%3)+w.behindTheWord((i+2)%3) > 100 })
-		rest()
-		if n := w.behindTheWord(i); n > 0 {
-			t.Errorf("%d requests were sent to it behind the word", n)
+		node := newCheckedNode(t, 3, "")
+		stopLoad := node.startLoad(t, 4)
+		wait(t, "load", func() bool { return len(node.servers[i].requests()) > 20 })
+		asked := node.agents[i].Asked()
+		node.agents[i].Says("drain\n")
+		wait(t, "a check of the agent", func() bool { return node.agents[i].Asked() > asked })
+		node.waitForHealth(t, i, "a drain", func(h ServerHealth) bool { return h.Out && h.Drain })
+		node.afterReport.Store(true)
+		wait(t, "requests after the report", func() bool { return node.requestsAfterReport((i+1)%3)+node.requestsAfterReport((i+2)%3) > 100 })
+		stopLoad()
+		if n := node.requestsAfterReport(i); n > 0 {
+			t.Errorf("%d requests were sent to the server after the report", n)
 		}
 	}
 }
 
-// Checks take a server out that answers nobody, and bring it back; one that answers real requests only loses weight.
-func TestCheckAtNode(t *testing.T) {
+// Failing checks take a server out of service that answers no requests, and passing ones bring it back; one that
+// answers real requests only loses weight.
+func TestFailedChecksEjectServer(t *testing.T) {
 	t.Parallel()
 	var status atomic.Int64
 	status.Store(200)
-	var boxes []*box
+	var servers []*box
 	var list []listed
 	for i := range 3 {
-		b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+		server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 			if i == 0 && r.URL.Path == "/health" {
 				return reply(c, int(status.Load()), "", "so it is")
 			}
 			return served(c, r, nth)
 		})
-		boxes, list = append(boxes, b), append(list, b.entry(fmt.Sprint("s-", i)))
+		servers, list = append(servers, server), append(list, server.entry(fmt.Sprint("s-", i)))
 	}
-	w := &ward{list: list}
-	w.rig = newRig(t, newRegistry(t), settingsJSON, under(t,
+	node := &checkedNode{entries: list}
+	node.rig = newRig(t, newRegistry(t), settingsJSON, under(t,
 		"health: {checks: {interval: 100ms, timeout: 20s, calm: 1, per_server: 100, rate: 1000, fall: 2, http: {path: /health, status: 200-299}}}\n"), list...)
 	status.Store(500)
-	if h := w.says(t, 0, "a server whose checks fail", out); h.Drain || !strings.Contains(h.Why, "status 500") {
+	if h := node.waitForHealth(t, 0, "a server whose checks fail", outOfService); h.Drain || !strings.Contains(h.Why, "status 500") {
 		t.Errorf("%+v", h)
 	}
 	status.Store(204)
-	w.says(t, 0, "the way back", in)
-	// While it answers requests its checks lower its weight alone. The others are out, so that all come to it.
+	node.waitForHealth(t, 0, "the server back in service", healthy)
+	// While the server answers requests, its checks only lower its weight. The others are disabled, so that it gets all
+	// requests.
 	for _, id := range []string{"s-1", "s-2"} {
-		must(t, w.Disable(t.Context(), id))
+		must(t, node.Disable(t.Context(), id))
 	}
-	rest := w.busy(t, 1)
-	wait(t, "requests", func() bool { return len(boxes[0].requests()) > 50 })
+	stopLoad := node.startLoad(t, 1)
+	wait(t, "requests", func() bool { return len(servers[0].requests()) > 50 })
 	status.Store(500)
-	h := w.says(t, 0, "a contradiction", func(h Health) bool { return h.Against != "" })
+	h := node.waitForHealth(t, 0, "a contradiction", func(h ServerHealth) bool { return h.Against != "" })
 	if h.Out || h.Weight != 0.5 || !strings.Contains(h.Against, "it answers real requests") {
 		t.Errorf("%+v", h)
 	}
-	rest()
-	if c, err := w.healthOf(""); err != nil || c.Probes == 0 || len(c.Servers) != 3 {
+	stopLoad()
+	if c, err := node.healthOf(""); err != nil || c.Probes == 0 || len(c.Servers) != 3 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	for _, p := range w.pages() {
+	for _, p := range node.pages() {
 		if p.Path == "health" {
 			var text strings.Builder
 			must(t, p.Write(&text, map[string][]string{"server": {"s-0"}}))
@@ -266,15 +273,15 @@
 	}
 }
 
-// What others are told of this node follows its drain.
-func TestStanding(t *testing.T) {
+// What the health responder reports of this node follows its drain.
+func TestHealthResponderFollowsDrain(t *testing.T) {
 	t.Parallel()
 	addr := free(t)
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, "services: [{name: placement}]\nhealth: {answer: {agent: "+addr+"}}\n"), newBox(t, served).entry("s-0"))
-	p, err := r.answers(t.Context())
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, "services: [{name: placement}]\nhealth: {answer: {agent: "+addr+"}}\n"), newBox(t, served).entry("s-0"))
+	responder, err := node.answers(t.Context())
 	must(t, err)
-	defer p.Close()
-	told := func() string {
+	defer responder.Close()
+	agentReport := func() string {
 		c, err := net.Dial("tcp", addr)
 		must(t, err)
 		defer c.Close()
@@ -284,10 +291,10 @@
 		must(t, err)
 		return string(text[:n])
 	}
-	got := told()
-	wait(t, "another word than that it hangs", func() bool { // as it seems to where this machine had no time to look for a second
+	got := agentReport()
+	wait(t, "another report than that the node hangs", func() bool { // as it seems where this machine had no time for it for a second
 		if strings.HasPrefix(got, "down #the node does not answer") {
-			got = told()
+			got = agentReport()
 			return false
 		}
 		return true
@@ -295,14 +302,14 @@
 	if got != "up ready 100%\n" {
 		t.Errorf("%q", got)
 	}
-	must(t, r.Drain(t.Context()))
-	wait(t, "a drain", func() bool { return told() == "up drain 0%\n" })
-	must(t, r.Resume(t.Context()))
-	wait(t, "the way back", func() bool { return told() == "up ready 100%\n" })
-	must(t, r.Disable(t.Context(), "s-0"))
-	r.lists(2)
-	wait(t, "no server", func() bool { return strings.HasPrefix(told(), "down #no web server") })
-	if p, err := newRig(t, newRegistry(t), settingsJSON, nil).answers(t.Context()); p != nil || err != nil {
-		t.Error("a node without a file listens")
+	must(t, node.Drain(t.Context()))
+	wait(t, "a drain", func() bool { return agentReport() == "up drain 0%\n" })
+	must(t, node.Resume(t.Context()))
+	wait(t, "the end of the drain", func() bool { return agentReport() == "up ready 100%\n" })
+	must(t, node.Disable(t.Context(), "s-0"))
+	node.lists(2)
+	wait(t, "the report without a server", func() bool { return strings.HasPrefix(agentReport(), "down #no web server") })
+	if responder, err := newRig(t, newRegistry(t), settingsJSON, nil).answers(t.Context()); responder != nil || err != nil {
+		t.Error("a node without a file opens listeners")
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -9,88 +9,89 @@
 	"portstall/internal/member"
 )
 
-// talkEach is how often this instance tells the others what it has seen, and listens to what they have.
-const talkEach = time.Second
+// evidenceInterval is how often this instance shares with its peers what it has observed, and evaluates what they have.
+const evidenceInterval = time.Second
 
-// join opens the sockets on which this instance talks with others; where the file names none it does nothing.
+// joinMembers opens the sockets for communication with other instances; without members in the file it does nothing.
 func (n *node) join(ctx context.Context) error {
-	f := n.cfg.Product
-	if f == nil || f.Members == nil {
+	product := n.cfg.Product
+	if product == nil || product.Members == nil {
 		return nil
 	}
-	set, ring, err := f.Members.Ready()
+	settings, ring, err := product.Members.Ready()
 	if err != nil {
 		return err
 	}
-	n.edge, err = member.Listen(ctx, member.Options{Name: f.Members.Name, Addr: f.Members.Listen, Seeds: f.Members.Seeds, Set: set, Keys: ring, Log: n.log})
+	n.edge, err = member.Listen(ctx, member.Options{Name: product.Members.Name, Addr: product.Members.Listen, Seeds: product.Members.Seeds, Set: settings, Keys: ring, Log: n.log})
 	if err != nil {
 		return err
 	}
 	if n.checker != nil {
 		n.core.Lock()
-		n.core.Go(n.checker.talk)
+		n.core.Go(n.checker.shareEvidence)
 		n.core.Unlock()
 	}
 	return nil
 }
 
-// talk shares what real requests show of web servers: evidence, never a verdict. Of a server that nobody sees fail nothing is
-// said; where others see one fail it is looked at sooner, and gets less until it answers here.
-func (c *checker) talk() {
+// shareEvidence shares with other instances how real requests fare at web servers: evidence, never a verdict. Nothing
+// is shared of a server that no instance sees fail. A server that others see fail is probed sooner, and gets less
+// traffic until it answers here.
+func (c *checker) shareEvidence() {
 	n := c.node
-	fade := math.Exp(-talkEach.Seconds() / 10)
-	for ctx := n.core.Context(); ctx.Err() == nil; sleep(ctx, talkEach) {
-		type seen struct{ bad, count float64 }
-		mine := map[string]seen{}
+	fade := math.Exp(-evidenceInterval.Seconds() / 10)
+	for ctx := n.core.Context(); ctx.Err() == nil; sleep(ctx, evidenceInterval) {
+		type observation struct{ failedShare, requests float64 }
+		observations := map[string]observation{}
 		c.mu.Lock()
-		for _, s := range c.servers {
-			if all := s.oks + s.kos; all >= 1 {
-				mine[s.ID] = seen{s.kos / all, all}
+		for _, server := range c.servers {
+			if total := server.successes + server.failures; total >= 1 {
+				observations[server.ID] = observation{server.failures / total, total}
 			}
-			s.oks, s.kos = s.oks*fade, s.kos*fade
+			server.successes, server.failures = server.successes*fade, server.failures*fade
 		}
 		c.mu.Unlock()
-		var fails []string // by most of those who saw it
-		n.edge.Do(func(now time.Duration, m *member.Member) {
-			asked := map[string]bool{}
-			for _, id := range m.Doubted(now) {
-				asked[id] = true
-				if doubt, _ := m.Doubt(now, id); doubt >= 0.5 {
-					fails = append(fails, id)
+		var failing []string // servers that fail for most of the instances that observed them
+		n.edge.Do(func(now time.Duration, self *member.Member) {
+			doubted := map[string]bool{}
+			for _, id := range self.Doubted(now) {
+				doubted[id] = true
+				if doubt, _ := self.Doubt(now, id); doubt >= 0.5 {
+					failing = append(failing, id)
 				}
 			}
-			for id, s := range mine {
-				if s.bad > 0.1 || asked[id] {
-					m.Witness(now, id, s.bad, s.count)
+			for id, seen := range observations {
+				if seen.failedShare > 0.1 || doubted[id] {
+					self.Witness(now, id, seen.failedShare, seen.requests)
 				}
 			}
 		})
 		var changed []uint32
 		c.mu.Lock()
 		now := n.core.Now()
-		for _, id := range fails {
+		for _, id := range failing {
 			number, known := c.ids[id]
 			if !known {
 				continue
 			}
-			c.book.Others(now, number)
-			for _, k := range c.kinds {
-				k.due.Sooner(now, number)
-				k.nudge()
+			c.tracker.Others(now, number)
+			for _, protocol := range c.protocols {
+				protocol.schedule.Sooner(now, number)
+				protocol.wakeUp()
 			}
-			if _, ch := c.book.Weigh(now, number); ch {
+			if _, verdictChanged := c.tracker.Weigh(now, number); verdictChanged {
 				changed = append(changed, number)
 			}
 		}
 		c.mu.Unlock()
 		for _, number := range changed {
-			c.apply(number)
+			c.applyVerdict(number)
 		}
 	}
 }
 
-// ring is the keys of a file that was read again; nil where no instances talk.
-func (n *node) ring(cfg Config) (*member.Ring, error) {
+// memberKeyring returns the keys in a file that was read again, or nil where no instances communicate.
+func (n *node) memberKeyring(cfg Config) (*member.Ring, error) {
 	if n.edge == nil || cfg.Product == nil || cfg.Product.Members == nil {
 		return nil, nil
 	}
@@ -98,35 +99,35 @@
 	return ring, err
 }
 
-// rekey puts other keys in force. The core's lock is not held.
-func (n *node) rekey(ring *member.Ring) {
+// updateKeyring puts other keys in force. The core's lock is not held.
+func (n *node) updateKeyring(ring *member.Ring) {
 	if ring != nil {
 		n.edge.Do(func(now time.Duration, m *member.Member) { m.Rekey(now, ring) })
 	}
 }
 
-// Member tells operators how another instance stands.
+// Member is the state of another instance, for operators.
 type Member struct {
 	Name        string   `json:"name"`
 	Addr        string   `json:"addr"`
 	State       string   `json:"state"`
 	Incarnation uint64   `json:"incarnation"`
 	SinceS      float64  `json:"since_s"`
-	Accusers    []string `json:"accusers,omitempty"` // of one that is suspected, or was given up
+	Accusers    []string `json:"accusers,omitempty"` // accusers of an instance that is suspected or dead
 }
 
-// Members tells operators of all.
+// Members is this instance's view of all instances, for operators.
 type Members struct {
 	Name     string         `json:"name"`
-	Alive    int            `json:"alive"`    // this one included
-	Conflict bool           `json:"conflict"` // another instance has this one's name, and this one has given way
-	Slowness int            `json:"slowness"` // how slow it takes itself to be: 0 is well, 8 the worst
+	Alive    int            `json:"alive"`    // number of live instances, this one included
+	Conflict bool           `json:"conflict"` // another instance has the same name, and this one has yielded
+	Slowness int            `json:"slowness"` // how slow this instance estimates itself to be: 0 is best, 8 worst
 	Sent     int64          `json:"sent_bytes"`
-	Refused  map[string]int `json:"refused"` // packets and facts that were not taken, by why
+	Refused  map[string]int `json:"refused"` // rejected packets and statements, by reason
 	Members  []Member       `json:"members"`
 }
 
-// members is whom this instance knows.
+// members returns the instances that this one knows.
 func (n *node) members() (out Members) {
 	out.Refused, out.Members, out.Sent = map[string]int{}, []Member{}, n.edge.Sent()
 	n.edge.Do(func(now time.Duration, m *member.Member) {
@@ -141,6 +142,7 @@
 	return out
 }
 
+// String returns the member as one line of a table.
 func (m Member) String() string {
 	return fmt.Sprintf("%-24s %-8s %8.0f s  %s  %v", m.Name, m.State, m.SinceS, m.Addr, m.Accusers)
 }
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -12,32 +12,33 @@
 	"portstall/internal/member"
 )
 
-// fellows are instances that may talk with each other.
-type fellows struct {
-	dir            string
-	addrs, publics []string
+// testMembers is the addresses and keys of instances that communicate with each other.
+type testMembers struct {
+	dir               string
+	addrs, publicKeys []string
 }
 
-func newFellows(t testing.TB, n int) *fellows {
+// newTestMembers makes the keys and selects the addresses of n instances.
+func newFellows(t testing.TB, n int) *testMembers {
 	t.Helper()
-	f := &fellows{dir: t.TempDir()}
+	members := &testMembers{dir: t.TempDir()}
 	for i := range n {
-		public, err := member.MakeKey(f.key(i))
+		public, err := member.MakeKey(members.keyPath(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.addrs, f.publics = append(f.addrs, free(t)), append(f.publics, public)
+		members.addrs, members.publicKeys = append(members.addrs, free(t)), append(members.publicKeys, public)
 	}
-	return f
+	return members
 }
 
-// key is the key file of one.
-func (f *fellows) key(i int) string { return filepath.Join(f.dir, fmt.Sprint("k", i)) }
+// keyPath returns the path of an instance's key file.
+func (m *testMembers) keyPath(i int) string { return filepath.Join(m.dir, fmt.Sprint("k", i)) }
 
-// file is what one is told of the first of them; the second may have more keys.
-func (f *fellows) file(i, of int, also ...string) string {
-	text := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key: %s\n  seeds: [%q]\n  of:\n", i, f.addrs[i], f.key(i), f.addrs[0])
-	for k, p := range f.publics[:of] {
+// productFile returns an instance's file with the first instances as members; the second one may have further keys.
+func (m *testMembers) file(i, of int, also ...string) string {
+	text := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key: %s\n  seeds: [%q]\n  of:\n", i, m.addrs[i], m.keyPath(i), m.addrs[0])
+	for k, p := range m.publicKeys[:of] {
 		keys := []string{p}
 		if k == 1 {
 			keys = append(keys, also...)
@@ -47,41 +48,42 @@
 	return text
 }
 
-// Two instances that find each other by their file: what both see fail at a web server makes a third look sooner and send it
-// less, and never takes it out; keys roll without a stop; and without the file no socket is opened.
-func TestMembersAtNode(t *testing.T) {
+// Instances find each other by their file. A server that two of them see fail is probed sooner by another one and gets
+// less traffic there, but is never ejected for that. Keys are replaced without a restart, and without members in the
+// file no socket is opened.
+func TestMembersShareEvidence(t *testing.T) {
 	t.Parallel()
-	const nodes = 4
-	some := newFellows(t, nodes)
+	const count = 4
+	instances := newFellows(t, count)
 	file := func(i int, also ...string) func(*Config) {
-		return under(t, "health: {checks: {interval: 1h, tcp: {}}}\n"+some.file(i, nodes, also...))
+		return under(t, "health: {checks: {interval: 1h, tcp: {}}}\n"+instances.file(i, count, also...))
 	}
-	gray := newBox(t, served)
-	list := []listed{gray.entry("s-0"), newBox(t, served).entry("s-1")}
-	var rigs []*rig
-	for i := range nodes {
-		r := newRig(t, newRegistry(t), settingsJSON, file(i), list...)
-		must(t, r.join(t.Context()))
-		t.Cleanup(r.edge.Close)
-		rigs = append(rigs, r)
+	failing := newBox(t, served)
+	list := []listed{failing.entry("s-0"), newBox(t, served).entry("s-1")}
+	var nodes []*rig
+	for i := range count {
+		node := newRig(t, newRegistry(t), settingsJSON, file(i), list...)
+		must(t, node.join(t.Context()))
+		t.Cleanup(node.edge.Close)
+		nodes = append(nodes, node)
 	}
-	everybody := func(r *rig) bool {
-		all := r.members()
-		return all.Alive == nodes && !slices.ContainsFunc(all.Members, func(m Member) bool { return m.State != "alive" })
+	allAlive := func(node *rig) bool {
+		all := node.members()
+		return all.Alive == count && !slices.ContainsFunc(all.Members, func(m Member) bool { return m.State != "alive" })
 	}
 	wait(t, "joining", func() bool {
-		return everybody(rigs[0]) && everybody(rigs[1]) && everybody(rigs[2]) && everybody(rigs[3])
+		return allAlive(nodes[0]) && allAlive(nodes[1]) && allAlive(nodes[2]) && allAlive(nodes[3])
 	})
-	// Two see it fail; what they saw is booked as attempts would be.
+	// Two instances see the server fail; the failures are recorded as those of attempts would be.
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			for _, r := range rigs[1:3] {
-				c := r.checker
+			for _, node := range nodes[1:3] {
+				c := node.checker
 				c.mu.Lock()
-				c.servers[c.ids["s-0"]].kos++
+				c.servers[c.ids["s-0"]].failures++
 				c.mu.Unlock()
 			}
 			select {
@@ -91,46 +93,46 @@
 			}
 		}
 	}()
-	w := &ward{rig: rigs[0]}
-	h := w.says(t, 0, "others' evidence", func(h Health) bool { return h.Weight == 0.5 })
+	checked := &checkedNode{rig: nodes[0]}
+	h := checked.waitForHealth(t, 0, "others' evidence", func(h ServerHealth) bool { return h.Weight == 0.5 })
 	if h.Out || h.Why != "other instances see it fail" {
 		t.Errorf("%+v", h)
 	}
-	if h := func() Health { c, _ := rigs[0].healthOf("s-1"); return c.Servers[0] }(); h.Weight != 1 {
+	if h := func() ServerHealth { c, _ := nodes[0].healthOf("s-1"); return c.Servers[0] }(); h.Weight != 1 {
 		t.Errorf("the other server: %+v", h)
 	}
-	wait(t, "a look of its own", func() bool { c, _ := rigs[0].healthOf(""); return c.Probes > 0 })
+	wait(t, "a probe of its own", func() bool { c, _ := nodes[0].healthOf(""); return c.Probes > 0 })
 	close(stop)
-	receive(t, "the end of the talk", done)
-	// n1 rolls: the next key goes round, then it is used, then the old one is struck off.
-	path := some.key(1)
+	receive(t, "the end of the failures", done)
+	// n1 replaces its key: the next key is distributed, then it is used, then the old one is removed.
+	path := instances.keyPath(1)
 	next, err := member.NextKey(path)
 	must(t, err)
 	reload := func(also ...string) {
 		t.Helper()
-		for i, r := range rigs {
-			cfg := r.cfg
+		for i, node := range nodes {
+			cfg := node.cfg
 			file(i, also...)(&cfg)
-			ring, err := r.ring(cfg)
+			ring, err := node.memberKeyring(cfg)
 			must(t, err)
-			r.rekey(ring)
+			node.updateKeyring(ring)
 		}
 	}
 	reload(next)
 	_, err = member.UseNext(path)
 	must(t, err)
 	reload(next)
-	some.publics[1] = next
+	instances.publicKeys[1] = next
 	reload()
-	wait(t, "all with the new key", func() bool { return everybody(rigs[0]) && everybody(rigs[1]) && everybody(rigs[3]) })
-	cfg := rigs[1].cfg
-	some.publics[1] = some.publics[2] // a file that is wrong changes nothing
+	wait(t, "all instances with the new key", func() bool { return allAlive(nodes[0]) && allAlive(nodes[1]) && allAlive(nodes[3]) })
+	cfg := nodes[1].cfg
+	instances.publicKeys[1] = instances.publicKeys[2] // an invalid file changes nothing
 	if f, err := config.Parse("p.yaml", []byte("members: {name: n1, listen: 127.0.0.1:0, key: nowhere, of: [{name: n1, keys: ["+next+"]}]}")); err != nil {
 		t.Fatal(err)
-	} else if cfg.Product = f; rigs[1].reload(cfg) == nil {
-		t.Error("a key file that is not there is taken")
+	} else if cfg.Product = f; nodes[1].reload(cfg) == nil {
+		t.Error("a missing key file is accepted")
 	}
-	for _, p := range rigs[0].pages() {
+	for _, p := range nodes[0].pages() {
 		if p.Path == "members" {
 			var text strings.Builder
 			must(t, p.Write(&text, nil))
@@ -141,6 +143,6 @@
 	}
 	bare := newRig(t, newRegistry(t), settingsJSON, nil, list...)
 	if must(t, bare.join(t.Context())); bare.edge != nil {
-		t.Error("a node without a file talks")
+		t.Error("a node without members in its file communicates")
 	}
 }
