--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,17 +11,18 @@
 	"portstall/policy"
 )
 
-// crossTime is how long after new settings a request may still be worded by the old ones: clients learn of them in
-// their own time.
-const crossTime = 2 * time.Second
+// previousSettingsGrace is how long after a reload a request may still carry the effects of the previous settings: clients
+// learn of new settings at different times.
+const previousSettingsGrace = 2 * time.Second
 
-// settings are what a configuration says that can change in service. They are immutable: a reload swaps the whole.
+// settings is the part of a configuration that can change while the node serves. It is immutable: a reload replaces it
+// as a whole.
 type settings struct {
 	wire.Settings
-	effects map[string]policy.Effect // of the classes
-	windows map[string]time.Duration // of those whose keys bind them to a pod or zone
-	before  map[string]policy.Effect // of those until the last reload,
-	until   time.Time                // which count until then
+	effects         map[string]policy.Effect // effects by class
+	windows         map[string]time.Duration // repeat windows of the classes whose keys bind a request to a pod or zone
+	previousEffects map[string]policy.Effect // effects by class before the last reload
+	previousUntil   time.Time                // until when previousEffects are accepted too
 }
 
 func newSettings(set wire.Settings) *settings {
@@ -35,7 +36,7 @@
 	return s
 }
 
-// longest is how long a client waits at most.
+// maxDeadline returns the longest time that a client waits for its response; 3 s where no class has a deadline.
 func (s *settings) longest() time.Duration {
 	var longest time.Duration
 	for _, c := range s.Policy.Classes {
@@ -48,53 +49,56 @@
 }
 
 var (
-	errClass  = errors.New("X-Class: no such class")
-	errMethod = errors.New("method or Idempotency-Key: not those of the class")
+	errUnknownClass   = errors.New("X-Class: no such class")
+	errMethodMismatch = errors.New("method or Idempotency-Key: not those of the class")
 )
 
-// fits tells whether a request is worded as its class wants it.
+// checkRequest reports whether a request's method and headers fit its class, by the settings in force or, shortly after
+// a reload, by the previous ones.
 func (s *settings) fits(r *http.Request) error {
-	err := fits(s.effects, r)
-	if err != nil && time.Now().Before(s.until) && fits(s.before, r) == nil {
+	err := checkHeaders(s.effects, r)
+	if err != nil && time.Now().Before(s.previousUntil) && checkHeaders(s.previousEffects, r) == nil {
 		return nil
 	}
 	return err
 }
 
-func fits(effects map[string]policy.Effect, r *http.Request) error {
+// checkHeaders reports whether a request's method and Idempotency-Key fit the effect of its class.
+func checkHeaders(effects map[string]policy.Effect, r *http.Request) error {
 	effect, known := effects[r.Header.Get("X-Class")]
 	if !known {
-		return errClass
+		return errUnknownClass
 	}
 	key := r.Header.Get("Idempotency-Key") != ""
 	if (r.Method == http.MethodGet) != (effect == policy.Safe) || effect == policy.Keyed && !key || effect == policy.Unsafe && key {
-		return errMethod
+		return errMethodMismatch
 	}
 	return nil
 }
 
-// retune swaps the settings. Requests that were taken keep their class, and what was learnt of backends stays.
+// applySettings replaces the settings. Accepted requests keep their class, and the statistics of the web servers stay.
 // The core's lock is held.
-func (n *node) retune(set wire.Settings) {
+func (n *node) applySettings(set wire.Settings) {
 	s, old := newSettings(set), n.set.Load()
-	s.before, s.until = old.effects, time.Now().Add(crossTime)
+	s.previousEffects, s.previousUntil = old.effects, time.Now().Add(previousSettingsGrace)
 	n.set.Store(s)
 	n.pool.Tune(set.ConnectTimeout, set.ConnIdle)
 	n.core.Handle(&policy.Event{Kind: policy.EvSettings, Settings: &s.Policy})
 }
 
-// reload takes in a configuration that was read again: the settings, and the address of discovery. The rest belongs
-// to the process's start. All of it is checked before any is put in force: an error means that nothing has changed.
+// reload applies a configuration that was read again: its settings, and the address of discovery. The rest takes effect
+// only at the start of a process. Everything is checked before anything is applied: after an error nothing has changed.
 func (n *node) reload(cfg Config) error {
-	err := n.change(cfg)
+	err := n.applyConfig(cfg)
 	if err != nil {
-		n.log.Error("the new configuration is bad; keeping the old one", "err", err)
+		n.log.Error("new configuration rejected; keeping the old one", "err", err)
 	}
 	return err
 }
 
-func (n *node) change(cfg Config) error {
-	ring, err := n.ring(cfg)
+// applyConfig checks and applies a configuration, for reload.
+func (n *node) applyConfig(cfg Config) error {
+	ring, err := n.memberKeyring(cfg)
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
@@ -102,66 +106,66 @@
 	if err != nil {
 		return fmt.Errorf("contracts: %w", err)
 	}
-	terms, err := n.terms(cfg)
+	terms, err := n.cellTerms(cfg)
 	if err != nil {
 		return err
 	}
 	if err := cfg.Settings.Policy.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	f := n.cfg.followed
-	f.lock() // what control tells changes before all of this, or behind it
-	defer f.unlock()
-	var anew *catalog.Change
-	if f != nil {
-		if anew, err = f.recheck(cfg); err != nil {
+	follower := n.cfg.followed
+	follower.lock() // a change from control is applied before all of this or after it
+	defer follower.unlock()
+	var recompiled *catalog.Change
+	if follower != nil {
+		if recompiled, err = follower.recheck(cfg); err != nil {
 			return err
 		}
 	}
-	n.rekey(ring)
+	n.updateKeyring(ring)
 	n.core.Lock()
 	defer n.core.Unlock()
 	if err := n.core.Context().Err(); err != nil {
 		return err
 	}
 	if n.cells != nil {
-		if f != nil {
-			terms.Tenants = n.cells.Tenants() // those are control's
+		if follower != nil {
+			terms.Tenants = n.cells.Tenants() // control owns the pinned tenants
 		}
 		n.cells.Change(terms)
 	}
-	n.retune(cfg.Settings)
-	if f != nil {
-		n.apply(anew)
-		f.renewed(cfg, anew)
+	n.applySettings(cfg.Settings)
+	if follower != nil {
+		n.applyCatalogChange(recompiled)
+		follower.commitReload(cfg, recompiled)
 	} else {
 		n.core.Bind(table)
 	}
-	n.log.Info("new settings are in force", "classes", len(cfg.Settings.Policy.Classes),
-		"max attempts", cfg.Settings.Policy.MaxAttempts)
+	n.log.Info("new settings applied", "classes", len(cfg.Settings.Policy.Classes),
+		"max_attempts", cfg.Settings.Policy.MaxAttempts)
 	if cfg.Discovery != n.disc.addr {
-		n.follow(cfg.Discovery)
+		n.switchDiscovery(cfg.Discovery)
 	}
 	return nil
 }
 
-// replaces tells whether a configuration file can take the place of the one in force. Defaults are for a start, where
-// there is nothing to fall back on: here a key that is missing, or a time of nothing, means a broken file.
-func replaces(file, inForce any, set wire.Settings) error {
-	if key := missing("", inForce, file); key != "" {
+// checkReplacement checks whether a configuration file can replace the one in force. Defaults apply only at a start,
+// where there is no earlier value to keep: in a reload a missing key, or a deadline of zero, means a broken file.
+func checkReplacement(file, inForce any, set wire.Settings) error {
+	if key := missingKey("", inForce, file); key != "" {
 		return fmt.Errorf("%s: missing", key)
 	}
 	for _, c := range set.Policy.Classes {
 		if c.Deadline <= 0 {
-			return fmt.Errorf("settings: grades: %s: deadline_s is not over 0", c.Name)
+			return fmt.Errorf("settings: grades: %s: deadline_s is not greater than 0", c.Name)
 		}
 	}
 	return nil
 }
 
-// missing returns the first key of a JSON value that another one lacks; each element of a list is held against the
-// first of the old list. It is empty where none is missing.
-func missing(path string, old, new any) string {
+// missingKey returns the path of the first key of the JSON value old that new lacks, or "" where none is missing. Each
+// element of a list is compared with the first element of the old list.
+func missingKey(path string, old, new any) string {
 	switch old := old.(type) {
 	case map[string]any:
 		fields, ok := new.(map[string]any)
@@ -169,15 +173,15 @@
 			return path
 		}
 		for name, value := range old {
-			here := name
+			keyPath := name
 			if path != "" {
-				here = path + "." + name
+				keyPath = path + "." + name
 			}
 			v, ok := fields[name]
 			if !ok {
-				return here
+				return keyPath
 			}
-			if key := missing(here, value, v); key != "" {
+			if key := missingKey(keyPath, value, v); key != "" {
 				return key
 			}
 		}
@@ -190,7 +194,7 @@
 			if len(old) == 0 {
 				break
 			}
-			if key := missing(fmt.Sprintf("%s[%d]", path, i), old[0], item); key != "" {
+			if key := missingKey(fmt.Sprintf("%s[%d]", path, i), old[0], item); key != "" {
 				return key
 			}
 		}
--- /dev/null
+++ b/internal/node/stub_control_test.go
@@ -0,0 +1,134 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"testing"
+
+	"portstall/internal/lab/standin"
+	"portstall/internal/resource"
+)
+
+// stubControl is a stub of a control process.
+type stubControl struct {
+	*standin.Control
+	t testing.TB
+}
+
+// newStubControl starts a stub control with a first configuration; without resources it has none yet.
+func newStubControl(t testing.TB, first ...resource.Resource) *stubControl {
+	t.Helper()
+	c, err := standin.NewControl(first...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.Stop)
+	return &stubControl{c, t}
+}
+
+// change puts and removes resources as the next version, and returns that version.
+func (d *stubControl) change(put []resource.Resource, gone ...resource.Key) resource.Version {
+	d.t.Helper()
+	v, err := d.Change(put, gone...)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return v
+}
+
+// newResource returns a resource; its spec is JSON.
+func newResource(kind resource.Kind, name, spec string) resource.Resource {
+	return resource.Resource{Key: resource.Key{Kind: kind, Name: name}, Spec: json.RawMessage(spec)}
+}
+
+// tenantContract returns a contract for a tenant of the same name, with a rate that hardly refills.
+func tenantContract(tenant string, burst int) resource.Resource {
+	return newResource(resource.Contract, tenant, fmt.Sprintf(`{"name":%q,"match":[{"tenant":%q}],"rate":0.001,"burst":%d}`, tenant, tenant, burst))
+}
+
+// respondWithDelta responds with a delta.
+func respondWithDelta(d *resource.Delta) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		text, err := json.Marshal(d)
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusInternalServerError)
+			return
+		}
+		w.Write(text)
+	}
+}
+
+// holdResponse sends no response until the caller disconnects or until is closed.
+func holdResponse(until <-chan struct{}) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case <-r.Context().Done():
+		case <-until:
+		}
+	}
+}
+
+// newControlledNode starts a node that follows control, and returns once that has its first configuration.
+func newControlledNode(t testing.TB, control *stubControl, discovery *registry, product string, more func(*Config), known ...listed) *rig {
+	t.Helper()
+	return newControlledSuccessor(t, nil, control, discovery, product, more, known...)
+}
+
+// newControlledSuccessor starts a node like newControlledNode's, with the state that a predecessor handed over; nil: none.
+func newControlledSuccessor(t testing.TB, old *estate, control *stubControl, discovery *registry, product string, more func(*Config), known ...listed) *rig {
+	t.Helper()
+	file := under(t, product+fmt.Sprintf("control: {addresses: [%q]}\n", control.Addr))
+	var follower *configFollower
+	node := newHeir(t, old, discovery, settingsJSON, func(c *Config) {
+		file(c)
+		if more != nil {
+			more(c)
+		}
+		follower = newConfigFollower(*c, slog.New(slog.DiscardHandler))
+		c.followed = follower
+		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		defer cancel()
+		if err := follower.await(ctx, c, nil); err != nil {
+			t.Fatal(follower.missingConfiguration())
+		}
+	}, known...)
+	t.Cleanup(func() {
+		closed := make(chan struct{})
+		go func() {
+			follower.close()
+			close(closed)
+		}()
+		receive(t, "the end of the calls to control", closed)
+	})
+	return node
+}
+
+// startPredecessor starts a node that follows control, and returns once it is ready. startSuccessor starts a process
+// that takes the clients over from it, and returns once that is ready; the predecessor finishes what it has accepted.
+func startPredecessor(t testing.TB, control *stubControl, discovery *registry, server *box) (node *rig, startSuccessor func() *rig) {
+	t.Helper()
+	path := meetAt(t)
+	meets := func(c *Config) { c.meet = path }
+	node = newControlledNode(t, control, discovery, "", meets, server.entry("s-1"))
+	wait(t, "the predecessor", func() bool { return node.Ready() == nil })
+	return node, func() *rig {
+		t.Helper()
+		successor := newControlledSuccessor(t, node.meet(t).estate, control, discovery, "", func(c *Config) {
+			unhurried(c)
+			meets(c)
+		}, server.entry("s-1"))
+		wait(t, "the successor", func() bool { return successor.Ready() == nil })
+		return successor
+	}
+}
+
+// versionInForce returns the version of control's configuration in force at the node.
+func (r *rig) versionInForce() resource.Version {
+	follower := r.cfg.followed
+	follower.mu.Lock()
+	defer follower.mu.Unlock()
+	return follower.set.Version()
+}
