--- a/internal/node/stream_test.go
+++ b/internal/node/body_test.go
@@ -17,7 +17,7 @@
 )
 
 // pattern is a body of the given size in which no part looks like another.
-func pattern(size int) string {
+func distinctBody(size int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < size; i++ {
 		fmt.Fprintf(&b, "%d,", i)
@@ -37,7 +37,7 @@
 }
 
 // allBack waits until everything that bodies held is given back.
-func allBack(t *testing.T, r *rig) {
+func waitBudgetReleased(t *testing.T, r *rig) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -53,7 +53,7 @@
 func TestBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{0, 1, flow.Keep - 1, flow.Keep, flow.Keep + 1, 3 << 20} {
-		text := pattern(size)
+		text := distinctBody(size)
 		for name, answer := range map[string]func(c net.Conn) bool{
 			"a length": func(c net.Conn) bool { return reply(c, 200, "", text) },
 			"chunks": func(c net.Conn) bool {
@@ -67,14 +67,14 @@
 		} {
 			t.Run(fmt.Sprint(size, " by ", name), func(t *testing.T) {
 				t.Parallel()
-				passUnchanged(t, text, answer, name != "the connection's end")
+				checkPassesUnchanged(t, text, answer, name != "the connection's end")
 			})
 		}
 	}
 }
 
 // passUnchanged sends text with its length told and in chunks, in pieces, and wants it at the backend and back.
-func passUnchanged(t *testing.T, text string, answer func(c net.Conn) bool, keeps bool) {
+func checkPassesUnchanged(t *testing.T, text string, answer func(c net.Conn) bool, keeps bool) {
 	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if got, _ := io.ReadAll(r.Body); string(got) != text {
 			t.Errorf("the backend got %d other bytes", len(got))
@@ -104,13 +104,13 @@
 	if n := b.connections(); keeps && n != 1 {
 		t.Errorf("%d connections, want the first kept", n)
 	}
-	allBack(t, r)
+	waitBudgetReleased(t, r)
 }
 
 // What a backend has given of a large answer is passed on at once; where it then breaks off, the client can tell.
-func TestLargeAnswerIsPassedOnAsItComes(t *testing.T) {
+func TestLargeResponseIsStreamed(t *testing.T) {
 	t.Parallel()
-	part := pattern(100 << 10)
+	part := distinctBody(100 << 10)
 	for name, head := range map[string]string{
 		"a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(part)),
 		"chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(part)),
@@ -134,12 +134,12 @@
 		if _, err := io.Copy(io.Discard, resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%s: at the break %v, want the client to see that it is not whole", name, err)
 		}
-		allBack(t, r)
+		waitBudgetReleased(t, r)
 	}
 }
 
 // Nobody asks for the rest of an answer once the client has left.
-func TestClientLeavesALargeAnswer(t *testing.T) {
+func TestClientDisconnectsDuringLargeResponse(t *testing.T) {
 	t.Parallel()
 	broken := make(chan struct{})
 	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -164,11 +164,11 @@
 	case <-time.After(patience):
 		t.Error("the backend goes on sending")
 	}
-	allBack(t, r)
+	waitBudgetReleased(t, r)
 }
 
 // A large body is gone once a part of it was sent: the request can't be tried again. A small one can.
-func TestOnlyWhatIsInHandIsSentAgain(t *testing.T) {
+func TestOnlyBufferedBodyIsRetried(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ size, status, sends int }{{flow.Keep, 200, 2}, {flow.Keep + 1, 500, 1}} {
 		var sends atomic.Int64
@@ -182,13 +182,13 @@
 		if resp, _ := r.dial(t).ask(q); resp.StatusCode != c.status || int(sends.Load()) != c.sends {
 			t.Errorf("%d bytes: %d after %d sends, want %d after %d", c.size, resp.StatusCode, sends.Load(), c.status, c.sends)
 		}
-		allBack(t, r)
+		waitBudgetReleased(t, r)
 	}
 }
 
 // A request that is given up has its answer at once, though its body is still to come; the client can send the rest
 // and read it.
-func TestRefusedBeforeTheBodyHasCome(t *testing.T) {
+func TestRefusalBeforeBodyIsComplete(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newRegistry(t), settingsJSON, nil)
 	q := save("q")
@@ -203,16 +203,16 @@
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v, want the connection closed", err)
 	}
-	allBack(t, r)
+	waitBudgetReleased(t, r)
 }
 
 // A client that waits to be told to go on is told so; one that leaves amid its body harms nobody.
-func TestExpectAndLeave(t *testing.T) {
+func TestExpectContinueAndDisconnectDuringBody(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
 	q := save("q")
-	q.body = pattern(200 << 10)
+	q.body = distinctBody(200 << 10)
 	head, _, _ := strings.Cut(q.text(), "\r\n\r\n")
 	c := r.dial(t)
 	c.send("\r\n" + head + "\r\nExpect: 100-continue\r\n\r\n")
@@ -240,5 +240,5 @@
 	if n := len(b.requests()); n != 1 {
 		t.Errorf("the backend got %d whole requests, want 1", n)
 	}
-	allBack(t, r)
+	waitBudgetReleased(t, r)
 }
--- a/internal/node/leave_test.go
+++ b/internal/node/client_gone_test.go
@@ -22,13 +22,13 @@
 )
 
 // seen is a connection of a client whose end at the node the test has too.
-type seen struct {
+type observedClient struct {
 	*client
 	end net.Conn
 }
 
 // bothEnds is a connection: the end that dialled, and the other.
-func bothEnds(t *testing.T) (conn, end net.Conn) {
+func connPair(t *testing.T) (conn, end net.Conn) {
 	t.Helper()
 	far, near, err := standin.Pair()
 	must(t, err)
@@ -37,16 +37,16 @@
 }
 
 // apart is one that the node does not know of yet.
-func apart(t *testing.T) seen {
+func newUnattachedClient(t *testing.T) observedClient {
 	t.Helper()
-	c, end := bothEnds(t)
+	c, end := connPair(t)
 	c.SetDeadline(time.Now().Add(patience))
-	return seen{&client{t, c, bufio.NewReader(c)}, end}
+	return observedClient{&client{t, c, bufio.NewReader(c)}, end}
 }
 
 // noRoom takes the room that bodies of requests have, but for a small one's: whoever needs more waits, and others behind it. It is given
 // back by what is returned.
-func (r *rig) noRoom(t *testing.T) (makeRoom func()) {
+func (r *rig) fillBodyBudget(t *testing.T) (makeRoom func()) {
 	t.Helper()
 	taken := r.cfg.bodyBytes()/2 - flow.Small
 	must(t, r.budget.Request(context.Background(), taken))
@@ -54,7 +54,7 @@
 }
 
 // waitsForRoom returns once a body waits for room.
-func (r *rig) waitsForRoom(t *testing.T) {
+func (r *rig) waitForBodyWaiter(t *testing.T) {
 	t.Helper()
 	wait(t, "the wait for room", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -68,7 +68,7 @@
 }
 
 // take hands one's end to the node.
-func (r *rig) take(t *testing.T, c seen) {
+func (r *rig) attach(t *testing.T, c observedClient) {
 	t.Helper()
 	if !r.clients.Take() {
 		t.Fatal("no place")
@@ -77,16 +77,16 @@
 }
 
 // connect makes one, and hands its end to the node.
-func (r *rig) connect(t *testing.T) seen {
+func (r *rig) connectClient(t *testing.T) observedClient {
 	t.Helper()
-	c := apart(t)
-	r.take(t, c)
+	c := newUnattachedClient(t)
+	r.attach(t, c)
 	return c
 }
 
 // A request whose client has left while it waited is not sent on, whatever it waited for, however much stands unread behind it,
 // and also where the settings let no attempt be cancelled. The wait ends only once the node's socket knows of the leaving.
-func TestWhoHasLeftIsNotSentOn(t *testing.T) {
+func TestDisconnectedClientsRequestIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	surplus := strings.Repeat(view("more").text(), 600) // more than a connection's buffer
 	upload := quote("x")
@@ -132,7 +132,7 @@
 				var once sync.Once
 				var sent net.Conn // the server's end
 				var mu sync.Mutex
-				r.through("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+				r.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 					once.Do(func() { close(waiting) })
 					<-held
 					conn, err := d.Dial("tcp", addr) // it comes up, though nobody waits for it any more
@@ -146,20 +146,20 @@
 				if c.retry {
 					must(t, r.Disable(context.Background(), "s-1")) // until the other one has turned the request away
 				}
-				cl := apart(t)
+				cl := newUnattachedClient(t)
 				makeRoom := func() {}
 				if c.room {
-					makeRoom = r.noRoom(t)
+					makeRoom = r.fillBodyBudget(t)
 				}
 				// It is all sent before the node reads any of it: what it threw away meanwhile would make room for more.
-				if n := cl.pour(t, c.text); strings.HasSuffix(c.text, flood) != (n < len(c.text)) || n > flow.SpillMost {
+				if n := cl.fill(t, c.text); strings.HasSuffix(c.text, flood) != (n < len(c.text)) || n > flow.SpillMost {
 					t.Fatalf("the kernels took %d bytes of %d", n, len(c.text))
 				}
-				r.take(t, cl)
+				r.attach(t, cl)
 				if !c.room {
 					receive(t, "the wait for a connection", waiting)
 				} else {
-					r.waitsForRoom(t)
+					r.waitForBodyWaiter(t)
 				}
 				cl.Close()
 				late := c.room && strings.HasSuffix(c.text, flood) // its end comes once its body is read
@@ -195,13 +195,13 @@
 }
 
 // closed tells whether the node has closed its end.
-func (c seen) closed() bool {
+func (c observedClient) closed() bool {
 	raw, err := c.end.(*net.TCPConn).SyscallConn()
 	return err != nil || raw.Control(func(uintptr) {}) != nil
 }
 
 // pour sends as much of a text as the two kernels take at once, and tells how much that is.
-func (c seen) pour(t *testing.T, text string) (sent int) {
+func (c observedClient) fill(t *testing.T, text string) (sent int) {
 	t.Helper()
 	sent, err := standin.Pour(c.Conn.(*net.TCPConn), text, 64<<10)
 	must(t, err)
@@ -211,7 +211,7 @@
 // A client that leaves while its first attempt is out has no further one, whatever that one comes to: of each effect, and also
 // where no attempt can be cancelled. Both orders of its end and the attempt's are forced: the core learns of the leaving first, or
 // of the failure, with a retry, while the leaving is only to be seen on the socket.
-func TestWhoHasLeftGetsNoFurtherAttempt(t *testing.T) {
+func TestDisconnectedClientGetsNoRetry(t *testing.T) {
 	t.Parallel()
 	refuses := func(context.Context, *net.Dialer, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	for _, fails := range []struct {
@@ -268,10 +268,10 @@
 								<-held
 								return refuses(ctx, d, addr)
 							}
-							r.through("s-1", dial)
-							r.through("s-2", dial)
+							r.setDial("s-1", dial)
+							r.setDial("s-2", dial)
 						}
-						cl := r.connect(t)
+						cl := r.connectClient(t)
 						cl.send(q.text())
 						receive(t, "the first attempt", first)
 						unlock := func() {}
@@ -307,7 +307,7 @@
 // A client that stands, with more behind its request than the kernel takes, has its answer whole; the connection closes behind it, as
 // what followed is lost, and nothing of that reaches a server. It sends no more than the node throws away before it gives a client up:
 // one that goes on as long as it is read would get there on a slow machine.
-func TestWhoSendsTooMuchAheadIsAnswered(t *testing.T) {
+func TestPipelinedExcessStillGetsResponse(t *testing.T) {
 	t.Parallel()
 	surplus := strings.Repeat(view("more").text(), 200<<10)
 	for _, c := range []struct {
@@ -321,17 +321,17 @@
 			b := newSlowBox(t, hold)
 			t.Cleanup(release)
 			r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-			cl := apart(t)
+			cl := newUnattachedClient(t)
 			cl.send(quote("slow").text())
 			if c.ahead {
-				if n := cl.pour(t, surplus); n < 200<<10 || n > flow.SpillMost/2+flow.SpillMost/4 || n == len(surplus) {
+				if n := cl.fill(t, surplus); n < 200<<10 || n > flow.SpillMost/2+flow.SpillMost/4 || n == len(surplus) {
 					t.Fatalf("the kernels took %d bytes of %d: the window is not shut, or too much is sent", n, len(surplus))
 				}
 			}
-			r.take(t, cl)
+			r.attach(t, cl)
 			wait(t, "the request at the server", func() bool { return len(b.requests()) == 1 })
 			if !c.ahead {
-				if n := cl.pour(t, surplus[:flow.SpillMost/2]); n < 200<<10 {
+				if n := cl.fill(t, surplus[:flow.SpillMost/2]); n < 200<<10 {
 					t.Fatalf("the kernels took %d bytes: the window is not shut", n)
 				}
 			}
@@ -351,10 +351,10 @@
 }
 
 // An opaque attempt is a connection to its server: for a client that has left none is opened.
-func TestWhoHasLeftGetsNoTunnel(t *testing.T) {
+func TestDisconnectedClientGetsNoTunnel(t *testing.T) {
 	t.Parallel()
 	l := newLines(t, nil)
-	r, _, _ := opaqueNode(t, "", "", l.entry("s-1"))
+	r, _, _ := newOpaqueNode(t, "", "", l.entry("s-1"))
 	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute}}
 	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream, Left: func() bool { return true }}, Server: r.backendOf("s-1").Server,
 		Wait: patience}
@@ -378,13 +378,13 @@
 
 // A client that ends its sending alone has given its request up, and is told so: exactly one final answer, refused where no
 // attempt was begun, failed where one may have run.
-func TestHalfCloseIsAnswered(t *testing.T) {
+func TestHalfCloseGetsFinalResponse(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
 	defer close(hold)
 	b := newSlowBox(t, hold)
 	r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-	c := r.connect(t)
+	c := r.connectClient(t)
 	c.send(quote("slow").text())
 	wait(t, "the request at the server", func() bool { return len(b.requests()) == 1 })
 	must(t, c.Conn.(*net.TCPConn).CloseWrite())
@@ -395,7 +395,7 @@
 		t.Errorf("%d more bytes, %v", n, err)
 	}
 	wait(t, "an empty table", func() bool { return r.openRequests() == 0 })
-	c = r.connect(t)
+	c = r.connectClient(t)
 	c.send(view("v").text())
 	if resp, body := c.answer(); resp.StatusCode != 200 {
 		t.Errorf("the next: %d %s", resp.StatusCode, fmt.Sprint(body))
@@ -403,30 +403,30 @@
 }
 
 // crossing is a connection on which something happens between a read from the socket and what the reader makes of it.
-type crossing struct {
+type hookedConn struct {
 	*net.TCPConn
-	between func()
+	afterRead func()
 }
 
-func (c *crossing) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.between != nil && n > 0 {
-		c.between()
+	if c.afterRead != nil && n > 0 {
+		c.afterRead()
 	}
 	return n, err
 }
 
 // The node closes what carries no request in the moment between a request's first byte and the note of it: the request is read
 // to its end and answered all the same, and only then its connection is closed. So with a body that is still to come.
-func TestIdleCloseCrossesARequest(t *testing.T) {
+func TestIdleCloseCrossesRequest(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	for _, text := range []string{view("v").text(), save("s").text()} {
 		r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-		conn, end := bothEnds(t)
+		conn, end := connPair(t)
 		r.clients.Take()
 		crossed := make(chan struct{})
-		x := &crossing{TCPConn: end.(*net.TCPConn), between: sync.OnceFunc(func() {
+		x := &hookedConn{TCPConn: end.(*net.TCPConn), afterRead: sync.OnceFunc(func() {
 			r.life.enter(drained)
 			r.clients.CloseIdle()
 			close(crossed)
@@ -449,11 +449,11 @@
 
 // A request whose end comes once new connections have ceased behind SIGTERM has its answer before SIGKILL: its server is told of no
 // more time than that. One that came before has its own.
-func TestLateRequestsEndBeforeTheKill(t *testing.T) {
+func TestLateRequestsEndBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-	c, half := r.dial(t), r.connect(t)
+	c, half := r.dial(t), r.connectClient(t)
 	text := save("late").text()
 	half.send(text[:30])
 	wait(t, "the first half", func() bool { return flow.Pending(half.end) == flow.Nothing })
@@ -475,7 +475,7 @@
 	for _, got := range b.requests() {
 		told, err := time.ParseDuration(strings.Replace(got.Header.Get("X-Deadline"), "u", "us", 1))
 		must(t, err)
-		if late := got.Header.Get("X-Request-Id") == "late"; late != (told < killMost+killAfter) {
+		if late := got.Header.Get("X-Request-Id") == "late"; late != (told < maxDeadlineBeforeKill+killGrace) {
 			t.Errorf("%s: its server was told of %v", got.Header.Get("X-Request-Id"), told)
 		}
 	}
--- a/internal/node/idle_test.go
+++ b/internal/node/connection_close_test.go
@@ -14,22 +14,22 @@
 )
 
 // cutting is a connection to a server on which the server's end goes once a part of the first write has come there.
-type cutting struct {
+type cuttingConn struct {
 	*net.TCPConn
-	at  func(whole int) int // how much of it
-	cut func(n int)
+	prefix   func(whole int) int // how much of it
+	onPrefix func(n int)
 }
 
-func (c *cutting) Write(p []byte) (int, error) {
-	if c.cut == nil {
+func (c *cuttingConn) Write(p []byte) (int, error) {
+	if c.onPrefix == nil {
 		return c.TCPConn.Write(p)
 	}
-	n, err := c.TCPConn.Write(p[:c.at(len(p))])
+	n, err := c.TCPConn.Write(p[:c.prefix(len(p))])
 	if err != nil {
 		return n, err
 	}
-	c.cut(n)
-	if c.cut = nil; n == len(p) {
+	c.onPrefix(n)
+	if c.onPrefix = nil; n == len(p) {
 		return n, nil
 	}
 	m, err := c.TCPConn.Write(p[n:])
@@ -39,7 +39,7 @@
 // A server closes a connection while a request is written to it: before its first byte, in its head, before its last byte, and
 // behind it. A reset that came before the last byte was taken proves that nothing ran, and each class goes to the other server. What
 // was written whole may have run, whatever closed: only a class that may be repeated goes there. None is ever there twice.
-func TestServerClosesUnderARequest(t *testing.T) {
+func TestServerClosesDuringRequest(t *testing.T) {
 	t.Parallel()
 	for _, q := range []call{view("q"), save("q"), quote("q")} {
 		for _, c := range []struct {
@@ -63,7 +63,7 @@
 				first := listed{ID: "s-1", Addr: ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 				r := newRig(t, newRegistry(t), settingsJSON, unhurried, first, other.entry("s-2"))
 				must(t, r.Disable(context.Background(), "s-2")) // until the first attempt is under way
-				r.through("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+				r.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 					conn, err := d.Dial("tcp", addr)
 					if err != nil {
 						return nil, err
@@ -72,7 +72,7 @@
 					if err != nil {
 						return nil, err
 					}
-					return &cutting{TCPConn: conn.(*net.TCPConn), at: c.at, cut: func(n int) {
+					return &cuttingConn{TCPConn: conn.(*net.TCPConn), prefix: c.at, onPrefix: func(n int) {
 						if _, err := io.ReadFull(end, make([]byte, n)); err != nil {
 							t.Error(err)
 						}
@@ -101,14 +101,14 @@
 
 // A connection that a client keeps makes room for a new one in the moment between the first byte of its next request and the note of
 // it. That request has its one answer, a refusal, as it is one too many then; it reaches no server, and the connection closes behind it.
-func TestRoomIsMadeAmidARequest(t *testing.T) {
+func TestEvictionCrossesNextRequest(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
 	r.clients.Resize(1)
-	kept := apart(t)
+	kept := newUnattachedClient(t)
 	reads := 0 // that brought something
-	x := &crossing{TCPConn: kept.end.(*net.TCPConn), between: func() {
+	x := &hookedConn{TCPConn: kept.end.(*net.TCPConn), afterRead: func() {
 		if reads++; reads != 2 {
 			return
 		}
--- a/internal/node/lost_test.go
+++ b/internal/node/deadline_test.go
@@ -20,7 +20,7 @@
 // what is left of it then is what the server is told and the answer has. Where the last byte comes once there is room, no time has
 // run; where all has gone by, the request is refused and no attempt is made. A body in chunks does not tell how long it is: it
 // counts as there.
-func TestTimeRunsWhileABodyWaitsForRoom(t *testing.T) {
+func TestDeadlineRunsWhileBodyWaitsForBudget(t *testing.T) {
 	t.Parallel()
 	const told = 50 * time.Second // what the clients say
 	length := flow.Keep / 2
@@ -42,20 +42,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			clock := &stepping{now: time.Hour}
+			clock := &stepClock{now: time.Hour}
 			b := newBox(t, served)
 			r := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
 				unhurried(cfg)
 				cfg.clock = clock
 			}, b.entry("s-1"))
-			makeRoom := r.noRoom(t)
-			cl := apart(t)
+			makeRoom := r.fillBodyBudget(t)
+			cl := newUnattachedClient(t)
 			early := c.text[:len(c.text)-c.late]
-			if n := cl.pour(t, early); n < len(early) {
+			if n := cl.fill(t, early); n < len(early) {
 				t.Fatalf("the kernels took %d bytes of %d", n, len(early))
 			}
-			r.take(t, cl)
-			r.waitsForRoom(t)
+			r.attach(t, cl)
+			r.waitForBodyWaiter(t)
 			clock.advance(c.waits)
 			makeRoom()
 			if c.late > 0 {
@@ -73,13 +73,13 @@
 			if resp.StatusCode != http.StatusOK || len(got) != 1 {
 				t.Fatalf("%d, with %d attempts", resp.StatusCode, len(got))
 			}
-			isTold(t, got[0], c.left-transit)
+			checkDeadlineHeader(t, got[0], c.left-transitAllowance)
 		})
 	}
 }
 
 // isTold checks how long a server is told that the node waits. The policy's seconds are rounded.
-func isTold(t *testing.T, r *http.Request, want time.Duration) {
+func checkDeadlineHeader(t *testing.T, r *http.Request, want time.Duration) {
 	t.Helper()
 	us, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Deadline"), "u"))
 	if off := time.Duration(us)*time.Microsecond - want; err != nil || off.Abs() > time.Millisecond {
@@ -88,7 +88,7 @@
 }
 
 // stepping is a clock that a test sets.
-type stepping struct {
+type stepClock struct {
 	mu     sync.Mutex
 	now    time.Duration
 	timers []stepTimer
@@ -99,27 +99,27 @@
 	f  func()
 }
 
-func (s *stepping) Now() time.Duration {
+func (s *stepClock) Now() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now
 }
 
-func (s *stepping) AfterFunc(d time.Duration, f func()) {
+func (s *stepClock) AfterFunc(d time.Duration, f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timers = append(s.timers, stepTimer{s.now + d, f})
 }
 
 // jump lets time go by while nothing runs: timers that are due come with the next advance.
-func (s *stepping) jump(d time.Duration) {
+func (s *stepClock) jump(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now += d
 }
 
 // advance lets time go by, and each timer come when it is due.
-func (s *stepping) advance(d time.Duration) {
+func (s *stepClock) advance(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for end := s.now + d; ; {
@@ -145,7 +145,7 @@
 // What a client sends while the node's machine does not let it run stands unread, and the client's time runs: what is left of it
 // then is what the server is told and the answer has, whether the request is read before the node's timers come or behind them. It
 // is known but for the time until a timer was due. Who comes later, or amid a delay of no account, has all of its time.
-func TestTimeRunsWhileTheProcessIsHeld(t *testing.T) {
+func TestDeadlineRunsWhileProcessIsStalled(t *testing.T) {
 	t.Parallel()
 	const told = 50 * time.Second // what the clients say
 	const tick = 250 * time.Millisecond
@@ -166,7 +166,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			clock := &stepping{now: time.Hour}
+			clock := &stepClock{now: time.Hour}
 			b := newBox(t, served)
 			r := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
 				unhurried(cfg)
@@ -185,12 +185,12 @@
 			} else if resp.StatusCode != http.StatusOK {
 				t.Fatal(resp.StatusCode)
 			}
-			isTold(t, b.requests()[0], c.left-transit)
+			checkDeadlineHeader(t, b.requests()[0], c.left-transitAllowance)
 			if !c.timers { // all that stood there is read by one that is late itself: the next one too
 				if resp, _ := cl.ask(quote("y")); resp.StatusCode != http.StatusOK {
 					t.Fatal(resp.StatusCode)
 				}
-				isTold(t, b.requests()[1], c.left-transit)
+				checkDeadlineHeader(t, b.requests()[1], c.left-transitAllowance)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 
 // Whatever a server does or leaves undone once it has a request, or on the way to it, the client has a final answer by the request's
 // own time alone: all that bounds a standstill otherwise is longer here than a client of the test waits. Nothing is left over then.
-func TestEveryWaitEndsWithTheRequestsTime(t *testing.T) {
+func TestEveryWaitEndsAtRequestDeadline(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
@@ -244,7 +244,7 @@
 				t.Cleanup(sync.OnceFunc(func() { close(over) }))
 				r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
 				if c.dial != "" {
-					r.through("s-1", func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+					r.setDial("s-1", func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 						reached.Store(true)
 						if c.dial == "before" {
 							<-ctx.Done()
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -28,15 +28,15 @@
 type stage int
 
 const (
-	before     stage = iota // not yet read
-	picked                  // a server is chosen, the connection is not begun
-	connecting              // it is up, and the node does not know
-	half                    // the first part of it is with the server, the rest still with the client
-	waiting                 // written whole
-	streaming               // half of a large answer has gone through
-	again                   // a second attempt, written whole
-	kept                    // not yet read; its server has a connection from before
-	stages
+	stageBeforeRead     stage = iota // not yet read
+	stageSelected                    // a server is chosen, the connection is not begun
+	stageConnecting                  // it is up, and the node does not know
+	stageHalfWritten                 // the first part of it is with the server, the rest still with the client
+	stageWaiting                     // written whole
+	stageStreaming                   // half of a large answer has gone through
+	stageSecondAttempt               // a second attempt, written whole
+	stageKeptConnection              // not yet read; its server has a connection from before
+	stageCount
 )
 
 var stageNames = [...]string{"before the pick", "between pick and connect", "while connecting", "half written", "written and waiting",
@@ -44,178 +44,178 @@
 
 // fault is what strikes, and with what it can't cross.
 type fault struct {
-	name   string
-	strike func(c *trial)
-	brief  bool             // clients have little patience: the fault ends by a time-out alone
-	not    map[stage]string // stages that it can't meet, and why
+	name         string
+	inject       func(c *trial)
+	shortTimeout bool             // clients have little patience: the fault ends by a time-out alone
+	excluded     map[stage]string // stages that it can't meet, and why
 }
 
-var unread = map[stage]string{before: "there is no request yet", kept: "there is no request yet"}
+var noRequestYet = map[stage]string{stageBeforeRead: "there is no request yet", stageKeptConnection: "there is no request yet"}
 
 var faultTable = []fault{
-	{name: "none: a slow server", strike: func(c *trial) {}},
-	{name: "the server drains", strike: func(c *trial) {
-		c.list(c.entries(c.victims, "Terminating", c.spare)...)
-		c.told(c.victims...)
+	{name: "none: a slow server", inject: func(c *trial) {}},
+	{name: "the server drains", inject: func(c *trial) {
+		c.publishList(c.entries(c.targets, "Terminating", c.healthy)...)
+		c.recordNotified(c.targets...)
 	}},
-	{name: "the server leaves", strike: func(c *trial) {
-		c.change(c.entries(c.victims, "Gone", c.spare)...)
-		c.told(c.victims...)
+	{name: "the server leaves", inject: func(c *trial) {
+		c.publishDelta(c.entries(c.targets, "Gone", c.healthy)...)
+		c.recordNotified(c.targets...)
 	}},
-	{name: "a whole list replaces all", strike: func(c *trial) {
-		c.list(c.spare.entry("Ready"))
-		c.told(c.victims...)
+	{name: "a whole list replaces all", inject: func(c *trial) {
+		c.publishList(c.healthy.entry("Ready"))
+		c.recordNotified(c.targets...)
 	}},
-	{name: "the server restarts under its id", strike: func(c *trial) {
-		for _, s := range c.victims {
-			c.start(s)
+	{name: "the server restarts under its id", inject: func(c *trial) {
+		for _, s := range c.targets {
+			c.restartCold(s)
 		}
-		all := c.entries(c.victims, "Ready", c.spare)
-		for i := range c.victims {
+		all := c.entries(c.targets, "Ready", c.healthy)
+		for i := range c.targets {
 			all[i].StartedMS = time.Now().UnixMilli()
 		}
-		c.list(all...)
+		c.publishList(all...)
 	}},
-	{name: "a new id at its address", strike: func(c *trial) {
-		for _, s := range c.victims {
-			s.restart()
+	{name: "a new id at its address", inject: func(c *trial) {
+		for _, s := range c.targets {
+			s.resetConnections()
 		}
-		all := c.entries(c.victims, "Ready", c.spare)
-		for i := range c.victims {
+		all := c.entries(c.targets, "Ready", c.healthy)
+		for i := range c.targets {
 			all[i].ID += "-new"
 		}
-		c.list(all...)
+		c.publishList(all...)
 	}},
-	{name: "its id at another address", strike: func(c *trial) {
-		moved := c.stand("moved")
+	{name: "its id at another address", inject: func(c *trial) {
+		moved := c.newServer("moved")
 		e := moved.entry("Ready")
-		e.ID = c.victims[0].id
-		c.list(e, c.spare.entry("Ready"))
-		c.told(c.victims...)
+		e.ID = c.targets[0].id
+		c.publishList(e, c.healthy.entry("Ready"))
+		c.recordNotified(c.targets...)
 	}},
-	{name: "the server flaps", strike: func(c *trial) {
+	{name: "the server flaps", inject: func(c *trial) {
 		for range 3 {
-			c.list(c.spare.entry("Ready"))
-			c.list(c.entries(c.victims, "Terminating", c.spare)...)
-			c.list(c.entries(c.victims, "Ready", c.spare)...)
+			c.publishList(c.healthy.entry("Ready"))
+			c.publishList(c.entries(c.targets, "Terminating", c.healthy)...)
+			c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
 		}
 	}},
-	{name: "it is taken out by hand", strike: func(c *trial) {
-		c.list(c.entries(c.victims, "Ready", c.spare)...)
-		for _, s := range c.victims {
-			must(c.t, c.node().Disable(context.Background(), s.id))
-			c.judge.tell(func(b *oracle.Book) { b.Told(c.judge.now()-cellGrace, 0, s.number, true, 0) }) // from the yes on
+	{name: "it is taken out by hand", inject: func(c *trial) {
+		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
+		for _, s := range c.targets {
+			must(c.t, c.current().Disable(context.Background(), s.id))
+			c.rules.record(func(b *oracle.Book) { b.Told(c.rules.now()-trialGrace, 0, s.number, true, 0) }) // from the yes on
 		}
 	}},
-	{name: "the only one left joins cold", strike: func(c *trial) {
-		e := c.spare.entry("Ready")
+	{name: "the only one left joins cold", inject: func(c *trial) {
+		e := c.healthy.entry("Ready")
 		e.StartedMS = time.Now().UnixMilli()
-		c.start(c.spare)
-		c.list(e)
-		c.told(c.victims...)
+		c.restartCold(c.healthy)
+		c.publishList(e)
+		c.recordNotified(c.targets...)
 	}},
-	{name: "an empty list", strike: func(c *trial) {
-		c.list()
-		c.told(c.victims...)
-		c.list(c.spare.entry("Ready"))
+	{name: "an empty list", inject: func(c *trial) {
+		c.publishList()
+		c.recordNotified(c.targets...)
+		c.publishList(c.healthy.entry("Ready"))
 	}},
-	{name: "an older list after a newer one", strike: func(c *trial) {
-		c.list(c.spare.entry("Ready"))
-		n := c.node()
-		n.disc.news(&list{Version: 1, Full: true, Servers: c.entries(c.victims, "Ready")}, policy.ListFull, false)
-		c.told(c.victims...)
+	{name: "an older list after a newer one", inject: func(c *trial) {
+		c.publishList(c.healthy.entry("Ready"))
+		n := c.current()
+		n.disc.news(&list{Version: 1, Full: true, Servers: c.entries(c.targets, "Ready")}, policy.ListFull, false)
+		c.recordNotified(c.targets...)
 	}},
-	{name: "the server is silent", brief: true, strike: func(c *trial) {
-		c.turn(silent)
-		c.list(c.entries(c.victims, "Ready", c.spare)...)
+	{name: "the server is silent", shortTimeout: true, inject: func(c *trial) {
+		c.setBehavior(staySilent)
+		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
 	}},
-	{name: "the connection is reset", strike: func(c *trial) {
-		c.turn(resets)
-		c.list(c.entries(c.victims, "Ready", c.spare)...)
-		for _, s := range c.victims {
-			s.restart()
+	{name: "the connection is reset", inject: func(c *trial) {
+		c.setBehavior(resetConnection)
+		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
+		for _, s := range c.targets {
+			s.resetConnections()
 		}
 	}},
-	{name: "connections are refused", strike: func(c *trial) {
-		c.list(c.entries(c.victims, "Ready", c.spare)...)
-		for _, s := range c.victims {
+	{name: "connections are refused", inject: func(c *trial) {
+		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
+		for _, s := range c.targets {
 			s.ln.Close()
-			s.restart()
+			s.resetConnections()
 		}
 	}},
-	{name: "answers are spoilt", strike: func(c *trial) {
-		c.turn(spoils)
-		c.list(c.entries(c.victims, "Ready", c.spare)...)
-	}, not: map[stage]string{streaming: "noise within a body is its body"}},
-	{name: "the report can't be read", strike: func(c *trial) { c.turn(babble) }},
-	{name: "the client leaves", strike: func(c *trial) { c.leave() }, not: unread},
-	{name: "its id comes a second time", strike: func(c *trial) {
-		for _, q := range c.calls() {
+	{name: "answers are spoilt", inject: func(c *trial) {
+		c.setBehavior(sendMalformed)
+		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
+	}, excluded: map[stage]string{stageStreaming: "noise within a body is its body"}},
+	{name: "the report can't be read", inject: func(c *trial) { c.setBehavior(sendBadReport) }},
+	{name: "the client leaves", inject: func(c *trial) { c.disconnectClients() }, excluded: noRequestYet},
+	{name: "its id comes a second time", inject: func(c *trial) {
+		for _, q := range c.requests() {
 			q.body = q.body[:min(len(q.body), 10)]
-			if resp, _ := c.node().dial(c.t).ask(q); resp.StatusCode != http.StatusConflict {
+			if resp, _ := c.current().dial(c.t).ask(q); resp.StatusCode != http.StatusConflict {
 				c.t.Errorf("%s a second time while it is open: %d", q.id, resp.StatusCode)
 			}
 		}
-	}, not: map[stage]string{before: unread[before], kept: unread[kept]}},
-	{name: "the roster is out", strike: func(c *trial) {
-		calls := len(c.roster.calls())
+	}, excluded: map[stage]string{stageBeforeRead: noRequestYet[stageBeforeRead], stageKeptConnection: noRequestYet[stageKeptConnection]}},
+	{name: "the roster is out", inject: func(c *trial) {
+		calls := len(c.discovery.calls())
 		for range 3 {
-			c.roster.next <- registryAnswer{status: 503}
+			c.discovery.next <- registryAnswer{status: 503}
 		}
-		wait(c.t, "another call", func() bool { return len(c.roster.calls()) > calls })
+		wait(c.t, "another call", func() bool { return len(c.discovery.calls()) > calls })
 	}},
-	{name: "SIGTERM", strike: func(c *trial) {
-		c.last = true
-		c.node().leave()
-		wait(c.t, "the node's leaving", func() bool { return c.node().life.sendsAway() })
-	}, not: map[stage]string{before: "which clients still come is the front's business: TestLeaving", kept: "as before the pick"}},
-	{name: "a successor takes over", strike: func(c *trial) { c.succeed() }},
-	{name: "no descriptor is left", strike: func(c *trial) {
-		c.node().pool.Resize(0)
-		c.after = func() { c.node().pool.Resize(100) }
+	{name: "SIGTERM", inject: func(c *trial) {
+		c.terminated = true
+		c.current().leave()
+		wait(c.t, "the node's leaving", func() bool { return c.current().life.sendsAway() })
+	}, excluded: map[stage]string{stageBeforeRead: "which clients still come is the front's business: TestLeaving", stageKeptConnection: "as before the pick"}},
+	{name: "a successor takes over", inject: func(c *trial) { c.handOver() }},
+	{name: "no descriptor is left", inject: func(c *trial) {
+		c.current().pool.Resize(0)
+		c.undo = func() { c.current().pool.Resize(100) }
 	}},
-	{name: "a reload", strike: func(c *trial) {
+	{name: "a reload", inject: func(c *trial) {
 		c.reload(`"effect":"guarded"`, `"effect":"single_shot"`, `"max_attempts":3`, `"max_attempts":2`, `"name":"view"`, `"name":"look"`)
 	}},
-	{name: "a reload that lets all be repeated, and a reset", strike: func(c *trial) {
+	{name: "a reload that lets all be repeated, and a reset", inject: func(c *trial) {
 		c.reload(`"effect":"single_shot"`, `"effect":"free"`, `"effect":"guarded","group":"zone"`, `"effect":"free","group":"all"`)
-		c.turn(resets)
-		c.list(c.entries(c.victims, "Ready", c.spare)...)
-		for _, s := range c.victims {
-			s.restart()
+		c.setBehavior(resetConnection)
+		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
+		for _, s := range c.targets {
+			s.resetConnections()
 		}
-	}, not: map[stage]string{before: "a new request has the new class", kept: "a new request has the new class"}},
-	{name: "a reload with another discovery and a list", strike: func(c *trial) {
-		set, err := wire.DecodeSettings([]byte(cellSettings))
+	}, excluded: map[stage]string{stageBeforeRead: "a new request has the new class", stageKeptConnection: "a new request has the new class"}},
+	{name: "a reload with another discovery and a list", inject: func(c *trial) {
+		set, err := wire.DecodeSettings([]byte(trialSettings))
 		must(c.t, err)
 		other := newRegistry(c.t)
-		other.next <- registryAnswer{200, list{Version: 1, Full: true, Servers: []listed{c.spare.entry("Ready")}}}
-		c.node().reload(Config{Discovery: other.addr, Settings: set})
-		wait(c.t, "the other's list", func() bool { return c.node().backendOf(c.spare.id) != nil })
-		c.told(c.victims...)
+		other.next <- registryAnswer{200, list{Version: 1, Full: true, Servers: []listed{c.healthy.entry("Ready")}}}
+		c.current().reload(Config{Discovery: other.addr, Settings: set})
+		wait(c.t, "the other's list", func() bool { return c.current().backendOf(c.healthy.id) != nil })
+		c.recordNotified(c.targets...)
 	}},
-	{name: "operators drain and resume", strike: func(c *trial) {
-		must(c.t, c.node().Drain(context.Background()))
-		must(c.t, c.node().Resume(context.Background()))
+	{name: "operators drain and resume", inject: func(c *trial) {
+		must(c.t, c.current().Drain(context.Background()))
+		must(c.t, c.current().Resume(context.Background()))
 	}},
 }
 
 // Each fault strikes requests of each class at each stage. Whatever it is, every rule of the brief holds, what was taken is
 // answered, and nothing is left over. The table is docs/readiness-review.md's.
-func TestFaultsAgainstStages(t *testing.T) {
+func TestFaultsAtEveryRequestStage(t *testing.T) {
 	free(t) // the claim on its hosts is a descriptor that stays
 	descriptors := openFiles(t)
 	ignore := goleak.IgnoreCurrent()
 	t.Run("cells", func(t *testing.T) {
 		for _, f := range faultTable {
-			for at := range stages {
-				if f.not[at] != "" {
+			for at := range stageCount {
+				if f.excluded[at] != "" {
 					continue
 				}
 				t.Run(f.name+" "+stageNames[at], func(t *testing.T) {
 					t.Parallel()
 					// Where this machine was too slow for a fault that a time-out ends, it strikes again with more time before that.
-					for brief := 900 * time.Millisecond; !newTrial(t, at).play(f, brief); brief *= 4 {
+					for brief := 900 * time.Millisecond; !newTrial(t, at).run(f, brief); brief *= 4 {
 						if brief > patience {
 							t.Fatal("it never strikes in time")
 						}
@@ -248,117 +248,117 @@
 	return len(files)
 }
 
-var cellSettings = strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.3`, 1)
+var trialSettings = strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.3`, 1)
 
 // trial is one fault at one stage.
 type trial struct {
-	t       *testing.T
-	stage   stage
-	judge   *judge
-	roster  *registry
-	r, heir *rig
-	victims []*stand // whom it strikes
-	spare   *stand   // a sound one, which is listed when it does
-	after   func()
-	last    bool          // the node takes nothing after it
-	brief   time.Duration // is all the time that clients have; 0: they have plenty
-	early   atomic.Int64  // requests that have ended
-	version int64
-	free    chan struct{} // closed when the requests may go on
-	over    chan struct{} // closed at the very end
-	clients sync.WaitGroup
-
-	mu      sync.Mutex
-	stands  uint32
-	there   map[stage]int
-	conns   map[string]net.Conn
-	has     map[string]bool // requests whose clients have left
-	streams int             // large answers whose first half has come
-	dials   atomic.Int64
+	t                *testing.T
+	stage            stage
+	rules            *judge
+	discovery        *registry
+	first, successor *rig
+	targets          []*stagedServer // whom it strikes
+	healthy          *stagedServer   // a sound one, which is listed when it does
+	undo             func()
+	terminated       bool          // the node takes nothing after it
+	clientTimeout    time.Duration // is all the time that clients have; 0: they have plenty
+	ended            atomic.Int64  // requests that have ended
+	version          int64
+	released         chan struct{} // closed when the requests may go on
+	finished         chan struct{} // closed at the very end
+	clients          sync.WaitGroup
+
+	mu             sync.Mutex
+	serverCount    uint32
+	arrivals       map[stage]int
+	conns          map[string]net.Conn
+	disconnected   map[string]bool // requests whose clients have left
+	streamsStarted int             // large answers whose first half has come
+	dials          atomic.Int64
 }
 
 func newTrial(t *testing.T, at stage) *trial {
-	return &trial{t: t, stage: at, judge: newJudge(), free: make(chan struct{}), over: make(chan struct{}), version: 1,
-		there: map[stage]int{}, conns: map[string]net.Conn{}, has: map[string]bool{}}
+	return &trial{t: t, stage: at, rules: newRuleChecker(), released: make(chan struct{}), finished: make(chan struct{}), version: 1,
+		arrivals: map[stage]int{}, conns: map[string]net.Conn{}, disconnected: map[string]bool{}}
 }
 
 // stand starts one.
-func (c *trial) stand(id string) *stand {
+func (c *trial) newServer(id string) *stagedServer {
 	ln, err := standin.Listen()
 	must(c.t, err)
-	c.stands++
-	s := &stand{id: id, number: c.stands, cell: c, ln: ln, conns: map[net.Conn]struct{}{}}
-	c.judge.tell(func(b *oracle.Book) { b.AddServer(oracle.Server{ID: s.number}) })
+	c.serverCount++
+	s := &stagedServer{id: id, number: c.serverCount, trial: c, ln: ln, conns: map[net.Conn]struct{}{}}
+	c.rules.record(func(b *oracle.Book) { b.AddServer(oracle.Server{ID: s.number}) })
 	go s.accept()
 	c.t.Cleanup(s.close)
 	return s
 }
 
-func (c *trial) node() *rig {
-	if c.heir != nil {
-		return c.heir
+func (c *trial) current() *rig {
+	if c.successor != nil {
+		return c.successor
 	}
-	return c.r
+	return c.first
 }
 
 // calls are the requests that the fault meets: one of each class.
-func (c *trial) calls() []call {
+func (c *trial) requests() []call {
 	all := []call{view("r-view"), save("r-save"), quote("r-quote")}
-	if c.stage == half {
+	if c.stage == stageHalfWritten {
 		all = all[1:] // a GET has no body
 		for i := range all {
 			all[i].body = strings.Repeat("x", 200<<10)
 		}
 	}
-	if c.brief > 0 {
+	if c.clientTimeout > 0 {
 		for i := range all {
-			all[i].deadline = fmt.Sprint(c.brief.Milliseconds(), "m")
+			all[i].deadline = fmt.Sprint(c.clientTimeout.Milliseconds(), "m")
 		}
 	}
 	return all
 }
 
 // play is false where requests had ended before the fault could strike them at their stage, because their time was over.
-func (c *trial) play(f fault, brief time.Duration) (struck bool) {
-	if f.brief {
-		c.brief = brief
+func (c *trial) run(f fault, brief time.Duration) (struck bool) {
+	if f.shortTimeout {
+		c.clientTimeout = brief
 	}
-	c.roster = newRegistry(c.t)
-	c.victims = []*stand{c.stand("s-1")}
-	if c.stage == again {
-		c.victims = append(c.victims, c.stand("s-2"))
+	c.discovery = newRegistry(c.t)
+	c.targets = []*stagedServer{c.newServer("s-1")}
+	if c.stage == stageSecondAttempt {
+		c.targets = append(c.targets, c.newServer("s-2"))
 	}
-	c.spare = c.stand("s-9")
-	c.r = newRig(c.t, c.roster, cellSettings, unhurried, c.entries(c.victims, "Ready")...)
-	for _, s := range c.victims {
-		c.r.through(s.id, s.via)
+	c.healthy = c.newServer("s-9")
+	c.first = newRig(c.t, c.discovery, trialSettings, unhurried, c.entries(c.targets, "Ready")...)
+	for _, s := range c.targets {
+		c.first.setDial(s.id, s.dial)
 	}
 	struck = true
 	switch c.stage {
-	case kept:
-		c.ask(view("warm"), 0)
-		f.strike(c)
-		c.begin()
-	case before:
-		f.strike(c)
-		c.begin()
+	case stageKeptConnection:
+		c.send(view("warm"), 0)
+		f.inject(c)
+		c.sendRequests()
+	case stageBeforeRead:
+		f.inject(c)
+		c.sendRequests()
 	default:
-		c.begin()
-		wait(c.t, "the requests at their stage", func() bool { return c.reached(c.stage) >= len(c.calls()) || c.late() })
-		f.strike(c)
-		struck = !c.late()
+		c.sendRequests()
+		wait(c.t, "the requests at their stage", func() bool { return c.reached(c.stage) >= len(c.requests()) || c.timedOut() })
+		f.inject(c)
+		struck = !c.timedOut()
 	}
-	close(c.free)
+	close(c.released)
 	c.clients.Wait()
-	if c.after != nil {
-		c.after()
+	if c.undo != nil {
+		c.undo()
 	}
-	for i := 0; !c.last; i++ { // and then it serves as ever
+	for i := 0; !c.terminated; i++ { // and then it serves as ever
 		q := save(fmt.Sprint("after-", i))
-		if f.brief {
+		if f.shortTimeout {
 			q.deadline = "900m"
 		}
-		if resp := c.ask(q, 1); resp != nil && (resp.StatusCode == 200 || resp.StatusCode == 400) {
+		if resp := c.send(q, 1); resp != nil && (resp.StatusCode == 200 || resp.StatusCode == 400) {
 			break // or its class has gone with a reload
 		}
 		if i > 400 {
@@ -366,30 +366,30 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, r := range []*rig{c.r, c.heir} {
+	for _, r := range []*rig{c.first, c.successor} {
 		if r != nil {
 			wait(c.t, "the end of all requests", func() bool { return r.core.Stats(0).Open == 0 })
-			if c.heir == nil { // else a part is lent
-				allBack(c.t, r)
+			if c.successor == nil { // else a part is lent
+				waitBudgetReleased(c.t, r)
 			}
 		}
 	}
-	close(c.over)
-	for _, broken := range c.judge.verdict() {
+	close(c.finished)
+	for _, broken := range c.rules.findings() {
 		c.t.Error(broken)
 	}
 	return struck
 }
 
 // late tells whether the time of a request that is held was over. Whose client holds its other half has its answer on the way then.
-func (c *trial) late() bool {
-	if c.brief == 0 || c.early.Load() > 0 {
-		return c.brief > 0
+func (c *trial) timedOut() bool {
+	if c.clientTimeout == 0 || c.ended.Load() > 0 {
+		return c.clientTimeout > 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
-		if c.stage == half && flow.Pending(conn) != flow.Nothing {
+		if c.stage == stageHalfWritten && flow.Pending(conn) != flow.Nothing {
 			return true
 		}
 	}
@@ -397,26 +397,26 @@
 }
 
 // begin sends the requests.
-func (c *trial) begin() {
-	for i, q := range c.calls() {
-		class := i + 3 - len(c.calls())
+func (c *trial) sendRequests() {
+	for i, q := range c.requests() {
+		class := i + 3 - len(c.requests())
 		c.clients.Go(func() {
-			c.ask(q, class)
-			c.early.Add(1)
+			c.send(q, class)
+			c.ended.Add(1)
 		})
-		if c.stage == again { // one by one, so that each has one attempt that is not sent
-			wait(c.t, "the second attempt", func() bool { return c.reached(again) > i || c.late() })
+		if c.stage == stageSecondAttempt { // one by one, so that each has one attempt that is not sent
+			wait(c.t, "the second attempt", func() bool { return c.reached(stageSecondAttempt) > i || c.timedOut() })
 		}
 	}
 }
 
-func (c *trial) taken(id string, class int) {
-	c.judge.tell(func(b *oracle.Book) { b.Taken(c.judge.now(), 0, id, class, c.judge.now()+50*time.Second) })
+func (c *trial) recordAccepted(id string, class int) {
+	c.rules.record(func(b *oracle.Book) { b.Taken(c.rules.now(), 0, id, class, c.rules.now()+50*time.Second) })
 }
 
 // ask sends a request over a connection of its own, and books what comes of it. A client that has left gets nil.
-func (c *trial) ask(q call, class int) *http.Response {
-	conn, err := net.Dial("tcp", c.node().addr)
+func (c *trial) send(q call, class int) *http.Response {
+	conn, err := net.Dial("tcp", c.current().addr)
 	if err != nil {
 		c.t.Errorf("%s: %v", q.id, err)
 		return nil
@@ -426,11 +426,11 @@
 	c.mu.Lock()
 	c.conns[q.id] = conn
 	c.mu.Unlock()
-	c.taken(q.id, class)
+	c.recordAccepted(q.id, class)
 	text := q.text()
-	if c.stage == half && len(q.body) > 1000 {
+	if c.stage == stageHalfWritten && len(q.body) > 1000 {
 		io.WriteString(conn, text[:len(text)-100<<10])
-		<-c.free
+		<-c.released
 		text = text[len(text)-100<<10:]
 	}
 	io.WriteString(conn, text) // an error shows when the answer is read
@@ -440,53 +440,53 @@
 	if err == nil {
 		if resp.ContentLength > 1000 {
 			c.mu.Lock()
-			c.streams++
+			c.streamsStarted++
 			c.mu.Unlock()
 		}
 		body, err = io.ReadAll(resp.Body)
 	}
 	c.mu.Lock()
-	left := c.has[q.id]
+	left := c.disconnected[q.id]
 	c.mu.Unlock()
 	switch {
 	case left:
 		return nil
 	case err == nil:
-		c.judge.final(q.id, resp, body)
+		c.rules.final(q.id, resp, body)
 		return resp
 	case resp != nil: // the client can tell that it is not whole
-		c.judge.tell(func(b *oracle.Book) { b.Failed(c.judge.now(), 0, q.id) })
+		c.rules.record(func(b *oracle.Book) { b.Failed(c.rules.now(), 0, q.id) })
 	default:
-		c.judge.fault("%s: its connection ends without an answer: %v", q.id, err)
-		c.judge.tell(func(b *oracle.Book) { b.Overdue(c.judge.now(), 0, q.id) })
+		c.rules.addViolation("%s: its connection ends without an answer: %v", q.id, err)
+		c.rules.record(func(b *oracle.Book) { b.Overdue(c.rules.now(), 0, q.id) })
 	}
 	return nil
 }
 
 // at notes that a request has come so far.
-func (c *trial) at(here stage, id string) {
+func (c *trial) recordArrival(here stage, id string) {
 	if strings.HasPrefix(id, "r") || id == "dial" || id == "x" {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.there[here]++
+		c.arrivals[here]++
 	}
 }
 
 func (c *trial) reached(s stage) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s == streaming {
-		return c.streams
+	if s == stageStreaming {
+		return c.streamsStarted
 	}
-	return c.there[s]
+	return c.arrivals[s]
 }
 
 // holds tells whether a request is to stop there.
-func (c *trial) holds(here stage, id string) bool {
+func (c *trial) stopsAt(here stage, id string) bool {
 	return here == c.stage && strings.HasPrefix(id, "r")
 }
 
-func (c *trial) entries(of []*stand, state string, more ...*stand) (all []listed) {
+func (c *trial) entries(of []*stagedServer, state string, more ...*stagedServer) (all []listed) {
 	for _, s := range of {
 		all = append(all, s.entry(state))
 	}
@@ -497,13 +497,13 @@
 }
 
 // list hands the node a whole list, change some lines of one.
-func (c *trial) list(servers ...listed) {
+func (c *trial) publishList(servers ...listed) {
 	c.version++
-	c.node().lists(c.version, servers...)
+	c.current().lists(c.version, servers...)
 }
 
-func (c *trial) change(servers ...listed) {
-	n := c.node()
+func (c *trial) publishDelta(servers ...listed) {
+	n := c.current()
 	n.core.Lock()
 	defer n.core.Unlock()
 	c.version++
@@ -512,55 +512,55 @@
 
 // told notes that the node knows that some are to get nothing new, and returns once their grace is over: what is let go then
 // may reach none of them, whatever the machine is busy with.
-func (c *trial) told(of ...*stand) {
-	at := c.judge.now()
-	c.judge.tell(func(b *oracle.Book) {
+func (c *trial) recordNotified(of ...*stagedServer) {
+	at := c.rules.now()
+	c.rules.record(func(b *oracle.Book) {
 		for _, s := range of {
 			b.Told(at, 0, s.number, true, 0)
 		}
 	})
-	time.Sleep(cellGrace)
+	time.Sleep(trialGrace)
 }
 
 // start is a stand's new process: cold, and its connections from before are gone.
-func (c *trial) start(s *stand) {
-	s.restart()
+func (c *trial) restartCold(s *stagedServer) {
+	s.resetConnections()
 	s.cold.Store(true)
-	c.judge.tell(func(b *oracle.Book) {
-		b.Started(c.judge.now(), s.number)
-		b.Told(c.judge.now(), 0, s.number, false, c.judge.now())
+	c.rules.record(func(b *oracle.Book) {
+		b.Started(c.rules.now(), s.number)
+		b.Told(c.rules.now(), 0, s.number, false, c.rules.now())
 	})
 }
 
 // reload puts other settings in force: old and new text in turn.
 func (c *trial) reload(change ...string) {
-	set, err := wire.DecodeSettings([]byte(strings.NewReplacer(change...).Replace(cellSettings)))
+	set, err := wire.DecodeSettings([]byte(strings.NewReplacer(change...).Replace(trialSettings)))
 	must(c.t, err)
-	c.node().reload(Config{Discovery: c.roster.addr, Settings: set})
+	c.current().reload(Config{Discovery: c.discovery.addr, Settings: set})
 }
 
 // turn changes what the victims do.
-func (c *trial) turn(t temper) {
-	for _, s := range c.victims {
-		s.temper.Store(int32(t))
+func (c *trial) setBehavior(t behavior) {
+	for _, s := range c.targets {
+		s.behavior.Store(int32(t))
 	}
 }
 
 // leave is what clients do that wait no longer. It returns once the node has noticed.
-func (c *trial) leave() {
-	for _, q := range c.calls() {
-		c.judge.tell(func(b *oracle.Book) { b.Left(c.judge.now(), 0, q.id) })
+func (c *trial) disconnectClients() {
+	for _, q := range c.requests() {
+		c.rules.record(func(b *oracle.Book) { b.Left(c.rules.now(), 0, q.id) })
 		c.mu.Lock()
-		c.has[q.id] = true
+		c.disconnected[q.id] = true
 		c.conns[q.id].Close()
 		c.mu.Unlock()
 	}
-	if c.stage != streaming && c.stage != half { // there the node learns of it when it passes on more
-		wait(c.t, "the node's notice", func() bool { return c.node().core.Stats(0).Open == 0 })
+	if c.stage != stageStreaming && c.stage != stageHalfWritten { // there the node learns of it when it passes on more
+		wait(c.t, "the node's notice", func() bool { return c.current().core.Stats(0).Open == 0 })
 	}
 }
 
 // succeed lets another process take over, which new clients then reach.
-func (c *trial) succeed() {
-	c.heir = succeed(c.t, c.r.meet(c.t), c.roster, cellSettings)
+func (c *trial) handOver() {
+	c.successor = startSuccessor(c.t, c.first.meet(c.t), c.discovery, trialSettings)
 }
--- a/internal/node/pair.go
+++ b/internal/node/handover.go
@@ -22,13 +22,13 @@
 
 const (
 	// orderTime is how long another process may take over an order that is passed on.
-	orderTime = 500 * time.Millisecond
+	orderTimeout = 500 * time.Millisecond
 	// claimTime is how long a successor may take to say whether a request may begin here.
-	claimTime = 200 * time.Millisecond
+	claimTimeout = 200 * time.Millisecond
 	// tickEach is how often what did not work between processes is tried again.
-	tickEach = 50 * time.Millisecond
+	retryInterval = 50 * time.Millisecond
 	// helloTime is how long a process that starts waits for one that is just being replaced itself.
-	helloTime = 3 * time.Second
+	predecessorTimeout = 3 * time.Second
 	// heirPortion is which portion of the contracts a successor hands out while its predecessor finishes; that has the rest for
 	// the requests that still come to it.
 	heirPortion = 7.0 / 8
@@ -37,29 +37,29 @@
 // pair is this process's part in a replacement. As long as other processes of this node are there, they are one node with it. The
 // machine decides; what it wants is carried out under mu, which comes before the core's lock.
 type pair struct {
-	node  *node
-	up    atomic.Bool // this process takes clients
-	phase atomic.Int32
-	seeks atomic.Bool   // somebody is looked for
-	turn  chan struct{} // the phase has changed; holds one
+	node         *node
+	accepting    atomic.Bool // this process takes clients
+	phase        atomic.Int32
+	seeking      atomic.Bool   // somebody is looked for
+	phaseChanged chan struct{} // the phase has changed; holds one
 	// relieved is closed when a successor first serves: tunnels' listeners, which only one process can have, are given up then,
 	// and not opened again where the successor ends.
-	relieved chan struct{}
-	once     sync.Once
-	door     *door
-
-	mu       sync.Mutex
-	m        handover.Machine
-	peers    map[handover.Peer]*upgrade.Peer // all other processes of this node that are known
-	names    map[*upgrade.Peer]handover.Peer
-	last     handover.Peer
-	token    *upgrade.Token // nil: none is needed, or it can't be had
-	listener *upgrade.Listener
-	kept     *keeping   // nil: nothing is kept on a disk
-	orders   [64]uint64 // numbers of the latest orders
-	ordered  int
-	back     func() // takes back what was lent of the bodies' bytes; nil where the limits are not shared
-	over     bool
+	relieved       chan struct{}
+	relieveOnce    sync.Once
+	clientListener *door
+
+	mu              sync.Mutex
+	machine         handover.Machine
+	peers           map[handover.Peer]*upgrade.Peer // all other processes of this node that are known
+	peerIDs         map[*upgrade.Peer]handover.Peer
+	lastPeerID      handover.Peer
+	token           *upgrade.Token // nil: none is needed, or it can't be had
+	upgradeListener *upgrade.Listener
+	persister       *keeping   // nil: nothing is kept on a disk
+	seenOrders      [64]uint64 // numbers of the latest orders
+	orderCount      int
+	reclaimBudget   func() // takes back what was lent of the bodies' bytes; nil where the limits are not shared
+	closed          bool
 }
 
 // estate is what a predecessor has handed over.
@@ -82,7 +82,7 @@
 
 // find asks the processes that listen at path for the state, the one that serves first. A nil estate with later: one is there
 // and can't hand over now.
-func find(path string, log *slog.Logger) (old *estate, later bool) {
+func findPredecessor(path string, log *slog.Logger) (old *estate, later bool) {
 	for _, at := range upgrade.Others(path) {
 		peer, what, text, err := upgrade.Dial(at)
 		if errors.Is(err, syscall.ECONNREFUSED) && at != path {
@@ -111,13 +111,13 @@
 }
 
 // inherit asks a predecessor for its estate. Without one, or with one that does not answer, a node starts as ever.
-func inherit(cfg Config, log *slog.Logger) *estate {
+func requestHandedState(cfg Config, log *slog.Logger) *estate {
 	path := socketPath(cfg)
 	if path == "" {
 		return nil
 	}
-	for end := time.Now().Add(helloTime); ; time.Sleep(tickEach) {
-		old, later := find(path, log)
+	for end := time.Now().Add(predecessorTimeout); ; time.Sleep(retryInterval) {
+		old, later := findPredecessor(path, log)
 		if old != nil {
 			log.Info("taking over", "web servers", len(old.state.Servers), "out by hand", len(old.state.Out), "open requests", len(old.state.Open))
 			return old
@@ -130,69 +130,71 @@
 }
 
 // begin makes it the pair of a node. It is called once, before anything else of it.
-func (p *pair) begin(n *node) {
-	p.node, p.turn, p.relieved = n, make(chan struct{}, 1), make(chan struct{})
-	p.peers, p.names = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
+func (p *pair) initialize(n *node) {
+	p.node, p.phaseChanged, p.relieved = n, make(chan struct{}, 1), make(chan struct{})
+	p.peers, p.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
 }
 
 // known gives another process its name. p.mu is held.
-func (p *pair) known(peer *upgrade.Peer) handover.Peer {
-	if name, known := p.names[peer]; known {
+func (p *pair) peerID(peer *upgrade.Peer) handover.Peer {
+	if name, known := p.peerIDs[peer]; known {
 		return name
 	}
-	p.last++
-	p.names[peer], p.peers[p.last] = p.last, peer
-	return p.last
+	p.lastPeerID++
+	p.peerIDs[peer], p.peers[p.lastPeerID] = p.lastPeerID, peer
+	return p.lastPeerID
 }
 
 // predecessor takes up a predecessor's state. The core's lock is held, and nobody else knows the node yet.
-func (n *node) predecessor(old *estate) {
+func (n *node) adoptPredecessor(old *estate) {
 	n.pair.mu.Lock()
-	from := n.pair.known(old.peer)
-	n.pair.m.Before = from
-	n.pair.share()
+	from := n.pair.peerID(old.peer)
+	n.pair.machine.Before = from
+	n.pair.shareLimits()
 	n.pair.mu.Unlock()
-	n.ageing(old.state)
-	n.enter(old.state, from)
+	n.ageSnapshot(old.state)
+	n.adoptSnapshot(old.state, from)
 	n.core.Portion(heirPortion, false)
 	old.peer.Follow(n)
 }
 
 // do lets the machine take in an event.
-func (p *pair) do(event func(m *handover.Machine, env handover.Env)) {
+func (p *pair) handle(event func(m *handover.Machine, env handover.Env)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.closed {
 		return
 	}
-	event(&p.m, p)
-	p.note()
+	event(&p.machine, p)
+	p.publishPhase()
 }
 
 // note tells others of the phase. p.mu is held.
-func (p *pair) note() {
-	if before := handover.Phase(p.phase.Swap(int32(p.m.Phase))); before != p.m.Phase {
-		p.node.log.Debug("hand-over", "phase", p.m.Phase, "before", before)
+func (p *pair) publishPhase() {
+	if before := handover.Phase(p.phase.Swap(int32(p.machine.Phase))); before != p.machine.Phase {
+		p.node.log.Debug("hand-over", "phase", p.machine.Phase, "before", before)
 		select {
-		case p.turn <- struct{}{}:
+		case p.phaseChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // at is the phase.
-func (p *pair) at() handover.Phase { return handover.Phase(p.phase.Load()) }
+func (p *pair) currentPhase() handover.Phase { return handover.Phase(p.phase.Load()) }
 
 // yields tells whether a successor has the clients, or is about to.
-func (p *pair) yields() bool { return p.at() == handover.Yielding || p.at() == handover.Relieved }
+func (p *pair) yielding() bool {
+	return p.currentPhase() == handover.Yielding || p.currentPhase() == handover.Relieved
+}
 
 // takeOver is called once this process can serve. It returns at once; the door opens when the clients are its own.
-func (n *node) takeOver(d *door) {
+func (n *node) acquireClients(d *door) {
 	p := &n.pair
-	p.door = d
+	p.clientListener = d
 	path := socketPath(n.cfg)
 	if path == "" {
-		p.do(func(m *handover.Machine, env handover.Env) { m.Alone(env) })
+		p.handle(func(m *handover.Machine, env handover.Env) { m.Alone(env) })
 		return
 	}
 	p.mu.Lock()
@@ -202,13 +204,13 @@
 	}
 	p.token = token
 	p.mu.Unlock()
-	p.do(func(m *handover.Machine, env handover.Env) { m.Ready(env) })
-	go n.retry()
+	p.handle(func(m *handover.Machine, env handover.Env) { m.Ready(env) })
+	go n.retryHandover()
 }
 
 // retry tries again what did not work between processes, until the node ends.
-func (n *node) retry() {
-	tick := time.NewTicker(tickEach)
+func (n *node) retryHandover() {
+	tick := time.NewTicker(retryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -216,7 +218,7 @@
 		case <-n.core.Context().Done():
 			return
 		}
-		n.pair.do(func(m *handover.Machine, env handover.Env) {
+		n.pair.handle(func(m *handover.Machine, env handover.Env) {
 			if m.Unsettled() {
 				m.Tick(env)
 			}
@@ -232,7 +234,7 @@
 	number, had, err := p.token.Lock()
 	if err != nil { // serving matters more
 		p.node.log.Error("nothing tells whether another process serves", "err", err)
-		return p.m.Number, true
+		return p.machine.Number, true
 	}
 	return number, had
 }
@@ -252,14 +254,14 @@
 }
 
 func (p *pair) Accept(on bool) {
-	p.door.set(on)
-	defer p.up.Store(on) // behind it successors find this process
+	p.clientListener.setOpen(on)
+	defer p.accepting.Store(on) // behind it successors find this process
 	if on {
-		p.kept.begin(p.node)
+		p.persister.start(p.node)
 	} else {
-		p.kept.end()
+		p.persister.stop()
 	}
-	if !on || p.listener != nil {
+	if !on || p.upgradeListener != nil {
 		return
 	}
 	if path := socketPath(p.node.cfg); path != "" {
@@ -267,7 +269,7 @@
 		if err != nil {
 			p.node.log.Error("no successor can take over from this process", "err", err)
 		}
-		p.listener = l
+		p.upgradeListener = l
 	}
 }
 
@@ -279,9 +281,9 @@
 	s := n.snapshot(true)
 	n.core.Yield(heir{n, peer})
 	n.core.Portion(1-heirPortion, true)
-	peer.Tell(handover.Yours, number, n.encoded(s))
+	peer.Tell(handover.Yours, number, n.stateEncoder(s))
 	n.core.Unlock()
-	p.share()
+	p.shareLimits()
 }
 
 // Resume is alone again. What contracts had left is not known: the successor may have spent it.
@@ -295,7 +297,7 @@
 
 // Relieve begins what serve goes on with.
 func (p *pair) Relieve() {
-	p.once.Do(func() { close(p.relieved) })
+	p.relieveOnce.Do(func() { close(p.relieved) })
 	p.node.log.Info("a successor serves: finishing what was taken")
 }
 
@@ -308,7 +310,7 @@
 	if what == handover.State {
 		// An order that comes behind the state must not be lost: this process is known by now, and is told of it behind this.
 		n.core.Lock()
-		text = n.encoded(n.snapshot(true))
+		text = n.stateEncoder(n.snapshot(true))
 		peer.Tell(what, 0, text)
 		n.core.Unlock()
 		return
@@ -317,7 +319,7 @@
 }
 
 // encoded is a snapshot as text, once it is asked for.
-func (n *node) encoded(s func() *state.Snapshot) func() []byte {
+func (n *node) stateEncoder(s func() *state.Snapshot) func() []byte {
 	return func() []byte {
 		text, err := state.Encode(s())
 		if err != nil {
@@ -328,47 +330,47 @@
 }
 
 func (p *pair) Seek() {
-	if p.seeks.CompareAndSwap(false, true) { // one at a time: a process that is slow to answer is not asked by more and more
-		go p.seek()
+	if p.seeking.CompareAndSwap(false, true) { // one at a time: a process that is slow to answer is not asked by more and more
+		go p.findServingProcess()
 	}
 }
 
 // seek looks who is there.
-func (p *pair) seek() {
-	defer p.seeks.Store(false)
-	old, later := find(socketPath(p.node.cfg), p.node.log)
+func (p *pair) findServingProcess() {
+	defer p.seeking.Store(false)
+	old, later := findPredecessor(socketPath(p.node.cfg), p.node.log)
 	if old == nil {
 		if !later {
-			p.do(func(m *handover.Machine, env handover.Env) { m.NoOne(env) })
+			p.handle(func(m *handover.Machine, env handover.Env) { m.NoOne(env) })
 		}
 		return
 	}
 	p.mu.Lock()
-	if p.over || p.m.Phase != handover.Seeking {
+	if p.closed || p.machine.Phase != handover.Seeking {
 		p.mu.Unlock()
 		old.peer.Close()
 		return
 	}
-	from := p.known(old.peer)
-	p.take(from, old.state, true)
-	p.m.Heard(p, from, handover.State, 0)
-	p.note()
-	p.share()
+	from := p.peerID(old.peer)
+	p.adoptState(from, old.state, true)
+	p.machine.Heard(p, from, handover.State, 0)
+	p.publishPhase()
+	p.shareLimits()
 	p.mu.Unlock()
 	old.peer.Follow(p.node)
 }
 
 // take takes up a state. Whole: with list and orders. p.mu is held.
-func (p *pair) take(from handover.Peer, s *state.Snapshot, whole bool) {
+func (p *pair) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
 	n := p.node
 	n.core.Lock()
 	defer n.core.Unlock()
-	n.ageing(s)
+	n.ageSnapshot(s)
 	if whole {
-		n.enter(s, from)
+		n.adoptSnapshot(s, from)
 		n.core.Portion(heirPortion, false)
 	} else {
-		n.adopt(s, from)
+		n.adoptRuntimeState(s, from)
 	}
 }
 
@@ -379,7 +381,7 @@
 }
 
 func (h heir) Claim(id string, until time.Duration) handover.Verdict {
-	ctx, cancel := context.WithTimeout(h.node.core.Context(), claimTime+h.node.cfg.slack)
+	ctx, cancel := context.WithTimeout(h.node.core.Context(), claimTimeout+h.node.cfg.slack)
 	defer cancel()
 	return h.peer.Claim(ctx, id, until)
 }
@@ -388,7 +390,7 @@
 
 // Hello, Heard and the like make the node an upgrade.Node.
 func (n *node) Hello(peer *upgrade.Peer) {
-	n.pair.do(func(m *handover.Machine, env handover.Env) { m.Hello(env, n.pair.known(peer)) })
+	n.pair.handle(func(m *handover.Machine, env handover.Env) { m.Hello(env, n.pair.peerID(peer)) })
 }
 
 func (n *node) Heard(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
@@ -401,20 +403,20 @@
 			return
 		}
 		p.mu.Lock()
-		if p.m.Phase == handover.Asking && p.known(peer) == p.m.Before {
-			p.take(p.m.Before, s, false)
+		if p.machine.Phase == handover.Asking && p.peerID(peer) == p.machine.Before {
+			p.adoptState(p.machine.Before, s, false)
 		}
 		p.mu.Unlock()
 	}
-	p.do(func(m *handover.Machine, env handover.Env) { m.Heard(env, p.known(peer), what, number) })
-	if what == handover.Later && p.at() == handover.Seeking {
+	p.handle(func(m *handover.Machine, env handover.Env) { m.Heard(env, p.peerID(peer), what, number) })
+	if what == handover.Later && p.currentPhase() == handover.Seeking {
 		peer.Close() // whoever is found next is dialed anew: two ways to one process would let orders go round
 	}
 }
 
 func (n *node) Claim(peer *upgrade.Peer, id string, until time.Duration) handover.Verdict {
 	n.pair.mu.Lock()
-	from := n.pair.known(peer)
+	from := n.pair.peerID(peer)
 	n.pair.mu.Unlock()
 	return n.core.Claim(from, id, until)
 }
@@ -427,7 +429,7 @@
 
 // Obey does what an operator told another process, and passes it on to whom that one may not know.
 func (n *node) Obey(from *upgrade.Peer, o upgrade.Order) error {
-	if !n.pair.fresh(o) {
+	if !n.pair.isNewOrder(o) {
 		return nil // it has come by another way
 	}
 	switch o.Call {
@@ -440,20 +442,20 @@
 	default:
 		return fmt.Errorf("order %q is not known", o.Call)
 	}
-	ctx, cancel := context.WithTimeout(n.core.Context(), orderTime+n.cfg.slack)
+	ctx, cancel := context.WithTimeout(n.core.Context(), orderTimeout+n.cfg.slack)
 	defer cancel()
 	return n.pair.tell(ctx, from, o)
 }
 
 // fresh tells whether an order was not seen before, and notes it: between three processes one can come by two ways.
-func (p *pair) fresh(o upgrade.Order) bool {
+func (p *pair) isNewOrder(o upgrade.Order) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if o.From == 0 || slices.Contains(p.orders[:], o.From) {
+	if o.From == 0 || slices.Contains(p.seenOrders[:], o.From) {
 		return o.From == 0
 	}
-	p.orders[p.ordered%len(p.orders)] = o.From
-	p.ordered++
+	p.seenOrders[p.orderCount%len(p.seenOrders)] = o.From
+	p.orderCount++
 	return true
 }
 
@@ -461,16 +463,16 @@
 func (n *node) Gone(peer *upgrade.Peer) {
 	p := &n.pair
 	p.mu.Lock()
-	who := p.known(peer)
-	delete(p.names, peer)
+	who := p.peerID(peer)
+	delete(p.peerIDs, peer)
 	delete(p.peers, who)
 	var back func()
 	if len(p.peers) == 0 {
-		back, p.back = p.back, nil
+		back, p.reclaimBudget = p.reclaimBudget, nil
 	}
 	n.core.Lock()
 	n.core.Ids().Gone(who)
-	if p.m.Before == who {
+	if p.machine.Before == who {
 		n.core.Portion(1, false)
 	}
 	n.core.Unlock()
@@ -478,20 +480,20 @@
 	n.log.Info("another process of this node is gone")
 	if back != nil {
 		back()
-		n.limits(1)
+		n.setLimits(1)
 	}
-	p.do(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
+	p.handle(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
 }
 
 // conclude tells whether this process may end: it was told to, or a successor is there to go on, or a third process serves and the
 // one between has ended, and no predecessor is left whose claims are answered here. Nothing changes any more if so.
-func (p *pair) conclude() bool {
+func (p *pair) tryEnd() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.m.Ends && (p.m.Phase != handover.Relieved || p.m.Before != 0 || p.m.Heir == 0 && !p.m.Settled()) {
+	if !p.machine.Ends && (p.machine.Phase != handover.Relieved || p.machine.Before != 0 || p.machine.Heir == 0 && !p.machine.Settled()) {
 		return false
 	}
-	p.over = true
+	p.closed = true
 	return true
 }
 
@@ -499,10 +501,10 @@
 func (p *pair) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
-	p.kept.end()
-	if p.listener != nil {
-		p.listener.Close()
+	p.closed = true
+	p.persister.stop()
+	if p.upgradeListener != nil {
+		p.upgradeListener.Close()
 	}
 	for _, peer := range p.peers {
 		peer.Close()
@@ -516,7 +518,7 @@
 func (p *pair) tell(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
 	if o.From == 0 { // said here
 		o.From = rand.Uint64()
-		p.fresh(o)
+		p.isNewOrder(o)
 	}
 	p.mu.Lock()
 	var peers []*upgrade.Peer
@@ -534,15 +536,15 @@
 }
 
 // share leaves half of the limits to the other process: both count together. p.mu is held.
-func (p *pair) share() {
-	p.node.limits(2)
-	if p.back == nil { // else it is lent already
-		p.back = p.node.budget.Lend()
+func (p *pair) shareLimits() {
+	p.node.setLimits(2)
+	if p.reclaimBudget == nil { // else it is lent already
+		p.reclaimBudget = p.node.budget.Lend()
 	}
 }
 
 // limits sets what this process may use: its part of the node's descriptors and memory.
-func (n *node) limits(processes int) {
+func (n *node) setLimits(processes int) {
 	n.pool.Resize(n.cfg.poolLimit() / processes)
 	n.clients.Resize(n.cfg.clientLimit() / processes)
 	if n.cfg.MemoryMB > 0 && n.cfg.process {
--- a/internal/node/handover_bench_test.go
+++ b/internal/node/handover_bench_test.go
@@ -59,8 +59,8 @@
 				read += time.Since(begun)
 				begun = time.Now()
 				young.core.Lock()
-				young.ageing(got)
-				young.enter(got, 1)
+				young.ageSnapshot(got)
+				young.adoptSnapshot(got, 1)
 				young.core.Unlock()
 				took += time.Since(begun)
 			}
--- a/internal/node/pair_test.go
+++ b/internal/node/handover_test.go
@@ -15,12 +15,12 @@
 )
 
 // A successor holds to what its predecessor was told, and while both run what one is told the other does.
-func TestPairIsOneNode(t *testing.T) {
+func TestSuccessorKeepsStateAndSharesOrders(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	release := make(chan struct{})
-	a, b := newBox(t, firstHeld(release)), newBox(t, served)
+	a, b := newBox(t, holdFirst(release)), newBox(t, served)
 	g := newRegistry(t)
 	old := newRig(t, g, settingsJSON, nil, a.entry("s-1"))
 	busy, idle := old.dial(t), old.dial(t)
@@ -32,7 +32,7 @@
 	must(t, old.Disable(ctx, "s-2"))
 	must(t, old.Enable(ctx, "s-2"))
 
-	young := succeed(t, old.meet(t), g, settingsJSON)
+	young := startSuccessor(t, old.meet(t), g, settingsJSON)
 
 	young.core.Lock()
 	if young.version != 7 || len(young.names) != 3 || young.names["s-3"].Stop.Load() == 0 {
@@ -63,7 +63,7 @@
 		t.Error("an order did not reach the other process")
 	}
 	// The old process has stopped accepting. It closes what is idle and ends once all it took is answered.
-	if old.pair.up.Load() {
+	if old.pair.accepting.Load() {
 		t.Error("the old process still accepts")
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
@@ -83,9 +83,9 @@
 }
 
 // A large answer goes on when the node leaves, also past the last deadline.
-func TestLeavingSparesLargeAnswers(t *testing.T) {
+func TestLargeResponseContinuesAfterSIGTERM(t *testing.T) {
 	t.Parallel()
-	text := pattern(200 << 10)
+	text := distinctBody(200 << 10)
 	goOn := make(chan struct{})
 	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:100<<10])
@@ -99,7 +99,7 @@
 	c.in = bufio.NewReaderSize(c, 16)
 	c.send(quote("q").text())
 	wait(t, "the answer's beginning", func() bool { return flow.Pending(c.Conn) == flow.BytesThere })
-	half := r.connect(t) // is cut off behind the last deadline
+	half := r.connectClient(t) // is cut off behind the last deadline
 	half.send(view("half").text()[:30])
 	wait(t, "the node's reading of it", func() bool { return flow.Pending(half.end) == flow.Nothing })
 	r.leave()
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -24,11 +24,11 @@
 // lifecycle holds the phase. While it is not serving each answer tells its client to close, and connections that
 // carry no request are closed; what was taken is answered all the same.
 type lifecycle struct {
-	mu     sync.Mutex
-	phase  phase
-	before phase     // what a successor relieved
-	since  time.Time // when clients were first sent away
-	ends   time.Time // when SIGTERM came
+	mu           sync.Mutex
+	phase        phase
+	beforeRelief phase     // what a successor relieved
+	closingSince time.Time // when clients were first sent away
+	terminatedAt time.Time // when SIGTERM came
 }
 
 // sendsAway tells whether clients are to close their connections.
@@ -48,17 +48,17 @@
 		return false
 	}
 	if l.phase == relieved && p != leaving { // what operators say is for the successor, and for here if that ends
-		l.before = p
+		l.beforeRelief = p
 		return true
 	}
 	if p == relieved {
-		l.before = l.phase
+		l.beforeRelief = l.phase
 	}
 	if l.phase == serving {
-		l.since = time.Now()
+		l.closingSince = time.Now()
 	}
 	if p == leaving {
-		l.ends = time.Now()
+		l.terminatedAt = time.Now()
 	}
 	l.phase = p
 	return true
@@ -66,35 +66,35 @@
 
 // lastAnswer is how long from now a request that comes now may take: all the time, false, unless the process leaves and new
 // connections have ceased. One that still comes then must have its answer before SIGKILL finds it without.
-func (l *lifecycle) lastAnswer(longest time.Duration) (time.Duration, bool) {
+func (l *lifecycle) finalResponseTimeout(longest time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gone := time.Since(l.ends)
-	if l.phase != leaving || gone < acceptFor {
+	gone := time.Since(l.terminatedAt)
+	if l.phase != leaving || gone < acceptGrace {
 		return 0, false
 	}
-	return min(longest, killMost) + killAfter - killMargin - gone, true
+	return min(longest, maxDeadlineBeforeKill) + killGrace - killResponseMargin - gone, true
 }
 
 // recall ends what a successor has relieved.
-func (l *lifecycle) recall() {
+func (l *lifecycle) endRelief() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase == relieved {
-		l.phase = l.before
+		l.phase = l.beforeRelief
 	}
 }
 
 // forHeir is what a successor is to know: whether operators have sent the clients away.
-func (l *lifecycle) forHeir() bool {
+func (l *lifecycle) drainedByOperator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.phase == drained || l.phase == relieved && l.before == drained
+	return l.phase == drained || l.phase == relieved && l.beforeRelief == drained
 }
 
 // until is when a request that comes now is to have its answer, on the core's clock; 0: in its own time.
-func (n *node) until() time.Duration {
-	left, bound := n.life.lastAnswer(n.set.Load().longest())
+func (n *node) responseDeadline() time.Duration {
+	left, bound := n.life.finalResponseTimeout(n.set.Load().longest())
 	if !bound {
 		return 0
 	}
@@ -115,7 +115,7 @@
 		n.log.Info("drained by hand: clients are sent away")
 		n.opaque.Drain(nil)
 		// The front notices after a while; until then clients use the connections that they have.
-		time.AfterFunc(acceptFor, func() {
+		time.AfterFunc(acceptGrace, func() {
 			if n.life.sendsAway() {
 				n.clients.CloseIdle()
 			}
@@ -125,7 +125,7 @@
 
 // Resume ends a drain.
 func (n *node) Resume(ctx context.Context) error {
-	if n.life.now() == leaving && !n.pair.yields() {
+	if n.life.now() == leaving && !n.pair.yielding() {
 		return errLeaving
 	}
 	n.resume()
@@ -145,17 +145,17 @@
 func (n *node) Ready() error {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.now() == leaving || !n.pair.up.Load() {
+	if !n.ready || n.life.now() == leaving || !n.pair.accepting.Load() {
 		return errNotReady
 	}
 	return nil
 }
 
 // readiness is the answer to GET /ready.
-func (n *node) readiness() int {
+func (n *node) readinessStatus() int {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.sendsAway() && !n.pair.yields() { // a successor is ready for both
+	if !n.ready || n.life.sendsAway() && !n.pair.yielding() { // a successor is ready for both
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/node/door.go
+++ b/internal/node/listener.go
@@ -18,10 +18,12 @@
 	changed chan struct{} // closed at the next change
 }
 
-func newDoor(ln net.Listener) *door { return &door{Listener: ln, changed: make(chan struct{})} }
+func newSharedListener(ln net.Listener) *door {
+	return &door{Listener: ln, changed: make(chan struct{})}
+}
 
 // set opens or shuts it. An Accept that is under way when it is shut may still return a connection.
-func (d *door) set(open bool) {
+func (d *door) setOpen(open bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.open == open {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,18 +33,18 @@
 )
 
 const (
-	minSockets = 64 // with fewer descriptors a node cannot serve
-	ownSockets = 24 // descriptors for anything but clients and backends: ownNeeds names them
-	transit    = 10 * time.Millisecond
+	minSockets       = 64 // with fewer descriptors a node cannot serve
+	ownSockets       = 24 // descriptors for anything but clients and backends: ownNeeds names them
+	transitAllowance = 10 * time.Millisecond
 	// acceptFor is how long after SIGTERM connections are still accepted: the front notices only after a while.
-	acceptFor = 500 * time.Millisecond
+	acceptGrace = 500 * time.Millisecond
 	// SIGKILL follows SIGTERM after the longest deadline, killMost where that is longer, and killAfter. A request that comes late
 	// has its answer killMargin before, so that it is with its client.
-	killMost   = 3 * time.Second
-	killAfter  = 700 * time.Millisecond
-	killMargin = 150 * time.Millisecond
+	maxDeadlineBeforeKill = 3 * time.Second
+	killGrace             = 700 * time.Millisecond
+	killResponseMargin    = 150 * time.Millisecond
 	// streamTime is how long large bodies may go on when the node leaves and the last deadline has passed.
-	streamTime = time.Minute
+	bodyDrainTimeout = time.Minute
 )
 
 // node is the roster of web servers and all that surrounds the core. What is said to be guarded by the core's lock is
@@ -64,19 +64,19 @@
 	budget  *flow.Budget
 
 	// Guarded by the core's lock.
-	disc     *discovery
-	names    map[string]*backend   // listed backends by discovery's id
-	addrs    map[string][]*backend // the same by address
-	backends map[uint32]*backend   // the same by the policy's number, and those that left until their grace is over
-	nextNum  uint32
-	version  int64 // of the list
-	past     map[string]past
-	cells    *cells        // nil: there are none
-	checker  *checker      // nil: nothing is checked; its own lock guards it
-	edge     *member.Edge  // nil: no talk among instances
-	ways     []config.Way  // to web servers behind proxies; not changed after the start
-	routes   *tunnel.Table // where control tells them; else nil. Changed in place under the lock, read without it as well
-	ready    bool          // some backend is listed as ready
+	disc        *discovery
+	names       map[string]*backend   // listed backends by discovery's id
+	addrs       map[string][]*backend // the same by address
+	backends    map[uint32]*backend   // the same by the policy's number, and those that left until their grace is over
+	nextNum     uint32
+	version     int64 // of the list
+	past        map[string]past
+	cells       *cells        // nil: there are none
+	checker     *checker      // nil: nothing is checked; its own lock guards it
+	edge        *member.Edge  // nil: no talk among instances
+	proxyRoutes []config.Way  // to web servers behind proxies; not changed after the start
+	routes      *tunnel.Table // where control tells them; else nil. Changed in place under the lock, read without it as well
+	ready       bool          // some backend is listed as ready
 }
 
 // backend is one web server as the roster knows it. All but the server itself is guarded by the core's lock.
@@ -113,7 +113,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	old := inherit(cfg, log) // without one, another process that serves is looked for once this one can
+	old := requestHandedState(cfg, log) // without one, another process that serves is looked for once this one can
 	n, stop, err := start(cfg, old, log)
 	if err != nil {
 		return errors.Join(err, ln.Close())
@@ -175,7 +175,7 @@
 func start(cfg Config, old *estate, log *slog.Logger) (*node, func(), error) {
 	n := &node{cfg: cfg, log: log, names: map[string]*backend{}, addrs: map[string][]*backend{}, backends: map[uint32]*backend{},
 		past: map[string]past{}, hand: hand{disabled: map[string]bool{}, returned: map[string]time.Duration{}}}
-	o := core.Options{Clock: cfg.newClock(), Back: n, Roster: n, Log: log, Transit: transit}
+	o := core.Options{Clock: cfg.newClock(), Back: n, Roster: n, Log: log, Transit: transitAllowance}
 	if cfg.Product != nil && cfg.Product.Cells != nil {
 		terms, err := cfg.Product.Cells.Terms()
 		if err != nil {
@@ -195,7 +195,7 @@
 		return nil, nil, fmt.Errorf("contracts: %w", err)
 	}
 	if cfg.Product != nil && cfg.Product.Tunnels != nil {
-		n.ways, err = cfg.Product.Tunnels.Ways()
+		n.proxyRoutes, err = cfg.Product.Tunnels.Ways()
 		if err == nil && cfg.followed != nil {
 			n.routes, err = cfg.Product.Tunnels.Table()
 		}
@@ -211,17 +211,17 @@
 		Reports: func() bool { return n.set.Load().Reports }, Slack: cfg.slack}
 	n.opaque = backtunnel.New(n.core, n.pool, n.life.sendsAway)
 	n.clients = fronthttp.New(fronthttp.Options{Core: n.core, Budget: n.budget, Limit: cfg.clientLimit(), Away: n.life.sendsAway,
-		Ready: n.readiness, Until: n.until, Fits: func(r *http.Request) error { return n.set.Load().fits(r) }, Slack: cfg.slack})
-	n.pair.begin(n)
+		Ready: n.readinessStatus, Until: n.responseDeadline, Fits: func(r *http.Request) error { return n.set.Load().fits(r) }, Slack: cfg.slack})
+	n.pair.initialize(n)
 	if cfg.Product != nil && cfg.Product.State != nil {
 		set, err := cfg.Product.State.Ready()
 		if err != nil {
 			n.core.Close()
 			return nil, nil, err
 		}
-		n.pair.kept = &keeping{set: set}
+		n.pair.persister = &keeping{settings: set}
 	}
-	n.limits(1)
+	n.setLimits(1)
 	n.disc = newDiscovery(n, cfg.Discovery)
 	if cfg.Product != nil && cfg.Product.Health != nil {
 		if n.checker, err = newChecker(n, cfg.Product.Health.Checks); err != nil {
@@ -235,16 +235,16 @@
 	n.core.Bind(table)
 	cfg.followed.attach(n) // before what a predecessor had left of the contracts, which must find them
 	if old != nil {
-		n.predecessor(old)
+		n.adoptPredecessor(old)
 	} else {
 		var s *state.Snapshot
-		if n.pair.kept != nil {
-			s = n.recall(n.pair.kept.set)
+		if n.pair.persister != nil {
+			s = n.loadStoredState(n.pair.persister.settings)
 		}
 		n.takeList(&cfg.Known, policy.ListCached)
 		if s != nil {
-			n.ageing(s)
-			n.awake(s)
+			n.ageSnapshot(s)
+			n.adoptStoredState(s)
 		}
 	}
 	if !cfg.Settings.Policy.MustAsk {
@@ -265,92 +265,92 @@
 
 // serve answers clients on ln until ctx ends or a successor has them, and then until all that was taken is answered.
 func (n *node) serve(ctx context.Context, ln net.Listener) error {
-	d := newDoor(ln)
+	d := newSharedListener(ln)
 	failed := make(chan error, 1)
 	go func() { failed <- n.clients.Accept(d) }()
-	n.takeOver(d)
+	n.acquireClients(d)
 	defer n.pair.close()
 	for {
 		select {
 		case err := <-failed:
 			return fmt.Errorf("serve: %w", errors.Join(err, d.Close()))
-		case <-n.pair.turn:
-			if n.pair.at() != handover.Relieved {
+		case <-n.pair.phaseChanged:
+			if n.pair.currentPhase() != handover.Relieved {
 				continue
 			}
 			n.life.enter(relieved)
 			n.opaque.Drain(nil)
-			if n.finish(ctx) {
+			if n.finishForSuccessor(ctx) {
 				return n.stopAccepting(d, failed)
 			}
-			n.life.recall()
+			n.life.endRelief()
 		case <-ctx.Done():
 			n.life.enter(leaving)
-			n.pair.do(func(m *handover.Machine, _ handover.Env) { m.End() })
+			n.pair.handle(func(m *handover.Machine, _ handover.Env) { m.End() })
 			n.opaque.Drain(nil)
 			n.log.Info("leaving: finishing what was taken")
 			// Connections go on coming for a while, and clients use those that they have: each answer now tells them
 			// to close, and only then is the listener closed.
-			time.Sleep(acceptFor)
+			time.Sleep(acceptGrace)
 			err := n.stopAccepting(d, failed)
-			n.settled(context.Background())
+			n.waitForClients(context.Background())
 			return err
 		}
 	}
 }
 
 // finish finishes what was taken, for a successor that serves. False: that has ended, and clients are this process's again.
-func (n *node) finish(ctx context.Context) bool {
+func (n *node) finishForSuccessor(ctx context.Context) bool {
 	again, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		defer stop()
 		for again.Err() == nil {
 			select {
-			case <-n.pair.turn:
-				if n.pair.at() == handover.Serves {
+			case <-n.pair.phaseChanged:
+				if n.pair.currentPhase() == handover.Serves {
 					return
 				}
 			case <-ctx.Done(): // it is to end in any case
-				n.pair.do(func(m *handover.Machine, _ handover.Env) { m.End() })
+				n.pair.handle(func(m *handover.Machine, _ handover.Env) { m.End() })
 				n.life.enter(leaving)
 				<-again.Done()
 			case <-again.Done():
 			}
 		}
 	}()
-	sleep(again, acceptFor) // until the front has noticed, clients use the connections that they have
-	for n.settled(again) {
-		if n.pair.conclude() {
+	sleep(again, acceptGrace) // until the front has noticed, clients use the connections that they have
+	for n.waitForClients(again) {
+		if n.pair.tryEnd() {
 			return true
 		}
-		sleep(again, tickEach)
+		sleep(again, retryInterval)
 	}
 	return false
 }
 
 // settled returns true once no client's connection is left. Those without a request are closed at once, others behind their
 // answers: at the latest when the last deadline has passed, and large bodies later. False: ctx has ended before.
-func (n *node) settled(ctx context.Context) bool {
+func (n *node) waitForClients(ctx context.Context) bool {
 	s := n.clients
 	if ctx.Err() != nil {
 		return false
 	}
 	s.CloseIdle() // the clients of those on which no request has come turn to other nodes
-	if s.Wait(ctx, n.set.Load().longest()+transit) {
+	if s.Wait(ctx, n.set.Load().longest()+transitAllowance) {
 		return true
 	}
 	if ctx.Err() == nil {
 		s.Cut(false) // the last deadline has passed
 	}
-	if s.Wait(ctx, streamTime) {
+	if s.Wait(ctx, bodyDrainTimeout) {
 		return true
 	}
 	if ctx.Err() != nil {
 		return false
 	}
 	s.Cut(true)
-	return s.Wait(ctx, streamTime)
+	return s.Wait(ctx, bodyDrainTimeout)
 }
 
 // stopAccepting closes the listener and waits until accept has returned: what it has taken from the socket by then is
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -28,7 +28,7 @@
 	"portstall/policy"
 )
 
-func TestServesWhatTheBackendSent(t *testing.T) {
+func TestForwardsRequestAndResponse(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		return reply(c, 200, "Content-Type: text/x-quote\r\nX-Load: {\"inflight\":7,\"queue\":2}\r\n", "a\x00b")
@@ -58,7 +58,7 @@
 }
 
 // firstHeld serves all requests, the first one only after release.
-func firstHeld(release chan struct{}) func(net.Conn, *http.Request, int) bool {
+func holdFirst(release chan struct{}) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, r *http.Request, nth int) bool {
 		if nth == 1 {
 			<-release
@@ -69,10 +69,10 @@
 
 // The id of a request that is open belongs to its client: whoever else uses it is served nothing, and the first
 // goes on. Afterwards it is as good as any.
-func TestIDOfAnOpenRequest(t *testing.T) {
+func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, firstHeld(release))
+	b := newBox(t, holdFirst(release))
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
 	first, second := r.dial(t), r.dial(t)
 	first.send(save("twin").text())
@@ -99,7 +99,7 @@
 
 // What is no request as PROTOCOL has it must be answered and cut off, and nothing of it may reach a backend: served,
 // it would be lost; passed on, a body could hide a second request.
-func TestMalformedRequestsReachNoBackend(t *testing.T) {
+func TestMalformedRequestsReachNoWebServer(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
@@ -183,7 +183,7 @@
 
 // Whoever sends half a head, half a body or nothing is answered or cut off within 3 s; a request that waits for its
 // answer is not, however long that takes, and neither is a connection between requests within 2 s.
-func TestSlowClients(t *testing.T) {
+func TestSlowClientsTimeOut(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
@@ -220,7 +220,7 @@
 }
 
 // What an attempt's end proves decides whether the client may be told that trying again is harmless.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomeDecidesResponse(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
@@ -315,7 +315,7 @@
 
 // What stands behind an answer belongs to no request. Handed to the next on that connection, a second copy would be
 // served to the wrong client.
-func TestSurplusBehindAnAnswer(t *testing.T) {
+func TestBytesAfterResponseAreDiscarded(t *testing.T) {
 	t.Parallel()
 	for _, surplus := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\x16\x03 noise"} {
 		for _, late := range []bool{false, true} {
@@ -350,7 +350,7 @@
 
 // The same with many requests at once: net/http's transport offers a connection for use before it has looked behind
 // the answer, and served 2 to 10 of 4,800 requests another's answer here.
-func TestSurplusUnderLoad(t *testing.T) {
+func TestBytesAfterResponseAreDiscardedUnderLoad(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		id := r.Header.Get("X-Request-Id")
@@ -390,7 +390,7 @@
 
 // A kept connection that its backend has closed shows before a request is written to it: nothing may have run, and
 // it goes out on another.
-func TestClosedConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, func(c net.Conn, r *http.Request, n int) bool {
 		served(c, r, n)
@@ -412,7 +412,7 @@
 }
 
 // With every descriptor for backends in use by idle connections, another backend's makes room.
-func TestIdleBackendConnectionMakesRoom(t *testing.T) {
+func TestIdleConnectionIsClosedAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	one, two := newBox(t, served), newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, one.entry("s-1"), two.entry("s-2"))
@@ -433,7 +433,7 @@
 
 // A new id at the address of one that has gone is another process. The old id is sent nothing more, though its news
 // is still on the way: the new process would get what was meant for the old.
-func TestNewIDAtAnOldAddress(t *testing.T) {
+func TestNewIDAtOldAddressReplacesServer(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	g := newRegistry(t)
@@ -457,7 +457,7 @@
 }
 
 // Nothing listens on the port: nothing can have run.
-func TestConnectFailureIsHarmless(t *testing.T) {
+func TestConnectFailureIsRefusedWithRetry(t *testing.T) {
 	t.Parallel()
 	ln, err := standin.Listen()
 	if err != nil {
@@ -472,7 +472,7 @@
 
 // The transport resends by itself what it holds for safe to repeat, when a kept connection breaks. The policy
 // would not know of that attempt: the backend must see the request once.
-func TestTransportResendsNothing(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	t.Parallel()
 	for _, q := range []call{view("again"), save("again"), quote("again"),
 		{"POST", "save", "again", "k", "", "50000m"}} {
@@ -496,7 +496,7 @@
 }
 
 // A refused first attempt is tried at another backend, and the client sees only that answer.
-func TestSecondBackendAnswers(t *testing.T) {
+func TestRetryAtSecondServerAfterRefusal(t *testing.T) {
 	t.Parallel()
 	full := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 503, "X-Not-Run: 1\r\n", "") })
 	fine := newBox(t, served)
@@ -512,7 +512,7 @@
 	}
 }
 
-func TestSilentBackend(t *testing.T) {
+func TestSilentServerFailsUnsafeRequest(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.Copy(io.Discard, c)
@@ -534,7 +534,7 @@
 }
 
 // Nobody waits for the work of a client that has left.
-func TestClientGoneCancelsTheAttempt(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	gone := make(chan struct{})
 	b := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -585,7 +585,7 @@
 	}
 }
 
-func TestFollowsDiscovery(t *testing.T) {
+func TestFollowsDiscoveryList(t *testing.T) {
 	t.Parallel()
 	old, fresh := newBox(t, served), newBox(t, served)
 	g := newRegistry(t)
@@ -615,7 +615,7 @@
 	}
 	g.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{fresh.entry("s-2")}}}
 	select {
-	case <-old.ended:
+	case <-old.closedByNode:
 	case <-time.After(patience):
 		t.Fatal("connections of a backend that a whole list leaves out stay open")
 	}
@@ -642,7 +642,7 @@
 
 // A reload leaves the old discovery at once, and the new one is asked for all it has: its versions count anew, so
 // that a watch from the old one's version would wait for ever.
-func TestReloadFollowsAnotherDiscovery(t *testing.T) {
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -663,7 +663,7 @@
 			h.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{after.entry("s-2")}}}
 			r.reload(cfg)
 			select {
-			case <-g.left:
+			case <-g.abandoned:
 			case <-time.After(patience):
 				t.Fatal("the old discovery's watch stays open")
 			}
@@ -680,15 +680,15 @@
 				t.Errorf("the old discovery was asked %d times, want no call after the reload", n)
 			}
 			r.reload(cfg) // the same again changes nothing
-			if n := len(h.calls()); n != 3 || len(h.left) != 0 {
-				t.Errorf("an unchanged address: %d calls, %d given up", n, len(h.left))
+			if n := len(h.calls()); n != 3 || len(h.abandoned) != 0 {
+				t.Errorf("an unchanged address: %d calls, %d given up", n, len(h.abandoned))
 			}
 		})
 	}
 }
 
 // Where discovery is asked, the policy says when: at the start, and again after a loss.
-func TestAskMode(t *testing.T) {
+func TestPolledDiscoveryIsAskedAgainAfterFailure(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	g := newRegistry(t)
@@ -702,7 +702,7 @@
 	})
 }
 
-func ready(t *testing.T, r *rig) int {
+func readyStatus(t *testing.T, r *rig) int {
 	t.Helper()
 	c := r.dial(t)
 	c.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -710,23 +710,23 @@
 	return resp.StatusCode
 }
 
-func TestReady(t *testing.T) {
+func TestReadyOnceServerIsListed(t *testing.T) {
 	t.Parallel()
 	g := newRegistry(t)
 	b := newBox(t, served)
 	r := newRig(t, g, settingsJSON, nil)
-	if s := ready(t, r); s != 503 {
+	if s := readyStatus(t, r); s != 503 {
 		t.Errorf("ready with no backend: %d", s)
 	}
 	g.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{b.entry("s-1")}}}
-	wait(t, "readiness", func() bool { return ready(t, r) == 200 })
+	wait(t, "readiness", func() bool { return readyStatus(t, r) == 200 })
 }
 
 // After SIGTERM connections go on coming for a while; all that was taken is answered, then the node ends.
-func TestLeaving(t *testing.T) {
+func TestSIGTERMFinishesAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, firstHeld(release))
+	b := newBox(t, holdFirst(release))
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
 	c := r.dial(t)
 	c.send(quote("slow").text())
@@ -762,7 +762,7 @@
 
 // At the limit on descriptors idle connections make room; where none is idle, new ones are refused, and
 // nothing is left hanging in accept.
-func TestConnectionLimit(t *testing.T) {
+func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
@@ -803,7 +803,7 @@
 }
 
 // With a request in hand on every connection a new one's is refused and told to close: it never ran.
-func TestNoRoomForAConnection(t *testing.T) {
+func TestConnectionBeyondLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
@@ -832,7 +832,7 @@
 
 // At the limit a new connection, whose request is on its way, stays when the next one comes: it used to go before
 // those that clients had used and kept, so that new clients cut one another off and none was served.
-func TestNewConnectionsSpareOneAnother(t *testing.T) {
+func TestNewConnectionIsNotEvictedByNext(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
@@ -856,30 +856,30 @@
 }
 
 // silent makes a connection that says nothing. The channel is closed once the node waits for its first byte.
-func (r *rig) silent(t *testing.T) (seen, <-chan struct{}) {
+func (r *rig) connectSilent(t *testing.T) (observedClient, <-chan struct{}) {
 	t.Helper()
-	c := apart(t)
+	c := newUnattachedClient(t)
 	waits := make(chan struct{})
-	x := &awaited{TCPConn: c.end.(*net.TCPConn), read: sync.OnceFunc(func() { close(waits) })}
+	x := &readNotifyConn{TCPConn: c.end.(*net.TCPConn), read: sync.OnceFunc(func() { close(waits) })}
 	wait(t, "a place for it", r.clients.Take)
 	r.clients.Go(func() { r.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
 	return c, waits
 }
 
 // awaited is a connection that tells when it is first read from.
-type awaited struct {
+type readNotifyConn struct {
 	*net.TCPConn
 	read func()
 }
 
-func (c *awaited) Read(p []byte) (int, error) {
+func (c *readNotifyConn) Read(p []byte) (int, error) {
 	c.read()
 	return c.TCPConn.Read(p)
 }
 
 // Connections that say nothing come by hundreds. They make room for one another: one that a client has used, and
 // will use again, stays.
-func TestSilentConnectionsMakeRoomFirst(t *testing.T) {
+func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
@@ -893,7 +893,7 @@
 		}
 		var all []<-chan struct{}
 		for range 20 {
-			_, waits := r.silent(t)
+			_, waits := r.connectSilent(t)
 			all = append(all, waits)
 		}
 		for _, waits := range all {
@@ -907,7 +907,7 @@
 }
 
 // A machine that was cut off leaves connections behind that look sound. Kept, each swallows a request.
-func TestConnectionsOfASilentBackendAreNotTrusted(t *testing.T) {
+func TestConnectionsOfSilentServerAreClosed(t *testing.T) {
 	t.Parallel()
 	const kept = 8
 	var silent atomic.Bool
@@ -955,7 +955,7 @@
 	}
 	for range kept - 1 { // the attempt's own connection is closed in any case
 		select {
-		case <-b.ended:
+		case <-b.closedByNode:
 		case <-time.After(patience):
 			t.Fatal("connections from before the silence are kept")
 		}
@@ -968,7 +968,7 @@
 
 // One connection that is reset at once tells nothing of the others to that backend: closed with it, each costs a
 // handshake more.
-func TestAResetLeavesOtherConnections(t *testing.T) {
+func TestResetClosesOnlyOneConnection(t *testing.T) {
 	t.Parallel()
 	both := make(chan struct{})
 	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
@@ -996,7 +996,7 @@
 }
 
 // A list that comes empty by mistake costs neither the backends' connections nor what is known of them.
-func TestEmptyListIsOutlived(t *testing.T) {
+func TestServersSurviveEmptyList(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	g := newRegistry(t)
@@ -1023,7 +1023,7 @@
 
 // A machine that is cut off says nothing when it is dialled. The settings bound that wait, far below the
 // client's, and nothing can have run.
-func TestConnectTimeout(t *testing.T) {
+func TestConnectTimeoutIsRefusedWithRetry(t *testing.T) {
 	t.Parallel()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -1059,11 +1059,11 @@
 
 // What is not a backend's doing must not be held against it: with no descriptor left, or once nobody waits,
 // an attempt that found no connection is no failure to connect.
-func TestOwnTroubleIsNotTheBackends(t *testing.T) {
+func TestLocalFailureIsNotCountedAgainstServer(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	a := r.attemptAt("s-1", patience)
+	a := r.newAttempt("s-1", patience)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	r.pool.Resize(0)
@@ -1081,7 +1081,7 @@
 }
 
 // A request written to a connection that its backend has just closed as idle ends as a reset.
-func TestIdleConnectionsAreRetired(t *testing.T) {
+func TestIdleConnectionsAreClosedInTime(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"conn_idle_s":60`, `"conn_idle_s":0.3`, 1), nil, b.entry("s-1"))
@@ -1089,7 +1089,7 @@
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	select {
-	case <-b.ended:
+	case <-b.closedByNode:
 	case <-time.After(patience):
 		t.Error("the node keeps a connection that the backend is about to close")
 	}
--- a/internal/node/opaque_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -29,7 +29,7 @@
 )
 
 // lines is a server of some protocol of its own: it greets, then says again what it is told. It counts its connections.
-type lines struct {
+type echoServer struct {
 	ln      net.Listener
 	greets  bool
 	serve   func(c net.Conn) // in place of the echo
@@ -39,13 +39,13 @@
 	accepts atomic.Bool
 }
 
-func newLines(t testing.TB, serve func(c net.Conn)) *lines {
+func newLines(t testing.TB, serve func(c net.Conn)) *echoServer {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &lines{ln: ln, serve: serve}
+	l := &echoServer{ln: ln, serve: serve}
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -76,12 +76,12 @@
 	return l
 }
 
-func (l *lines) entry(id string) listed {
+func (l *echoServer) entry(id string) listed {
 	return listed{ID: id, Addr: l.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // opaqueNode is a node with an opaque route; limits are fields of the route, more is the rest of the tunnels or the file.
-func opaqueNode(t testing.TB, limits, more string, known ...listed) (r *rig, socks, connect string) {
+func newOpaqueNode(t testing.TB, limits, more string, known ...listed) (r *rig, socks, connect string) {
 	t.Helper()
 	socks, connect = free(t), free(t)
 	product := under(t, fmt.Sprintf(`services: [{name: lines}]
@@ -103,9 +103,9 @@
 }
 
 const (
-	linesSocks   = "\x05\x01\x00\x05\x01\x00\x03\x11lines.example.org\x00\x07"
-	linesConnect = "CONNECT lines.example.org:7 HTTP/1.1\r\nHost: lines.example.org:7\r\n\r\n"
-	linesTold    = 2 + 10
+	echoSOCKSOpening     = "\x05\x01\x00\x05\x01\x00\x03\x11lines.example.org\x00\x07"
+	linesConnect         = "CONNECT lines.example.org:7 HTTP/1.1\r\nHost: lines.example.org:7\r\n\r\n"
+	echoSOCKSReplyLength = 2 + 10
 )
 
 // echo says something and wants it back.
@@ -131,7 +131,7 @@
 }
 
 // ended waits until the tunnels have ended for a cause so often.
-func (r *rig) ended(t testing.TB, cause backtunnel.Cause, times uint64) {
+func (r *rig) waitTunnelsEnded(t testing.TB, cause backtunnel.Cause, times uint64) {
 	t.Helper()
 	wait(t, fmt.Sprintf("the end of %d tunnels by %q", times, cause), func() bool { return r.opaque.Stats().Ended[cause] >= times })
 }
@@ -175,13 +175,13 @@
 					p.Trouble(standin.Refuses, 0)
 					stands = false
 				}
-				r, socks, connect := opaqueNode(t, "", more, known...)
+				r, socks, connect := newOpaqueNode(t, "", more, known...)
 				ahead := ""
 				if trouble == "ahead" {
-					ahead = pattern(20 << 10)
+					ahead = distinctBody(20 << 10)
 				}
 				for i := range 4 {
-					addr, message, length := socks, linesSocks, linesTold
+					addr, message, length := socks, echoSOCKSOpening, echoSOCKSReplyLength
 					if i%2 == 1 {
 						addr, message, length = connect, linesConnect, 0
 					}
@@ -205,7 +205,7 @@
 						}
 					}
 					c.echo("hello")
-					c.echo(pattern(1 << 20))
+					c.echo(distinctBody(1 << 20))
 					// Half-closed by the client, it still gets what the server has to say, and then the server's end.
 					c.send("last words")
 					c.Conn.(*net.TCPConn).CloseWrite()
@@ -214,7 +214,7 @@
 					}
 				}
 				if stands {
-					r.ended(t, backtunnel.Done, 4)
+					r.waitTunnelsEnded(t, backtunnel.Done, 4)
 					if n := l.opened.Load(); n != 4 {
 						t.Errorf("%d connections for 4 tunnels", n)
 					}
@@ -276,13 +276,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			l := newLines(t, c.serve)
-			r, _, connect := opaqueNode(t, c.limits, "", l.entry("s-1"))
+			r, _, connect := newOpaqueNode(t, c.limits, "", l.entry("s-1"))
 			cl, told := through(t, connect, linesConnect, 0)
 			if told != "200" {
 				t.Fatalf("told %q", told)
 			}
 			c.talk(cl)
-			r.ended(t, c.cause, 1)
+			r.waitTunnelsEnded(t, c.cause, 1)
 			wait(t, "the server's end", func() bool { return l.open.Load() == 0 })
 			if st := r.opaque.Stats(); len(st.Ended) != 1 || st.Open != 0 {
 				t.Errorf("%+v", st)
@@ -295,10 +295,10 @@
 func TestOpaqueContracts(t *testing.T) {
 	t.Parallel()
 	l := newLines(t, nil)
-	r, socks, connect := opaqueNode(t, "", "contracts: [{name: all, in_flight: 1, bandwidth: 4000000}]\n", l.entry("s-1"))
+	r, socks, connect := newOpaqueNode(t, "", "contracts: [{name: all, in_flight: 1, bandwidth: 4000000}]\n", l.entry("s-1"))
 	c, _ := through(t, connect, linesConnect, 0)
 	begun := time.Now()
-	text := pattern(3 << 20)
+	text := distinctBody(3 << 20)
 	go c.send(text)
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c.in, got); err != nil || string(got) != text {
@@ -313,7 +313,7 @@
 	if resp.StatusCode != 429 || !strings.HasPrefix(resp.Header.Get("Portstall-Refusal"), "rule=in-flight") || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("a second one: %d %v", resp.StatusCode, resp.Header)
 	}
-	if _, told := through(t, socks, linesSocks, linesTold); told[3] != 2 {
+	if _, told := through(t, socks, echoSOCKSOpening, echoSOCKSReplyLength); told[3] != 2 {
 		t.Errorf("a second one by SOCKS5: %q", told)
 	}
 	c.Close()
@@ -324,20 +324,20 @@
 }
 
 // lateCopy is a client's connection of which a copy returns only when it may, as on a machine that runs something else first.
-type lateCopy struct {
+type delayedCopyConn struct {
 	*net.TCPConn
-	may chan struct{}
+	release chan struct{}
 }
 
-func (c lateCopy) ReadFrom(r io.Reader) (int64, error) {
+func (c delayedCopyConn) ReadFrom(r io.Reader) (int64, error) {
 	n, err := c.TCPConn.ReadFrom(r)
-	<-c.may
+	<-c.release
 	return n, err
 }
 
 // A client answers the server's bytes before the node comes to book that it has passed them on: the server's silence to that
 // answer is seen all the same.
-func TestStallBehindALateCopy(t *testing.T) {
+func TestStallIsDetectedAfterDelayedCopy(t *testing.T) {
 	t.Parallel()
 	again := make(chan struct{})
 	l := newLines(t, func(c net.Conn) {
@@ -346,7 +346,7 @@
 		close(again)
 		io.Copy(io.Discard, c)
 	})
-	r, _, _ := opaqueNode(t, "", "", l.entry("s-1"))
+	r, _, _ := newOpaqueNode(t, "", "", l.entry("s-1"))
 	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute, Stall: 3 * time.Second}}
 	req := &core.Request{ID: "late", Class: "quote", Message: stream, Body: stream, Arrived: r.core.Now(), Patience: patience}
 	if !r.core.Begin(req) {
@@ -356,8 +356,8 @@
 	if answer.Kind != core.Served {
 		t.Fatalf("%+v", answer)
 	}
-	conn, there := bothEnds(t)
-	late := lateCopy{there.(*net.TCPConn), make(chan struct{})}
+	conn, there := connPair(t)
+	late := delayedCopyConn{there.(*net.TCPConn), make(chan struct{})}
 	go answer.Payload.(message.Tunnel).Relay(late, bufio.NewReader(there))
 	c := &client{t, conn, bufio.NewReader(conn)}
 	c.SetDeadline(time.Now().Add(patience))
@@ -365,16 +365,16 @@
 	c.send("again")
 	receive(t, "the client's answer at the server", again)
 	time.Sleep(20 * time.Millisecond) // for the node to book that, too
-	close(late.may)
-	r.ended(t, backtunnel.Stall, 1)
+	close(late.release)
+	r.waitTunnelsEnded(t, backtunnel.Stall, 1)
 }
 
 // Between the pick and the connection its server is told to drain, or is taken out: the tunnel does not come to stand there,
 // and that proves that nothing ran.
-func TestOpaqueBetweenPickAndConnection(t *testing.T) {
+func TestOpaqueServerLeavesBeforeConnection(t *testing.T) {
 	t.Parallel()
 	l := newLines(t, nil)
-	r, _, _ := opaqueNode(t, "", "", l.entry("s-1"))
+	r, _, _ := newOpaqueNode(t, "", "", l.entry("s-1"))
 	r.core.Lock()
 	server := r.names["s-1"].Server
 	r.core.Unlock()
@@ -406,7 +406,7 @@
 
 // A thousand tunnels stand when their server is told to drain: nothing new comes to it from a second later on, those that
 // stand end within their limit, and new ones go elsewhere. The same where it is taken out by hand.
-func TestOpaqueDrains(t *testing.T) {
+func TestOpaqueTunnelsEndWithDrainedServer(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a thousand tunnels")
 	}
@@ -419,7 +419,7 @@
 			e.State = "Terminating"
 			draining = append(draining, e)
 		}
-		r, _, connect := opaqueNode(t, ", drain: 300ms", "", fleet...)
+		r, _, connect := newOpaqueNode(t, ", drain: 300ms", "", fleet...)
 		var all []*client
 		for range 1000 {
 			c, told := through(t, connect, linesConnect, 0)
@@ -445,7 +445,7 @@
 				c.Close()
 			}
 		}
-		r.ended(t, backtunnel.Draining, 1000)
+		r.waitTunnelsEnded(t, backtunnel.Draining, 1000)
 		if late := time.Unix(0, one.latest.Load()).Sub(told); late > 2*time.Second { // the grace in these settings
 			t.Errorf("by hand %v: a new connection %v after the word", byHand, late)
 		}
@@ -464,10 +464,10 @@
 
 // In a drain of the node a tunnel that is asked for is refused at once, one that stands ends within its limit; the same
 // when the node leaves.
-func TestOpaqueWhenTheNodeDrains(t *testing.T) {
+func TestOpaqueTunnelsEndWithDrainedNode(t *testing.T) {
 	t.Parallel()
 	l := newLines(t, nil)
-	r, _, connect := opaqueNode(t, ", drain: 200ms", "", l.entry("s-1"))
+	r, _, connect := newOpaqueNode(t, ", drain: 200ms", "", l.entry("s-1"))
 	c, _ := through(t, connect, linesConnect, 0)
 	c.echo("hello")
 	must(t, r.Drain(context.Background()))
@@ -475,7 +475,7 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("CONNECT during a drain: %d, come back in %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	r.ended(t, backtunnel.Draining, 1)
+	r.waitTunnelsEnded(t, backtunnel.Draining, 1)
 	must(t, r.Resume(context.Background()))
 	c, told := through(t, connect, linesConnect, 0)
 	if told != "200" {
@@ -483,16 +483,16 @@
 	}
 	c.echo("hello")
 	r.leave()
-	r.ended(t, backtunnel.Draining, 2)
+	r.waitTunnelsEnded(t, backtunnel.Draining, 2)
 }
 
 // Standard clients speak to it: golang.org/x/net/proxy by SOCKS5, and net/http with a proxy's URL, with TLS to the server
 // inside the tunnel.
-func TestStandardClients(t *testing.T) {
+func TestStandardProxyClients(t *testing.T) {
 	t.Parallel()
 	web := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "hello "+r.Host) }))
 	defer web.Close()
-	_, socks, connect := opaqueNode(t, "", "", listed{ID: "s-1", Addr: web.Listener.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
+	_, socks, connect := newOpaqueNode(t, "", "", listed{ID: "s-1", Addr: web.Listener.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
 	for _, p := range []string{"http://" + connect, "socks5://" + socks} {
 		u, err := url.Parse(p)
 		must(t, err)
@@ -522,10 +522,10 @@
 }
 
 // A request smuggled by two framings inside a tunnel of HTTP is refused, and reaches no server.
-func TestNoSmugglingInATunnel(t *testing.T) {
+func TestSmuggledRequestInTunnelIsRejected(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
-	_, _, connect := tunnelled(t, "", b.entry("s-1"))
+	_, _, connect := newTunnelNode(t, "", b.entry("s-1"))
 	c, _ := through(t, connect, connectOpening("secret"), 0)
 	q := strings.Replace(save("outer").text(), "Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ", 1)
 	c.send(q + "0\r\n\r\n" + view("inner").text())
@@ -541,7 +541,7 @@
 }
 
 // relay is what a tunnel is held against: two copies and nothing else.
-func relay(b *testing.B, to string) string {
+func bareRelay(b *testing.B, to string) string {
 	ln, err := standin.Listen()
 	if err != nil {
 		b.Fatal(err)
@@ -575,9 +575,9 @@
 func BenchmarkTunnel(b *testing.B) {
 	l := newLines(b, func(c net.Conn) { io.Copy(io.Discard, c) })
 	echo := newLines(b, nil)
-	_, _, connect := opaqueNode(b, "", "", l.entry("s-1"))
-	_, _, shorts := opaqueNode(b, "", "", echo.entry("s-1"))
-	bare, bareShorts := relay(b, l.ln.Addr().String()), relay(b, echo.ln.Addr().String())
+	_, _, connect := newOpaqueNode(b, "", "", l.entry("s-1"))
+	_, _, shorts := newOpaqueNode(b, "", "", echo.entry("s-1"))
+	bare, bareShorts := bareRelay(b, l.ln.Addr().String()), bareRelay(b, echo.ln.Addr().String())
 	open := func(addr string, tunnel bool) net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -638,7 +638,7 @@
 			for i := range 60 {
 				many = append(many, l.entry(fmt.Sprint("s-", i)))
 			}
-			_, _, connect := opaqueNode(b, ", idle: 10m", "", many...)
+			_, _, connect := newOpaqueNode(b, ", idle: 10m", "", many...)
 			held := func() float64 {
 				runtime.GC()
 				var m runtime.MemStats
--- a/internal/node/operation_test.go
+++ b/internal/node/operation_test.go
@@ -29,7 +29,7 @@
 }
 
 // A web server out by hand gets nothing, whatever discovery says of it meanwhile; two calls out need one back.
-func TestOutByHand(t *testing.T) {
+func TestDisabledServerGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
 	a, b := newBox(t, served), newBox(t, served)
@@ -80,7 +80,7 @@
 }
 
 // Once Disable has returned, not even a send that was on its way before is written.
-func TestDisableStopsWhatIsOnItsWay(t *testing.T) {
+func TestDisableStopsPendingWrites(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
@@ -101,7 +101,7 @@
 	t.Parallel()
 	ctx := context.Background()
 	release := make(chan struct{})
-	b := newBox(t, firstHeld(release))
+	b := newBox(t, holdFirst(release))
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
 	busy, idle := r.dial(t), r.dial(t)
 	busy.send(quote("slow").text())
@@ -109,16 +109,16 @@
 	if resp, _ := idle.ask(view("v")); resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("before the drain: %d, close %v", resp.StatusCode, resp.Close)
 	}
-	late, waits := r.silent(t)
+	late, waits := r.connectSilent(t)
 	receive(t, "the node's wait for the late one", waits)
 	begun := time.Now()
 	must(t, r.Drain(ctx))
 	must(t, r.Drain(ctx))
-	if s := ready(t, r); s != http.StatusServiceUnavailable {
+	if s := readyStatus(t, r); s != http.StatusServiceUnavailable {
 		t.Errorf("ready in a drain: %d", s)
 	}
 	io.WriteString(late, view("late").text())
-	if _, err := late.in.Peek(1); err != nil && time.Since(begun) >= acceptFor {
+	if _, err := late.in.Peek(1); err != nil && time.Since(begun) >= acceptGrace {
 		late.client = r.dial(t) // this machine was too slow: it was closed with the idle ones, and comes again
 		late.send(view("late").text())
 	}
@@ -134,7 +134,7 @@
 	}
 	must(t, r.Resume(ctx))
 	must(t, r.Resume(ctx))
-	if s := ready(t, r); s != http.StatusOK {
+	if s := readyStatus(t, r); s != http.StatusOK {
 		t.Errorf("ready after it: %d", s)
 	}
 	c := r.dial(t)
--- a/internal/node/keep.go
+++ b/internal/node/persist.go
@@ -10,17 +10,17 @@
 )
 
 // savedTime is how long an operator's call waits for the disk to have it. It counts without that, too.
-const savedTime = 300 * time.Millisecond
+const persistTimeout = 300 * time.Millisecond
 
 // keeping is the node's state on a disk that lasts. Its owner is the pair: whoever serves writes.
 type keeping struct {
-	set    config.State
-	dir    *disk.Dir
-	keeper *disk.Keeper
+	settings config.State
+	dir      *disk.Dir
+	writer   *disk.Keeper
 }
 
 // recall reads what an earlier process of this node has kept; nil: nothing that can be used.
-func (n *node) recall(set config.State) *state.Snapshot {
+func (n *node) loadStoredState(set config.State) *state.Snapshot {
 	s, _, wrong := disk.Read(set.Dir)
 	for _, err := range wrong {
 		n.log.Error("a kept state is not used", "err", err)
@@ -36,16 +36,16 @@
 }
 
 // begin keeps the state from now on: this process serves. Another one that writes there is told of and left alone.
-func (k *keeping) begin(n *node) {
+func (k *keeping) start(n *node) {
 	if k == nil || k.dir != nil {
 		return
 	}
 	var err error
-	if k.dir, err = disk.Open(k.set.Dir); err != nil {
+	if k.dir, err = disk.Open(k.settings.Dir); err != nil {
 		n.log.Error("the state is not kept", "err", err)
 		return
 	}
-	k.keeper = disk.Keep(k.dir, k.set.Every, func() ([]byte, error) {
+	k.writer = disk.Keep(k.dir, k.settings.Every, func() ([]byte, error) {
 		n.core.Lock()
 		s := n.snapshot(false)
 		n.core.Unlock()
@@ -60,27 +60,27 @@
 }
 
 // end keeps it once more and leaves the directory to whoever serves next.
-func (k *keeping) end() {
+func (k *keeping) stop() {
 	if k == nil || k.dir == nil {
 		return
 	}
-	k.keeper.Stop()
+	k.writer.Stop()
 	k.dir.Close()
-	k.dir, k.keeper = nil, nil
+	k.dir, k.writer = nil, nil
 }
 
 // saved keeps the state at once: operators have said something.
 func (n *node) saved() {
 	n.pair.mu.Lock()
 	var keeper *disk.Keeper
-	if n.pair.kept != nil {
-		keeper = n.pair.kept.keeper
+	if n.pair.persister != nil {
+		keeper = n.pair.persister.writer
 	}
 	n.pair.mu.Unlock()
 	if keeper == nil {
 		return
 	}
-	if err := keeper.Now(savedTime); err != nil {
+	if err := keeper.Now(persistTimeout); err != nil {
 		n.log.Warn("the call is carried out; it is not sure that the disk has it", "err", errors.Unwrap(err))
 	}
 }
--- a/internal/node/keep_test.go
+++ b/internal/node/persist_test.go
@@ -13,7 +13,7 @@
 // What a node knew is there after its end: orders by hand, debts of contracts, what was learnt of servers. One that has started
 // anew meanwhile is as unknown as ever; a list that the configuration has newer counts; another process in the directory is left
 // alone; a damaged file is no hindrance.
-func TestStateOutlivesTheProcess(t *testing.T) {
+func TestStoredStateIsUsedAfterRestart(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
 	dir := t.TempDir()
@@ -33,7 +33,7 @@
 	wait(t, "the second", func() bool { return second.Ready() == nil })
 	second.pair.mu.Lock()
 	second.core.Lock()
-	out, keeps := second.hand.disabled["s-1"], second.pair.kept.dir != nil
+	out, keeps := second.hand.disabled["s-1"], second.pair.persister.dir != nil
 	second.core.Unlock()
 	second.pair.mu.Unlock()
 	if !out || keeps {
--- a/internal/node/harden_test.go
+++ b/internal/node/robustness_test.go
@@ -34,14 +34,14 @@
 }
 
 // attemptAt is an attempt at a listed server.
-func (r *rig) attemptAt(id string, wait time.Duration) *core.Attempt {
+func (r *rig) newAttempt(id string, wait time.Duration) *core.Attempt {
 	in, _ := http.NewRequest("GET", "http://x/api", nil)
 	up, _ := flow.NewUpload(http.NoBody, 0)
 	return &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: r.backendOf(id).Server, Wait: wait}
 }
 
 // through makes the way to a server a test's own.
-func (r *rig) through(id string, via back.Dial) {
+func (r *rig) setDial(id string, via back.Dial) {
 	b := r.backendOf(id)
 	r.core.Lock()
 	defer r.core.Unlock()
@@ -50,7 +50,7 @@
 
 // What keeps a connection from coming up is held against the server only where it is the server's doing: not where this machine
 // has no descriptor left, nor where the client's patience was over before any server could have answered.
-func TestWhoseFaultItIs(t *testing.T) {
+func TestConnectFailureIsAttributed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, served).entry("s-1"))
 	never := func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
@@ -75,8 +75,8 @@
 		{"a client of no patience", never, time.Millisecond, policy.Moot},
 		{"one who waits for a while", never, 300 * time.Millisecond, policy.ConnectFailed},
 	} {
-		r.through("s-1", c.via)
-		if res := r.Attempt(context.Background(), r.attemptAt("s-1", c.wait)); res.Outcome != c.want {
+		r.setDial("s-1", c.via)
+		if res := r.Attempt(context.Background(), r.newAttempt("s-1", c.wait)); res.Outcome != c.want {
 			t.Errorf("%s: outcome %d, want %d", c.name, res.Outcome, c.want)
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // A request that finds no room for its body is refused, and told when to come back.
-func TestNoRoomForABody(t *testing.T) {
+func TestBodyBeyondBudgetIsRefused(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newRegistry(t), settingsJSON, hurried, newBox(t, served).entry("s-1"))
 	must(t, r.budget.Request(context.Background(), r.cfg.bodyBytes()/2))
@@ -102,7 +102,7 @@
 
 // Lines of the list that name no server or no place are passed over, and one that started in no time that there is counts as
 // cold, not as long running.
-func TestListWithNonsense(t *testing.T) {
+func TestMalformedListEntriesAreSkipped(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	far := b.entry("s-2")
@@ -125,7 +125,7 @@
 }
 
 // A configuration that is refused for one part of it changes nothing in the others: here its keys would have cast a member out.
-func TestRefusedReloadChangesNothing(t *testing.T) {
+func TestRejectedReloadChangesNothing(t *testing.T) {
 	t.Parallel()
 	some := newFellows(t, 2)
 	var rigs [2]*rig
@@ -151,7 +151,7 @@
 
 // A file cut off at any byte is refused at a start and at a reload, and so is one whose figures are out of range; each error
 // names the file or the field.
-func TestHalfWrittenFiles(t *testing.T) {
+func TestTruncatedOrInvalidFilesAreRejected(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
 	good := strings.Replace(goodFile, `"report"`, `"projects":[{"name":"a","quota_per_s":5},{"name":"b","quota_per_s":5}],"report"`, 1)
@@ -205,7 +205,7 @@
 
 // A process that was replaced finishes what it took while its successor is replaced in its turn. Operators' calls reach all
 // three, and the end of one leaves the other two one node.
-func TestThreeProcessesAreOneNode(t *testing.T) {
+func TestOrdersReachThreeProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -232,11 +232,11 @@
 	busy := first.dial(t)
 	busy.send(quote("open").text())
 	wait(t, "the request at the server", func() bool { return len(a.requests()) == 1 })
-	second := succeed(t, first.meet(t), g, settingsJSON)
+	second := startSuccessor(t, first.meet(t), g, settingsJSON)
 	stays := second.dial(t) // the second one ends behind the first, and not before it has answered this
 	stays.send(quote("slow").text())
 	wait(t, "the second's request at the server", func() bool { return len(a.requests()) == 2 })
-	third := succeed(t, second.meet(t), g, settingsJSON)
+	third := startSuccessor(t, second.meet(t), g, settingsJSON)
 	must(t, third.Disable(ctx, "s-1"))
 	if !out(first, "s-1") || !out(second, "s-1") {
 		t.Errorf("out at the first: %v, at the second: %v", out(first, "s-1"), out(second, "s-1"))
@@ -246,7 +246,7 @@
 		t.Errorf("the first's request: %d", resp.StatusCode)
 	}
 	second.pair.mu.Lock()
-	gone := second.pair.peers[second.pair.m.Before]
+	gone := second.pair.peers[second.pair.machine.Before]
 	second.pair.mu.Unlock()
 	second.Gone(gone) // as the end of its process does
 	must(t, third.Enable(ctx, "s-1"))
@@ -265,7 +265,7 @@
 
 // All that several goroutines can reach at a time is reached by several at a time, for the race detector; meanwhile what was
 // asked is answered, and in the end nothing is left.
-func TestSharedState(t *testing.T) {
+func TestConcurrentOperations(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
 	report := func(c net.Conn, r *http.Request, nth int) bool {
@@ -328,10 +328,10 @@
 			r.reload(change)
 		},
 		func(n int) { r.core.Stats(10); r.core.Explain(&contract.Caller{Tenant: "app"}, "view", false) },
-		func(n int) { r.healthOf(""); r.readiness(); r.Ready(); r.standing() },
+		func(n int) { r.healthOf(""); r.readinessStatus(); r.Ready(); r.standing() },
 		func(n int) { r.pool.Resize(10 + n%20); r.pool.Counts(); r.clients.Resize(50 + n%9); r.opaque.Stats() },
 		func(n int) { r.Drain(ctx); r.Resume(ctx) },
-		func(n int) { r.core.Lock(); r.snapshot(n%2 == 0); r.core.Unlock(); r.limits(1) },
+		func(n int) { r.core.Lock(); r.snapshot(n%2 == 0); r.core.Unlock(); r.setLimits(1) },
 	} {
 		others.Go(func() {
 			for n := 0; !over.Load(); n++ {
@@ -351,7 +351,7 @@
 
 // A server out by hand that comes back at another address costs no request its only attempt: the policy knows, and not the gate
 // alone.
-func TestOutByHandCostsNoAttempt(t *testing.T) {
+func TestDisabledServerCostsNoAttempt(t *testing.T) {
 	t.Parallel()
 	a, moved, b := newBox(t, served), newBox(t, served), newBox(t, served)
 	one := strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":1`, 1)
@@ -369,7 +369,7 @@
 }
 
 // A request's id that its predecessor takes on a kept connection after the hand-over is not known to the successor.
-func TestIDsAfterAHandover(t *testing.T) {
+func TestIDAcceptedByPredecessorAfterHandover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	a := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
@@ -386,7 +386,7 @@
 	est := old.meet(t)
 	keeps.send(quote("late").text()) // taken behind the state
 	wait(t, "the request at the server", func() bool { return len(a.requests()) == 2 })
-	young := succeed(t, est, g, settingsJSON)
+	young := startSuccessor(t, est, g, settingsJSON)
 	if resp, _ := young.dial(t).ask(quote("late")); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the id of a request that the predecessor took behind its state: %d", resp.StatusCode)
 	}
@@ -394,7 +394,7 @@
 
 // Behind the hand-over a predecessor asks before each request on the connections that clients keep: an id that is open at the
 // successor does not begin there, nor the other way round, and one that has ended may be used again.
-func TestIDsOnBothSides(t *testing.T) {
+func TestOpenIDsAreSharedAfterHandover(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
 	a := newSlowBox(t, hold)
@@ -406,7 +406,7 @@
 	est := old.meet(t)
 	keeps.send(quote("slow").text()[:40]) // its first bytes keep the connection while others are closed
 	again.send(view("free").text()[:40])
-	young := succeed(t, est, g, settingsJSON)
+	young := startSuccessor(t, est, g, settingsJSON)
 	first := young.dial(t)
 	first.send(quote("slow").text())
 	wait(t, "the request at the server", func() bool { return len(a.requests()) == 3 })
@@ -433,7 +433,7 @@
 }
 
 // A process that was relieved and told to end does so, also when its successor ends before it has.
-func TestRelievedAndToldToEnd(t *testing.T) {
+func TestRelievedProcessEndsOnSIGTERM(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
 	a := newSlowBox(t, hold)
@@ -442,13 +442,13 @@
 	busy := old.dial(t)
 	busy.send(view("slow").text())
 	wait(t, "the request at the server", func() bool { return len(a.requests()) == 1 })
-	young := succeed(t, old.meet(t), g, settingsJSON)
+	young := startSuccessor(t, old.meet(t), g, settingsJSON)
 	wait(t, "relief", func() bool { return old.life.now() == relieved })
 	old.leave()
 	wait(t, "the order to end", func() bool { return old.life.now() == leaving })
 	young.leave()
 	young.exited <- receive(t, "the successor's end", young.exited)
-	wait(t, "its notice", func() bool { return old.pair.at() == handover.Serves })
+	wait(t, "its notice", func() bool { return old.pair.currentPhase() == handover.Serves })
 	close(hold)
 	if resp, _ := busy.answer(); resp.StatusCode != http.StatusOK {
 		t.Errorf("what it had taken: %d", resp.StatusCode)
@@ -464,11 +464,13 @@
 
 // successor is the other end of a hand-over as a test wants it: it says what it is told to and no more.
 type successor struct {
-	heard chan handover.Message
+	messages chan handover.Message
 }
 
-func (s successor) Heard(_ *upgrade.Peer, what handover.Message, _ uint64, _ []byte) { s.heard <- what }
-func (successor) Hello(*upgrade.Peer)                                                {}
+func (s successor) Heard(_ *upgrade.Peer, what handover.Message, _ uint64, _ []byte) {
+	s.messages <- what
+}
+func (successor) Hello(*upgrade.Peer) {}
 func (successor) Claim(*upgrade.Peer, string, time.Duration) handover.Verdict {
 	return handover.Granted
 }
@@ -478,7 +480,7 @@
 
 // A successor that ends leaves its predecessor serving, with its listener: before it was told that clients are its own, after
 // that, and after it has said that it serves. One that hangs after its yes is not waited for, unless it has the token.
-func TestSuccessorThatEnds(t *testing.T) {
+func TestPredecessorServesWhenSuccessorEnds(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name          string
@@ -497,7 +499,7 @@
 			var token *upgrade.Token
 			if c.ready {
 				m.peer.Tell(handover.Ready, 0, nil)
-				if what := receive(t, "the predecessor's word", s.heard); what != handover.Yours {
+				if what := receive(t, "the predecessor's word", s.messages); what != handover.Yours {
 					t.Fatalf("told %d", what)
 				}
 			}
@@ -511,7 +513,7 @@
 				}
 				must(t, token.Mark(number+1))
 				m.peer.Tell(handover.Serving, 0, nil)
-				wait(t, "the predecessor's relief", func() bool { return old.pair.at() == handover.Relieved })
+				wait(t, "the predecessor's relief", func() bool { return old.pair.currentPhase() == handover.Relieved })
 			}
 			if c.ends {
 				if token != nil {
@@ -520,7 +522,7 @@
 				m.peer.Close()
 			}
 			if c.ready {
-				wait(t, "the predecessor", func() bool { return old.pair.at() == handover.Serves })
+				wait(t, "the predecessor", func() bool { return old.pair.currentPhase() == handover.Serves })
 			}
 			wait(t, "its clients", func() bool { return !old.life.sendsAway() })
 			if resp, _ := old.dial(t).ask(view("v")); resp.StatusCode != http.StatusOK || resp.Close {
--- a/internal/node/judge_test.go
+++ b/internal/node/rules_test.go
@@ -24,51 +24,51 @@
 // judge holds what stands and clients saw against the rules of the brief, by the lab's books. Whoever sees something tells it
 // before anybody can act on it, so that no verdict hangs on which goroutine runs first.
 type judge struct {
-	start time.Time
-	waits time.Duration // how long at most for a stand's notice of an attempt's end
+	start   time.Time
+	maxWait time.Duration // how long at most for a stand's notice of an attempt's end
 
-	mu     sync.Mutex
-	book   *oracle.Book
-	open   map[string]int // attempts that a stand has and that have not ended, by request
-	sends  map[string]int
-	faults []string // of what the books do not know: answers nobody made, refusals that say nothing
+	mu         sync.Mutex
+	records    *oracle.Book
+	open       map[string]int // attempts that a stand has and that have not ended, by request
+	sends      map[string]int
+	violations []string // of what the books do not know: answers nobody made, refusals that say nothing
 }
 
 // The figures are those of settingsJSON but for the grace, which the cells shorten. A stand does half a second's work a second
 // when it is cold and counts each request as coldWork.
 const (
-	cellGrace = 300 * time.Millisecond
-	coldWork  = 0.05
-	coldRate  = 0.3
+	trialGrace = 300 * time.Millisecond
+	coldWork   = 0.05
+	coldRate   = 0.3
 )
 
-var judged = []oracle.Class{{Name: "view", Effect: "safe"}, {Name: "save", Effect: "keyed", Group: "zone", Window: 30 * time.Second},
+var checkedClasses = []oracle.Class{{Name: "view", Effect: "safe"}, {Name: "save", Effect: "keyed", Group: "zone", Window: 30 * time.Second},
 	{Name: "quote", Effect: "unsafe"}}
 
-func newJudge() *judge {
+func newRuleChecker() *judge {
 	// The books take 0 for never: an hour has passed before anything happens.
-	return &judge{start: time.Now().Add(-time.Hour), waits: patience, open: map[string]int{}, sends: map[string]int{}, book: oracle.New(oracle.Figures{MaxAttempts: 3,
-		AnswerSlack: patience, DrainGrace: cellGrace, FallMultiple: 4, FallFor: 1500 * time.Millisecond, MeanWork: coldWork}, judged, 1, true)}
+	return &judge{start: time.Now().Add(-time.Hour), maxWait: patience, open: map[string]int{}, sends: map[string]int{}, records: oracle.New(oracle.Figures{MaxAttempts: 3,
+		AnswerSlack: patience, DrainGrace: trialGrace, FallMultiple: 4, FallFor: 1500 * time.Millisecond, MeanWork: coldWork}, checkedClasses, 1, true)}
 }
 
 func (j *judge) now() time.Duration { return time.Since(j.start) }
 
-func (j *judge) tell(f func(b *oracle.Book)) {
+func (j *judge) record(f func(b *oracle.Book)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	f(j.book)
+	f(j.records)
 }
 
-func (j *judge) fault(format string, args ...any) {
+func (j *judge) addViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.faults = append(j.faults, fmt.Sprintf(format, args...))
+	j.violations = append(j.violations, fmt.Sprintf(format, args...))
 }
 
 // settled returns once a stand has booked the end of each of a request's attempts. What the node gave up, or saw break, may be on
 // its way to the stand's notice; an attempt that stays open is left to the books.
-func (j *judge) settled(id string) {
-	for end := time.Now().Add(j.waits); time.Now().Before(end); time.Sleep(time.Millisecond) {
+func (j *judge) waitForEnds(id string) {
+	for end := time.Now().Add(j.maxWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		j.mu.Lock()
 		open := j.open[id]
 		j.mu.Unlock()
@@ -79,22 +79,22 @@
 }
 
 // sent books an attempt that a stand has got, and returns its number.
-func (j *judge) sent(at time.Duration, id string, s *stand) int {
-	j.settled(id)
+func (j *judge) sent(at time.Duration, id string, s *stagedServer) int {
+	j.waitForEnds(id)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	capacity := 0.0
 	if s.cold.Load() {
 		capacity = coldRate
 	}
-	j.book.Sent(at, 0, id, s.number, coldWork, capacity)
+	j.records.Sent(at, 0, id, s.number, coldWork, capacity)
 	j.open[id]++
 	j.sends[id]++
 	return j.sends[id] - 1
 }
 
 func (j *judge) ended(id string, index int, what string, neverRan bool) {
-	j.tell(func(b *oracle.Book) {
+	j.record(func(b *oracle.Book) {
 		j.open[id]--
 		b.Ended(j.now(), 0, id, index, what, neverRan, false)
 	})
@@ -103,47 +103,47 @@
 // final books what a client was told, and holds it against what the stands make and what a refusal owes.
 func (j *judge) final(id string, resp *http.Response, body []byte) {
 	if resp.StatusCode != 200 { // one that is served was booked before its answer went out
-		j.settled(id)
+		j.waitForEnds(id)
 	}
 	switch {
-	case resp.StatusCode == 200 && !bytes.Equal(body, madeFor(id, len(body) > 1000)):
-		j.fault("%s is served with %d bytes that no web server made for it", id, len(body))
+	case resp.StatusCode == 200 && !bytes.Equal(body, bodyFor(id, len(body) > 1000)):
+		j.addViolation("%s is served with %d bytes that no web server made for it", id, len(body))
 		fallthrough
 	case resp.StatusCode == 200:
-		j.tell(func(b *oracle.Book) { b.Served(j.now(), 0, id) })
+		j.record(func(b *oracle.Book) { b.Served(j.now(), 0, id) })
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
 		if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || after <= 0 || after > 2 {
-			j.fault("%s is refused with Retry-After %q, want it over 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
+			j.addViolation("%s is refused with Retry-After %q, want it over 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
 		}
-		j.tell(func(b *oracle.Book) { b.Refused(j.now(), 0, id) })
+		j.record(func(b *oracle.Book) { b.Refused(j.now(), 0, id) })
 	default:
 		if after := resp.Header.Get("Retry-After"); after != "" {
-			j.fault("%s has failed, and is told to come back after %s", id, after)
+			j.addViolation("%s has failed, and is told to come back after %s", id, after)
 		}
-		j.tell(func(b *oracle.Book) { b.Failed(j.now(), 0, id) })
+		j.record(func(b *oracle.Book) { b.Failed(j.now(), 0, id) })
 	}
 }
 
 // verdict is all that was broken, once everything is over.
-func (j *judge) verdict() []string {
+func (j *judge) findings() []string {
 	j.mu.Lock()
 	sent := slices.Collect(maps.Keys(j.sends))
 	j.mu.Unlock()
 	for _, id := range sent {
-		j.settled(id)
+		j.waitForEnds(id)
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.book.Close(j.now(), nil)
-	out := append([]string(nil), j.faults...)
-	for _, b := range j.book.Breaches() {
+	j.records.Close(j.now(), nil)
+	out := append([]string(nil), j.violations...)
+	for _, b := range j.records.Breaches() {
 		out = append(out, b.String())
 	}
 	return out
 }
 
 // madeFor is the body that a stand makes for a request.
-func madeFor(id string, large bool) []byte {
+func bodyFor(id string, large bool) []byte {
 	if large {
 		return bytes.Repeat([]byte(id+" "), (200<<10)/(len(id)+1))
 	}
@@ -151,35 +151,35 @@
 }
 
 // temper is what a stand does with a request that it has got.
-type temper int32
+type behavior int32
 
 const (
-	serves temper = iota
-	silent        // says nothing, and notices when the node gives up
-	resets        // ends the connection with a reset
-	spoils        // answers what is no answer
-	babble        // serves, with a report that can't be read
+	behaveNormally  behavior = iota
+	staySilent               // says nothing, and notices when the node gives up
+	resetConnection          // ends the connection with a reset
+	sendMalformed            // answers what is no answer
+	sendBadReport            // serves, with a report that can't be read
 )
 
 // stand is a web server whose requests stop at the cell's stage until the cell lets them go on.
-type stand struct {
-	id     string
-	number uint32
-	cell   *trial
-	ln     net.Listener
-	temper atomic.Int32
-	cold   atomic.Bool
-	wg     sync.WaitGroup
+type stagedServer struct {
+	id       string
+	number   uint32
+	trial    *trial
+	ln       net.Listener
+	behavior atomic.Int32
+	cold     atomic.Bool
+	wg       sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-func (s *stand) entry(state string) listed {
+func (s *stagedServer) entry(state string) listed {
 	return listed{ID: s.id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: state}
 }
 
-func (s *stand) accept() {
+func (s *stagedServer) accept() {
 	for {
 		c, err := s.ln.Accept()
 		if err != nil {
@@ -188,12 +188,12 @@
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		s.wg.Go(func() { s.talk(c) })
+		s.wg.Go(func() { s.serveConn(c) })
 	}
 }
 
 // restart is what a process's end does: its connections are reset.
-func (s *stand) restart() {
+func (s *stagedServer) resetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -202,13 +202,13 @@
 	}
 }
 
-func (s *stand) close() {
+func (s *stagedServer) close() {
 	s.ln.Close()
-	s.restart()
+	s.resetConnections()
 	s.wg.Wait()
 }
 
-func (s *stand) talk(conn net.Conn) {
+func (s *stagedServer) serveConn(conn net.Conn) {
 	defer func() {
 		conn.Close()
 		s.mu.Lock()
@@ -220,21 +220,21 @@
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		if !s.answer(conn, in, s.cell.judge.now()) {
+		if !s.serveRequest(conn, in, s.trial.rules.now()) {
 			return
 		}
 	}
 }
 
 // answer takes one request whose first byte has come, and tells whether the connection goes on.
-func (s *stand) answer(conn net.Conn, in *bufio.Reader, first time.Duration) bool {
+func (s *stagedServer) serveRequest(conn net.Conn, in *bufio.Reader, first time.Duration) bool {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return false // a head that breaks off: nothing was sent that could run
 	}
-	c, j, id := s.cell, s.cell.judge, r.Header.Get("X-Request-Id")
+	c, j, id := s.trial, s.trial.rules, r.Header.Get("X-Request-Id")
 	index := j.sent(first, id, s)
-	c.at(half, id)
+	c.recordArrival(stageHalfWritten, id)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		j.ended(id, index, "broke off before its last byte", true)
 		return false
@@ -248,47 +248,47 @@
 		}
 	}()
 	hold := func(here stage) bool {
-		c.at(here, id)
-		if c.holds(here, id) {
+		c.recordArrival(here, id)
+		if c.stopsAt(here, id) {
 			select {
-			case <-c.free:
+			case <-c.released:
 			case <-gone:
 				return false
 			}
 		}
 		return true
 	}
-	if !hold(waiting) || !hold(again) {
+	if !hold(stageWaiting) || !hold(stageSecondAttempt) {
 		j.ended(id, index, "given up", false)
 		return false
 	}
-	large := c.stage == streaming && strings.HasPrefix(id, "r")
-	body, headers := madeFor(id, large), ""
+	large := c.stage == stageStreaming && strings.HasPrefix(id, "r")
+	body, headers := bodyFor(id, large), ""
 	if large {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
-		if !hold(streaming) {
+		if !hold(stageStreaming) {
 			j.ended(id, index, "given up", false)
 			return false
 		}
 	}
-	switch temper(s.temper.Load()) {
-	case silent:
+	switch behavior(s.behavior.Load()) {
+	case staySilent:
 		select {
 		case <-gone:
-		case <-c.over:
+		case <-c.finished:
 		}
 		j.ended(id, index, "never answered", false)
 		return false
-	case resets:
+	case resetConnection:
 		j.ended(id, index, "reset", false)
 		conn.(*net.TCPConn).SetLinger(0)
 		return false
-	case spoils:
+	case sendMalformed:
 		j.ended(id, index, "spoilt", false)
 		io.WriteString(conn, "HTP/9 \x00 noise\r\n\r\n")
 		<-looked
 		return false
-	case babble:
+	case sendBadReport:
 		headers = "X-Load: {\"queue\": \"many\"}\r\n"
 	}
 	j.ended(id, index, "answered", false)
@@ -309,28 +309,28 @@
 }
 
 // via is how the node reaches a stand: the cell holds it before it connects, and again before the node learns that it has.
-func (s *stand) via(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
-	c := s.cell
+func (s *stagedServer) dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+	c := s.trial
 	wait := func(here stage) error {
-		c.at(here, "dial")
-		if c.holds(here, "r") {
+		c.recordArrival(here, "dial")
+		if c.stopsAt(here, "r") {
 			select {
-			case <-c.free:
+			case <-c.released:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
 		return nil
 	}
-	if c.stage == again && c.dials.Add(1)%2 == 1 && c.reached(again) < len(c.calls()) {
+	if c.stage == stageSecondAttempt && c.dials.Add(1)%2 == 1 && c.reached(stageSecondAttempt) < len(c.requests()) {
 		return nil, back.ErrSockets // the first attempt is never sent, which is held against nobody
 	}
-	if err := wait(picked); err != nil {
+	if err := wait(stageSelected); err != nil {
 		return nil, err
 	}
 	conn, err := back.Direct(ctx, d, addr)
 	if err == nil {
-		if err = wait(connecting); err != nil {
+		if err = wait(stageConnecting); err != nil {
 			conn.Close()
 		}
 	}
@@ -341,58 +341,58 @@
 }
 
 // The check that ends each cell can fail: a breach of each rule, made by hand on the same stands, is found.
-func TestJudgeFindsBreaches(t *testing.T) {
+func TestRuleCheckerFindsBreaches(t *testing.T) {
 	t.Parallel()
 	for _, p := range []struct {
 		name, want string
-		play       func(c *trial, a, b *stand)
+		play       func(c *trial, a, b *stagedServer)
 	}{
-		{"nothing wrong", "", func(c *trial, a, b *stand) {
-			c.taken("x", 0)
-			c.judge.final("x", plant(c, a, "x"), madeFor("x", false))
+		{"nothing wrong", "", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 0)
+			c.rules.final("x", sendDirect(c, a, "x"), bodyFor("x", false))
 		}},
-		{"two final answers", "one final answer", func(c *trial, a, b *stand) {
-			c.taken("x", 0)
-			resp := plant(c, a, "x")
-			c.judge.final("x", resp, madeFor("x", false))
-			c.judge.final("x", resp, madeFor("x", false))
+		{"two final answers", "one final answer", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 0)
+			resp := sendDirect(c, a, "x")
+			c.rules.final("x", resp, bodyFor("x", false))
+			c.rules.final("x", resp, bodyFor("x", false))
 		}},
-		{"no final answer", "one final answer", func(c *trial, a, b *stand) {
-			c.taken("x", 0)
-			plant(c, a, "x")
-			c.judge.tell(func(k *oracle.Book) { k.Overdue(c.judge.now(), 0, "x") })
+		{"no final answer", "one final answer", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 0)
+			sendDirect(c, a, "x")
+			c.rules.record(func(k *oracle.Book) { k.Overdue(c.rules.now(), 0, "x") })
 		}},
-		{"an unsafe request twice", "repeat rule", func(c *trial, a, b *stand) {
-			c.taken("x", 2)
-			a.temper.Store(int32(resets))
-			plant(c, a, "x")
-			c.judge.final("x", plant(c, b, "x"), madeFor("x", false))
+		{"an unsafe request twice", "repeat rule", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 2)
+			a.behavior.Store(int32(resetConnection))
+			sendDirect(c, a, "x")
+			c.rules.final("x", sendDirect(c, b, "x"), bodyFor("x", false))
 		}},
-		{"two attempts in flight", "one attempt in flight", func(c *trial, a, b *stand) {
-			c.judge.waits = time.Second // the first one stays open
-			c.taken("x", 0)
-			a.temper.Store(int32(silent))
-			go plant(c, a, "x")
-			wait(c.t, "the first attempt", func() bool { return c.reached(half) > 0 })
-			c.judge.final("x", plant(c, b, "x"), madeFor("x", false))
-			close(c.over)
+		{"two attempts in flight", "one attempt in flight", func(c *trial, a, b *stagedServer) {
+			c.rules.maxWait = time.Second // the first one stays open
+			c.recordAccepted("x", 0)
+			a.behavior.Store(int32(staySilent))
+			go sendDirect(c, a, "x")
+			wait(c.t, "the first attempt", func() bool { return c.reached(stageHalfWritten) > 0 })
+			c.rules.final("x", sendDirect(c, b, "x"), bodyFor("x", false))
+			close(c.finished)
 			wait(c.t, "the end of the first", func() bool {
-				c.judge.mu.Lock()
-				defer c.judge.mu.Unlock()
-				return c.judge.open["x"] == 0
+				c.rules.mu.Lock()
+				defer c.rules.mu.Unlock()
+				return c.rules.open["x"] == 0
 			})
 		}},
-		{"sent to a server that drains", "drains kept", func(c *trial, a, b *stand) {
-			c.taken("x", 0)
-			c.judge.tell(func(k *oracle.Book) { k.Told(c.judge.now(), 0, a.number, true, 0) })
-			time.Sleep(cellGrace)
-			c.judge.final("x", plant(c, a, "x"), madeFor("x", false))
+		{"sent to a server that drains", "drains kept", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 0)
+			c.rules.record(func(k *oracle.Book) { k.Told(c.rules.now(), 0, a.number, true, 0) })
+			time.Sleep(trialGrace)
+			c.rules.final("x", sendDirect(c, a, "x"), bodyFor("x", false))
 		}},
-		{"a cold server pushed over", "cold budget", func(c *trial, a, b *stand) {
+		{"a cold server pushed over", "cold budget", func(c *trial, a, b *stagedServer) {
 			a.cold.Store(true)
-			c.judge.tell(func(k *oracle.Book) {
+			c.rules.record(func(k *oracle.Book) {
 				k.Started(time.Nanosecond, a.number)
-				k.Told(c.judge.now(), 0, a.number, false, time.Nanosecond)
+				k.Told(c.rules.now(), 0, a.number, false, time.Nanosecond)
 				for i := range 60 { // at one instant: no machine is too slow for it
 					id := fmt.Sprint("x", i)
 					k.Taken(time.Second, 0, id, 0, time.Minute)
@@ -401,22 +401,22 @@
 				}
 			})
 		}},
-		{"a request left over", "nothing leaked", func(c *trial, a, b *stand) { c.taken("x", 0) }},
-		{"an answer nobody made", "no web server made", func(c *trial, a, b *stand) {
-			c.taken("x", 0)
-			c.judge.final("x", plant(c, a, "x"), []byte("made up"))
+		{"a request left over", "nothing leaked", func(c *trial, a, b *stagedServer) { c.recordAccepted("x", 0) }},
+		{"an answer nobody made", "no web server made", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 0)
+			c.rules.final("x", sendDirect(c, a, "x"), []byte("made up"))
 		}},
-		{"a refusal that says nothing", "Retry-After", func(c *trial, a, b *stand) {
-			c.taken("x", 0)
-			c.judge.final("x", &http.Response{StatusCode: 503, Header: http.Header{}}, nil)
+		{"a refusal that says nothing", "Retry-After", func(c *trial, a, b *stagedServer) {
+			c.recordAccepted("x", 0)
+			c.rules.final("x", &http.Response{StatusCode: 503, Header: http.Header{}}, nil)
 		}},
 	} {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
-			c := newTrial(t, before)
-			a, b := c.stand("s-1"), c.stand("s-2")
+			c := newTrial(t, stageBeforeRead)
+			a, b := c.newServer("s-1"), c.newServer("s-2")
 			p.play(c, a, b)
-			found := strings.Join(c.judge.verdict(), "\n")
+			found := strings.Join(c.rules.findings(), "\n")
 			if (p.want == "") != (found == "") || !strings.Contains(found, p.want) {
 				t.Errorf("found %q, want %q", found, p.want)
 			}
@@ -425,7 +425,7 @@
 }
 
 // plant sends a request to a stand as a node would, and returns what comes back, if anything does.
-func plant(c *trial, s *stand, id string) *http.Response {
+func sendDirect(c *trial, s *stagedServer, id string) *http.Response {
 	conn, err := net.Dial("tcp", s.ln.Addr().String())
 	if err != nil {
 		return nil
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -11,11 +11,11 @@
 )
 
 // readyIn is how soon nine in ten restarted processes are to be ready.
-const readyIn = 10 * time.Second
+const readyWithin = 10 * time.Second
 
 // A process that starts without any list and with its discovery down for 8 s, or where calls are refused at once or behind a stand
 // in line, has its list within 10 s nine times in ten: by the schedule that the real rhythm and policy choose, in virtual time.
-func TestListWithinTenSecondsOfAStart(t *testing.T) {
+func TestListWithinTenSecondsOfStart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
@@ -50,7 +50,7 @@
 		}
 		slices.Sort(took)
 		t.Logf("%s: a list behind %v at the median, %v at nine in ten, %v at worst", c.name, took[500], took[900], took[999])
-		if took[900] > readyIn {
+		if took[900] > readyWithin {
 			t.Errorf("%s: nine in ten have a list only behind %v", c.name, took[900])
 		}
 	}
@@ -58,7 +58,7 @@
 
 // Seven in ten of 300 nodes are restarted at once without a list, where discovery has too many callers: how soon they have one is
 // what discovery can do, and none is refused again and again while others are heard. A node that knows a list is ready before.
-func TestFleetStartsWithTooManyCallers(t *testing.T) {
+func TestFleetStartWithOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, all := range []time.Duration{ms(5200), ms(7900)} {
 		for _, down := range []time.Duration{0, 8 * time.Second} {
@@ -79,21 +79,21 @@
 						took[len(took)-1], most, h.inRow)
 				}
 				in := 0
-				for in < len(took) && took[in] <= readyIn {
+				for in < len(took) && took[in] <= readyWithin {
 					in++
 				}
 				if down == 0 && in < len(took)*9/10 {
-					t.Errorf("all heard in %v, seed %d: %d of %d have a list within %v", all, seed, in, len(took), readyIn)
+					t.Errorf("all heard in %v, seed %d: %d of %d have a list within %v", all, seed, in, len(took), readyWithin)
 				}
 				t.Logf("all heard in %v, down for %v, seed %d: %d of %d have a list within %v, nine in ten behind %v, all behind %v; %v",
-					all, down, seed, in, len(took), readyIn, took[len(took)*9/10], took[len(took)-1], h.figures)
+					all, down, seed, in, len(took), readyWithin, took[len(took)*9/10], took[len(took)-1], h.figures)
 			}
 		}
 	}
 }
 
 // thousands is a list of so many web servers.
-func thousands(n int) list {
+func manyServers(n int) list {
 	l := list{Version: 2, Full: true}
 	for i := range n {
 		l.Servers = append(l.Servers, listed{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:5000", i>>16, i>>8&255, i&255),
@@ -103,7 +103,7 @@
 }
 
 // A node that has a list from before is ready at its start whatever becomes of discovery: nothing that it asks is answered here.
-func TestReadyWithTheListFromBefore(t *testing.T) {
+func TestReadyWithKnownList(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"reset", "503", "silent"} {
 		t.Run(how, func(t *testing.T) {
@@ -118,8 +118,8 @@
 				return how == "503"
 			})
 			began := time.Now()
-			r := newRig(t, &registry{addr: m.addr}, asked, nil, thousands(6600).Servers...)
-			if s := ready(t, r); s != 200 {
+			r := newRig(t, &registry{addr: m.addr}, asked, nil, manyServers(6600).Servers...)
+			if s := readyStatus(t, r); s != 200 {
 				t.Errorf("ready: %d with 6,600 servers known", s)
 			}
 			t.Logf("started with 6,600 servers known and ready behind %v", time.Since(began))
@@ -128,10 +128,10 @@
 }
 
 // A node without a list is ready once it has one, though it was refused before: of 6,600 web servers here, all of which it takes in.
-func TestReadyBehindRefusals(t *testing.T) {
+func TestReadyAfterDiscoveryRefusals(t *testing.T) {
 	t.Parallel()
 	const servers = 6600
-	text := listText(thousands(servers))
+	text := listText(manyServers(servers))
 	var written time.Time
 	m := newMute(t, func(c net.Conn, nth int64, _ string) bool {
 		switch {
@@ -146,10 +146,10 @@
 		return true
 	})
 	r := newRig(t, &registry{addr: m.addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} })
-	if s := ready(t, r); s != 503 {
+	if s := readyStatus(t, r); s != 503 {
 		t.Errorf("ready without a list: %d", s)
 	}
-	wait(t, "readiness", func() bool { return ready(t, r) == 200 })
+	wait(t, "readiness", func() bool { return readyStatus(t, r) == 200 })
 	t.Logf("%d servers, %d bytes, indented: ready behind %v", servers, len(text), time.Since(written))
 	r.core.Lock()
 	defer r.core.Unlock()
--- a/internal/node/stub_test.go
+++ b/internal/node/testnode_test.go
@@ -43,15 +43,15 @@
 
 // box is a backend whose behaviour a test decides. It records each request whose last byte has come.
 type box struct {
-	ln     net.Listener
-	answer func(c net.Conn, r *http.Request, nth int) bool // false: close the connection
+	ln      net.Listener
+	respond func(c net.Conn, r *http.Request, nth int) bool // false: close the connection
 
 	closed atomic.Int64 // connections that it closed
 
-	mu    sync.Mutex
-	got   []*http.Request
-	conns []net.Conn
-	ended chan struct{} // one for each connection that the node closed
+	mu           sync.Mutex
+	got          []*http.Request
+	conns        []net.Conn
+	closedByNode chan struct{} // one for each connection that the node closed
 }
 
 func newBox(t testing.TB, answer func(c net.Conn, r *http.Request, nth int) bool) *box {
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{ln: ln, answer: answer, ended: make(chan struct{}, 1000)}
+	b := &box{ln: ln, respond: answer, closedByNode: make(chan struct{}, 1000)}
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
@@ -76,7 +76,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				b.talk(c)
+				b.serveConn(c)
 			}()
 		}
 	}()
@@ -102,7 +102,7 @@
 	return b
 }
 
-func (b *box) talk(c net.Conn) {
+func (b *box) serveConn(c net.Conn) {
 	defer func() {
 		c.Close()
 		b.closed.Add(1)
@@ -111,7 +111,7 @@
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			b.ended <- struct{}{}
+			b.closedByNode <- struct{}{}
 			return
 		}
 		body, err := io.ReadAll(r.Body)
@@ -123,7 +123,7 @@
 		b.got = append(b.got, r)
 		nth := len(b.got)
 		b.mu.Unlock()
-		if !b.answer(c, r, nth) {
+		if !b.respond(c, r, nth) {
 			return
 		}
 	}
@@ -169,11 +169,11 @@
 
 // registry is a discovery whose lists a test hands out one by one.
 type registry struct {
-	addr string
-	mu   sync.Mutex
-	urls []string
-	next chan registryAnswer
-	left chan struct{} // one for each call that the node gave up
+	addr      string
+	mu        sync.Mutex
+	urls      []string
+	next      chan registryAnswer
+	abandoned chan struct{} // one for each call that the node gave up
 }
 
 type registryAnswer struct {
@@ -187,7 +187,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), left: make(chan struct{}, 100)}
+	g := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), abandoned: make(chan struct{}, 100)}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.mu.Lock()
 		g.urls = append(g.urls, r.URL.String())
@@ -197,7 +197,7 @@
 			w.WriteHeader(a.status)
 			json.NewEncoder(w).Encode(a.list)
 		case <-r.Context().Done():
-			g.left <- struct{}{}
+			g.abandoned <- struct{}{}
 		}
 	})}
 	done := make(chan struct{})
@@ -216,7 +216,7 @@
 func (g *registry) leaves(t testing.TB) {
 	t.Helper()
 	select {
-	case <-g.left:
+	case <-g.abandoned:
 	case <-time.After(patience):
 		t.Fatal("no call to discovery was given up")
 	}
@@ -281,7 +281,7 @@
 }
 
 // meeting is a predecessor's estate, and where the processes of its node meet.
-type meeting struct {
+type handoverOffer struct {
 	*estate
 	path string
 }
@@ -298,7 +298,7 @@
 }
 
 // meet is what a successor does first: it asks for the state, and is one node with r from then on.
-func (r *rig) meet(t testing.TB) meeting {
+func (r *rig) meet(t testing.TB) handoverOffer {
 	t.Helper()
 	path := socketPath(r.cfg)
 	if path == "" {
@@ -315,18 +315,18 @@
 		}
 		r.pair.Lock()
 		r.pair.mu.Unlock()
-		go r.retry() // as takeOver has it: a token that is let go a moment behind the notice of its holder's end is had later
+		go r.retryHandover() // as takeOver has it: a token that is let go a moment behind the notice of its holder's end is had later
 	}
 	wait(t, "the predecessor", func() bool { return r.Ready() == nil })
-	est, _ := find(path, slog.New(slog.DiscardHandler))
+	est, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
 	if est == nil {
 		t.Fatal("nothing is handed over")
 	}
-	return meeting{est, path}
+	return handoverOffer{est, path}
 }
 
 // succeed starts the node that takes over from whom the state is of, and returns once it serves.
-func succeed(t testing.TB, m meeting, g *registry, settings string) *rig {
+func startSuccessor(t testing.TB, m handoverOffer, g *registry, settings string) *rig {
 	t.Helper()
 	r := newHeir(t, m.estate, g, settings, func(c *Config) {
 		unhurried(c)
--- a/internal/node/tunnel.go
+++ b/internal/node/tunnel.go
@@ -17,7 +17,7 @@
 )
 
 // bindTime is how long a predecessor may take to give up a tunnels' address.
-const bindTime = 10 * time.Second
+const bindTimeout = 10 * time.Second
 
 // tunnels opens the listeners on which clients ask for tunnels. One with HTTP inside is one more of the clients'
 // connections: each request in it is read, decided, bounded and drained like any other. An opaque one is a request itself.
@@ -60,7 +60,7 @@
 		}
 		n.core.Go(func() {
 			if ln == nil { // a predecessor has the address, and gives it up once this process serves
-				if ln = n.await(ctx, l.addr); ln == nil {
+				if ln = n.listenWhenFree(ctx, l.addr); ln == nil {
 					return
 				}
 			}
@@ -72,8 +72,8 @@
 }
 
 // await opens a listener as soon as its address is free, or tells that it never was.
-func (n *node) await(ctx context.Context, addr string) net.Listener {
-	for end := time.Now().Add(bindTime); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
+func (n *node) listenWhenFree(ctx context.Context, addr string) net.Listener {
+	for end := time.Now().Add(bindTimeout); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
 		ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
 		if err == nil {
 			return ln
@@ -102,7 +102,7 @@
 
 // way is how a web server is reached; nil: directly.
 func (n *node) way(id string) back.Dial {
-	for _, w := range n.ways {
+	for _, w := range n.proxyRoutes {
 		if fits, _ := filepath.Match(w.Servers, id); fits {
 			return w.Proxy.Dial
 		}
--- a/internal/node/tunnel_test.go
+++ b/internal/node/tunnel_test.go
@@ -29,7 +29,7 @@
 }
 
 // tunnelled is a node with both kinds of listeners; contracts follow the file's other parts.
-func tunnelled(t *testing.T, contracts string, known ...listed) (r *rig, socks, connect string) {
+func newTunnelNode(t *testing.T, contracts string, known ...listed) (r *rig, socks, connect string) {
 	t.Helper()
 	digest := sha256.Sum256([]byte("secret"))
 	socks, connect = free(t), free(t)
@@ -80,19 +80,19 @@
 		base64.StdEncoding.EncodeToString([]byte("centre:"+password)) + "\r\n\r\n"
 }
 
-const socksTold = 2 + 2 + 10 // method, password, reply
+const socksReplyLength = 2 + 2 + 10 // method, password, reply
 
 // What comes through a tunnel goes the way of every request: one final answer each, contracts by the tunnel's user, refusals
 // at once, ids that are open refused. A client can't pass itself off as another user.
-func TestTunnels(t *testing.T) {
+func TestTunnelledRequests(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
-	_, socks, connect := tunnelled(t, "contracts:\n- {name: centre, match: [{header: \"Proxy-User: centre\"}]}\n", b.entry("s-1"))
+	_, socks, connect := newTunnelNode(t, "contracts:\n- {name: centre, match: [{header: \"Proxy-User: centre\"}]}\n", b.entry("s-1"))
 	for _, k := range []struct {
 		name, addr, message, want string
 		length                    int
 	}{
-		{"socks", socks, socksOpening("secret"), "\x05\x02\x01\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00", socksTold},
+		{"socks", socks, socksOpening("secret"), "\x05\x02\x01\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00", socksReplyLength},
 		{"connect", connect, connectOpening("secret"), "200", 0},
 	} {
 		c, told := through(t, k.addr, k.message, k.length)
@@ -125,7 +125,7 @@
 func TestTunnelUserCannotBeForged(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
-	r, _, connect := tunnelled(t, "contracts:\n- {name: boss, match: [{header: \"Proxy-User: boss\"}]}\n- {name: centre, rate: 0.001, burst: 1, match: [{header: \"Proxy-User: centre\"}]}\n", b.entry("s-1"))
+	r, _, connect := newTunnelNode(t, "contracts:\n- {name: boss, match: [{header: \"Proxy-User: boss\"}]}\n- {name: centre, rate: 0.001, burst: 1, match: [{header: \"Proxy-User: centre\"}]}\n", b.entry("s-1"))
 	plain := r.dial(t)
 	plain.send(with(view("p"), "Proxy-User: boss"))
 	if resp, _ := plain.answer(); resp.StatusCode != 403 {
@@ -141,12 +141,12 @@
 
 // In a drain a tunnel that is asked for is refused in its protocol's words, one that stands gets the answer that is under way
 // and is then closed, and one that carries nothing is closed.
-func TestTunnelsInADrain(t *testing.T) {
+func TestTunnelsDuringDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
 	b := newSlowBox(t, hold)
-	r, socks, connect := tunnelled(t, "", b.entry("s-1"))
-	idle, _ := through(t, socks, socksOpening("secret"), socksTold)
+	r, socks, connect := newTunnelNode(t, "", b.entry("s-1"))
+	idle, _ := through(t, socks, socksOpening("secret"), socksReplyLength)
 	idle.ask(view("first"))
 	busy, _ := through(t, connect, connectOpening("secret"), 0)
 	busy.send(view("slow").text())
@@ -155,7 +155,7 @@
 	if _, told := through(t, connect, connectOpening("secret"), 0); told != "503" {
 		t.Errorf("CONNECT during a drain: %s", told)
 	}
-	if _, told := through(t, socks, socksOpening("secret"), socksTold); told[socksTold-9] != 1 {
+	if _, told := through(t, socks, socksOpening("secret"), socksReplyLength); told[socksReplyLength-9] != 1 {
 		t.Errorf("SOCKS5 during a drain: %q", told)
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
@@ -179,7 +179,7 @@
 }
 
 // A successor opens its listeners where its predecessor still has the addresses, once that one gives them up.
-func TestTunnelsAwaitTheirAddress(t *testing.T) {
+func TestTunnelListenerWaitsForAddress(t *testing.T) {
 	t.Parallel()
 	b := newBox(t, served)
 	taken, err := standin.Listen()
