--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -37,16 +37,16 @@
 }
 
 // allBack waits until everything that bodies held is given back.
-func waitBudgetReleased(t *testing.T, r *rig) {
+func waitBudgetReleased(t *testing.T, node *rig) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	size := r.cfg.bodyBytes()
-	if err := r.budget.Answer(ctx, size); err != nil {
+	size := node.cfg.bodyBytes()
+	if err := node.budget.Answer(ctx, size); err != nil {
 		t.Errorf("bytes of bodies are still held: %v", err)
 		return
 	}
-	r.budget.AnswerDone(size)
+	node.budget.AnswerDone(size)
 }
 
 // Bodies of every size pass unchanged both ways, however they are framed and cut.
@@ -75,14 +75,14 @@
 
 // passUnchanged sends text with its length told and in chunks, in pieces, and wants it at the backend and back.
 func checkPassesUnchanged(t *testing.T, text string, answer func(c net.Conn) bool, keeps bool) {
-	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if got, _ := io.ReadAll(r.Body); string(got) != text {
 			t.Errorf("the backend got %d other bytes", len(got))
 		}
 		return answer(c)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.MemoryMB, c.slack = 32, patience }, b.entry("s-1"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.MemoryMB, c.slack = 32, patience }, server.entry("s-1"))
+	c := node.dial(t)
 	told, untold := save("told"), save("untold")
 	told.body = text
 	for _, whole := range []string{told.text(), strings.Replace(untold.text(), "Content-Length: 8\r\n\r\n"+untold.body,
@@ -101,10 +101,10 @@
 			t.Errorf("%d with %d bytes, close %v", resp.StatusCode, len(body), resp.Close)
 		}
 	}
-	if n := b.connections(); keeps && n != 1 {
+	if n := server.connections(); keeps && n != 1 {
 		t.Errorf("%d connections, want the first kept", n)
 	}
-	waitBudgetReleased(t, r)
+	waitBudgetReleased(t, node)
 }
 
 // What a backend has given of a large answer is passed on at once; where it then breaks off, the client can tell.
@@ -116,13 +116,13 @@
 		"chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(part)),
 	} {
 		goOn := make(chan struct{})
-		b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+		server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, head+part)
 			<-goOn
 			return false
 		})
-		r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-		c := r.dial(t)
+		node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+		c := node.dial(t)
 		c.send(quote("q").text())
 		resp, err := http.ReadResponse(c.in, nil)
 		must(t, err)
@@ -134,7 +134,7 @@
 		if _, err := io.Copy(io.Discard, resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%s: at the break %v, want the client to see that it is not whole", name, err)
 		}
-		waitBudgetReleased(t, r)
+		waitBudgetReleased(t, node)
 	}
 }
 
@@ -142,7 +142,7 @@
 func TestClientDisconnectsDuringLargeResponse(t *testing.T) {
 	t.Parallel()
 	broken := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.Max)
 		for range message.Max >> 10 {
 			if _, err := io.WriteString(c, strings.Repeat("x", 1<<10)); err != nil {
@@ -152,8 +152,8 @@
 		}
 		return true
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	c.send(quote("q").text())
 	if _, err := c.in.ReadByte(); err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 	case <-time.After(patience):
 		t.Error("the backend goes on sending")
 	}
-	waitBudgetReleased(t, r)
+	waitBudgetReleased(t, node)
 }
 
 // A large body is gone once a part of it was sent: the request can't be tried again. A small one can.
@@ -175,14 +175,14 @@
 		breaks := func(c net.Conn, r *http.Request, nth int) bool {
 			return sends.Add(1) > 1 && served(c, r, nth) // the first send breaks off
 		}
-		b, o := newBox(t, breaks), newBox(t, breaks)
-		r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"), o.entry("s-2"))
+		serverA, serverB := newBox(t, breaks), newBox(t, breaks)
+		node := newRig(t, newRegistry(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
 		q := save("q")
 		q.body = strings.Repeat("x", c.size)
-		if resp, _ := r.dial(t).ask(q); resp.StatusCode != c.status || int(sends.Load()) != c.sends {
+		if resp, _ := node.dial(t).ask(q); resp.StatusCode != c.status || int(sends.Load()) != c.sends {
 			t.Errorf("%d bytes: %d after %d sends, want %d after %d", c.size, resp.StatusCode, sends.Load(), c.status, c.sends)
 		}
-		waitBudgetReleased(t, r)
+		waitBudgetReleased(t, node)
 	}
 }
 
@@ -190,10 +190,10 @@
 // and read it.
 func TestRefusalBeforeBodyIsComplete(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newRegistry(t), settingsJSON, nil)
+	node := newRig(t, newRegistry(t), settingsJSON, nil)
 	q := save("q")
 	q.body = strings.Repeat("x", 1<<20)
-	c := r.dial(t)
+	c := node.dial(t)
 	c.send(q.text()[:1000])
 	resp, _ := c.answer()
 	if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") == "" {
@@ -203,18 +203,18 @@
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v, want the connection closed", err)
 	}
-	waitBudgetReleased(t, r)
+	waitBudgetReleased(t, node)
 }
 
 // A client that waits to be told to go on is told so; one that leaves amid its body harms nobody.
 func TestExpectContinueAndDisconnectDuringBody(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
 	q := save("q")
 	q.body = distinctBody(200 << 10)
 	head, _, _ := strings.Cut(q.text(), "\r\n\r\n")
-	c := r.dial(t)
+	c := node.dial(t)
 	c.send("\r\n" + head + "\r\nExpect: 100-continue\r\n\r\n")
 	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 100 {
 		t.Fatalf("%v, %v; want to be told to go on", resp, err)
@@ -224,21 +224,21 @@
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	q.id = "left"
-	leaver := r.dial(t)
+	leaver := node.dial(t)
 	leaver.send(q.text()[:100<<10])
 	wait(t, "the request", func() bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return r.core.Open()["left"] > 0
+		node.core.Lock()
+		defer node.core.Unlock()
+		return node.core.Open()["left"] > 0
 	})
 	leaver.Close()
 	wait(t, "its end", func() bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return len(r.core.Open()) == 0
+		node.core.Lock()
+		defer node.core.Unlock()
+		return len(node.core.Open()) == 0
 	})
-	if n := len(b.requests()); n != 1 {
+	if n := len(server.requests()); n != 1 {
 		t.Errorf("the backend got %d whole requests, want 1", n)
 	}
-	waitBudgetReleased(t, r)
+	waitBudgetReleased(t, node)
 }
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -46,41 +46,41 @@
 
 // noRoom takes the room that bodies of requests have, but for a small one's: whoever needs more waits, and others behind it. It is given
 // back by what is returned.
-func (r *rig) fillBodyBudget(t *testing.T) (makeRoom func()) {
+func (n *rig) fillBodyBudget(t *testing.T) (makeRoom func()) {
 	t.Helper()
-	taken := r.cfg.bodyBytes()/2 - flow.Small
-	must(t, r.budget.Request(context.Background(), taken))
-	return func() { r.budget.RequestDone(taken) }
+	taken := n.cfg.bodyBytes()/2 - flow.Small
+	must(t, n.budget.Request(context.Background(), taken))
+	return func() { n.budget.RequestDone(taken) }
 }
 
 // waitsForRoom returns once a body waits for room.
-func (r *rig) waitForBodyWaiter(t *testing.T) {
+func (n *rig) waitForBodyWaiter(t *testing.T) {
 	t.Helper()
 	wait(t, "the wait for room", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		if r.budget.Request(ctx, 1) != nil {
+		if n.budget.Request(ctx, 1) != nil {
 			return true
 		}
-		r.budget.RequestDone(1)
+		n.budget.RequestDone(1)
 		return false
 	})
 }
 
 // take hands one's end to the node.
-func (r *rig) attach(t *testing.T, c observedClient) {
+func (n *rig) attach(t *testing.T, c observedClient) {
 	t.Helper()
-	if !r.clients.Take() {
+	if !n.clients.Take() {
 		t.Fatal("no place")
 	}
-	r.clients.Go(func() { r.clients.Serve(c.end, bufio.NewReaderSize(c.end, message.HeadSize), "") })
+	n.clients.Go(func() { n.clients.Serve(c.end, bufio.NewReaderSize(c.end, message.HeadSize), "") })
 }
 
 // connect makes one, and hands its end to the node.
-func (r *rig) connectClient(t *testing.T) observedClient {
+func (n *rig) connectClient(t *testing.T) observedClient {
 	t.Helper()
 	c := newUnattachedClient(t)
-	r.attach(t, c)
+	n.attach(t, c)
 	return c
 }
 
@@ -113,9 +113,9 @@
 		for _, cancel := range []string{"true", "false"} {
 			t.Run(c.name+" cancel "+cancel, func(t *testing.T) {
 				t.Parallel()
-				var r *rig
+				var node *rig
 				full := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
-					must(t, r.Enable(context.Background(), "s-1"))
+					must(t, node.Enable(context.Background(), "s-1"))
 					return reply(c, 503, "X-Not-Run: 1\r\n", "")
 				})
 				ln, err := standin.Listen()
@@ -125,14 +125,14 @@
 				if c.retry {
 					known = append(known, full.entry("s-2"))
 				}
-				r = newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), unhurried, known...)
+				node = newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), unhurried, known...)
 				waiting, held := make(chan struct{}), make(chan struct{})
 				release := sync.OnceFunc(func() { close(held) })
 				t.Cleanup(release) // also of a test that fails: the node's end waits for its attempts
 				var once sync.Once
 				var sent net.Conn // the server's end
 				var mu sync.Mutex
-				r.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+				node.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 					once.Do(func() { close(waiting) })
 					<-held
 					conn, err := d.Dial("tcp", addr) // it comes up, though nobody waits for it any more
@@ -144,22 +144,22 @@
 					return conn, err
 				})
 				if c.retry {
-					must(t, r.Disable(context.Background(), "s-1")) // until the other one has turned the request away
+					must(t, node.Disable(context.Background(), "s-1")) // until the other one has turned the request away
 				}
 				cl := newUnattachedClient(t)
 				makeRoom := func() {}
 				if c.room {
-					makeRoom = r.fillBodyBudget(t)
+					makeRoom = node.fillBodyBudget(t)
 				}
 				// It is all sent before the node reads any of it: what it threw away meanwhile would make room for more.
 				if n := cl.fill(t, c.text); strings.HasSuffix(c.text, flood) != (n < len(c.text)) || n > flow.SpillMost {
 					t.Fatalf("the kernels took %d bytes of %d", n, len(c.text))
 				}
-				r.attach(t, cl)
+				node.attach(t, cl)
 				if !c.room {
 					receive(t, "the wait for a connection", waiting)
 				} else {
-					r.waitForBodyWaiter(t)
+					node.waitForBodyWaiter(t)
 				}
 				cl.Close()
 				late := c.room && strings.HasSuffix(c.text, flood) // its end comes once its body is read
@@ -174,8 +174,8 @@
 				}
 				wait(t, "the close of its connection", cl.closed)
 				wait(t, "the end of the request", func() bool {
-					open, idle := r.pool.Counts()
-					return r.openRequests() == 0 && open == idle
+					open, idle := node.pool.Counts()
+					return node.openRequests() == 0 && open == idle
 				})
 				mu.Lock()
 				defer mu.Unlock()
@@ -254,7 +254,7 @@
 							})
 						}
 						a, b := server(), server()
-						r := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), unhurried,
+						node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), unhurried,
 							a.entry("s-1"), b.entry("s-2"))
 						if fails.answer == nil {
 							dial := func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
@@ -268,17 +268,17 @@
 								<-held
 								return refuses(ctx, d, addr)
 							}
-							r.setDial("s-1", dial)
-							r.setDial("s-2", dial)
+							node.setDial("s-1", dial)
+							node.setDial("s-2", dial)
 						}
-						cl := r.connectClient(t)
+						cl := node.connectClient(t)
 						cl.send(q.text())
 						receive(t, "the first attempt", first)
 						unlock := func() {}
 						if !told {
 							// The failure stands before the core, and the leaving behind it.
-							r.core.Lock()
-							unlock = sync.OnceFunc(r.core.Unlock)
+							node.core.Lock()
+							unlock = sync.OnceFunc(node.core.Unlock)
 							t.Cleanup(unlock)
 							release()
 							time.Sleep(20 * time.Millisecond) // no verdict hangs on it: too short a time forces less
@@ -291,8 +291,8 @@
 						}
 						unlock()
 						wait(t, "the end of the request", func() bool {
-							open, idle := r.pool.Counts()
-							return r.openRequests() == 0 && open == idle
+							open, idle := node.pool.Counts()
+							return node.openRequests() == 0 && open == idle
 						})
 						if n, want := len(a.requests())+len(b.requests()), 1; fails.answer == nil && n != 0 || fails.answer != nil && n != want {
 							t.Errorf("%d attempts were sent on", n)
@@ -318,9 +318,9 @@
 			t.Parallel()
 			hold := make(chan bool)
 			release := sync.OnceFunc(func() { close(hold) })
-			b := newSlowBox(t, hold)
+			server := newSlowBox(t, hold)
 			t.Cleanup(release)
-			r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
+			node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
 			cl := newUnattachedClient(t)
 			cl.send(quote("slow").text())
 			if c.ahead {
@@ -328,8 +328,8 @@
 					t.Fatalf("the kernels took %d bytes of %d: the window is not shut, or too much is sent", n, len(surplus))
 				}
 			}
-			r.attach(t, cl)
-			wait(t, "the request at the server", func() bool { return len(b.requests()) == 1 })
+			node.attach(t, cl)
+			wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
 			if !c.ahead {
 				if n := cl.fill(t, surplus[:flow.SpillMost/2]); n < 200<<10 {
 					t.Fatalf("the kernels took %d bytes: the window is not shut", n)
@@ -343,7 +343,7 @@
 			if n, err := cl.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 				t.Errorf("%d more bytes, %v", n, err)
 			}
-			if n := len(b.requests()); n != 1 {
+			if n := len(server.requests()); n != 1 {
 				t.Errorf("%d requests reached the server", n)
 			}
 		})
@@ -353,19 +353,19 @@
 // An opaque attempt is a connection to its server: for a client that has left none is opened.
 func TestDisconnectedClientGetsNoTunnel(t *testing.T) {
 	t.Parallel()
-	l := newLines(t, nil)
-	r, _, _ := newOpaqueNode(t, "", "", l.entry("s-1"))
+	target := newLines(t, nil)
+	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
 	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute}}
-	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream, Left: func() bool { return true }}, Server: r.backendOf("s-1").Server,
+	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream, Left: func() bool { return true }}, Server: node.backendOf("s-1").Server,
 		Wait: patience}
-	if res := r.opaque.Attempt(t.Context(), a); res.Outcome != policy.Moot {
+	if res := node.opaque.Attempt(t.Context(), a); res.Outcome != policy.Moot {
 		t.Errorf("it ended as %v, want Moot", res.Outcome)
 	}
-	if open, _ := r.pool.Counts(); open != 0 {
+	if open, _ := node.pool.Counts(); open != 0 {
 		t.Errorf("%d connections stay", open)
 	}
-	must(t, l.ln.Close())
-	if n := l.opened.Load(); n != 0 {
+	must(t, target.ln.Close())
+	if n := target.opened.Load(); n != 0 {
 		t.Errorf("%d connections were opened", n)
 	}
 }
@@ -382,11 +382,11 @@
 	t.Parallel()
 	hold := make(chan bool)
 	defer close(hold)
-	b := newSlowBox(t, hold)
-	r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-	c := r.connectClient(t)
+	server := newSlowBox(t, hold)
+	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+	c := node.connectClient(t)
 	c.send(quote("slow").text())
-	wait(t, "the request at the server", func() bool { return len(b.requests()) == 1 })
+	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
 	must(t, c.Conn.(*net.TCPConn).CloseWrite())
 	if resp, _ := c.answer(); resp.StatusCode == 200 || resp.StatusCode == 503 || resp.StatusCode == 429 || !resp.Close {
 		t.Errorf("one that may have run: %d, close %v", resp.StatusCode, resp.Close)
@@ -394,8 +394,8 @@
 	if n, err := c.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d more bytes, %v", n, err)
 	}
-	wait(t, "an empty table", func() bool { return r.openRequests() == 0 })
-	c = r.connectClient(t)
+	wait(t, "an empty table", func() bool { return node.openRequests() == 0 })
+	c = node.connectClient(t)
 	c.send(view("v").text())
 	if resp, body := c.answer(); resp.StatusCode != 200 {
 		t.Errorf("the next: %d %s", resp.StatusCode, fmt.Sprint(body))
@@ -420,18 +420,18 @@
 // to its end and answered all the same, and only then its connection is closed. So with a body that is still to come.
 func TestIdleCloseCrossesRequest(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
+	server := newBox(t, served)
 	for _, text := range []string{view("v").text(), save("s").text()} {
-		r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
+		node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
 		conn, end := connPair(t)
-		r.clients.Take()
+		node.clients.Take()
 		crossed := make(chan struct{})
 		x := &hookedConn{TCPConn: end.(*net.TCPConn), afterRead: sync.OnceFunc(func() {
-			r.life.enter(drained)
-			r.clients.CloseIdle()
+			node.life.enter(drained)
+			node.clients.CloseIdle()
 			close(crossed)
 		})}
-		r.clients.Go(func() { r.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
+		node.clients.Go(func() { node.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
 		c := &client{t, conn, bufio.NewReader(conn)}
 		c.SetDeadline(time.Now().Add(patience))
 		c.send(text[:30])
@@ -451,18 +451,18 @@
 // more time than that. One that came before has its own.
 func TestLateRequestsEndBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-	c, half := r.dial(t), r.connectClient(t)
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+	c, half := node.dial(t), node.connectClient(t)
 	text := save("late").text()
 	half.send(text[:30])
 	wait(t, "the first half", func() bool { return flow.Pending(half.end) == flow.Nothing })
 	if resp, _ := c.ask(save("early")); resp.StatusCode != 200 {
 		t.Fatalf("before: %d", resp.StatusCode)
 	}
-	r.leave()
+	node.leave()
 	wait(t, "the end of new connections", func() bool {
-		c, err := net.Dial("tcp", r.addr)
+		c, err := net.Dial("tcp", node.addr)
 		if err == nil {
 			c.Close()
 		}
@@ -472,7 +472,7 @@
 	if resp, _ := half.answer(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("the late one: %d, close %v", resp.StatusCode, resp.Close)
 	}
-	for _, got := range b.requests() {
+	for _, got := range server.requests() {
 		told, err := time.ParseDuration(strings.Replace(got.Header.Get("X-Deadline"), "u", "us", 1))
 		must(t, err)
 		if late := got.Header.Get("X-Request-Id") == "late"; late != (told < maxDeadlineBeforeKill+killGrace) {
--- a/internal/node/connection_close_test.go
+++ b/internal/node/connection_close_test.go
@@ -61,9 +61,9 @@
 				defer ln.Close()
 				other := newBox(t, served)
 				first := listed{ID: "s-1", Addr: ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
-				r := newRig(t, newRegistry(t), settingsJSON, unhurried, first, other.entry("s-2"))
-				must(t, r.Disable(context.Background(), "s-2")) // until the first attempt is under way
-				r.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+				node := newRig(t, newRegistry(t), settingsJSON, unhurried, first, other.entry("s-2"))
+				must(t, node.Disable(context.Background(), "s-2")) // until the first attempt is under way
+				node.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 					conn, err := d.Dial("tcp", addr)
 					if err != nil {
 						return nil, err
@@ -76,7 +76,7 @@
 						if _, err := io.ReadFull(end, make([]byte, n)); err != nil {
 							t.Error(err)
 						}
-						if err := r.Enable(context.Background(), "s-2"); err != nil {
+						if err := node.Enable(context.Background(), "s-2"); err != nil {
 							t.Error(err)
 						}
 						if c.reset {
@@ -86,7 +86,7 @@
 						wait(t, "the close at the node", func() bool { return flow.Left(conn) })
 					}}, nil
 				})
-				resp, _ := r.dial(t).ask(q)
+				resp, _ := node.dial(t).ask(q)
 				again := c.never || q.class != "quote"
 				if want := map[bool]int{true: http.StatusOK, false: http.StatusInternalServerError}[again]; resp.StatusCode != want {
 					t.Errorf("answered %d, want %d", resp.StatusCode, want)
@@ -103,21 +103,21 @@
 // it. That request has its one answer, a refusal, as it is one too many then; it reaches no server, and the connection closes behind it.
 func TestEvictionCrossesNextRequest(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
-	r.clients.Resize(1)
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+	node.clients.Resize(1)
 	kept := newUnattachedClient(t)
 	reads := 0 // that brought something
 	x := &hookedConn{TCPConn: kept.end.(*net.TCPConn), afterRead: func() {
 		if reads++; reads != 2 {
 			return
 		}
-		if resp, body := r.dial(t).ask(view("new")); resp.StatusCode != http.StatusOK {
+		if resp, body := node.dial(t).ask(view("new")); resp.StatusCode != http.StatusOK {
 			t.Errorf("the new one: %d %q", resp.StatusCode, body)
 		}
 	}}
-	r.clients.Take()
-	r.clients.Go(func() { r.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
+	node.clients.Take()
+	node.clients.Go(func() { node.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
 	if resp, _ := kept.ask(view("first")); resp.StatusCode != http.StatusOK || resp.Close {
 		t.Fatalf("the first: %d, close %v", resp.StatusCode, resp.Close)
 	}
@@ -128,7 +128,7 @@
 	if n, err := kept.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("behind it: %d more bytes, %v", n, err)
 	}
-	if n := len(b.requests()); n != 2 {
+	if n := len(server.requests()); n != 2 {
 		t.Errorf("%d requests reached the server, want the first and the new one", n)
 	}
 }
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -43,19 +43,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			clock := &stepClock{now: time.Hour}
-			b := newBox(t, served)
-			r := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
+			server := newBox(t, served)
+			node := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
 				unhurried(cfg)
 				cfg.clock = clock
-			}, b.entry("s-1"))
-			makeRoom := r.fillBodyBudget(t)
+			}, server.entry("s-1"))
+			makeRoom := node.fillBodyBudget(t)
 			cl := newUnattachedClient(t)
 			early := c.text[:len(c.text)-c.late]
 			if n := cl.fill(t, early); n < len(early) {
 				t.Fatalf("the kernels took %d bytes of %d", n, len(early))
 			}
-			r.attach(t, cl)
-			r.waitForBodyWaiter(t)
+			node.attach(t, cl)
+			node.waitForBodyWaiter(t)
 			clock.advance(c.waits)
 			makeRoom()
 			if c.late > 0 {
@@ -63,7 +63,7 @@
 				cl.send(c.text[len(early):])
 			}
 			resp, _ := cl.answer()
-			got := b.requests()
+			got := server.requests()
 			if c.left == 0 {
 				if resp.StatusCode != http.StatusServiceUnavailable || len(got) != 0 {
 					t.Errorf("%d, with %d attempts; want it refused with none", resp.StatusCode, len(got))
@@ -167,30 +167,30 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			clock := &stepClock{now: time.Hour}
-			b := newBox(t, served)
-			r := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
+			server := newBox(t, served)
+			node := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
 				unhurried(cfg)
 				cfg.clock = clock
-			}, b.entry("s-1"))
+			}, server.entry("s-1"))
 			clock.jump(c.held)
 			if c.timers {
 				clock.advance(c.later)
 			}
-			cl := r.dial(t)
+			cl := node.dial(t)
 			if resp, _ := cl.ask(quote("x")); c.left == 0 {
-				if resp.StatusCode != http.StatusServiceUnavailable || len(b.requests()) != 0 {
-					t.Errorf("%d, with %d attempts; want it refused with none", resp.StatusCode, len(b.requests()))
+				if resp.StatusCode != http.StatusServiceUnavailable || len(server.requests()) != 0 {
+					t.Errorf("%d, with %d attempts; want it refused with none", resp.StatusCode, len(server.requests()))
 				}
 				return
 			} else if resp.StatusCode != http.StatusOK {
 				t.Fatal(resp.StatusCode)
 			}
-			checkDeadlineHeader(t, b.requests()[0], c.left-transitAllowance)
+			checkDeadlineHeader(t, server.requests()[0], c.left-transitAllowance)
 			if !c.timers { // all that stood there is read by one that is late itself: the next one too
 				if resp, _ := cl.ask(quote("y")); resp.StatusCode != http.StatusOK {
 					t.Fatal(resp.StatusCode)
 				}
-				checkDeadlineHeader(t, b.requests()[1], c.left-transitAllowance)
+				checkDeadlineHeader(t, server.requests()[1], c.left-transitAllowance)
 			}
 		})
 	}
@@ -227,7 +227,7 @@
 				t.Parallel()
 				var reached atomic.Bool
 				over := make(chan struct{})
-				b := newBox(t, func(conn net.Conn, r *http.Request, _ int) bool {
+				server := newBox(t, func(conn net.Conn, r *http.Request, _ int) bool {
 					for _, s := range c.says {
 						io.WriteString(conn, s)
 					}
@@ -242,9 +242,9 @@
 					return false
 				})
 				t.Cleanup(sync.OnceFunc(func() { close(over) }))
-				r := newRig(t, newRegistry(t), settingsJSON, unhurried, b.entry("s-1"))
+				node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
 				if c.dial != "" {
-					r.setDial("s-1", func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+					node.setDial("s-1", func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 						reached.Store(true)
 						if c.dial == "before" {
 							<-ctx.Done()
@@ -256,8 +256,8 @@
 					})
 				}
 				if c.room {
-					must(t, r.budget.Answer(context.Background(), r.cfg.bodyBytes()))
-					defer r.budget.AnswerDone(r.cfg.bodyBytes())
+					must(t, node.budget.Answer(context.Background(), node.cfg.bodyBytes()))
+					defer node.budget.AnswerDone(node.cfg.bodyBytes())
 				}
 				// On a slow machine the time may be up before the server has said all: then it asks anew, with more.
 				for i, time := 0, 200; !reached.Load(); i, time = i+1, 2*time {
@@ -267,13 +267,13 @@
 					if c.may && q.class == "quote" {
 						want = http.StatusInternalServerError
 					}
-					if resp, _ := r.dial(t).ask(q); resp.StatusCode != want && reached.Load() {
+					if resp, _ := node.dial(t).ask(q); resp.StatusCode != want && reached.Load() {
 						t.Errorf("answered %d, want %d", resp.StatusCode, want)
 					}
 				}
 				wait(t, "the end of all of it", func() bool {
-					open, idle := r.pool.Counts()
-					return r.openRequests() == 0 && open == idle
+					open, idle := node.pool.Counts()
+					return node.openRequests() == 0 && open == idle
 				})
 			})
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -130,19 +130,19 @@
 }
 
 // begin makes it the pair of a node. It is called once, before anything else of it.
-func (p *pair) initialize(n *node) {
-	p.node, p.phaseChanged, p.relieved = n, make(chan struct{}, 1), make(chan struct{})
-	p.peers, p.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
+func (h *pair) initialize(n *node) {
+	h.node, h.phaseChanged, h.relieved = n, make(chan struct{}, 1), make(chan struct{})
+	h.peers, h.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
 }
 
 // known gives another process its name. p.mu is held.
-func (p *pair) peerID(peer *upgrade.Peer) handover.Peer {
-	if name, known := p.peerIDs[peer]; known {
+func (h *pair) peerID(peer *upgrade.Peer) handover.Peer {
+	if name, known := h.peerIDs[peer]; known {
 		return name
 	}
-	p.lastPeerID++
-	p.peerIDs[peer], p.peers[p.lastPeerID] = p.lastPeerID, peer
-	return p.lastPeerID
+	h.lastPeerID++
+	h.peerIDs[peer], h.peers[h.lastPeerID] = h.lastPeerID, peer
+	return h.lastPeerID
 }
 
 // predecessor takes up a predecessor's state. The core's lock is held, and nobody else knows the node yet.
@@ -159,52 +159,52 @@
 }
 
 // do lets the machine take in an event.
-func (p *pair) handle(event func(m *handover.Machine, env handover.Env)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (h *pair) handle(event func(m *handover.Machine, env handover.Env)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.closed {
 		return
 	}
-	event(&p.machine, p)
-	p.publishPhase()
+	event(&h.machine, h)
+	h.publishPhase()
 }
 
 // note tells others of the phase. p.mu is held.
-func (p *pair) publishPhase() {
-	if before := handover.Phase(p.phase.Swap(int32(p.machine.Phase))); before != p.machine.Phase {
-		p.node.log.Debug("hand-over", "phase", p.machine.Phase, "before", before)
+func (h *pair) publishPhase() {
+	if before := handover.Phase(h.phase.Swap(int32(h.machine.Phase))); before != h.machine.Phase {
+		h.node.log.Debug("hand-over", "phase", h.machine.Phase, "before", before)
 		select {
-		case p.phaseChanged <- struct{}{}:
+		case h.phaseChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // at is the phase.
-func (p *pair) currentPhase() handover.Phase { return handover.Phase(p.phase.Load()) }
+func (h *pair) currentPhase() handover.Phase { return handover.Phase(h.phase.Load()) }
 
 // yields tells whether a successor has the clients, or is about to.
-func (p *pair) yielding() bool {
-	return p.currentPhase() == handover.Yielding || p.currentPhase() == handover.Relieved
+func (h *pair) yielding() bool {
+	return h.currentPhase() == handover.Yielding || h.currentPhase() == handover.Relieved
 }
 
 // takeOver is called once this process can serve. It returns at once; the door opens when the clients are its own.
 func (n *node) acquireClients(d *door) {
-	p := &n.pair
-	p.clientListener = d
+	h := &n.pair
+	h.clientListener = d
 	path := socketPath(n.cfg)
 	if path == "" {
-		p.handle(func(m *handover.Machine, env handover.Env) { m.Alone(env) })
+		h.handle(func(m *handover.Machine, env handover.Env) { m.Alone(env) })
 		return
 	}
-	p.mu.Lock()
+	h.mu.Lock()
 	token, err := upgrade.OpenToken(path + "-token")
 	if err != nil {
 		n.log.Error("nothing tells whether another process serves", "err", err)
 	}
-	p.token = token
-	p.mu.Unlock()
-	p.handle(func(m *handover.Machine, env handover.Env) { m.Ready(env) })
+	h.token = token
+	h.mu.Unlock()
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Ready(env) })
 	go n.retryHandover()
 }
 
@@ -227,82 +227,82 @@
 }
 
 // Lock, Unlock and the like make it a handover.Env. They are called with p.mu held.
-func (p *pair) Lock() (uint64, bool) {
-	if p.token == nil {
+func (h *pair) Lock() (uint64, bool) {
+	if h.token == nil {
 		return 0, true
 	}
-	number, had, err := p.token.Lock()
+	number, had, err := h.token.Lock()
 	if err != nil { // serving matters more
-		p.node.log.Error("nothing tells whether another process serves", "err", err)
-		return p.machine.Number, true
+		h.node.log.Error("nothing tells whether another process serves", "err", err)
+		return h.machine.Number, true
 	}
 	return number, had
 }
 
-func (p *pair) Mark(number uint64) {
-	if p.token != nil {
-		if err := p.token.Mark(number); err != nil {
-			p.node.log.Error("the token can't be marked", "err", err)
+func (h *pair) Mark(number uint64) {
+	if h.token != nil {
+		if err := h.token.Mark(number); err != nil {
+			h.node.log.Error("the token can't be marked", "err", err)
 		}
 	}
 }
 
-func (p *pair) Unlock() {
-	if p.token != nil {
-		p.token.Unlock()
+func (h *pair) Unlock() {
+	if h.token != nil {
+		h.token.Unlock()
 	}
 }
 
-func (p *pair) Accept(on bool) {
-	p.clientListener.setOpen(on)
-	defer p.accepting.Store(on) // behind it successors find this process
+func (h *pair) Accept(on bool) {
+	h.clientListener.setOpen(on)
+	defer h.accepting.Store(on) // behind it successors find this process
 	if on {
-		p.persister.start(p.node)
+		h.persister.start(h.node)
 	} else {
-		p.persister.stop()
+		h.persister.stop()
 	}
-	if !on || p.upgradeListener != nil {
+	if !on || h.upgradeListener != nil {
 		return
 	}
-	if path := socketPath(p.node.cfg); path != "" {
-		l, err := upgrade.Listen(path, p.node, p.node.log)
+	if path := socketPath(h.node.cfg); path != "" {
+		l, err := upgrade.Listen(path, h.node, h.node.log)
 		if err != nil {
-			p.node.log.Error("no successor can take over from this process", "err", err)
+			h.node.log.Error("no successor can take over from this process", "err", err)
 		}
-		p.upgradeListener = l
+		h.upgradeListener = l
 	}
 }
 
 // Yield takes the state and turns to the successor's decisions within one hold of the core's lock: what begins behind the state
 // is asked for, what ends behind it is told behind it.
-func (p *pair) Yield(to handover.Peer, number uint64) {
-	n, peer := p.node, p.peers[to]
+func (h *pair) Yield(to handover.Peer, number uint64) {
+	n, peer := h.node, h.peers[to]
 	n.core.Lock()
 	s := n.snapshot(true)
 	n.core.Yield(heir{n, peer})
 	n.core.Portion(1-heirPortion, true)
 	peer.Tell(handover.Yours, number, n.stateEncoder(s))
 	n.core.Unlock()
-	p.shareLimits()
+	h.shareLimits()
 }
 
 // Resume is alone again. What contracts had left is not known: the successor may have spent it.
-func (p *pair) Resume() {
-	p.node.core.Lock()
-	defer p.node.core.Unlock()
-	p.node.core.Yield(nil)
-	p.node.core.Portion(1, true)
-	p.node.log.Warn("the successor has ended or did not take over: serving again")
+func (h *pair) Resume() {
+	h.node.core.Lock()
+	defer h.node.core.Unlock()
+	h.node.core.Yield(nil)
+	h.node.core.Portion(1, true)
+	h.node.log.Warn("the successor has ended or did not take over: serving again")
 }
 
 // Relieve begins what serve goes on with.
-func (p *pair) Relieve() {
-	p.relieveOnce.Do(func() { close(p.relieved) })
-	p.node.log.Info("a successor serves: finishing what was taken")
+func (h *pair) Relieve() {
+	h.relieveOnce.Do(func() { close(h.relieved) })
+	h.node.log.Info("a successor serves: finishing what was taken")
 }
 
-func (p *pair) Tell(to handover.Peer, what handover.Message) {
-	n, peer := p.node, p.peers[to]
+func (h *pair) Tell(to handover.Peer, what handover.Message) {
+	n, peer := h.node, h.peers[to]
 	if peer == nil {
 		return
 	}
@@ -329,40 +329,40 @@
 	}
 }
 
-func (p *pair) Seek() {
-	if p.seeking.CompareAndSwap(false, true) { // one at a time: a process that is slow to answer is not asked by more and more
-		go p.findServingProcess()
+func (h *pair) Seek() {
+	if h.seeking.CompareAndSwap(false, true) { // one at a time: a process that is slow to answer is not asked by more and more
+		go h.findServingProcess()
 	}
 }
 
 // seek looks who is there.
-func (p *pair) findServingProcess() {
-	defer p.seeking.Store(false)
-	old, later := findPredecessor(socketPath(p.node.cfg), p.node.log)
+func (h *pair) findServingProcess() {
+	defer h.seeking.Store(false)
+	old, later := findPredecessor(socketPath(h.node.cfg), h.node.log)
 	if old == nil {
 		if !later {
-			p.handle(func(m *handover.Machine, env handover.Env) { m.NoOne(env) })
+			h.handle(func(m *handover.Machine, env handover.Env) { m.NoOne(env) })
 		}
 		return
 	}
-	p.mu.Lock()
-	if p.closed || p.machine.Phase != handover.Seeking {
-		p.mu.Unlock()
+	h.mu.Lock()
+	if h.closed || h.machine.Phase != handover.Seeking {
+		h.mu.Unlock()
 		old.peer.Close()
 		return
 	}
-	from := p.peerID(old.peer)
-	p.adoptState(from, old.state, true)
-	p.machine.Heard(p, from, handover.State, 0)
-	p.publishPhase()
-	p.shareLimits()
-	p.mu.Unlock()
-	old.peer.Follow(p.node)
+	from := h.peerID(old.peer)
+	h.adoptState(from, old.state, true)
+	h.machine.Heard(h, from, handover.State, 0)
+	h.publishPhase()
+	h.shareLimits()
+	h.mu.Unlock()
+	old.peer.Follow(h.node)
 }
 
 // take takes up a state. Whole: with list and orders. p.mu is held.
-func (p *pair) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
-	n := p.node
+func (h *pair) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
+	n := h.node
 	n.core.Lock()
 	defer n.core.Unlock()
 	n.ageSnapshot(s)
@@ -394,7 +394,7 @@
 }
 
 func (n *node) Heard(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
-	p := &n.pair
+	h := &n.pair
 	if what == handover.Yours {
 		s, err := state.Decode(text)
 		if err != nil {
@@ -402,14 +402,14 @@
 			peer.Close() // it takes the node back
 			return
 		}
-		p.mu.Lock()
-		if p.machine.Phase == handover.Asking && p.peerID(peer) == p.machine.Before {
-			p.adoptState(p.machine.Before, s, false)
+		h.mu.Lock()
+		if h.machine.Phase == handover.Asking && h.peerID(peer) == h.machine.Before {
+			h.adoptState(h.machine.Before, s, false)
 		}
-		p.mu.Unlock()
+		h.mu.Unlock()
 	}
-	p.handle(func(m *handover.Machine, env handover.Env) { m.Heard(env, p.peerID(peer), what, number) })
-	if what == handover.Later && p.currentPhase() == handover.Seeking {
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Heard(env, h.peerID(peer), what, number) })
+	if what == handover.Later && h.currentPhase() == handover.Seeking {
 		peer.Close() // whoever is found next is dialed anew: two ways to one process would let orders go round
 	}
 }
@@ -448,86 +448,86 @@
 }
 
 // fresh tells whether an order was not seen before, and notes it: between three processes one can come by two ways.
-func (p *pair) isNewOrder(o upgrade.Order) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if o.From == 0 || slices.Contains(p.seenOrders[:], o.From) {
+func (h *pair) isNewOrder(o upgrade.Order) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if o.From == 0 || slices.Contains(h.seenOrders[:], o.From) {
 		return o.From == 0
 	}
-	p.seenOrders[p.orderCount%len(p.seenOrders)] = o.From
-	p.orderCount++
+	h.seenOrders[h.orderCount%len(h.seenOrders)] = o.From
+	h.orderCount++
 	return true
 }
 
 // Gone notes that another process is gone. With the last of them it takes back the whole of the limits.
 func (n *node) Gone(peer *upgrade.Peer) {
-	p := &n.pair
-	p.mu.Lock()
-	who := p.peerID(peer)
-	delete(p.peerIDs, peer)
-	delete(p.peers, who)
+	h := &n.pair
+	h.mu.Lock()
+	who := h.peerID(peer)
+	delete(h.peerIDs, peer)
+	delete(h.peers, who)
 	var back func()
-	if len(p.peers) == 0 {
-		back, p.reclaimBudget = p.reclaimBudget, nil
+	if len(h.peers) == 0 {
+		back, h.reclaimBudget = h.reclaimBudget, nil
 	}
 	n.core.Lock()
 	n.core.Ids().Gone(who)
-	if p.machine.Before == who {
+	if h.machine.Before == who {
 		n.core.Portion(1, false)
 	}
 	n.core.Unlock()
-	p.mu.Unlock()
+	h.mu.Unlock()
 	n.log.Info("another process of this node is gone")
 	if back != nil {
 		back()
 		n.setLimits(1)
 	}
-	p.handle(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
 }
 
 // conclude tells whether this process may end: it was told to, or a successor is there to go on, or a third process serves and the
 // one between has ended, and no predecessor is left whose claims are answered here. Nothing changes any more if so.
-func (p *pair) tryEnd() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.machine.Ends && (p.machine.Phase != handover.Relieved || p.machine.Before != 0 || p.machine.Heir == 0 && !p.machine.Settled()) {
+func (h *pair) tryEnd() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.machine.Ends && (h.machine.Phase != handover.Relieved || h.machine.Before != 0 || h.machine.Heir == 0 && !h.machine.Settled()) {
 		return false
 	}
-	p.closed = true
+	h.closed = true
 	return true
 }
 
 // close ends the talk with other processes: this one has nothing more to do.
-func (p *pair) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	p.persister.stop()
-	if p.upgradeListener != nil {
-		p.upgradeListener.Close()
-	}
-	for _, peer := range p.peers {
+func (h *pair) close() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.closed = true
+	h.persister.stop()
+	if h.upgradeListener != nil {
+		h.upgradeListener.Close()
+	}
+	for _, peer := range h.peers {
 		peer.Close()
 	}
-	if p.token != nil {
-		p.token.Close()
+	if h.token != nil {
+		h.token.Close()
 	}
 }
 
 // tell passes an operator's call to the other processes, but for the one that it came from.
-func (p *pair) tell(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
+func (h *pair) tell(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
 	if o.From == 0 { // said here
 		o.From = rand.Uint64()
-		p.isNewOrder(o)
+		h.isNewOrder(o)
 	}
-	p.mu.Lock()
+	h.mu.Lock()
 	var peers []*upgrade.Peer
-	for _, peer := range p.peers {
+	for _, peer := range h.peers {
 		if peer != from {
 			peers = append(peers, peer)
 		}
 	}
-	p.mu.Unlock()
+	h.mu.Unlock()
 	var errs error
 	for _, peer := range peers {
 		errs = errors.Join(errs, peer.Order(ctx, o))
@@ -536,10 +536,10 @@
 }
 
 // share leaves half of the limits to the other process: both count together. p.mu is held.
-func (p *pair) shareLimits() {
-	p.node.setLimits(2)
-	if p.reclaimBudget == nil { // else it is lent already
-		p.reclaimBudget = p.node.budget.Lend()
+func (h *pair) shareLimits() {
+	h.node.setLimits(2)
+	if h.reclaimBudget == nil { // else it is lent already
+		h.reclaimBudget = h.node.budget.Lend()
 	}
 }
 
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -20,19 +20,19 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	release := make(chan struct{})
-	a, b := newBox(t, holdFirst(release)), newBox(t, served)
-	g := newRegistry(t)
-	old := newRig(t, g, settingsJSON, nil, a.entry("s-1"))
+	serverA, serverB := newBox(t, holdFirst(release)), newBox(t, served)
+	discoveryStub := newRegistry(t)
+	old := newRig(t, discoveryStub, settingsJSON, nil, serverA.entry("s-1"))
 	busy, idle := old.dial(t), old.dial(t)
 	busy.send(quote("open").text())
-	wait(t, "the request at the backend", func() bool { return len(a.requests()) == 1 })
+	wait(t, "the request at the backend", func() bool { return len(serverA.requests()) == 1 })
 	idle.ask(view("v"))
-	old.lists(7, a.entry("s-1"), b.entry("s-2"), listed{ID: "s-3", Addr: "127.0.0.1:1", State: "Terminating"})
+	old.lists(7, serverA.entry("s-1"), serverB.entry("s-2"), listed{ID: "s-3", Addr: "127.0.0.1:1", State: "Terminating"})
 	must(t, old.Disable(ctx, "s-1"))
 	must(t, old.Disable(ctx, "s-2"))
 	must(t, old.Enable(ctx, "s-2"))
 
-	young := startSuccessor(t, old.meet(t), g, settingsJSON)
+	young := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
 
 	young.core.Lock()
 	if young.version != 7 || len(young.names) != 3 || young.names["s-3"].Stop.Load() == 0 {
@@ -48,14 +48,14 @@
 	if resp, _ := young.dial(t).ask(view("w")); resp.StatusCode != 200 && resp.StatusCode != 503 {
 		t.Errorf("a request at the successor: %d", resp.StatusCode)
 	}
-	if n := len(a.requests()); n != 2 {
+	if n := len(serverA.requests()); n != 2 {
 		t.Errorf("%d requests at a web server that is out, want the 2 from before", n)
 	}
 
-	disabled := func(r *rig, id string) bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return r.hand.disabled[id] && r.names[id].Gate.Shut()
+	disabled := func(node *rig, id string) bool {
+		node.core.Lock()
+		defer node.core.Unlock()
+		return node.hand.disabled[id] && node.names[id].Gate.Shut()
 	}
 	must(t, young.Disable(ctx, "s-2"))
 	must(t, old.Disable(ctx, "s-3"))
@@ -87,22 +87,22 @@
 	t.Parallel()
 	text := distinctBody(200 << 10)
 	goOn := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:100<<10])
 		<-goOn
 		io.WriteString(c, text[100<<10:])
 		return true
 	})
 	short := strings.ReplaceAll(settingsJSON, `"deadline_s":60`, `"deadline_s":0.1`)
-	r := newRig(t, newRegistry(t), short, nil, b.entry("s-1"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), short, nil, server.entry("s-1"))
+	c := node.dial(t)
 	c.in = bufio.NewReaderSize(c, 16)
 	c.send(quote("q").text())
 	wait(t, "the answer's beginning", func() bool { return flow.Pending(c.Conn) == flow.BytesThere })
-	half := r.connectClient(t) // is cut off behind the last deadline
+	half := node.connectClient(t) // is cut off behind the last deadline
 	half.send(view("half").text()[:30])
 	wait(t, "the node's reading of it", func() bool { return flow.Pending(half.end) == flow.Nothing })
-	r.leave()
+	node.leave()
 	wait(t, "the last deadline", half.closed)
 	close(goOn)
 	if resp, body := c.answer(); resp.StatusCode != 200 || body != text {
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -23,16 +23,16 @@
 }
 
 // set opens or shuts it. An Accept that is under way when it is shut may still return a connection.
-func (d *door) setOpen(open bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.open == open {
+func (l *door) setOpen(open bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.open == open {
 		return
 	}
-	d.open = open
-	close(d.changed)
-	d.changed = make(chan struct{})
-	if l, ok := d.Listener.(interface{ SetDeadline(time.Time) error }); ok {
+	l.open = open
+	close(l.changed)
+	l.changed = make(chan struct{})
+	if l, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		if open {
 			l.SetDeadline(time.Time{})
 		} else {
@@ -42,11 +42,11 @@
 }
 
 // Accept waits until the door is open and a connection has come.
-func (d *door) Accept() (net.Conn, error) {
+func (l *door) Accept() (net.Conn, error) {
 	for {
-		d.mu.Lock()
-		open, closed, changed := d.open, d.closed, d.changed
-		d.mu.Unlock()
+		l.mu.Lock()
+		open, closed, changed := l.open, l.closed, l.changed
+		l.mu.Unlock()
 		switch {
 		case closed:
 			return nil, net.ErrClosed
@@ -54,7 +54,7 @@
 			<-changed
 			continue
 		}
-		c, err := d.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
 		}
@@ -63,14 +63,14 @@
 }
 
 // Close closes the socket too.
-func (d *door) Close() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed {
+func (l *door) Close() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return nil
 	}
-	d.closed = true
-	close(d.changed)
-	d.changed = make(chan struct{})
-	return d.Listener.Close()
+	l.closed = true
+	close(l.changed)
+	l.changed = make(chan struct{})
+	return l.Listener.Close()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -30,18 +30,18 @@
 
 func TestForwardsRequestAndResponse(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		return reply(c, 200, "Content-Type: text/x-quote\r\nX-Load: {\"inflight\":7,\"queue\":2}\r\n", "a\x00b")
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	for i := range 5 {
 		resp, body := c.ask(save(fmt.Sprint("id-", i)))
 		if resp.StatusCode != 200 || body != "a\x00b" || resp.Header.Get("Content-Type") != "text/x-quote" {
 			t.Fatalf("answer %d: %v %q", i, resp, body)
 		}
 	}
-	got := b.requests()[0]
+	got := server.requests()[0]
 	body, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/api?key=7f" || string(body) != "a window" ||
 		got.Header.Get("X-Request-Id") != "id-0" || got.Header.Get("Idempotency-Key") != "k-id-0" {
@@ -52,7 +52,7 @@
 		t.Errorf("the backend was told %q, want less than the client's 50 s", got.Header.Get("X-Deadline"))
 	}
 	// A handshake costs a backend as much as part of a request: the connection must have been kept.
-	if n := b.connections(); n != 1 {
+	if n := server.connections(); n != 1 {
 		t.Errorf("%d connections for 5 requests in a row, want 1", n)
 	}
 }
@@ -72,11 +72,11 @@
 func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, holdFirst(release))
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	first, second := r.dial(t), r.dial(t)
+	server := newBox(t, holdFirst(release))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	first, second := node.dial(t), node.dial(t)
 	first.send(save("twin").text())
-	wait(t, "the first at the backend", func() bool { return len(b.requests()) == 1 })
+	wait(t, "the first at the backend", func() bool { return len(server.requests()) == 1 })
 	if resp, _ := second.ask(save("twin")); resp.StatusCode != 409 || !resp.Close {
 		t.Errorf("second: %d, close %v", resp.StatusCode, resp.Close)
 	}
@@ -84,15 +84,15 @@
 	if resp, body := first.answer(); resp.StatusCode != 200 || body != "done twin" {
 		t.Errorf("first: %d %q", resp.StatusCode, body)
 	}
-	if n := len(b.requests()); n != 1 {
+	if n := len(server.requests()); n != 1 {
 		t.Errorf("the backend got %d requests, want 1", n)
 	}
 	wait(t, "an empty table", func() bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return len(r.core.Open()) == 0
+		node.core.Lock()
+		defer node.core.Unlock()
+		return len(node.core.Open()) == 0
 	})
-	if resp, _ := r.dial(t).ask(save("twin")); resp.StatusCode != 200 {
+	if resp, _ := node.dial(t).ask(save("twin")); resp.StatusCode != 200 {
 		t.Errorf("the id once more: %d", resp.StatusCode)
 	}
 }
@@ -101,8 +101,8 @@
 // it would be lost; passed on, a body could hide a second request.
 func TestMalformedRequestsReachNoWebServer(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
 	without := func(change func(*call)) string {
 		q := save("x")
 		change(&q)
@@ -155,7 +155,7 @@
 		{"an endless head", "GET /api HTTP/1.1\r\n" + strings.Repeat("X-A: b\r\n", message.HeadSize), 431},
 		{"an expectation", with("Expect: much"), 417},
 	} {
-		cl := r.dial(t)
+		cl := node.dial(t)
 		go func() { // the node may answer and close before it has read all
 			if c.name == "cut short" {
 				io.WriteString(cl, c.text)
@@ -173,10 +173,10 @@
 	}
 	large := save("whole")
 	large.body = strings.Repeat("x", 1<<20)
-	if resp, _ := r.dial(t).ask(large); resp.StatusCode != 200 {
+	if resp, _ := node.dial(t).ask(large); resp.StatusCode != 200 {
 		t.Errorf("a large body: answered %d", resp.StatusCode)
 	}
-	if got := b.requests(); len(got) != 1 || got[0].Header.Get("X-Request-Id") != "whole" {
+	if got := server.requests(); len(got) != 1 || got[0].Header.Get("X-Request-Id") != "whole" {
 		t.Errorf("the backend got %d requests, want the one well-formed", len(got))
 	}
 }
@@ -186,20 +186,20 @@
 func TestSlowClientsTimeOut(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if r.Header.Get("X-Request-Id") == "long" {
 			<-release
 		}
 		return served(c, r, nth)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, hurried, b.entry("s-1"))
-	long, kept := r.dial(t), r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, hurried, server.entry("s-1"))
+	long, kept := node.dial(t), node.dial(t)
 	long.send(quote("long").text())
 	if resp, _ := kept.ask(view("v")); resp.StatusCode != 200 {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	for _, text := range []string{"", "POST /api HTTP/1.1\r\nHost", strings.TrimSuffix(save("x").text(), "w")} {
-		c := r.dial(t)
+		c := node.dial(t)
 		c.send(text)
 		if text != "" {
 			if resp, _ := c.answer(); resp.StatusCode != 408 {
@@ -294,9 +294,9 @@
 				call
 				want int
 			}{{quote("q"), c.unsafe}, {view("v"), c.safe}} {
-				b := newBox(t, c.answer)
-				r := newRig(t, newRegistry(t), settingsJSON, hurried, b.entry("s-1"))
-				resp, _ := r.dial(t).ask(q.call)
+				server := newBox(t, c.answer)
+				node := newRig(t, newRegistry(t), settingsJSON, hurried, server.entry("s-1"))
+				resp, _ := node.dial(t).ask(q.call)
 				if resp.StatusCode != q.want {
 					t.Errorf("%s: answered %d, want %d", q.class, resp.StatusCode, q.want)
 				}
@@ -305,7 +305,7 @@
 				} else if s, err := strconv.ParseFloat(after, 64); after != "" && (err != nil || s <= 0 || s > 2) {
 					t.Errorf("%s: Retry-After %q, want seconds up to the settings' 2", q.class, after)
 				}
-				if n := len(b.requests()); n != 1 {
+				if n := len(server.requests()); n != 1 {
 					t.Errorf("%s: the backend got %d requests, want 1", q.class, n)
 				}
 			}
@@ -320,7 +320,7 @@
 	for _, surplus := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\x16\x03 noise"} {
 		for _, late := range []bool{false, true} {
 			written := make(chan struct{}, 10)
-			b := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+			server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 				var text strings.Builder
 				fmt.Fprintf(&text, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 				if !late {
@@ -333,15 +333,15 @@
 				written <- struct{}{}
 				return true
 			})
-			r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-			c := r.dial(t)
+			node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+			c := node.dial(t)
 			for i := range 3 {
 				if resp, body := c.ask(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != "done" {
 					t.Errorf("late %v, request %d: %d %q", late, i, resp.StatusCode, body)
 				}
 				receive(t, "the answer's end at the backend", written)
 			}
-			if n := b.connections(); n != 3 {
+			if n := server.connections(); n != 3 {
 				t.Errorf("late %v: 3 requests on %d connections, want each on its own", late, n)
 			}
 		}
@@ -352,7 +352,7 @@
 // the answer, and served 2 to 10 of 4,800 requests another's answer here.
 func TestBytesAfterResponseAreDiscardedUnderLoad(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		id := r.Header.Get("X-Request-Id")
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 		if nth%10 == 0 {
@@ -361,11 +361,11 @@
 		_, err := io.WriteString(c, text)
 		return err == nil
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
 	var wrong atomic.Int64
 	var wg sync.WaitGroup
 	for k := range 16 {
-		c := r.dial(t)
+		c := node.dial(t)
 		wg.Go(func() {
 			for i := range 300 {
 				id := fmt.Sprint("id-", k, "-", i)
@@ -392,21 +392,21 @@
 // it goes out on another.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, func(c net.Conn, r *http.Request, n int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, n int) bool {
 		served(c, r, n)
 		return false
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	for i := range 3 {
 		if resp, _ := c.ask(quote(fmt.Sprint(i))); resp.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, resp.StatusCode)
 		}
 		wait(t, "the end of the connection", func() bool {
-			return b.closed.Load() == int64(i+1)
+			return server.closed.Load() == int64(i+1)
 		})
 	}
-	if n := len(b.requests()); n != 3 {
+	if n := len(server.requests()); n != 3 {
 		t.Errorf("the backend got %d requests, want 3", n)
 	}
 }
@@ -415,9 +415,9 @@
 func TestIdleConnectionIsClosedAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	one, two := newBox(t, served), newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, one.entry("s-1"), two.entry("s-2"))
-	r.pool.Resize(1)
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, one.entry("s-1"), two.entry("s-2"))
+	node.pool.Resize(1)
+	c := node.dial(t)
 	for i := range 40 {
 		if resp, _ := c.ask(view(fmt.Sprint(i))); resp.StatusCode != 200 {
 			t.Fatalf("request %d: %d", i, resp.StatusCode)
@@ -426,7 +426,7 @@
 	if len(one.requests()) == 0 || len(two.requests()) == 0 {
 		t.Error("one of the backends got nothing")
 	}
-	if open, idle := r.pool.Counts(); open != 1 || idle > 1 {
+	if open, idle := node.pool.Counts(); open != 1 || idle > 1 {
 		t.Errorf("%d connections count as open and %d as idle, want 1", open, idle)
 	}
 }
@@ -435,24 +435,24 @@
 // is still on the way: the new process would get what was meant for the old.
 func TestNewIDAtOldAddressReplacesServer(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	g := newRegistry(t)
-	r := newRig(t, g, settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	server := newBox(t, served)
+	discoveryStub := newRegistry(t)
+	node := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	c.ask(view("x"))
-	g.next <- registryAnswer{200, list{Version: 2, Servers: []listed{b.entry("s-2")}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 2, Servers: []listed{server.entry("s-2")}}}
 	wait(t, "the news", func() bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return r.version == 2
+		node.core.Lock()
+		defer node.core.Unlock()
+		return node.version == 2
 	})
 	if resp, _ := c.ask(view("y")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	r.core.Lock()
-	defer r.core.Unlock()
-	if old, now := r.names["s-1"], r.names["s-2"]; !old.left || now.left || now.number == old.number || b.connections() != 2 {
-		t.Errorf("old %+v, new %+v, %d connections", old, now, b.connections())
+	node.core.Lock()
+	defer node.core.Unlock()
+	if old, now := node.names["s-1"], node.names["s-2"]; !old.left || now.left || now.number == old.number || server.connections() != 2 {
+		t.Errorf("old %+v, new %+v, %d connections", old, now, server.connections())
 	}
 }
 
@@ -464,8 +464,8 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	r := newRig(t, newRegistry(t), settingsJSON, nil, listed{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
-	if resp, _ := r.dial(t).ask(quote("q")); resp.StatusCode != 503 {
+	node := newRig(t, newRegistry(t), settingsJSON, nil, listed{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
+	if resp, _ := node.dial(t).ask(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want a refusal", resp.StatusCode)
 	}
 }
@@ -476,11 +476,11 @@
 	t.Parallel()
 	for _, q := range []call{view("again"), save("again"), quote("again"),
 		{"POST", "save", "again", "k", "", "50000m"}} {
-		b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+		server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 			return nth == 1 && served(c, r, nth) // the second on the same connection is met by its end
 		})
-		r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-		c := r.dial(t)
+		node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+		c := node.dial(t)
 		first := view("first")
 		if resp, _ := c.ask(first); resp.StatusCode != 200 {
 			t.Fatalf("first: %d", resp.StatusCode)
@@ -489,8 +489,8 @@
 		if resp.StatusCode == 200 {
 			t.Errorf("%s %s: served, though the backend answered nothing", q.method, q.class)
 		}
-		if n := len(b.requests()); n != 2 || b.connections() != 1 {
-			t.Errorf("%s %s: the backend got %d requests on %d connections, want 2 on 1", q.method, q.class, n, b.connections())
+		if n := len(server.requests()); n != 2 || server.connections() != 1 {
+			t.Errorf("%s %s: the backend got %d requests on %d connections, want 2 on 1", q.method, q.class, n, server.connections())
 		}
 	}
 }
@@ -500,8 +500,8 @@
 	t.Parallel()
 	full := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 503, "X-Not-Run: 1\r\n", "") })
 	fine := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, full.entry("s-1"), fine.entry("s-2"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, full.entry("s-1"), fine.entry("s-2"))
+	c := node.dial(t)
 	for i := 0; i < 50 && len(full.requests()) == 0; i++ {
 		if resp, body := c.ask(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != fmt.Sprint("done ", i) {
 			t.Fatalf("request %d: %d %q", i, resp.StatusCode, body)
@@ -514,16 +514,16 @@
 
 func TestSilentServerFailsUnsafeRequest(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	server := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.Copy(io.Discard, c)
 		return false
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
 	for given := 300; ; given *= 2 {
 		q := quote(fmt.Sprint("q", given))
 		q.deadline = fmt.Sprint(given, "m")
-		resp, _ := r.dial(t).ask(q)
-		if resp.StatusCode == 503 && len(b.requests()) == 0 && given < 10_000 {
+		resp, _ := node.dial(t).ask(q)
+		if resp.StatusCode == 503 && len(server.requests()) == 0 && given < 10_000 {
 			continue // its time was over before it was sent: this machine was too slow
 		}
 		if resp.StatusCode != 500 {
@@ -537,15 +537,15 @@
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	gone := make(chan struct{})
-	b := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	server := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.Copy(io.Discard, c) // until the node closes the connection
 		close(gone)
 		return false
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	c.send(save("x").text())
-	wait(t, "the request at the backend", func() bool { return len(b.requests()) == 1 })
+	wait(t, "the request at the backend", func() bool { return len(server.requests()) == 1 })
 	c.Close()
 	select {
 	case <-gone:
@@ -553,34 +553,34 @@
 		t.Fatal("the attempt goes on")
 	}
 	wait(t, "an empty table of requests", func() bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return len(r.core.Open()) == 0
+		node.core.Lock()
+		defer node.core.Unlock()
+		return len(node.core.Open()) == 0
 	})
 }
 
 // A send that waited for a connection while its backend's drain grace ended must not be written.
 func TestSendAfterGraceIsNotWritten(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	r.core.Lock()
-	be := r.names["s-1"]
-	r.core.Unlock()
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node.core.Lock()
+	be := node.names["s-1"]
+	node.core.Unlock()
 	for _, q := range []call{view("v"), save("s")} {
 		in, _ := http.NewRequest(q.method, "http://x/api", nil)
 		up, _ := flow.NewUpload(strings.NewReader(q.body), int64(len(q.body)))
 		a := &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: be.Server, Wait: patience}
 		be.Stop.Store(time.Now().Add(-time.Millisecond).UnixNano())
-		if res := r.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+		if res := node.Attempt(context.Background(), a); res.Outcome != policy.Moot {
 			t.Errorf("%s: outcome %d, want it never sent", q.method, res.Outcome)
 		}
 		be.Stop.Store(0)
-		if res := r.Attempt(context.Background(), a); res.Outcome != policy.OK {
+		if res := node.Attempt(context.Background(), a); res.Outcome != policy.OK {
 			t.Errorf("%s: outcome %d while no grace runs, want OK", q.method, res.Outcome)
 		}
 	}
-	if n := len(b.requests()); n != 2 {
+	if n := len(server.requests()); n != 2 {
 		t.Errorf("the backend got %d requests, want 2", n)
 	}
 }
@@ -588,9 +588,9 @@
 func TestFollowsDiscoveryList(t *testing.T) {
 	t.Parallel()
 	old, fresh := newBox(t, served), newBox(t, served)
-	g := newRegistry(t)
-	r := newRig(t, g, settingsJSON, func(c *Config) { c.watch = longWatch }, old.entry("s-1"))
-	c := r.dial(t)
+	discoveryStub := newRegistry(t)
+	node := newRig(t, discoveryStub, settingsJSON, func(c *Config) { c.watch = longWatch }, old.entry("s-1"))
+	c := node.dial(t)
 	at := func(b *box) func() bool {
 		return func() bool {
 			before := len(b.requests())
@@ -599,10 +599,10 @@
 		}
 	}
 	wait(t, "the known backend", at(old))
-	g.next <- registryAnswer{status: 503} // a failed call is tried again
+	discoveryStub.next <- registryAnswer{status: 503} // a failed call is tried again
 	draining := old.entry("s-1")
 	draining.State = "Terminating"
-	g.next <- registryAnswer{200, list{Version: 2, Servers: []listed{draining, fresh.entry("s-2")}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 2, Servers: []listed{draining, fresh.entry("s-2")}}}
 	wait(t, "the new backend", at(fresh))
 	sent := len(old.requests())
 	for range 20 {
@@ -613,18 +613,18 @@
 	if n := len(old.requests()); n != sent {
 		t.Errorf("a draining backend got %d new requests", n-sent)
 	}
-	g.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{fresh.entry("s-2")}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{fresh.entry("s-2")}}}
 	select {
 	case <-old.closedByNode:
 	case <-time.After(patience):
 		t.Fatal("connections of a backend that a whole list leaves out stay open")
 	}
 	moved := old.entry("s-2") // the same id and start under another address is another process
-	g.next <- registryAnswer{200, list{Version: 4, Servers: []listed{moved}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 4, Servers: []listed{moved}}}
 	wait(t, "the new address", at(old))
 	gone := moved
 	gone.State = "Gone"
-	g.next <- registryAnswer{200, list{Version: 5, Servers: []listed{gone}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 5, Servers: []listed{gone}}}
 	wait(t, "a refusal with nothing left", func() bool {
 		resp, _ := c.ask(view("x"))
 		return resp.StatusCode == 503
@@ -632,7 +632,7 @@
 	if resp, _ := c.ask(call{method: "GET"}); resp.StatusCode != 400 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	for i, url := range g.calls() {
+	for i, url := range discoveryStub.calls() {
 		want := fmt.Sprintf("/v1/endpoints?since=%d&timeout_ms=", max(1, i))
 		if !strings.HasPrefix(url, want) {
 			t.Errorf("call %d: %s, want %s…", i, url, want)
@@ -648,22 +648,22 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			before, after := newBox(t, served), newBox(t, served)
-			g, h := newRegistry(t), newRegistry(t)
-			g.next <- registryAnswer{200, list{Version: 700, Full: true, Servers: []listed{before.entry("s-1")}}}
-			r := newRig(t, g, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), func(c *Config) { c.watch = longWatch })
-			c := r.dial(t)
+			oldDiscovery, newDiscoveryStub := newRegistry(t), newRegistry(t)
+			oldDiscovery.next <- registryAnswer{200, list{Version: 700, Full: true, Servers: []listed{before.entry("s-1")}}}
+			node := newRig(t, oldDiscovery, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), func(c *Config) { c.watch = longWatch })
+			c := node.dial(t)
 			wait(t, "the old discovery's backend", func() bool {
 				resp, _ := c.ask(view("x"))
 				return resp.StatusCode == 200
 			})
-			wait(t, "an open watch", func() bool { return len(g.calls()) == 2 })
-			cfg := r.cfg
-			cfg.Discovery = h.addr
-			h.next <- registryAnswer{status: 503} // the new one may fail at first
-			h.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{after.entry("s-2")}}}
-			r.reload(cfg)
+			wait(t, "an open watch", func() bool { return len(oldDiscovery.calls()) == 2 })
+			cfg := node.cfg
+			cfg.Discovery = newDiscoveryStub.addr
+			newDiscoveryStub.next <- registryAnswer{status: 503} // the new one may fail at first
+			newDiscoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{after.entry("s-2")}}}
+			node.reload(cfg)
 			select {
-			case <-g.abandoned:
+			case <-oldDiscovery.abandoned:
 			case <-time.After(patience):
 				t.Fatal("the old discovery's watch stays open")
 			}
@@ -671,17 +671,17 @@
 				resp, _ := c.ask(view("y"))
 				return resp.StatusCode == 200 && len(after.requests()) > 0
 			})
-			wait(t, "a watch at the new one", func() bool { return len(h.calls()) == 3 })
-			calls := h.calls()
+			wait(t, "a watch at the new one", func() bool { return len(newDiscoveryStub.calls()) == 3 })
+			calls := newDiscoveryStub.calls()
 			if calls[0] != "/v1/endpoints" || calls[1] != "/v1/endpoints" || !strings.Contains(calls[2], "since=3&") {
 				t.Errorf("the new discovery was asked %q, want its whole list first and then a watch from there", calls)
 			}
-			if n := len(g.calls()); n != 2 {
+			if n := len(oldDiscovery.calls()); n != 2 {
 				t.Errorf("the old discovery was asked %d times, want no call after the reload", n)
 			}
-			r.reload(cfg) // the same again changes nothing
-			if n := len(h.calls()); n != 3 || len(h.abandoned) != 0 {
-				t.Errorf("an unchanged address: %d calls, %d given up", n, len(h.abandoned))
+			node.reload(cfg) // the same again changes nothing
+			if n := len(newDiscoveryStub.calls()); n != 3 || len(newDiscoveryStub.abandoned) != 0 {
+				t.Errorf("an unchanged address: %d calls, %d given up", n, len(newDiscoveryStub.abandoned))
 			}
 		})
 	}
@@ -690,21 +690,21 @@
 // Where discovery is asked, the policy says when: at the start, and again after a loss.
 func TestPolledDiscoveryIsAskedAgainAfterFailure(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	g := newRegistry(t)
-	g.next <- registryAnswer{status: 503}
-	g.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{b.entry("s-1")}}}
-	r := newRig(t, g, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
-	c := r.dial(t)
+	server := newBox(t, served)
+	discoveryStub := newRegistry(t)
+	discoveryStub.next <- registryAnswer{status: 503}
+	discoveryStub.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{server.entry("s-1")}}}
+	node := newRig(t, discoveryStub, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
+	c := node.dial(t)
 	wait(t, "the list after a loss", func() bool {
 		resp, _ := c.ask(view("x"))
 		return resp.StatusCode == 200
 	})
 }
 
-func readyStatus(t *testing.T, r *rig) int {
+func readyStatus(t *testing.T, node *rig) int {
 	t.Helper()
-	c := r.dial(t)
+	c := node.dial(t)
 	c.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	resp, _ := c.answer()
 	return resp.StatusCode
@@ -712,32 +712,32 @@
 
 func TestReadyOnceServerIsListed(t *testing.T) {
 	t.Parallel()
-	g := newRegistry(t)
-	b := newBox(t, served)
-	r := newRig(t, g, settingsJSON, nil)
-	if s := readyStatus(t, r); s != 503 {
+	discoveryStub := newRegistry(t)
+	server := newBox(t, served)
+	node := newRig(t, discoveryStub, settingsJSON, nil)
+	if s := readyStatus(t, node); s != 503 {
 		t.Errorf("ready with no backend: %d", s)
 	}
-	g.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{b.entry("s-1")}}}
-	wait(t, "readiness", func() bool { return readyStatus(t, r) == 200 })
+	discoveryStub.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{server.entry("s-1")}}}
+	wait(t, "readiness", func() bool { return readyStatus(t, node) == 200 })
 }
 
 // After SIGTERM connections go on coming for a while; all that was taken is answered, then the node ends.
 func TestSIGTERMFinishesAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, holdFirst(release))
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	server := newBox(t, holdFirst(release))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	c.send(quote("slow").text())
-	wait(t, "the request at the backend", func() bool { return len(b.requests()) == 1 })
-	late, silent := r.dial(t), r.dial(t)
+	wait(t, "the request at the backend", func() bool { return len(server.requests()) == 1 })
+	late, silent := node.dial(t), node.dial(t)
 	// The time in which connections still come is not begun before the late one has its answer.
-	r.pair.mu.Lock()
-	begin := sync.OnceFunc(r.pair.mu.Unlock)
+	node.pair.mu.Lock()
+	begin := sync.OnceFunc(node.pair.mu.Unlock)
 	t.Cleanup(begin)
-	r.leave()
-	wait(t, "the node's leaving", r.life.sendsAway)
+	node.leave()
+	wait(t, "the node's leaving", node.life.sendsAway)
 	if resp, body := late.ask(quote("late")); resp.StatusCode != 200 || body != "done late" || !resp.Close {
 		t.Errorf("a request after SIGTERM: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
@@ -750,11 +750,11 @@
 		t.Errorf("the request taken before: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	select {
-	case err := <-r.exited:
+	case err := <-node.exited:
 		if err != nil {
 			t.Error(err)
 		}
-		r.exited <- err
+		node.exited <- err
 	case <-time.After(patience):
 		t.Fatal("the node does not end")
 	}
@@ -765,32 +765,32 @@
 func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "slow") {
 			<-release
 		}
 		return served(c, r, nth)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.Sockets = 64 + ownSockets }, b.entry("s-1"))
-	idle := r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.Sockets = 64 + ownSockets }, server.entry("s-1"))
+	idle := node.dial(t)
 	if resp, _ := idle.ask(view("x")); resp.StatusCode != 200 {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	for range 100 {
-		r.dial(t) // says nothing
+		node.dial(t) // says nothing
 	}
-	if resp, _ := r.dial(t).ask(view("y")); resp.StatusCode != 200 {
+	if resp, _ := node.dial(t).ask(view("y")); resp.StatusCode != 200 {
 		t.Errorf("behind a hundred idle connections: %d", resp.StatusCode)
 	}
 	var busy []*client
 	for i := range 24 { // as many as there are descriptors for backends
-		c := r.dial(t)
+		c := node.dial(t)
 		c.send(quote(fmt.Sprint("slow-", i)).text())
 		busy = append(busy, c)
 	}
-	wait(t, "the requests at the backend", func() bool { return len(b.requests()) >= 2+len(busy)-1 })
+	wait(t, "the requests at the backend", func() bool { return len(server.requests()) >= 2+len(busy)-1 })
 	for i := range 8 {
-		c := r.dial(t)
+		c := node.dial(t)
 		c.send(quote(fmt.Sprint("slower-", i)).text()) // no descriptor for these: refused, as they never ran
 		busy = append(busy, c)
 	}
@@ -806,20 +806,20 @@
 func TestConnectionBeyondLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		<-release
 		return served(c, r, nth)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.Sockets = 64 }, b.entry("s-1"))
-	r.pool.Resize(100)
+	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.Sockets = 64 }, server.entry("s-1"))
+	node.pool.Resize(100)
 	var open []*client
 	for i := range (64 - ownSockets) / 2 {
-		c := r.dial(t)
+		c := node.dial(t)
 		c.send(quote(fmt.Sprint("slow-", i)).text())
 		open = append(open, c)
 	}
-	wait(t, "the requests at the backend", func() bool { return len(b.requests()) == len(open) })
-	if resp, _ := r.dial(t).ask(quote("more")); resp.StatusCode != 503 || !resp.Close {
+	wait(t, "the requests at the backend", func() bool { return len(server.requests()) == len(open) })
+	if resp, _ := node.dial(t).ask(quote("more")); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("one more: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	close(release)
@@ -834,19 +834,19 @@
 // those that clients had used and kept, so that new clients cut one another off and none was served.
 func TestNewConnectionIsNotEvictedByNext(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
 		unhurried(c) // however long they take, they are new
 		c.Sockets = 64 + ownSockets
-	}, b.entry("s-1"))
+	}, server.entry("s-1"))
 	for i := range 32 {
-		if resp, _ := r.dial(t).ask(view(fmt.Sprint("kept-", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).ask(view(fmt.Sprint("kept-", i))); resp.StatusCode != 200 {
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 	}
 	var fresh []*client
 	for range 8 {
-		fresh = append(fresh, r.dial(t))
+		fresh = append(fresh, node.dial(t))
 	}
 	for i, c := range fresh {
 		if resp, _ := c.ask(view(fmt.Sprint("new-", i))); resp.StatusCode != 200 {
@@ -856,13 +856,13 @@
 }
 
 // silent makes a connection that says nothing. The channel is closed once the node waits for its first byte.
-func (r *rig) connectSilent(t *testing.T) (observedClient, <-chan struct{}) {
+func (n *rig) connectSilent(t *testing.T) (observedClient, <-chan struct{}) {
 	t.Helper()
 	c := newUnattachedClient(t)
 	waits := make(chan struct{})
 	x := &readNotifyConn{TCPConn: c.end.(*net.TCPConn), read: sync.OnceFunc(func() { close(waits) })}
-	wait(t, "a place for it", r.clients.Take)
-	r.clients.Go(func() { r.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
+	wait(t, "a place for it", n.clients.Take)
+	n.clients.Go(func() { n.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
 	return c, waits
 }
 
@@ -881,26 +881,26 @@
 // will use again, stays.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
 		hurried(c)
 		c.Sockets = 64 + ownSockets
-	}, b.entry("s-1"))
-	used := r.dial(t)
+	}, server.entry("s-1"))
+	used := node.dial(t)
 	for i := range 5 {
 		if resp, _ := used.ask(view(fmt.Sprint("u-", i))); resp.StatusCode != 200 {
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 		var all []<-chan struct{}
 		for range 20 {
-			_, waits := r.connectSilent(t)
+			_, waits := node.connectSilent(t)
 			all = append(all, waits)
 		}
 		for _, waits := range all {
 			receive(t, "the node's wait for a first byte", waits)
 		}
 		time.Sleep(2 * fronthttp.SilentTime) // counted from when the node has taken the last one: more is as good
-		if resp, _ := r.dial(t).ask(view(fmt.Sprint("n-", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).ask(view(fmt.Sprint("n-", i))); resp.StatusCode != 200 {
 			t.Errorf("a new connection among silent ones: %d", resp.StatusCode)
 		}
 	}
@@ -912,7 +912,7 @@
 	const kept = 8
 	var silent atomic.Bool
 	all := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if silent.Load() {
 			io.Copy(io.Discard, c)
 			return false
@@ -923,15 +923,15 @@
 		<-all // so that each of the first has a connection of its own
 		return served(c, r, nth)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	r.core.Lock()
-	be := r.names["s-1"]
-	r.core.Unlock()
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node.core.Lock()
+	be := node.names["s-1"]
+	node.core.Unlock()
 	run := func(wait time.Duration) core.Result {
 		in, _ := http.NewRequest("POST", "http://x/api", nil)
 		up, _ := flow.NewUpload(strings.NewReader("a door"), 6)
 		a := &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: be.Server, Wait: wait}
-		return r.Attempt(context.Background(), a)
+		return node.Attempt(context.Background(), a)
 	}
 	var wg sync.WaitGroup
 	for range kept {
@@ -945,7 +945,7 @@
 	silent.Store(true)
 	for wait := 200 * time.Millisecond; ; wait *= 2 {
 		res := run(wait)
-		if (res.Outcome == policy.Moot || res.Outcome == policy.ConnectFailed) && len(b.requests()) == kept && wait < 10*time.Second {
+		if (res.Outcome == policy.Moot || res.Outcome == policy.ConnectFailed) && len(server.requests()) == kept && wait < 10*time.Second {
 			continue // its time was over before it was sent: this machine was too slow
 		}
 		if res.Outcome != policy.TimedOut {
@@ -955,7 +955,7 @@
 	}
 	for range kept - 1 { // the attempt's own connection is closed in any case
 		select {
-		case <-b.closedByNode:
+		case <-server.closedByNode:
 		case <-time.After(patience):
 			t.Fatal("connections from before the silence are kept")
 		}
@@ -971,15 +971,15 @@
 func TestResetClosesOnlyOneConnection(t *testing.T) {
 	t.Parallel()
 	both := make(chan struct{})
-	b := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if nth == 2 {
 			close(both)
 		}
 		<-both // so that each of the first two has a connection of its own
 		return r.Header.Get("X-Request-Id") != "reset" && served(c, r, nth)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	one, two := r.dial(t), r.dial(t)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	one, two := node.dial(t), node.dial(t)
 	one.send(quote("one").text())
 	two.send(quote("two").text())
 	for _, c := range []*client{one, two} {
@@ -990,34 +990,34 @@
 	if resp, _ := one.ask(quote("reset")); resp.StatusCode != 500 {
 		t.Errorf("answered %d on a reset", resp.StatusCode)
 	}
-	if resp, _ := one.ask(quote("next")); resp.StatusCode != 200 || b.connections() != 2 {
-		t.Errorf("answered %d on connection %d, want one of the first two", resp.StatusCode, b.connections())
+	if resp, _ := one.ask(quote("next")); resp.StatusCode != 200 || server.connections() != 2 {
+		t.Errorf("answered %d on connection %d, want one of the first two", resp.StatusCode, server.connections())
 	}
 }
 
 // A list that comes empty by mistake costs neither the backends' connections nor what is known of them.
 func TestServersSurviveEmptyList(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	g := newRegistry(t)
-	r := newRig(t, g, settingsJSON, nil, b.entry("s-1"))
-	c := r.dial(t)
+	server := newBox(t, served)
+	discoveryStub := newRegistry(t)
+	node := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
+	c := node.dial(t)
 	c.ask(view("x"))
-	g.next <- registryAnswer{200, list{Version: 2, Full: true}}
-	g.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{b.entry("s-1")}}}
-	g.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{b.entry("s-1")}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 2, Full: true}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{server.entry("s-1")}}}
+	discoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{server.entry("s-1")}}}
 	wait(t, "both lists", func() bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return r.version == 3
+		node.core.Lock()
+		defer node.core.Unlock()
+		return node.version == 3
 	})
 	if resp, _ := c.ask(view("y")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	r.core.Lock()
-	defer r.core.Unlock()
-	if n := r.names["s-1"].number; n != 1 || b.connections() != 1 {
-		t.Errorf("backend number %d with %d connections, want those from before", n, b.connections())
+	node.core.Lock()
+	defer node.core.Unlock()
+	if n := node.names["s-1"].number; n != 1 || server.connections() != 1 {
+		t.Errorf("backend number %d with %d connections, want those from before", n, server.connections())
 	}
 }
 
@@ -1050,9 +1050,9 @@
 		}
 		return info.Unacked > info.Sacked // of a listener: how many wait, and how many may
 	})
-	r := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"connect_timeout_s":5`, `"connect_timeout_s":0.2`, 1), nil,
+	node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"connect_timeout_s":5`, `"connect_timeout_s":0.2`, 1), nil,
 		listed{ID: "s-1", Addr: addr, State: "Ready"})
-	if resp, _ := r.dial(t).ask(quote("q")); resp.StatusCode != 503 {
+	if resp, _ := node.dial(t).ask(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want a refusal", resp.StatusCode)
 	}
 }
@@ -1061,21 +1061,21 @@
 // an attempt that found no connection is no failure to connect.
 func TestLocalFailureIsNotCountedAgainstServer(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	a := r.newAttempt("s-1", patience)
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	a := node.newAttempt("s-1", patience)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	r.pool.Resize(0)
-	if res := r.Attempt(ctx, a); res.Outcome != policy.Moot {
+	node.pool.Resize(0)
+	if res := node.Attempt(ctx, a); res.Outcome != policy.Moot {
 		t.Errorf("with no descriptor: outcome %d, want it never sent", res.Outcome)
 	}
-	r.pool.Resize(100)
+	node.pool.Resize(100)
 	cancel(core.ErrCanceled)
-	if res := r.Attempt(ctx, a); res.Outcome != policy.Canceled {
+	if res := node.Attempt(ctx, a); res.Outcome != policy.Canceled {
 		t.Errorf("given up before it was sent: outcome %d, want cancelled", res.Outcome)
 	}
-	if n := len(b.requests()); n != 0 {
+	if n := len(server.requests()); n != 0 {
 		t.Errorf("the backend got %d requests", n)
 	}
 }
@@ -1083,13 +1083,13 @@
 // A request written to a connection that its backend has just closed as idle ends as a reset.
 func TestIdleConnectionsAreClosedInTime(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"conn_idle_s":60`, `"conn_idle_s":0.3`, 1), nil, b.entry("s-1"))
-	if resp, _ := r.dial(t).ask(view("x")); resp.StatusCode != 200 {
+	server := newBox(t, served)
+	node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"conn_idle_s":60`, `"conn_idle_s":0.3`, 1), nil, server.entry("s-1"))
+	if resp, _ := node.dial(t).ask(view("x")); resp.StatusCode != 200 {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	select {
-	case <-b.closedByNode:
+	case <-server.closedByNode:
 	case <-time.After(patience):
 		t.Error("the node keeps a connection that the backend is about to close")
 	}
--- a/internal/node/opaque_tunnel_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -81,7 +81,7 @@
 }
 
 // opaqueNode is a node with an opaque route; limits are fields of the route, more is the rest of the tunnels or the file.
-func newOpaqueNode(t testing.TB, limits, more string, known ...listed) (r *rig, socks, connect string) {
+func newOpaqueNode(t testing.TB, limits, more string, known ...listed) (node *rig, socks, connect string) {
 	t.Helper()
 	socks, connect = free(t), free(t)
 	product := under(t, fmt.Sprintf(`services: [{name: lines}]
@@ -90,16 +90,16 @@
   connect: %s
   routes: [{host: lines.example.org, port: 7, service: lines, kind: opaque, class: quote%s}]
 %s`, socks, connect, limits, more))
-	r = newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
+	node = newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
 		product(c)
 		c.Sockets = 16000
 	}, known...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	if err := r.tunnels(ctx, r.cfg.Product.Tunnels); err != nil {
+	if err := node.tunnels(ctx, node.cfg.Product.Tunnels); err != nil {
 		t.Fatal(err)
 	}
-	return r, socks, connect
+	return node, socks, connect
 }
 
 const (
@@ -131,9 +131,9 @@
 }
 
 // ended waits until the tunnels have ended for a cause so often.
-func (r *rig) waitTunnelsEnded(t testing.TB, cause backtunnel.Cause, times uint64) {
+func (n *rig) waitTunnelsEnded(t testing.TB, cause backtunnel.Cause, times uint64) {
 	t.Helper()
-	wait(t, fmt.Sprintf("the end of %d tunnels by %q", times, cause), func() bool { return r.opaque.Stats().Ended[cause] >= times })
+	wait(t, fmt.Sprintf("the end of %d tunnels by %q", times, cause), func() bool { return n.opaque.Stats().Ended[cause] >= times })
 }
 
 // Each way in to each way out, with what can go wrong at the opening: one attempt that reaches a server at most where one is
@@ -146,7 +146,7 @@
 			}
 			t.Run(fmt.Sprintf("via %s %s", via, trouble), func(t *testing.T) {
 				t.Parallel()
-				l := newLines(t, nil)
+				target := newLines(t, nil)
 				p := &standin.Proxy{SOCKS5: via == "socks5"}
 				if err := p.Start(); err != nil {
 					t.Fatal(err)
@@ -156,9 +156,9 @@
 				if via != "" {
 					more = fmt.Sprintf("  proxies: [{servers: \"s-*\", %s: %q}]\n", via, p.Addr())
 				}
-				down := l.entry("s-2")
+				down := target.entry("s-2")
 				down.Addr = free(t)
-				known := []listed{l.entry("s-1")}
+				known := []listed{target.entry("s-1")}
 				stands := true
 				switch trouble {
 				case "server down":
@@ -175,7 +175,7 @@
 					p.Trouble(standin.Refuses, 0)
 					stands = false
 				}
-				r, socks, connect := newOpaqueNode(t, "", more, known...)
+				node, socks, connect := newOpaqueNode(t, "", more, known...)
 				ahead := ""
 				if trouble == "ahead" {
 					ahead = distinctBody(20 << 10)
@@ -214,16 +214,16 @@
 					}
 				}
 				if stands {
-					r.waitTunnelsEnded(t, backtunnel.Done, 4)
-					if n := l.opened.Load(); n != 4 {
+					node.waitTunnelsEnded(t, backtunnel.Done, 4)
+					if n := target.opened.Load(); n != 4 {
 						t.Errorf("%d connections for 4 tunnels", n)
 					}
 				}
-				wait(t, "the end of all requests", func() bool { return r.core.Stats(0).Open == 0 })
-				if st := r.opaque.Stats(); st.Open != 0 {
+				wait(t, "the end of all requests", func() bool { return node.core.Stats(0).Open == 0 })
+				if st := node.opaque.Stats(); st.Open != 0 {
 					t.Errorf("%+v", st)
 				}
-				wait(t, "the server's end", func() bool { return l.open.Load() == 0 })
+				wait(t, "the server's end", func() bool { return target.open.Load() == 0 })
 			})
 		}
 	}
@@ -275,16 +275,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			l := newLines(t, c.serve)
-			r, _, connect := newOpaqueNode(t, c.limits, "", l.entry("s-1"))
+			target := newLines(t, c.serve)
+			node, _, connect := newOpaqueNode(t, c.limits, "", target.entry("s-1"))
 			cl, told := through(t, connect, linesConnect, 0)
 			if told != "200" {
 				t.Fatalf("told %q", told)
 			}
 			c.talk(cl)
-			r.waitTunnelsEnded(t, c.cause, 1)
-			wait(t, "the server's end", func() bool { return l.open.Load() == 0 })
-			if st := r.opaque.Stats(); len(st.Ended) != 1 || st.Open != 0 {
+			node.waitTunnelsEnded(t, c.cause, 1)
+			wait(t, "the server's end", func() bool { return target.open.Load() == 0 })
+			if st := node.opaque.Stats(); len(st.Ended) != 1 || st.Open != 0 {
 				t.Errorf("%+v", st)
 			}
 		})
@@ -294,8 +294,8 @@
 // What a contract says holds for an opaque tunnel as for any request: who may have one, how many, and how fast.
 func TestOpaqueContracts(t *testing.T) {
 	t.Parallel()
-	l := newLines(t, nil)
-	r, socks, connect := newOpaqueNode(t, "", "contracts: [{name: all, in_flight: 1, bandwidth: 4000000}]\n", l.entry("s-1"))
+	target := newLines(t, nil)
+	node, socks, connect := newOpaqueNode(t, "", "contracts: [{name: all, in_flight: 1, bandwidth: 4000000}]\n", target.entry("s-1"))
 	c, _ := through(t, connect, linesConnect, 0)
 	begun := time.Now()
 	text := distinctBody(3 << 20)
@@ -317,7 +317,7 @@
 		t.Errorf("a second one by SOCKS5: %q", told)
 	}
 	c.Close()
-	wait(t, "its end", func() bool { return r.core.Stats(0).Open == 0 })
+	wait(t, "its end", func() bool { return node.core.Stats(0).Open == 0 })
 	if _, told := through(t, connect, linesConnect, 0); told != "200" {
 		t.Errorf("once the first has ended: %s", told)
 	}
@@ -340,16 +340,16 @@
 func TestStallIsDetectedAfterDelayedCopy(t *testing.T) {
 	t.Parallel()
 	again := make(chan struct{})
-	l := newLines(t, func(c net.Conn) {
+	target := newLines(t, func(c net.Conn) {
 		io.CopyN(c, c, 5)
 		io.CopyN(io.Discard, c, 5)
 		close(again)
 		io.Copy(io.Discard, c)
 	})
-	r, _, _ := newOpaqueNode(t, "", "", l.entry("s-1"))
+	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
 	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute, Stall: 3 * time.Second}}
-	req := &core.Request{ID: "late", Class: "quote", Message: stream, Body: stream, Arrived: r.core.Now(), Patience: patience}
-	if !r.core.Begin(req) {
+	req := &core.Request{ID: "late", Class: "quote", Message: stream, Body: stream, Arrived: node.core.Now(), Patience: patience}
+	if !node.core.Begin(req) {
 		t.Fatal("not taken")
 	}
 	answer := receive(t, "its answer", req.Answer())
@@ -366,37 +366,37 @@
 	receive(t, "the client's answer at the server", again)
 	time.Sleep(20 * time.Millisecond) // for the node to book that, too
 	close(late.release)
-	r.waitTunnelsEnded(t, backtunnel.Stall, 1)
+	node.waitTunnelsEnded(t, backtunnel.Stall, 1)
 }
 
 // Between the pick and the connection its server is told to drain, or is taken out: the tunnel does not come to stand there,
 // and that proves that nothing ran.
 func TestOpaqueServerLeavesBeforeConnection(t *testing.T) {
 	t.Parallel()
-	l := newLines(t, nil)
-	r, _, _ := newOpaqueNode(t, "", "", l.entry("s-1"))
-	r.core.Lock()
-	server := r.names["s-1"].Server
-	r.core.Unlock()
+	target := newLines(t, nil)
+	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
+	node.core.Lock()
+	server := node.names["s-1"].Server
+	node.core.Unlock()
 	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute}}
 	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream}, Server: server, Wait: patience}
 	server.Stop.Store(time.Now().Add(-time.Millisecond).UnixNano())
-	if res := r.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
 		t.Errorf("behind its grace: outcome %d", res.Outcome)
 	}
 	server.Stop.Store(0)
 	server.Gate.Set(true)
-	if res := r.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
 		t.Errorf("out by hand: outcome %d", res.Outcome)
 	}
-	r.pool.Resize(0)
-	if res := r.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+	node.pool.Resize(0)
+	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
 		t.Errorf("with no descriptor: outcome %d", res.Outcome)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	r.pool.Resize(10)
+	node.pool.Resize(10)
 	cancel(core.ErrCanceled)
-	if res := r.opaque.Attempt(ctx, a); res.Outcome != policy.Canceled {
+	if res := node.opaque.Attempt(ctx, a); res.Outcome != policy.Canceled {
 		t.Errorf("given up: outcome %d", res.Outcome)
 	}
 	if stream.Spent() {
@@ -419,7 +419,7 @@
 			e.State = "Terminating"
 			draining = append(draining, e)
 		}
-		r, _, connect := newOpaqueNode(t, ", drain: 300ms", "", fleet...)
+		node, _, connect := newOpaqueNode(t, ", drain: 300ms", "", fleet...)
 		var all []*client
 		for range 1000 {
 			c, told := through(t, connect, linesConnect, 0)
@@ -430,12 +430,12 @@
 		}
 		told := time.Now()
 		if byHand {
-			r.lists(2, append(fleet, two.entry("t-1"))...)
+			node.lists(2, append(fleet, two.entry("t-1"))...)
 			for _, e := range fleet {
-				must(t, r.Disable(context.Background(), e.ID))
+				must(t, node.Disable(context.Background(), e.ID))
 			}
 		} else {
-			r.lists(2, append(draining, two.entry("t-1"))...)
+			node.lists(2, append(draining, two.entry("t-1"))...)
 		}
 		for range 200 {
 			if c, told := through(t, connect, linesConnect, 0); told != "200" {
@@ -445,7 +445,7 @@
 				c.Close()
 			}
 		}
-		r.waitTunnelsEnded(t, backtunnel.Draining, 1000)
+		node.waitTunnelsEnded(t, backtunnel.Draining, 1000)
 		if late := time.Unix(0, one.latest.Load()).Sub(told); late > 2*time.Second { // the grace in these settings
 			t.Errorf("by hand %v: a new connection %v after the word", byHand, late)
 		}
@@ -466,24 +466,24 @@
 // when the node leaves.
 func TestOpaqueTunnelsEndWithDrainedNode(t *testing.T) {
 	t.Parallel()
-	l := newLines(t, nil)
-	r, _, connect := newOpaqueNode(t, ", drain: 200ms", "", l.entry("s-1"))
+	target := newLines(t, nil)
+	node, _, connect := newOpaqueNode(t, ", drain: 200ms", "", target.entry("s-1"))
 	c, _ := through(t, connect, linesConnect, 0)
 	c.echo("hello")
-	must(t, r.Drain(context.Background()))
+	must(t, node.Drain(context.Background()))
 	resp := connects(t, connect)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("CONNECT during a drain: %d, come back in %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	r.waitTunnelsEnded(t, backtunnel.Draining, 1)
-	must(t, r.Resume(context.Background()))
+	node.waitTunnelsEnded(t, backtunnel.Draining, 1)
+	must(t, node.Resume(context.Background()))
 	c, told := through(t, connect, linesConnect, 0)
 	if told != "200" {
 		t.Fatalf("after the drain: %s", told)
 	}
 	c.echo("hello")
-	r.leave()
-	r.waitTunnelsEnded(t, backtunnel.Draining, 2)
+	node.leave()
+	node.waitTunnelsEnded(t, backtunnel.Draining, 2)
 }
 
 // Standard clients speak to it: golang.org/x/net/proxy by SOCKS5, and net/http with a proxy's URL, with TLS to the server
@@ -524,8 +524,8 @@
 // A request smuggled by two framings inside a tunnel of HTTP is refused, and reaches no server.
 func TestSmuggledRequestInTunnelIsRejected(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	_, _, connect := newTunnelNode(t, "", b.entry("s-1"))
+	server := newBox(t, served)
+	_, _, connect := newTunnelNode(t, "", server.entry("s-1"))
 	c, _ := through(t, connect, connectOpening("secret"), 0)
 	q := strings.Replace(save("outer").text(), "Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ", 1)
 	c.send(q + "0\r\n\r\n" + view("inner").text())
@@ -535,7 +535,7 @@
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the tunnel goes on: %v", err)
 	}
-	if n := len(b.requests()); n != 0 {
+	if n := len(server.requests()); n != 0 {
 		t.Errorf("%d requests reached the server", n)
 	}
 }
@@ -573,11 +573,11 @@
 
 // BenchmarkTunnel sends through a standing tunnel and a bare relay in turn, 16 MB each, and opens short ones in turn.
 func BenchmarkTunnel(b *testing.B) {
-	l := newLines(b, func(c net.Conn) { io.Copy(io.Discard, c) })
+	target := newLines(b, func(c net.Conn) { io.Copy(io.Discard, c) })
 	echo := newLines(b, nil)
-	_, _, connect := newOpaqueNode(b, "", "", l.entry("s-1"))
+	_, _, connect := newOpaqueNode(b, "", "", target.entry("s-1"))
 	_, _, shorts := newOpaqueNode(b, "", "", echo.entry("s-1"))
-	bare, bareShorts := bareRelay(b, l.ln.Addr().String()), bareRelay(b, echo.ln.Addr().String())
+	bare, bareShorts := bareRelay(b, target.ln.Addr().String()), bareRelay(b, echo.ln.Addr().String())
 	open := func(addr string, tunnel bool) net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -630,13 +630,13 @@
 func BenchmarkIdleTunnels(b *testing.B) {
 	for _, most := range []int{400, 4000} {
 		b.Run(fmt.Sprint(most), func(b *testing.B) {
-			l := newLines(b, func(c net.Conn) {
+			target := newLines(b, func(c net.Conn) {
 				var one [1]byte
 				c.Read(one[:])
 			})
 			var many []listed
 			for i := range 60 {
-				many = append(many, l.entry(fmt.Sprint("s-", i)))
+				many = append(many, target.entry(fmt.Sprint("s-", i)))
 			}
 			_, _, connect := newOpaqueNode(b, ", idle: 10m", "", many...)
 			held := func() float64 {
--- a/internal/node/operation_test.go
+++ b/internal/node/operation_test.go
@@ -15,10 +15,10 @@
 )
 
 // lists hands the node a whole list.
-func (r *rig) lists(version int64, servers ...listed) {
-	r.core.Lock()
-	defer r.core.Unlock()
-	r.takeList(&list{Version: version, Full: true, Servers: servers}, 1)
+func (n *rig) lists(version int64, servers ...listed) {
+	n.core.Lock()
+	defer n.core.Unlock()
+	n.takeList(&list{Version: version, Full: true, Servers: servers}, 1)
 }
 
 func must(t *testing.T, err error) {
@@ -32,9 +32,9 @@
 func TestDisabledServerGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
-	a, b := newBox(t, served), newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, a.entry("s-1"), b.entry("s-2"))
-	c := r.dial(t)
+	serverA, serverB := newBox(t, served), newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
+	c := node.dial(t)
 	n := 0
 	ask := func(times int) {
 		t.Helper()
@@ -45,33 +45,33 @@
 			}
 		}
 	}
-	if err := r.Disable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknown) {
+	if err := node.Disable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknown) {
 		t.Errorf("an id that nobody has: %v", err)
 	}
-	if err := r.Enable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknown) {
+	if err := node.Enable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknown) {
 		t.Errorf("an id that nobody has, back: %v", err)
 	}
-	must(t, r.Disable(ctx, "s-1"))
-	must(t, r.Disable(ctx, "s-1"))
-	before := len(a.requests())
+	must(t, node.Disable(ctx, "s-1"))
+	must(t, node.Disable(ctx, "s-1"))
+	before := len(serverA.requests())
 	ask(20)
-	r.lists(2, a.entry("s-1"), b.entry("s-2"))
+	node.lists(2, serverA.entry("s-1"), serverB.entry("s-2"))
 	ask(20)
-	restarted := a.entry("s-1")
+	restarted := serverA.entry("s-1")
 	restarted.StartedMS = time.Now().UnixMilli()
-	r.lists(3, restarted, b.entry("s-2"))
+	node.lists(3, restarted, serverB.entry("s-2"))
 	ask(20)
-	r.lists(4, b.entry("s-2"))
-	must(t, r.Disable(ctx, "s-1")) // known still, though not listed
+	node.lists(4, serverB.entry("s-2"))
+	must(t, node.Disable(ctx, "s-1")) // known still, though not listed
 	moved := newBox(t, served)
-	r.lists(5, moved.entry("s-1"), b.entry("s-2"))
+	node.lists(5, moved.entry("s-1"), serverB.entry("s-2"))
 	ask(20)
-	if got := len(a.requests()) - before + len(moved.requests()); got != 0 {
+	if got := len(serverA.requests()) - before + len(moved.requests()); got != 0 {
 		t.Errorf("%d requests to a web server that is out by hand", got)
 	}
-	must(t, r.Enable(ctx, "s-1"))
-	must(t, r.Enable(ctx, "s-1"))
-	r.lists(6, moved.entry("s-1"))
+	must(t, node.Enable(ctx, "s-1"))
+	must(t, node.Enable(ctx, "s-1"))
+	node.lists(6, moved.entry("s-1"))
 	wait(t, "a request at the web server put back", func() bool { // it is cold, and gets a few
 		n++
 		c.ask(view(fmt.Sprint("v", n)))
@@ -82,15 +82,15 @@
 // Once Disable has returned, not even a send that was on its way before is written.
 func TestDisableStopsPendingWrites(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	conn, err := net.Dial("tcp", b.ln.Addr().String())
+	stub := newBox(t, served)
+	node := newRig(t, newRegistry(t), settingsJSON, nil, stub.entry("s-1"))
+	conn, err := net.Dial("tcp", stub.ln.Addr().String())
 	must(t, err)
 	defer conn.Close()
-	r.core.Lock()
-	server := r.names["s-1"].Server
-	r.core.Unlock()
-	must(t, r.Disable(context.Background(), "s-1"))
+	node.core.Lock()
+	server := node.names["s-1"].Server
+	node.core.Unlock()
+	must(t, node.Disable(context.Background(), "s-1"))
 	if n, err := back.NewGated(conn, server, func() bool { return true }).Write([]byte("GET")); n != 0 || !errors.Is(err, back.ErrShut) {
 		t.Errorf("wrote %d bytes, %v", n, err)
 	}
@@ -101,25 +101,25 @@
 	t.Parallel()
 	ctx := context.Background()
 	release := make(chan struct{})
-	b := newBox(t, holdFirst(release))
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	busy, idle := r.dial(t), r.dial(t)
+	server := newBox(t, holdFirst(release))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	busy, idle := node.dial(t), node.dial(t)
 	busy.send(quote("slow").text())
-	wait(t, "the request at the backend", func() bool { return len(b.requests()) == 1 })
+	wait(t, "the request at the backend", func() bool { return len(server.requests()) == 1 })
 	if resp, _ := idle.ask(view("v")); resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("before the drain: %d, close %v", resp.StatusCode, resp.Close)
 	}
-	late, waits := r.connectSilent(t)
+	late, waits := node.connectSilent(t)
 	receive(t, "the node's wait for the late one", waits)
 	begun := time.Now()
-	must(t, r.Drain(ctx))
-	must(t, r.Drain(ctx))
-	if s := readyStatus(t, r); s != http.StatusServiceUnavailable {
+	must(t, node.Drain(ctx))
+	must(t, node.Drain(ctx))
+	if s := readyStatus(t, node); s != http.StatusServiceUnavailable {
 		t.Errorf("ready in a drain: %d", s)
 	}
 	io.WriteString(late, view("late").text())
 	if _, err := late.in.Peek(1); err != nil && time.Since(begun) >= acceptGrace {
-		late.client = r.dial(t) // this machine was too slow: it was closed with the idle ones, and comes again
+		late.client = node.dial(t) // this machine was too slow: it was closed with the idle ones, and comes again
 		late.send(view("late").text())
 	}
 	if resp, _ := late.answer(); resp.StatusCode != 200 || !resp.Close {
@@ -132,20 +132,20 @@
 	if resp, body := busy.answer(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
 		t.Errorf("the request taken before: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
-	must(t, r.Resume(ctx))
-	must(t, r.Resume(ctx))
-	if s := readyStatus(t, r); s != http.StatusOK {
+	must(t, node.Resume(ctx))
+	must(t, node.Resume(ctx))
+	if s := readyStatus(t, node); s != http.StatusOK {
 		t.Errorf("ready after it: %d", s)
 	}
-	c := r.dial(t)
+	c := node.dial(t)
 	for _, id := range []string{"x", "y"} {
 		if resp, _ := c.ask(view(id)); resp.StatusCode != 200 || resp.Close {
 			t.Errorf("after the drain: %d, close %v", resp.StatusCode, resp.Close)
 		}
 	}
-	r.leave()
-	wait(t, "the node's leaving", r.life.sendsAway)
-	if err := r.Resume(ctx); err == nil {
+	node.leave()
+	wait(t, "the node's leaving", node.life.sendsAway)
+	if err := node.Resume(ctx); err == nil {
 		t.Error("a node that leaves was resumed")
 	}
 }
--- a/internal/node/persist.go
+++ b/internal/node/persist.go
@@ -36,16 +36,16 @@
 }
 
 // begin keeps the state from now on: this process serves. Another one that writes there is told of and left alone.
-func (k *keeping) start(n *node) {
-	if k == nil || k.dir != nil {
+func (p *keeping) start(n *node) {
+	if p == nil || p.dir != nil {
 		return
 	}
 	var err error
-	if k.dir, err = disk.Open(k.settings.Dir); err != nil {
+	if p.dir, err = disk.Open(p.settings.Dir); err != nil {
 		n.log.Error("the state is not kept", "err", err)
 		return
 	}
-	k.writer = disk.Keep(k.dir, k.settings.Every, func() ([]byte, error) {
+	p.writer = disk.Keep(p.dir, p.settings.Every, func() ([]byte, error) {
 		n.core.Lock()
 		s := n.snapshot(false)
 		n.core.Unlock()
@@ -60,13 +60,13 @@
 }
 
 // end keeps it once more and leaves the directory to whoever serves next.
-func (k *keeping) stop() {
-	if k == nil || k.dir == nil {
+func (p *keeping) stop() {
+	if p == nil || p.dir == nil {
 		return
 	}
-	k.writer.Stop()
-	k.dir.Close()
-	k.dir, k.writer = nil, nil
+	p.writer.Stop()
+	p.dir.Close()
+	p.dir, p.writer = nil, nil
 }
 
 // saved keeps the state at once: operators have said something.
--- a/internal/node/persist_test.go
+++ b/internal/node/persist_test.go
@@ -17,10 +17,10 @@
 	t.Parallel()
 	ctx := context.Background()
 	dir := t.TempDir()
-	a, b := newBox(t, served), newBox(t, served)
+	serverA, serverB := newBox(t, served), newBox(t, served)
 	with := under(t, fmt.Sprintf("state: {dir: %s, fleet: f}\ncontracts: [{name: all, rate: 0.001, burst: 4}]\n", dir))
-	g := newRegistry(t)
-	first := newRig(t, g, settingsJSON, with, a.entry("s-1"), b.entry("s-2"))
+	discoveryStub := newRegistry(t)
+	first := newRig(t, discoveryStub, settingsJSON, with, serverA.entry("s-1"), serverB.entry("s-2"))
 	must(t, first.Disable(ctx, "s-1")) // so that all go to the other one
 	for i := range 3 {
 		if resp, _ := first.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
@@ -29,7 +29,7 @@
 	}
 	must(t, first.Enable(ctx, "s-1"))
 	must(t, first.Disable(ctx, "s-1"))
-	second := newRig(t, newRegistry(t), settingsJSON, with, a.entry("s-1"), b.entry("s-2"))
+	second := newRig(t, newRegistry(t), settingsJSON, with, serverA.entry("s-1"), serverB.entry("s-2"))
 	wait(t, "the second", func() bool { return second.Ready() == nil })
 	second.pair.mu.Lock()
 	second.core.Lock()
@@ -42,9 +42,9 @@
 	first.leave()
 	first.exited <- receive(t, "the first one's end", first.exited)
 
-	moved := a.entry("s-1")
+	moved := serverA.entry("s-1")
 	moved.StartedMS = 5
-	third := newRig(t, newRegistry(t), settingsJSON, with, moved, b.entry("s-2"))
+	third := newRig(t, newRegistry(t), settingsJSON, with, moved, serverB.entry("s-2"))
 	third.core.Lock()
 	learnt := map[uint32]float64{}
 	for _, k := range third.core.Learnt().Servers {
@@ -62,7 +62,7 @@
 	third.exited <- receive(t, "the third one's end", third.exited)
 	_, slot, _ := disk.Read(dir)
 	must(t, os.WriteFile(filepath.Join(dir, []string{"state.a", "state.b"}[slot]), []byte("PSTALL"), 0o600))
-	fourth := newRig(t, newRegistry(t), settingsJSON, with, moved, b.entry("s-2"))
+	fourth := newRig(t, newRegistry(t), settingsJSON, with, moved, serverB.entry("s-2"))
 	if !fourth.backendOf("s-1").Gate.Shut() {
 		t.Error("with one file damaged the other is not used")
 	}
--- a/internal/node/robustness_test.go
+++ b/internal/node/robustness_test.go
@@ -34,17 +34,17 @@
 }
 
 // attemptAt is an attempt at a listed server.
-func (r *rig) newAttempt(id string, wait time.Duration) *core.Attempt {
+func (n *rig) newAttempt(id string, wait time.Duration) *core.Attempt {
 	in, _ := http.NewRequest("GET", "http://x/api", nil)
 	up, _ := flow.NewUpload(http.NoBody, 0)
-	return &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: r.backendOf(id).Server, Wait: wait}
+	return &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: n.backendOf(id).Server, Wait: wait}
 }
 
 // through makes the way to a server a test's own.
-func (r *rig) setDial(id string, via back.Dial) {
-	b := r.backendOf(id)
-	r.core.Lock()
-	defer r.core.Unlock()
+func (n *rig) setDial(id string, via back.Dial) {
+	b := n.backendOf(id)
+	n.core.Lock()
+	defer n.core.Unlock()
 	b.Via = via
 }
 
@@ -52,7 +52,7 @@
 // has no descriptor left, nor where the client's patience was over before any server could have answered.
 func TestConnectFailureIsAttributed(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, served).entry("s-1"))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, served).entry("s-1"))
 	never := func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -75,12 +75,12 @@
 		{"a client of no patience", never, time.Millisecond, policy.Moot},
 		{"one who waits for a while", never, 300 * time.Millisecond, policy.ConnectFailed},
 	} {
-		r.setDial("s-1", c.via)
-		if res := r.Attempt(context.Background(), r.newAttempt("s-1", c.wait)); res.Outcome != c.want {
+		node.setDial("s-1", c.via)
+		if res := node.Attempt(context.Background(), node.newAttempt("s-1", c.wait)); res.Outcome != c.want {
 			t.Errorf("%s: outcome %d, want %d", c.name, res.Outcome, c.want)
 		}
 	}
-	if open, _ := r.pool.Counts(); open != 0 {
+	if open, _ := node.pool.Counts(); open != 0 {
 		t.Errorf("%d connections are booked", open)
 	}
 }
@@ -88,12 +88,12 @@
 // A request that finds no room for its body is refused, and told when to come back.
 func TestBodyBeyondBudgetIsRefused(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newRegistry(t), settingsJSON, hurried, newBox(t, served).entry("s-1"))
-	must(t, r.budget.Request(context.Background(), r.cfg.bodyBytes()/2))
-	defer r.budget.RequestDone(r.cfg.bodyBytes() / 2)
+	node := newRig(t, newRegistry(t), settingsJSON, hurried, newBox(t, served).entry("s-1"))
+	must(t, node.budget.Request(context.Background(), node.cfg.bodyBytes()/2))
+	defer node.budget.RequestDone(node.cfg.bodyBytes() / 2)
 	q := save("s")
 	q.body = strings.Repeat("x", flow.Keep)
-	resp, _ := r.dial(t).ask(q)
+	resp, _ := node.dial(t).ask(q)
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
 		t.Errorf("%d with Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
@@ -104,22 +104,22 @@
 // cold, not as long running.
 func TestMalformedListEntriesAreSkipped(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	far := b.entry("s-2")
+	server := newBox(t, served)
+	far := server.entry("s-2")
 	far.StartedMS = 1 << 62
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"), listed{ID: "s-9", State: "Ready"}, listed{Addr: "127.0.0.1:1", State: "Ready"}, far)
-	r.core.Lock()
-	if len(r.names) != 2 || r.names["s-1"] == nil || r.names["s-2"] == nil {
-		t.Errorf("%d servers", len(r.names))
+	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"), listed{ID: "s-9", State: "Ready"}, listed{Addr: "127.0.0.1:1", State: "Ready"}, far)
+	node.core.Lock()
+	if len(node.names) != 2 || node.names["s-1"] == nil || node.names["s-2"] == nil {
+		t.Errorf("%d servers", len(node.names))
 	}
-	r.core.Unlock()
+	node.core.Unlock()
 	for i := range 40 {
-		if resp, _ := r.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, resp.StatusCode)
 		}
 	}
-	r.lists(2, listed{ID: "s-1", State: "Gone"}, far) // the address of one that is known may be missing
-	if r.backendOf("s-1") != nil && !r.backendOf("s-1").left {
+	node.lists(2, listed{ID: "s-1", State: "Gone"}, far) // the address of one that is known may be missing
+	if node.backendOf("s-1") != nil && !node.backendOf("s-1").left {
 		t.Error("one that has gone is there")
 	}
 }
@@ -134,17 +134,17 @@
 		must(t, rigs[i].join(t.Context()))
 		t.Cleanup(rigs[i].edge.Close)
 	}
-	r := rigs[0]
-	wait(t, "joining", func() bool { return r.members().Alive == 2 && len(r.members().Members) == 1 })
-	cfg := r.cfg
-	cfg.Discovery = r.disc.addr
+	node := rigs[0]
+	wait(t, "joining", func() bool { return node.members().Alive == 2 && len(node.members().Members) == 1 })
+	cfg := node.cfg
+	cfg.Discovery = node.disc.addr
 	cfg.Settings.Policy.MaxAttempts = 1
 	under(t, some.file(0, 1)+"cells: {size: 2}\n")(&cfg)
-	r.reload(cfg)
-	if all := r.members(); len(all.Members) != 1 {
+	node.reload(cfg)
+	if all := node.members(); len(all.Members) != 1 {
 		t.Errorf("members after a reload that was refused: %+v", all.Members)
 	}
-	if got := r.set.Load().Policy.MaxAttempts; got != 3 {
+	if got := node.set.Load().Policy.MaxAttempts; got != 3 {
 		t.Errorf("%d attempts after it", got)
 	}
 }
@@ -210,7 +210,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	release, hold := make(chan struct{}), make(chan struct{})
-	a := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		switch r.Header.Get("X-Request-Id") {
 		case "open":
 			<-release
@@ -221,22 +221,22 @@
 	})
 	end := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(end)
-	g := newRegistry(t)
-	out := func(r *rig, id string) bool {
-		r.core.Lock()
-		defer r.core.Unlock()
-		return r.hand.disabled[id]
-	}
-	first := newRig(t, g, settingsJSON, nil, a.entry("s-1"), newBox(t, served).entry("s-2"))
-	first.lists(2, a.entry("s-1"))
+	discoveryStub := newRegistry(t)
+	out := func(node *rig, id string) bool {
+		node.core.Lock()
+		defer node.core.Unlock()
+		return node.hand.disabled[id]
+	}
+	first := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"), newBox(t, served).entry("s-2"))
+	first.lists(2, server.entry("s-1"))
 	busy := first.dial(t)
 	busy.send(quote("open").text())
-	wait(t, "the request at the server", func() bool { return len(a.requests()) == 1 })
-	second := startSuccessor(t, first.meet(t), g, settingsJSON)
+	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
+	second := startSuccessor(t, first.meet(t), discoveryStub, settingsJSON)
 	stays := second.dial(t) // the second one ends behind the first, and not before it has answered this
 	stays.send(quote("slow").text())
-	wait(t, "the second's request at the server", func() bool { return len(a.requests()) == 2 })
-	third := startSuccessor(t, second.meet(t), g, settingsJSON)
+	wait(t, "the second's request at the server", func() bool { return len(server.requests()) == 2 })
+	third := startSuccessor(t, second.meet(t), discoveryStub, settingsJSON)
 	must(t, third.Disable(ctx, "s-1"))
 	if !out(first, "s-1") || !out(second, "s-1") {
 		t.Errorf("out at the first: %v, at the second: %v", out(first, "s-1"), out(second, "s-1"))
@@ -271,10 +271,10 @@
 	report := func(c net.Conn, r *http.Request, nth int) bool {
 		return reply(c, 200, fmt.Sprintf("X-Load: {\"depth\": %d}\r\n", nth%9), "done "+r.Header.Get("X-Request-Id"))
 	}
-	a, b := newBox(t, report), newBox(t, report)
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, teams+"- {name: rest}\nhealth: {checks: {interval: 100ms, tcp: {}}}\n"), a.entry("s-1"), b.entry("s-2"))
-	cfg := r.cfg
-	cfg.Discovery = r.disc.addr
+	serverA, serverB := newBox(t, report), newBox(t, report)
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams+"- {name: rest}\nhealth: {checks: {interval: 100ms, tcp: {}}}\n"), serverA.entry("s-1"), serverB.entry("s-2"))
+	cfg := node.cfg
+	cfg.Discovery = node.disc.addr
 	set, err := wire.DecodeSettings([]byte(strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":2`, 1)))
 	must(t, err)
 	var asked, served atomic.Int64
@@ -282,7 +282,7 @@
 	var askers, others sync.WaitGroup
 	for i := range 6 {
 		askers.Go(func() {
-			c := r.dial(t)
+			c := node.dial(t)
 			for n := range 60 {
 				asked.Add(1)
 				text := with(view(fmt.Sprint("v", i, "-", n)), "X-Tenant: somebody")
@@ -296,7 +296,7 @@
 							t.Errorf("request %d of asker %d was lost", n, i)
 						}
 						if resp.Close {
-							c = r.dial(t)
+							c = node.dial(t)
 						}
 						break
 					}
@@ -304,34 +304,39 @@
 						t.Errorf("asker %d: %v", i, err)
 						return
 					}
-					c = r.dial(t)
+					c = node.dial(t)
 				}
 			}
 		})
 	}
 	version := int64(1)
 	for _, act := range []func(n int){
-		func(n int) { version++; r.lists(version, a.entry("s-1"), b.entry("s-2")) },
+		func(n int) { version++; node.lists(version, serverA.entry("s-1"), serverB.entry("s-2")) },
 		func(n int) {
-			e := b.entry("s-2")
+			e := serverB.entry("s-2")
 			e.State = []string{"Ready", "Terminating", "Ready"}[n%3]
-			r.core.Lock()
-			defer r.core.Unlock()
-			r.takeList(&list{Version: r.version, Servers: []listed{e}}, policy.ListDelta)
+			node.core.Lock()
+			defer node.core.Unlock()
+			node.takeList(&list{Version: node.version, Servers: []listed{e}}, policy.ListDelta)
 		},
-		func(n int) { r.Disable(ctx, "s-1"); r.Enable(ctx, "s-1") },
+		func(n int) { node.Disable(ctx, "s-1"); node.Enable(ctx, "s-1") },
 		func(n int) {
 			change := cfg
 			if n%2 == 0 {
 				change.Settings = set
 			}
-			r.reload(change)
+			node.reload(change)
+		},
+		func(n int) { node.core.Stats(10); node.core.Explain(&contract.Caller{Tenant: "app"}, "view", false) },
+		func(n int) { node.healthOf(""); node.readinessStatus(); node.Ready(); node.standing() },
+		func(n int) {
+			node.pool.Resize(10 + n%20)
+			node.pool.Counts()
+			node.clients.Resize(50 + n%9)
+			node.opaque.Stats()
 		},
-		func(n int) { r.core.Stats(10); r.core.Explain(&contract.Caller{Tenant: "app"}, "view", false) },
-		func(n int) { r.healthOf(""); r.readinessStatus(); r.Ready(); r.standing() },
-		func(n int) { r.pool.Resize(10 + n%20); r.pool.Counts(); r.clients.Resize(50 + n%9); r.opaque.Stats() },
-		func(n int) { r.Drain(ctx); r.Resume(ctx) },
-		func(n int) { r.core.Lock(); r.snapshot(n%2 == 0); r.core.Unlock(); r.setLimits(1) },
+		func(n int) { node.Drain(ctx); node.Resume(ctx) },
+		func(n int) { node.core.Lock(); node.snapshot(n%2 == 0); node.core.Unlock(); node.setLimits(1) },
 	} {
 		others.Go(func() {
 			for n := 0; !over.Load(); n++ {
@@ -346,20 +351,20 @@
 	if asked.Load() != served.Load() || asked.Load() != 360 {
 		t.Errorf("%d asked, %d answered", asked.Load(), served.Load())
 	}
-	wait(t, "the end of all requests", func() bool { return r.core.Stats(0).Open == 0 })
+	wait(t, "the end of all requests", func() bool { return node.core.Stats(0).Open == 0 })
 }
 
 // A server out by hand that comes back at another address costs no request its only attempt: the policy knows, and not the gate
 // alone.
 func TestDisabledServerCostsNoAttempt(t *testing.T) {
 	t.Parallel()
-	a, moved, b := newBox(t, served), newBox(t, served), newBox(t, served)
+	serverA, moved, serverB := newBox(t, served), newBox(t, served), newBox(t, served)
 	one := strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":1`, 1)
-	r := newRig(t, newRegistry(t), one, nil, a.entry("s-1"), b.entry("s-2"))
-	must(t, r.Disable(context.Background(), "s-1"))
-	r.lists(2, moved.entry("s-1"), b.entry("s-2"))
+	node := newRig(t, newRegistry(t), one, nil, serverA.entry("s-1"), serverB.entry("s-2"))
+	must(t, node.Disable(context.Background(), "s-1"))
+	node.lists(2, moved.entry("s-1"), serverB.entry("s-2"))
 	for i := range 40 {
-		if resp, _ := r.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, resp.StatusCode)
 		}
 	}
@@ -372,21 +377,21 @@
 func TestIDAcceptedByPredecessorAfterHandover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	a := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if r.Header.Get("X-Request-Id") == "late" && nth == 2 {
 			<-release
 		}
 		return served(c, r, nth)
 	})
 	defer close(release)
-	g := newRegistry(t)
-	old := newRig(t, g, settingsJSON, nil, a.entry("s-1"))
+	discoveryStub := newRegistry(t)
+	old := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
 	keeps := old.dial(t)
 	keeps.ask(view("v"))
 	est := old.meet(t)
 	keeps.send(quote("late").text()) // taken behind the state
-	wait(t, "the request at the server", func() bool { return len(a.requests()) == 2 })
-	young := startSuccessor(t, est, g, settingsJSON)
+	wait(t, "the request at the server", func() bool { return len(server.requests()) == 2 })
+	young := startSuccessor(t, est, discoveryStub, settingsJSON)
 	if resp, _ := young.dial(t).ask(quote("late")); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the id of a request that the predecessor took behind its state: %d", resp.StatusCode)
 	}
@@ -397,19 +402,19 @@
 func TestOpenIDsAreSharedAfterHandover(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	a := newSlowBox(t, hold)
-	g := newRegistry(t)
-	old := newRig(t, g, settingsJSON, unhurried, a.entry("s-1"))
+	server := newSlowBox(t, hold)
+	discoveryStub := newRegistry(t)
+	old := newRig(t, discoveryStub, settingsJSON, unhurried, server.entry("s-1"))
 	keeps, again := old.dial(t), old.dial(t)
 	keeps.ask(view("v"))
 	again.ask(view("w"))
 	est := old.meet(t)
 	keeps.send(quote("slow").text()[:40]) // its first bytes keep the connection while others are closed
 	again.send(view("free").text()[:40])
-	young := startSuccessor(t, est, g, settingsJSON)
+	young := startSuccessor(t, est, discoveryStub, settingsJSON)
 	first := young.dial(t)
 	first.send(quote("slow").text())
-	wait(t, "the request at the server", func() bool { return len(a.requests()) == 3 })
+	wait(t, "the request at the server", func() bool { return len(server.requests()) == 3 })
 	keeps.send(quote("slow").text()[40:])
 	if resp, _ := keeps.answer(); resp.StatusCode != http.StatusConflict {
 		t.Errorf("an id that is open at the successor: %d at the predecessor", resp.StatusCode)
@@ -436,13 +441,13 @@
 func TestRelievedProcessEndsOnSIGTERM(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	a := newSlowBox(t, hold)
-	g := newRegistry(t)
-	old := newRig(t, g, settingsJSON, unhurried, a.entry("s-1"))
+	server := newSlowBox(t, hold)
+	discoveryStub := newRegistry(t)
+	old := newRig(t, discoveryStub, settingsJSON, unhurried, server.entry("s-1"))
 	busy := old.dial(t)
 	busy.send(view("slow").text())
-	wait(t, "the request at the server", func() bool { return len(a.requests()) == 1 })
-	young := startSuccessor(t, old.meet(t), g, settingsJSON)
+	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
+	young := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
 	wait(t, "relief", func() bool { return old.life.now() == relieved })
 	old.leave()
 	wait(t, "the order to end", func() bool { return old.life.now() == leaving })
@@ -490,9 +495,9 @@
 		{"it hangs once it is told", true, false, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			a := newBox(t, served)
+			server := newBox(t, served)
 			path := meetAt(t)
-			old := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.meet = path }, a.entry("s-1"))
+			old := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.meet = path }, server.entry("s-1"))
 			m := old.meet(t)
 			s := successor{make(chan handover.Message, 10)}
 			m.peer.Follow(s)
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -51,27 +51,27 @@
 		AnswerSlack: patience, DrainGrace: trialGrace, FallMultiple: 4, FallFor: 1500 * time.Millisecond, MeanWork: coldWork}, checkedClasses, 1, true)}
 }
 
-func (j *judge) now() time.Duration { return time.Since(j.start) }
+func (c *judge) now() time.Duration { return time.Since(c.start) }
 
-func (j *judge) record(f func(b *oracle.Book)) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	f(j.records)
+func (c *judge) record(f func(b *oracle.Book)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	f(c.records)
 }
 
-func (j *judge) addViolation(format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violations = append(j.violations, fmt.Sprintf(format, args...))
+func (c *judge) addViolation(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // settled returns once a stand has booked the end of each of a request's attempts. What the node gave up, or saw break, may be on
 // its way to the stand's notice; an attempt that stays open is left to the books.
-func (j *judge) waitForEnds(id string) {
-	for end := time.Now().Add(j.maxWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		j.mu.Lock()
-		open := j.open[id]
-		j.mu.Unlock()
+func (c *judge) waitForEnds(id string) {
+	for end := time.Now().Add(c.maxWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		c.mu.Lock()
+		open := c.open[id]
+		c.mu.Unlock()
 		if open == 0 {
 			return
 		}
@@ -79,64 +79,64 @@
 }
 
 // sent books an attempt that a stand has got, and returns its number.
-func (j *judge) sent(at time.Duration, id string, s *stagedServer) int {
-	j.waitForEnds(id)
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *judge) sent(at time.Duration, id string, s *stagedServer) int {
+	c.waitForEnds(id)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	capacity := 0.0
 	if s.cold.Load() {
 		capacity = coldRate
 	}
-	j.records.Sent(at, 0, id, s.number, coldWork, capacity)
-	j.open[id]++
-	j.sends[id]++
-	return j.sends[id] - 1
+	c.records.Sent(at, 0, id, s.number, coldWork, capacity)
+	c.open[id]++
+	c.sends[id]++
+	return c.sends[id] - 1
 }
 
-func (j *judge) ended(id string, index int, what string, neverRan bool) {
-	j.record(func(b *oracle.Book) {
-		j.open[id]--
-		b.Ended(j.now(), 0, id, index, what, neverRan, false)
+func (c *judge) ended(id string, index int, what string, neverRan bool) {
+	c.record(func(b *oracle.Book) {
+		c.open[id]--
+		b.Ended(c.now(), 0, id, index, what, neverRan, false)
 	})
 }
 
 // final books what a client was told, and holds it against what the stands make and what a refusal owes.
-func (j *judge) final(id string, resp *http.Response, body []byte) {
+func (c *judge) final(id string, resp *http.Response, body []byte) {
 	if resp.StatusCode != 200 { // one that is served was booked before its answer went out
-		j.waitForEnds(id)
+		c.waitForEnds(id)
 	}
 	switch {
 	case resp.StatusCode == 200 && !bytes.Equal(body, bodyFor(id, len(body) > 1000)):
-		j.addViolation("%s is served with %d bytes that no web server made for it", id, len(body))
+		c.addViolation("%s is served with %d bytes that no web server made for it", id, len(body))
 		fallthrough
 	case resp.StatusCode == 200:
-		j.record(func(b *oracle.Book) { b.Served(j.now(), 0, id) })
+		c.record(func(b *oracle.Book) { b.Served(c.now(), 0, id) })
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
 		if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || after <= 0 || after > 2 {
-			j.addViolation("%s is refused with Retry-After %q, want it over 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
+			c.addViolation("%s is refused with Retry-After %q, want it over 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
 		}
-		j.record(func(b *oracle.Book) { b.Refused(j.now(), 0, id) })
+		c.record(func(b *oracle.Book) { b.Refused(c.now(), 0, id) })
 	default:
 		if after := resp.Header.Get("Retry-After"); after != "" {
-			j.addViolation("%s has failed, and is told to come back after %s", id, after)
+			c.addViolation("%s has failed, and is told to come back after %s", id, after)
 		}
-		j.record(func(b *oracle.Book) { b.Failed(j.now(), 0, id) })
+		c.record(func(b *oracle.Book) { b.Failed(c.now(), 0, id) })
 	}
 }
 
 // verdict is all that was broken, once everything is over.
-func (j *judge) findings() []string {
-	j.mu.Lock()
-	sent := slices.Collect(maps.Keys(j.sends))
-	j.mu.Unlock()
+func (c *judge) findings() []string {
+	c.mu.Lock()
+	sent := slices.Collect(maps.Keys(c.sends))
+	c.mu.Unlock()
 	for _, id := range sent {
-		j.waitForEnds(id)
+		c.waitForEnds(id)
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.records.Close(j.now(), nil)
-	out := append([]string(nil), j.violations...)
-	for _, b := range j.records.Breaches() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.records.Close(c.now(), nil)
+	out := append([]string(nil), c.violations...)
+	for _, b := range c.records.Breaches() {
 		out = append(out, b.String())
 	}
 	return out
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -118,8 +118,8 @@
 				return how == "503"
 			})
 			began := time.Now()
-			r := newRig(t, &registry{addr: m.addr}, asked, nil, manyServers(6600).Servers...)
-			if s := readyStatus(t, r); s != 200 {
+			node := newRig(t, &registry{addr: m.addr}, asked, nil, manyServers(6600).Servers...)
+			if s := readyStatus(t, node); s != 200 {
 				t.Errorf("ready: %d with 6,600 servers known", s)
 			}
 			t.Logf("started with 6,600 servers known and ready behind %v", time.Since(began))
@@ -145,18 +145,18 @@
 		}
 		return true
 	})
-	r := newRig(t, &registry{addr: m.addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} })
-	if s := readyStatus(t, r); s != 503 {
+	node := newRig(t, &registry{addr: m.addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} })
+	if s := readyStatus(t, node); s != 503 {
 		t.Errorf("ready without a list: %d", s)
 	}
-	wait(t, "readiness", func() bool { return readyStatus(t, r) == 200 })
+	wait(t, "readiness", func() bool { return readyStatus(t, node) == 200 })
 	t.Logf("%d servers, %d bytes, indented: ready behind %v", servers, len(text), time.Since(written))
-	r.core.Lock()
-	defer r.core.Unlock()
-	if len(r.names) != servers || len(r.backends) != servers || r.version != 2 {
-		t.Errorf("%d names, %d backends, version %d", len(r.names), len(r.backends), r.version)
+	node.core.Lock()
+	defer node.core.Unlock()
+	if len(node.names) != servers || len(node.backends) != servers || node.version != 2 {
+		t.Errorf("%d names, %d backends, version %d", len(node.names), len(node.backends), node.version)
 	}
-	for _, b := range r.names {
+	for _, b := range node.names {
 		if b.Stop.Load() != 0 || !strings.HasPrefix(b.Addr, "10.") {
 			t.Fatalf("%s at %s, stopped at %d", b.ID, b.Addr, b.Stop.Load())
 		}
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{ln: ln, respond: answer, closedByNode: make(chan struct{}, 1000)}
+	s := &box{ln: ln, respond: answer, closedByNode: make(chan struct{}, 1000)}
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
@@ -70,23 +70,23 @@
 			if err != nil {
 				return
 			}
-			b.mu.Lock()
-			b.conns = append(b.conns, c)
-			b.mu.Unlock()
+			s.mu.Lock()
+			s.conns = append(s.conns, c)
+			s.mu.Unlock()
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				b.serveConn(c)
+				s.serveConn(c)
 			}()
 		}
 	}()
 	t.Cleanup(func() {
 		ln.Close()
-		b.mu.Lock()
-		for _, c := range b.conns {
+		s.mu.Lock()
+		for _, c := range s.conns {
 			c.Close()
 		}
-		b.mu.Unlock()
+		s.mu.Unlock()
 		over := make(chan struct{})
 		go func() {
 			wg.Wait()
@@ -99,19 +99,19 @@
 			t.Error("a web server still waits for its test")
 		}
 	})
-	return b
+	return s
 }
 
-func (b *box) serveConn(c net.Conn) {
+func (s *box) serveConn(c net.Conn) {
 	defer func() {
 		c.Close()
-		b.closed.Add(1)
+		s.closed.Add(1)
 	}()
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			b.closedByNode <- struct{}{}
+			s.closedByNode <- struct{}{}
 			return
 		}
 		body, err := io.ReadAll(r.Body)
@@ -119,30 +119,30 @@
 			return
 		}
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
-		b.mu.Lock()
-		b.got = append(b.got, r)
-		nth := len(b.got)
-		b.mu.Unlock()
-		if !b.respond(c, r, nth) {
+		s.mu.Lock()
+		s.got = append(s.got, r)
+		nth := len(s.got)
+		s.mu.Unlock()
+		if !s.respond(c, r, nth) {
 			return
 		}
 	}
 }
 
-func (b *box) requests() []*http.Request {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]*http.Request(nil), b.got...)
+func (s *box) requests() []*http.Request {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]*http.Request(nil), s.got...)
 }
 
-func (b *box) connections() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.conns)
+func (s *box) connections() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
 }
 
-func (b *box) entry(id string) listed {
-	return listed{ID: id, Addr: b.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (s *box) entry(id string) listed {
+	return listed{ID: id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // reply writes an answer; headers are lines that end in \r\n.
@@ -187,17 +187,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), abandoned: make(chan struct{}, 100)}
+	d := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), abandoned: make(chan struct{}, 100)}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.mu.Lock()
-		g.urls = append(g.urls, r.URL.String())
-		g.mu.Unlock()
+		d.mu.Lock()
+		d.urls = append(d.urls, r.URL.String())
+		d.mu.Unlock()
 		select {
-		case a := <-g.next:
+		case a := <-d.next:
 			w.WriteHeader(a.status)
 			json.NewEncoder(w).Encode(a.list)
 		case <-r.Context().Done():
-			g.abandoned <- struct{}{}
+			d.abandoned <- struct{}{}
 		}
 	})}
 	done := make(chan struct{})
@@ -209,23 +209,23 @@
 		srv.Close()
 		<-done
 	})
-	return g
+	return d
 }
 
 // leaves waits until the node has given up a call that was open.
-func (g *registry) leaves(t testing.TB) {
+func (d *registry) leaves(t testing.TB) {
 	t.Helper()
 	select {
-	case <-g.abandoned:
+	case <-d.abandoned:
 	case <-time.After(patience):
 		t.Fatal("no call to discovery was given up")
 	}
 }
 
-func (g *registry) calls() []string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return append([]string(nil), g.urls...)
+func (d *registry) calls() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]string(nil), d.urls...)
 }
 
 // rig is a node that serves on loopback.
@@ -236,19 +236,19 @@
 	exited chan error
 }
 
-func newRig(t testing.TB, g *registry, settings string, change func(*Config), known ...listed) *rig {
+func newRig(t testing.TB, discoveryStub *registry, settings string, change func(*Config), known ...listed) *rig {
 	t.Helper()
-	return newHeir(t, nil, g, settings, change, known...)
+	return newHeir(t, nil, discoveryStub, settings, change, known...)
 }
 
 // newHeir is a node that takes over from another one.
-func newHeir(t testing.TB, old *estate, g *registry, settings string, change func(*Config), known ...listed) *rig {
+func newHeir(t testing.TB, old *estate, discoveryStub *registry, settings string, change func(*Config), known ...listed) *rig {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Name: "n0", Discovery: g.addr, Seed: 1, Settings: set, Known: list{Version: 1, Full: true, Servers: known}, slack: patience}
+	cfg := Config{Name: "n0", Discovery: discoveryStub.addr, Seed: 1, Settings: set, Known: list{Version: 1, Full: true, Servers: known}, slack: patience}
 	if change != nil {
 		change(&cfg)
 	}
@@ -261,12 +261,12 @@
 		t.Fatal(err)
 	}
 	ctx, leave := context.WithCancel(context.Background())
-	r := &rig{node: n, addr: ln.Addr().String(), leave: leave, exited: make(chan error, 1)}
-	go func() { r.exited <- n.serve(ctx, ln) }()
+	result := &rig{node: n, addr: ln.Addr().String(), leave: leave, exited: make(chan error, 1)}
+	go func() { result.exited <- n.serve(ctx, ln) }()
 	t.Cleanup(func() {
 		leave()
 		select {
-		case <-r.exited:
+		case <-result.exited:
 		case <-time.After(patience):
 			t.Error("the node did not end")
 		}
@@ -277,7 +277,7 @@
 		}()
 		receive(t, "the end of what the node has under way", stopped)
 	})
-	return r
+	return result
 }
 
 // meeting is a predecessor's estate, and where the processes of its node meet.
@@ -298,26 +298,26 @@
 }
 
 // meet is what a successor does first: it asks for the state, and is one node with r from then on.
-func (r *rig) meet(t testing.TB) handoverOffer {
+func (n *rig) meet(t testing.TB) handoverOffer {
 	t.Helper()
-	path := socketPath(r.cfg)
+	path := socketPath(n.cfg)
 	if path == "" {
 		path = meetAt(t)
-		l, err := upgrade.Listen(path, r, slog.New(slog.DiscardHandler))
+		l, err := upgrade.Listen(path, n, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		r.pair.mu.Lock()
-		r.pair.token, err = upgrade.OpenToken(path + "-token")
+		n.pair.mu.Lock()
+		n.pair.token, err = upgrade.OpenToken(path + "-token")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.pair.Lock()
-		r.pair.mu.Unlock()
-		go r.retryHandover() // as takeOver has it: a token that is let go a moment behind the notice of its holder's end is had later
+		n.pair.Lock()
+		n.pair.mu.Unlock()
+		go n.retryHandover() // as takeOver has it: a token that is let go a moment behind the notice of its holder's end is had later
 	}
-	wait(t, "the predecessor", func() bool { return r.Ready() == nil })
+	wait(t, "the predecessor", func() bool { return n.Ready() == nil })
 	est, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
 	if est == nil {
 		t.Fatal("nothing is handed over")
@@ -326,14 +326,14 @@
 }
 
 // succeed starts the node that takes over from whom the state is of, and returns once it serves.
-func startSuccessor(t testing.TB, m handoverOffer, g *registry, settings string) *rig {
+func startSuccessor(t testing.TB, m handoverOffer, discoveryStub *registry, settings string) *rig {
 	t.Helper()
-	r := newHeir(t, m.estate, g, settings, func(c *Config) {
+	node := newHeir(t, m.estate, discoveryStub, settings, func(c *Config) {
 		unhurried(c)
 		c.meet = m.path
 	})
-	wait(t, "the successor", func() bool { return r.Ready() == nil })
-	return r
+	wait(t, "the successor", func() bool { return node.Ready() == nil })
+	return node
 }
 
 // unhurried gives a node's clients, servers and other processes as much time as a test has. It is what newRig gives where a test does not
@@ -378,9 +378,9 @@
 	in *bufio.Reader
 }
 
-func (r *rig) dial(t testing.TB) *client {
+func (n *rig) dial(t testing.TB) *client {
 	t.Helper()
-	c, err := net.Dial("tcp", r.addr)
+	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/tunnel_test.go
+++ b/internal/node/tunnel_test.go
@@ -29,7 +29,7 @@
 }
 
 // tunnelled is a node with both kinds of listeners; contracts follow the file's other parts.
-func newTunnelNode(t *testing.T, contracts string, known ...listed) (r *rig, socks, connect string) {
+func newTunnelNode(t *testing.T, contracts string, known ...listed) (node *rig, socks, connect string) {
 	t.Helper()
 	digest := sha256.Sum256([]byte("secret"))
 	socks, connect = free(t), free(t)
@@ -41,11 +41,11 @@
   users: [{name: centre, password_sha256: %s}]
   routes: [{host: placement.example.org, port: 80, service: placement}]
 `, socks, connect, hex.EncodeToString(digest[:])) + contracts
-	r = newRig(t, newRegistry(t), settingsJSON, under(t, text), known...)
+	node = newRig(t, newRegistry(t), settingsJSON, under(t, text), known...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	must(t, r.tunnels(ctx, r.cfg.Product.Tunnels))
-	return r, socks, connect
+	must(t, node.tunnels(ctx, node.cfg.Product.Tunnels))
+	return node, socks, connect
 }
 
 // through asks for a tunnel and returns what the client is told, with the connection.
@@ -86,8 +86,8 @@
 // at once, ids that are open refused. A client can't pass itself off as another user.
 func TestTunnelledRequests(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	_, socks, connect := newTunnelNode(t, "contracts:\n- {name: centre, match: [{header: \"Proxy-User: centre\"}]}\n", b.entry("s-1"))
+	server := newBox(t, served)
+	_, socks, connect := newTunnelNode(t, "contracts:\n- {name: centre, match: [{header: \"Proxy-User: centre\"}]}\n", server.entry("s-1"))
 	for _, k := range []struct {
 		name, addr, message, want string
 		length                    int
@@ -113,7 +113,7 @@
 			t.Errorf("%s: what is no request of ours is answered %d", k.name, resp.StatusCode)
 		}
 	}
-	if got := len(b.requests()); got != 12 {
+	if got := len(server.requests()); got != 12 {
 		t.Errorf("%d attempts, want one for each of the 12 requests", got)
 	}
 	if _, told := through(t, connect, connectOpening("guess"), 0); told != "407" {
@@ -124,9 +124,9 @@
 // Outside a tunnel the user's header is not looked at, and inside one it is the tunnel's, whatever the request says.
 func TestTunnelUserCannotBeForged(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r, _, connect := newTunnelNode(t, "contracts:\n- {name: boss, match: [{header: \"Proxy-User: boss\"}]}\n- {name: centre, rate: 0.001, burst: 1, match: [{header: \"Proxy-User: centre\"}]}\n", b.entry("s-1"))
-	plain := r.dial(t)
+	server := newBox(t, served)
+	node, _, connect := newTunnelNode(t, "contracts:\n- {name: boss, match: [{header: \"Proxy-User: boss\"}]}\n- {name: centre, rate: 0.001, burst: 1, match: [{header: \"Proxy-User: centre\"}]}\n", server.entry("s-1"))
+	plain := node.dial(t)
 	plain.send(with(view("p"), "Proxy-User: boss"))
 	if resp, _ := plain.answer(); resp.StatusCode != 403 {
 		t.Errorf("a plain client that says it is boss: %d", resp.StatusCode)
@@ -144,14 +144,14 @@
 func TestTunnelsDuringDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	b := newSlowBox(t, hold)
-	r, socks, connect := newTunnelNode(t, "", b.entry("s-1"))
+	server := newSlowBox(t, hold)
+	node, socks, connect := newTunnelNode(t, "", server.entry("s-1"))
 	idle, _ := through(t, socks, socksOpening("secret"), socksReplyLength)
 	idle.ask(view("first"))
 	busy, _ := through(t, connect, connectOpening("secret"), 0)
 	busy.send(view("slow").text())
-	wait(t, "the slow request", func() bool { return len(b.requests()) == 2 })
-	must(t, r.Drain(context.Background()))
+	wait(t, "the slow request", func() bool { return len(server.requests()) == 2 })
+	must(t, node.Drain(context.Background()))
 	if _, told := through(t, connect, connectOpening("secret"), 0); told != "503" {
 		t.Errorf("CONNECT during a drain: %s", told)
 	}
@@ -168,7 +168,7 @@
 	if _, err := busy.in.ReadByte(); err != io.EOF {
 		t.Errorf("its tunnel afterwards: %v", err)
 	}
-	must(t, r.Resume(context.Background()))
+	must(t, node.Resume(context.Background()))
 	again, told := through(t, connect, connectOpening("secret"), 0)
 	if told != "200" {
 		t.Fatalf("after the drain: %s", told)
@@ -181,14 +181,14 @@
 // A successor opens its listeners where its predecessor still has the addresses, once that one gives them up.
 func TestTunnelListenerWaitsForAddress(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
+	server := newBox(t, served)
 	taken, err := standin.Listen()
 	must(t, err)
-	r := newRig(t, newRegistry(t), settingsJSON, under(t, "services: [{name: s}]\ntunnels:\n  connect: "+taken.Addr().String()+
-		"\n  routes: [{host: placement.example.org, port: 80, service: s}]\n"), b.entry("s-1"))
+	node := newRig(t, newRegistry(t), settingsJSON, under(t, "services: [{name: s}]\ntunnels:\n  connect: "+taken.Addr().String()+
+		"\n  routes: [{host: placement.example.org, port: 80, service: s}]\n"), server.entry("s-1"))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	must(t, r.tunnels(ctx, r.cfg.Product.Tunnels))
+	must(t, node.tunnels(ctx, node.cfg.Product.Tunnels))
 	taken.Close()
 	wait(t, "the address", func() bool {
 		c, err := net.Dial("tcp", taken.Addr().String())
