--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -21,55 +21,56 @@
 )
 
 const (
-	// orderTime is how long another process may take over an order that is passed on.
+	// orderTimeout is how long another process may take over an operator's order that is forwarded to it.
 	orderTimeout = 500 * time.Millisecond
-	// claimTime is how long a successor may take to say whether a request may begin here.
+	// claimTimeout is how long a successor may take to say whether a request may begin here.
 	claimTimeout = 200 * time.Millisecond
-	// tickEach is how often what did not work between processes is tried again.
+	// retryInterval is the time between retries of a step between processes that has failed.
 	retryInterval = 50 * time.Millisecond
-	// helloTime is how long a process that starts waits for one that is just being replaced itself.
+	// predecessorTimeout is how long a starting process waits for one that is being replaced itself at the moment.
 	predecessorTimeout = 3 * time.Second
-	// heirPortion is which portion of the contracts a successor hands out while its predecessor finishes; that has the rest for
-	// the requests that still come to it.
+	// successorShare is the share of the contracts that a successor grants while its predecessor finishes; the
+	// predecessor keeps the rest for requests that still reach it.
 	heirPortion = 7.0 / 8
 )
 
-// pair is this process's part in a replacement. As long as other processes of this node are there, they are one node with it. The
-// machine decides; what it wants is carried out under mu, which comes before the core's lock.
+// handoverController is this process's side of a hand-over. As long as other processes of this node run, they and this
+// one act as one node. The state machine decides, and its decisions are carried out under mu, which comes before the
+// core's lock. The node owns it.
 type pair struct {
 	node         *node
-	accepting    atomic.Bool // this process takes clients
+	accepting    atomic.Bool // this process accepts clients
 	phase        atomic.Int32
-	seeking      atomic.Bool   // somebody is looked for
-	phaseChanged chan struct{} // the phase has changed; holds one
-	// relieved is closed when a successor first serves: tunnels' listeners, which only one process can have, are given up then,
-	// and not opened again where the successor ends.
+	seeking      atomic.Bool   // another serving process is being looked for
+	phaseChanged chan struct{} // signals that the phase has changed; buffer of one
+	// relieved is closed when a successor first serves. Tunnel listeners, which only one process can have, are given up
+	// then and not opened again, even if the successor ends.
 	relieved       chan struct{}
 	relieveOnce    sync.Once
 	clientListener *door
 
 	mu              sync.Mutex
 	machine         handover.Machine
-	peers           map[handover.Peer]*upgrade.Peer // all other processes of this node that are known
+	peers           map[handover.Peer]*upgrade.Peer // all known other processes of this node
 	peerIDs         map[*upgrade.Peer]handover.Peer
 	lastPeerID      handover.Peer
-	token           *upgrade.Token // nil: none is needed, or it can't be had
+	token           *upgrade.Token // nil: it is not needed, or not available
 	upgradeListener *upgrade.Listener
-	persister       *keeping   // nil: nothing is kept on a disk
-	seenOrders      [64]uint64 // numbers of the latest orders
+	persister       *keeping   // nil: no state is stored on disk
+	seenOrders      [64]uint64 // random ids of the latest orders, a ring buffer
 	orderCount      int
-	reclaimBudget   func() // takes back what was lent of the bodies' bytes; nil where the limits are not shared
+	reclaimBudget   func() // takes back the lent share of the body budget; nil where the limits are not shared
 	closed          bool
 }
 
-// estate is what a predecessor has handed over.
+// handedState is a predecessor's state, and the connection to that process.
 type estate struct {
 	peer  *upgrade.Peer
 	state *state.Snapshot
 }
 
-// socketPath is where a process meets its successor. There is none where each process has a socket of its own for
-// its clients: no two can serve at a time.
+// socketPath returns the path of the socket on which a process meets its successor. It is empty where each process has
+// its own socket for clients: then no two can serve at a time.
 func socketPath(cfg Config) string {
 	switch {
 	case cfg.meet != "":
@@ -80,17 +81,17 @@
 	return filepath.Join(os.TempDir(), "portstall.sock")
 }
 
-// find asks the processes that listen at path for the state, the one that serves first. A nil estate with later: one is there
-// and can't hand over now.
+// findPredecessor asks the processes that listen at path for their state, the serving one first. A nil result with
+// later set means that a process is there and cannot hand over now.
 func findPredecessor(path string, log *slog.Logger) (old *estate, later bool) {
 	for _, at := range upgrade.Others(path) {
 		peer, what, text, err := upgrade.Dial(at)
 		if errors.Is(err, syscall.ECONNREFUSED) && at != path {
-			os.Remove(at) // of a process that has ended
+			os.Remove(at) // left behind by a process that has ended
 		}
 		if err != nil {
 			if at == path {
-				log.Debug("nobody hands over", "socket", at, "reason", err)
+				log.Debug("no process hands over", "socket", at, "reason", err)
 			}
 			continue
 		}
@@ -101,7 +102,7 @@
 		}
 		s, err := state.Decode(text)
 		if err != nil {
-			log.Error("the predecessor's state makes no sense", "err", err)
+			log.Error("cannot decode the predecessor's state", "err", err)
 			peer.Close()
 			continue
 		}
@@ -110,7 +111,8 @@
 	return nil, later
 }
 
-// inherit asks a predecessor for its estate. Without one, or with one that does not answer, a node starts as ever.
+// requestHandedState asks a predecessor for its state. It returns nil if there is none or it does not reply: the node
+// then starts without.
 func requestHandedState(cfg Config, log *slog.Logger) *estate {
 	path := socketPath(cfg)
 	if path == "" {
@@ -119,7 +121,7 @@
 	for end := time.Now().Add(predecessorTimeout); ; time.Sleep(retryInterval) {
 		old, later := findPredecessor(path, log)
 		if old != nil {
-			log.Info("taking over", "web servers", len(old.state.Servers), "out by hand", len(old.state.Out), "open requests", len(old.state.Open))
+			log.Info("adopting the predecessor's state", "web_servers", len(old.state.Servers), "disabled_by_operator", len(old.state.Out), "open_requests", len(old.state.Open))
 			return old
 		}
 		if !later || time.Now().After(end) {
@@ -129,13 +131,13 @@
 	}
 }
 
-// begin makes it the pair of a node. It is called once, before anything else of it.
+// initialize prepares the controller of a node. It is called once, before anything else of it.
 func (h *pair) initialize(n *node) {
 	h.node, h.phaseChanged, h.relieved = n, make(chan struct{}, 1), make(chan struct{})
 	h.peers, h.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
 }
 
-// known gives another process its name. p.mu is held.
+// peerID returns the state machine's id of another process, and assigns one to a new one. h.mu is held.
 func (h *pair) peerID(peer *upgrade.Peer) handover.Peer {
 	if name, known := h.peerIDs[peer]; known {
 		return name
@@ -145,7 +147,7 @@
 	return h.lastPeerID
 }
 
-// predecessor takes up a predecessor's state. The core's lock is held, and nobody else knows the node yet.
+// adoptPredecessor adopts a predecessor's state. The core's lock is held, and nothing else knows the node yet.
 func (n *node) adoptPredecessor(old *estate) {
 	n.pair.mu.Lock()
 	from := n.pair.peerID(old.peer)
@@ -158,7 +160,7 @@
 	old.peer.Follow(n)
 }
 
-// do lets the machine take in an event.
+// handle passes an event to the state machine.
 func (h *pair) handle(event func(m *handover.Machine, env handover.Env)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -169,7 +171,7 @@
 	h.publishPhase()
 }
 
-// note tells others of the phase. p.mu is held.
+// publishPhase makes a change of phase visible outside the controller. h.mu is held.
 func (h *pair) publishPhase() {
 	if before := handover.Phase(h.phase.Swap(int32(h.machine.Phase))); before != h.machine.Phase {
 		h.node.log.Debug("hand-over", "phase", h.machine.Phase, "before", before)
@@ -180,15 +182,16 @@
 	}
 }
 
-// at is the phase.
+// currentPhase returns the latest published phase.
 func (h *pair) currentPhase() handover.Phase { return handover.Phase(h.phase.Load()) }
 
-// yields tells whether a successor has the clients, or is about to.
+// yielding reports whether a successor has the clients, or is about to.
 func (h *pair) yielding() bool {
 	return h.currentPhase() == handover.Yielding || h.currentPhase() == handover.Relieved
 }
 
-// takeOver is called once this process can serve. It returns at once; the door opens when the clients are its own.
+// acquireClients is called once this process can serve. It returns at once; the listener opens when the clients are its
+// own.
 func (n *node) acquireClients(d *door) {
 	h := &n.pair
 	h.clientListener = d
@@ -200,7 +203,7 @@
 	h.mu.Lock()
 	token, err := upgrade.OpenToken(path + "-token")
 	if err != nil {
-		n.log.Error("nothing tells whether another process serves", "err", err)
+		n.log.Error("cannot open the hand-over token: unknown whether another process serves", "err", err)
 	}
 	h.token = token
 	h.mu.Unlock()
@@ -208,7 +211,7 @@
 	go n.retryHandover()
 }
 
-// retry tries again what did not work between processes, until the node ends.
+// retryHandover retries, until the node ends, steps between processes that have failed.
 func (n *node) retryHandover() {
 	tick := time.NewTicker(retryInterval)
 	defer tick.Stop()
@@ -226,36 +229,41 @@
 	}
 }
 
-// Lock, Unlock and the like make it a handover.Env. They are called with p.mu held.
+// Lock acquires the token, and returns the number marked on it and whether it was acquired. Lock, Mark, Unlock, Accept,
+// Yield, Resume, Relieve, Tell and Seek make it a handover.Env; they are called with h.mu held.
 func (h *pair) Lock() (uint64, bool) {
 	if h.token == nil {
 		return 0, true
 	}
 	number, had, err := h.token.Lock()
-	if err != nil { // serving matters more
-		h.node.log.Error("nothing tells whether another process serves", "err", err)
+	if err != nil { // serving takes precedence over the token
+		h.node.log.Error("cannot lock the hand-over token: unknown whether another process serves", "err", err)
 		return h.machine.Number, true
 	}
 	return number, had
 }
 
+// Mark writes a number on the token.
 func (h *pair) Mark(number uint64) {
 	if h.token != nil {
 		if err := h.token.Mark(number); err != nil {
-			h.node.log.Error("the token can't be marked", "err", err)
+			h.node.log.Error("cannot mark the hand-over token", "err", err)
 		}
 	}
 }
 
+// Unlock releases the token.
 func (h *pair) Unlock() {
 	if h.token != nil {
 		h.token.Unlock()
 	}
 }
 
+// Accept opens or closes the clients' listener, and starts or stops storing the state. The first time that it opens,
+// this process also begins to listen for successors.
 func (h *pair) Accept(on bool) {
 	h.clientListener.setOpen(on)
-	defer h.accepting.Store(on) // behind it successors find this process
+	defer h.accepting.Store(on) // successors find this process from then on
 	if on {
 		h.persister.start(h.node)
 	} else {
@@ -267,14 +275,14 @@
 	if path := socketPath(h.node.cfg); path != "" {
 		l, err := upgrade.Listen(path, h.node, h.node.log)
 		if err != nil {
-			h.node.log.Error("no successor can take over from this process", "err", err)
+			h.node.log.Error("cannot listen for successors: none can take over from this process", "err", err)
 		}
 		h.upgradeListener = l
 	}
 }
 
-// Yield takes the state and turns to the successor's decisions within one hold of the core's lock: what begins behind the state
-// is asked for, what ends behind it is told behind it.
+// Yield takes the state and hands the decisions to the successor within one hold of the core's lock: for each request
+// that begins after that state the successor is asked, and each one's end is reported to it.
 func (h *pair) Yield(to handover.Peer, number uint64) {
 	n, peer := h.node, h.peers[to]
 	n.core.Lock()
@@ -286,21 +294,22 @@
 	h.shareLimits()
 }
 
-// Resume is alone again. What contracts had left is not known: the successor may have spent it.
+// Resume serves alone again. What is left of the contracts is not known: the successor may have spent it.
 func (h *pair) Resume() {
 	h.node.core.Lock()
 	defer h.node.core.Unlock()
 	h.node.core.Yield(nil)
 	h.node.core.Portion(1, true)
-	h.node.log.Warn("the successor has ended or did not take over: serving again")
+	h.node.log.Warn("the successor has exited or did not take over: serving again")
 }
 
-// Relieve begins what serve goes on with.
+// Relieve lets serve finish what this process has accepted, and closes relieved.
 func (h *pair) Relieve() {
 	h.relieveOnce.Do(func() { close(h.relieved) })
-	h.node.log.Info("a successor serves: finishing what was taken")
+	h.node.log.Info("a successor serves: finishing accepted requests")
 }
 
+// Tell sends a message to another process; with handover.State it takes the state along.
 func (h *pair) Tell(to handover.Peer, what handover.Message) {
 	n, peer := h.node, h.peers[to]
 	if peer == nil {
@@ -308,7 +317,8 @@
 	}
 	var text func() []byte
 	if what == handover.State {
-		// An order that comes behind the state must not be lost: this process is known by now, and is told of it behind this.
+		// An order that arrives after the state was taken must not be lost. This process is already known to the other
+		// one, so the order is forwarded to it after the state.
 		n.core.Lock()
 		text = n.stateEncoder(n.snapshot(true))
 		peer.Tell(what, 0, text)
@@ -318,24 +328,25 @@
 	peer.Tell(what, 0, nil)
 }
 
-// encoded is a snapshot as text, once it is asked for.
+// stateEncoder returns a function that encodes a snapshot; the work is done when it is called.
 func (n *node) stateEncoder(s func() *state.Snapshot) func() []byte {
 	return func() []byte {
 		text, err := state.Encode(s())
 		if err != nil {
-			n.log.Error("the state can't be handed over", "err", err)
+			n.log.Error("cannot encode the state for the hand-over", "err", err)
 		}
 		return text
 	}
 }
 
+// Seek starts looking for another serving process.
 func (h *pair) Seek() {
-	if h.seeking.CompareAndSwap(false, true) { // one at a time: a process that is slow to answer is not asked by more and more
+	if h.seeking.CompareAndSwap(false, true) { // one at a time, so that a process that is slow to reply does not get more and more calls
 		go h.findServingProcess()
 	}
 }
 
-// seek looks who is there.
+// findServingProcess looks for another serving process, adopts its state and reports the result to the state machine.
 func (h *pair) findServingProcess() {
 	defer h.seeking.Store(false)
 	old, later := findPredecessor(socketPath(h.node.cfg), h.node.log)
@@ -360,7 +371,8 @@
 	old.peer.Follow(h.node)
 }
 
-// take takes up a state. Whole: with list and orders. p.mu is held.
+// adoptState adopts a state. With whole set it includes the server list and the operators' orders; without, only what
+// changes with each request. h.mu is held.
 func (h *pair) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
 	n := h.node
 	n.core.Lock()
@@ -374,32 +386,37 @@
 	}
 }
 
-// heir asks the successor before each request that still comes here.
+// remoteSuccessor asks the successor before each request that still arrives here. It is a core.Successor.
 type heir struct {
 	node *node
 	peer *upgrade.Peer
 }
 
+// Claim asks whether the request may begin here, and waits for claimTimeout at most.
 func (h heir) Claim(id string, until time.Duration) handover.Verdict {
 	ctx, cancel := context.WithTimeout(h.node.core.Context(), claimTimeout+h.node.cfg.slack)
 	defer cancel()
 	return h.peer.Claim(ctx, id, until)
 }
 
+// Ended reports the end of a request to the successor.
 func (h heir) Ended(id string) { h.peer.Ended(id) }
 
-// Hello, Heard and the like make the node an upgrade.Node.
+// Hello receives the first call of another process. Hello, Heard, Claim, Ended, Obey and Gone make node an
+// upgrade.Node.
 func (n *node) Hello(peer *upgrade.Peer) {
 	n.pair.handle(func(m *handover.Machine, env handover.Env) { m.Hello(env, n.pair.peerID(peer)) })
 }
 
+// Heard receives a message of another process. With handover.Yours comes the predecessor's last state, which is adopted
+// first.
 func (n *node) Heard(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
 	h := &n.pair
 	if what == handover.Yours {
 		s, err := state.Decode(text)
 		if err != nil {
-			n.log.Error("the predecessor's last state makes no sense", "err", err)
-			peer.Close() // it takes the node back
+			n.log.Error("cannot decode the predecessor's last state", "err", err)
+			peer.Close() // the predecessor then serves again
 			return
 		}
 		h.mu.Lock()
@@ -410,10 +427,11 @@
 	}
 	h.handle(func(m *handover.Machine, env handover.Env) { m.Heard(env, h.peerID(peer), what, number) })
 	if what == handover.Later && h.currentPhase() == handover.Seeking {
-		peer.Close() // whoever is found next is dialed anew: two ways to one process would let orders go round
+		peer.Close() // the next process found is dialed anew: over two connections to one process orders would circulate
 	}
 }
 
+// Claim replies whether a request that another process has received may begin there.
 func (n *node) Claim(peer *upgrade.Peer, id string, until time.Duration) handover.Verdict {
 	n.pair.mu.Lock()
 	from := n.pair.peerID(peer)
@@ -421,33 +439,36 @@
 	return n.core.Claim(from, id, until)
 }
 
+// Ended receives the end of a request at another process.
 func (n *node) Ended(_ *upgrade.Peer, id string) {
 	n.core.Lock()
 	defer n.core.Unlock()
 	n.core.Ids().Ended(id)
 }
 
-// Obey does what an operator told another process, and passes it on to whom that one may not know.
+// Obey carries out an operator's order that reached another process, and forwards it to processes that the other one
+// may not know.
 func (n *node) Obey(from *upgrade.Peer, o upgrade.Order) error {
 	if !n.pair.isNewOrder(o) {
-		return nil // it has come by another way
+		return nil // it has already arrived over another connection
 	}
 	switch o.Call {
 	case upgrade.Disable, upgrade.Enable:
-		n.setDisabled(o) // known there: that counts
+		n.setDisabled(o) // whether the id is known was checked where the order was given
 	case upgrade.Drain:
 		n.drain()
 	case upgrade.Resume:
 		n.resume()
 	default:
-		return fmt.Errorf("order %q is not known", o.Call)
+		return fmt.Errorf("unknown order %q", o.Call)
 	}
 	ctx, cancel := context.WithTimeout(n.core.Context(), orderTimeout+n.cfg.slack)
 	defer cancel()
 	return n.pair.tell(ctx, from, o)
 }
 
-// fresh tells whether an order was not seen before, and notes it: between three processes one can come by two ways.
+// isNewOrder reports whether an order was not seen before, and records it: among three processes one can arrive over
+// two connections.
 func (h *pair) isNewOrder(o upgrade.Order) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -459,7 +480,8 @@
 	return true
 }
 
-// Gone notes that another process is gone. With the last of them it takes back the whole of the limits.
+// Gone records that another process has exited or closed its connection. After the last of them this process uses the
+// full limits again.
 func (n *node) Gone(peer *upgrade.Peer) {
 	h := &n.pair
 	h.mu.Lock()
@@ -477,7 +499,7 @@
 	}
 	n.core.Unlock()
 	h.mu.Unlock()
-	n.log.Info("another process of this node is gone")
+	n.log.Info("lost the connection to another process of this node")
 	if back != nil {
 		back()
 		n.setLimits(1)
@@ -485,8 +507,9 @@
 	h.handle(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
 }
 
-// conclude tells whether this process may end: it was told to, or a successor is there to go on, or a third process serves and the
-// one between has ended, and no predecessor is left whose claims are answered here. Nothing changes any more if so.
+// tryEnd reports whether this process may end, and closes the controller if so: nothing changes afterwards. It may end
+// if it was told to. Otherwise no predecessor may be left whose claims this process answers, and either a successor
+// must be there to continue, or a third process serves and the one between has ended.
 func (h *pair) tryEnd() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -497,7 +520,7 @@
 	return true
 }
 
-// close ends the talk with other processes: this one has nothing more to do.
+// close ends the communication with other processes: this one has nothing more to do.
 func (h *pair) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -514,9 +537,9 @@
 	}
 }
 
-// tell passes an operator's call to the other processes, but for the one that it came from.
+// forwardOrder forwards an operator's order to the other processes except the one that it came from.
 func (h *pair) tell(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
-	if o.From == 0 { // said here
+	if o.From == 0 { // given at this process
 		o.From = rand.Uint64()
 		h.isNewOrder(o)
 	}
@@ -535,15 +558,15 @@
 	return errs
 }
 
-// share leaves half of the limits to the other process: both count together. p.mu is held.
+// shareLimits leaves half of the limits to the other process, as both count together. h.mu is held.
 func (h *pair) shareLimits() {
 	h.node.setLimits(2)
-	if h.reclaimBudget == nil { // else it is lent already
+	if h.reclaimBudget == nil { // nil: not lent yet
 		h.reclaimBudget = h.node.budget.Lend()
 	}
 }
 
-// limits sets what this process may use: its part of the node's descriptors and memory.
+// setLimits sets the limits of this process: its share of the node's descriptors and memory.
 func (n *node) setLimits(processes int) {
 	n.pool.Resize(n.cfg.poolLimit() / processes)
 	n.clients.Resize(n.cfg.clientLimit() / processes)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -10,44 +10,45 @@
 	"portstall/internal/upgrade"
 )
 
-// phase says what a node does with the clients' connections. One lifecycle serves all that sends clients away: an
-// operator's drain, SIGTERM and a successor.
+// phase says what a node does with its clients' connections. One lifecycle serves everything that sends clients away:
+// an operator's drain, SIGTERM and a successor.
 type phase uint8
 
 const (
 	serving  phase = iota
-	drained        // operators sent the clients away; they can call them back
-	relieved       // a successor serves; if it ends, what was before is again
-	leaving        // SIGTERM has come: no way back
+	drained        // operators have sent the clients away, and can call them back
+	relieved       // a successor serves; if it ends, the phase from before applies again
+	leaving        // SIGTERM has arrived; final
 )
 
-// lifecycle holds the phase. While it is not serving each answer tells its client to close, and connections that
-// carry no request are closed; what was taken is answered all the same.
+// lifecycle holds the phase of a node, guarded by mu. While it is not serving, each response tells its client to close,
+// and connections without a request are closed; accepted requests are still answered.
 type lifecycle struct {
 	mu           sync.Mutex
 	phase        phase
-	beforeRelief phase     // what a successor relieved
+	beforeRelief phase     // the phase to return to if the successor ends
 	closingSince time.Time // when clients were first sent away
-	terminatedAt time.Time // when SIGTERM came
+	terminatedAt time.Time // when SIGTERM arrived
 }
 
-// sendsAway tells whether clients are to close their connections.
+// closingConnections reports whether clients are to close their connections.
 func (l *lifecycle) sendsAway() bool { return l.now() != serving }
 
+// current returns the phase.
 func (l *lifecycle) now() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// enter goes to another phase and tells whether that was a step: there is none back from leaving.
+// enter changes the phase and reports whether it did. There is no way back from leaving.
 func (l *lifecycle) enter(p phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase == p || l.phase == leaving {
 		return false
 	}
-	if l.phase == relieved && p != leaving { // what operators say is for the successor, and for here if that ends
+	if l.phase == relieved && p != leaving { // an operator's order applies to the successor, and here if that one ends
 		l.beforeRelief = p
 		return true
 	}
@@ -64,19 +65,20 @@
 	return true
 }
 
-// lastAnswer is how long from now a request that comes now may take: all the time, false, unless the process leaves and new
-// connections have ceased. One that still comes then must have its answer before SIGKILL finds it without.
+// finalResponseTimeout returns within what time from now a request that arrives now must have its final response. It
+// returns false, for no such limit, unless the process leaves and no longer accepts connections. A request that still
+// arrives then must have its response before SIGKILL.
 func (l *lifecycle) finalResponseTimeout(longest time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gone := time.Since(l.terminatedAt)
-	if l.phase != leaving || gone < acceptGrace {
+	elapsed := time.Since(l.terminatedAt)
+	if l.phase != leaving || elapsed < acceptGrace {
 		return 0, false
 	}
-	return min(longest, maxDeadlineBeforeKill) + killGrace - killResponseMargin - gone, true
+	return min(longest, maxDeadlineBeforeKill) + killGrace - killResponseMargin - elapsed, true
 }
 
-// recall ends what a successor has relieved.
+// endRelief returns to the phase from before a successor took over.
 func (l *lifecycle) endRelief() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,25 +87,26 @@
 	}
 }
 
-// forHeir is what a successor is to know: whether operators have sent the clients away.
+// drainedByOperator reports whether operators have sent the clients away, which a successor has to know.
 func (l *lifecycle) drainedByOperator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase == drained || l.phase == relieved && l.beforeRelief == drained
 }
 
-// until is when a request that comes now is to have its answer, on the core's clock; 0: in its own time.
+// responseDeadline returns by when, on the core's clock, a request that arrives now must have its final response; 0
+// means that only its own deadline applies.
 func (n *node) responseDeadline() time.Duration {
-	left, bound := n.life.finalResponseTimeout(n.set.Load().longest())
+	timeout, bound := n.life.finalResponseTimeout(n.set.Load().longest())
 	if !bound {
 		return 0
 	}
-	return n.core.Now() + left
+	return n.core.Now() + timeout
 }
 
 var errLeaving = errors.New("this process is leaving")
 
-// Drain sends the clients away. What was taken is answered.
+// Drain sends the clients away. Accepted requests are answered.
 func (n *node) Drain(ctx context.Context) error {
 	n.drain()
 	n.saved()
@@ -112,7 +115,7 @@
 
 func (n *node) drain() {
 	if n.life.enter(drained) {
-		n.log.Info("drained by hand: clients are sent away")
+		n.log.Info("drained by an operator: clients are sent away")
 		n.opaque.Drain(nil)
 		// The front notices after a while; until then clients use the connections that they have.
 		time.AfterFunc(acceptGrace, func() {
@@ -135,13 +138,13 @@
 
 func (n *node) resume() {
 	if n.life.enter(serving) {
-		n.log.Info("resumed by hand")
+		n.log.Info("resumed by an operator")
 	}
 }
 
-var errNotReady = errors.New("it starts, knows no web server that is ready, or leaves")
+var errNotReady = errors.New("not ready: the process is starting or leaving, or no web server is listed as ready")
 
-// Ready tells whether this process serves. A drain does not change that: it is for the front, which asks GET /ready.
+// Ready returns nil if this process serves. A drain does not change that: it concerns the front, which asks GET /ready.
 func (n *node) Ready() error {
 	n.core.Lock()
 	defer n.core.Unlock()
@@ -151,11 +154,11 @@
 	return nil
 }
 
-// readiness is the answer to GET /ready.
+// readinessStatus returns the status of the response to GET /ready.
 func (n *node) readinessStatus() int {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.sendsAway() && !n.pair.yielding() { // a successor is ready for both
+	if !n.ready || n.life.sendsAway() && !n.pair.yielding() { // a successor is ready on behalf of both
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// door is the clients' listener, which can be shut and opened again while its socket stays: while it is shut, connections wait
-// in the kernel's queue, or go to another process that listens on the same socket. It is shut at first.
+// sharedListener is the clients' listener. It can be closed and opened again while its socket stays open: while it is
+// closed, connections wait in the kernel's queue, or go to another process that listens on the same socket. It starts
+// closed. The handoverController opens it; mu guards its fields.
 type door struct {
 	net.Listener
 	mu      sync.Mutex
@@ -18,11 +19,12 @@
 	changed chan struct{} // closed at the next change
 }
 
+// newSharedListener returns a closed listener on a socket.
 func newSharedListener(ln net.Listener) *door {
 	return &door{Listener: ln, changed: make(chan struct{})}
 }
 
-// set opens or shuts it. An Accept that is under way when it is shut may still return a connection.
+// setOpen opens or closes it. An Accept that is running when it is closed may still return a connection.
 func (l *door) setOpen(open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,12 +38,12 @@
 		if open {
 			l.SetDeadline(time.Time{})
 		} else {
-			l.SetDeadline(time.Unix(1, 0)) // wakes whoever is accepting
+			l.SetDeadline(time.Unix(1, 0)) // wakes a blocked Accept
 		}
 	}
 }
 
-// Accept waits until the door is open and a connection has come.
+// Accept waits until the listener is open and a connection has arrived.
 func (l *door) Accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
@@ -62,7 +64,7 @@
 	}
 }
 
-// Close closes the socket too.
+// Close closes the socket as well; Accept then returns net.ErrClosed.
 func (l *door) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is one load balancer on real sockets. It turns what happens on them into policy events and
-// carries out the policy's actions; it decides nothing itself.
+// Package node is one load balancer on real sockets. It translates socket activity, timers and discovery responses into
+// policy events and carries out the policy's actions; it makes no load-balancing decisions itself.
 package node
 
 import (
@@ -33,22 +33,27 @@
 )
 
 const (
-	minSockets       = 64 // with fewer descriptors a node cannot serve
-	ownSockets       = 24 // descriptors for anything but clients and backends: ownNeeds names them
+	minSockets = 64 // minimum file descriptors; with fewer a node cannot serve
+	ownSockets = 24 // file descriptors for everything but clients and web servers, listed in descriptors_test.go
+	// transitAllowance is the time of the way to a client and back, which is taken off each request's time.
 	transitAllowance = 10 * time.Millisecond
-	// acceptFor is how long after SIGTERM connections are still accepted: the front notices only after a while.
+	// acceptGrace is how long connections are still accepted after SIGTERM, and how long idle ones stay open in a
+	// drain: the front (the balancer ahead of this node) notices either only after a while.
 	acceptGrace = 500 * time.Millisecond
-	// SIGKILL follows SIGTERM after the longest deadline, killMost where that is longer, and killAfter. A request that comes late
-	// has its answer killMargin before, so that it is with its client.
+	// maxDeadlineBeforeKill caps the longest class deadline when the time of SIGKILL is worked out: it follows SIGTERM
+	// after min(longest deadline, maxDeadlineBeforeKill) + killGrace.
 	maxDeadlineBeforeKill = 3 * time.Second
-	killGrace             = 700 * time.Millisecond
-	killResponseMargin    = 150 * time.Millisecond
-	// streamTime is how long large bodies may go on when the node leaves and the last deadline has passed.
+	// killGrace is the time between the last deadline and SIGKILL.
+	killGrace = 700 * time.Millisecond
+	// killResponseMargin is how long before SIGKILL a late request gets its final response, so that it has reached the
+	// client by then.
+	killResponseMargin = 150 * time.Millisecond
+	// bodyDrainTimeout is how long large bodies may continue when the node is leaving and the last deadline has passed.
 	bodyDrainTimeout = time.Minute
 )
 
-// node is the roster of web servers and all that surrounds the core. What is said to be guarded by the core's lock is
-// handed to it in order with the core's own events.
+// node holds the listed web servers and everything around the core. Fields that the core's lock guards change in order
+// with the core's own events, which are handled under the same lock.
 type node struct {
 	cfg     Config
 	log     *slog.Logger
@@ -64,44 +69,50 @@
 	budget  *flow.Budget
 
 	// Guarded by the core's lock.
-	disc        *discovery
-	names       map[string]*backend   // listed backends by discovery's id
-	addrs       map[string][]*backend // the same by address
-	backends    map[uint32]*backend   // the same by the policy's number, and those that left until their grace is over
-	nextNum     uint32
-	version     int64 // of the list
+	disc     *discovery
+	names    map[string]*backend   // listed web servers by discovery's id
+	addrs    map[string][]*backend // listed web servers by address; several ids may share one
+	backends map[uint32]*backend   // web servers by the policy's number, including removed ones until their drain grace is over
+	// The number that was given out last.
+	nextNum uint32
+	version int64 // version of the latest server list
+	// Processes that were listed as gone, so that an older list does not bring them back.
 	past        map[string]past
-	cells       *cells        // nil: there are none
-	checker     *checker      // nil: nothing is checked; its own lock guards it
-	edge        *member.Edge  // nil: no talk among instances
-	proxyRoutes []config.Way  // to web servers behind proxies; not changed after the start
-	routes      *tunnel.Table // where control tells them; else nil. Changed in place under the lock, read without it as well
-	ready       bool          // some backend is listed as ready
+	cells       *cells       // nil: cells are not configured
+	checker     *checker     // nil: no health checks; it has its own lock
+	edge        *member.Edge // nil: no cluster membership
+	proxyRoutes []config.Way // routes to web servers behind proxies; unchanged after the start
+	// Routes of tunnels where control supplies them, else nil. Changed in place under the lock, read without it as
+	// well.
+	routes *tunnel.Table
+	ready  bool // some listed web server is ready
 }
 
-// backend is one web server as the roster knows it. All but the server itself is guarded by the core's lock.
+// webServer is one process of a web server as the node knows it. The core's lock guards all but the embedded Server.
 type backend struct {
 	*back.Server
-	number  uint32 // the policy's name for it
+	number uint32 // the policy's number for it
+	// When the process started as discovery says, in Unix milliseconds.
 	started int64
-	entry   *listed // as discovery last told it; replaced, never changed
-	left    bool    // off the list
+	entry   *listed // its latest entry in the server list; replaced, never changed
+	left    bool    // it is no longer listed
 }
 
-// Change is a configuration that was read again, and where to tell what became of it: nil, or why all stays as it is.
+// Change is a configuration that was read again.
 type Change struct {
 	Config
-	Taken chan<- error // never blocks
+	// Applied receives nil, or the reason why nothing has changed. A send to it never blocks.
+	Taken chan<- error
 }
 
-// Run serves until ctx ends, finishes what it has taken and returns. A configuration from reload replaces what can
-// be replaced while it serves: the settings, and the address of discovery.
+// Run serves until ctx ends, finishes the requests that it has accepted and returns. While it serves, a configuration
+// from reload replaces what can be replaced in service: the settings, and the address of discovery.
 func Run(ctx context.Context, cfg Config, reload <-chan Change, log *slog.Logger) error {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	}
 	cfg.process = true
-	debug.SetGCPercent(400) // the live heap is small; collecting it often would be felt as latency
+	debug.SetGCPercent(400) // the live heap is small; frequent collections would show up as latency
 	early, err := configured(ctx, &cfg, reload, log)
 	if errors.Is(err, errEnded) {
 		return nil
@@ -113,7 +124,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	old := requestHandedState(cfg, log) // without one, another process that serves is looked for once this one can
+	old := requestHandedState(cfg, log) // without one, it looks for another serving process once it can serve itself
 	n, stop, err := start(cfg, old, log)
 	if err != nil {
 		return errors.Join(err, ln.Close())
@@ -160,18 +171,18 @@
 	return n.serve(ctx, ln)
 }
 
-// listen opens the clients' listening socket, or takes the one that another process holds for this one.
+// listen opens the clients' listening socket, or uses the one that another process holds open for this one.
 func listen(ctx context.Context, cfg Config) (net.Listener, error) {
 	if cfg.AcceptFD == 0 {
 		return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", cfg.Listen)
 	}
 	f := os.NewFile(uintptr(cfg.AcceptFD), "clients")
-	defer f.Close() // the listener has its own
+	defer f.Close() // the listener has its own duplicate
 	return net.FileListener(f)
 }
 
-// start brings up all of a node but its listener, with what a predecessor left if there was one. The returned
-// function ends what was started.
+// start sets up all of a node but its listener, with the state of a predecessor if there is one. The returned function
+// stops what was started.
 func start(cfg Config, old *estate, log *slog.Logger) (*node, func(), error) {
 	n := &node{cfg: cfg, log: log, names: map[string]*backend{}, addrs: map[string][]*backend{}, backends: map[uint32]*backend{},
 		past: map[string]past{}, hand: hand{disabled: map[string]bool{}, returned: map[string]time.Duration{}}}
@@ -229,26 +240,26 @@
 			return nil, nil, err
 		}
 	}
-	// The list can start a watch at once, whose answer must not be taken in before the list is.
+	// Applying the list can start a watch at once, whose response must not be applied before the list is.
 	cfg.followed.lock()
 	n.core.Lock()
 	n.core.Bind(table)
-	cfg.followed.attach(n) // before what a predecessor had left of the contracts, which must find them
+	cfg.followed.attach(n) // before the predecessor's contract states, which need the contracts to be there
 	if old != nil {
 		n.adoptPredecessor(old)
 	} else {
-		var s *state.Snapshot
+		var clients *state.Snapshot
 		if n.pair.persister != nil {
-			s = n.loadStoredState(n.pair.persister.settings)
+			clients = n.loadStoredState(n.pair.persister.settings)
 		}
 		n.takeList(&cfg.Known, policy.ListCached)
-		if s != nil {
-			n.ageSnapshot(s)
-			n.adoptStoredState(s)
+		if clients != nil {
+			n.ageSnapshot(clients)
+			n.adoptStoredState(clients)
 		}
 	}
 	if !cfg.Settings.Policy.MustAsk {
-		n.disc.watch() // the policy asks only where lists are not pushed
+		n.disc.watch() // where lists are not pushed, the policy says when to ask
 	}
 	if n.checker != nil {
 		n.checker.start()
@@ -263,7 +274,8 @@
 	}, nil
 }
 
-// serve answers clients on ln until ctx ends or a successor has them, and then until all that was taken is answered.
+// serve serves clients on ln until ctx ends or a successor has taken over, and then until all accepted requests have
+// their final responses.
 func (n *node) serve(ctx context.Context, ln net.Listener) error {
 	d := newSharedListener(ln)
 	failed := make(chan error, 1)
@@ -288,9 +300,9 @@
 			n.life.enter(leaving)
 			n.pair.handle(func(m *handover.Machine, _ handover.Env) { m.End() })
 			n.opaque.Drain(nil)
-			n.log.Info("leaving: finishing what was taken")
-			// Connections go on coming for a while, and clients use those that they have: each answer now tells them
-			// to close, and only then is the listener closed.
+			n.log.Info("leaving: finishing accepted requests")
+			// New connections keep arriving for a while, and clients use those that they have: each response now tells
+			// them to close, and only then is the listener closed.
 			time.Sleep(acceptGrace)
 			err := n.stopAccepting(d, failed)
 			n.waitForClients(context.Background())
@@ -299,61 +311,63 @@
 	}
 }
 
-// finish finishes what was taken, for a successor that serves. False: that has ended, and clients are this process's again.
+// finishForSuccessor finishes the accepted requests while a successor serves, and reports whether this process may end.
+// It returns false if the successor has ended and this process serves clients again.
 func (n *node) finishForSuccessor(ctx context.Context) bool {
-	again, stop := context.WithCancel(context.Background())
+	resumed, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		defer stop()
-		for again.Err() == nil {
+		for resumed.Err() == nil {
 			select {
 			case <-n.pair.phaseChanged:
 				if n.pair.currentPhase() == handover.Serves {
 					return
 				}
-			case <-ctx.Done(): // it is to end in any case
+			case <-ctx.Done(): // this process ends in any case
 				n.pair.handle(func(m *handover.Machine, _ handover.Env) { m.End() })
 				n.life.enter(leaving)
-				<-again.Done()
-			case <-again.Done():
+				<-resumed.Done()
+			case <-resumed.Done():
 			}
 		}
 	}()
-	sleep(again, acceptGrace) // until the front has noticed, clients use the connections that they have
-	for n.waitForClients(again) {
+	sleep(resumed, acceptGrace) // clients use the connections that they have until the front has noticed
+	for n.waitForClients(resumed) {
 		if n.pair.tryEnd() {
 			return true
 		}
-		sleep(again, retryInterval)
+		sleep(resumed, retryInterval)
 	}
 	return false
 }
 
-// settled returns true once no client's connection is left. Those without a request are closed at once, others behind their
-// answers: at the latest when the last deadline has passed, and large bodies later. False: ctx has ended before.
+// waitForClients returns true once no client's connection is left, false if ctx ends before. Connections without a
+// request are closed at once, others after their responses: at the latest once the last deadline has passed, and large
+// bodies later.
 func (n *node) waitForClients(ctx context.Context) bool {
-	s := n.clients
+	clients := n.clients
 	if ctx.Err() != nil {
 		return false
 	}
-	s.CloseIdle() // the clients of those on which no request has come turn to other nodes
-	if s.Wait(ctx, n.set.Load().longest()+transitAllowance) {
+	clients.CloseIdle() // clients that have sent no request turn to other nodes
+	if clients.Wait(ctx, n.set.Load().longest()+transitAllowance) {
 		return true
 	}
 	if ctx.Err() == nil {
-		s.Cut(false) // the last deadline has passed
+		clients.Cut(false) // the last deadline has passed
 	}
-	if s.Wait(ctx, bodyDrainTimeout) {
+	if clients.Wait(ctx, bodyDrainTimeout) {
 		return true
 	}
 	if ctx.Err() != nil {
 		return false
 	}
-	s.Cut(true)
-	return s.Wait(ctx, bodyDrainTimeout)
+	clients.Cut(true)
+	return clients.Wait(ctx, bodyDrainTimeout)
 }
 
-// stopAccepting closes the listener and waits until accept has returned: what it has taken from the socket by then is
+// stopAccepting closes the listener and waits until Accept has returned: every connection that it accepted by then is
 // served.
 func (n *node) stopAccepting(d *door, failed <-chan error) error {
 	err := d.Close()
@@ -363,7 +377,8 @@
 	return err
 }
 
-// Server, Watch and Fetch make it a core.Roster.
+// Server returns the web server with the given number. Server, Watch and Fetch make node a core.Discovery; the core's
+// lock is held.
 func (n *node) Server(number uint32) (any, bool) {
 	b := n.backends[number]
 	if b == nil {
@@ -372,10 +387,13 @@
 	return b.Server, true
 }
 
+// Watch starts watching discovery unless a watch is running.
 func (n *node) Watch() { n.disc.watch() }
+
+// Fetch asks discovery for the full list once.
 func (n *node) Fetch() { n.disc.fetch() }
 
-// Attempt makes it a core.Back: each request goes by the protocol that it came for.
+// Attempt makes node a core.Back: it sends a request over the protocol that it arrived by.
 func (n *node) Attempt(ctx context.Context, a *core.Attempt) core.Result {
 	var res core.Result
 	if _, ok := a.Request.Message.(*message.Stream); ok {
--- a/internal/node/persist.go
+++ b/internal/node/persist.go
@@ -9,40 +9,43 @@
 	"portstall/internal/state/disk"
 )
 
-// savedTime is how long an operator's call waits for the disk to have it. It counts without that, too.
+// persistTimeout is how long an operator's call waits until the disk has it. The call takes effect without that, too.
 const persistTimeout = 300 * time.Millisecond
 
-// keeping is the node's state on a disk that lasts. Its owner is the pair: whoever serves writes.
+// persister stores the node's state on a persistent disk. The handoverController owns it and guards it by its mu: the
+// process that serves writes.
 type keeping struct {
 	settings config.State
 	dir      *disk.Dir
 	writer   *disk.Keeper
 }
 
-// recall reads what an earlier process of this node has kept; nil: nothing that can be used.
+// loadStoredState reads the state that an earlier process of this node has stored. It returns nil if there is none that
+// can be used.
 func (n *node) loadStoredState(set config.State) *state.Snapshot {
-	s, _, wrong := disk.Read(set.Dir)
-	for _, err := range wrong {
-		n.log.Error("a kept state is not used", "err", err)
+	s, _, unusable := disk.Read(set.Dir)
+	for _, err := range unusable {
+		n.log.Error("stored state not used", "err", err)
 	}
 	if s == nil {
-		n.log.Info("starting without a kept state", "dir", set.Dir)
+		n.log.Info("starting without a stored state", "dir", set.Dir)
 		return nil
 	}
-	n.log.Info("starting with a kept state", "dir", set.Dir, "age", (n.core.Now() - s.Taken).Round(time.Millisecond), "web servers", len(s.Servers),
-		"out by hand", len(s.Out))
-	s.Exact = false // it was cut off at some moment
+	n.log.Info("starting with a stored state", "dir", set.Dir, "age", (n.core.Now() - s.Taken).Round(time.Millisecond), "web_servers", len(s.Servers),
+		"disabled_by_operator", len(s.Out))
+	s.Exact = false // it was taken at some moment before the process ended
 	return s
 }
 
-// begin keeps the state from now on: this process serves. Another one that writes there is told of and left alone.
+// start stores the state from now on, as this process serves. If another process writes to the directory, that is
+// logged, and the directory is left alone.
 func (p *keeping) start(n *node) {
 	if p == nil || p.dir != nil {
 		return
 	}
 	var err error
 	if p.dir, err = disk.Open(p.settings.Dir); err != nil {
-		n.log.Error("the state is not kept", "err", err)
+		n.log.Error("the state is not stored", "err", err)
 		return
 	}
 	p.writer = disk.Keep(p.dir, p.settings.Every, func() ([]byte, error) {
@@ -52,14 +55,14 @@
 		return state.Encode(s())
 	}, func(err error) {
 		if err != nil {
-			n.log.Error("the state can't be kept", "err", err)
+			n.log.Error("cannot store the state", "err", err)
 		} else {
-			n.log.Info("the state is kept again")
+			n.log.Info("the state is stored again")
 		}
 	})
 }
 
-// end keeps it once more and leaves the directory to whoever serves next.
+// stop stores the state once more and leaves the directory to the process that serves next.
 func (p *keeping) stop() {
 	if p == nil || p.dir == nil {
 		return
@@ -69,7 +72,7 @@
 	p.dir, p.writer = nil, nil
 }
 
-// saved keeps the state at once: operators have said something.
+// persistNow stores the state at once, after an operator's call.
 func (n *node) saved() {
 	n.pair.mu.Lock()
 	var keeper *disk.Keeper
@@ -81,6 +84,6 @@
 		return
 	}
 	if err := keeper.Now(persistTimeout); err != nil {
-		n.log.Warn("the call is carried out; it is not sure that the disk has it", "err", errors.Unwrap(err))
+		n.log.Warn("the call took effect, but may not have reached the disk", "err", errors.Unwrap(err))
 	}
 }
--- a/internal/node/tunnel.go
+++ b/internal/node/tunnel.go
@@ -16,14 +16,14 @@
 	"portstall/internal/front/tunnel"
 )
 
-// bindTime is how long a predecessor may take to give up a tunnels' address.
+// bindTimeout is how long a predecessor may take to give up an address of tunnels.
 const bindTimeout = 10 * time.Second
 
-// tunnels opens the listeners on which clients ask for tunnels. One with HTTP inside is one more of the clients'
-// connections: each request in it is read, decided, bounded and drained like any other. An opaque one is a request itself.
-// They take no more clients when ctx ends, or a successor serves.
+// openTunnelListeners opens the listeners on which clients ask for tunnels. A tunnel with HTTP inside is treated like
+// any other client connection: each request in it is read, decided, limited and drained like any other. An opaque
+// tunnel is itself one request. The listeners close when ctx ends or a successor serves.
 func (n *node) tunnels(ctx context.Context, t *config.Tunnels) error {
-	table := n.routes // control's
+	table := n.routes // from control
 	if table == nil {
 		var err error
 		if table, err = t.Table(); err != nil {
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// await opens a listener as soon as its address is free, or tells that it never was.
+// listenWhenFree opens a listener as soon as its address is free. It logs an error and returns nil if that takes longer
+// than bindTimeout.
 func (n *node) listenWhenFree(ctx context.Context, addr string) net.Listener {
 	for end := time.Now().Add(bindTimeout); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
 		ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
@@ -79,14 +80,14 @@
 			return ln
 		}
 		if time.Now().After(end) {
-			n.log.Error("tunnels: the address stays taken; none are opened there", "err", err)
+			n.log.Error("tunnels: the address remains in use; tunnels are not served there", "err", err)
 			return nil
 		}
 	}
 	return nil
 }
 
-// opaque checks that the classes of opaque routes are those of the settings.
+// checkOpaqueClasses checks that the classes of opaque routes are classes of the settings.
 func (c *Config) opaque() error {
 	if c.Product == nil || c.Product.Tunnels == nil {
 		return nil
@@ -100,11 +101,11 @@
 	return nil
 }
 
-// way is how a web server is reached; nil: directly.
+// proxyDial returns how a web server is dialed through its proxy; nil means directly.
 func (n *node) way(id string) back.Dial {
-	for _, w := range n.proxyRoutes {
-		if fits, _ := filepath.Match(w.Servers, id); fits {
-			return w.Proxy.Dial
+	for _, route := range n.proxyRoutes {
+		if match, _ := filepath.Match(route.Servers, id); match {
+			return route.Proxy.Dial
 		}
 	}
 	return nil
