--- a/internal/node/connection_close_test.go
+++ b/internal/node/connection_close_test.go
@@ -13,13 +13,15 @@
 	"portstall/internal/message"
 )
 
-// cutting is a connection to a server on which the server's end goes once a part of the first write has come there.
+// cuttingConn is a connection to a server whose far end is closed once a part of the first write has arrived there.
 type cuttingConn struct {
 	*net.TCPConn
-	prefix   func(whole int) int // how much of it
+	prefix func(whole int) int // how many bytes of the write arrive before the close
+	// Closes the far end, after n bytes.
 	onPrefix func(n int)
 }
 
+// Write sends the part, closes the far end, and then sends the rest.
 func (c *cuttingConn) Write(p []byte) (int, error) {
 	if c.onPrefix == nil {
 		return c.TCPConn.Write(p)
@@ -36,23 +38,24 @@
 	return n + m, err
 }
 
-// A server closes a connection while a request is written to it: before its first byte, in its head, before its last byte, and
-// behind it. A reset that came before the last byte was taken proves that nothing ran, and each class goes to the other server. What
-// was written whole may have run, whatever closed: only a class that may be repeated goes there. None is ever there twice.
+// Guards against requests that are lost or run twice when their server closes the connection: before the first byte, in
+// the head, before the last byte, and after it. A reset before the last byte has arrived proves that nothing ran, and
+// each class is retried at the other server. A request that was written completely may have run, however the connection
+// was closed: only a class that may be repeated is retried. None ever reaches the other server twice.
 func TestServerClosesDuringRequest(t *testing.T) {
 	t.Parallel()
 	for _, q := range []call{view("q"), save("q"), quote("q")} {
 		for _, c := range []struct {
 			name  string
 			at    func(whole int) int
-			reset bool // else it closes in good order, which does not keep the rest from being taken
-			never bool // it surely never ran
+			reset bool // else an orderly close, which does not keep the rest from being received
+			never bool // it certainly never ran
 		}{
 			{"before the first byte", func(int) int { return 0 }, true, true},
 			{"in the head", func(int) int { return 20 }, true, true},
 			{"before the last byte", func(whole int) int { return whole - 1 }, true, true},
-			{"behind the last byte", func(whole int) int { return whole }, true, false},
-			{"an idle one, as it is written", func(int) int { return 0 }, false, false},
+			{"after the last byte", func(whole int) int { return whole }, true, false},
+			{"an idle connection, as the request is written", func(int) int { return 0 }, false, false},
 		} {
 			t.Run(q.class+" "+c.name, func(t *testing.T) {
 				t.Parallel()
@@ -68,67 +71,68 @@
 					if err != nil {
 						return nil, err
 					}
-					end, err := ln.Accept()
+					far, err := ln.Accept()
 					if err != nil {
 						return nil, err
 					}
 					return &cuttingConn{TCPConn: conn.(*net.TCPConn), prefix: c.at, onPrefix: func(n int) {
-						if _, err := io.ReadFull(end, make([]byte, n)); err != nil {
+						if _, err := io.ReadFull(far, make([]byte, n)); err != nil {
 							t.Error(err)
 						}
 						if err := node.Enable(context.Background(), "s-2"); err != nil {
 							t.Error(err)
 						}
 						if c.reset {
-							end.(*net.TCPConn).SetLinger(0)
+							far.(*net.TCPConn).SetLinger(0)
 						}
-						end.Close()
-						wait(t, "the close at the node", func() bool { return flow.Left(conn) })
+						far.Close()
+						wait(t, "the close to reach the node", func() bool { return flow.Left(conn) })
 					}}, nil
 				})
 				resp, _ := node.dial(t).ask(q)
-				again := c.never || q.class != "quote"
-				if want := map[bool]int{true: http.StatusOK, false: http.StatusInternalServerError}[again]; resp.StatusCode != want {
-					t.Errorf("answered %d, want %d", resp.StatusCode, want)
+				retried := c.never || q.class != "quote"
+				if want := map[bool]int{true: http.StatusOK, false: http.StatusInternalServerError}[retried]; resp.StatusCode != want {
+					t.Errorf("status %d, want %d", resp.StatusCode, want)
 				}
-				if n := len(other.requests()); n != map[bool]int{true: 1, false: 0}[again] {
-					t.Errorf("the other server got %d requests", n)
+				if n := len(other.requests()); n != map[bool]int{true: 1, false: 0}[retried] {
+					t.Errorf("the other server received %d requests, want 1 where the class is retried and else none", n)
 				}
 			})
 		}
 	}
 }
 
-// A connection that a client keeps makes room for a new one in the moment between the first byte of its next request and the note of
-// it. That request has its one answer, a refusal, as it is one too many then; it reaches no server, and the connection closes behind it.
+// Guards against two responses or none when a kept connection is evicted for a new one in the moment between the first
+// byte of its next request and the node's record of it. That request gets exactly one response, a refusal, as it is
+// then one too many; it reaches no server, and the connection is closed after it.
 func TestEvictionCrossesNextRequest(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
 	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
 	node.clients.Resize(1)
-	kept := newUnattachedClient(t)
-	reads := 0 // that brought something
-	x := &hookedConn{TCPConn: kept.end.(*net.TCPConn), afterRead: func() {
+	evicted := newUnattachedClient(t)
+	reads := 0 // number of reads that returned data
+	hooked := &hookedConn{TCPConn: evicted.end.(*net.TCPConn), afterRead: func() {
 		if reads++; reads != 2 {
 			return
 		}
 		if resp, body := node.dial(t).ask(view("new")); resp.StatusCode != http.StatusOK {
-			t.Errorf("the new one: %d %q", resp.StatusCode, body)
+			t.Errorf("the request on the new connection: status %d, body %q; want 200", resp.StatusCode, body)
 		}
 	}}
 	node.clients.Take()
-	node.clients.Go(func() { node.clients.Serve(x, bufio.NewReaderSize(x, message.HeadSize), "") })
-	if resp, _ := kept.ask(view("first")); resp.StatusCode != http.StatusOK || resp.Close {
-		t.Fatalf("the first: %d, close %v", resp.StatusCode, resp.Close)
+	node.clients.Go(func() { node.clients.Serve(hooked, bufio.NewReaderSize(hooked, message.HeadSize), "") })
+	if resp, _ := evicted.ask(view("first")); resp.StatusCode != http.StatusOK || resp.Close {
+		t.Fatalf("the first request: status %d, close %v; want 200 and no close", resp.StatusCode, resp.Close)
 	}
-	resp, body := kept.ask(quote("second"))
+	resp, body := evicted.ask(quote("second"))
 	if resp.StatusCode != http.StatusServiceUnavailable || body != "too many connections\n" || !resp.Close || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("the second: %d %q, close %v, come back in %q", resp.StatusCode, body, resp.Close, resp.Header.Get("Retry-After"))
+		t.Errorf("the second request: status %d, body %q, close %v, Retry-After %q; want 503 for too many connections, a close and Retry-After", resp.StatusCode, body, resp.Close, resp.Header.Get("Retry-After"))
 	}
-	if n, err := kept.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("behind it: %d more bytes, %v", n, err)
+	if n, err := evicted.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("after the refusal: %d more bytes, error %v; want the connection closed", n, err)
 	}
 	if n := len(server.requests()); n != 2 {
-		t.Errorf("%d requests reached the server, want the first and the new one", n)
+		t.Errorf("%d requests reached the server, want the first one and the one on the new connection", n)
 	}
 }
--- a/internal/node/handover_bench_test.go
+++ b/internal/node/handover_bench_test.go
@@ -13,9 +13,9 @@
 	"portstall/internal/state"
 )
 
-// BenchmarkHandover is what a hand-over takes with so many web servers and 5,000 open requests: how long the data path stands
-// still at the predecessor, the bytes that go over, and how long writing, reading and taking up takes, none of which holds up
-// a request.
+// BenchmarkHandover measures a hand-over with different numbers of web servers and 5,000 open requests: how long the
+// predecessor's data path stands still, the size of the state, and how long encoding, decoding and adopting it take,
+// none of which delays a request.
 func BenchmarkHandover(b *testing.B) {
 	for _, servers := range []int{12, 1000, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -25,8 +25,8 @@
 			}
 			old := newRig(b, newRegistry(b), settingsJSON, nil, known...)
 			old.core.Lock()
-			for _, s := range old.names {
-				s.Via = func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
+			for _, server := range old.names {
+				server.Via = func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
@@ -37,40 +37,40 @@
 				up, _ := flow.NewUpload(http.NoBody, 0)
 				old.core.Begin(&core.Request{ID: fmt.Sprint("request-", i), Class: "view", Message: in, Body: up, Arrived: old.core.Now(), Patience: time.Minute})
 			}
-			young := newRig(b, newRegistry(b), settingsJSON, nil)
-			var locked, worst, wrote, read, took time.Duration
+			successor := newRig(b, newRegistry(b), settingsJSON, nil)
+			var locked, worst, encoded, decoding, adopted time.Duration
 			var text []byte
 			b.ResetTimer()
 			for range b.N {
 				old.core.Lock()
 				begun := time.Now()
-				s := old.snapshot(true)
+				snapshot := old.snapshot(true)
 				d := time.Since(begun)
 				old.core.Unlock()
 				locked, worst = locked+d, max(worst, d)
 				begun = time.Now()
-				text, _ = state.Encode(s())
-				wrote += time.Since(begun)
+				text, _ = state.Encode(snapshot())
+				encoded += time.Since(begun)
 				begun = time.Now()
-				got, err := state.Decode(text)
+				decoded, err := state.Decode(text)
 				if err != nil {
 					b.Fatal(err)
 				}
-				read += time.Since(begun)
+				decoding += time.Since(begun)
 				begun = time.Now()
-				young.core.Lock()
-				young.ageSnapshot(got)
-				young.adoptSnapshot(got, 1)
-				young.core.Unlock()
-				took += time.Since(begun)
+				successor.core.Lock()
+				successor.ageSnapshot(decoded)
+				successor.adoptSnapshot(decoded, 1)
+				successor.core.Unlock()
+				adopted += time.Since(begun)
 			}
 			ms := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(b.N) }
 			b.ReportMetric(ms(locked), "ms-locked")
 			b.ReportMetric(worst.Seconds()*1000, "ms-locked-worst")
 			b.ReportMetric(float64(len(text)), "bytes")
-			b.ReportMetric(ms(wrote), "ms-written")
-			b.ReportMetric(ms(read), "ms-read")
-			b.ReportMetric(ms(took), "ms-taken-up")
+			b.ReportMetric(ms(encoded), "ms-written")
+			b.ReportMetric(ms(decoding), "ms-read")
+			b.ReportMetric(ms(adopted), "ms-taken-up")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -14,7 +14,8 @@
 	"portstall/internal/flow"
 )
 
-// A successor holds to what its predecessor was told, and while both run what one is told the other does.
+// Guards against a successor that drops state or orders. A successor keeps the list and the operators' orders that its
+// predecessor received, and while both run, an order given to one reaches the other.
 func TestSuccessorKeepsStateAndSharesOrders(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -25,31 +26,31 @@
 	old := newRig(t, discoveryStub, settingsJSON, nil, serverA.entry("s-1"))
 	busy, idle := old.dial(t), old.dial(t)
 	busy.send(quote("open").text())
-	wait(t, "the request at the backend", func() bool { return len(serverA.requests()) == 1 })
+	wait(t, "the request at the web server", func() bool { return len(serverA.requests()) == 1 })
 	idle.ask(view("v"))
 	old.lists(7, serverA.entry("s-1"), serverB.entry("s-2"), listed{ID: "s-3", Addr: "127.0.0.1:1", State: "Terminating"})
 	must(t, old.Disable(ctx, "s-1"))
 	must(t, old.Disable(ctx, "s-2"))
 	must(t, old.Enable(ctx, "s-2"))
 
-	young := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
+	successor := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
 
-	young.core.Lock()
-	if young.version != 7 || len(young.names) != 3 || young.names["s-3"].Stop.Load() == 0 {
-		t.Errorf("list %d with %d web servers, want 7 with 3 of which one drains", young.version, len(young.names))
+	successor.core.Lock()
+	if successor.version != 7 || len(successor.names) != 3 || successor.names["s-3"].Stop.Load() == 0 {
+		t.Errorf("the successor has list version %d with %d web servers, want version 7 with 3, of which one is draining", successor.version, len(successor.names))
 	}
-	if young.hand.returned["s-2"] != old.hand.returned["s-2"] || young.hand.returned["s-2"] == 0 {
-		t.Error("a web server that is cold by hand is not any more")
+	if successor.hand.returned["s-2"] != old.hand.returned["s-2"] || successor.hand.returned["s-2"] == 0 {
+		t.Error("the successor has lost the time at which an operator enabled a web server again, so that it does not count as cold")
 	}
-	young.core.Unlock()
-	if resp, _ := young.dial(t).ask(quote("open")); resp.StatusCode != 409 {
-		t.Errorf("the id of a request that the predecessor has open: %d", resp.StatusCode)
+	successor.core.Unlock()
+	if resp, _ := successor.dial(t).ask(quote("open")); resp.StatusCode != 409 {
+		t.Errorf("a request with the id of one that is open at the predecessor: status %d, want 409", resp.StatusCode)
 	}
-	if resp, _ := young.dial(t).ask(view("w")); resp.StatusCode != 200 && resp.StatusCode != 503 {
-		t.Errorf("a request at the successor: %d", resp.StatusCode)
+	if resp, _ := successor.dial(t).ask(view("w")); resp.StatusCode != 200 && resp.StatusCode != 503 {
+		t.Errorf("a request at the successor: status %d, want 200 or 503", resp.StatusCode)
 	}
 	if n := len(serverA.requests()); n != 2 {
-		t.Errorf("%d requests at a web server that is out, want the 2 from before", n)
+		t.Errorf("a disabled web server has received %d requests, want only the 2 from before it was disabled", n)
 	}
 
 	disabled := func(node *rig, id string) bool {
@@ -57,39 +58,41 @@
 		defer node.core.Unlock()
 		return node.hand.disabled[id] && node.names[id].Gate.Shut()
 	}
-	must(t, young.Disable(ctx, "s-2"))
+	must(t, successor.Disable(ctx, "s-2"))
 	must(t, old.Disable(ctx, "s-3"))
-	if !disabled(old, "s-2") || !disabled(young, "s-3") {
-		t.Error("an order did not reach the other process")
+	if !disabled(old, "s-2") || !disabled(successor, "s-3") {
+		t.Error("an operator's order did not reach the other process")
 	}
-	// The old process has stopped accepting. It closes what is idle and ends once all it took is answered.
+	// The old process has stopped accepting. It closes idle connections and ends once all accepted requests are
+	// answered.
 	if old.pair.accepting.Load() {
-		t.Error("the old process still accepts")
+		t.Error("the predecessor still accepts connections")
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection: %v, want it closed", err)
+		t.Errorf("an idle connection at the predecessor: %v, want it closed", err)
 	}
 	close(release)
 	if resp, body := busy.answer(); resp.StatusCode != 200 || body != "done open" || !resp.Close {
-		t.Errorf("the request taken before: %d %q, close %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("the request accepted before the hand-over: status %d, body %q, close %v; want 200, done open and a close", resp.StatusCode, body, resp.Close)
 	}
 	select {
 	case err := <-old.exited:
 		must(t, err)
 		old.exited <- err
 	case <-time.After(patience):
-		t.Error("the old process does not end")
+		t.Error("the predecessor does not end after its last response")
 	}
 }
 
-// A large answer goes on when the node leaves, also past the last deadline.
+// Guards against large responses that are cut off when the node leaves: they continue after the last deadline. A
+// request that has only half arrived by then is cut off.
 func TestLargeResponseContinuesAfterSIGTERM(t *testing.T) {
 	t.Parallel()
 	text := distinctBody(200 << 10)
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:100<<10])
-		<-goOn
+		<-proceed
 		io.WriteString(c, text[100<<10:])
 		return true
 	})
@@ -98,14 +101,14 @@
 	c := node.dial(t)
 	c.in = bufio.NewReaderSize(c, 16)
 	c.send(quote("q").text())
-	wait(t, "the answer's beginning", func() bool { return flow.Pending(c.Conn) == flow.BytesThere })
-	half := node.connectClient(t) // is cut off behind the last deadline
-	half.send(view("half").text()[:30])
-	wait(t, "the node's reading of it", func() bool { return flow.Pending(half.end) == flow.Nothing })
+	wait(t, "the beginning of the response", func() bool { return flow.Pending(c.Conn) == flow.BytesThere })
+	partial := node.connectClient(t) // is cut off after the last deadline
+	partial.send(view("half").text()[:30])
+	wait(t, "the node to read the partial request", func() bool { return flow.Pending(partial.end) == flow.Nothing })
 	node.leave()
-	wait(t, "the last deadline", half.closed)
-	close(goOn)
+	wait(t, "the close of the partial request's connection after the last deadline", partial.closed)
+	close(proceed)
 	if resp, body := c.answer(); resp.StatusCode != 200 || body != text {
-		t.Errorf("%d with %d bytes", resp.StatusCode, len(body))
+		t.Errorf("the large response: status %d with %d bytes, want 200 with all of them", resp.StatusCode, len(body))
 	}
 }
--- a/internal/node/persist_test.go
+++ b/internal/node/persist_test.go
@@ -10,9 +10,10 @@
 	"portstall/internal/state/disk"
 )
 
-// What a node knew is there after its end: orders by hand, debts of contracts, what was learnt of servers. One that has started
-// anew meanwhile is as unknown as ever; a list that the configuration has newer counts; another process in the directory is left
-// alone; a damaged file is no hindrance.
+// Guards against state that is lost with the process: operators' orders, debts of contracts and learned statistics are
+// used after a restart. A web server that was restarted meanwhile counts as unknown, a newer list of the configuration
+// applies, another process that writes to the directory is left alone, and one damaged file does not prevent the use of
+// the other.
 func TestStoredStateIsUsedAfterRestart(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
@@ -21,49 +22,49 @@
 	with := under(t, fmt.Sprintf("state: {dir: %s, fleet: f}\ncontracts: [{name: all, rate: 0.001, burst: 4}]\n", dir))
 	discoveryStub := newRegistry(t)
 	first := newRig(t, discoveryStub, settingsJSON, with, serverA.entry("s-1"), serverB.entry("s-2"))
-	must(t, first.Disable(ctx, "s-1")) // so that all go to the other one
+	must(t, first.Disable(ctx, "s-1")) // so that all requests go to the other server
 	for i := range 3 {
 		if resp, _ := first.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
-			t.Fatalf("request %d: %d", i, resp.StatusCode)
+			t.Fatalf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
 	must(t, first.Enable(ctx, "s-1"))
 	must(t, first.Disable(ctx, "s-1"))
 	second := newRig(t, newRegistry(t), settingsJSON, with, serverA.entry("s-1"), serverB.entry("s-2"))
-	wait(t, "the second", func() bool { return second.Ready() == nil })
+	wait(t, "the second process to be ready", func() bool { return second.Ready() == nil })
 	second.pair.mu.Lock()
 	second.core.Lock()
-	out, keeps := second.hand.disabled["s-1"], second.pair.persister.dir != nil
+	out, writes := second.hand.disabled["s-1"], second.pair.persister.dir != nil
 	second.core.Unlock()
 	second.pair.mu.Unlock()
-	if !out || keeps {
-		t.Errorf("beside the first: out %v, writes %v", out, keeps)
+	if !out || writes {
+		t.Errorf("the second process while the first one runs: server disabled %v, want true; writes to the directory %v, want false", out, writes)
 	}
 	first.leave()
-	first.exited <- receive(t, "the first one's end", first.exited)
+	first.exited <- receive(t, "the first process's end", first.exited)
 
 	moved := serverA.entry("s-1")
 	moved.StartedMS = 5
 	third := newRig(t, newRegistry(t), settingsJSON, with, moved, serverB.entry("s-2"))
 	third.core.Lock()
-	learnt := map[uint32]float64{}
+	learned := map[uint32]float64{}
 	for _, k := range third.core.Learnt().Servers {
-		learnt[k.ID] = k.Served
+		learned[k.ID] = k.Served
 	}
 	one, two := third.names["s-1"], third.names["s-2"]
-	if !third.hand.disabled["s-1"] || !one.Gate.Shut() || learnt[one.number] != 0 || learnt[two.number] == 0 {
-		t.Errorf("after its end: out %v, learnt %v", third.hand.disabled, learnt)
+	if !third.hand.disabled["s-1"] || !one.Gate.Shut() || learned[one.number] != 0 || learned[two.number] == 0 {
+		t.Errorf("after the first process's end: disabled %v, learned %v; want s-1 disabled with its gate closed and nothing learned, and s-2 learned", third.hand.disabled, learned)
 	}
 	third.core.Unlock()
 	if resp, _ := third.dial(t).ask(view("w")); resp.StatusCode != 429 {
-		t.Errorf("a contract has a second burst: %d", resp.StatusCode)
+		t.Errorf("a request after the contract's burst was spent before the restart: status %d, want 429", resp.StatusCode)
 	}
 	third.leave()
-	third.exited <- receive(t, "the third one's end", third.exited)
+	third.exited <- receive(t, "the third process's end", third.exited)
 	_, slot, _ := disk.Read(dir)
 	must(t, os.WriteFile(filepath.Join(dir, []string{"state.a", "state.b"}[slot]), []byte("PSTALL"), 0o600))
 	fourth := newRig(t, newRegistry(t), settingsJSON, with, moved, serverB.entry("s-2"))
 	if !fourth.backendOf("s-1").Gate.Shut() {
-		t.Error("with one file damaged the other is not used")
+		t.Error("with one state file damaged, the other one is not used")
 	}
 }
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -21,52 +21,59 @@
 	"portstall/internal/lab/oracle"
 )
 
-// judge holds what stands and clients saw against the rules of the brief, by the lab's books. Whoever sees something tells it
-// before anybody can act on it, so that no verdict hangs on which goroutine runs first.
+// ruleChecker checks what web servers and clients saw against the rules for requests, by the lab's records. Each
+// observer reports an event before anything can react to it, so that no result depends on which goroutine runs first.
+// mu guards all but start and maxWait.
 type judge struct {
 	start   time.Time
-	maxWait time.Duration // how long at most for a stand's notice of an attempt's end
+	maxWait time.Duration // limit on the wait for a web server to notice an attempt's end
 
-	mu         sync.Mutex
-	records    *oracle.Book
-	open       map[string]int // attempts that a stand has and that have not ended, by request
+	mu      sync.Mutex
+	records *oracle.Book
+	open    map[string]int // open attempts at web servers by request
+	// Number of attempts that web servers have received, by request.
 	sends      map[string]int
-	violations []string // of what the books do not know: answers nobody made, refusals that say nothing
+	violations []string // violations of what the records do not cover: responses that no web server made, incomplete refusals
 }
 
-// The figures are those of settingsJSON but for the grace, which the cells shorten. A stand does half a second's work a second
-// when it is cold and counts each request as coldWork.
+// The numbers are those of settingsJSON except for the grace, which is shorter in the trials. A cold web server does
+// coldRate seconds of work a second and counts each request as coldWork.
 const (
 	trialGrace = 300 * time.Millisecond
 	coldWork   = 0.05
 	coldRate   = 0.3
 )
 
+// checkedClasses are the classes of settingsJSON.
 var checkedClasses = []oracle.Class{{Name: "view", Effect: "safe"}, {Name: "save", Effect: "keyed", Group: "zone", Window: 30 * time.Second},
 	{Name: "quote", Effect: "unsafe"}}
 
+// newRuleChecker returns a checker without records.
 func newRuleChecker() *judge {
-	// The books take 0 for never: an hour has passed before anything happens.
+	// The records take 0 for never: an hour has passed before anything happens.
 	return &judge{start: time.Now().Add(-time.Hour), maxWait: patience, open: map[string]int{}, sends: map[string]int{}, records: oracle.New(oracle.Figures{MaxAttempts: 3,
 		AnswerSlack: patience, DrainGrace: trialGrace, FallMultiple: 4, FallFor: 1500 * time.Millisecond, MeanWork: coldWork}, checkedClasses, 1, true)}
 }
 
+// now returns the checker's time.
 func (c *judge) now() time.Duration { return time.Since(c.start) }
 
-func (c *judge) record(f func(b *oracle.Book)) {
+// record makes an entry in the records.
+func (c *judge) record(f func(r *oracle.Book)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.records)
 }
 
+// addViolation adds a violation that the records do not cover.
 func (c *judge) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// settled returns once a stand has booked the end of each of a request's attempts. What the node gave up, or saw break, may be on
-// its way to the stand's notice; an attempt that stays open is left to the books.
+// waitForEnds returns once a web server has recorded the end of each attempt of a request. What the node gave up, or
+// saw break, may still be on its way to the web server; an attempt that stays open is left to the records.
 func (c *judge) waitForEnds(id string) {
 	for end := time.Now().Add(c.maxWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
@@ -78,7 +85,7 @@
 	}
 }
 
-// sent books an attempt that a stand has got, and returns its number.
+// sent records an attempt that a web server has received, and returns its index.
 func (c *judge) sent(at time.Duration, id string, s *stagedServer) int {
 	c.waitForEnds(id)
 	c.mu.Lock()
@@ -93,38 +100,39 @@
 	return c.sends[id] - 1
 }
 
+// ended records the end of an attempt.
 func (c *judge) ended(id string, index int, what string, neverRan bool) {
-	c.record(func(b *oracle.Book) {
+	c.record(func(r *oracle.Book) {
 		c.open[id]--
-		b.Ended(c.now(), 0, id, index, what, neverRan, false)
+		r.Ended(c.now(), 0, id, index, what, neverRan, false)
 	})
 }
 
-// final books what a client was told, and holds it against what the stands make and what a refusal owes.
+// final records the final response to a client, and checks its body and its Retry-After.
 func (c *judge) final(id string, resp *http.Response, body []byte) {
-	if resp.StatusCode != 200 { // one that is served was booked before its answer went out
+	if resp.StatusCode != 200 { // one that is served was recorded before its response was sent
 		c.waitForEnds(id)
 	}
 	switch {
 	case resp.StatusCode == 200 && !bytes.Equal(body, bodyFor(id, len(body) > 1000)):
-		c.addViolation("%s is served with %d bytes that no web server made for it", id, len(body))
+		c.addViolation("%s received %d bytes that no web server made for it", id, len(body))
 		fallthrough
 	case resp.StatusCode == 200:
-		c.record(func(b *oracle.Book) { b.Served(c.now(), 0, id) })
+		c.record(func(r *oracle.Book) { r.Served(c.now(), 0, id) })
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
 		if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || after <= 0 || after > 2 {
-			c.addViolation("%s is refused with Retry-After %q, want it over 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
+			c.addViolation("%s is refused with Retry-After %q, want more than 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
 		}
-		c.record(func(b *oracle.Book) { b.Refused(c.now(), 0, id) })
+		c.record(func(r *oracle.Book) { r.Refused(c.now(), 0, id) })
 	default:
 		if after := resp.Header.Get("Retry-After"); after != "" {
-			c.addViolation("%s has failed, and is told to come back after %s", id, after)
+			c.addViolation("%s has failed, and its response has Retry-After %s", id, after)
 		}
-		c.record(func(b *oracle.Book) { b.Failed(c.now(), 0, id) })
+		c.record(func(r *oracle.Book) { r.Failed(c.now(), 0, id) })
 	}
 }
 
-// verdict is all that was broken, once everything is over.
+// findings returns all violations, once everything has ended.
 func (c *judge) findings() []string {
 	c.mu.Lock()
 	sent := slices.Collect(maps.Keys(c.sends))
@@ -136,13 +144,13 @@
 	defer c.mu.Unlock()
 	c.records.Close(c.now(), nil)
 	out := append([]string(nil), c.violations...)
-	for _, b := range c.records.Breaches() {
-		out = append(out, b.String())
+	for _, r := range c.records.Breaches() {
+		out = append(out, r.String())
 	}
 	return out
 }
 
-// madeFor is the body that a stand makes for a request.
+// bodyFor returns the body that a web server makes for a request.
 func bodyFor(id string, large bool) []byte {
 	if large {
 		return bytes.Repeat([]byte(id+" "), (200<<10)/(len(id)+1))
@@ -150,18 +158,18 @@
 	return []byte("made for " + id)
 }
 
-// temper is what a stand does with a request that it has got.
+// behavior is what a stagedServer does with a request that it has received.
 type behavior int32
 
 const (
 	behaveNormally  behavior = iota
-	staySilent               // says nothing, and notices when the node gives up
-	resetConnection          // ends the connection with a reset
-	sendMalformed            // answers what is no answer
-	sendBadReport            // serves, with a report that can't be read
+	staySilent               // never responds, and notices when the node gives up
+	resetConnection          // resets the connection
+	sendMalformed            // sends a malformed response
+	sendBadReport            // serves, with a malformed load report
 )
 
-// stand is a web server whose requests stop at the cell's stage until the cell lets them go on.
+// stagedServer is a web server whose requests stop at the trial's stage until the trial releases them.
 type stagedServer struct {
 	id       string
 	number   uint32
@@ -175,10 +183,12 @@
 	conns map[net.Conn]struct{}
 }
 
+// entry returns the server's entry in a server list.
 func (s *stagedServer) entry(state string) listed {
 	return listed{ID: s.id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: state}
 }
 
+// accept serves connections until the listener is closed.
 func (s *stagedServer) accept() {
 	for {
 		c, err := s.ln.Accept()
@@ -192,7 +202,7 @@
 	}
 }
 
-// restart is what a process's end does: its connections are reset.
+// resetConnections resets all connections, as the end of a process does.
 func (s *stagedServer) resetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,12 +212,14 @@
 	}
 }
 
+// close stops the server.
 func (s *stagedServer) close() {
 	s.ln.Close()
 	s.resetConnections()
 	s.wg.Wait()
 }
 
+// serveConn serves the requests of one connection.
 func (s *stagedServer) serveConn(conn net.Conn) {
 	defer func() {
 		conn.Close()
@@ -226,20 +238,20 @@
 	}
 }
 
-// answer takes one request whose first byte has come, and tells whether the connection goes on.
+// serveRequest serves one request whose first byte has arrived, and reports whether the connection goes on.
 func (s *stagedServer) serveRequest(conn net.Conn, in *bufio.Reader, first time.Duration) bool {
 	r, err := http.ReadRequest(in)
 	if err != nil {
-		return false // a head that breaks off: nothing was sent that could run
+		return false // a truncated head: nothing was sent that could run
 	}
-	c, j, id := s.trial, s.trial.rules, r.Header.Get("X-Request-Id")
-	index := j.sent(first, id, s)
+	c, rules, id := s.trial, s.trial.rules, r.Header.Get("X-Request-Id")
+	index := rules.sent(first, id, s)
 	c.recordArrival(stageHalfWritten, id)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		j.ended(id, index, "broke off before its last byte", true)
+		rules.ended(id, index, "truncated before its last byte", true)
 		return false
 	}
-	gone := make(chan struct{}) // closed when the node closes, or something more comes
+	gone := make(chan struct{}) // closed when the node closes the connection
 	looked := make(chan struct{})
 	go func() {
 		defer close(looked)
@@ -259,7 +271,7 @@
 		return true
 	}
 	if !hold(stageWaiting) || !hold(stageSecondAttempt) {
-		j.ended(id, index, "given up", false)
+		rules.ended(id, index, "given up", false)
 		return false
 	}
 	large := c.stage == stageStreaming && strings.HasPrefix(id, "r")
@@ -267,7 +279,7 @@
 	if large {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
 		if !hold(stageStreaming) {
-			j.ended(id, index, "given up", false)
+			rules.ended(id, index, "given up", false)
 			return false
 		}
 	}
@@ -277,21 +289,21 @@
 		case <-gone:
 		case <-c.finished:
 		}
-		j.ended(id, index, "never answered", false)
+		rules.ended(id, index, "never responded to", false)
 		return false
 	case resetConnection:
-		j.ended(id, index, "reset", false)
+		rules.ended(id, index, "reset", false)
 		conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case sendMalformed:
-		j.ended(id, index, "spoilt", false)
+		rules.ended(id, index, "malformed", false)
 		io.WriteString(conn, "HTP/9 \x00 noise\r\n\r\n")
 		<-looked
 		return false
 	case sendBadReport:
 		headers = "X-Load: {\"queue\": \"many\"}\r\n"
 	}
-	j.ended(id, index, "answered", false)
+	rules.ended(id, index, "answered", false)
 	if large {
 		if _, err := conn.Write(body[len(body)/2:]); err != nil {
 			return false
@@ -308,7 +320,8 @@
 	}
 }
 
-// via is how the node reaches a stand: the cell holds it before it connects, and again before the node learns that it has.
+// dial connects to the server for the node. The trial may hold it before it connects, and again before the node learns
+// that it has connected.
 func (s *stagedServer) dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	c := s.trial
 	wait := func(here stage) error {
@@ -323,7 +336,7 @@
 		return nil
 	}
 	if c.stage == stageSecondAttempt && c.dials.Add(1)%2 == 1 && c.reached(stageSecondAttempt) < len(c.requests()) {
-		return nil, back.ErrSockets // the first attempt is never sent, which is held against nobody
+		return nil, back.ErrSockets // the first attempt is never sent, which is held against no server
 	}
 	if err := wait(stageSelected); err != nil {
 		return nil, err
@@ -340,91 +353,91 @@
 	return conn, nil
 }
 
-// The check that ends each cell can fail: a breach of each rule, made by hand on the same stands, is found.
+// Guards against a check that cannot fail: a violation of each rule, caused directly at the same servers, is found.
 func TestRuleCheckerFindsBreaches(t *testing.T) {
 	t.Parallel()
-	for _, p := range []struct {
+	for _, test := range []struct {
 		name, want string
-		play       func(c *trial, a, b *stagedServer)
+		play       func(c *trial, serverA, serverB *stagedServer)
 	}{
-		{"nothing wrong", "", func(c *trial, a, b *stagedServer) {
+		{"no violation", "", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
-			c.rules.final("x", sendDirect(c, a, "x"), bodyFor("x", false))
+			c.rules.final("x", sendDirect(c, serverA, "x"), bodyFor("x", false))
 		}},
-		{"two final answers", "one final answer", func(c *trial, a, b *stagedServer) {
+		{"two final answers", "one final answer", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
-			resp := sendDirect(c, a, "x")
+			resp := sendDirect(c, serverA, "x")
 			c.rules.final("x", resp, bodyFor("x", false))
 			c.rules.final("x", resp, bodyFor("x", false))
 		}},
-		{"no final answer", "one final answer", func(c *trial, a, b *stagedServer) {
+		{"no final answer", "one final answer", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
-			sendDirect(c, a, "x")
+			sendDirect(c, serverA, "x")
 			c.rules.record(func(k *oracle.Book) { k.Overdue(c.rules.now(), 0, "x") })
 		}},
-		{"an unsafe request twice", "repeat rule", func(c *trial, a, b *stagedServer) {
+		{"an unsafe request twice", "repeat rule", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 2)
-			a.behavior.Store(int32(resetConnection))
-			sendDirect(c, a, "x")
-			c.rules.final("x", sendDirect(c, b, "x"), bodyFor("x", false))
+			serverA.behavior.Store(int32(resetConnection))
+			sendDirect(c, serverA, "x")
+			c.rules.final("x", sendDirect(c, serverB, "x"), bodyFor("x", false))
 		}},
-		{"two attempts in flight", "one attempt in flight", func(c *trial, a, b *stagedServer) {
-			c.rules.maxWait = time.Second // the first one stays open
+		{"two attempts in flight", "one attempt in flight", func(c *trial, serverA, serverB *stagedServer) {
+			c.rules.maxWait = time.Second // the first attempt stays open
 			c.recordAccepted("x", 0)
-			a.behavior.Store(int32(staySilent))
-			go sendDirect(c, a, "x")
+			serverA.behavior.Store(int32(staySilent))
+			go sendDirect(c, serverA, "x")
 			wait(c.t, "the first attempt", func() bool { return c.reached(stageHalfWritten) > 0 })
-			c.rules.final("x", sendDirect(c, b, "x"), bodyFor("x", false))
+			c.rules.final("x", sendDirect(c, serverB, "x"), bodyFor("x", false))
 			close(c.finished)
-			wait(c.t, "the end of the first", func() bool {
+			wait(c.t, "the end of the first attempt", func() bool {
 				c.rules.mu.Lock()
 				defer c.rules.mu.Unlock()
 				return c.rules.open["x"] == 0
 			})
 		}},
-		{"sent to a server that drains", "drains kept", func(c *trial, a, b *stagedServer) {
+		{"sent to a draining server", "drains kept", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
-			c.rules.record(func(k *oracle.Book) { k.Told(c.rules.now(), 0, a.number, true, 0) })
+			c.rules.record(func(k *oracle.Book) { k.Told(c.rules.now(), 0, serverA.number, true, 0) })
 			time.Sleep(trialGrace)
-			c.rules.final("x", sendDirect(c, a, "x"), bodyFor("x", false))
+			c.rules.final("x", sendDirect(c, serverA, "x"), bodyFor("x", false))
 		}},
-		{"a cold server pushed over", "cold budget", func(c *trial, a, b *stagedServer) {
-			a.cold.Store(true)
+		{"a cold server overloaded", "cold budget", func(c *trial, serverA, serverB *stagedServer) {
+			serverA.cold.Store(true)
 			c.rules.record(func(k *oracle.Book) {
-				k.Started(time.Nanosecond, a.number)
-				k.Told(c.rules.now(), 0, a.number, false, time.Nanosecond)
-				for i := range 60 { // at one instant: no machine is too slow for it
+				k.Started(time.Nanosecond, serverA.number)
+				k.Told(c.rules.now(), 0, serverA.number, false, time.Nanosecond)
+				for i := range 60 { // all at one instant, so that no machine is too slow for it
 					id := fmt.Sprint("x", i)
 					k.Taken(time.Second, 0, id, 0, time.Minute)
-					k.Sent(time.Second, 0, id, a.number, coldWork, coldRate)
+					k.Sent(time.Second, 0, id, serverA.number, coldWork, coldRate)
 					k.Ended(time.Second, 0, id, 0, "OK", false, true)
 				}
 			})
 		}},
-		{"a request left over", "nothing leaked", func(c *trial, a, b *stagedServer) { c.recordAccepted("x", 0) }},
-		{"an answer nobody made", "no web server made", func(c *trial, a, b *stagedServer) {
+		{"a request that never ends", "nothing leaked", func(c *trial, serverA, serverB *stagedServer) { c.recordAccepted("x", 0) }},
+		{"a response that no server made", "no web server made", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
-			c.rules.final("x", sendDirect(c, a, "x"), []byte("made up"))
+			c.rules.final("x", sendDirect(c, serverA, "x"), []byte("made up"))
 		}},
-		{"a refusal that says nothing", "Retry-After", func(c *trial, a, b *stagedServer) {
+		{"a refusal without Retry-After", "Retry-After", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
 			c.rules.final("x", &http.Response{StatusCode: 503, Header: http.Header{}}, nil)
 		}},
 	} {
-		t.Run(p.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			c := newTrial(t, stageBeforeRead)
-			a, b := c.newServer("s-1"), c.newServer("s-2")
-			p.play(c, a, b)
+			serverA, serverB := c.newServer("s-1"), c.newServer("s-2")
+			test.play(c, serverA, serverB)
 			found := strings.Join(c.rules.findings(), "\n")
-			if (p.want == "") != (found == "") || !strings.Contains(found, p.want) {
-				t.Errorf("found %q, want %q", found, p.want)
+			if (test.want == "") != (found == "") || !strings.Contains(found, test.want) {
+				t.Errorf("violations found: %q, want %q", found, test.want)
 			}
 		})
 	}
 }
 
-// plant sends a request to a stand as a node would, and returns what comes back, if anything does.
+// sendDirect sends a request to a server as a node would, and returns the response, or nil.
 func sendDirect(c *trial, s *stagedServer, id string) *http.Response {
 	conn, err := net.Dial("tcp", s.ln.Addr().String())
 	if err != nil {
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -10,26 +10,27 @@
 	"time"
 )
 
-// readyIn is how soon nine in ten restarted processes are to be ready.
+// readyWithin is the time within which nine in ten restarted processes are to be ready.
 const readyWithin = 10 * time.Second
 
-// A process that starts without any list and with its discovery down for 8 s, or where calls are refused at once or behind a stand
-// in line, has its list within 10 s nine times in ten: by the schedule that the real rhythm and policy choose, in virtual time.
+// Guards against slow starts without a server list. With discovery down for 8 s, or with calls that are refused at once
+// or after waiting in its queue, a process has its list within 10 s nine times in ten. The real polling schedule and
+// policy choose the calls, in virtual time.
 func TestListWithinTenSecondsOfStart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
 		down   time.Duration
-		refuse int           // so many calls,
-		behind time.Duration // so long in line
+		refuse int           // number of calls that are refused
+		behind time.Duration // time in discovery's queue before the reply
 	}{
 		{name: "discovery down for 8 s", down: 8 * time.Second},
 		{name: "five refusals at once", refuse: 5, behind: ms(1)},
-		{name: "two refusals behind 2.4 s in line", refuse: 2, behind: ms(2400)},
-		{name: "discovery down for 8 s, then 0.5 s in line", down: 8 * time.Second, behind: ms(500)},
+		{name: "two refusals after 2.4 s in the queue", refuse: 2, behind: ms(2400)},
+		{name: "discovery down for 8 s, then 0.5 s in the queue", down: 8 * time.Second, behind: ms(500)},
 	} {
-		took := make([]time.Duration, 1000)
-		for seed := range took {
+		delays := make([]time.Duration, 1000)
+		for seed := range delays {
 			s := site{all: ms(20), stand: ms(2400), grace: ms(500)}
 			s.script = func(h *hub, a *ask, nth int) bool {
 				switch {
@@ -43,21 +44,22 @@
 				return true
 			}
 			d := day{length: 40 * time.Second, down: span{0, c.down}, changes: []time.Duration{1}}
-			took[seed] = play(s, d, 1, uint64(seed), paced).nodes[0].heard
-			if took[seed] < 0 {
-				t.Fatalf("%s, seed %d: no list", c.name, seed)
+			delays[seed] = play(s, d, 1, uint64(seed), paced).nodes[0].heard
+			if delays[seed] < 0 {
+				t.Fatalf("%s, seed %d: the node never got a list", c.name, seed)
 			}
 		}
-		slices.Sort(took)
-		t.Logf("%s: a list behind %v at the median, %v at nine in ten, %v at worst", c.name, took[500], took[900], took[999])
-		if took[900] > readyWithin {
-			t.Errorf("%s: nine in ten have a list only behind %v", c.name, took[900])
+		slices.Sort(delays)
+		t.Logf("%s: list after %v at the median, %v at the 90th percentile, %v at most", c.name, delays[500], delays[900], delays[999])
+		if delays[900] > readyWithin {
+			t.Errorf("%s: the 90th percentile of the time to a list is %v, want at most 10 s", c.name, delays[900])
 		}
 	}
 }
 
-// Seven in ten of 300 nodes are restarted at once without a list, where discovery has too many callers: how soon they have one is
-// what discovery can do, and none is refused again and again while others are heard. A node that knows a list is ready before.
+// Guards against nodes that are starved while discovery has too many callers. Seven in ten of 300 nodes restart at once
+// without a list: how soon they have one depends on what discovery can serve, and no node is refused again and again
+// while others are served. A node that already knows a list is ready before.
 func TestFleetStartWithOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, all := range []time.Duration{ms(5200), ms(7900)} {
@@ -66,33 +68,33 @@
 				s := site{all: all * 210 / fleet, stand: time.Second, callers: 60, free: true, grace: ms(500)}
 				d := day{length: 40 * time.Second, start: ms(200), down: span{0, down}, changes: []time.Duration{1}}
 				h := play(s, d, 210, seed, paced)
-				took := make([]time.Duration, 0, len(h.nodes))
+				delays := make([]time.Duration, 0, len(h.nodes))
 				for _, n := range h.nodes {
 					if n.heard < 0 {
-						t.Fatal("a node got no list")
+						t.Fatal("a node never got a list")
 					}
-					took = append(took, n.heard)
+					delays = append(delays, n.heard)
 				}
-				slices.Sort(took)
-				if most := down + all*210/fleet + 4*time.Second; took[len(took)-1] > most || h.inRow > 10 {
-					t.Errorf("all heard in %v, down for %v, seed %d: the last list came at %v, want it within %v; %d refusals in a row", all, down, seed,
-						took[len(took)-1], most, h.inRow)
+				slices.Sort(delays)
+				if maxDelay := down + all*210/fleet + 4*time.Second; delays[len(delays)-1] > maxDelay || h.inRow > 10 {
+					t.Errorf("discovery needs %v for all nodes, down for %v, seed %d: the last list arrived at %v, want it within %v; %d refusals in a row, want at most 10", all, down, seed,
+						delays[len(delays)-1], maxDelay, h.inRow)
 				}
-				in := 0
-				for in < len(took) && took[in] <= readyWithin {
-					in++
+				prompt := 0
+				for prompt < len(delays) && delays[prompt] <= readyWithin {
+					prompt++
 				}
-				if down == 0 && in < len(took)*9/10 {
-					t.Errorf("all heard in %v, seed %d: %d of %d have a list within %v", all, seed, in, len(took), readyWithin)
+				if down == 0 && prompt < len(delays)*9/10 {
+					t.Errorf("discovery needs %v for all nodes, seed %d: %d of %d nodes have a list within %v, want nine in ten", all, seed, prompt, len(delays), readyWithin)
 				}
-				t.Logf("all heard in %v, down for %v, seed %d: %d of %d have a list within %v, nine in ten behind %v, all behind %v; %v",
-					all, down, seed, in, len(took), readyWithin, took[len(took)*9/10], took[len(took)-1], h.figures)
+				t.Logf("discovery needs %v for all nodes, down for %v, seed %d: %d of %d nodes have a list within %v, nine in ten after %v, all after %v; %v",
+					all, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], h.figures)
 			}
 		}
 	}
 }
 
-// thousands is a list of so many web servers.
+// manyServers returns a list of n web servers.
 func manyServers(n int) list {
 	l := list{Version: 2, Full: true}
 	for i := range n {
@@ -102,38 +104,40 @@
 	return l
 }
 
-// A node that has a list from before is ready at its start whatever becomes of discovery: nothing that it asks is answered here.
+// Guards against a start that waits for discovery although a list is known: the node is ready at once, while none of
+// its calls to discovery is answered with a list.
 func TestReadyWithKnownList(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"reset", "503", "silent"} {
-		t.Run(how, func(t *testing.T) {
+	for _, reaction := range []string{"reset", "503", "silent"} {
+		t.Run(reaction, func(t *testing.T) {
 			t.Parallel()
-			m := newMute(t, func(c net.Conn, _ int64, _ string) bool {
-				switch how {
+			silentDiscovery := newMute(t, func(c net.Conn, _ int64, _ string) bool {
+				switch reaction {
 				case "503":
 					io.WriteString(c, refusal)
 				case "reset":
 					c.Close()
 				}
-				return how == "503"
+				return reaction == "503"
 			})
 			began := time.Now()
-			node := newRig(t, &registry{addr: m.addr}, asked, nil, manyServers(6600).Servers...)
+			node := newRig(t, &registry{addr: silentDiscovery.addr}, asked, nil, manyServers(6600).Servers...)
 			if s := readyStatus(t, node); s != 200 {
-				t.Errorf("ready: %d with 6,600 servers known", s)
+				t.Errorf("GET /ready at the start with 6,600 web servers known: status %d, want 200", s)
 			}
-			t.Logf("started with 6,600 servers known and ready behind %v", time.Since(began))
+			t.Logf("started with 6,600 web servers known, ready after %v", time.Since(began))
 		})
 	}
 }
 
-// A node without a list is ready once it has one, though it was refused before: of 6,600 web servers here, all of which it takes in.
+// Guards against a start without a list that stalls after refusals: once discovery sends its list of 6,600 web servers,
+// the node has all of them and is ready.
 func TestReadyAfterDiscoveryRefusals(t *testing.T) {
 	t.Parallel()
 	const servers = 6600
 	text := listText(manyServers(servers))
 	var written time.Time
-	m := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+	refusingDiscovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
 		switch {
 		case nth <= 5:
 			io.WriteString(c, refusal)
@@ -145,20 +149,20 @@
 		}
 		return true
 	})
-	node := newRig(t, &registry{addr: m.addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} })
+	node := newRig(t, &registry{addr: refusingDiscovery.addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} })
 	if s := readyStatus(t, node); s != 503 {
-		t.Errorf("ready without a list: %d", s)
+		t.Errorf("GET /ready without a list: status %d, want 503", s)
 	}
-	wait(t, "readiness", func() bool { return readyStatus(t, node) == 200 })
-	t.Logf("%d servers, %d bytes, indented: ready behind %v", servers, len(text), time.Since(written))
+	wait(t, "GET /ready to return 200", func() bool { return readyStatus(t, node) == 200 })
+	t.Logf("%d web servers in %d bytes of indented JSON: ready after %v", servers, len(text), time.Since(written))
 	node.core.Lock()
 	defer node.core.Unlock()
 	if len(node.names) != servers || len(node.backends) != servers || node.version != 2 {
-		t.Errorf("%d names, %d backends, version %d", len(node.names), len(node.backends), node.version)
+		t.Errorf("%d web servers by id, %d by number, list version %d; want 6,600, 6,600 and 2", len(node.names), len(node.backends), node.version)
 	}
 	for _, b := range node.names {
 		if b.Stop.Load() != 0 || !strings.HasPrefix(b.Addr, "10.") {
-			t.Fatalf("%s at %s, stopped at %d", b.ID, b.Addr, b.Stop.Load())
+			t.Fatalf("web server %s at %s, draining since %d; want an address in 10.0.0.0/8 and no drain", b.ID, b.Addr, b.Stop.Load())
 		}
 	}
 }
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -23,15 +23,16 @@
 	"portstall/internal/wire"
 )
 
-// TestMain lets more tests than cores run side by side, as they mostly wait.
+// TestMain lets more tests than cores run in parallel, as they mostly wait.
 func TestMain(m *testing.M) {
 	flag.Set("test.parallel", "12")
 	os.Exit(m.Run())
 }
 
-// patience is how long a test waits for what must come: far longer than it takes on a busy machine.
+// testTimeout is how long a test waits for what must happen: far longer than it takes on a busy machine.
 const patience = 20 * time.Second
 
+// settingsJSON are settings with one class of each effect.
 const settingsJSON = `{"balancers":1,"zone":"north","discovery":"push","grades":[
  {"name":"view","aim_s":30,"deadline_s":60,"gain":1,"effect":"free","group":"all"},
  {"name":"save","aim_s":30,"deadline_s":60,"gain":10,"effect":"guarded","group":"zone","repeat_window_s":30},
@@ -41,19 +42,21 @@
  "report":{"how":"piggyback","names":["concurrent","depth"]},
  "invariants":{"drain_grace_s":2,"cold_s":8,"cold_share":0.3,"fall_s":1.5,"overload_factor":4,"must_ask_in_s":10}}`
 
-// box is a backend whose behaviour a test decides. It records each request whose last byte has come.
+// stubServer is a web server whose responses a test decides. It records each request whose last byte has arrived.
 type box struct {
-	ln      net.Listener
-	respond func(c net.Conn, r *http.Request, nth int) bool // false: close the connection
+	ln net.Listener
+	// Writes the response to the nth request; false closes the connection.
+	respond func(c net.Conn, r *http.Request, nth int) bool
 
-	closed atomic.Int64 // connections that it closed
+	closed atomic.Int64 // connections that the server closed
 
 	mu           sync.Mutex
 	got          []*http.Request
 	conns        []net.Conn
-	closedByNode chan struct{} // one for each connection that the node closed
+	closedByNode chan struct{} // one value for each connection that the node closed
 }
 
+// newStubServer starts a web server that responds by the given function.
 func newBox(t testing.TB, answer func(c net.Conn, r *http.Request, nth int) bool) *box {
 	t.Helper()
 	ln, err := standin.Listen()
@@ -87,21 +90,23 @@
 			c.Close()
 		}
 		s.mu.Unlock()
-		over := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
 			wg.Wait()
-			close(over)
+			close(done)
 		}()
-		// One that waits for its test, which has failed before it let go, must not keep the failure back.
+		// A handler that waits for its test, which has failed before it released the handler, must not hide the
+		// failure.
 		select {
-		case <-over:
+		case <-done:
 		case <-time.After(patience):
-			t.Error("a web server still waits for its test")
+			t.Error("a handler of a stub server still waits for its test")
 		}
 	})
 	return s
 }
 
+// serveConn serves the requests of one connection.
 func (s *box) serveConn(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -129,34 +134,39 @@
 	}
 }
 
+// requests returns the requests received so far.
 func (s *box) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*http.Request(nil), s.got...)
 }
 
+// connections returns the number of connections accepted so far.
 func (s *box) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
+// entry returns the server's entry in a server list, as ready.
 func (s *box) entry(id string) listed {
 	return listed{ID: id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
-// reply writes an answer; headers are lines that end in \r\n.
+// writeResponse writes a response; headers are lines that end in \r\n.
 func reply(c net.Conn, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers,
 		len(body), body)
 	return err == nil
 }
 
+// respondOK responds to any request with 200 and a body made from its id.
 func served(c net.Conn, r *http.Request, _ int) bool {
 	return reply(c, 200, "", "done "+r.Header.Get("X-Request-Id"))
 }
 
-// newSlowBox is a backend that serves all at once but the request "slow", which waits until hold is closed.
+// newSlowServer returns a web server that responds to everything at once except the request "slow", which waits until
+// hold is closed.
 func newSlowBox(t testing.TB, hold <-chan bool) *box {
 	t.Helper()
 	return newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
@@ -167,20 +177,22 @@
 	})
 }
 
-// registry is a discovery whose lists a test hands out one by one.
+// stubDiscovery is a discovery whose responses a test supplies one by one.
 type registry struct {
 	addr      string
 	mu        sync.Mutex
 	urls      []string
 	next      chan registryAnswer
-	abandoned chan struct{} // one for each call that the node gave up
+	abandoned chan struct{} // one value for each call that the node gave up
 }
 
+// discoveryResponse is one response of a stubDiscovery.
 type registryAnswer struct {
 	status int
 	list   list
 }
 
+// newStubDiscovery starts a discovery that holds each call until a test supplies its response.
 func newRegistry(t testing.TB) *registry {
 	t.Helper()
 	ln, err := standin.Listen()
@@ -188,14 +200,14 @@
 		t.Fatal(err)
 	}
 	d := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), abandoned: make(chan struct{}, 100)}
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.urls = append(d.urls, r.URL.String())
 		d.mu.Unlock()
 		select {
-		case a := <-d.next:
-			w.WriteHeader(a.status)
-			json.NewEncoder(w).Encode(a.list)
+		case response := <-d.next:
+			w.WriteHeader(response.status)
+			json.NewEncoder(w).Encode(response.list)
 		case <-r.Context().Done():
 			d.abandoned <- struct{}{}
 		}
@@ -203,45 +215,47 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		srv.Serve(ln)
+		server.Serve(ln)
 	}()
 	t.Cleanup(func() {
-		srv.Close()
+		server.Close()
 		<-done
 	})
 	return d
 }
 
-// leaves waits until the node has given up a call that was open.
+// waitAbandoned waits until the node has given up an open call.
 func (d *registry) leaves(t testing.TB) {
 	t.Helper()
 	select {
 	case <-d.abandoned:
 	case <-time.After(patience):
-		t.Fatal("no call to discovery was given up")
+		t.Fatal("the node did not give up its call to discovery")
 	}
 }
 
+// calls returns the URLs of all calls so far.
 func (d *registry) calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.urls...)
 }
 
-// rig is a node that serves on loopback.
+// testNode is a node that serves on loopback.
 type rig struct {
 	*node
 	addr   string
-	leave  context.CancelFunc // what SIGTERM does
+	leave  context.CancelFunc // does what SIGTERM does
 	exited chan error
 }
 
+// newTestNode starts a node. Its limits on waiting are those of withTestTimeouts unless change sets others.
 func newRig(t testing.TB, discoveryStub *registry, settings string, change func(*Config), known ...listed) *rig {
 	t.Helper()
 	return newHeir(t, nil, discoveryStub, settings, change, known...)
 }
 
-// newHeir is a node that takes over from another one.
+// newSuccessorNode starts a node that takes over with the state of another one.
 func newHeir(t testing.TB, old *estate, discoveryStub *registry, settings string, change func(*Config), known ...listed) *rig {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
@@ -268,25 +282,26 @@
 		select {
 		case <-result.exited:
 		case <-time.After(patience):
-			t.Error("the node did not end")
+			t.Error("the node did not stop after SIGTERM")
 		}
 		stopped := make(chan struct{})
 		go func() {
 			stop()
 			close(stopped)
 		}()
-		receive(t, "the end of what the node has under way", stopped)
+		receive(t, "the end of the node's background work", stopped)
 	})
 	return result
 }
 
-// meeting is a predecessor's estate, and where the processes of its node meet.
+// handoverOffer is a predecessor's state, and the path of the socket where the processes of its node meet.
 type handoverOffer struct {
 	*estate
 	path string
 }
 
-// meetAt makes a place for processes of one node to meet. Its path is short, as a socket's must be.
+// newSocketPath returns a path for the socket where processes of one node meet. It is short, as a socket's path must
+// be.
 func meetAt(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "ps")
@@ -297,7 +312,7 @@
 	return filepath.Join(dir, "s")
 }
 
-// meet is what a successor does first: it asks for the state, and is one node with r from then on.
+// requestHandover does what a successor does first: it asks for the state, and is one node with n from then on.
 func (n *rig) meet(t testing.TB) handoverOffer {
 	t.Helper()
 	path := socketPath(n.cfg)
@@ -315,69 +330,74 @@
 		}
 		n.pair.Lock()
 		n.pair.mu.Unlock()
-		go n.retryHandover() // as takeOver has it: a token that is let go a moment behind the notice of its holder's end is had later
+		go n.retryHandover() // as acquireClients does: a token that is released shortly after the notice of its holder's end is acquired by a later try
 	}
-	wait(t, "the predecessor", func() bool { return n.Ready() == nil })
-	est, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
-	if est == nil {
-		t.Fatal("nothing is handed over")
+	wait(t, "the predecessor to be ready", func() bool { return n.Ready() == nil })
+	old, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
+	if old == nil {
+		t.Fatal("no process hands over its state")
 	}
-	return handoverOffer{est, path}
+	return handoverOffer{old, path}
 }
 
-// succeed starts the node that takes over from whom the state is of, and returns once it serves.
-func startSuccessor(t testing.TB, m handoverOffer, discoveryStub *registry, settings string) *rig {
+// startSuccessor starts the node that takes over with the given state, and returns once it serves.
+func startSuccessor(t testing.TB, offer handoverOffer, discoveryStub *registry, settings string) *rig {
 	t.Helper()
-	node := newHeir(t, m.estate, discoveryStub, settings, func(c *Config) {
+	node := newHeir(t, offer.estate, discoveryStub, settings, func(c *Config) {
 		unhurried(c)
-		c.meet = m.path
+		c.meet = offer.path
 	})
-	wait(t, "the successor", func() bool { return node.Ready() == nil })
+	wait(t, "the successor to be ready", func() bool { return node.Ready() == nil })
 	return node
 }
 
-// unhurried gives a node's clients, servers and other processes as much time as a test has. It is what newRig gives where a test does not
-// say otherwise; those that hang on it name it.
+// withTestTimeouts gives a node's clients, servers and other processes as much time as a test has. newTestNode does so
+// where a test sets nothing else; tests that depend on it name it.
 func unhurried(c *Config) { c.slack = patience }
 
-// hurried takes that back: for tests of the product's own limits.
+// withProductTimeouts keeps the product's own limits, for tests of those limits.
 func hurried(c *Config) { c.slack = 0 }
 
-// longWatch lets a call to discovery wait for as long as a test does, however short the product's own limit is: for tests that count calls.
+// longPollLimits lets a call to discovery wait as long as a test does, however short the product's own limit is: for
+// tests that count calls.
 func longWatch(wait, _ time.Duration) (time.Duration, time.Duration) { return wait, patience }
 
+// testRequest is a request of a client. The fields are the values of its headers, and its body.
 type call struct {
 	method, class, id, key, body, deadline string
 }
 
+// text returns the request as it is sent.
 func (c call) text() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", c.method)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", c.method)
 	for _, h := range []struct{ name, value string }{{"X-Request-Id", c.id}, {"X-Class", c.class}, {"X-Deadline", c.deadline},
 		{"Idempotency-Key", c.key}} {
 		if h.value != "" {
-			fmt.Fprintf(&b, "%s: %s\r\n", h.name, h.value)
+			fmt.Fprintf(&text, "%s: %s\r\n", h.name, h.value)
 		}
 	}
 	if c.method != "GET" {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(c.body))
+		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(c.body))
 	}
-	return b.String() + "\r\n" + c.body
+	return text.String() + "\r\n" + c.body
 }
 
+// view, save and quote return requests of the settings' classes: safe, keyed and unsafe.
 func view(id string) call { return call{"GET", "view", id, "", "", "50000m"} }
 func save(id string) call { return call{"POST", "save", id, "k-" + id, "a window", "50000m"} }
 func quote(id string) call {
 	return call{"POST", "quote", id, "", "a door", "50000m"}
 }
 
-// client is one connection to a node.
+// client is one client's connection to a node.
 type client struct {
 	t testing.TB
 	net.Conn
 	in *bufio.Reader
 }
 
+// dial opens a client's connection to the node.
 func (n *rig) dial(t testing.TB) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", n.addr)
@@ -389,7 +409,7 @@
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-// send and answer have a test's patience each, however long ago the connection was made.
+// send sends text. send and readResponse have testTimeout each, however long ago the connection was made.
 func (c *client) send(text string) {
 	c.t.Helper()
 	c.SetDeadline(time.Now().Add(patience))
@@ -398,44 +418,47 @@
 	}
 }
 
+// readResponse reads one response with its body.
 func (c *client) answer() (*http.Response, string) {
 	c.t.Helper()
 	c.SetDeadline(time.Now().Add(patience))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.t.Fatalf("a broken answer: %v", err)
+		c.t.Fatalf("the response's body broke off: %v", err)
 	}
 	return resp, string(body)
 }
 
+// roundTrip sends a request and reads its response.
 func (c *client) ask(q call) (*http.Response, string) {
 	c.t.Helper()
 	c.send(q.text())
 	return c.answer()
 }
 
-// receive is what comes on a channel, or its end; the test fails if that takes too long.
+// receive returns the next value of a channel, or the zero value if it is closed; the test fails if that takes too
+// long.
 func receive[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(patience):
-		t.Fatalf("%s: did not come", what)
+		t.Fatalf("%s: did not happen within the test's time-out", what)
 		panic("")
 	}
 }
 
-// wait returns once ok does, and fails the test if that takes too long.
+// waitFor returns once ok does, and fails the test if that takes too long.
 func wait(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: did not come", what)
+			t.Fatalf("%s: did not happen within the test's time-out", what)
 		}
 	}
 }
--- a/internal/node/tunnel_test.go
+++ b/internal/node/tunnel_test.go
@@ -18,7 +18,7 @@
 	"portstall/internal/message"
 )
 
-// free is an address on which nothing listens.
+// freeAddr returns an address on which nothing listens.
 func free(t testing.TB) string {
 	t.Helper()
 	addr, err := standin.FreeAddr()
@@ -28,7 +28,7 @@
 	return addr
 }
 
-// tunnelled is a node with both kinds of listeners; contracts follow the file's other parts.
+// newTunnelNode starts a node with both kinds of tunnel listeners; contracts is appended to its file.
 func newTunnelNode(t *testing.T, contracts string, known ...listed) (node *rig, socks, connect string) {
 	t.Helper()
 	digest := sha256.Sum256([]byte("secret"))
@@ -48,8 +48,9 @@
 	return node, socks, connect
 }
 
-// through asks for a tunnel and returns what the client is told, with the connection.
-func through(t *testing.T, addr, message string, answer int) (*client, string) {
+// openTunnel asks for a tunnel and returns the connection and the reply: with a replyLength so many bytes, without the
+// status of an HTTP response.
+func through(t *testing.T, addr, message string, replyLength int) (*client, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	must(t, err)
@@ -58,32 +59,34 @@
 	_, err = io.WriteString(c, message)
 	must(t, err)
 	in := bufio.NewReader(c)
-	if answer > 0 {
-		told := make([]byte, answer)
-		if _, err := io.ReadFull(in, told); err != nil {
-			t.Fatalf("no answer to the opening: %v, %q", err, told)
+	if replyLength > 0 {
+		reply := make([]byte, replyLength)
+		if _, err := io.ReadFull(in, reply); err != nil {
+			t.Fatalf("no complete reply to the opening: %v, %q", err, reply)
 		}
-		return &client{t, c, in}, string(told)
+		return &client{t, c, in}, string(reply)
 	}
 	resp, err := http.ReadResponse(in, &http.Request{Method: http.MethodConnect})
 	must(t, err)
 	return &client{t, c, in}, resp.Status[:3]
 }
 
+// socksOpening returns what a SOCKS5 client sends to open a tunnel.
 func socksOpening(password string) string {
 	host := "placement.example.org"
 	return "\x05\x01\x02\x01\x06centre" + string(rune(len(password))) + password + "\x05\x01\x00\x03" + string(rune(len(host))) + host + "\x00\x50"
 }
 
+// connectOpening returns the CONNECT request that opens a tunnel.
 func connectOpening(password string) string {
 	return "CONNECT placement.example.org:80 HTTP/1.1\r\nHost: placement.example.org:80\r\nProxy-Authorization: Basic " +
 		base64.StdEncoding.EncodeToString([]byte("centre:"+password)) + "\r\n\r\n"
 }
 
-const socksReplyLength = 2 + 2 + 10 // method, password, reply
+const socksReplyLength = 2 + 2 + 10 // bytes of method, password and connect replies
 
-// What comes through a tunnel goes the way of every request: one final answer each, contracts by the tunnel's user, refusals
-// at once, ids that are open refused. A client can't pass itself off as another user.
+// Guards against requests in a tunnel that are treated differently from others: each gets one final response, the
+// contract of the tunnel's user applies, and malformed ones are refused. A wrong password opens no tunnel.
 func TestTunnelledRequests(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
@@ -95,33 +98,34 @@
 		{"socks", socks, socksOpening("secret"), "\x05\x02\x01\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00", socksReplyLength},
 		{"connect", connect, connectOpening("secret"), "200", 0},
 	} {
-		c, told := through(t, k.addr, k.message, k.length)
-		if told != k.want {
-			t.Fatalf("%s: told %q", k.name, told)
+		c, reply := through(t, k.addr, k.message, k.length)
+		if reply != k.want {
+			t.Fatalf("%s: reply %q to the opening", k.name, reply)
 		}
 		for i := range 5 {
 			id := fmt.Sprint(k.name, i)
 			if resp, body := c.ask(view(id)); resp.StatusCode != 200 || body != "done "+id {
-				t.Errorf("%s: %d %q", id, resp.StatusCode, body)
+				t.Errorf("%s: status %d, body %q", id, resp.StatusCode, body)
 			}
 		}
 		if resp, body := c.ask(save(k.name + "-save")); resp.StatusCode != 200 || body != "done "+k.name+"-save" {
-			t.Errorf("%s: a body: %d %q", k.name, resp.StatusCode, body)
+			t.Errorf("%s: a request with a body: status %d, body %q", k.name, resp.StatusCode, body)
 		}
 		c.send("GET / HTTP/1.0\r\n\r\n")
 		if resp, _ := c.answer(); resp.StatusCode < 400 {
-			t.Errorf("%s: what is no request of ours is answered %d", k.name, resp.StatusCode)
+			t.Errorf("%s: a request in HTTP/1.0: status %d, want a refusal", k.name, resp.StatusCode)
 		}
 	}
 	if got := len(server.requests()); got != 12 {
-		t.Errorf("%d attempts, want one for each of the 12 requests", got)
+		t.Errorf("the web server received %d requests, want one for each of the 12", got)
 	}
-	if _, told := through(t, connect, connectOpening("guess"), 0); told != "407" {
-		t.Errorf("a wrong password: %s", told)
+	if _, reply := through(t, connect, connectOpening("guess"), 0); reply != "407" {
+		t.Errorf("CONNECT with a wrong password: status %s, want 407", reply)
 	}
 }
 
-// Outside a tunnel the user's header is not looked at, and inside one it is the tunnel's, whatever the request says.
+// Guards against clients that pass as another user: outside a tunnel the header Proxy-User is ignored, and inside one
+// it is that of the tunnel, whatever the request says.
 func TestTunnelUserCannotBeForged(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
@@ -129,18 +133,18 @@
 	plain := node.dial(t)
 	plain.send(with(view("p"), "Proxy-User: boss"))
 	if resp, _ := plain.answer(); resp.StatusCode != 403 {
-		t.Errorf("a plain client that says it is boss: %d", resp.StatusCode)
+		t.Errorf("a client without a tunnel that claims to be boss: status %d, want 403", resp.StatusCode)
 	}
 	c, _ := through(t, connect, connectOpening("secret"), 0)
 	c.ask(view("a"))
 	c.send(with(view("b"), "Proxy-User: boss"))
 	if resp, _ := c.answer(); resp.StatusCode != 429 || !strings.Contains(resp.Header.Get(message.RefusalHeader), `"centre"`) {
-		t.Errorf("a tunnelled client that says it is boss: %d %q", resp.StatusCode, resp.Header.Get(message.RefusalHeader))
+		t.Errorf("a client in a tunnel that claims to be boss: status %d, refusal %q; want 429 by the contract of centre", resp.StatusCode, resp.Header.Get(message.RefusalHeader))
 	}
 }
 
-// In a drain a tunnel that is asked for is refused in its protocol's words, one that stands gets the answer that is under way
-// and is then closed, and one that carries nothing is closed.
+// Guards against tunnels that hold up a drain or are cut off by it: a new tunnel is refused in its protocol's terms, an
+// open one gets the response that is due and is then closed, and one without a request is closed.
 func TestTunnelsDuringDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -150,35 +154,36 @@
 	idle.ask(view("first"))
 	busy, _ := through(t, connect, connectOpening("secret"), 0)
 	busy.send(view("slow").text())
-	wait(t, "the slow request", func() bool { return len(server.requests()) == 2 })
+	wait(t, "the slow request at the web server", func() bool { return len(server.requests()) == 2 })
 	must(t, node.Drain(context.Background()))
-	if _, told := through(t, connect, connectOpening("secret"), 0); told != "503" {
-		t.Errorf("CONNECT during a drain: %s", told)
+	if _, reply := through(t, connect, connectOpening("secret"), 0); reply != "503" {
+		t.Errorf("CONNECT during a drain: status %s, want 503", reply)
 	}
-	if _, told := through(t, socks, socksOpening("secret"), socksReplyLength); told[socksReplyLength-9] != 1 {
-		t.Errorf("SOCKS5 during a drain: %q", told)
+	if _, reply := through(t, socks, socksOpening("secret"), socksReplyLength); reply[socksReplyLength-9] != 1 {
+		t.Errorf("SOCKS5 during a drain: reply %q, want a general failure", reply)
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
-		t.Errorf("an idle tunnel during a drain: %v", err)
+		t.Errorf("an idle tunnel during a drain: %v, want it closed", err)
 	}
 	close(hold)
 	if resp, body := busy.answer(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
-		t.Errorf("the request under way: %d %q, close %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("the request that was open: status %d, body %q, close %v; want it served and a close", resp.StatusCode, body, resp.Close)
 	}
 	if _, err := busy.in.ReadByte(); err != io.EOF {
-		t.Errorf("its tunnel afterwards: %v", err)
+		t.Errorf("the tunnel of that request afterwards: %v, want it closed", err)
 	}
 	must(t, node.Resume(context.Background()))
-	again, told := through(t, connect, connectOpening("secret"), 0)
-	if told != "200" {
-		t.Fatalf("after the drain: %s", told)
+	again, reply := through(t, connect, connectOpening("secret"), 0)
+	if reply != "200" {
+		t.Fatalf("CONNECT after the drain: status %s, want 200", reply)
 	}
 	if resp, _ := again.ask(view("again")); resp.StatusCode != 200 {
-		t.Errorf("after the drain: %d", resp.StatusCode)
+		t.Errorf("a request after the drain: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// A successor opens its listeners where its predecessor still has the addresses, once that one gives them up.
+// Guards against a successor without tunnels: it opens its listeners at addresses that its predecessor still has, once
+// that one gives them up.
 func TestTunnelListenerWaitsForAddress(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
@@ -190,18 +195,18 @@
 	defer cancel()
 	must(t, node.tunnels(ctx, node.cfg.Product.Tunnels))
 	taken.Close()
-	wait(t, "the address", func() bool {
+	wait(t, "the listener at the address", func() bool {
 		c, err := net.Dial("tcp", taken.Addr().String())
 		if err == nil {
 			c.Close()
 		}
 		return err == nil
 	})
-	c, told := through(t, taken.Addr().String(), "CONNECT placement.example.org:80 HTTP/1.1\r\nHost: x\r\n\r\n", 0)
-	if told != "200" {
-		t.Fatalf("told %s", told)
+	c, reply := through(t, taken.Addr().String(), "CONNECT placement.example.org:80 HTTP/1.1\r\nHost: x\r\n\r\n", 0)
+	if reply != "200" {
+		t.Fatalf("CONNECT: status %s, want 200", reply)
 	}
 	if resp, _ := c.ask(view("r")); resp.StatusCode != 200 {
-		t.Errorf("%d", resp.StatusCode)
+		t.Errorf("a request in the tunnel: status %d, want 200", resp.StatusCode)
 	}
 }
