--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -16,7 +16,7 @@
 	"portstall/internal/message"
 )
 
-// pattern is a body of the given size in which no part looks like another.
+// distinctBody returns a body of the given size in which no part equals another.
 func distinctBody(size int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < size; i++ {
@@ -25,7 +25,7 @@
 	return b.String()[:size]
 }
 
-// chunked is text in chunks of unlike sizes, with an extension and a trailer.
+// chunked returns text in chunks of different sizes, with an extension and a trailer.
 func chunked(text string) string {
 	var b strings.Builder
 	for size := 1; text != ""; size = size*3%70001 + 1 {
@@ -36,20 +36,20 @@
 	return b.String() + "0\r\nX-Sum: 7\r\n\r\n"
 }
 
-// allBack waits until everything that bodies held is given back.
+// waitBudgetReleased waits until everything that bodies held of the budget is released.
 func waitBudgetReleased(t *testing.T, node *rig) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	size := node.cfg.bodyBytes()
 	if err := node.budget.Answer(ctx, size); err != nil {
-		t.Errorf("bytes of bodies are still held: %v", err)
+		t.Errorf("part of the body budget is still held: %v", err)
 		return
 	}
 	node.budget.AnswerDone(size)
 }
 
-// Bodies of every size pass unchanged both ways, however they are framed and cut.
+// Guards against bodies that are changed or cut on their way, of each size and framing, in both directions.
 func TestBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{0, 1, flow.Keep - 1, flow.Keep, flow.Keep + 1, 3 << 20} {
@@ -73,19 +73,19 @@
 	}
 }
 
-// passUnchanged sends text with its length told and in chunks, in pieces, and wants it at the backend and back.
-func checkPassesUnchanged(t *testing.T, text string, answer func(c net.Conn) bool, keeps bool) {
+// checkPassesUnchanged sends text with a length and in chunks, in pieces, and expects it at the web server and back.
+func checkPassesUnchanged(t *testing.T, text string, answer func(c net.Conn) bool, reuses bool) {
 	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if got, _ := io.ReadAll(r.Body); string(got) != text {
-			t.Errorf("the backend got %d other bytes", len(got))
+			t.Errorf("the web server received %d bytes that differ", len(got))
 		}
 		return answer(c)
 	})
 	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.MemoryMB, c.slack = 32, patience }, server.entry("s-1"))
 	c := node.dial(t)
-	told, untold := save("told"), save("untold")
-	told.body = text
-	for _, whole := range []string{told.text(), strings.Replace(untold.text(), "Content-Length: 8\r\n\r\n"+untold.body,
+	sized, streamed := save("sized"), save("streamed")
+	sized.body = text
+	for _, whole := range []string{sized.text(), strings.Replace(streamed.text(), "Content-Length: 8\r\n\r\n"+streamed.body,
 		"Transfer-Encoding: chunked\r\n\r\n"+chunked(text), 1)} {
 		go func() {
 			for rest := whole; len(rest) > 0; {
@@ -98,27 +98,28 @@
 			}
 		}()
 		if resp, body := c.answer(); resp.StatusCode != 200 || body != text || resp.Close {
-			t.Errorf("%d with %d bytes, close %v", resp.StatusCode, len(body), resp.Close)
+			t.Errorf("status %d with %d bytes, close %v; want 200 with the same body and no close", resp.StatusCode, len(body), resp.Close)
 		}
 	}
-	if n := server.connections(); keeps && n != 1 {
-		t.Errorf("%d connections, want the first kept", n)
+	if n := server.connections(); reuses && n != 1 {
+		t.Errorf("%d connections, want 1 that is reused", n)
 	}
 	waitBudgetReleased(t, node)
 }
 
-// What a backend has given of a large answer is passed on at once; where it then breaks off, the client can tell.
+// Guards against large responses that are held back or whose truncation is hidden: each part is passed on at once, and
+// where the web server breaks off, the client can tell.
 func TestLargeResponseIsStreamed(t *testing.T) {
 	t.Parallel()
-	part := distinctBody(100 << 10)
+	beginning := distinctBody(100 << 10)
 	for name, head := range map[string]string{
-		"a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(part)),
-		"chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(part)),
+		"a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(beginning)),
+		"chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(beginning)),
 	} {
-		goOn := make(chan struct{})
+		proceed := make(chan struct{})
 		server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
-			io.WriteString(c, head+part)
-			<-goOn
+			io.WriteString(c, head+beginning)
+			<-proceed
 			return false
 		})
 		node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
@@ -126,19 +127,19 @@
 		c.send(quote("q").text())
 		resp, err := http.ReadResponse(c.in, nil)
 		must(t, err)
-		got := make([]byte, len(part))
-		if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != part {
-			t.Errorf("%s: the part that has come: %v", name, err)
+		got := make([]byte, len(beginning))
+		if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != beginning {
+			t.Errorf("%s: the part that was sent: %v", name, err)
 		}
-		close(goOn)
+		close(proceed)
 		if _, err := io.Copy(io.Discard, resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%s: at the break %v, want the client to see that it is not whole", name, err)
+			t.Errorf("%s: at the break %v, want the client to see that the body is incomplete", name, err)
 		}
 		waitBudgetReleased(t, node)
 	}
 }
 
-// Nobody asks for the rest of an answer once the client has left.
+// Guards against responses that are read on although their client has disconnected.
 func TestClientDisconnectsDuringLargeResponse(t *testing.T) {
 	t.Parallel()
 	broken := make(chan struct{})
@@ -162,32 +163,33 @@
 	select {
 	case <-broken:
 	case <-time.After(patience):
-		t.Error("the backend goes on sending")
+		t.Error("the web server can go on sending")
 	}
 	waitBudgetReleased(t, node)
 }
 
-// A large body is gone once a part of it was sent: the request can't be tried again. A small one can.
+// Guards against retries with part of a body: a large body is not held once a part of it was sent, so that its request
+// cannot be retried; a small one can.
 func TestOnlyBufferedBodyIsRetried(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ size, status, sends int }{{flow.Keep, 200, 2}, {flow.Keep + 1, 500, 1}} {
 		var sends atomic.Int64
 		breaks := func(c net.Conn, r *http.Request, nth int) bool {
-			return sends.Add(1) > 1 && served(c, r, nth) // the first send breaks off
+			return sends.Add(1) > 1 && served(c, r, nth) // the first send ends without a response
 		}
 		serverA, serverB := newBox(t, breaks), newBox(t, breaks)
 		node := newRig(t, newRegistry(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
 		q := save("q")
 		q.body = strings.Repeat("x", c.size)
 		if resp, _ := node.dial(t).ask(q); resp.StatusCode != c.status || int(sends.Load()) != c.sends {
-			t.Errorf("%d bytes: %d after %d sends, want %d after %d", c.size, resp.StatusCode, sends.Load(), c.status, c.sends)
+			t.Errorf("a body of %d bytes: status %d after %d sends, want %d after %d", c.size, resp.StatusCode, sends.Load(), c.status, c.sends)
 		}
 		waitBudgetReleased(t, node)
 	}
 }
 
-// A request that is given up has its answer at once, though its body is still to come; the client can send the rest
-// and read it.
+// Guards against refusals that wait for the body: they are sent at once, and the client can send the rest and read the
+// response.
 func TestRefusalBeforeBodyIsComplete(t *testing.T) {
 	t.Parallel()
 	node := newRig(t, newRegistry(t), settingsJSON, nil)
@@ -197,16 +199,17 @@
 	c.send(q.text()[:1000])
 	resp, _ := c.answer()
 	if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close %v; want 503, a close and Retry-After", resp.StatusCode, resp.Close)
 	}
 	c.send(q.text()[1000:])
 	if _, err := c.in.ReadByte(); err != io.EOF {
-		t.Errorf("behind the answer: %v, want the connection closed", err)
+		t.Errorf("after the response: %v, want the connection closed", err)
 	}
 	waitBudgetReleased(t, node)
 }
 
-// A client that waits to be told to go on is told so; one that leaves amid its body harms nobody.
+// Guards against a client that waits for 100 Continue in vain, and against one that disconnects during its body and
+// leaves its request open.
 func TestExpectContinueAndDisconnectDuringBody(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
@@ -217,28 +220,28 @@
 	c := node.dial(t)
 	c.send("\r\n" + head + "\r\nExpect: 100-continue\r\n\r\n")
 	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 100 {
-		t.Fatalf("%v, %v; want to be told to go on", resp, err)
+		t.Fatalf("%v, %v; want status 100", resp, err)
 	}
 	c.send(q.body)
 	if resp, _ := c.answer(); resp.StatusCode != 200 {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("the request after 100 Continue: status %d, want 200", resp.StatusCode)
 	}
 	q.id = "left"
 	leaver := node.dial(t)
 	leaver.send(q.text()[:100<<10])
-	wait(t, "the request", func() bool {
+	wait(t, "the unfinished request to be open", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
 		return node.core.Open()["left"] > 0
 	})
 	leaver.Close()
-	wait(t, "its end", func() bool {
+	wait(t, "the end of the unfinished request", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
 		return len(node.core.Open()) == 0
 	})
 	if n := len(server.requests()); n != 1 {
-		t.Errorf("the backend got %d whole requests, want 1", n)
+		t.Errorf("the web server received %d complete requests, want 1", n)
 	}
 	waitBudgetReleased(t, node)
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -23,31 +23,33 @@
 	"portstall/policy"
 )
 
-// stage is how far a request is when the fault strikes. There is no wait before a further attempt: the policy decides on it
-// with the outcome of the one before.
+// stage is how far a request has got when the fault is injected. There is no pause before a retry: the policy decides
+// on it with the outcome of the attempt before.
 type stage int
 
 const (
-	stageBeforeRead     stage = iota // not yet read
-	stageSelected                    // a server is chosen, the connection is not begun
-	stageConnecting                  // it is up, and the node does not know
-	stageHalfWritten                 // the first part of it is with the server, the rest still with the client
-	stageWaiting                     // written whole
-	stageStreaming                   // half of a large answer has gone through
-	stageSecondAttempt               // a second attempt, written whole
-	stageKeptConnection              // not yet read; its server has a connection from before
+	// Not yet read by the node.
+	stageBeforeRead    stage = iota
+	stageSelected            // a server is selected, the connection is not begun
+	stageConnecting          // the connection is established, and the node does not know
+	stageHalfWritten         // the first part is at the server, the rest still at the client
+	stageWaiting             // completely written
+	stageStreaming           // half of a large response has passed
+	stageSecondAttempt       // a second attempt, completely written
+	// Not yet read; the node has a connection to its server from before.
+	stageKeptConnection
 	stageCount
 )
 
-var stageNames = [...]string{"before the pick", "between pick and connect", "while connecting", "half written", "written and waiting",
-	"during a streamed answer", "in a second attempt", "on a kept connection"}
+var stageNames = [...]string{"before the selection", "between selection and connect", "while connecting", "half written", "written and waiting",
+	"during a streamed response", "in a second attempt", "on a kept connection"}
 
-// fault is what strikes, and with what it can't cross.
+// fault is a fault to inject, and the stages at which it cannot occur.
 type fault struct {
 	name         string
 	inject       func(c *trial)
-	shortTimeout bool             // clients have little patience: the fault ends by a time-out alone
-	excluded     map[stage]string // stages that it can't meet, and why
+	shortTimeout bool             // clients have a short timeout: the fault ends by a time-out alone
+	excluded     map[stage]string // stages at which it cannot occur, and why
 }
 
 var noRequestYet = map[stage]string{stageBeforeRead: "there is no request yet", stageKeptConnection: "there is no request yet"}
@@ -58,11 +60,11 @@
 		c.publishList(c.entries(c.targets, "Terminating", c.healthy)...)
 		c.recordNotified(c.targets...)
 	}},
-	{name: "the server leaves", inject: func(c *trial) {
+	{name: "the server is removed", inject: func(c *trial) {
 		c.publishDelta(c.entries(c.targets, "Gone", c.healthy)...)
 		c.recordNotified(c.targets...)
 	}},
-	{name: "a whole list replaces all", inject: func(c *trial) {
+	{name: "a full list replaces all servers", inject: func(c *trial) {
 		c.publishList(c.healthy.entry("Ready"))
 		c.recordNotified(c.targets...)
 	}},
@@ -93,21 +95,21 @@
 		c.publishList(e, c.healthy.entry("Ready"))
 		c.recordNotified(c.targets...)
 	}},
-	{name: "the server flaps", inject: func(c *trial) {
+	{name: "the server is listed and removed repeatedly", inject: func(c *trial) {
 		for range 3 {
 			c.publishList(c.healthy.entry("Ready"))
 			c.publishList(c.entries(c.targets, "Terminating", c.healthy)...)
 			c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
 		}
 	}},
-	{name: "it is taken out by hand", inject: func(c *trial) {
+	{name: "an operator disables the server", inject: func(c *trial) {
 		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
 		for _, s := range c.targets {
 			must(c.t, c.current().Disable(context.Background(), s.id))
-			c.rules.record(func(b *oracle.Book) { b.Told(c.rules.now()-trialGrace, 0, s.number, true, 0) }) // from the yes on
+			c.rules.record(func(b *oracle.Book) { b.Told(c.rules.now()-trialGrace, 0, s.number, true, 0) }) // counted from the return of Disable
 		}
 	}},
-	{name: "the only one left joins cold", inject: func(c *trial) {
+	{name: "the only server left is cold", inject: func(c *trial) {
 		e := c.healthy.entry("Ready")
 		e.StartedMS = time.Now().UnixMilli()
 		c.restartCold(c.healthy)
@@ -143,32 +145,32 @@
 			s.resetConnections()
 		}
 	}},
-	{name: "answers are spoilt", inject: func(c *trial) {
+	{name: "responses are malformed", inject: func(c *trial) {
 		c.setBehavior(sendMalformed)
 		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
-	}, excluded: map[stage]string{stageStreaming: "noise within a body is its body"}},
-	{name: "the report can't be read", inject: func(c *trial) { c.setBehavior(sendBadReport) }},
-	{name: "the client leaves", inject: func(c *trial) { c.disconnectClients() }, excluded: noRequestYet},
-	{name: "its id comes a second time", inject: func(c *trial) {
+	}, excluded: map[stage]string{stageStreaming: "malformed bytes within a body are its body"}},
+	{name: "load reports are malformed", inject: func(c *trial) { c.setBehavior(sendBadReport) }},
+	{name: "the client disconnects", inject: func(c *trial) { c.disconnectClients() }, excluded: noRequestYet},
+	{name: "a second request has the id", inject: func(c *trial) {
 		for _, q := range c.requests() {
 			q.body = q.body[:min(len(q.body), 10)]
 			if resp, _ := c.current().dial(c.t).ask(q); resp.StatusCode != http.StatusConflict {
-				c.t.Errorf("%s a second time while it is open: %d", q.id, resp.StatusCode)
+				c.t.Errorf("%s a second time while it is open: status %d, want 409", q.id, resp.StatusCode)
 			}
 		}
 	}, excluded: map[stage]string{stageBeforeRead: noRequestYet[stageBeforeRead], stageKeptConnection: noRequestYet[stageKeptConnection]}},
-	{name: "the roster is out", inject: func(c *trial) {
+	{name: "discovery is down", inject: func(c *trial) {
 		calls := len(c.discovery.calls())
 		for range 3 {
 			c.discovery.next <- registryAnswer{status: 503}
 		}
-		wait(c.t, "another call", func() bool { return len(c.discovery.calls()) > calls })
+		wait(c.t, "another call to discovery", func() bool { return len(c.discovery.calls()) > calls })
 	}},
 	{name: "SIGTERM", inject: func(c *trial) {
 		c.terminated = true
 		c.current().leave()
-		wait(c.t, "the node's leaving", func() bool { return c.current().life.sendsAway() })
-	}, excluded: map[stage]string{stageBeforeRead: "which clients still come is the front's business: TestLeaving", stageKeptConnection: "as before the pick"}},
+		wait(c.t, "the start of the node's leaving", func() bool { return c.current().life.sendsAway() })
+	}, excluded: map[stage]string{stageBeforeRead: "which clients still connect is up to the front: TestSIGTERMFinishesAcceptedRequests", stageKeptConnection: "as before the selection"}},
 	{name: "a successor takes over", inject: func(c *trial) { c.handOver() }},
 	{name: "no descriptor is left", inject: func(c *trial) {
 		c.current().pool.Resize(0)
@@ -177,7 +179,7 @@
 	{name: "a reload", inject: func(c *trial) {
 		c.reload(`"effect":"guarded"`, `"effect":"single_shot"`, `"max_attempts":3`, `"max_attempts":2`, `"name":"view"`, `"name":"look"`)
 	}},
-	{name: "a reload that lets all be repeated, and a reset", inject: func(c *trial) {
+	{name: "a reload that makes all classes safe, and a reset", inject: func(c *trial) {
 		c.reload(`"effect":"single_shot"`, `"effect":"free"`, `"effect":"guarded","group":"zone"`, `"effect":"free","group":"all"`)
 		c.setBehavior(resetConnection)
 		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
@@ -191,7 +193,7 @@
 		other := newRegistry(c.t)
 		other.next <- registryAnswer{200, list{Version: 1, Full: true, Servers: []listed{c.healthy.entry("Ready")}}}
 		c.current().reload(Config{Discovery: other.addr, Settings: set})
-		wait(c.t, "the other's list", func() bool { return c.current().backendOf(c.healthy.id) != nil })
+		wait(c.t, "the other discovery's list", func() bool { return c.current().backendOf(c.healthy.id) != nil })
 		c.recordNotified(c.targets...)
 	}},
 	{name: "operators drain and resume", inject: func(c *trial) {
@@ -200,24 +202,25 @@
 	}},
 }
 
-// Each fault strikes requests of each class at each stage. Whatever it is, every rule of the brief holds, what was taken is
-// answered, and nothing is left over. The table is docs/readiness-review.md's.
+// Guards against broken rules, lost responses and leaks under faults: each fault is injected into requests of each
+// class at each stage. The table is that of docs/readiness-review.md.
 func TestFaultsAtEveryRequestStage(t *testing.T) {
-	free(t) // the claim on its hosts is a descriptor that stays
-	descriptors := openFiles(t)
+	free(t) // the claim on its hosts is a descriptor that stays open
+	openBefore := openFiles(t)
 	ignore := goleak.IgnoreCurrent()
 	t.Run("cells", func(t *testing.T) {
 		for _, f := range faultTable {
-			for at := range stageCount {
-				if f.excluded[at] != "" {
+			for stage := range stageCount {
+				if f.excluded[stage] != "" {
 					continue
 				}
-				t.Run(f.name+" "+stageNames[at], func(t *testing.T) {
+				t.Run(f.name+" "+stageNames[stage], func(t *testing.T) {
 					t.Parallel()
-					// Where this machine was too slow for a fault that a time-out ends, it strikes again with more time before that.
-					for brief := 900 * time.Millisecond; !newTrial(t, at).run(f, brief); brief *= 4 {
-						if brief > patience {
-							t.Fatal("it never strikes in time")
+					// Where this machine was too slow for a fault that a time-out ends, it is injected again with more
+					// time before that.
+					for timeout := 900 * time.Millisecond; !newTrial(t, stage).run(f, timeout); timeout *= 4 {
+						if timeout > patience {
+							t.Fatal("the requests ended before the fault could be injected, even with long timeouts")
 						}
 					}
 				})
@@ -225,10 +228,11 @@
 		}
 	})
 	noneStay(t, ignore)
-	wait(t, "the descriptors", func() bool { return openFiles(t) <= descriptors })
+	wait(t, "the descriptors to be closed", func() bool { return openFiles(t) <= openBefore })
 }
 
-// noneStay wants all goroutines ended but those to be ignored. A look at them waits for half a second by itself.
+// waitForGoroutines waits until all goroutines have ended but those to be ignored. Each check of them waits for half a
+// second by itself.
 func noneStay(t *testing.T, ignore goleak.Option) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; {
@@ -242,47 +246,53 @@
 	}
 }
 
+// openFiles returns the number of this process's open descriptors.
 func openFiles(t *testing.T) int {
 	files, err := os.ReadDir("/proc/self/fd")
 	must(t, err)
 	return len(files)
 }
 
+// trialSettings are settingsJSON with a shorter drain grace.
 var trialSettings = strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.3`, 1)
 
-// trial is one fault at one stage.
+// trial is one fault injected at one stage. mu guards arrivals, conns, disconnected and streamsStarted.
 type trial struct {
-	t                *testing.T
-	stage            stage
-	rules            *judge
-	discovery        *registry
+	t         *testing.T
+	stage     stage
+	rules     *judge
+	discovery *registry
+	// The node, and the one that takes over from it; nil until then.
 	first, successor *rig
-	targets          []*stagedServer // whom it strikes
-	healthy          *stagedServer   // a sound one, which is listed when it does
-	undo             func()
-	terminated       bool          // the node takes nothing after it
-	clientTimeout    time.Duration // is all the time that clients have; 0: they have plenty
-	ended            atomic.Int64  // requests that have ended
-	version          int64
-	released         chan struct{} // closed when the requests may go on
-	finished         chan struct{} // closed at the very end
-	clients          sync.WaitGroup
-
-	mu             sync.Mutex
-	serverCount    uint32
+	targets          []*stagedServer // the servers that the fault affects
+	healthy          *stagedServer   // a healthy server, which is listed when the fault is injected
+	// Undoes the fault; may be nil.
+	undo          func()
+	terminated    bool          // the node accepts nothing after the fault
+	clientTimeout time.Duration // the clients' timeout; 0: a long one
+	ended         atomic.Int64  // number of requests that have ended
+	version       int64
+	released      chan struct{} // closed when the requests may continue
+	finished      chan struct{} // closed at the end of the trial
+	clients       sync.WaitGroup
+
+	mu          sync.Mutex
+	serverCount uint32
+	// Number of requests that have reached a stage.
 	arrivals       map[stage]int
 	conns          map[string]net.Conn
-	disconnected   map[string]bool // requests whose clients have left
-	streamsStarted int             // large answers whose first half has come
+	disconnected   map[string]bool // requests whose clients have disconnected
+	streamsStarted int             // number of large responses whose first half has arrived
 	dials          atomic.Int64
 }
 
+// newTrial returns a trial at a stage.
 func newTrial(t *testing.T, at stage) *trial {
 	return &trial{t: t, stage: at, rules: newRuleChecker(), released: make(chan struct{}), finished: make(chan struct{}), version: 1,
 		arrivals: map[stage]int{}, conns: map[string]net.Conn{}, disconnected: map[string]bool{}}
 }
 
-// stand starts one.
+// newServer starts a web server that is part of the trial.
 func (c *trial) newServer(id string) *stagedServer {
 	ln, err := standin.Listen()
 	must(c.t, err)
@@ -294,6 +304,7 @@
 	return s
 }
 
+// current returns the node that serves new clients.
 func (c *trial) current() *rig {
 	if c.successor != nil {
 		return c.successor
@@ -301,27 +312,28 @@
 	return c.first
 }
 
-// calls are the requests that the fault meets: one of each class.
+// requests returns the requests that the fault affects: one of each class.
 func (c *trial) requests() []call {
-	all := []call{view("r-view"), save("r-save"), quote("r-quote")}
+	requests := []call{view("r-view"), save("r-save"), quote("r-quote")}
 	if c.stage == stageHalfWritten {
-		all = all[1:] // a GET has no body
-		for i := range all {
-			all[i].body = strings.Repeat("x", 200<<10)
+		requests = requests[1:] // a GET has no body
+		for i := range requests {
+			requests[i].body = strings.Repeat("x", 200<<10)
 		}
 	}
 	if c.clientTimeout > 0 {
-		for i := range all {
-			all[i].deadline = fmt.Sprint(c.clientTimeout.Milliseconds(), "m")
+		for i := range requests {
+			requests[i].deadline = fmt.Sprint(c.clientTimeout.Milliseconds(), "m")
 		}
 	}
-	return all
+	return requests
 }
 
-// play is false where requests had ended before the fault could strike them at their stage, because their time was over.
-func (c *trial) run(f fault, brief time.Duration) (struck bool) {
+// run runs the trial with a fault. It returns false if requests had ended before the fault could be injected at their
+// stage, because their time had passed.
+func (c *trial) run(f fault, timeout time.Duration) (injected bool) {
 	if f.shortTimeout {
-		c.clientTimeout = brief
+		c.clientTimeout = timeout
 	}
 	c.discovery = newRegistry(c.t)
 	c.targets = []*stagedServer{c.newServer("s-1")}
@@ -333,7 +345,7 @@
 	for _, s := range c.targets {
 		c.first.setDial(s.id, s.dial)
 	}
-	struck = true
+	injected = true
 	switch c.stage {
 	case stageKeptConnection:
 		c.send(view("warm"), 0)
@@ -344,44 +356,45 @@
 		c.sendRequests()
 	default:
 		c.sendRequests()
-		wait(c.t, "the requests at their stage", func() bool { return c.reached(c.stage) >= len(c.requests()) || c.timedOut() })
+		wait(c.t, "the requests to reach their stage", func() bool { return c.reached(c.stage) >= len(c.requests()) || c.timedOut() })
 		f.inject(c)
-		struck = !c.timedOut()
+		injected = !c.timedOut()
 	}
 	close(c.released)
 	c.clients.Wait()
 	if c.undo != nil {
 		c.undo()
 	}
-	for i := 0; !c.terminated; i++ { // and then it serves as ever
+	for i := 0; !c.terminated; i++ { // the node must serve again afterwards
 		q := save(fmt.Sprint("after-", i))
 		if f.shortTimeout {
 			q.deadline = "900m"
 		}
 		if resp := c.send(q, 1); resp != nil && (resp.StatusCode == 200 || resp.StatusCode == 400) {
-			break // or its class has gone with a reload
+			break // 400: a reload has removed its class
 		}
 		if i > 400 {
-			c.t.Fatal("nothing is served after it")
+			c.t.Fatal("the node serves nothing after the fault")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	for _, r := range []*rig{c.first, c.successor} {
 		if r != nil {
 			wait(c.t, "the end of all requests", func() bool { return r.core.Stats(0).Open == 0 })
-			if c.successor == nil { // else a part is lent
+			if c.successor == nil { // after a hand-over part of the budget is lent
 				waitBudgetReleased(c.t, r)
 			}
 		}
 	}
 	close(c.finished)
-	for _, broken := range c.rules.findings() {
-		c.t.Error(broken)
+	for _, violation := range c.rules.findings() {
+		c.t.Error(violation)
 	}
-	return struck
+	return injected
 }
 
-// late tells whether the time of a request that is held was over. Whose client holds its other half has its answer on the way then.
+// timedOut reports whether the time of a held request has passed. Where the client holds its other half, the response
+// is then on its way.
 func (c *trial) timedOut() bool {
 	if c.clientTimeout == 0 || c.ended.Load() > 0 {
 		return c.clientTimeout > 0
@@ -396,7 +409,7 @@
 	return false
 }
 
-// begin sends the requests.
+// sendRequests sends the requests.
 func (c *trial) sendRequests() {
 	for i, q := range c.requests() {
 		class := i + 3 - len(c.requests())
@@ -404,17 +417,19 @@
 			c.send(q, class)
 			c.ended.Add(1)
 		})
-		if c.stage == stageSecondAttempt { // one by one, so that each has one attempt that is not sent
-			wait(c.t, "the second attempt", func() bool { return c.reached(stageSecondAttempt) > i || c.timedOut() })
+		if c.stage == stageSecondAttempt { // one by one, so that each request has one attempt that is not sent
+			wait(c.t, "the second attempt to arrive", func() bool { return c.reached(stageSecondAttempt) > i || c.timedOut() })
 		}
 	}
 }
 
+// recordAccepted records a request that is about to be sent.
 func (c *trial) recordAccepted(id string, class int) {
 	c.rules.record(func(b *oracle.Book) { b.Taken(c.rules.now(), 0, id, class, c.rules.now()+50*time.Second) })
 }
 
-// ask sends a request over a connection of its own, and books what comes of it. A client that has left gets nil.
+// send sends a request over a connection of its own and records the result. It returns nil for a client that has
+// disconnected, and if there is no complete response.
 func (c *trial) send(q call, class int) *http.Response {
 	conn, err := net.Dial("tcp", c.current().addr)
 	if err != nil {
@@ -422,7 +437,7 @@
 		return nil
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(3 * patience)) // it waits for its stage, for the fault and for its answer
+	conn.SetDeadline(time.Now().Add(3 * patience)) // the client waits for the stage, for the fault and for its response
 	c.mu.Lock()
 	c.conns[q.id] = conn
 	c.mu.Unlock()
@@ -433,7 +448,7 @@
 		<-c.released
 		text = text[len(text)-100<<10:]
 	}
-	io.WriteString(conn, text) // an error shows when the answer is read
+	io.WriteString(conn, text) // an error shows when the response is read
 	in := bufio.NewReader(conn)
 	resp, err := http.ReadResponse(in, nil)
 	var body []byte
@@ -446,24 +461,24 @@
 		body, err = io.ReadAll(resp.Body)
 	}
 	c.mu.Lock()
-	left := c.disconnected[q.id]
+	disconnected := c.disconnected[q.id]
 	c.mu.Unlock()
 	switch {
-	case left:
+	case disconnected:
 		return nil
 	case err == nil:
 		c.rules.final(q.id, resp, body)
 		return resp
-	case resp != nil: // the client can tell that it is not whole
+	case resp != nil: // the client can tell that the response is incomplete
 		c.rules.record(func(b *oracle.Book) { b.Failed(c.rules.now(), 0, q.id) })
 	default:
-		c.rules.addViolation("%s: its connection ends without an answer: %v", q.id, err)
+		c.rules.addViolation("%s: its connection ends without a response: %v", q.id, err)
 		c.rules.record(func(b *oracle.Book) { b.Overdue(c.rules.now(), 0, q.id) })
 	}
 	return nil
 }
 
-// at notes that a request has come so far.
+// recordArrival records that a request has reached a stage.
 func (c *trial) recordArrival(here stage, id string) {
 	if strings.HasPrefix(id, "r") || id == "dial" || id == "x" {
 		c.mu.Lock()
@@ -472,6 +487,7 @@
 	}
 }
 
+// reached returns how many requests have reached a stage.
 func (c *trial) reached(s stage) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -481,11 +497,12 @@
 	return c.arrivals[s]
 }
 
-// holds tells whether a request is to stop there.
+// stopsAt reports whether a request is to stop at a stage.
 func (c *trial) stopsAt(here stage, id string) bool {
 	return here == c.stage && strings.HasPrefix(id, "r")
 }
 
+// entries returns the list entries of servers in the given state, and of more as ready.
 func (c *trial) entries(of []*stagedServer, state string, more ...*stagedServer) (all []listed) {
 	for _, s := range of {
 		all = append(all, s.entry(state))
@@ -496,12 +513,13 @@
 	return all
 }
 
-// list hands the node a whole list, change some lines of one.
+// publishList applies a full list to the node.
 func (c *trial) publishList(servers ...listed) {
 	c.version++
 	c.current().lists(c.version, servers...)
 }
 
+// publishDelta applies a delta to the node.
 func (c *trial) publishDelta(servers ...listed) {
 	n := c.current()
 	n.core.Lock()
@@ -510,19 +528,19 @@
 	n.takeList(&list{Version: c.version, Servers: servers}, policy.ListDelta)
 }
 
-// told notes that the node knows that some are to get nothing new, and returns once their grace is over: what is let go then
-// may reach none of them, whatever the machine is busy with.
+// recordNotified records that the node knows that servers are to get nothing new, and returns once their grace is over:
+// what is released then may reach none of them, however busy the machine is.
 func (c *trial) recordNotified(of ...*stagedServer) {
-	at := c.rules.now()
+	now := c.rules.now()
 	c.rules.record(func(b *oracle.Book) {
 		for _, s := range of {
-			b.Told(at, 0, s.number, true, 0)
+			b.Told(now, 0, s.number, true, 0)
 		}
 	})
 	time.Sleep(trialGrace)
 }
 
-// start is a stand's new process: cold, and its connections from before are gone.
+// restartCold restarts a server: it is cold, and its connections from before are reset.
 func (c *trial) restartCold(s *stagedServer) {
 	s.resetConnections()
 	s.cold.Store(true)
@@ -532,21 +550,21 @@
 	})
 }
 
-// reload puts other settings in force: old and new text in turn.
+// reload applies changed settings; change holds old and new text in turn.
 func (c *trial) reload(change ...string) {
 	set, err := wire.DecodeSettings([]byte(strings.NewReplacer(change...).Replace(trialSettings)))
 	must(c.t, err)
 	c.current().reload(Config{Discovery: c.discovery.addr, Settings: set})
 }
 
-// turn changes what the victims do.
+// setBehavior changes the behavior of the targets.
 func (c *trial) setBehavior(t behavior) {
 	for _, s := range c.targets {
 		s.behavior.Store(int32(t))
 	}
 }
 
-// leave is what clients do that wait no longer. It returns once the node has noticed.
+// disconnectClients closes the clients' connections, and returns once the node has noticed.
 func (c *trial) disconnectClients() {
 	for _, q := range c.requests() {
 		c.rules.record(func(b *oracle.Book) { b.Left(c.rules.now(), 0, q.id) })
@@ -555,12 +573,12 @@
 		c.conns[q.id].Close()
 		c.mu.Unlock()
 	}
-	if c.stage != stageStreaming && c.stage != stageHalfWritten { // there the node learns of it when it passes on more
-		wait(c.t, "the node's notice", func() bool { return c.current().core.Stats(0).Open == 0 })
+	if c.stage != stageStreaming && c.stage != stageHalfWritten { // at those stages the node notices when it passes on more data
+		wait(c.t, "the node to notice the disconnect", func() bool { return c.current().core.Stats(0).Open == 0 })
 	}
 }
 
-// succeed lets another process take over, which new clients then reach.
+// handOver lets another process take over, which new clients then reach.
 func (c *trial) handOver() {
 	c.successor = startSuccessor(c.t, c.first.meet(c.t), c.discovery, trialSettings)
 }
--- a/internal/node/opaque_tunnel_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -28,17 +28,19 @@
 	"portstall/policy"
 )
 
-// lines is a server of some protocol of its own: it greets, then says again what it is told. It counts its connections.
+// echoServer is a server of a protocol that is not HTTP: it sends back what it receives. It counts its connections.
 type echoServer struct {
 	ln      net.Listener
 	greets  bool
-	serve   func(c net.Conn) // in place of the echo
+	serve   func(c net.Conn) // replaces the echo
 	opened  atomic.Int64
 	open    atomic.Int64
 	latest  atomic.Int64 // Unix nanoseconds of the latest connection
 	accepts atomic.Bool
 }
 
+// newEchoServer starts a server; serve replaces the echo where it is not nil.
+// newEchoServer starts a server; serve replaces the echo where it is not nil.
 func newLines(t testing.TB, serve func(c net.Conn)) *echoServer {
 	t.Helper()
 	ln, err := standin.Listen()
@@ -76,11 +78,13 @@
 	return l
 }
 
+// entry returns the server's entry in a server list, as ready.
 func (l *echoServer) entry(id string) listed {
 	return listed{ID: id, Addr: l.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
-// opaqueNode is a node with an opaque route; limits are fields of the route, more is the rest of the tunnels or the file.
+// newOpaqueNode starts a node with an opaque route; limits are further fields of the route, more is the rest of the
+// section tunnels and of the file.
 func newOpaqueNode(t testing.TB, limits, more string, known ...listed) (node *rig, socks, connect string) {
 	t.Helper()
 	socks, connect = free(t), free(t)
@@ -108,17 +112,17 @@
 	echoSOCKSReplyLength = 2 + 10
 )
 
-// echo says something and wants it back.
+// echo sends text and expects it back.
 func (c *client) echo(text string) {
 	c.t.Helper()
 	c.send(text)
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c.in, got); err != nil || string(got) != text {
-		c.t.Errorf("sent %d bytes, got back %.40q, %v", len(text), got, err)
+		c.t.Errorf("sent %d bytes, received %.40q, %v", len(text), got, err)
 	}
 }
 
-// connects asks for a tunnel by CONNECT, and is told something else than the way there.
+// requestConnect asks for a tunnel by CONNECT and returns the response.
 func connects(t *testing.T, addr string) *http.Response {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -130,17 +134,18 @@
 	return resp
 }
 
-// ended waits until the tunnels have ended for a cause so often.
+// waitTunnelsEnded waits until so many tunnels have ended for a cause.
 func (n *rig) waitTunnelsEnded(t testing.TB, cause backtunnel.Cause, times uint64) {
 	t.Helper()
-	wait(t, fmt.Sprintf("the end of %d tunnels by %q", times, cause), func() bool { return n.opaque.Stats().Ended[cause] >= times })
+	wait(t, fmt.Sprintf("the end of %d tunnels for cause %q", times, cause), func() bool { return n.opaque.Stats().Ended[cause] >= times })
 }
 
-// Each way in to each way out, with what can go wrong at the opening: one attempt that reaches a server at most where one is
-// there, else none; the reply is the final answer, in the protocol's words; and nothing is left over.
+// Guards against wrong or missing replies and leaks when opaque tunnels are opened, over each way in and out and with
+// each failure of the opening: there is one attempt that reaches a server if one is reachable, else none, the reply is
+// final and in the protocol's terms, and nothing is left open.
 func TestOpaqueTunnels(t *testing.T) {
 	for _, via := range []string{"", "socks5", "connect"} {
-		for _, trouble := range []string{"", "server down", "one of two down", "proxy down", "proxy nonsense", "proxy refuses", "ahead"} {
+		for _, trouble := range []string{"", "server down", "one of two down", "proxy down", "proxy malformed", "proxy refuses", "data sent ahead"} {
 			if via == "" && strings.HasPrefix(trouble, "proxy") {
 				continue
 			}
@@ -159,25 +164,25 @@
 				down := target.entry("s-2")
 				down.Addr = free(t)
 				known := []listed{target.entry("s-1")}
-				stands := true
+				reachable := true
 				switch trouble {
 				case "server down":
-					known, stands = []listed{down}, false
+					known, reachable = []listed{down}, false
 				case "one of two down":
 					known = append(known, down)
 				case "proxy down":
 					p.Stop()
-					stands = false
-				case "proxy nonsense":
+					reachable = false
+				case "proxy malformed":
 					p.Trouble(standin.Nonsense, 0)
-					stands = false
+					reachable = false
 				case "proxy refuses":
 					p.Trouble(standin.Refuses, 0)
-					stands = false
+					reachable = false
 				}
 				node, socks, connect := newOpaqueNode(t, "", more, known...)
 				ahead := ""
-				if trouble == "ahead" {
+				if trouble == "data sent ahead" {
 					ahead = distinctBody(20 << 10)
 				}
 				for i := range 4 {
@@ -185,51 +190,53 @@
 					if i%2 == 1 {
 						addr, message, length = connect, linesConnect, 0
 					}
-					c, told := through(t, addr, message+ahead, length)
-					if ok := told == "200" || told == "\x05\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00"; ok != stands {
-						t.Fatalf("tunnel %d: told %q", i, told)
+					c, reply := through(t, addr, message+ahead, length)
+					if ok := reply == "200" || reply == "\x05\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00"; ok != reachable {
+						t.Fatalf("tunnel %d: reply %q to the opening", i, reply)
 					}
-					if !stands {
-						if told != "503" && told != "502" && told[min(3, len(told)-1)] == 0 {
-							t.Errorf("tunnel %d: told %q", i, told)
+					if !reachable {
+						if reply != "503" && reply != "502" && reply[min(3, len(reply)-1)] == 0 {
+							t.Errorf("tunnel %d: reply %q, want a refusal", i, reply)
 						}
 						if _, err := c.in.ReadByte(); err == nil {
-							t.Errorf("tunnel %d goes on", i)
+							t.Errorf("tunnel %d stays open after a refusal", i)
 						}
 						continue
 					}
 					if ahead != "" {
 						got := make([]byte, len(ahead))
 						if _, err := io.ReadFull(c.in, got); err != nil || string(got) != ahead {
-							t.Errorf("what was sent ahead came back as %.40q, %v", got, err)
+							t.Errorf("data sent ahead was echoed as %.40q, %v", got, err)
 						}
 					}
 					c.echo("hello")
 					c.echo(distinctBody(1 << 20))
-					// Half-closed by the client, it still gets what the server has to say, and then the server's end.
+					// After the client's half-close it still receives what the server has to send, and then the
+					// server's end.
 					c.send("last words")
 					c.Conn.(*net.TCPConn).CloseWrite()
 					if rest, err := io.ReadAll(c.in); err != nil || string(rest) != "last words" {
-						t.Errorf("behind its own end a client read %q, %v", rest, err)
+						t.Errorf("after its half-close a client received %q, %v; want its last words", rest, err)
 					}
 				}
-				if stands {
+				if reachable {
 					node.waitTunnelsEnded(t, backtunnel.Done, 4)
 					if n := target.opened.Load(); n != 4 {
-						t.Errorf("%d connections for 4 tunnels", n)
+						t.Errorf("%d connections for 4 tunnels, want 4", n)
 					}
 				}
 				wait(t, "the end of all requests", func() bool { return node.core.Stats(0).Open == 0 })
-				if st := node.opaque.Stats(); st.Open != 0 {
-					t.Errorf("%+v", st)
+				if stats := node.opaque.Stats(); stats.Open != 0 {
+					t.Errorf("open tunnels remain: %+v", stats)
 				}
-				wait(t, "the server's end", func() bool { return target.open.Load() == 0 })
+				wait(t, "the end of the server's connections", func() bool { return target.open.Load() == 0 })
 			})
 		}
 	}
 }
 
-// Each limit ends a tunnel, and no other does it. Where something has to come within a limit first, that has seconds.
+// Guards against limits that do not end a tunnel, or end it for another cause. Where data has to arrive within a limit
+// first, that limit is of seconds.
 func TestOpaqueLimits(t *testing.T) {
 	for _, c := range []struct {
 		name, limits string
@@ -237,7 +244,7 @@
 		talk         func(c *client)
 		cause        backtunnel.Cause
 	}{
-		{"a client that opens and says nothing", ", idle: 100ms", nil, func(c *client) {}, backtunnel.Idle},
+		{"a client that sends nothing", ", idle: 100ms", nil, func(c *client) {}, backtunnel.Idle},
 		{"total, however busy", ", total: 300ms, idle: 10s", nil, func(c *client) {
 			for {
 				if _, err := c.Write([]byte("x")); err != nil {
@@ -248,27 +255,27 @@
 				}
 			}
 		}, backtunnel.Total},
-		{"a server that accepts and never replies", ", stall: 100ms", func(c net.Conn) { io.Copy(io.Discard, c) },
+		{"a server that never replies", ", stall: 100ms", func(c net.Conn) { io.Copy(io.Discard, c) },
 			func(c *client) { c.send("anybody there?") }, backtunnel.Stall},
-		{"a server silent mid-stream", ", stall: 3s", func(c net.Conn) {
+		{"a server that goes silent", ", stall: 3s", func(c net.Conn) {
 			io.CopyN(c, c, 5)
 			io.Copy(io.Discard, c)
 		}, func(c *client) {
 			c.echo("hello")
 			c.send("again")
 		}, backtunnel.Stall},
-		{"a protocol that is quiet by nature", ", idle: 2s", func(c net.Conn) { io.Copy(io.Discard, c) },
+		{"a protocol without replies", ", idle: 2s", func(c net.Conn) { io.Copy(io.Discard, c) },
 			func(c *client) { c.send("a log line") }, backtunnel.Idle},
 		{"a server that breaks the connection", "", func(c net.Conn) {
 			io.CopyN(c, c, 5)
 			c.(*net.TCPConn).SetLinger(0)
 		}, func(c *client) { c.echo("hello") }, backtunnel.Server},
-		{"a client that breaks it", "", nil, func(c *client) {
+		{"a client that breaks the connection", "", nil, func(c *client) {
 			c.echo("hello")
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}, backtunnel.Client},
-		{"a reader that takes nothing of 10 MB", ", idle: 300ms", func(c net.Conn) {
+		{"a client that reads nothing of 10 MB", ", idle: 300ms", func(c net.Conn) {
 			c.Write(make([]byte, 10<<20))
 			io.Copy(io.Discard, c)
 		}, func(c *client) {}, backtunnel.Idle},
@@ -277,21 +284,21 @@
 			t.Parallel()
 			target := newLines(t, c.serve)
 			node, _, connect := newOpaqueNode(t, c.limits, "", target.entry("s-1"))
-			cl, told := through(t, connect, linesConnect, 0)
-			if told != "200" {
-				t.Fatalf("told %q", told)
+			cl, reply := through(t, connect, linesConnect, 0)
+			if reply != "200" {
+				t.Fatalf("CONNECT: status %q, want 200", reply)
 			}
 			c.talk(cl)
 			node.waitTunnelsEnded(t, c.cause, 1)
-			wait(t, "the server's end", func() bool { return target.open.Load() == 0 })
+			wait(t, "the end of the server's connections", func() bool { return target.open.Load() == 0 })
 			if st := node.opaque.Stats(); len(st.Ended) != 1 || st.Open != 0 {
-				t.Errorf("%+v", st)
+				t.Errorf("want one tunnel ended and none open: %+v", st)
 			}
 		})
 	}
 }
 
-// What a contract says holds for an opaque tunnel as for any request: who may have one, how many, and how fast.
+// Guards against opaque tunnels that bypass contracts: who may have one, how many, and at what bandwidth.
 func TestOpaqueContracts(t *testing.T) {
 	t.Parallel()
 	target := newLines(t, nil)
@@ -302,75 +309,77 @@
 	go c.send(text)
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c.in, got); err != nil || string(got) != text {
-		t.Errorf("%d bytes came back otherwise, %v", len(text), err)
+		t.Errorf("%d bytes were echoed differently, %v", len(text), err)
 	}
-	// 6 MB both ways at 4 MB/s, of which a second's worth may pass at once: half a second, but for the last chunk of
-	// either way, which is waited for behind it.
+	// 6 MB both ways at 4 MB/s, of which a second's worth may pass at once, take half a second, less the last chunk of
+	// either way, whose wait comes after it.
 	if took := time.Since(begun); took < 400*time.Millisecond {
-		t.Errorf("6 MB passed in %v", took)
+		t.Errorf("6 MB passed in %v, want at least 400 ms", took)
 	}
 	resp := connects(t, connect)
 	if resp.StatusCode != 429 || !strings.HasPrefix(resp.Header.Get("Portstall-Refusal"), "rule=in-flight") || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("a second one: %d %v", resp.StatusCode, resp.Header)
+		t.Errorf("a second tunnel: status %d, headers %v; want 429 by the in-flight limit", resp.StatusCode, resp.Header)
 	}
-	if _, told := through(t, socks, echoSOCKSOpening, echoSOCKSReplyLength); told[3] != 2 {
-		t.Errorf("a second one by SOCKS5: %q", told)
+	if _, reply := through(t, socks, echoSOCKSOpening, echoSOCKSReplyLength); reply[3] != 2 {
+		t.Errorf("a second tunnel by SOCKS5: reply %q, want it refused by the rules", reply)
 	}
 	c.Close()
-	wait(t, "its end", func() bool { return node.core.Stats(0).Open == 0 })
-	if _, told := through(t, connect, linesConnect, 0); told != "200" {
-		t.Errorf("once the first has ended: %s", told)
+	wait(t, "the end of the first tunnel", func() bool { return node.core.Stats(0).Open == 0 })
+	if _, reply := through(t, connect, linesConnect, 0); reply != "200" {
+		t.Errorf("a tunnel after the first has ended: status %s, want 200", reply)
 	}
 }
 
-// lateCopy is a client's connection of which a copy returns only when it may, as on a machine that runs something else first.
+// delayedCopyConn is a client's connection on which a copy returns only when it is released, as on a machine that runs
+// something else first.
 type delayedCopyConn struct {
 	*net.TCPConn
 	release chan struct{}
 }
 
+// ReadFrom copies, and returns once it is released.
 func (c delayedCopyConn) ReadFrom(r io.Reader) (int64, error) {
 	n, err := c.TCPConn.ReadFrom(r)
 	<-c.release
 	return n, err
 }
 
-// A client answers the server's bytes before the node comes to book that it has passed them on: the server's silence to that
-// answer is seen all the same.
+// Guards against a stall that is missed when a client replies to the server's bytes before the node has recorded that
+// it passed them on: the server's silence to that reply is detected all the same.
 func TestStallIsDetectedAfterDelayedCopy(t *testing.T) {
 	t.Parallel()
-	again := make(chan struct{})
+	secondReceived := make(chan struct{})
 	target := newLines(t, func(c net.Conn) {
 		io.CopyN(c, c, 5)
 		io.CopyN(io.Discard, c, 5)
-		close(again)
+		close(secondReceived)
 		io.Copy(io.Discard, c)
 	})
 	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
 	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute, Stall: 3 * time.Second}}
 	req := &core.Request{ID: "late", Class: "quote", Message: stream, Body: stream, Arrived: node.core.Now(), Patience: patience}
 	if !node.core.Begin(req) {
-		t.Fatal("not taken")
+		t.Fatal("the request was not accepted")
 	}
-	answer := receive(t, "its answer", req.Answer())
-	if answer.Kind != core.Served {
-		t.Fatalf("%+v", answer)
+	response := receive(t, "the response", req.Answer())
+	if response.Kind != core.Served {
+		t.Fatalf("response %+v, want Served", response)
 	}
-	conn, there := connPair(t)
-	late := delayedCopyConn{there.(*net.TCPConn), make(chan struct{})}
-	go answer.Payload.(message.Tunnel).Relay(late, bufio.NewReader(there))
+	conn, end := connPair(t)
+	late := delayedCopyConn{end.(*net.TCPConn), make(chan struct{})}
+	go response.Payload.(message.Tunnel).Relay(late, bufio.NewReader(end))
 	c := &client{t, conn, bufio.NewReader(conn)}
 	c.SetDeadline(time.Now().Add(patience))
 	c.echo("hello")
 	c.send("again")
-	receive(t, "the client's answer at the server", again)
-	time.Sleep(20 * time.Millisecond) // for the node to book that, too
+	receive(t, "the client's second message at the server", secondReceived)
+	time.Sleep(20 * time.Millisecond) // for the node to record that, too
 	close(late.release)
 	node.waitTunnelsEnded(t, backtunnel.Stall, 1)
 }
 
-// Between the pick and the connection its server is told to drain, or is taken out: the tunnel does not come to stand there,
-// and that proves that nothing ran.
+// Guards against tunnels to a server that drains or is disabled between its selection and the connection: the tunnel is
+// not opened, and that proves that nothing ran.
 func TestOpaqueServerLeavesBeforeConnection(t *testing.T) {
 	t.Parallel()
 	target := newLines(t, nil)
@@ -382,37 +391,38 @@
 	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream}, Server: server, Wait: patience}
 	server.Stop.Store(time.Now().Add(-time.Millisecond).UnixNano())
 	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
-		t.Errorf("behind its grace: outcome %d", res.Outcome)
+		t.Errorf("after the drain grace: outcome %d, want NeverSent", res.Outcome)
 	}
 	server.Stop.Store(0)
 	server.Gate.Set(true)
 	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
-		t.Errorf("out by hand: outcome %d", res.Outcome)
+		t.Errorf("for a disabled server: outcome %d, want NeverSent", res.Outcome)
 	}
 	node.pool.Resize(0)
 	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
-		t.Errorf("with no descriptor: outcome %d", res.Outcome)
+		t.Errorf("with no descriptor: outcome %d, want NeverSent", res.Outcome)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	node.pool.Resize(10)
 	cancel(core.ErrCanceled)
 	if res := node.opaque.Attempt(ctx, a); res.Outcome != policy.Canceled {
-		t.Errorf("given up: outcome %d", res.Outcome)
+		t.Errorf("cancelled: outcome %d, want Canceled", res.Outcome)
 	}
 	if stream.Spent() {
-		t.Error("bytes of the client count as gone")
+		t.Error("bytes of the client count as sent, though no connection was open")
 	}
 }
 
-// A thousand tunnels stand when their server is told to drain: nothing new comes to it from a second later on, those that
-// stand end within their limit, and new ones go elsewhere. The same where it is taken out by hand.
+// Guards against tunnels that outlive their server's drain, with a thousand of them open: shortly afterwards no new one
+// is opened to it, open ones end within their limit, and new ones go to another server. The same holds for a server
+// that an operator disables.
 func TestOpaqueTunnelsEndWithDrainedServer(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a thousand tunnels")
 	}
-	for _, byHand := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		one, two := newLines(t, nil), newLines(t, nil)
-		var fleet, draining []listed // one process under many ids: the module lets each hold a hundred or so before it knows more
+		var fleet, draining []listed // one process under many ids, as the policy lets each hold about a hundred before it knows more
 		for i := range 14 {
 			e := one.entry(fmt.Sprint("s-", i))
 			fleet = append(fleet, e)
@@ -420,16 +430,16 @@
 			draining = append(draining, e)
 		}
 		node, _, connect := newOpaqueNode(t, ", drain: 300ms", "", fleet...)
-		var all []*client
+		var tunnels []*client
 		for range 1000 {
-			c, told := through(t, connect, linesConnect, 0)
-			if told != "200" {
-				t.Fatalf("tunnel %d: told %s", len(all), told)
+			c, reply := through(t, connect, linesConnect, 0)
+			if reply != "200" {
+				t.Fatalf("tunnel %d: status %s, want 200", len(tunnels), reply)
 			}
-			all = append(all, c)
+			tunnels = append(tunnels, c)
 		}
-		told := time.Now()
-		if byHand {
+		notified := time.Now()
+		if disabled {
 			node.lists(2, append(fleet, two.entry("t-1"))...)
 			for _, e := range fleet {
 				must(t, node.Disable(context.Background(), e.ID))
@@ -438,32 +448,32 @@
 			node.lists(2, append(draining, two.entry("t-1"))...)
 		}
 		for range 200 {
-			if c, told := through(t, connect, linesConnect, 0); told != "200" {
-				t.Fatalf("during the drain: told %s", told)
+			if c, reply := through(t, connect, linesConnect, 0); reply != "200" {
+				t.Fatalf("a tunnel during the drain: status %s, want 200", reply)
 			} else {
 				c.echo("hello")
 				c.Close()
 			}
 		}
 		node.waitTunnelsEnded(t, backtunnel.Draining, 1000)
-		if late := time.Unix(0, one.latest.Load()).Sub(told); late > 2*time.Second { // the grace in these settings
-			t.Errorf("by hand %v: a new connection %v after the word", byHand, late)
+		if delay := time.Unix(0, one.latest.Load()).Sub(notified); delay > 2*time.Second { // the grace period in these settings
+			t.Errorf("disabled by an operator %v: a new connection %v after the order", disabled, delay)
 		}
-		if byHand && one.opened.Load() != 1000 {
-			t.Errorf("%d connections to a server that is out by hand", one.opened.Load()-1000)
+		if disabled && one.opened.Load() != 1000 {
+			t.Errorf("%d new connections to a disabled server", one.opened.Load()-1000)
 		}
-		for _, c := range all {
+		for _, c := range tunnels {
 			c.SetDeadline(time.Now().Add(patience))
 			if _, err := c.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("a tunnel outlives the drain: %v", err)
+				t.Fatalf("a tunnel is still open after the drain: %v", err)
 			}
 			c.Close()
 		}
 	}
 }
 
-// In a drain of the node a tunnel that is asked for is refused at once, one that stands ends within its limit; the same
-// when the node leaves.
+// Guards against tunnels that hold up a drain of the node: new ones are refused at once, open ones end within their
+// limit. The same holds when the node leaves.
 func TestOpaqueTunnelsEndWithDrainedNode(t *testing.T) {
 	t.Parallel()
 	target := newLines(t, nil)
@@ -473,74 +483,74 @@
 	must(t, node.Drain(context.Background()))
 	resp := connects(t, connect)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("CONNECT during a drain: %d, come back in %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("CONNECT during a drain: status %d, Retry-After %q; want 503 with Retry-After", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	node.waitTunnelsEnded(t, backtunnel.Draining, 1)
 	must(t, node.Resume(context.Background()))
-	c, told := through(t, connect, linesConnect, 0)
-	if told != "200" {
-		t.Fatalf("after the drain: %s", told)
+	c, reply := through(t, connect, linesConnect, 0)
+	if reply != "200" {
+		t.Fatalf("CONNECT after the drain: status %s, want 200", reply)
 	}
 	c.echo("hello")
 	node.leave()
 	node.waitTunnelsEnded(t, backtunnel.Draining, 2)
 }
 
-// Standard clients speak to it: golang.org/x/net/proxy by SOCKS5, and net/http with a proxy's URL, with TLS to the server
-// inside the tunnel.
+// Guards against deviations that standard clients do not accept: golang.org/x/net/proxy by SOCKS5, and net/http with a
+// proxy's URL, with TLS to the server inside the tunnel.
 func TestStandardProxyClients(t *testing.T) {
 	t.Parallel()
 	web := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "hello "+r.Host) }))
 	defer web.Close()
 	_, socks, connect := newOpaqueNode(t, "", "", listed{ID: "s-1", Addr: web.Listener.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
-	for _, p := range []string{"http://" + connect, "socks5://" + socks} {
-		u, err := url.Parse(p)
+	for _, proxyURL := range []string{"http://" + connect, "socks5://" + socks} {
+		u, err := url.Parse(proxyURL)
 		must(t, err)
-		h := &http.Client{Transport: &http.Transport{Proxy: http.ProxyURL(u), TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}
-		resp, err := h.Get("https://lines.example.org:7/")
+		httpClient := &http.Client{Transport: &http.Transport{Proxy: http.ProxyURL(u), TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}
+		resp, err := httpClient.Get("https://lines.example.org:7/")
 		if err != nil {
-			t.Fatalf("%s: %v", p, err)
+			t.Fatalf("%s: %v", proxyURL, err)
 		}
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if string(text) != "hello lines.example.org:7" {
-			t.Errorf("%s: %q", p, text)
+			t.Errorf("%s: body %q", proxyURL, text)
 		}
-		h.CloseIdleConnections()
+		httpClient.CloseIdleConnections()
 	}
-	d, err := proxy.SOCKS5("tcp", socks, nil, nil)
+	dialer, err := proxy.SOCKS5("tcp", socks, nil, nil)
 	must(t, err)
-	c, err := d.Dial("tcp", "lines.example.org:7")
+	c, err := dialer.Dial("tcp", "lines.example.org:7")
 	must(t, err)
 	c.Close()
 	for _, to := range []string{"127.0.0.1:7", "localhost:7", "other.example.org:7", "lines.example.org:8"} {
-		if c, err := d.Dial("tcp", to); err == nil {
+		if c, err := dialer.Dial("tcp", to); err == nil {
 			c.Close()
-			t.Errorf("there is a way to %s", to)
+			t.Errorf("a tunnel to %s was opened, though no route leads there", to)
 		}
 	}
 }
 
-// A request smuggled by two framings inside a tunnel of HTTP is refused, and reaches no server.
+// Guards against a request smuggled by two framings inside an HTTP tunnel: it is refused, and reaches no server.
 func TestSmuggledRequestInTunnelIsRejected(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
 	_, _, connect := newTunnelNode(t, "", server.entry("s-1"))
 	c, _ := through(t, connect, connectOpening("secret"), 0)
-	q := strings.Replace(save("outer").text(), "Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ", 1)
-	c.send(q + "0\r\n\r\n" + view("inner").text())
+	smuggling := strings.Replace(save("outer").text(), "Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ", 1)
+	c.send(smuggling + "0\r\n\r\n" + view("inner").text())
 	if resp, _ := c.answer(); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("two framings: %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("a request with two framings: status %d, close %v; want 400 and a close", resp.StatusCode, resp.Close)
 	}
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the tunnel goes on: %v", err)
+		t.Errorf("the tunnel after it: %v, want it closed", err)
 	}
 	if n := len(server.requests()); n != 0 {
-		t.Errorf("%d requests reached the server", n)
+		t.Errorf("%d requests reached the server, want none", n)
 	}
 }
 
-// relay is what a tunnel is held against: two copies and nothing else.
+// bareRelay starts what a tunnel is compared with: a relay of two copies and nothing else.
 func bareRelay(b *testing.B, to string) string {
 	ln, err := standin.Listen()
 	if err != nil {
@@ -571,13 +581,13 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkTunnel sends through a standing tunnel and a bare relay in turn, 16 MB each, and opens short ones in turn.
+// BenchmarkTunnel sends 16 MB through an open tunnel and through a bare relay in turn, and opens short ones in turn.
 func BenchmarkTunnel(b *testing.B) {
 	target := newLines(b, func(c net.Conn) { io.Copy(io.Discard, c) })
 	echo := newLines(b, nil)
 	_, _, connect := newOpaqueNode(b, "", "", target.entry("s-1"))
-	_, _, shorts := newOpaqueNode(b, "", "", echo.entry("s-1"))
-	bare, bareShorts := bareRelay(b, target.ln.Addr().String()), bareRelay(b, echo.ln.Addr().String())
+	_, _, shortTunnels := newOpaqueNode(b, "", "", echo.entry("s-1"))
+	bare, bareShort := bareRelay(b, target.ln.Addr().String()), bareRelay(b, echo.ln.Addr().String())
 	open := func(addr string, tunnel bool) net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -609,7 +619,7 @@
 			long[i] += time.Since(begun)
 			begun = time.Now()
 			for range 4 {
-				c := open([]string{bareShorts, shorts}[i], i == 1)
+				c := open([]string{bareShort, shortTunnels}[i], i == 1)
 				c.Write(text[:1000])
 				io.ReadFull(c, text[:1000])
 				c.Close()
@@ -625,20 +635,20 @@
 	}
 }
 
-// BenchmarkIdleTunnels opens tunnels and tells what one holds of this process's heap and stacks, the test's own ends of it
-// included. At 4,000 they take 16,000 of the 20,000 descriptors that a process has here.
+// BenchmarkIdleTunnels opens tunnels and reports how much of this process's heap and stacks each one holds, the test's
+// own ends included. 4,000 of them take 16,000 of the 20,000 descriptors that a process has here.
 func BenchmarkIdleTunnels(b *testing.B) {
-	for _, most := range []int{400, 4000} {
-		b.Run(fmt.Sprint(most), func(b *testing.B) {
+	for _, count := range []int{400, 4000} {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			target := newLines(b, func(c net.Conn) {
 				var one [1]byte
 				c.Read(one[:])
 			})
-			var many []listed
+			var servers []listed
 			for i := range 60 {
-				many = append(many, target.entry(fmt.Sprint("s-", i)))
+				servers = append(servers, target.entry(fmt.Sprint("s-", i)))
 			}
-			_, _, connect := newOpaqueNode(b, ", idle: 10m", "", many...)
+			_, _, connect := newOpaqueNode(b, ", idle: 10m", "", servers...)
 			held := func() float64 {
 				runtime.GC()
 				var m runtime.MemStats
@@ -646,24 +656,24 @@
 				return float64(m.HeapInuse + m.StackInuse)
 			}
 			before := held()
-			var all []net.Conn
-			told := make([]byte, len("HTTP/1.1 200 Connection established\r\n\r\n"))
-			for range most {
+			var conns []net.Conn
+			reply := make([]byte, len("HTTP/1.1 200 Connection established\r\n\r\n"))
+			for range count {
 				c, err := net.Dial("tcp", connect)
 				if err != nil {
 					b.Fatal(err)
 				}
 				io.WriteString(c, linesConnect)
-				if _, err := io.ReadFull(c, told); err != nil {
-					b.Fatalf("tunnel %d: %q %v", len(all), told, err)
+				if _, err := io.ReadFull(c, reply); err != nil {
+					b.Fatalf("tunnel %d: %q %v", len(conns), reply, err)
 				}
-				all = append(all, c)
+				conns = append(conns, c)
 			}
-			b.ReportMetric((held()-before)/float64(most)/1024, "kB/tunnel")
-			b.ReportMetric(float64(runtime.NumGoroutine())/float64(most), "goroutines/tunnel")
-			for b.Loop() { // what they cost standing is nothing but that
+			b.ReportMetric((held()-before)/float64(count)/1024, "kB/tunnel")
+			b.ReportMetric(float64(runtime.NumGoroutine())/float64(count), "goroutines/tunnel")
+			for b.Loop() { // nothing is timed: what an idle tunnel costs is measured above
 			}
-			for _, c := range all {
+			for _, c := range conns {
 				c.Close()
 			}
 		})
--- a/internal/node/robustness_test.go
+++ b/internal/node/robustness_test.go
@@ -26,30 +26,30 @@
 	"portstall/policy"
 )
 
-// backendOf is the server that is listed under an id.
+// serverByID returns the web server that is listed under an id.
 func (n *node) backendOf(id string) *backend {
 	n.core.Lock()
 	defer n.core.Unlock()
 	return n.names[id]
 }
 
-// attemptAt is an attempt at a listed server.
+// newAttempt returns an attempt at a listed server.
 func (n *rig) newAttempt(id string, wait time.Duration) *core.Attempt {
 	in, _ := http.NewRequest("GET", "http://x/api", nil)
 	up, _ := flow.NewUpload(http.NoBody, 0)
 	return &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: n.backendOf(id).Server, Wait: wait}
 }
 
-// through makes the way to a server a test's own.
+// setDial replaces the way in which a server is dialed.
 func (n *rig) setDial(id string, via back.Dial) {
-	b := n.backendOf(id)
+	server := n.backendOf(id)
 	n.core.Lock()
 	defer n.core.Unlock()
-	b.Via = via
+	server.Via = via
 }
 
-// What keeps a connection from coming up is held against the server only where it is the server's doing: not where this machine
-// has no descriptor left, nor where the client's patience was over before any server could have answered.
+// Guards against connect failures held against a server that did not cause them: not where this machine has no
+// descriptor left, nor where the client's time had passed before any server could have responded.
 func TestConnectFailureIsAttributed(t *testing.T) {
 	t.Parallel()
 	node := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, served).entry("s-1"))
@@ -72,8 +72,8 @@
 		{"none for the machine", fails(syscall.ENFILE), patience, policy.Moot},
 		{"no memory for a socket", fails(syscall.ENOBUFS), patience, policy.Moot},
 		{"refused", fails(syscall.ECONNREFUSED), patience, policy.ConnectFailed},
-		{"a client of no patience", never, time.Millisecond, policy.Moot},
-		{"one who waits for a while", never, 300 * time.Millisecond, policy.ConnectFailed},
+		{"a client with a short timeout", never, time.Millisecond, policy.Moot},
+		{"a client with a longer timeout", never, 300 * time.Millisecond, policy.ConnectFailed},
 	} {
 		node.setDial("s-1", c.via)
 		if res := node.Attempt(context.Background(), node.newAttempt("s-1", c.wait)); res.Outcome != c.want {
@@ -81,11 +81,12 @@
 		}
 	}
 	if open, _ := node.pool.Counts(); open != 0 {
-		t.Errorf("%d connections are booked", open)
+		t.Errorf("%d connections still count as open, want none", open)
 	}
 }
 
-// A request that finds no room for its body is refused, and told when to come back.
+// Guards against requests that wait without end for the body budget: one whose body does not fit is refused with
+// Retry-After.
 func TestBodyBeyondBudgetIsRefused(t *testing.T) {
 	t.Parallel()
 	node := newRig(t, newRegistry(t), settingsJSON, hurried, newBox(t, served).entry("s-1"))
@@ -96,12 +97,12 @@
 	resp, _ := node.dial(t).ask(q)
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
-		t.Errorf("%d with Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("status %d with Retry-After %q, want 503 with at most 2 s", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 }
 
-// Lines of the list that name no server or no place are passed over, and one that started in no time that there is counts as
-// cold, not as long running.
+// Guards against malformed entries of the server list: those without id or address are skipped, and a server with an
+// impossible start time counts as cold, not as long running.
 func TestMalformedListEntriesAreSkipped(t *testing.T) {
 	t.Parallel()
 	server := newBox(t, served)
@@ -110,47 +111,47 @@
 	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"), listed{ID: "s-9", State: "Ready"}, listed{Addr: "127.0.0.1:1", State: "Ready"}, far)
 	node.core.Lock()
 	if len(node.names) != 2 || node.names["s-1"] == nil || node.names["s-2"] == nil {
-		t.Errorf("%d servers", len(node.names))
+		t.Errorf("%d web servers, want s-1 and s-2 alone", len(node.names))
 	}
 	node.core.Unlock()
 	for i := range 40 {
 		if resp, _ := node.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
-			t.Errorf("request %d: %d", i, resp.StatusCode)
+			t.Errorf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
-	node.lists(2, listed{ID: "s-1", State: "Gone"}, far) // the address of one that is known may be missing
+	node.lists(2, listed{ID: "s-1", State: "Gone"}, far) // the address of a known server may be missing
 	if node.backendOf("s-1") != nil && !node.backendOf("s-1").left {
-		t.Error("one that has gone is there")
+		t.Error("a web server that was listed as gone is still listed")
 	}
 }
 
-// A configuration that is refused for one part of it changes nothing in the others: here its keys would have cast a member out.
+// Guards against a rejected configuration that takes effect in part: here its keys would have excluded a member.
 func TestRejectedReloadChangesNothing(t *testing.T) {
 	t.Parallel()
-	some := newFellows(t, 2)
-	var rigs [2]*rig
-	for i := range rigs {
-		rigs[i] = newRig(t, newRegistry(t), settingsJSON, under(t, some.file(i, 2)))
-		must(t, rigs[i].join(t.Context()))
-		t.Cleanup(rigs[i].edge.Close)
-	}
-	node := rigs[0]
-	wait(t, "joining", func() bool { return node.members().Alive == 2 && len(node.members().Members) == 1 })
+	peers := newFellows(t, 2)
+	var nodes [2]*rig
+	for i := range nodes {
+		nodes[i] = newRig(t, newRegistry(t), settingsJSON, under(t, peers.file(i, 2)))
+		must(t, nodes[i].join(t.Context()))
+		t.Cleanup(nodes[i].edge.Close)
+	}
+	node := nodes[0]
+	wait(t, "both nodes to join", func() bool { return node.members().Alive == 2 && len(node.members().Members) == 1 })
 	cfg := node.cfg
 	cfg.Discovery = node.disc.addr
 	cfg.Settings.Policy.MaxAttempts = 1
-	under(t, some.file(0, 1)+"cells: {size: 2}\n")(&cfg)
+	under(t, peers.file(0, 1)+"cells: {size: 2}\n")(&cfg)
 	node.reload(cfg)
 	if all := node.members(); len(all.Members) != 1 {
-		t.Errorf("members after a reload that was refused: %+v", all.Members)
+		t.Errorf("members after a rejected reload: %+v, want the one from before", all.Members)
 	}
 	if got := node.set.Load().Policy.MaxAttempts; got != 3 {
-		t.Errorf("%d attempts after it", got)
+		t.Errorf("at most %d attempts after a rejected reload, want 3", got)
 	}
 }
 
-// A file cut off at any byte is refused at a start and at a reload, and so is one whose figures are out of range; each error
-// names the file or the field.
+// Guards against broken files that are accepted: a file truncated at any byte is rejected at the start and at a reload,
+// and so is one with a number out of range. Each error names the file or the field.
 func TestTruncatedOrInvalidFilesAreRejected(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -165,7 +166,7 @@
 		_, second := Reload(getenv, inForce)
 		for _, err := range []error{first, second} {
 			if err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
-				t.Fatalf("the first %d bytes: %v", i, err)
+				t.Fatalf("a file truncated to %d bytes: %v, want an error that names GW_CONFIG", i, err)
 			}
 		}
 	}
@@ -190,7 +191,7 @@
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
-			t.Fatalf("%s is not there", c.old)
+			t.Fatalf("%s is not in the file", c.old)
 		}
 		must(t, os.WriteFile(path, []byte(text), 0o600))
 		_, first := Load(getenv)
@@ -203,8 +204,9 @@
 	}
 }
 
-// A process that was replaced finishes what it took while its successor is replaced in its turn. Operators' calls reach all
-// three, and the end of one leaves the other two one node.
+// Guards against orders that are lost among three processes: a replaced process finishes its requests while its
+// successor is replaced in turn. Operators' orders reach all three, and after one has exited the other two still share
+// them.
 func TestOrdersReachThreeProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -219,10 +221,10 @@
 		}
 		return served(c, r, nth)
 	})
-	end := sync.OnceFunc(func() { close(hold) })
-	t.Cleanup(end)
+	releaseSlow := sync.OnceFunc(func() { close(hold) })
+	t.Cleanup(releaseSlow)
 	discoveryStub := newRegistry(t)
-	out := func(node *rig, id string) bool {
+	disabled := func(node *rig, id string) bool {
 		node.core.Lock()
 		defer node.core.Unlock()
 		return node.hand.disabled[id]
@@ -231,40 +233,40 @@
 	first.lists(2, server.entry("s-1"))
 	busy := first.dial(t)
 	busy.send(quote("open").text())
-	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
+	wait(t, "the first process's request at the server", func() bool { return len(server.requests()) == 1 })
 	second := startSuccessor(t, first.meet(t), discoveryStub, settingsJSON)
-	stays := second.dial(t) // the second one ends behind the first, and not before it has answered this
-	stays.send(quote("slow").text())
-	wait(t, "the second's request at the server", func() bool { return len(server.requests()) == 2 })
+	held := second.dial(t) // the second process ends after the first, and not before it has answered this request
+	held.send(quote("slow").text())
+	wait(t, "the second process's request at the server", func() bool { return len(server.requests()) == 2 })
 	third := startSuccessor(t, second.meet(t), discoveryStub, settingsJSON)
 	must(t, third.Disable(ctx, "s-1"))
-	if !out(first, "s-1") || !out(second, "s-1") {
-		t.Errorf("out at the first: %v, at the second: %v", out(first, "s-1"), out(second, "s-1"))
+	if !disabled(first, "s-1") || !disabled(second, "s-1") {
+		t.Errorf("disabled at the first process: %v, at the second: %v; want both", disabled(first, "s-1"), disabled(second, "s-1"))
 	}
 	close(release)
 	if resp, _ := busy.answer(); resp.StatusCode != 200 {
-		t.Errorf("the first's request: %d", resp.StatusCode)
+		t.Errorf("the first process's request: status %d, want 200", resp.StatusCode)
 	}
 	second.pair.mu.Lock()
-	gone := second.pair.peers[second.pair.machine.Before]
+	exited := second.pair.peers[second.pair.machine.Before]
 	second.pair.mu.Unlock()
-	second.Gone(gone) // as the end of its process does
+	second.Gone(exited) // as at the exit of its process
 	must(t, third.Enable(ctx, "s-1"))
-	if out(second, "s-1") {
-		t.Error("the second is not told any more")
+	if disabled(second, "s-1") {
+		t.Error("an order given to the third process did not reach the second")
 	}
 	must(t, second.Disable(ctx, "s-1"))
-	if !out(third, "s-1") {
-		t.Error("the third is not told any more")
+	if !disabled(third, "s-1") {
+		t.Error("an order given to the second process did not reach the third")
 	}
-	end()
-	if resp, _ := stays.answer(); resp.StatusCode != 200 {
-		t.Errorf("the second's request: %d", resp.StatusCode)
+	releaseSlow()
+	if resp, _ := held.answer(); resp.StatusCode != 200 {
+		t.Errorf("the second process's request: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// All that several goroutines can reach at a time is reached by several at a time, for the race detector; meanwhile what was
-// asked is answered, and in the end nothing is left.
+// Guards against data races: everything that several goroutines can reach is used by several at once, for the race
+// detector. Meanwhile each request is answered, and in the end nothing is left open.
 func TestConcurrentOperations(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
@@ -277,23 +279,23 @@
 	cfg.Discovery = node.disc.addr
 	set, err := wire.DecodeSettings([]byte(strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":2`, 1)))
 	must(t, err)
-	var asked, served atomic.Int64
-	var over atomic.Bool
-	var askers, others sync.WaitGroup
+	var sent, answered atomic.Int64
+	var done atomic.Bool
+	var clients, operations sync.WaitGroup
 	for i := range 6 {
-		askers.Go(func() {
+		clients.Go(func() {
 			c := node.dial(t)
 			for n := range 60 {
-				asked.Add(1)
+				sent.Add(1)
 				text := with(view(fmt.Sprint("v", i, "-", n)), "X-Tenant: somebody")
-				for tries := 0; ; tries++ { // a close may cross a request that was not read: it is sent again, and had it been taken it were refused
+				for tries := 0; ; tries++ { // a close may cross a request that was not read: it is sent again, and would be rejected if it had been accepted
 					c.SetDeadline(time.Now().Add(patience))
 					io.WriteString(c, text)
 					resp, err := http.ReadResponse(c.in, nil)
 					if err == nil {
 						resp.Body.Close()
-						if served.Add(1); resp.StatusCode == http.StatusConflict {
-							t.Errorf("request %d of asker %d was lost", n, i)
+						if answered.Add(1); resp.StatusCode == http.StatusConflict {
+							t.Errorf("request %d of client %d was accepted but not answered", n, i)
 						}
 						if resp.Close {
 							c = node.dial(t)
@@ -301,7 +303,7 @@
 						break
 					}
 					if tries == 100 {
-						t.Errorf("asker %d: %v", i, err)
+						t.Errorf("client %d: %v", i, err)
 						return
 					}
 					c = node.dial(t)
@@ -338,42 +340,43 @@
 		func(n int) { node.Drain(ctx); node.Resume(ctx) },
 		func(n int) { node.core.Lock(); node.snapshot(n%2 == 0); node.core.Unlock(); node.setLimits(1) },
 	} {
-		others.Go(func() {
-			for n := 0; !over.Load(); n++ {
+		operations.Go(func() {
+			for n := 0; !done.Load(); n++ {
 				act(n)
-				time.Sleep(time.Millisecond) // so that the askers get their turn at the locks
+				time.Sleep(time.Millisecond) // so that the clients get their turn at the locks
 			}
 		})
 	}
-	askers.Wait()
-	over.Store(true)
-	others.Wait()
-	if asked.Load() != served.Load() || asked.Load() != 360 {
-		t.Errorf("%d asked, %d answered", asked.Load(), served.Load())
+	clients.Wait()
+	done.Store(true)
+	operations.Wait()
+	if sent.Load() != answered.Load() || sent.Load() != 360 {
+		t.Errorf("%d requests sent, %d answered; want 360 of both", sent.Load(), answered.Load())
 	}
 	wait(t, "the end of all requests", func() bool { return node.core.Stats(0).Open == 0 })
 }
 
-// A server out by hand that comes back at another address costs no request its only attempt: the policy knows, and not the gate
-// alone.
+// Guards against attempts spent on a disabled server that returns at another address: the policy knows that it is
+// disabled, not only its gate.
 func TestDisabledServerCostsNoAttempt(t *testing.T) {
 	t.Parallel()
 	serverA, moved, serverB := newBox(t, served), newBox(t, served), newBox(t, served)
-	one := strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":1`, 1)
-	node := newRig(t, newRegistry(t), one, nil, serverA.entry("s-1"), serverB.entry("s-2"))
+	oneAttempt := strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":1`, 1)
+	node := newRig(t, newRegistry(t), oneAttempt, nil, serverA.entry("s-1"), serverB.entry("s-2"))
 	must(t, node.Disable(context.Background(), "s-1"))
 	node.lists(2, moved.entry("s-1"), serverB.entry("s-2"))
 	for i := range 40 {
 		if resp, _ := node.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
-			t.Errorf("request %d: %d", i, resp.StatusCode)
+			t.Errorf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
 	if n := len(moved.requests()); n > 0 {
-		t.Errorf("%d requests at the server that is out", n)
+		t.Errorf("the disabled server has received %d requests", n)
 	}
 }
 
-// A request's id that its predecessor takes on a kept connection after the hand-over is not known to the successor.
+// Guards against a request that runs twice across a hand-over: the id of a request that the predecessor accepts on a
+// kept connection after the state was taken is rejected by the successor.
 func TestIDAcceptedByPredecessorAfterHandover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -386,58 +389,60 @@
 	defer close(release)
 	discoveryStub := newRegistry(t)
 	old := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
-	keeps := old.dial(t)
-	keeps.ask(view("v"))
-	est := old.meet(t)
-	keeps.send(quote("late").text()) // taken behind the state
+	keptConn := old.dial(t)
+	keptConn.ask(view("v"))
+	offer := old.meet(t)
+	keptConn.send(quote("late").text()) // accepted after the state was taken
 	wait(t, "the request at the server", func() bool { return len(server.requests()) == 2 })
-	young := startSuccessor(t, est, discoveryStub, settingsJSON)
-	if resp, _ := young.dial(t).ask(quote("late")); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the id of a request that the predecessor took behind its state: %d", resp.StatusCode)
+	successor := startSuccessor(t, offer, discoveryStub, settingsJSON)
+	if resp, _ := successor.dial(t).ask(quote("late")); resp.StatusCode != http.StatusConflict {
+		t.Errorf("the id of a request that the predecessor accepted after its state was taken: status %d, want 409", resp.StatusCode)
 	}
 }
 
-// Behind the hand-over a predecessor asks before each request on the connections that clients keep: an id that is open at the
-// successor does not begin there, nor the other way round, and one that has ended may be used again.
+// Guards against a request that runs in both processes after a hand-over. The predecessor asks before each request on
+// connections that clients keep: an id that is open at the successor does not begin there, nor the other way round, and
+// one that has ended may be used again.
 func TestOpenIDsAreSharedAfterHandover(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
 	server := newSlowBox(t, hold)
 	discoveryStub := newRegistry(t)
 	old := newRig(t, discoveryStub, settingsJSON, unhurried, server.entry("s-1"))
-	keeps, again := old.dial(t), old.dial(t)
-	keeps.ask(view("v"))
-	again.ask(view("w"))
-	est := old.meet(t)
-	keeps.send(quote("slow").text()[:40]) // its first bytes keep the connection while others are closed
-	again.send(view("free").text()[:40])
-	young := startSuccessor(t, est, discoveryStub, settingsJSON)
-	first := young.dial(t)
-	first.send(quote("slow").text())
+	keptConn, keptConn2 := old.dial(t), old.dial(t)
+	keptConn.ask(view("v"))
+	keptConn2.ask(view("w"))
+	offer := old.meet(t)
+	keptConn.send(quote("slow").text()[:40]) // its first bytes keep the connection open while others are closed
+	keptConn2.send(view("free").text()[:40])
+	successor := startSuccessor(t, offer, discoveryStub, settingsJSON)
+	successorConn := successor.dial(t)
+	successorConn.send(quote("slow").text())
 	wait(t, "the request at the server", func() bool { return len(server.requests()) == 3 })
-	keeps.send(quote("slow").text()[40:])
-	if resp, _ := keeps.answer(); resp.StatusCode != http.StatusConflict {
-		t.Errorf("an id that is open at the successor: %d at the predecessor", resp.StatusCode)
-	}
-	again.send(view("free").text()[40:])
-	if resp, _ := again.answer(); resp.StatusCode != http.StatusOK {
-		t.Errorf("another one at the predecessor: %d", resp.StatusCode)
-	}
-	wait(t, "its end's notice", func() bool {
-		young.core.Lock()
-		defer young.core.Unlock()
-		return len(young.core.Ids().Theirs(young.core.Now())) == 0
+	keptConn.send(quote("slow").text()[40:])
+	if resp, _ := keptConn.answer(); resp.StatusCode != http.StatusConflict {
+		t.Errorf("an id that is open at the successor: status %d at the predecessor, want 409", resp.StatusCode)
+	}
+	keptConn2.send(view("free").text()[40:])
+	if resp, _ := keptConn2.answer(); resp.StatusCode != http.StatusOK {
+		t.Errorf("another id at the predecessor: status %d, want 200", resp.StatusCode)
+	}
+	wait(t, "the notice of that request's end at the successor", func() bool {
+		successor.core.Lock()
+		defer successor.core.Unlock()
+		return len(successor.core.Ids().Theirs(successor.core.Now())) == 0
 	})
-	if resp, _ := young.dial(t).ask(view("free")); resp.StatusCode != http.StatusOK {
-		t.Errorf("an id that has ended at the predecessor: %d", resp.StatusCode)
+	if resp, _ := successor.dial(t).ask(view("free")); resp.StatusCode != http.StatusOK {
+		t.Errorf("an id that has ended at the predecessor: status %d at the successor, want 200", resp.StatusCode)
 	}
 	close(hold)
-	if resp, _ := first.answer(); resp.StatusCode != http.StatusOK {
-		t.Errorf("the request at the successor: %d", resp.StatusCode)
+	if resp, _ := successorConn.answer(); resp.StatusCode != http.StatusOK {
+		t.Errorf("the request at the successor: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// A process that was relieved and told to end does so, also when its successor ends before it has.
+// Guards against a process that does not end: one that a successor has relieved and that gets SIGTERM ends, also when
+// its successor exits before it has finished.
 func TestRelievedProcessEndsOnSIGTERM(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -447,27 +452,28 @@
 	busy := old.dial(t)
 	busy.send(view("slow").text())
 	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
-	young := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
-	wait(t, "relief", func() bool { return old.life.now() == relieved })
+	successor := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
+	wait(t, "the predecessor to be relieved", func() bool { return old.life.now() == relieved })
 	old.leave()
-	wait(t, "the order to end", func() bool { return old.life.now() == leaving })
-	young.leave()
-	young.exited <- receive(t, "the successor's end", young.exited)
-	wait(t, "its notice", func() bool { return old.pair.currentPhase() == handover.Serves })
+	wait(t, "the predecessor to be leaving", func() bool { return old.life.now() == leaving })
+	successor.leave()
+	successor.exited <- receive(t, "the successor to exit", successor.exited)
+	wait(t, "the predecessor to notice that", func() bool { return old.pair.currentPhase() == handover.Serves })
 	close(hold)
 	if resp, _ := busy.answer(); resp.StatusCode != http.StatusOK {
-		t.Errorf("what it had taken: %d", resp.StatusCode)
+		t.Errorf("the request that it had accepted: status %d, want 200", resp.StatusCode)
 	}
 	select {
 	case err := <-old.exited:
 		must(t, err)
 		old.exited <- err
 	case <-time.After(patience):
-		t.Error("it does not end")
+		t.Error("the predecessor does not end")
 	}
 }
 
-// successor is the other end of a hand-over as a test wants it: it says what it is told to and no more.
+// scriptedSuccessor is the other end of a hand-over as a test wants it: it sends only what the test sends, and passes
+// on the messages that it receives. It is an upgrade.Node.
 type successor struct {
 	messages chan handover.Message
 }
@@ -483,29 +489,30 @@
 func (successor) Obey(*upgrade.Peer, upgrade.Order) error { return nil }
 func (successor) Gone(*upgrade.Peer)                      {}
 
-// A successor that ends leaves its predecessor serving, with its listener: before it was told that clients are its own, after
-// that, and after it has said that it serves. One that hangs after its yes is not waited for, unless it has the token.
+// Guards against a hand-over after which no process serves. A predecessor serves again, with its listener, when its
+// successor exits: before it was notified that the clients are its own, after that, and after it has reported that it
+// serves. A successor that hangs after it has agreed is not waited for, unless it has the token.
 func TestPredecessorServesWhenSuccessorEnds(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name          string
 		ready, serves bool
 		ends          bool
-	}{{"before it is ready", false, false, true}, {"once it is told", true, false, true}, {"once it serves", true, true, true},
-		{"it hangs once it is told", true, false, false}} {
+	}{{"it exits before it is ready", false, false, true}, {"it exits once it is notified", true, false, true}, {"it exits once it serves", true, true, true},
+		{"it hangs once it is notified", true, false, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			server := newBox(t, served)
 			path := meetAt(t)
 			old := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.meet = path }, server.entry("s-1"))
-			m := old.meet(t)
-			s := successor{make(chan handover.Message, 10)}
-			m.peer.Follow(s)
+			offer := old.meet(t)
+			successor := successor{make(chan handover.Message, 10)}
+			offer.peer.Follow(successor)
 			var token *upgrade.Token
 			if c.ready {
-				m.peer.Tell(handover.Ready, 0, nil)
-				if what := receive(t, "the predecessor's word", s.messages); what != handover.Yours {
-					t.Fatalf("told %d", what)
+				offer.peer.Tell(handover.Ready, 0, nil)
+				if what := receive(t, "the predecessor's message", successor.messages); what != handover.Yours {
+					t.Fatalf("received message %d, want Yours", what)
 				}
 			}
 			if c.serves {
@@ -514,27 +521,27 @@
 				must(t, err)
 				number, had, err := token.Lock()
 				if !had || err != nil {
-					t.Fatal("the token is not to be had", err)
+					t.Fatal("cannot lock the token", err)
 				}
 				must(t, token.Mark(number+1))
-				m.peer.Tell(handover.Serving, 0, nil)
-				wait(t, "the predecessor's relief", func() bool { return old.pair.currentPhase() == handover.Relieved })
+				offer.peer.Tell(handover.Serving, 0, nil)
+				wait(t, "the predecessor to be relieved", func() bool { return old.pair.currentPhase() == handover.Relieved })
 			}
 			if c.ends {
 				if token != nil {
 					token.Close()
 				}
-				m.peer.Close()
+				offer.peer.Close()
 			}
 			if c.ready {
-				wait(t, "the predecessor", func() bool { return old.pair.currentPhase() == handover.Serves })
+				wait(t, "the predecessor to serve", func() bool { return old.pair.currentPhase() == handover.Serves })
 			}
-			wait(t, "its clients", func() bool { return !old.life.sendsAway() })
+			wait(t, "the predecessor to keep its clients", func() bool { return !old.life.sendsAway() })
 			if resp, _ := old.dial(t).ask(view("v")); resp.StatusCode != http.StatusOK || resp.Close {
-				t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
+				t.Errorf("a request at the predecessor: status %d, close %v; want 200 and no close", resp.StatusCode, resp.Close)
 			}
 			if !c.ends {
-				m.peer.Close()
+				offer.peer.Close()
 			}
 		})
 	}
