--- /dev/null
+++ b/internal/node/handover.go
@@ -0,0 +1,576 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"portstall/internal/handover"
+	"portstall/internal/state"
+	"portstall/internal/upgrade"
+)
+
+const (
+	// orderTimeout is how long another process may take over an operator's order that is forwarded to it.
+	orderTimeout = 500 * time.Millisecond
+	// claimTimeout is how long a successor may take to say whether a request may begin here.
+	claimTimeout = 200 * time.Millisecond
+	// retryInterval is the time between retries of a step between processes that has failed.
+	retryInterval = 50 * time.Millisecond
+	// predecessorTimeout is how long a starting process waits for one that is being replaced itself at the moment.
+	predecessorTimeout = 3 * time.Second
+	// successorShare is the share of the contracts that a successor grants while its predecessor finishes; the
+	// predecessor keeps the rest for requests that still reach it.
+	heirPortion = 7.0 / 8
+)
+
+// handoverController is this process's side of a hand-over. As long as other processes of this node run, they and this
+// one act as one node. The state machine decides, and its decisions are carried out under mu, which comes before the
+// core's lock. The node owns it.
+type pair struct {
+	node         *node
+	accepting    atomic.Bool // this process accepts clients
+	phase        atomic.Int32
+	seeking      atomic.Bool   // another serving process is being looked for
+	phaseChanged chan struct{} // signals that the phase has changed; buffer of one
+	// relieved is closed when a successor first serves. Tunnel listeners, which only one process can have, are given up
+	// then and not opened again, even if the successor ends.
+	relieved       chan struct{}
+	relieveOnce    sync.Once
+	clientListener *door
+
+	mu              sync.Mutex
+	machine         handover.Machine
+	peers           map[handover.Peer]*upgrade.Peer // all known other processes of this node
+	peerIDs         map[*upgrade.Peer]handover.Peer
+	lastPeerID      handover.Peer
+	token           *upgrade.Token // nil: it is not needed, or not available
+	upgradeListener *upgrade.Listener
+	persister       *keeping   // nil: no state is stored on disk
+	seenOrders      [64]uint64 // random ids of the latest orders, a ring buffer
+	orderCount      int
+	reclaimBudget   func() // takes back the lent share of the body budget; nil where the limits are not shared
+	closed          bool
+}
+
+// handedState is a predecessor's state, and the connection to that process.
+type estate struct {
+	peer  *upgrade.Peer
+	state *state.Snapshot
+}
+
+// socketPath returns the path of the socket on which a process meets its successor. It is empty where each process has
+// its own socket for clients: then no two can serve at a time.
+func socketPath(cfg Config) string {
+	switch {
+	case cfg.meet != "":
+		return cfg.meet
+	case cfg.AcceptFD == 0:
+		return ""
+	}
+	return filepath.Join(os.TempDir(), "portstall.sock")
+}
+
+// findPredecessor asks the processes that listen at path for their state, the serving one first. A nil result with
+// later set means that a process is there and cannot hand over now.
+func findPredecessor(path string, log *slog.Logger) (old *estate, later bool) {
+	for _, at := range upgrade.Others(path) {
+		peer, what, text, err := upgrade.Dial(at)
+		if errors.Is(err, syscall.ECONNREFUSED) && at != path {
+			os.Remove(at) // left behind by a process that has ended
+		}
+		if err != nil {
+			if at == path {
+				log.Debug("no process hands over", "socket", at, "reason", err)
+			}
+			continue
+		}
+		if what != handover.State {
+			peer.Close()
+			later = true
+			continue
+		}
+		s, err := state.Decode(text)
+		if err != nil {
+			log.Error("cannot decode the predecessor's state", "err", err)
+			peer.Close()
+			continue
+		}
+		return &estate{peer, s}, false
+	}
+	return nil, later
+}
+
+// requestHandedState asks a predecessor for its state. It returns nil if there is none or it does not reply: the node
+// then starts without.
+func requestHandedState(cfg Config, log *slog.Logger) *estate {
+	path := socketPath(cfg)
+	if path == "" {
+		return nil
+	}
+	for end := time.Now().Add(predecessorTimeout); ; time.Sleep(retryInterval) {
+		old, later := findPredecessor(path, log)
+		if old != nil {
+			log.Info("adopting the predecessor's state", "web_servers", len(old.state.Servers), "disabled_by_operator", len(old.state.Out), "open_requests", len(old.state.Open))
+			return old
+		}
+		if !later || time.Now().After(end) {
+			log.Info("starting without a predecessor's state")
+			return nil
+		}
+	}
+}
+
+// initialize prepares the controller of a node. It is called once, before anything else of it.
+func (h *pair) initialize(n *node) {
+	h.node, h.phaseChanged, h.relieved = n, make(chan struct{}, 1), make(chan struct{})
+	h.peers, h.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
+}
+
+// peerID returns the state machine's id of another process, and assigns one to a new one. h.mu is held.
+func (h *pair) peerID(peer *upgrade.Peer) handover.Peer {
+	if name, known := h.peerIDs[peer]; known {
+		return name
+	}
+	h.lastPeerID++
+	h.peerIDs[peer], h.peers[h.lastPeerID] = h.lastPeerID, peer
+	return h.lastPeerID
+}
+
+// adoptPredecessor adopts a predecessor's state. The core's lock is held, and nothing else knows the node yet.
+func (n *node) adoptPredecessor(old *estate) {
+	n.pair.mu.Lock()
+	from := n.pair.peerID(old.peer)
+	n.pair.machine.Before = from
+	n.pair.shareLimits()
+	n.pair.mu.Unlock()
+	n.ageSnapshot(old.state)
+	n.adoptSnapshot(old.state, from)
+	n.core.Portion(heirPortion, false)
+	old.peer.Follow(n)
+}
+
+// handle passes an event to the state machine.
+func (h *pair) handle(event func(m *handover.Machine, env handover.Env)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.closed {
+		return
+	}
+	event(&h.machine, h)
+	h.publishPhase()
+}
+
+// publishPhase makes a change of phase visible outside the controller. h.mu is held.
+func (h *pair) publishPhase() {
+	if before := handover.Phase(h.phase.Swap(int32(h.machine.Phase))); before != h.machine.Phase {
+		h.node.log.Debug("hand-over", "phase", h.machine.Phase, "before", before)
+		select {
+		case h.phaseChanged <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// currentPhase returns the latest published phase.
+func (h *pair) currentPhase() handover.Phase { return handover.Phase(h.phase.Load()) }
+
+// yielding reports whether a successor has the clients, or is about to.
+func (h *pair) yielding() bool {
+	return h.currentPhase() == handover.Yielding || h.currentPhase() == handover.Relieved
+}
+
+// acquireClients is called once this process can serve. It returns at once; the listener opens when the clients are its
+// own.
+func (n *node) acquireClients(d *door) {
+	h := &n.pair
+	h.clientListener = d
+	path := socketPath(n.cfg)
+	if path == "" {
+		h.handle(func(m *handover.Machine, env handover.Env) { m.Alone(env) })
+		return
+	}
+	h.mu.Lock()
+	token, err := upgrade.OpenToken(path + "-token")
+	if err != nil {
+		n.log.Error("cannot open the hand-over token: unknown whether another process serves", "err", err)
+	}
+	h.token = token
+	h.mu.Unlock()
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Ready(env) })
+	go n.retryHandover()
+}
+
+// retryHandover retries, until the node ends, steps between processes that have failed.
+func (n *node) retryHandover() {
+	tick := time.NewTicker(retryInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+		case <-n.core.Context().Done():
+			return
+		}
+		n.pair.handle(func(m *handover.Machine, env handover.Env) {
+			if m.Unsettled() {
+				m.Tick(env)
+			}
+		})
+	}
+}
+
+// Lock acquires the token, and returns the number marked on it and whether it was acquired. Lock, Mark, Unlock, Accept,
+// Yield, Resume, Relieve, Tell and Seek make it a handover.Env; they are called with h.mu held.
+func (h *pair) Lock() (uint64, bool) {
+	if h.token == nil {
+		return 0, true
+	}
+	number, had, err := h.token.Lock()
+	if err != nil { // serving takes precedence over the token
+		h.node.log.Error("cannot lock the hand-over token: unknown whether another process serves", "err", err)
+		return h.machine.Number, true
+	}
+	return number, had
+}
+
+// Mark writes a number on the token.
+func (h *pair) Mark(number uint64) {
+	if h.token != nil {
+		if err := h.token.Mark(number); err != nil {
+			h.node.log.Error("cannot mark the hand-over token", "err", err)
+		}
+	}
+}
+
+// Unlock releases the token.
+func (h *pair) Unlock() {
+	if h.token != nil {
+		h.token.Unlock()
+	}
+}
+
+// Accept opens or closes the clients' listener, and starts or stops storing the state. The first time that it opens,
+// this process also begins to listen for successors.
+func (h *pair) Accept(on bool) {
+	h.clientListener.setOpen(on)
+	defer h.accepting.Store(on) // successors find this process from then on
+	if on {
+		h.persister.start(h.node)
+	} else {
+		h.persister.stop()
+	}
+	if !on || h.upgradeListener != nil {
+		return
+	}
+	if path := socketPath(h.node.cfg); path != "" {
+		l, err := upgrade.Listen(path, h.node, h.node.log)
+		if err != nil {
+			h.node.log.Error("cannot listen for successors: none can take over from this process", "err", err)
+		}
+		h.upgradeListener = l
+	}
+}
+
+// Yield takes the state and hands the decisions to the successor within one hold of the core's lock: for each request
+// that begins after that state the successor is asked, and each one's end is reported to it.
+func (h *pair) Yield(to handover.Peer, number uint64) {
+	n, peer := h.node, h.peers[to]
+	n.core.Lock()
+	s := n.snapshot(true)
+	n.core.Yield(heir{n, peer})
+	n.core.Portion(1-heirPortion, true)
+	peer.Tell(handover.Yours, number, n.stateEncoder(s))
+	n.core.Unlock()
+	h.shareLimits()
+}
+
+// Resume serves alone again. What is left of the contracts is not known: the successor may have spent it.
+func (h *pair) Resume() {
+	h.node.core.Lock()
+	defer h.node.core.Unlock()
+	h.node.core.Yield(nil)
+	h.node.core.Portion(1, true)
+	h.node.log.Warn("the successor has exited or did not take over: serving again")
+}
+
+// Relieve lets serve finish what this process has accepted, and closes relieved.
+func (h *pair) Relieve() {
+	h.relieveOnce.Do(func() { close(h.relieved) })
+	h.node.log.Info("a successor serves: finishing accepted requests")
+}
+
+// Tell sends a message to another process; with handover.State it takes the state along.
+func (h *pair) Tell(to handover.Peer, what handover.Message) {
+	n, peer := h.node, h.peers[to]
+	if peer == nil {
+		return
+	}
+	var text func() []byte
+	if what == handover.State {
+		// An order that arrives after the state was taken must not be lost. This process is already known to the other
+		// one, so the order is forwarded to it after the state.
+		n.core.Lock()
+		text = n.stateEncoder(n.snapshot(true))
+		peer.Tell(what, 0, text)
+		n.core.Unlock()
+		return
+	}
+	peer.Tell(what, 0, nil)
+}
+
+// stateEncoder returns a function that encodes a snapshot; the work is done when it is called.
+func (n *node) stateEncoder(s func() *state.Snapshot) func() []byte {
+	return func() []byte {
+		text, err := state.Encode(s())
+		if err != nil {
+			n.log.Error("cannot encode the state for the hand-over", "err", err)
+		}
+		return text
+	}
+}
+
+// Seek starts looking for another serving process.
+func (h *pair) Seek() {
+	if h.seeking.CompareAndSwap(false, true) { // one at a time, so that a process that is slow to reply does not get more and more calls
+		go h.findServingProcess()
+	}
+}
+
+// findServingProcess looks for another serving process, adopts its state and reports the result to the state machine.
+func (h *pair) findServingProcess() {
+	defer h.seeking.Store(false)
+	old, later := findPredecessor(socketPath(h.node.cfg), h.node.log)
+	if old == nil {
+		if !later {
+			h.handle(func(m *handover.Machine, env handover.Env) { m.NoOne(env) })
+		}
+		return
+	}
+	h.mu.Lock()
+	if h.closed || h.machine.Phase != handover.Seeking {
+		h.mu.Unlock()
+		old.peer.Close()
+		return
+	}
+	from := h.peerID(old.peer)
+	h.adoptState(from, old.state, true)
+	h.machine.Heard(h, from, handover.State, 0)
+	h.publishPhase()
+	h.shareLimits()
+	h.mu.Unlock()
+	old.peer.Follow(h.node)
+}
+
+// adoptState adopts a state. With whole set it includes the server list and the operators' orders; without, only what
+// changes with each request. h.mu is held.
+func (h *pair) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
+	n := h.node
+	n.core.Lock()
+	defer n.core.Unlock()
+	n.ageSnapshot(s)
+	if whole {
+		n.adoptSnapshot(s, from)
+		n.core.Portion(heirPortion, false)
+	} else {
+		n.adoptRuntimeState(s, from)
+	}
+}
+
+// remoteSuccessor asks the successor before each request that still arrives here. It is a core.Successor.
+type heir struct {
+	node *node
+	peer *upgrade.Peer
+}
+
+// Claim asks whether the request may begin here, and waits for claimTimeout at most.
+func (h heir) Claim(id string, until time.Duration) handover.Verdict {
+	ctx, cancel := context.WithTimeout(h.node.core.Context(), claimTimeout+h.node.cfg.slack)
+	defer cancel()
+	return h.peer.Claim(ctx, id, until)
+}
+
+// Ended reports the end of a request to the successor.
+func (h heir) Ended(id string) { h.peer.Ended(id) }
+
+// Hello receives the first call of another process. Hello, Heard, Claim, Ended, Obey and Gone make node an
+// upgrade.Node.
+func (n *node) Hello(peer *upgrade.Peer) {
+	n.pair.handle(func(m *handover.Machine, env handover.Env) { m.Hello(env, n.pair.peerID(peer)) })
+}
+
+// Heard receives a message of another process. With handover.Yours comes the predecessor's last state, which is adopted
+// first.
+func (n *node) Heard(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
+	h := &n.pair
+	if what == handover.Yours {
+		s, err := state.Decode(text)
+		if err != nil {
+			n.log.Error("cannot decode the predecessor's last state", "err", err)
+			peer.Close() // the predecessor then serves again
+			return
+		}
+		h.mu.Lock()
+		if h.machine.Phase == handover.Asking && h.peerID(peer) == h.machine.Before {
+			h.adoptState(h.machine.Before, s, false)
+		}
+		h.mu.Unlock()
+	}
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Heard(env, h.peerID(peer), what, number) })
+	if what == handover.Later && h.currentPhase() == handover.Seeking {
+		peer.Close() // the next process found is dialed anew: over two connections to one process orders would circulate
+	}
+}
+
+// Claim replies whether a request that another process has received may begin there.
+func (n *node) Claim(peer *upgrade.Peer, id string, until time.Duration) handover.Verdict {
+	n.pair.mu.Lock()
+	from := n.pair.peerID(peer)
+	n.pair.mu.Unlock()
+	return n.core.Claim(from, id, until)
+}
+
+// Ended receives the end of a request at another process.
+func (n *node) Ended(_ *upgrade.Peer, id string) {
+	n.core.Lock()
+	defer n.core.Unlock()
+	n.core.Ids().Ended(id)
+}
+
+// Obey carries out an operator's order that reached another process, and forwards it to processes that the other one
+// may not know.
+func (n *node) Obey(from *upgrade.Peer, o upgrade.Order) error {
+	if !n.pair.isNewOrder(o) {
+		return nil // it has already arrived over another connection
+	}
+	switch o.Call {
+	case upgrade.Disable, upgrade.Enable:
+		n.setDisabled(o) // whether the id is known was checked where the order was given
+	case upgrade.Drain:
+		n.drain()
+	case upgrade.Resume:
+		n.resume()
+	default:
+		return fmt.Errorf("unknown order %q", o.Call)
+	}
+	ctx, cancel := context.WithTimeout(n.core.Context(), orderTimeout+n.cfg.slack)
+	defer cancel()
+	return n.pair.tell(ctx, from, o)
+}
+
+// isNewOrder reports whether an order was not seen before, and records it: among three processes one can arrive over
+// two connections.
+func (h *pair) isNewOrder(o upgrade.Order) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if o.From == 0 || slices.Contains(h.seenOrders[:], o.From) {
+		return o.From == 0
+	}
+	h.seenOrders[h.orderCount%len(h.seenOrders)] = o.From
+	h.orderCount++
+	return true
+}
+
+// Gone records that another process has exited or closed its connection. After the last of them this process uses the
+// full limits again.
+func (n *node) Gone(peer *upgrade.Peer) {
+	h := &n.pair
+	h.mu.Lock()
+	who := h.peerID(peer)
+	delete(h.peerIDs, peer)
+	delete(h.peers, who)
+	var back func()
+	if len(h.peers) == 0 {
+		back, h.reclaimBudget = h.reclaimBudget, nil
+	}
+	n.core.Lock()
+	n.core.Ids().Gone(who)
+	if h.machine.Before == who {
+		n.core.Portion(1, false)
+	}
+	n.core.Unlock()
+	h.mu.Unlock()
+	n.log.Info("lost the connection to another process of this node")
+	if back != nil {
+		back()
+		n.setLimits(1)
+	}
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
+}
+
+// tryEnd reports whether this process may end, and closes the controller if so: nothing changes afterwards. It may end
+// if it was told to. Otherwise no predecessor may be left whose claims this process answers, and either a successor
+// must be there to continue, or a third process serves and the one between has ended.
+func (h *pair) tryEnd() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.machine.Ends && (h.machine.Phase != handover.Relieved || h.machine.Before != 0 || h.machine.Heir == 0 && !h.machine.Settled()) {
+		return false
+	}
+	h.closed = true
+	return true
+}
+
+// close ends the communication with other processes: this one has nothing more to do.
+func (h *pair) close() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.closed = true
+	h.persister.stop()
+	if h.upgradeListener != nil {
+		h.upgradeListener.Close()
+	}
+	for _, peer := range h.peers {
+		peer.Close()
+	}
+	if h.token != nil {
+		h.token.Close()
+	}
+}
+
+// forwardOrder forwards an operator's order to the other processes except the one that it came from.
+func (h *pair) tell(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
+	if o.From == 0 { // given at this process
+		o.From = rand.Uint64()
+		h.isNewOrder(o)
+	}
+	h.mu.Lock()
+	var peers []*upgrade.Peer
+	for _, peer := range h.peers {
+		if peer != from {
+			peers = append(peers, peer)
+		}
+	}
+	h.mu.Unlock()
+	var errs error
+	for _, peer := range peers {
+		errs = errors.Join(errs, peer.Order(ctx, o))
+	}
+	return errs
+}
+
+// shareLimits leaves half of the limits to the other process, as both count together. h.mu is held.
+func (h *pair) shareLimits() {
+	h.node.setLimits(2)
+	if h.reclaimBudget == nil { // nil: not lent yet
+		h.reclaimBudget = h.node.budget.Lend()
+	}
+}
+
+// setLimits sets the limits of this process: its share of the node's descriptors and memory.
+func (n *node) setLimits(processes int) {
+	n.pool.Resize(n.cfg.poolLimit() / processes)
+	n.clients.Resize(n.cfg.clientLimit() / processes)
+	if n.cfg.MemoryMB > 0 && n.cfg.process {
+		debug.SetMemoryLimit(int64(n.cfg.MemoryMB) << 20 * 3 / 4 / int64(processes))
+	}
+}
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -10,100 +10,103 @@
 	"portstall/internal/upgrade"
 )
 
-// phase says what a node does with the clients' connections. One lifecycle serves all that sends clients away: an
-// operator's drain, SIGTERM and a successor.
+// phase says what a node does with its clients' connections. One lifecycle serves everything that sends clients away:
+// an operator's drain, SIGTERM and a successor.
 type phase uint8
 
 const (
 	serving  phase = iota
-	drained        // operators sent the clients away; they can call them back
-	relieved       // a successor serves; if it ends, what was before is again
-	leaving        // SIGTERM has come: no way back
+	drained        // operators have sent the clients away, and can call them back
+	relieved       // a successor serves; if it ends, the phase from before applies again
+	leaving        // SIGTERM has arrived; final
 )
 
-// lifecycle holds the phase. While it is not serving each answer tells its client to close, and connections that
-// carry no request are closed; what was taken is answered all the same.
+// lifecycle holds the phase of a node, guarded by mu. While it is not serving, each response tells its client to close,
+// and connections without a request are closed; accepted requests are still answered.
 type lifecycle struct {
-	mu     sync.Mutex
-	phase  phase
-	before phase     // what a successor relieved
-	since  time.Time // when clients were first sent away
-	ends   time.Time // when SIGTERM came
+	mu           sync.Mutex
+	phase        phase
+	beforeRelief phase     // the phase to return to if the successor ends
+	closingSince time.Time // when clients were first sent away
+	terminatedAt time.Time // when SIGTERM arrived
 }
 
-// sendsAway tells whether clients are to close their connections.
+// closingConnections reports whether clients are to close their connections.
 func (l *lifecycle) sendsAway() bool { return l.now() != serving }
 
+// current returns the phase.
 func (l *lifecycle) now() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// enter goes to another phase and tells whether that was a step: there is none back from leaving.
+// enter changes the phase and reports whether it did. There is no way back from leaving.
 func (l *lifecycle) enter(p phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase == p || l.phase == leaving {
 		return false
 	}
-	if l.phase == relieved && p != leaving { // what operators say is for the successor, and for here if that ends
-		l.before = p
+	if l.phase == relieved && p != leaving { // an operator's order applies to the successor, and here if that one ends
+		l.beforeRelief = p
 		return true
 	}
 	if p == relieved {
-		l.before = l.phase
+		l.beforeRelief = l.phase
 	}
 	if l.phase == serving {
-		l.since = time.Now()
+		l.closingSince = time.Now()
 	}
 	if p == leaving {
-		l.ends = time.Now()
+		l.terminatedAt = time.Now()
 	}
 	l.phase = p
 	return true
 }
 
-// lastAnswer is how long from now a request that comes now may take: all the time, false, unless the process leaves and new
-// connections have ceased. One that still comes then must have its answer before SIGKILL finds it without.
-func (l *lifecycle) lastAnswer(longest time.Duration) (time.Duration, bool) {
+// finalResponseTimeout returns within what time from now a request that arrives now must have its final response. It
+// returns false, for no such limit, unless the process leaves and no longer accepts connections. A request that still
+// arrives then must have its response before SIGKILL.
+func (l *lifecycle) finalResponseTimeout(longest time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gone := time.Since(l.ends)
-	if l.phase != leaving || gone < acceptFor {
+	elapsed := time.Since(l.terminatedAt)
+	if l.phase != leaving || elapsed < acceptGrace {
 		return 0, false
 	}
-	return min(longest, killMost) + killAfter - killMargin - gone, true
+	return min(longest, maxDeadlineBeforeKill) + killGrace - killResponseMargin - elapsed, true
 }
 
-// recall ends what a successor has relieved.
-func (l *lifecycle) recall() {
+// endRelief returns to the phase from before a successor took over.
+func (l *lifecycle) endRelief() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase == relieved {
-		l.phase = l.before
+		l.phase = l.beforeRelief
 	}
 }
 
-// forHeir is what a successor is to know: whether operators have sent the clients away.
-func (l *lifecycle) forHeir() bool {
+// drainedByOperator reports whether operators have sent the clients away, which a successor has to know.
+func (l *lifecycle) drainedByOperator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.phase == drained || l.phase == relieved && l.before == drained
+	return l.phase == drained || l.phase == relieved && l.beforeRelief == drained
 }
 
-// until is when a request that comes now is to have its answer, on the core's clock; 0: in its own time.
-func (n *node) until() time.Duration {
-	left, bound := n.life.lastAnswer(n.set.Load().longest())
+// responseDeadline returns by when, on the core's clock, a request that arrives now must have its final response; 0
+// means that only its own deadline applies.
+func (n *node) responseDeadline() time.Duration {
+	timeout, bound := n.life.finalResponseTimeout(n.set.Load().longest())
 	if !bound {
 		return 0
 	}
-	return n.core.Now() + left
+	return n.core.Now() + timeout
 }
 
 var errLeaving = errors.New("this process is leaving")
 
-// Drain sends the clients away. What was taken is answered.
+// Drain sends the clients away. Accepted requests are answered.
 func (n *node) Drain(ctx context.Context) error {
 	n.drain()
 	n.saved()
@@ -112,10 +115,10 @@
 
 func (n *node) drain() {
 	if n.life.enter(drained) {
-		n.log.Info("drained by hand: clients are sent away")
+		n.log.Info("drained by an operator: clients are sent away")
 		n.opaque.Drain(nil)
 		// The front notices after a while; until then clients use the connections that they have.
-		time.AfterFunc(acceptFor, func() {
+		time.AfterFunc(acceptGrace, func() {
 			if n.life.sendsAway() {
 				n.clients.CloseIdle()
 			}
@@ -125,7 +128,7 @@
 
 // Resume ends a drain.
 func (n *node) Resume(ctx context.Context) error {
-	if n.life.now() == leaving && !n.pair.yields() {
+	if n.life.now() == leaving && !n.pair.yielding() {
 		return errLeaving
 	}
 	n.resume()
@@ -135,27 +138,27 @@
 
 func (n *node) resume() {
 	if n.life.enter(serving) {
-		n.log.Info("resumed by hand")
+		n.log.Info("resumed by an operator")
 	}
 }
 
-var errNotReady = errors.New("it starts, knows no web server that is ready, or leaves")
+var errNotReady = errors.New("not ready: the process is starting or leaving, or no web server is listed as ready")
 
-// Ready tells whether this process serves. A drain does not change that: it is for the front, which asks GET /ready.
+// Ready returns nil if this process serves. A drain does not change that: it concerns the front, which asks GET /ready.
 func (n *node) Ready() error {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.now() == leaving || !n.pair.up.Load() {
+	if !n.ready || n.life.now() == leaving || !n.pair.accepting.Load() {
 		return errNotReady
 	}
 	return nil
 }
 
-// readiness is the answer to GET /ready.
-func (n *node) readiness() int {
+// readinessStatus returns the status of the response to GET /ready.
+func (n *node) readinessStatus() int {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.sendsAway() && !n.pair.yields() { // a successor is ready for both
+	if !n.ready || n.life.sendsAway() && !n.pair.yielding() { // a successor is ready on behalf of both
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
