--- a/internal/back/http/attempt.go
+++ b/internal/back/http/attempt.go
@@ -1,5 +1,5 @@
-// Package http sends requests to web servers by HTTP/1.1 and judges what comes back: by PROTOCOL, whether a request
-// ran, may have run, or never did.
+// Package http sends requests to web servers by HTTP/1.1 and classifies the results: whether a request ran, may have
+// run, or never ran.
 package http
 
 import (
@@ -23,99 +23,102 @@
 	"portstall/policy"
 )
 
-var errTimeout = errors.New("the attempt's time is up")
+// errTimeout is the cause of a context that ended because the attempt's time was up.
+var errTimeout = errors.New("attempt timed out")
 
-// maxHead bounds the head of an answer, in bytes.
-const maxHead = 16 << 10
+// maxHeadBytes limits the head of a response.
+const maxHeadBytes = 16 << 10
 
 const (
-	// answerStall is how long an answer that could still be tried again may stand still once it has begun,
-	answerStall = 250 * time.Millisecond
-	// fairWait is what a sound backend takes to accept a connection at most, on a busy day: less tells nothing of one.
-	fairWait = 100 * time.Millisecond
-	// streamStall one that is passed on,
-	streamStall = 5 * time.Second
+	// bufferedStallTimeout is how long a response that is buffered, so that its request can still be retried, may stall
+	// once it has begun.
+	bufferedStallTimeout = 250 * time.Millisecond
+	// minConnectTimeout is the longest that a healthy web server takes to accept a connection under load. Failing to
+	// connect in less time says nothing about a server.
+	minConnectTimeout = 100 * time.Millisecond
+	// streamStallTimeout is how long a response that is streamed to the client may stall.
+	streamStallTimeout = 5 * time.Second
 )
 
-// Back sends requests to web servers. It is safe for concurrent use.
+// Sender sends requests to web servers and is a core.Sender. It is safe for concurrent use.
 type Back struct {
 	Core    *core.Core
 	Pool    *back.Pool
 	Budget  *flow.Budget
-	Reports func() bool // whether answers hold load reports
+	Reports func() bool // whether responses hold load reports
 	Log     *slog.Logger
-	Slack   time.Duration // is added to how long an answer may stand still: tests run many nodes on a busy machine
+	Slack   time.Duration // added to bufferedStallTimeout, for tests that run many nodes on a busy machine
 }
 
-// Attempt sends the request once and waits for what comes back. It returns only after a connection that it gave
-// up is closed, so that an attempt that follows is never a second copy.
-func (n *Back) Attempt(ctx context.Context, a *core.Attempt) core.Result {
+// Attempt sends the request once and waits for the response. An attempt that is given up returns only after its
+// connection is closed, so that a following attempt never runs beside it as a second copy.
+func (s *Back) Attempt(ctx context.Context, a *core.Attempt) core.Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timeUp := time.AfterFunc(a.Wait, func() { cancel(errTimeout) })
-	defer timeUp.Stop()
-	b := a.Server.(*back.Server)
-	in, up := a.Request.Message.(*stdhttp.Request), a.Request.Body.(*flow.Upload)
-	heard := b.Heard.Load()
-	c, err := n.Pool.Get(ctx, b)
+	timer := time.AfterFunc(a.Wait, func() { cancel(errTimeout) })
+	defer timer.Stop()
+	server := a.Server.(*back.Server)
+	in, upload := a.Request.Message.(*stdhttp.Request), a.Request.Body.(*flow.Upload)
+	responsesBefore := server.Responses.Load()
+	c, err := s.Pool.Get(ctx, server)
 	switch {
 	case errors.Is(err, back.ErrSockets):
-		return core.Result{Outcome: policy.Moot} // not the backend's doing, and not to be held against it
-	case errors.Is(context.Cause(ctx), errTimeout) && (err == nil || a.Wait < fairWait):
+		return core.Result{Outcome: policy.Moot} // not the web server's failure, and not held against it
+	case errors.Is(context.Cause(ctx), errTimeout) && (err == nil || a.Wait < minConnectTimeout):
 		if err == nil {
-			n.Pool.Put(c)
+			s.Pool.Put(c)
 		}
-		return core.Result{Outcome: policy.Moot} // the client's patience was too short for any backend
+		return core.Result{Outcome: policy.Moot} // the client's timeout was too short for any web server
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return core.Result{Outcome: policy.ConnectFailed}
 	case err != nil:
 		return core.Result{Outcome: policy.Canceled}
 	}
-	if ctx.Err() != nil { // given up while it waited for a connection
-		n.Pool.Put(c)
+	if ctx.Err() != nil { // canceled while it waited for a connection
+		s.Pool.Put(c)
 		return core.Result{Outcome: policy.Canceled}
 	}
-	giveUp := context.AfterFunc(ctx, func() { c.Close() })
-	if !up.Whole() {
-		timeUp.Stop() // a request's time counts from its last byte
+	stopWatch := context.AfterFunc(ctx, func() { c.Close() })
+	if !upload.Whole() {
+		timer.Stop() // a request's time runs from its last byte
 	}
-	sent, err := n.write(a, in, up, c)
-	if errors.Is(err, back.ErrShut) || errors.Is(err, back.ErrLeft) {
-		if giveUp() {
-			n.Pool.Put(c)
+	sent, err := s.write(a, in, upload, c)
+	if errors.Is(err, back.ErrShut) || errors.Is(err, back.ErrClientGone) {
+		if stopWatch() {
+			s.Pool.Put(c)
 		} else {
-			n.Pool.Close(c)
+			s.Pool.Close(c)
 		}
 		return core.Result{Outcome: policy.Moot}
 	}
-	if !up.Whole() {
-		n.Core.Uploaded(a)
-		timeUp.Reset(a.Wait)
+	if !upload.Whole() {
+		s.Core.Uploaded(a)
+		timer.Reset(a.Wait)
 	}
-	var got received
+	var got response
 	if err == nil {
-		got, err = n.read(ctx, c, in.Method)
+		got, err = s.read(ctx, c, in.Method)
 	}
-	alive := giveUp() // the answer stands, however its connection ends, if it is whole
-	if err == nil && got.more && !alive {
-		n.Budget.AnswerDone(got.held)
-		err = errSpoilt
+	alive := stopWatch() // a complete response is valid however its connection ends
+	if err == nil && got.streamed && !alive {
+		s.Budget.AnswerDone(got.heldBytes)
+		err = errMalformed
 	}
 	switch {
-	case err == nil && got.more: // the connection belongs to the answer now
+	case err == nil && got.streamed: // the connection now belongs to the download
 	case err == nil && alive && reusable(c, got.resp):
-		n.Pool.Put(c)
+		s.Pool.Put(c)
 	default:
 		if err == nil && c.In.Buffered() > 0 {
-			n.Pool.Surplus()
+			s.Pool.ReportSurplus()
 		}
-		n.Pool.Close(c)
+		s.Pool.Close(c)
 	}
-	if err == nil || errors.Is(err, errSpoilt) {
-		b.Heard.Add(1)
+	if err == nil || errors.Is(err, errMalformed) {
+		server.Responses.Add(1)
 	}
 	if err != nil {
-		outcome := policy.Reset // unless shown otherwise it may have run
+		outcome := policy.Reset // the request may have run unless shown otherwise
 		switch cause := context.Cause(ctx); {
 		case cause != nil && !errors.Is(cause, errTimeout):
 			return core.Result{Outcome: policy.Canceled}
@@ -124,21 +127,21 @@
 		case cause != nil:
 			outcome = policy.TimedOut
 		}
-		if outcome == policy.TimedOut && b.Heard.Load() == heard {
-			// Nothing came back from this backend for the whole of the attempt. When a machine was cut off, each
-			// connection kept from before would swallow one more request, and reset one when it is back.
-			n.Pool.Clear(b, false)
+		if outcome == policy.TimedOut && server.Responses.Load() == responsesBefore {
+			// This server has not responded to anything during the attempt. If its machine was cut off, each idle
+			// connection from before would lose one more request, and would reset one once the machine is back.
+			s.Pool.Clear(server, false)
 		}
-		n.Log.Debug("an attempt broke off", "backend", b.ID, "err", err)
+		s.Log.Debug("attempt failed", "backend", server.ID, "err", err)
 		return core.Result{Outcome: outcome}
 	}
-	res := n.judge(b, got)
-	full := &message.Answer{Body: got.body, Held: got.held, Budget: n.Budget}
-	if got.more {
-		full = &message.Answer{Stream: newDownload(n, c, got), Length: got.resp.ContentLength, Budget: n.Budget}
+	res := s.classify(server, got)
+	full := &message.Answer{Body: got.body, Held: got.heldBytes, Budget: s.Budget}
+	if got.streamed {
+		full = &message.Answer{Stream: newDownload(s, c, got), Length: got.resp.ContentLength, Budget: s.Budget}
 	}
 	if res.Outcome != policy.OK {
-		full.Release() // nobody is told what a failure looks like
+		full.Release() // the body of a failed response is not passed on
 		return res
 	}
 	full.Type = got.resp.Header.Get("Content-Type")
@@ -146,16 +149,16 @@
 	return res
 }
 
-// writers are reused: each request would want one otherwise.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, back.FirstBytes) }}
+// writers holds buffers for reuse between requests. One buffer holds as much of a request as passes the gate at once.
+var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, back.MaxFirstWrite) }}
 
-// write sends a request, with the headers that PROTOCOL knows, unless the backend may be sent nothing new. It tells
-// whether the last byte was written.
-func (n *Back) write(a *core.Attempt, in *stdhttp.Request, up *flow.Upload, c *back.Conn) (bool, error) {
+// write sends a request with the forwarded headers, unless the server accepts no new requests. It reports whether
+// the last byte was written.
+func (s *Back) write(a *core.Attempt, in *stdhttp.Request, upload *flow.Upload, c *back.Conn) (bool, error) {
 	req := &stdhttp.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: stdhttp.Header{"User-Agent": nil},
-		ContentLength: up.Length}
-	if up.Length != 0 {
-		req.Body = io.NopCloser(up.Reader())
+		ContentLength: upload.Length}
+	if upload.Length != 0 {
+		req.Body = io.NopCloser(upload.Reader())
 	}
 	for _, name := range message.Headers {
 		if v, ok := in.Header[name]; ok {
@@ -174,100 +177,100 @@
 	return err == nil, err
 }
 
-// errSpoilt is an answer that can't be the backend's answer to the request. The request may have run.
-var errSpoilt = errors.New("a spoilt answer")
+// errMalformed reports a response that cannot be the web server's response to the request. The request may have run.
+var errMalformed = errors.New("malformed response")
 
-// received is what came back on an attempt. With more the body is large, and only begun.
-type received struct {
-	resp  *stdhttp.Response
-	body  []byte
-	more  bool
-	held  int64         // bytes of the budget
-	first time.Duration // when the first byte of it came
+// response is the response to an attempt: buffered, or streamed if its body is larger than flow.MaxBuffered.
+type response struct {
+	resp        *stdhttp.Response
+	body        []byte        // if streamed, only the bytes read ahead
+	streamed    bool          // the rest of the body is still on the connection
+	heldBytes   int64         // bytes acquired from the budget
+	firstByteAt time.Duration // when its first byte arrived, on the core's clock
 }
 
-// read reads one answer. One that is not large is read whole, before any of it goes on: if it breaks it can still be
-// tried again.
-func (n *Back) read(ctx context.Context, c *back.Conn, method string) (received, error) {
-	c.Cap.N = maxHead
-	spoilt := func(err error) (received, error) { return received{}, fmt.Errorf("%w: %w", errSpoilt, err) }
+// read reads one response. A body of up to flow.MaxBuffered is read completely before any of it is passed on, so that
+// the request can still be retried if the response breaks off.
+func (s *Back) read(ctx context.Context, c *back.Conn, method string) (response, error) {
+	c.Limit.N = maxHeadBytes
+	malformed := func(err error) (response, error) { return response{}, fmt.Errorf("%w: %w", errMalformed, err) }
 	for {
-		c.Stall = 0 // it comes when it comes
+		c.ReadTimeout = 0 // no limit before the first byte but the attempt's own timeout
 		if err := c.SetReadDeadline(time.Time{}); err != nil {
-			return received{}, err
+			return response{}, err
 		}
 		if _, err := c.In.Peek(1); err != nil {
-			return received{}, err
+			return response{}, err
 		}
-		got := received{first: n.Core.Now()}
-		c.Stall = answerStall + n.Slack
+		got := response{firstByteAt: s.Core.Now()}
+		c.ReadTimeout = bufferedStallTimeout + s.Slack
 		resp, err := stdhttp.ReadResponse(c.In, &stdhttp.Request{Method: method})
 		if err != nil {
-			return spoilt(err)
+			return malformed(err)
 		}
 		if resp.StatusCode == stdhttp.StatusSwitchingProtocols {
-			return spoilt(errors.New("it switches protocols"))
+			return malformed(errors.New("unexpected status 101 Switching Protocols"))
 		}
-		if resp.StatusCode < 200 { // informational: the answer follows, perhaps after a while
+		if resp.StatusCode < 200 { // informational: the final response follows, perhaps later
 			continue
 		}
 		if resp.ContentLength > message.Max {
-			return spoilt(fmt.Errorf("%d bytes", resp.ContentLength))
+			return malformed(fmt.Errorf("Content-Length of %d bytes is over the limit", resp.ContentLength))
 		}
 		got.resp = resp
-		c.Cap.N = 2*flow.Keep + maxHead // chunks have lengths of their own
-		got.held = flow.Need(resp.ContentLength)
-		if err := n.Budget.Answer(ctx, got.held); err != nil {
-			return received{}, err
+		c.Limit.N = 2*flow.Keep + maxHeadBytes // the framing of chunks is not counted in the body
+		got.heldBytes = flow.Need(resp.ContentLength)
+		if err := s.Budget.Answer(ctx, got.heldBytes); err != nil {
+			return response{}, err
 		}
 		switch {
 		case resp.ContentLength > flow.Keep:
-			got.more = true
+			got.streamed = true
 			return got, nil
 		case resp.ContentLength >= 0:
 			got.body = make([]byte, resp.ContentLength)
 			_, err = io.ReadFull(resp.Body, got.body)
 		default:
-			var b bytes.Buffer
-			_, err = io.Copy(&b, io.LimitReader(resp.Body, flow.Keep+1))
-			got.body, got.more = b.Bytes(), b.Len() > flow.Keep
+			var buf bytes.Buffer
+			_, err = io.Copy(&buf, io.LimitReader(resp.Body, flow.Keep+1))
+			got.body, got.streamed = buf.Bytes(), buf.Len() > flow.Keep
 		}
-		if err == nil && !got.more {
-			_, err = resp.Body.Read(make([]byte, 1)) // the end of chunks, and trailers, are behind the body
+		if err == nil && !got.streamed {
+			_, err = resp.Body.Read(make([]byte, 1)) // read the last chunk and the trailers, which follow the body
 			if err == io.EOF {
 				err = nil
 			}
 		}
 		if err != nil {
-			n.Budget.AnswerDone(got.held)
-			return spoilt(err)
+			s.Budget.AnswerDone(got.heldBytes)
+			return malformed(err)
 		}
 		return got, nil
 	}
 }
 
-// reusable tells whether another request may go over a connection whose answer was read whole: it is to stay, and
-// nothing stands behind the answer.
+// reusable reports whether another request may be sent on a connection whose response was read completely: it stays
+// open, and no bytes follow the response.
 func reusable(c *back.Conn, resp *stdhttp.Response) bool {
-	c.Stall = 0
+	c.ReadTimeout = 0
 	return !resp.Close && c.In.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// judge tells what an answer means.
-func (n *Back) judge(b *back.Server, got received) core.Result {
+// classify returns the outcome that a response stands for, and its load report.
+func (s *Back) classify(server *back.Server, got response) core.Result {
 	resp := got.resp
-	res := core.Result{Outcome: policy.Failed, First: got.first}
-	if reports := resp.Header["X-Load"]; len(reports) > 0 && n.Reports() {
+	res := core.Result{Outcome: policy.Failed, First: got.firstByteAt}
+	if reports := resp.Header["X-Load"]; len(reports) > 0 && s.Reports() {
 		load, err := wire.DecodeLoad(reports[0])
 		if err == nil && len(reports) == 1 {
 			res.Load = load
 		} else {
-			n.Log.Debug("a load report makes no sense", "backend", b.ID, "reports", reports)
+			s.Log.Debug("ignoring invalid load report", "backend", server.ID, "reports", reports)
 		}
 	}
-	turned := resp.StatusCode == stdhttp.StatusServiceUnavailable || resp.StatusCode == stdhttp.StatusGatewayTimeout
+	rejected := resp.StatusCode == stdhttp.StatusServiceUnavailable || resp.StatusCode == stdhttp.StatusGatewayTimeout
 	switch {
-	case turned && resp.Header.Get("X-Not-Run") == "1":
+	case rejected && resp.Header.Get("X-Not-Run") == "1":
 		res.Outcome = policy.Full
 	case resp.StatusCode == stdhttp.StatusOK:
 		res.Outcome = policy.OK
--- a/internal/back/http/download.go
+++ b/internal/back/http/download.go
@@ -11,69 +11,75 @@
 	"portstall/internal/message"
 )
 
-// download is a large answer on its way from a backend.
+// download is the body of a large response, streamed from a web server. It owns the connection and a part of the budget
+// until Close. It has one reader at a time.
 type download struct {
-	io.Reader       // the body
-	head      int64 // bytes of it that were read ahead
-	passed    int64
-	gathered  int // bytes since it last stood still
-	conn      *back.Conn
-	resp      *stdhttp.Response
-	held      int64 // bytes of the budget
-	pool      *back.Pool
-	budget    *flow.Budget
-	ended     bool // read to its end
+	io.Reader        // the body
+	readAhead  int64 // bytes of the body that were read before the download began
+	delivered  int64 // bytes returned by Read
+	sincePause int   // bytes since the reader last waited for more input
+	conn       *back.Conn
+	resp       *stdhttp.Response
+	heldBytes  int64 // bytes acquired from the budget
+	pool       *back.Pool
+	budget     *flow.Budget
+	complete   bool // the body was read to its end without an error
 }
 
-// newDownload takes over a connection, and a chunk of the budget, for the rest of an answer.
-func newDownload(n *Back, c *back.Conn, got received) *download {
-	c.Stall = streamStall
-	c.Cap.N = 2 * message.Max // chunks have lengths of their own
-	return &download{Reader: io.MultiReader(bytes.NewReader(got.body), got.resp.Body), head: int64(len(got.body)), conn: c, resp: got.resp, held: got.held, pool: n.Pool, budget: n.Budget}
+// newDownload returns a download for the rest of a response. It takes ownership of the connection and of the response's
+// bytes of the budget.
+func newDownload(s *Back, c *back.Conn, got response) *download {
+	c.ReadTimeout = streamStallTimeout
+	c.Limit.N = 2 * message.Max // the framing of chunks is not counted in the body
+	return &download{Reader: io.MultiReader(bytes.NewReader(got.body), got.resp.Body), readAhead: int64(len(got.body)), conn: c, resp: got.resp, heldBytes: got.heldBytes, pool: s.Pool, budget: s.Budget}
 }
 
 const (
-	// An answer that trickles is left to gather so many bytes behind its first ones,
-	gather = 16 << 10
-	// or for so long: passing on each little piece by itself would take a node most of its time.
-	lull    = 100 * time.Millisecond
-	framing = 16 // about what stands between the data of two chunks
+	// minBatch is how many bytes of a slowly arriving response are passed on without a pause. With fewer, the reader
+	// waits for batchDelay: passing on each small piece by itself would take most of a node's time.
+	minBatch = 16 << 10
+	// batchDelay is how long the reader waits for more input after less than minBatch has arrived.
+	batchDelay = 100 * time.Millisecond
+	// maxChunkFraming is about how many bytes of framing are between the data of two chunks.
+	maxChunkFraming = 16
 )
 
-// Read passes on what has come, and marks a sound end.
+// Read returns bytes of the body that have arrived, after a pause if they arrive slowly. It records whether the end was
+// reached without an error.
 func (d *download) Read(p []byte) (int, error) {
-	if d.passed > d.head && d.conn.Drained && d.conn.In.Buffered() <= framing {
-		if d.conn.Drained = false; d.gathered < gather {
-			time.Sleep(lull)
+	if d.delivered > d.readAhead && d.conn.SocketEmpty && d.conn.In.Buffered() <= maxChunkFraming {
+		if d.conn.SocketEmpty = false; d.sincePause < minBatch {
+			time.Sleep(batchDelay)
 		}
-		d.gathered = 0
+		d.sincePause = 0
 	}
 	read := d.Reader.Read
-	if len(d.resp.TransferEncoding) > 0 && d.passed >= d.head {
+	if len(d.resp.TransferEncoding) > 0 && d.delivered >= d.readAhead {
 		read = d.readChunks
 	}
 	n, err := read(p)
-	d.gathered += n
-	if d.passed += int64(n); d.passed > message.Max {
+	d.sincePause += n
+	if d.delivered += int64(n); d.delivered > message.Max {
 		return 0, message.ErrTooLarge
 	}
-	d.ended = err == io.EOF
+	d.complete = err == io.EOF
 	return n, err
 }
 
-// readChunks reads from a body in chunks. Their parser fills all that it is given, however long a chunk takes to come:
-// it is asked only for what is there. Behind the data of a chunk comes a '\r', so that all before the next one is data.
+// readChunks reads from a chunked body. The parser of chunks fills its whole buffer however long the next chunk takes
+// to arrive, so it is asked only for what is buffered. The data of a chunk is followed by '\r': all bytes before the
+// next '\r' count as data.
 func (d *download) readChunks(p []byte) (int, error) {
 	in := d.conn.In
 	for n := 0; ; {
-		there, _ := in.Peek(in.Buffered())
-		want := bytes.IndexByte(there, '\r')
+		buffered, _ := in.Peek(in.Buffered())
+		want := bytes.IndexByte(buffered, '\r')
 		if want < 0 {
-			want = len(there)
+			want = len(buffered)
 		}
-		if want == 0 { // nothing is there, or perhaps a chunk's end: the next one's first byte may have to be waited for
-			next := bytes.IndexByte(there, '\n') + 1
-			if size := bytes.IndexByte(there[next:], '\n'); n > 0 && (size < 0 || next+size+1 == len(there)) {
+		if want == 0 { // nothing is buffered, or possibly a chunk's end: reading the next chunk's first byte may block
+			next := bytes.IndexByte(buffered, '\n') + 1
+			if size := bytes.IndexByte(buffered[next:], '\n'); n > 0 && (size < 0 || next+size+1 == len(buffered)) {
 				return n, nil
 			}
 			want = 1
@@ -88,13 +94,13 @@
 	}
 }
 
-// Close gives back what the answer held. Only a connection on which it was sound is used again.
+// Close releases what the download holds. The connection is used again only after a complete body.
 func (d *download) Close() error {
-	if d.ended && reusable(d.conn, d.resp) {
+	if d.complete && reusable(d.conn, d.resp) {
 		d.pool.Put(d.conn)
 	} else {
 		d.pool.Close(d.conn)
 	}
-	d.budget.AnswerDone(d.held)
+	d.budget.AnswerDone(d.heldBytes)
 	return nil
 }
--- a/internal/back/pool.go
+++ b/internal/back/pool.go
@@ -16,106 +16,116 @@
 	"portstall/internal/flow"
 )
 
-// restTime is how long a connection rests after an answer: what a backend writes behind one must be there before
-// the next request goes out, or it would pass for that request's answer.
-const restTime = 3 * time.Millisecond
+// reuseDelay is how long a connection stays idle after a response before it is used again. Surplus bytes that a web
+// server writes after a response must have arrived before the next request is sent, or they would be taken for that
+// request's response.
+const reuseDelay = 3 * time.Millisecond
 
-// A second copy may also come some milliseconds later, and the next request may be on its way by then. Where surplus was seen
-// within surplusFor, from whichever backend, connections rest for longer than such a copy takes.
 const (
-	surplusRest = 12 * time.Millisecond
-	surplusFor  = time.Minute
+	// surplusReuseDelay replaces reuseDelay while surplus has been seen recently. A second copy of a response may
+	// arrive some milliseconds late, when the next request may already be on its way; this delay is longer than such a
+	// copy takes.
+	surplusReuseDelay = 12 * time.Millisecond
+	// surplusWindow is how long surplus from any web server keeps surplusReuseDelay in force for all connections.
+	surplusWindow = time.Minute
 )
 
-var ErrSockets = errors.New("no descriptor is left for a connection to a backend")
+// ErrNoSockets reports that a connection could not be opened because this process or machine has no descriptor or
+// memory left.
+var ErrSockets = errors.New("no file descriptor left for a connection to a web server")
 
-// OwnTrouble tells whether an error is this machine's, out of descriptors or memory, and tells nothing of the other side.
+// OutOfResources reports whether err comes from this machine, out of descriptors or memory, and says nothing about the
+// other side.
 func OwnTrouble(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// Pool holds this node's connections to backends, within a part of the process's descriptors. Each has one owner at
-// a time, and comes back only after an answer that was read whole with nothing behind it.
+// Pool holds this node's connections to web servers, within a share of the process's descriptors. Each connection has
+// at most one owner at a time and is returned to the pool only after a complete response with no bytes after it.
+// Connections without an owner are idle. A Pool is safe for concurrent use; mu guards its fields and the idle
+// connections of each Server.
 type Pool struct {
-	mu     sync.Mutex
-	dialer net.Dialer
-	limit  int
-	idle   time.Duration // a connection that stood for this long is closed
-	open   int
-	rest   lists.List // of *Conn: those with no owner, the longest idle first
-	seen   time.Time  // when surplus was seen last; zero: never
-	now    func() time.Time
-	sleep  func(ctx context.Context, d time.Duration)
-	sweep  *time.Timer
+	mu          sync.Mutex
+	dialer      net.Dialer
+	limit       int
+	idleTimeout time.Duration // an idle connection is closed after this time; 0: never
+	openConns   int
+	idleConns   lists.List // of *Conn, the longest idle first
+	lastSurplus time.Time  // when surplus was last seen; zero: never
+	now         func() time.Time
+	sleep       func(ctx context.Context, d time.Duration)
+	sweepTimer  *time.Timer
 }
 
-// Dial opens a connection to a web server by way of d, which bounds the time it takes.
+// Dial opens a connection to a web server using d, which limits the time that it takes.
 type Dial func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error)
 
-// Direct dials a web server with nothing between.
+// DialDirect connects to a web server without a proxy.
 func Direct(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// NewPool returns a pool of at most so many connections; Tune says more.
+// NewPool returns a pool of at most limit connections. For connect and idle see SetTimeouts.
 func NewPool(limit int, connect, idle time.Duration) *Pool {
-	p := &Pool{limit: limit, now: time.Now, sleep: rest}
+	p := &Pool{limit: limit, now: time.Now, sleep: sleepContext}
 	p.Tune(connect, idle)
 	return p
 }
 
-// Tune sets how long a connection may take to come up, and when backends close one that stands idle.
+// SetTimeouts sets how long establishing a connection may take, and after which idle time web servers close one.
 func (p *Pool) Tune(connect, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer = net.Dialer{Timeout: connect, KeepAlive: -1}
-	// A request written to a connection that the backend has just closed ends as a reset: retire it before.
-	p.idle = idle * 9 / 10
+	// A request written to a connection that the web server has just closed ends with a reset, so close idle ones
+	// earlier.
+	p.idleTimeout = idle * 9 / 10
 }
 
-// Resize sets how many connections there may be, and closes those with no owner that are too many.
+// Resize sets the maximum number of connections and closes idle ones beyond it.
 func (p *Pool) Resize(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = limit
-	for e := p.rest.Front(); e != nil && p.open > limit; e = p.rest.Front() {
-		p.discard(e.Value.(*Conn))
+	for e := p.idleConns.Front(); e != nil && p.openConns > limit; e = p.idleConns.Front() {
+		p.discardIdle(e.Value.(*Conn))
 	}
 }
 
-// Conn is a connection to a web server, with its owner's bounds on what is read.
+// Conn is a connection to a web server, with its owner's limits on reading. The exported fields belong to the owner.
 type Conn struct {
 	net.Conn
-	Stall   time.Duration    // longest wait for further bytes; 0 for none. Its owner's,
-	Drained bool             // as is that the last read took all that had come
-	Cap     io.LimitedReader // between the socket and in: no answer goes on without end
-	In      *bufio.Reader
-	server  *Server
-	since   time.Time      // when it came to rest,
-	place   *lists.Element // and where; nil while it has an owner. Guarded by Pool.mu
+	ReadTimeout time.Duration    // longest wait for further bytes; 0: no limit
+	SocketEmpty bool             // whether the last read took all bytes that had arrived
+	Limit       io.LimitedReader // between the socket and In: limits the length of a response
+	In          *bufio.Reader
+	server      *Server
+	idleSince   time.Time      // when it became idle. Guarded by Pool.mu
+	idleElement *lists.Element // in Pool.idleConns; nil while it has an owner. Guarded by Pool.mu
 }
 
-// pacedReader bounds each wait for bytes of an answer.
-type pacedReader struct{ c *Conn }
+// timeoutReader reads from a connection and applies its ReadTimeout to each read.
+type timeoutReader struct{ c *Conn }
 
-func (r pacedReader) Read(p []byte) (int, error) {
-	if r.c.Stall > 0 {
-		if err := r.c.SetReadDeadline(time.Now().Add(r.c.Stall)); err != nil {
+func (r timeoutReader) Read(p []byte) (int, error) {
+	if r.c.ReadTimeout > 0 {
+		if err := r.c.SetReadDeadline(time.Now().Add(r.c.ReadTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	n, err := r.c.Conn.Read(p)
-	r.c.Drained = n < len(p)
+	r.c.SocketEmpty = n < len(p)
 	return n, err
 }
 
-// Get returns a connection to b that nothing waits on, or opens one. Whoever has it hands it to Put or Close.
-func (p *Pool) Get(ctx context.Context, b *Server) (*Conn, error) {
+// Get returns an idle connection to s on which no input is pending, or opens a new one. The caller owns it until it
+// calls Put or Close.
+func (p *Pool) Get(ctx context.Context, s *Server) (*Conn, error) {
 	for {
-		c, wait := p.take(b)
+		c, wait := p.takeIdle(s)
 		if c == nil {
-			return p.Open(ctx, b)
+			return p.Open(ctx, s)
 		}
 		if wait > 0 {
 			p.sleep(ctx, wait)
@@ -124,43 +134,43 @@
 		case flow.Nothing:
 			return c, nil
 		case flow.BytesThere:
-			p.Surplus()
+			p.ReportSurplus()
 		}
-		p.Close(c) // the backend has closed it, or sent what nobody asked for
+		p.Close(c) // closed by the web server, or it sent bytes that belong to no request
 	}
 }
 
-// Surplus notes that a backend sent what belongs to no request.
-func (p *Pool) Surplus() {
+// ReportSurplus records that a web server sent bytes that belong to no request.
+func (p *Pool) ReportSurplus() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seen = p.now()
+	p.lastSurplus = p.now()
 }
 
-// take returns the latest used of b's connections that have rested, else the one that has rested for longest and how long it
-// still has to.
-func (p *Pool) take(b *Server) (*Conn, time.Duration) {
+// takeIdle returns the most recently used of s's idle connections whose reuse delay has passed; if there is none, the
+// one that has been idle the longest, and how much of its delay is left. Without an idle connection it returns nil.
+func (p *Pool) takeIdle(s *Server) (*Conn, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(b.conns) == 0 {
+	if len(s.idleConns) == 0 {
 		return nil, 0
 	}
-	c, now, owed := b.conns[0], p.now(), restTime
-	if !p.seen.IsZero() && now.Sub(p.seen) < surplusFor {
-		owed = surplusRest
+	c, now, delay := s.idleConns[0], p.now(), reuseDelay
+	if !p.lastSurplus.IsZero() && now.Sub(p.lastSurplus) < surplusWindow {
+		delay = surplusReuseDelay
 	}
-	for _, o := range slices.Backward(b.conns) {
-		if now.Sub(o.since) >= owed {
-			c = o
+	for _, other := range slices.Backward(s.idleConns) {
+		if now.Sub(other.idleSince) >= delay {
+			c = other
 			break
 		}
 	}
-	p.remove(c)
-	return c, owed - now.Sub(c.since)
+	p.removeIdle(c)
+	return c, delay - now.Sub(c.idleSince)
 }
 
-// rest waits until a connection has rested, or ctx ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleepContext waits for d, or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -169,120 +179,121 @@
 	}
 }
 
-// Counts tells how many connections there are, and how many of them have no owner.
+// Counts returns how many connections are open, and how many of these are idle.
 func (p *Pool) Counts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open, p.rest.Len()
+	return p.openConns, p.idleConns.Len()
 }
 
-// remove takes a connection out of those with no owner. p.mu is held.
-func (p *Pool) remove(c *Conn) {
-	p.rest.Remove(c.place)
-	c.place = nil
-	i := slices.Index(c.server.conns, c)
-	c.server.conns = slices.Delete(c.server.conns, i, i+1)
+// removeIdle takes a connection out of the idle ones. The caller holds p.mu.
+func (p *Pool) removeIdle(c *Conn) {
+	p.idleConns.Remove(c.idleElement)
+	c.idleElement = nil
+	i := slices.Index(c.server.idleConns, c)
+	c.server.idleConns = slices.Delete(c.server.idleConns, i, i+1)
 }
 
-// Open opens a connection to b, whether or not others wait. Whoever has it hands it to Put or Close.
-func (p *Pool) Open(ctx context.Context, b *Server) (*Conn, error) {
+// Open opens a new connection to s even if idle ones exist. At the limit it first closes the connection that has been
+// idle the longest; ErrNoSockets if there is none. The caller owns the connection until it calls Put or Close.
+func (p *Pool) Open(ctx context.Context, s *Server) (*Conn, error) {
 	p.mu.Lock()
-	if p.open >= p.limit {
-		oldest := p.rest.Front() // to another backend: this one has none
+	if p.openConns >= p.limit {
+		oldest := p.idleConns.Front() // for Get it belongs to another web server: this one has none
 		if oldest == nil {
 			p.mu.Unlock()
 			return nil, ErrSockets
 		}
-		p.discard(oldest.Value.(*Conn))
+		p.discardIdle(oldest.Value.(*Conn))
 	}
-	p.open++
+	p.openConns++
 	dialer := p.dialer
 	p.mu.Unlock()
 	dial := Direct
-	if b.Via != nil {
-		dial = b.Via
+	if s.Via != nil {
+		dial = s.Via
 	}
-	conn, err := dial(ctx, &dialer, b.Addr)
+	conn, err := dial(ctx, &dialer, s.Addr)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		if OwnTrouble(err) {
 			err = fmt.Errorf("%w: %w", ErrSockets, err)
 		}
 		return nil, err
 	}
-	c := &Conn{Conn: conn, server: b}
-	c.Cap.R = pacedReader{c}
-	c.In = bufio.NewReader(&c.Cap)
+	c := &Conn{Conn: conn, server: s}
+	c.Limit.R = timeoutReader{c}
+	c.In = bufio.NewReader(&c.Limit)
 	return c, nil
 }
 
-// Put takes a connection back.
+// Put returns a connection to the pool, which closes it if the server is retired or there are too many.
 func (p *Pool) Put(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.server.retired || p.open > p.limit {
-		p.open--
+	if c.server.retired || p.openConns > p.limit {
+		p.openConns--
 		c.Close()
 		return
 	}
-	c.since = p.now()
-	c.place = p.rest.PushBack(c)
-	c.server.conns = append(c.server.conns, c)
-	if p.idle > 0 && p.sweep == nil {
-		p.sweep = time.AfterFunc(p.idle, p.expire)
+	c.idleSince = p.now()
+	c.idleElement = p.idleConns.PushBack(c)
+	c.server.idleConns = append(c.server.idleConns, c)
+	if p.idleTimeout > 0 && p.sweepTimer == nil {
+		p.sweepTimer = time.AfterFunc(p.idleTimeout, p.closeExpired)
 	}
 }
 
-// Close ends a connection that its owner has done with.
+// Close closes a connection that its owner no longer needs and does not return with Put.
 func (p *Pool) Close(c *Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConns--
 }
 
-// discard closes a connection with no owner. p.mu is held.
-func (p *Pool) discard(c *Conn) {
-	p.remove(c)
-	p.open--
+// discardIdle closes an idle connection. The caller holds p.mu.
+func (p *Pool) discardIdle(c *Conn) {
+	p.removeIdle(c)
+	p.openConns--
 	c.Close()
 }
 
-// expire closes the connections that have stood for too long.
-func (p *Pool) expire() {
+// closeExpired closes the connections that have been idle for idleTimeout, and sets the timer for the next one.
+func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sweep = nil
-	for e := p.rest.Front(); e != nil && p.idle > 0; e = p.rest.Front() {
+	p.sweepTimer = nil
+	for e := p.idleConns.Front(); e != nil && p.idleTimeout > 0; e = p.idleConns.Front() {
 		c := e.Value.(*Conn)
-		if left := p.idle - p.now().Sub(c.since); left > 0 {
-			p.sweep = time.AfterFunc(left, p.expire)
+		if left := p.idleTimeout - p.now().Sub(c.idleSince); left > 0 {
+			p.sweepTimer = time.AfterFunc(left, p.closeExpired)
 			return
 		}
-		p.discard(c)
+		p.discardIdle(c)
 	}
 }
 
-// Clear closes the connections to b that have no owner. With retire those that are in use follow.
-func (p *Pool) Clear(b *Server, retire bool) {
+// CloseIdle closes the idle connections to s. With retire, those in use are closed too once they are returned.
+func (p *Pool) Clear(s *Server, retire bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b.retired = b.retired || retire
-	for len(b.conns) > 0 {
-		p.discard(b.conns[0])
+	s.retired = s.retired || retire
+	for len(s.idleConns) > 0 {
+		p.discardIdle(s.idleConns[0])
 	}
 }
 
-// Stop closes all that have no owner, and ends the sweep.
+// Stop closes all idle connections and stops the timer that closes expired ones.
 func (p *Pool) Stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for e := p.rest.Front(); e != nil; e = p.rest.Front() {
-		p.discard(e.Value.(*Conn))
+	for e := p.idleConns.Front(); e != nil; e = p.idleConns.Front() {
+		p.discardIdle(e.Value.(*Conn))
 	}
-	if p.sweep != nil {
-		p.sweep.Stop()
+	if p.sweepTimer != nil {
+		p.sweepTimer.Stop()
 	}
 }
--- a/internal/back/pool_test.go
+++ b/internal/back/pool_test.go
@@ -10,9 +10,11 @@
 	"portstall/internal/lab/standin"
 )
 
-// Where surplus was seen lately a connection is looked at only once a late second copy has come: it comes here in the moment
-// between the shorter rest and the longer one. After a while without surplus the shorter rest is enough again.
-func TestLateSurplusIsWaitedFor(t *testing.T) {
+// A second copy of a response may arrive later than reuseDelay and would then be taken for the response to the next
+// request. While surplus has been seen recently, a connection is checked only after surplusReuseDelay: here the copy
+// arrives between the two delays and must be detected. After surplusWindow without surplus the shorter delay applies
+// again.
+func TestLateSurplusIsDetectedBeforeReuse(t *testing.T) {
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -40,33 +42,33 @@
 	waits := 0
 	p.sleep = func(_ context.Context, d time.Duration) {
 		waits++
-		if now = now.Add(d); now.Sub(c.since) < 10*time.Millisecond {
-			return // the copy is not there yet
+		if now = now.Add(d); now.Sub(c.idleSince) < 10*time.Millisecond {
+			return // the copy has not arrived yet
 		}
 		if _, err := end.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 			t.Error(err)
 		}
-		if _, err := flow.Readable(c.Conn); err != nil { // once it has come through loopback
+		if _, err := flow.Readable(c.Conn); err != nil { // wait until it has passed the loopback interface
 			t.Error(err)
 		}
 	}
-	p.Surplus()
+	p.ReportSurplus()
 	p.Put(c)
-	now = now.Add(restTime)
+	now = now.Add(reuseDelay)
 	got, err := p.Get(context.Background(), s)
 	if err != nil || got == c || waits != 1 {
-		t.Fatalf("%v, the same one %v, %d waits: the copy would pass for the next answer", err, got == c, waits)
+		t.Fatalf("Get after surplus: error %v, same connection %v, %d waits; want another connection after 1 wait, or the late copy is taken for the next response", err, got == c, waits)
 	}
 	next, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Close()
-	now = now.Add(surplusFor)
+	now = now.Add(surplusWindow)
 	p.Put(got)
-	now = now.Add(restTime)
+	now = now.Add(reuseDelay)
 	if again, err := p.Get(context.Background(), s); again != got || waits != 1 {
-		t.Errorf("%v, another one %v, %d waits: nothing was seen for a while", err, again != got, waits)
+		t.Errorf("Get after surplusWindow without surplus: error %v, another connection %v, %d waits; want the same connection and no further wait", err, again != got, waits)
 	}
 	p.Close(got)
 }
--- a/internal/back/server.go
+++ b/internal/back/server.go
@@ -1,5 +1,5 @@
-// Package back is what all ways to web servers share, whatever is spoken there: the servers, the gates that each send
-// passes, and the connections kept to them.
+// Package back has what all protocols towards web servers share: the servers, the gates that each send passes, and the
+// pool of connections.
 package back
 
 import (
@@ -12,96 +12,101 @@
 	"portstall/internal/flow"
 )
 
-// Gate is what each send to one web server passes with its first bytes. It belongs to the id: a web server that
-// restarts, or moves to another address, stays behind the same one. Safe for concurrent use.
+// Gate admits or blocks the first bytes of each send to one web server. It belongs to the server's id: a web server
+// that restarts or moves to another address keeps its gate. Safe for concurrent use.
 type Gate struct {
-	mu   sync.RWMutex
-	shut bool
+	mu     sync.RWMutex // held for reading while first bytes are written
+	closed bool
 }
 
-// NewGate returns a gate.
-func NewGate(shut bool) *Gate { return &Gate{shut: shut} }
+// NewGate returns a gate that is closed or open.
+func NewGate(closed bool) *Gate { return &Gate{closed: closed} }
 
-// Set opens or shuts the gate. Once it has returned from shutting it, no send that began before is still to come.
-func (g *Gate) Set(shut bool) {
+// SetClosed closes or opens the gate. Once it has returned from closing the gate, no send that began earlier can still
+// write its first bytes.
+func (g *Gate) Set(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
+	g.closed = closed
 }
 
-// Shut tells whether it is.
+// Closed reports whether the gate is closed.
 func (g *Gate) Shut() bool {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	return g.shut
+	return g.closed
 }
 
-// Server is one process behind the balancer.
+// Server is one process of a web server.
 type Server struct {
-	ID    string
-	Addr  string
-	Via   Dial                 // how it is reached; nil: directly
-	Gate  *Gate                // shut while operators have it out
-	Stop  atomic.Int64         // nanoseconds on Now from which nothing new may be written to it; 0 for none
-	Heard atomic.Int64         // attempts that something came back for
-	Now   func() time.Duration // a clock that does not step when the system's is set; nil: the system's
+	ID        string
+	Addr      string
+	Via       Dial                 // opens connections to it; nil: DialDirect
+	Gate      *Gate                // closed while the server is disabled by an operator
+	Stop      atomic.Int64         // end of a drain's grace period in nanoseconds on Now: no new send may begin from then; 0: none
+	Responses atomic.Int64         // attempts on which a response, if only a malformed one, was received
+	Now       func() time.Duration // a clock that does not step when the system clock is set; nil: the system clock
 
 	// Guarded by Pool.mu.
-	conns   []*Conn // those with no owner, the latest last
-	retired bool    // no connection is kept any more
+	idleConns []*Conn // without an owner, the most recently used last
+	retired   bool    // connections that are returned to the pool are closed
 }
 
-// ErrShut says that a server was drained or taken out while a send to it waited for a connection.
-var ErrShut = errors.New("nothing new may be sent to this backend")
+// ErrNoNewRequests reports that a server was drained or disabled while a send to it waited for a connection.
+var ErrShut = errors.New("web server accepts no new requests: draining or disabled by an operator")
 
-// ErrLeft says that nobody waits any more for what was to be sent.
-var ErrLeft = errors.New("the client of this request has left")
+// ErrClientGone reports that the client disconnected before the first byte of its request was sent to a server.
+var ErrClientGone = errors.New("client disconnected before its request was sent")
 
-// FirstBytes is how much of a request is written behind the gate at most. An idle connection's buffer takes it at
-// once, so that whoever shuts the gate does not wait for the server; and by its first byte a send counts.
-const FirstBytes = 16 << 10
+// MaxFirstWrite is the maximum number of bytes of a request that are written while the gate is held. They fit into the
+// socket buffer of an idle connection, so that closing the gate does not wait for the server. A send counts as begun
+// with its first byte.
+const MaxFirstWrite = 16 << 10
 
-// Pass runs first unless nothing new may be sent to the server: then it is ErrShut. First must not wait for the server.
+// Pass runs first while the gate is held open, or returns ErrNoNewRequests if the gate is closed or the drain's grace
+// period has ended. The function must not wait for the server.
 func (s *Server) Pass(first func() error) error {
 	s.Gate.mu.RLock()
 	defer s.Gate.mu.RUnlock()
-	if stop := s.Stop.Load(); s.Gate.shut || stop != 0 && s.now() >= time.Duration(stop) {
+	if stop := s.Stop.Load(); s.Gate.closed || stop != 0 && s.clock() >= time.Duration(stop) {
 		return ErrShut
 	}
 	return first()
 }
 
-func (s *Server) now() time.Duration {
+func (s *Server) clock() time.Duration {
 	if s.Now == nil {
 		return time.Duration(time.Now().UnixNano())
 	}
 	return s.Now()
 }
 
-// Gated is the way to a server for one send. Its first bytes pass the gate, and are not written where that is shut or nobody
-// wants them any more: then the send is ErrShut or ErrLeft, and surely never ran.
-type Gated struct {
+// GatedConn is a connection to a server for one send. The first bytes pass the gate. They are not written if the gate
+// is closed or the request is no longer wanted: then the send fails with ErrNoNewRequests or ErrClientGone, and
+// certainly never ran.
+type GatedConn struct {
 	flow.Paced
-	server *Server
-	wanted func() bool
-	open   bool
+	server      *Server
+	stillWanted func() bool
+	passed      bool // the first bytes have passed the gate
 }
 
-// NewGated returns the way to a server over a connection. Wanted is asked once, before the first byte, and must not wait.
-func NewGated(conn net.Conn, s *Server, wanted func() bool) *Gated {
-	return &Gated{Paced: flow.Paced{Conn: conn, Stall: flow.WriteStall}, server: s, wanted: wanted}
+// NewGatedConn returns a GatedConn over conn. The function wanted is called once, before the first byte, and must not
+// wait.
+func NewGated(conn net.Conn, s *Server, wanted func() bool) *GatedConn {
+	return &GatedConn{Paced: flow.Paced{Conn: conn, Stall: flow.WriteStall}, server: s, stillWanted: wanted}
 }
 
-func (g *Gated) Write(p []byte) (int, error) {
-	if g.open {
+func (g *GatedConn) Write(p []byte) (int, error) {
+	if g.passed {
 		return g.Paced.Write(p)
 	}
-	first, n := p[:min(len(p), FirstBytes)], 0
+	first, n := p[:min(len(p), MaxFirstWrite)], 0
 	err := g.server.Pass(func() (err error) {
-		if !g.wanted() {
-			return ErrLeft
+		if !g.stillWanted() {
+			return ErrClientGone
 		}
-		g.open = true
+		g.passed = true
 		n, err = g.Paced.Write(first)
 		return err
 	})
--- a/internal/back/server_test.go
+++ b/internal/back/server_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The end of a drain's grace is on the node's own clock: it comes in its time when the system's is set back meanwhile.
-func TestGraceEndsOnTheNodesClock(t *testing.T) {
+// The end of a drain's grace period is measured on the node's own clock, so that setting the system clock back does not
+// extend it.
+func TestDrainGraceEndsOnNodeClock(t *testing.T) {
 	var now time.Duration
 	s := &Server{Gate: NewGate(false), Now: func() time.Duration { return now }}
 	send := func() error { return s.Pass(func() error { return nil }) }
@@ -22,6 +23,6 @@
 	}
 	s.Gate.Set(true)
 	if s.Stop.Store(0); !errors.Is(send(), ErrShut) {
-		t.Error("a shut gate lets a send pass")
+		t.Error("a closed gate admits a send")
 	}
 }
--- a/internal/back/tunnel/opaque.go
+++ b/internal/back/tunnel/opaque.go
@@ -21,106 +21,119 @@
 type Cause string
 
 const (
-	Done     Cause = "done"     // both sides have
-	Unused   Cause = "unused"   // its client was gone before it stood
-	Client   Cause = "client"   // the client's connection broke
-	Server   Cause = "server"   // the server's did
-	Idle     Cause = "idle"     // the limits:
-	Total    Cause = "total"    //
-	Stall    Cause = "stall"    //
-	Draining Cause = "draining" // its server's drain or the node's
-	Closing  Cause = "closing"  // the node ended
+	// CauseDone: both sides have ended their sending.
+	Done Cause = "done"
+	// CauseUnused: the client disconnected before the tunnel was established.
+	Unused Cause = "unused"
+	// CauseClient: the client's connection broke.
+	Client Cause = "client"
+	// CauseServer: the server's connection broke.
+	Server Cause = "server"
+	// CauseIdle: no byte went either way within message.TunnelLimits.Idle.
+	Idle Cause = "idle"
+	// CauseTotal: the tunnel was open for message.TunnelLimits.Total.
+	Total Cause = "total"
+	// CauseStall: the server sent nothing within message.TunnelLimits.Stall after the client's latest bytes.
+	Stall Cause = "stall"
+	// CauseDraining: message.TunnelLimits.Drain passed since the server or the node began to drain.
+	Draining Cause = "draining"
+	// CauseClosing: the node ended.
+	Closing Cause = "closing"
 )
 
-// chunk is passed on at most before it is looked at again whether the tunnel may go on. A reader that takes less in the
-// idle limit counts as one that takes nothing.
-const chunk = 256 << 10
+// copyChunk is the maximum number of bytes that are copied before it is checked again whether the tunnel may continue.
+// A reader that takes less than this within the idle limit counts as one that takes nothing.
+const copyChunk = 256 << 10
 
-// PipesMost is how many copies between two sockets go by a pipe of the kernel's (splice) at a time, over all tunnels. A pipe is two
-// descriptors for as long as the other side takes, and nobody counts who reads slowly; past it a copy goes by a buffer.
+// MaxPipes limits how many copies between two sockets use a kernel pipe (splice) at a time, over all tunnels. A pipe
+// takes two descriptors until the receiving side has read the data, and the number of slow readers is not limited.
+// Copies beyond the limit use a buffer.
 const PipesMost = 16
 
-// Back opens opaque tunnels and knows those that stand. It is safe for concurrent use.
+// Sender opens opaque tunnels and keeps track of the open ones; it is a core.Sender. It is safe for concurrent use. mu
+// guards open, endedByCause and endedBytes.
 type Back struct {
-	Core *core.Core
-	Pool *back.Pool
-	Away func() bool // whether the node drains, or leaves
+	Core     *core.Core
+	Pool     *back.Pool
+	Draining func() bool // whether the node drains or shuts down
 
-	pipes chan struct{} // holds one for each pipe in use
+	pipesInUse chan struct{} // holds one for each pipe in use
 
-	mu    sync.Mutex
-	open  map[*Tunnel]struct{}
-	ended map[Cause]uint64
-	bytes uint64 // of tunnels that have ended, both ways
+	mu           sync.Mutex
+	open         map[*Tunnel]struct{}
+	endedByCause map[Cause]uint64
+	endedBytes   uint64 // copied both ways by tunnels that have ended
 }
 
-// New returns a back with no tunnels.
-func New(c *core.Core, p *back.Pool, away func() bool) *Back {
-	return &Back{Core: c, Pool: p, Away: away, pipes: make(chan struct{}, PipesMost), open: map[*Tunnel]struct{}{}, ended: map[Cause]uint64{}}
+// NewSender returns a Sender without tunnels.
+func New(c *core.Core, p *back.Pool, draining func() bool) *Back {
+	return &Back{Core: c, Pool: p, Draining: draining, pipesInUse: make(chan struct{}, PipesMost), open: map[*Tunnel]struct{}{}, endedByCause: map[Cause]uint64{}}
 }
 
-// Tunnel is a message.Tunnel: a connection to a server for one client.
+// Tunnel is a message.Tunnel: a connection to a server for one client. It ends once, with one cause; mu guards the
+// fields below it.
 type Tunnel struct {
-	back    *Back
-	request *core.Request
-	stream  *message.Stream
-	server  *back.Server
-	conn    *back.Conn
-	opened  time.Time
-	over    chan struct{} // closed once the tunnel has ended
+	sender   *Back
+	request  *core.Request
+	stream   *message.Stream
+	server   *back.Server
+	conn     *back.Conn
+	openedAt time.Time
+	done     chan struct{} // closed once the tunnel has ended
 
-	mu     sync.Mutex
-	client net.Conn    // nil until it relays
-	timer  *time.Timer // when the next limit may be reached
-	drains time.Time   // when it is to have ended for a drain; zero: there is none
-	up     time.Time   // when the latest of the client's bytes that were passed on had come,
-	down   time.Time   // and of the server's
-	passed uint64      // bytes
-	halves int         // directions that have ended
-	cause  Cause       // empty while it stands
+	mu              sync.Mutex
+	client          net.Conn    // nil until Relay is called
+	timer           *time.Timer // when the next limit may be reached
+	drainDeadline   time.Time   // when it must end because of a drain; zero: no drain
+	lastUp          time.Time   // when the latest of the copied bytes from the client arrived
+	lastDown        time.Time   // when the latest of the copied bytes from the server arrived
+	copiedBytes     uint64      // both ways
+	endedDirections int         // 0 to 2
+	cause           Cause       // empty until the tunnel has ended
 }
 
-// Attempt connects to the server, makes that the request's final answer, and returns when the tunnel has ended. An attempt
-// that fails has written nothing: it never ran.
-func (b *Back) Attempt(ctx context.Context, a *core.Attempt) core.Result {
-	opening, cancel := context.WithTimeout(ctx, a.Wait)
+// Attempt connects to the server, makes the tunnel the request's final response, and returns when the tunnel has ended.
+// An attempt that fails to open a tunnel has written nothing to the server, so that it never ran.
+func (s *Back) Attempt(ctx context.Context, a *core.Attempt) core.Result {
+	openCtx, cancel := context.WithTimeout(ctx, a.Wait)
 	defer cancel()
 	server := a.Server.(*back.Server)
-	if !a.Wanted() { // the connection itself is what a server sees of an attempt
+	if !a.Wanted() { // a connection alone is already visible to the server
 		return core.Result{Outcome: policy.Moot}
 	}
-	conn, err := b.Pool.Open(opening, server)
+	conn, err := s.Pool.Open(openCtx, server)
 	switch {
 	case errors.Is(err, back.ErrSockets):
-		return core.Result{Outcome: policy.Moot} // not the server's doing, and not to be held against it
+		return core.Result{Outcome: policy.Moot} // not the server's failure, and not held against it
 	case ctx.Err() != nil:
 		if conn != nil {
-			b.Pool.Close(conn)
+			s.Pool.Close(conn)
 		}
 		return core.Result{Outcome: policy.Canceled}
 	case err != nil:
 		return core.Result{Outcome: policy.ConnectFailed}
 	}
-	t := &Tunnel{back: b, request: a.Request, stream: a.Request.Message.(*message.Stream), server: server, conn: conn,
-		opened: time.Now(), over: make(chan struct{})}
-	t.up, t.down = t.opened, t.opened
+	t := &Tunnel{sender: s, request: a.Request, stream: a.Request.Message.(*message.Stream), server: server, conn: conn,
+		openedAt: time.Now(), done: make(chan struct{})}
+	t.lastUp, t.lastDown = t.openedAt, t.openedAt
 	soonest := min(t.stream.Limits.Idle, t.stream.Limits.Total)
 	if stall := t.stream.Limits.Stall; stall > 0 {
 		soonest = min(soonest, stall)
 	}
 	t.mu.Lock()
-	t.timer = time.AfterFunc(soonest, t.look)
+	t.timer = time.AfterFunc(soonest, t.checkLimits)
 	t.mu.Unlock()
-	// Behind the gate it is known to whoever ends the tunnels of a server that drains, or it does not come to stand.
+	// While the gate is held open the tunnel is registered, so that Drain finds it. If the gate is closed it is not
+	// established.
 	err = server.Pass(func() error {
 		if !a.Wanted() {
-			return back.ErrLeft
+			return back.ErrClientGone
 		}
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.open[t] = struct{}{}
-		if b.Away() { // it was asked for just before
-			t.drain()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.open[t] = struct{}{}
+		if s.Draining() { // the node began to drain before the tunnel was registered
+			t.startDrain()
 		}
 		return nil
 	})
@@ -128,23 +141,23 @@
 		t.end(Unused)
 		return core.Result{Outcome: policy.Moot}
 	}
-	first := b.Core.Now()
-	stands := b.Core.Established(a, t)
-	if !stands {
+	first := s.Core.Now()
+	established := s.Core.Established(a, t)
+	if !established {
 		t.end(Unused)
 	}
 	select {
-	case <-t.over:
+	case <-t.done:
 	case <-ctx.Done():
 		t.end(Closing)
-		<-t.over // whoever else ends it may still be at it
+		<-t.done // another goroutine may be ending it and not be finished
 	}
-	server.Heard.Add(1)
+	server.Responses.Add(1)
 	res := core.Result{Outcome: policy.OK, First: first, Load: policy.Load{Queue: -1, Held: -1}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case !stands:
+	case !established:
 		res.Outcome = policy.Canceled
 	case t.cause == Stall:
 		res.Outcome = policy.TimedOut
@@ -154,10 +167,10 @@
 	return res
 }
 
-// Release ends a tunnel that is not wanted, or no longer.
+// Release ends a tunnel that is not wanted or no longer needed.
 func (t *Tunnel) Release() { t.end(Unused) }
 
-// end ends the tunnel for a cause, unless it has ended.
+// end ends the tunnel with a cause and closes both connections. It does nothing if the tunnel has ended already.
 func (t *Tunnel) end(cause Cause) {
 	t.mu.Lock()
 	if t.cause != "" {
@@ -166,46 +179,46 @@
 	}
 	t.cause = cause
 	t.timer.Stop()
-	client, passed := t.client, t.passed
+	client, copied := t.client, t.copiedBytes
 	t.mu.Unlock()
 	if client != nil {
 		client.Close()
 	}
-	b := t.back
-	b.Pool.Close(t.conn)
-	b.mu.Lock()
-	delete(b.open, t)
-	b.ended[cause]++
-	b.bytes += passed
-	b.mu.Unlock()
-	close(t.over)
+	s := t.sender
+	s.Pool.Close(t.conn)
+	s.mu.Lock()
+	delete(s.open, t)
+	s.endedByCause[cause]++
+	s.endedBytes += copied
+	s.mu.Unlock()
+	close(t.done)
 }
 
-// look ends the tunnel where a limit is reached, and else comes back when the next one may be.
-func (t *Tunnel) look() {
+// checkLimits ends the tunnel if a limit is reached, or else sets the timer for when the next limit may be reached.
+func (t *Tunnel) checkLimits() {
 	t.mu.Lock()
-	l, now := t.stream.Limits, time.Now()
-	latest := t.down
-	if t.up.After(latest) {
-		latest = t.up
+	limits, now := t.stream.Limits, time.Now()
+	latest := t.lastDown
+	if t.lastUp.After(latest) {
+		latest = t.lastUp
 	}
-	cause, next := Idle, latest.Add(l.Idle)
-	sooner := func(c Cause, at time.Time) {
+	cause, next := Idle, latest.Add(limits.Idle)
+	addLimit := func(c Cause, at time.Time) {
 		if at.Before(next) {
 			cause, next = c, at
 		}
 	}
-	sooner(Total, t.opened.Add(l.Total))
-	if l.Stall > 0 && t.up.After(t.down) {
-		sooner(Stall, t.up.Add(l.Stall))
+	addLimit(Total, t.openedAt.Add(limits.Total))
+	if limits.Stall > 0 && t.lastUp.After(t.lastDown) {
+		addLimit(Stall, t.lastUp.Add(limits.Stall))
 	}
-	if !t.drains.IsZero() {
-		sooner(Draining, t.drains)
+	if !t.drainDeadline.IsZero() {
+		addLimit(Draining, t.drainDeadline)
 	}
 	wait := next.Sub(now)
 	if wait > 0 && t.cause == "" {
-		if l.Stall > 0 { // it begins with the client's next byte
-			wait = min(wait, l.Stall)
+		if limits.Stall > 0 { // the stall limit begins with the client's next byte
+			wait = min(wait, limits.Stall)
 		}
 		t.timer.Reset(wait)
 		t.mu.Unlock()
@@ -215,51 +228,52 @@
 	t.end(cause)
 }
 
-// drain gives the tunnel its drain limit from now, unless one runs.
-func (t *Tunnel) drain() {
+// startDrain starts the tunnel's drain limit, unless it is running.
+func (t *Tunnel) startDrain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.drains.IsZero() && t.cause == "" {
-		t.drains = time.Now().Add(t.stream.Limits.Drain)
-		t.timer.Reset(0) // look works out the rest
+	if t.drainDeadline.IsZero() && t.cause == "" {
+		t.drainDeadline = time.Now().Add(t.stream.Limits.Drain)
+		t.timer.Reset(0) // checkLimits computes the next time
 	}
 }
 
-// Drain gives the tunnels to a server their drain limit, or all tunnels where it is nil. One that comes to stand while the node
-// is Away has its limit from the start.
-func (b *Back) Drain(s *back.Server) {
-	b.mu.Lock()
-	var to []*Tunnel
-	for t := range b.open {
-		if s == nil || t.server == s {
-			to = append(to, t)
+// Drain starts the drain limit of the tunnels to a server, or of all tunnels if server is nil. A tunnel that is
+// established while the node is Draining has its limit from the start.
+func (s *Back) Drain(server *back.Server) {
+	s.mu.Lock()
+	var tunnels []*Tunnel
+	for t := range s.open {
+		if server == nil || t.server == server {
+			tunnels = append(tunnels, t)
 		}
 	}
-	b.mu.Unlock()
-	for _, t := range to {
-		t.drain()
+	s.mu.Unlock()
+	for _, t := range tunnels {
+		t.startDrain()
 	}
 }
 
-// Stats is what the tunnels have come to.
+// Stats holds the number of open tunnels and totals of those that have ended.
 type Stats struct {
 	Open  int
-	Bytes uint64           // passed by those that have ended
-	Ended map[Cause]uint64 // those that have, by the cause
+	Bytes uint64           // copied both ways by tunnels that have ended
+	Ended map[Cause]uint64 // number of ended tunnels by cause
 }
 
-// Stats counts.
-func (b *Back) Stats() Stats {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := Stats{Open: len(b.open), Bytes: b.bytes, Ended: map[Cause]uint64{}}
-	for c, n := range b.ended {
-		s.Ended[c] = n
+// Stats returns the current numbers.
+func (s *Back) Stats() Stats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stats := Stats{Open: len(s.open), Bytes: s.endedBytes, Ended: map[Cause]uint64{}}
+	for c, n := range s.endedByCause {
+		stats.Ended[c] = n
 	}
-	return s
+	return stats
 }
 
-// Relay makes it a message.Tunnel.
+// Relay copies bytes between the client and the server until the tunnel has ended, and closes the client's connection.
+// Bytes that in has read ahead are sent first.
 func (t *Tunnel) Relay(client net.Conn, in *bufio.Reader) {
 	t.mu.Lock()
 	ended := t.cause != ""
@@ -271,56 +285,58 @@
 	}
 	t.stream.Spend()
 	var down sync.WaitGroup
-	down.Go(func() { t.pass(client, t.conn.Conn, nil, false) })
-	ahead := make([]byte, in.Buffered()) // no more than that, so that the reader is not held for the tunnel's life
+	down.Go(func() { t.copyDirection(client, t.conn.Conn, nil, false) })
+	ahead := make([]byte, in.Buffered()) // copied out, so that the reader is not kept in memory until the tunnel ends
 	io.ReadFull(in, ahead)
-	t.pass(t.conn.Conn, client, ahead, true)
+	t.copyDirection(t.conn.Conn, client, ahead, true)
 	down.Wait()
-	<-t.over
+	<-t.done
 }
 
-// pass copies one direction to its end, and tells the other side of that.
-func (t *Tunnel) pass(dst, src net.Conn, ahead []byte, up bool) {
-	broken := func(reading bool) Cause {
-		if reading == up {
+// copyDirection copies one direction until src ends and then closes dst for writing. The bytes ahead are sent first.
+func (t *Tunnel) copyDirection(dst, src net.Conn, ahead []byte, toServer bool) {
+	// brokenSide returns the cause for an error on reading from src, or else on writing to dst.
+	brokenSide := func(reading bool) Cause {
+		if reading == toServer {
 			return Client
 		}
 		return Server
 	}
 	if len(ahead) > 0 {
-		came := time.Now()
-		if n, err := dst.Write(ahead); t.moved(n, up, came) != nil || err != nil {
-			t.end(broken(false))
+		arrived := time.Now()
+		if n, err := dst.Write(ahead); t.account(n, toServer, arrived) != nil || err != nil {
+			t.end(brokenSide(false))
 			return
 		}
 	}
 	for {
-		// While nothing comes, no pipe and no buffer is held, and what has come is passed on without waiting for more.
-		there, err := flow.Readable(src)
+		// While no bytes arrive, no pipe and no buffer is held. Bytes that have arrived are copied without waiting for
+		// more.
+		available, err := flow.Readable(src)
 		if err != nil {
-			t.end(broken(true))
+			t.end(brokenSide(true))
 			return
 		}
-		// By when it came, not by when the copy returns: the other side may have answered before that.
-		came := time.Now()
-		n, err := t.back.copy(dst, src, int64(min(max(there, 1), chunk)))
-		if t.moved(int(n), up, came) != nil {
+		// Record when the bytes arrived, not when the copy returns: the other side may have replied before that.
+		arrived := time.Now()
+		n, err := t.sender.copyN(dst, src, int64(min(max(available, 1), copyChunk)))
+		if t.account(int(n), toServer, arrived) != nil {
 			return
 		}
 		switch {
 		case err == nil:
 			continue
 		case !errors.Is(err, io.EOF):
-			t.end(broken(!errors.Is(err, syscall.EPIPE) && !isWrite(err)))
+			t.end(brokenSide(!errors.Is(err, syscall.EPIPE) && !isWriteError(err)))
 			return
 		}
 		if half, ok := dst.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
-			t.end(broken(false))
+			t.end(brokenSide(false))
 			return
 		}
 		t.mu.Lock()
-		t.halves++
-		both := t.halves == 2
+		t.endedDirections++
+		both := t.endedDirections == 2
 		t.mu.Unlock()
 		if both {
 			t.end(Done)
@@ -329,49 +345,51 @@
 	}
 }
 
-// copy passes so many bytes on: by splice, where both are TCP and a pipe is free, else by a buffer. It returns fewer only with an
-// error, io.EOF where the source has ended.
-func (b *Back) copy(dst io.Writer, src io.Reader, n int64) (int64, error) {
+// copyN copies n bytes: by splice if both sides are TCP and a pipe is free, or else by a buffer. It copies fewer only
+// with an error, which is io.EOF if the source has ended.
+func (s *Back) copyN(dst io.Writer, src io.Reader, n int64) (int64, error) {
 	select {
-	case b.pipes <- struct{}{}:
-		defer func() { <-b.pipes }()
+	case s.pipesInUse <- struct{}{}:
+		defer func() { <-s.pipesInUse }()
 	default:
-		dst, src = struct{ io.Writer }{dst}, struct{ io.Reader }{src} // which hides that they are sockets
+		dst, src = struct{ io.Writer }{dst}, struct{ io.Reader }{src} // hides that they are sockets, so that io.CopyN does not use splice
 	}
 	return io.CopyN(dst, src, n)
 }
 
-// isWrite tells whether an error of a copy is its writing side's.
-func isWrite(err error) bool {
+// isWriteError reports whether an error of a copy came from writing.
+func isWriteError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "write"
 }
 
-var errOver = errors.New("the tunnel has ended")
+// errTunnelEnded reports to a copying goroutine that the tunnel has ended.
+var errTunnelEnded = errors.New("tunnel has ended")
 
-// moved books bytes that were passed on and had come at a time, and waits as long as the contract's bandwidth asks for.
-func (t *Tunnel) moved(n int, up bool, came time.Time) error {
+// account counts bytes that arrived at the given time and were copied, and waits as long as the contract's bandwidth
+// requires. It returns errTunnelEnded if the tunnel has ended.
+func (t *Tunnel) account(n int, toServer bool, arrived time.Time) error {
 	if n > 0 {
 		t.mu.Lock()
-		if up {
-			t.up = came
+		if toServer {
+			t.lastUp = arrived
 		} else {
-			t.down = came
+			t.lastDown = arrived
 		}
-		t.passed += uint64(n)
+		t.copiedBytes += uint64(n)
 		t.mu.Unlock()
-		if wait := t.back.Core.Pace(t.request, n); wait > 0 {
+		if wait := t.sender.Core.Pace(t.request, n); wait > 0 {
 			pause := time.NewTimer(wait)
 			defer pause.Stop()
 			select {
 			case <-pause.C:
-			case <-t.over:
+			case <-t.done:
 			}
 		}
 	}
 	select {
-	case <-t.over:
-		return errOver
+	case <-t.done:
+		return errTunnelEnded
 	default:
 		return nil
 	}
--- a/internal/back/tunnel/pipes_test.go
+++ b/internal/back/tunnel/pipes_test.go
@@ -16,8 +16,8 @@
 	"portstall/internal/lab/standin"
 )
 
-// pipes counts the pipes that this process holds by one descriptor or two.
-func pipes(t *testing.T) int {
+// countPipes returns how many pipes this process holds by one or both descriptors.
+func countPipes(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -32,11 +32,11 @@
 	return len(names)
 }
 
-// held counts the copies that wait for the other side to take something, and of those the ones that hold a pipe.
-func held() (all, spliced int) {
+// waitingCopies returns how many copies wait for the receiving side, and how many of these hold a pipe.
+func waitingCopies() (all, spliced int) {
 	text := make([]byte, 4<<20)
 	for _, stack := range strings.Split(string(text[:runtime.Stack(text, true)]), "\n\n") {
-		if strings.Contains(stack, "(*Back).copy(") && strings.Contains(stack, "waitWrite") {
+		if strings.Contains(stack, ").copyN(") && strings.Contains(stack, "waitWrite") {
 			all++
 			if strings.Contains(stack, "poll.Splice(") {
 				spliced++
@@ -46,12 +46,12 @@
 	return all, spliced
 }
 
-// However many tunnels have readers that take nothing, they hold no more pipes than are kept back for them; what they carry is
-// unharmed, by a pipe and by a buffer, once it is taken.
-func TestSlowReadersHoldFewPipes(t *testing.T) {
+// Tunnels whose receivers read nothing hold at most MaxPipes pipes, however many there are, or slow readers could use
+// up the process's descriptors. Copies by a pipe and by a buffer deliver their bytes unchanged once they are read.
+func TestSlowReadersHoldAtMostMaxPipes(t *testing.T) {
 	const copies, size = PipesMost + 24, 4 << 20
 	rng := rand.NewChaCha8([32]byte{7})
-	b, none := New(nil, nil, nil), pipes(t)
+	sender, before := New(nil, nil, nil), countPipes(t)
 	var wg sync.WaitGroup
 	texts, readers := make([][]byte, copies), make([]*net.TCPConn, copies)
 	for i := range copies {
@@ -67,44 +67,44 @@
 			}
 		})
 		wg.Go(func() {
-			if n, err := b.copy(dst, src, size); n != size || err != nil {
-				t.Errorf("%d bytes passed on, %v", n, err)
+			if n, err := sender.copyN(dst, src, size); n != size || err != nil {
+				t.Errorf("copied %d bytes with error %v, want all without an error", n, err)
 			}
 			dst.CloseWrite()
 		})
 	}
-	all, spliced := held()
-	for end := time.Now().Add(time.Minute); all < copies; all, spliced = held() {
+	all, spliced := waitingCopies()
+	for end := time.Now().Add(time.Minute); all < copies; all, spliced = waitingCopies() {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d copies wait", all, copies)
+			t.Fatalf("%d of %d copies wait for their receivers after a minute", all, copies)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if n := pipes(t) - none; spliced != PipesMost || n > PipesMost {
-		t.Errorf("%d copies hold a pipe, and %d pipes came, want %d", spliced, n, PipesMost)
+	if n := countPipes(t) - before; spliced != PipesMost || n > PipesMost {
+		t.Errorf("%d copies hold a pipe and %d pipes were added, want %d", spliced, n, PipesMost)
 	}
 	for i, to := range readers {
 		wg.Go(func() {
 			got, err := io.ReadAll(to)
 			if err != nil || !bytes.Equal(got, texts[i]) {
-				t.Errorf("copy %d: %d bytes came, %v, alike: %v", i, len(got), err, bytes.Equal(got, texts[i]))
+				t.Errorf("copy %d: received %d bytes with error %v, equal to what was sent: %v", i, len(got), err, bytes.Equal(got, texts[i]))
 			}
 		})
 	}
 	wg.Wait()
-	// All are given back: the next copy goes by a pipe again, and one that ends short says so.
-	if len(b.pipes) != 0 {
-		t.Errorf("%d pipes are not given back", len(b.pipes))
+	// All pipes are released, so that the next copy uses a pipe again. A copy whose source ends early returns io.EOF.
+	if len(sender.pipesInUse) != 0 {
+		t.Errorf("%d pipes are not released", len(sender.pipesInUse))
 	}
 	from, src := standin.Ends(t)
 	dst, to := standin.Ends(t)
 	io.WriteString(from, "short")
 	from.CloseWrite()
-	if n, err := b.copy(dst, src, 10); n != 5 || err != io.EOF {
-		t.Errorf("%d bytes, %v, want 5 and the end", n, err)
+	if n, err := sender.copyN(dst, src, 10); n != 5 || err != io.EOF {
+		t.Errorf("copied %d bytes with error %v, want 5 and io.EOF", n, err)
 	}
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(to, got); err != nil || string(got) != "short" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("received %q with error %v, want \"short\"", got, err)
 	}
 }
--- a/internal/back/tunnel/proxy.go
+++ b/internal/back/tunnel/proxy.go
@@ -1,5 +1,6 @@
-// Package tunnel is the servers' side of tunnels: connections to web servers by way of a SOCKS5 or CONNECT proxy, and opaque
-// tunnels, whose attempt is such a connection and whose bytes are nobody's business here.
+// Package tunnel is the server side of tunnels. It connects to web servers through a SOCKS5 or CONNECT proxy, and opens
+// opaque tunnels: connections to a web server, direct or through a proxy, whose bytes are copied both ways without
+// being interpreted.
 package tunnel
 
 import (
@@ -18,30 +19,31 @@
 	"portstall/internal/back"
 )
 
-// Kind is what a proxy speaks.
+// Protocol is the protocol of a proxy.
 type Kind uint8
 
 const (
-	SOCKS5  Kind = iota // RFC 1928, RFC 1929
-	Connect             // RFC 9110, 9.3.6
+	SOCKS5  Kind = iota // SOCKS5, RFC 1928, with passwords by RFC 1929
+	Connect             // HTTP CONNECT, RFC 9110, section 9.3.6
 )
 
-// Proxy is one that stands before web servers.
+// Proxy is a proxy through which web servers are reached.
 type Proxy struct {
 	Kind     Kind
 	Addr     string
-	User     string // empty: none is shown
+	User     string // empty: no credentials are sent
 	Password string
 }
 
-// ErrProxy is what stands for all that a proxy can do wrong before a tunnel stands. Whatever it was, nothing of a request has
-// gone to the server, so that nothing ran.
-var ErrProxy = errors.New("the proxy before the web server")
+// ErrProxy wraps each failure to open a tunnel through a proxy. No byte of a request has been sent to the server then,
+// so that the request never ran.
+var ErrProxy = errors.New("connecting through the proxy failed")
 
-// maxHead bounds the head of a proxy's answer, in bytes.
-const maxHead = 8 << 10
+// maxHeadBytes limits the head of a proxy's response.
+const maxHeadBytes = 8 << 10
 
-// Dial is a back.Dial: a connection to addr through the proxy, to which nothing was sent yet. D's time is for the whole of it.
+// Dial is a back.Dial: it returns a connection to addr through the proxy, on which no byte has been sent to addr yet.
+// The timeout of d covers both the connection to the proxy and the handshake with it.
 func (p Proxy) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	if d.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -58,7 +60,7 @@
 	} else {
 		err = p.socks5(ctx, conn, addr)
 	}
-	if !stop() && err == nil { // its time ran out at the last moment, and with it what the connection may still do
+	if !stop() && err == nil { // ctx ended just after the handshake, and the connection's deadline has passed
 		err = context.Cause(ctx)
 	}
 	if err != nil {
@@ -68,7 +70,8 @@
 	return conn, nil
 }
 
-// connect asks for the tunnel and reads the answer's head, and nothing beyond it: the server may speak first.
+// connect requests a tunnel to addr by CONNECT. It reads the head of the response and not one byte more, as what
+// follows is the server's: a server may send first.
 func (p Proxy) connect(conn net.Conn, addr string) error {
 	req := &http.Request{Method: http.MethodConnect, Host: addr, URL: &url.URL{Host: addr}, Header: http.Header{"User-Agent": nil}}
 	if p.User != "" {
@@ -79,27 +82,29 @@
 	if err := req.Write(conn); err != nil {
 		return err
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(&byteByByte{io.LimitedReader{R: conn, N: maxHead}}), req)
+	resp, err := http.ReadResponse(bufio.NewReader(&singleByteReader{io.LimitedReader{R: conn, N: maxHeadBytes}}), req)
 	if err != nil {
-		return fmt.Errorf("its answer: %w", err)
+		return fmt.Errorf("reading the CONNECT response: %w", err)
 	}
-	if resp.StatusCode/100 != 2 { // any 2xx means that the tunnel stands, and that there is no body
+	if resp.StatusCode/100 != 2 { // any 2xx means that the tunnel is open and that there is no body
 		return Refusal{resp.StatusCode}
 	}
 	return nil
 }
 
-// Refusal is a CONNECT proxy's answer that is no success.
+// ConnectStatusError reports a CONNECT response with a status other than 2xx.
 type Refusal struct{ Status int }
 
-func (r Refusal) Error() string { return fmt.Sprintf("it answers %d", r.Status) }
+func (r Refusal) Error() string { return fmt.Sprintf("CONNECT response has status %d", r.Status) }
 
-// byteByByte reads no more than is asked for, whatever buffer it is asked with.
-type byteByByte struct{ io.LimitedReader }
+// singleByteReader reads one byte at a time, so that a bufio.Reader on top of it reads no further than its caller does.
+type singleByteReader struct{ io.LimitedReader }
 
-func (r *byteByByte) Read(p []byte) (int, error) { return r.LimitedReader.Read(p[:min(1, len(p))]) }
+func (r *singleByteReader) Read(p []byte) (int, error) {
+	return r.LimitedReader.Read(p[:min(1, len(p))])
+}
 
-// socks5 does the whole handshake; its replies that are no success are errors.
+// socks5 performs the SOCKS5 handshake. Any reply other than success is an error.
 func (p Proxy) socks5(ctx context.Context, conn net.Conn, addr string) error {
 	var auth *proxy.Auth
 	if p.User != "" {
@@ -109,13 +114,14 @@
 	if err != nil {
 		return err
 	}
-	// Its own connections hide the socket, which is needed for splice and to see whether it was closed.
-	on, ok := d.(interface {
+	// Connections that the library opens itself hide the socket, which is needed for splice and to see whether it was
+	// closed.
+	dialer, ok := d.(interface {
 		DialWithConn(context.Context, net.Conn, string, string) (net.Addr, error)
 	})
 	if !ok {
-		return errors.New("the SOCKS5 library takes no connection")
+		return errors.New("the SOCKS5 library does not accept an open connection")
 	}
-	_, err = on.DialWithConn(ctx, conn, "tcp", addr)
+	_, err = dialer.DialWithConn(ctx, conn, "tcp", addr)
 	return err
 }
