--- a/internal/state/age.go
+++ b/internal/state/age.go
@@ -8,72 +8,79 @@
 	"portstall/policy"
 )
 
-// How what was learnt fades: the policy's own times, since a snapshot that is read is as a node that heard nothing meanwhile.
+// Time constants, in seconds, with which the learned state of a snapshot decays. They equal those of the policy, since
+// a snapshot that is read is like the state of a node that has received nothing in the meantime.
 const (
-	sumsTau  = 3.0  // seconds; service times and counts
-	roomTau  = 10.0 // occupancies that drew 'full', classes, shares of failures
-	slotsTau = 60.0
-	strain   = 0.7
+	// sumsTimeConstant is for service times and counts.
+	sumsTimeConstant = 3.0
+	// capacityTimeConstant is for occupancies at which a server reported a full queue, classes and shares of failures.
+	capacityTimeConstant = 10.0
+	// slotsTimeConstant is for the largest number of attempts that a server had in work at once.
+	slotsTimeConstant = 60.0
+	// pressureTimeConstant is for the share of initial selections that met no server in normal mode.
+	pressureTimeConstant = 0.7
 )
 
 const (
-	// clockSlack is by how much a snapshot may come from the future: clocks of one machine that was set meanwhile.
-	clockSlack = 2 * time.Second
-	// tooOld is the age from which nothing that fades is worth reading.
-	tooOld = time.Minute
-	// longestEjection is how long a server is ejected at most.
-	longestEjection = 10.0
+	// clockTolerance is how far in the future a snapshot may have been taken: the clock of a machine may have been set
+	// since.
+	clockTolerance = 2 * time.Second
+	// maxFadingAge is the age beyond which a snapshot's decaying values are not used.
+	maxFadingAge = time.Minute
+	// maxEjection limits the time for which a server stays ejected, in seconds.
+	maxEjection = 10.0
 )
 
-// Reader says who reads a snapshot, and when.
+// LoadContext holds what Age needs to know about the node that reads a snapshot.
 type Reader struct {
-	Now     time.Duration
-	Fleet   string
-	ColdFor time.Duration // a server that was put back by hand counts as cold for so long
+	Now     time.Duration // on the node's clock
+	Fleet   string        // see Snapshot.Fleet
+	ColdFor time.Duration // how long a server that was enabled by an operator counts as cold
 }
 
-// Drop is a part of a snapshot that is not used, and why.
+// DroppedPart names a part of a snapshot that is not used, and the reason. Both are texts for people.
 type Drop struct{ Field, Why string }
 
-// Age makes a snapshot that of its reader, and tells what it drops. Each field has its rule:
+// Age changes a snapshot to what is valid for its reader at the time of reading, and returns the parts that it drops.
+// Each field has its rule:
 //
-//	out by hand             never ages
-//	put back by hand        to the end of its time cold; from a future clock it was put back just now
-//	list                    any age: its version tells, and discovery is asked at once
-//	open requests, keys     to their end; from a future clock none, as their end would not come
-//	service times, bounds   fade as they do in a node; gone after a minute
-//	queues, modes           while the queue can still be there: as long as it takes to clear
-//	contracts               debts and counts of tries stay; credit only if the snapshot is exact
-//	retry budget            goes over
+//	disabled by an operator  never expires
+//	enabled by an operator   until the end of the server's time as cold; if written in the future, it was enabled just now
+//	server list              any age: it has a version, and discovery is asked for a newer list at once
+//	open requests, keys      until each one's end; if written in the future none, as their end would not come
+//	service times, limits    decay as they do in a node; dropped after a minute
+//	queues, modes            as long as the queue can still exist: the time that it takes to clear
+//	contracts                debts and counts of attempts stay; unused quota only if the snapshot is exact
+//	retry budget             stays, up to a maximum
 //
-// One of another fleet keeps nothing of servers, one of which the time can't be told nothing that fades.
+// A snapshot of another fleet keeps no state of servers. One whose time cannot be known keeps no decaying values.
 func (s *Snapshot) Age(r Reader) (drops []Drop) {
 	drop := func(field, why string, args ...any) { drops = append(drops, Drop{field, fmt.Sprintf(why, args...)}) }
 	age := r.Now - s.Taken
-	if s.Exact && (age < -clockSlack || age > 10*clockSlack) {
-		s.shift(age) // both processes run now: it is their clocks that differ
+	if s.Exact && (age < -clockTolerance || age > 10*clockTolerance) {
+		s.shiftClock(age) // writer and reader run at the same time, so their clocks differ
 		age = 0
 	}
 	if !s.Exact && s.Fleet != r.Fleet {
-		drop("out, returned, list, learnt", "of another fleet, %q", s.Fleet)
+		drop("disabled and enabled servers, server list, learned state", "written for another fleet, %q", s.Fleet)
 		s.Out, s.Returned, s.Servers, s.Version, s.Keys, s.Open, s.Hearsay = nil, nil, nil, 0, nil, nil, nil
 	}
-	future := age < -clockSlack
+	future := age < -clockTolerance
 	if future {
-		drop("learnt, open, keys", "written %v from now on", -age)
+		drop("learned state, open requests, keys", "written %v in the future", -age)
 		s.Open, s.Hearsay, s.Keys = nil, nil, nil
 		for i := range s.Returned {
 			s.Returned[i].At = r.Now
 		}
 	}
-	s.Returned = keep(s.Returned, func(a At) bool { return r.Now-a.At < r.ColdFor })
-	s.Open = keep(s.Open, func(a At) bool { return r.Now < a.At })
-	s.Hearsay = keep(s.Hearsay, func(a At) bool { return r.Now < a.At })
-	s.Keys = keep(s.Keys, func(k Key) bool { return r.Now < k.Until })
-	if age > tooOld {
-		drop("learnt", "%v old", age.Round(time.Second))
+	s.Returned = filter(s.Returned, func(a At) bool { return r.Now-a.At < r.ColdFor })
+	s.Open = filter(s.Open, func(a At) bool { return r.Now < a.At })
+	s.Hearsay = filter(s.Hearsay, func(a At) bool { return r.Now < a.At })
+	s.Keys = filter(s.Keys, func(k Key) bool { return r.Now < k.Until })
+	if age > maxFadingAge {
+		drop("learned state", "%v old", age.Round(time.Second))
 	}
-	if future || age > tooOld {
+	if future || age > maxFadingAge {
 		for i := range s.Servers {
 			s.Servers[i].Known = nil
 		}
@@ -82,23 +89,24 @@
 		s.fade(max(0, age).Seconds(), r.Now.Seconds())
 	}
 	if len(s.Contracts) > 0 && !s.Exact {
-		drop("contracts", "what was left unused: it may have been spent since")
+		drop("contracts", "unused quota: it may have been spent since the snapshot")
 	}
 	return drops
 }
 
-func keep[T any](list []T, ok func(T) bool) []T {
+// filter returns the elements of a list that are wanted.
+func filter[T any](list []T, wanted func(T) bool) []T {
 	var out []T
 	for _, v := range list {
-		if ok(v) {
+		if wanted(v) {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// shift moves all times from the writer's clock to the reader's.
-func (s *Snapshot) shift(by time.Duration) {
+// shiftClock moves all times of a snapshot from the writer's clock to the reader's.
+func (s *Snapshot) shiftClock(by time.Duration) {
 	s.Taken += by
 	for _, list := range [][]At{s.Returned, s.Open, s.Hearsay} {
 		for i := range list {
@@ -119,23 +127,23 @@
 	}
 }
 
-// fade makes what was learnt older by so many seconds.
+// fade ages the decaying values by dt seconds; now is the reader's time in seconds.
 func (s *Snapshot) fade(dt, now float64) {
-	f, slower, slowest := math.Exp(-dt/sumsTau), math.Exp(-dt/roomTau), math.Exp(-dt/slotsTau)
+	sumsDecay, capacityDecay, slotsDecay := math.Exp(-dt/sumsTimeConstant), math.Exp(-dt/capacityTimeConstant), math.Exp(-dt/slotsTimeConstant)
 	for i := range s.Servers {
 		e := s.Servers[i].Known
 		if e == nil {
 			continue
 		}
-		service := 0.1
+		service := 0.1 // seconds a request, if no response has been measured
 		if e.Occupancy > 0 {
 			service = e.Latency / e.Occupancy
 		}
-		e.Latency, e.Occupancy, e.Served = e.Latency*f, e.Occupancy*f, e.Served*f
-		e.Room, e.Slots, e.Bad = e.Room/slower, e.Slots*slowest, e.Bad*slower
-		e.Ejected = min(e.Ejected, now+longestEjection)
+		e.Latency, e.Occupancy, e.Served = e.Latency*sumsDecay, e.Occupancy*sumsDecay, e.Served*sumsDecay
+		e.Room, e.Slots, e.Bad = e.Room/capacityDecay, e.Slots*slotsDecay, e.Bad*capacityDecay
+		e.Ejected = min(e.Ejected, now+maxEjection)
 		e.ReportAt, e.FullAt, e.LastOK = min(e.ReportAt, now), min(e.FullAt, now), min(e.LastOK, now)
-		if clear := max(0, e.Others) * service; now-e.ReportAt > clear+1 {
+		if drainTime := max(0, e.Others) * service; now-e.ReportAt > drainTime+1 {
 			e.Others, e.Mode = 0, 0
 		}
 		if now-e.FullAt > e.Full*service {
@@ -144,10 +152,10 @@
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i].Sums
-		c.Requests, c.Latency, c.Answers = c.Requests*slower, c.Latency*slower, c.Answers*slower
+		c.Requests, c.Latency, c.Answers = c.Requests*capacityDecay, c.Latency*capacityDecay, c.Answers*capacityDecay
 	}
 	t := &s.Totals
-	t.Total, t.Lessers, t.Picks, t.Span, t.Seen = t.Total*slower, t.Lessers*slower, t.Picks*f, t.Span*f, t.Seen*f
-	t.Strain *= math.Exp(-dt / strain)
+	t.Total, t.Lessers, t.Picks, t.Span, t.Seen = t.Total*capacityDecay, t.Lessers*capacityDecay, t.Picks*sumsDecay, t.Span*sumsDecay, t.Seen*sumsDecay
+	t.Strain *= math.Exp(-dt / pressureTimeConstant)
 	t.Retries = min(t.Retries, 10)
 }
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -12,36 +12,38 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is that of the format. Another one is refused whole: a process that starts without a state learns anew.
-const Version = 1
+// FormatVersion is the version of the stored format. A snapshot of another version is rejected completely: a process
+// that starts without stored state learns it again.
+const FormatVersion = 1
 
-// A snapshot is written as magic, version (2 bytes), length of the rest (4 bytes), its xxhash64 (8 bytes), and the rest in CBOR;
-// figures are little-endian.
+// A snapshot is written as a header and the body in CBOR. The header has the magic, the version (2 bytes), the length
+// of the body (4 bytes) and its xxhash64 (8 bytes); numbers are little-endian.
 const (
-	magic   = "PSTALL"
-	header  = len(magic) + 2 + 4 + 8
-	MostLen = 64 << 20 // bytes of a snapshot; more is neither written nor read
-	mostIDs = 512      // bytes of an id
-	mostAll = 1 << 20  // entries of a list
+	magic      = "PSTALL"
+	headerLen  = len(magic) + 2 + 4 + 8
+	MaxLen     = 64 << 20 // maximum length of a snapshot in bytes; a longer one is neither written nor read
+	maxIDLen   = 512      // maximum length of an id in bytes
+	maxListLen = 1 << 20  // maximum number of entries of a list
 )
 
+// Decode returns errors that wrap one of these.
 var (
-	ErrForm    = errors.New("it is no snapshot")
-	ErrVersion = errors.New("it is of another version")
-	ErrCut     = errors.New("it is not whole")
-	ErrSum     = errors.New("it is damaged")
+	ErrMalformed = errors.New("not a valid snapshot")
+	ErrVersion   = errors.New("unsupported snapshot version")
+	ErrTruncated = errors.New("snapshot truncated")
+	ErrChecksum  = errors.New("snapshot checksum mismatch")
 )
 
 var (
-	encoding = func() cbor.EncMode {
+	encMode = func() cbor.EncMode {
 		m, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 		if err != nil {
-			panic(err) // options of ours
+			panic(err) // the options are constant
 		}
 		return m
 	}()
-	decoding = func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxArrayElements: mostAll, MaxMapPairs: 1 << 10, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF,
+	decMode = func() cbor.DecMode {
+		m, err := cbor.DecOptions{MaxArrayElements: maxListLen, MaxMapPairs: 1 << 10, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 			IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, UTF8: cbor.UTF8RejectInvalid}.DecMode()
 		if err != nil {
 			panic(err)
@@ -50,53 +52,54 @@
 	}()
 )
 
-// Encode writes a snapshot. The error is that it is larger than MostLen.
+// Encode returns the stored form of a snapshot, or an error if it is longer than MaxLen.
 func Encode(s *Snapshot) ([]byte, error) {
 	var b bytes.Buffer
-	b.Write(make([]byte, header))
-	if err := encoding.NewEncoder(&b).Encode(s); err != nil {
+	b.Write(make([]byte, headerLen))
+	if err := encMode.NewEncoder(&b).Encode(s); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	text := b.Bytes()
-	if len(text) > MostLen {
-		return nil, fmt.Errorf("state: %d bytes are more than %d", len(text), MostLen)
+	if len(text) > MaxLen {
+		return nil, fmt.Errorf("state: snapshot of %d bytes exceeds the limit of %d", len(text), MaxLen)
 	}
 	copy(text, magic)
-	binary.LittleEndian.PutUint16(text[len(magic):], Version)
-	seal(text)
+	binary.LittleEndian.PutUint16(text[len(magic):], FormatVersion)
+	writeLengthAndSum(text)
 	return text, nil
 }
 
-// seal writes the length and the sum of what is behind the header.
-func seal(text []byte) {
-	binary.LittleEndian.PutUint32(text[len(magic)+2:], uint32(len(text)-header))
-	binary.LittleEndian.PutUint64(text[len(magic)+6:], xxhash.Sum64(text[header:]))
+// writeLengthAndSum writes the length and the checksum of the body into the header.
+func writeLengthAndSum(text []byte) {
+	binary.LittleEndian.PutUint32(text[len(magic)+2:], uint32(len(text)-headerLen))
+	binary.LittleEndian.PutUint64(text[len(magic)+6:], xxhash.Sum64(text[headerLen:]))
 }
 
-// Decode reads a snapshot, and checks all that does not depend on when and by whom it is read. An error is ErrForm, ErrVersion,
-// ErrCut or ErrSum, or tells which value makes no sense; nothing of it is to be used then.
+// Decode returns a snapshot from its stored form. It checks all that does not depend on the time of reading and the
+// reader. An error wraps ErrMalformed, naming the invalid value if there is one, ErrVersion, ErrTruncated or
+// ErrChecksum; no part of the snapshot may be used then.
 func Decode(text []byte) (*Snapshot, error) {
 	switch {
-	case len(text) < header && bytes.HasPrefix(append([]byte(magic), make([]byte, header)...), text[:min(len(text), len(magic))]):
-		return nil, ErrCut
-	case len(text) < header || string(text[:len(magic)]) != magic:
-		return nil, ErrForm
+	case len(text) < headerLen && bytes.HasPrefix(append([]byte(magic), make([]byte, headerLen)...), text[:min(len(text), len(magic))]):
+		return nil, ErrTruncated
+	case len(text) < headerLen || string(text[:len(magic)]) != magic:
+		return nil, ErrMalformed
 	}
-	if v := binary.LittleEndian.Uint16(text[len(magic):]); v != Version {
-		return nil, fmt.Errorf("%w: %d, not %d", ErrVersion, v, Version)
+	if v := binary.LittleEndian.Uint16(text[len(magic):]); v != FormatVersion {
+		return nil, fmt.Errorf("%w: found %d, expected %d", ErrVersion, v, FormatVersion)
 	}
-	n, rest := int(binary.LittleEndian.Uint32(text[len(magic)+2:])), text[header:]
+	n, body := int(binary.LittleEndian.Uint32(text[len(magic)+2:])), text[headerLen:]
 	switch {
-	case n > MostLen || len(rest) > n:
-		return nil, ErrForm
-	case len(rest) < n:
-		return nil, fmt.Errorf("%w: %d of %d bytes", ErrCut, len(rest), n)
-	case xxhash.Sum64(rest) != binary.LittleEndian.Uint64(text[len(magic)+6:]):
-		return nil, ErrSum
+	case n > MaxLen || len(body) > n:
+		return nil, ErrMalformed
+	case len(body) < n:
+		return nil, fmt.Errorf("%w: got %d of %d bytes", ErrTruncated, len(body), n)
+	case xxhash.Sum64(body) != binary.LittleEndian.Uint64(text[len(magic)+6:]):
+		return nil, ErrChecksum
 	}
 	s := &Snapshot{}
-	if err := decoding.Unmarshal(rest, s); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrForm, err)
+	if err := decMode.Unmarshal(body, s); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if err := s.check(); err != nil {
 		return nil, err
@@ -104,59 +107,61 @@
 	return s, nil
 }
 
-// check refuses figures that no node writes. Of servers' evidence only what makes no sense is forgotten.
+// check returns an error for values that no node writes. Invalid statistics of a server are removed without an error.
 func (s *Snapshot) check() error {
-	bad := func(what string, args ...any) error { return fmt.Errorf("%w: %s", ErrForm, fmt.Sprintf(what, args...)) }
+	malformed := func(what string, args ...any) error {
+		return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(what, args...))
+	}
 	if s.Taken < 0 || s.Version < 0 {
-		return bad("taken at %d, list %d", s.Taken, s.Version)
+		return malformed("negative time or version: taken at %d, server list version %d", s.Taken, s.Version)
 	}
 	seen := map[string]bool{}
 	for i := range s.Servers {
 		v := &s.Servers[i]
-		if v.ID == "" || len(v.ID) > mostIDs || seen[v.ID] || v.Addr == "" {
-			return bad("servers[%d]: id %q, address %q", i, v.ID, v.Addr)
+		if v.ID == "" || len(v.ID) > maxIDLen || seen[v.ID] || v.Addr == "" {
+			return malformed("servers[%d]: empty, duplicate or too long id %q, or empty address %q", i, v.ID, v.Addr)
 		}
 		seen[v.ID] = true
-		if v.Known != nil && !v.Known.sound() {
+		if v.Known != nil && !v.Known.valid() {
 			v.Known = nil
 		}
 	}
 	for _, list := range [][]At{s.Returned, s.Open, s.Hearsay} {
 		for i, a := range list {
-			if a.ID == "" || len(a.ID) > mostIDs || a.At < 0 {
-				return bad("id %q at %d (entry %d)", a.ID, a.At, i)
+			if a.ID == "" || len(a.ID) > maxIDLen || a.At < 0 {
+				return malformed("invalid id %q or time %d (entry %d)", a.ID, a.At, i)
 			}
 		}
 	}
-	if i := slices.IndexFunc(s.Out, func(id string) bool { return id == "" || len(id) > mostIDs }); i >= 0 {
-		return bad("out[%d]: %q", i, s.Out[i])
+	if i := slices.IndexFunc(s.Out, func(id string) bool { return id == "" || len(id) > maxIDLen }); i >= 0 {
+		return malformed("disabled servers: invalid id at [%d]: %q", i, s.Out[i])
 	}
 	t := &s.Totals
-	if !finite(t.Total, t.Lessers, t.Picks, t.Span, t.Seen, t.Mean, t.Strain, t.Retries) {
-		return bad("totals: %+v", *t)
+	if !allFiniteNonNegative(t.Total, t.Lessers, t.Picks, t.Span, t.Seen, t.Mean, t.Strain, t.Retries) {
+		return malformed("totals: negative or not finite: %+v", *t)
 	}
 	for _, c := range s.Classes {
-		if !finite(c.Sums.Requests, c.Sums.Latency, c.Sums.Answers, c.Sums.Least) {
-			return bad("class %q: %+v", c.Name, c.Sums)
+		if !allFiniteNonNegative(c.Sums.Requests, c.Sums.Latency, c.Sums.Answers, c.Sums.Least) {
+			return malformed("class %q: negative or not finite: %+v", c.Name, c.Sums)
 		}
 	}
 	for _, c := range s.Contracts {
-		if !numbers(c.Tokens, c.Work, c.Bytes, c.Kept) || !finite(c.Firsts, c.Furthers, c.Cost, c.Demand) {
-			return bad("contract %q: %+v", c.Name, c)
+		if !allFinite(c.Tokens, c.Work, c.Bytes, c.Kept) || !allFiniteNonNegative(c.Firsts, c.Furthers, c.Cost, c.Demand) {
+			return malformed("contract %q: not finite, or negative where that is not allowed: %+v", c.Name, c)
 		}
 	}
 	return nil
 }
 
-// sound tells whether evidence can be a node's.
-func (e *Evidence) sound() bool {
-	return finite(e.Ejected, e.ReportAt, e.Full, e.FullAt, e.Slots, e.Latency, e.Occupancy, e.LastOK, e.Work, e.Bad, e.Served) &&
-		numbers(e.Others) && e.Room > 0 && e.Base > 0 && e.Mode <= 2 && e.Ejections >= 0 && e.Ejections < 1<<20
+// valid reports whether a node could have written these statistics.
+func (e *Evidence) valid() bool {
+	return allFiniteNonNegative(e.Ejected, e.ReportAt, e.Full, e.FullAt, e.Slots, e.Latency, e.Occupancy, e.LastOK, e.Work, e.Bad, e.Served) &&
+		allFinite(e.Others) && e.Room > 0 && e.Base > 0 && e.Mode <= 2 && e.Ejections >= 0 && e.Ejections < 1<<20
 }
 
-// numbers tells whether all are numbers, and finite.
-func numbers(all ...float64) bool {
-	for _, v := range all {
+// allFinite reports whether all values are finite numbers.
+func allFinite(values ...float64) bool {
+	for _, v := range values {
 		if !(math.Abs(v) <= math.MaxFloat64) {
 			return false
 		}
@@ -164,5 +169,7 @@
 	return true
 }
 
-// finite tells whether all are, and none is below 0.
-func finite(all ...float64) bool { return numbers(all...) && slices.Min(all) >= 0 }
+// allFiniteNonNegative reports whether all values are finite numbers and at least 0.
+func allFiniteNonNegative(values ...float64) bool {
+	return allFinite(values...) && slices.Min(values) >= 0
+}
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk keeps a node's state in a directory of a disk that lasts. There are two files, of which the older one is written
-// over: whatever breaks off in a write, the other is whole. What was read is the newer one that is sound.
+// Package disk stores a node's state in a directory on a persistent disk. There are two files, and a write replaces the
+// older one: if the write breaks off, the other file is still complete. Reading returns the newer valid one.
 package disk
 
 import (
@@ -14,28 +14,29 @@
 	"portstall/internal/state"
 )
 
-// slots are the two files of a directory.
-var slots = [...]string{"state.a", "state.b"}
+// slotNames are the names of the two files of a directory.
+var slotNames = [...]string{"state.a", "state.b"}
 
-// ErrTaken says that another process writes to the directory.
-var ErrTaken = errors.New("another process keeps its state there")
+// ErrLocked reports that another process writes to the directory.
+var ErrLocked = errors.New("another process stores its state there")
 
-// file is what is written to.
+// file is a file that is written to. Tests replace it.
 type file interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Dir is a directory that this process alone writes to. Not safe for concurrent use.
+// Dir is a directory to which only this process writes, as it holds the lock. Not safe for concurrent use.
 type Dir struct {
 	path string
 	lock *os.File
-	next int // the slot that is written over
+	next int // index of the slot that the next write replaces
 	open func(name string) (file, error)
 }
 
-// Open takes a directory, which must be there. ErrTaken: another process has it, for as long as that lives.
+// Open locks an existing directory for this process. It returns ErrLocked while another process that has opened it is
+// running.
 func Open(path string) (*Dir, error) {
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -44,7 +45,7 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrTaken
+			err = ErrLocked
 		}
 		return nil, fmt.Errorf("state: %s: %w", path, err)
 	}
@@ -57,9 +58,10 @@
 	return d, nil
 }
 
-// Write keeps a snapshot as text, and returns once the disk has it. After an error the state from before is still there.
+// Write stores an encoded snapshot and returns once it is synced to the disk. After an error the previous state is
+// still stored.
 func (d *Dir) Write(text []byte) error {
-	name := filepath.Join(d.path, slots[d.next])
+	name := filepath.Join(d.path, slotNames[d.next])
 	f, err := d.open(name)
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
@@ -69,40 +71,40 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		return fmt.Errorf("state: %s: %w", name, err) // the same slot is next: the other one is good
+		return fmt.Errorf("state: %s: %w", name, err) // next is not changed: the other slot is valid
 	}
 	d.next = 1 - d.next
 	return nil
 }
 
-// Close lets another process have the directory.
+// Close unlocks the directory for other processes.
 func (d *Dir) Close() error { return d.lock.Close() }
 
-// Read returns the newer sound snapshot of a directory and its slot, or nil and -1; and what is wrong with each file that is
-// there and not sound.
-func Read(path string) (s *state.Snapshot, slot int, wrong []error) {
+// Read returns the newer valid snapshot of a directory and the index of its slot, or nil and -1. The errors are those
+// of existing files that are not valid.
+func Read(path string) (s *state.Snapshot, slot int, invalid []error) {
 	slot = -1
-	for i, name := range slots {
+	for i, name := range slotNames {
 		got, err := ReadFile(filepath.Join(path, name))
 		switch {
 		case errors.Is(err, os.ErrNotExist):
 		case err != nil:
-			wrong = append(wrong, err)
+			invalid = append(invalid, err)
 		case s == nil || got.Taken > s.Taken:
 			s, slot = got, i
 		}
 	}
-	return s, slot, wrong
+	return s, slot, invalid
 }
 
-// ReadFile reads one file.
+// ReadFile returns the snapshot in a file.
 func ReadFile(name string) (*state.Snapshot, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, state.MostLen+1<<10))
+	text, err := io.ReadAll(io.LimitReader(f, state.MaxLen+1<<10))
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
@@ -113,82 +115,84 @@
 	return s, nil
 }
 
-// Keeper writes what a node knows again and again, in a goroutine of its own: a disk that is slow or full holds up nobody. Its
-// methods are safe for concurrent use.
+// Persister writes the state of a node periodically in its own goroutine, so that a slow or full disk blocks nothing
+// else. It owns the Dir until Stop. Its methods are safe for concurrent use.
 type Keeper struct {
-	dir   *Dir
-	every time.Duration
-	take  func() ([]byte, error)
-	told  func(error) // each change between working and not
-	now   chan chan error
-	quit  chan struct{}
-	done  chan struct{}
+	dir           *Dir
+	interval      time.Duration
+	encode        func() ([]byte, error)
+	notify        func(error) // called when writing begins to fail, and with nil when it works again
+	writeRequests chan chan error
+	stop          chan struct{}
+	done          chan struct{}
 }
 
-// Keep writes what take returns, which is called in the keeper's goroutine, every so often until Stop.
-func Keep(dir *Dir, every time.Duration, take func() ([]byte, error), told func(error)) *Keeper {
-	k := &Keeper{dir: dir, every: every, take: take, told: told, now: make(chan chan error), quit: make(chan struct{}), done: make(chan struct{})}
-	go k.run()
-	return k
+// StartPersister writes what encode returns at each interval until Stop. Both functions are called in the Persister's
+// goroutine.
+func Keep(dir *Dir, interval time.Duration, encode func() ([]byte, error), notify func(error)) *Keeper {
+	p := &Keeper{dir: dir, interval: interval, encode: encode, notify: notify, writeRequests: make(chan chan error), stop: make(chan struct{}), done: make(chan struct{})}
+	go p.run()
+	return p
 }
 
-func (k *Keeper) run() {
-	defer close(k.done)
+func (p *Keeper) run() {
+	defer close(p.done)
 	var failed error
-	rest := k.every
+	delay := p.interval
 	for {
-		t := time.NewTimer(rest)
-		var asked chan error
-		quit := false
+		t := time.NewTimer(delay)
+		var reply chan error
+		last := false
 		select {
 		case <-t.C:
-		case asked = <-k.now:
-		case <-k.quit:
-			quit = true
+		case reply = <-p.writeRequests:
+		case <-p.stop:
+			last = true
 		}
 		t.Stop()
-		text, err := k.take()
+		text, err := p.encode()
 		if err == nil {
-			err = k.dir.Write(text)
+			err = p.dir.Write(text)
 		}
 		if (err == nil) != (failed == nil) {
-			k.told(err)
+			p.notify(err)
 		}
 		if failed = err; err != nil {
-			rest = min(2*rest, time.Minute) // a full disk is not asked again and again
+			delay = min(2*delay, time.Minute) // write to a full disk less and less often, down to once a minute
 		} else {
-			rest = k.every
+			delay = p.interval
 		}
-		if asked != nil {
-			asked <- err
+		if reply != nil {
+			reply <- err
 		}
-		if quit {
+		if last {
 			return
 		}
 	}
 }
 
-// Now writes at once, and waits for that for so long at most. An error tells that it is not sure to be kept.
-func (k *Keeper) Now(wait time.Duration) error {
-	asked, t := make(chan error, 1), time.NewTimer(wait)
+// WriteNow writes at once and waits for the write, for the given time at most. After an error the state may not be
+// stored.
+func (p *Keeper) Now(wait time.Duration) error {
+	reply, t := make(chan error, 1), time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case k.now <- asked:
-	case <-k.done:
+	case p.writeRequests <- reply:
+	case <-p.done:
 		return os.ErrClosed
 	case <-t.C:
 		return os.ErrDeadlineExceeded
 	}
 	select {
-	case err := <-asked:
+	case err := <-reply:
 		return err
 	case <-t.C:
 		return os.ErrDeadlineExceeded
 	}
 }
 
-// Stop writes once more, and returns when that is over.
-func (k *Keeper) Stop() {
-	close(k.quit)
-	<-k.done
+// Stop writes a last time and returns when that has ended.
+func (p *Keeper) Stop() {
+	close(p.stop)
+	<-p.done
 }
--- a/internal/state/disk/disk_test.go
+++ b/internal/state/disk/disk_test.go
@@ -13,7 +13,8 @@
 	"portstall/internal/state"
 )
 
-func text(t *testing.T, version int64) []byte {
+// encodedState returns a snapshot whose list version, and whose servers' start times, are the given number.
+func encodedState(t *testing.T, version int64) []byte {
 	t.Helper()
 	s := &state.Snapshot{Taken: time.Duration(version) * time.Second, Version: version}
 	for i := range 20 {
@@ -26,7 +27,8 @@
 	return b
 }
 
-func opened(t *testing.T, path string) *Dir {
+// mustOpen opens a directory until the end of the test.
+func mustOpen(t *testing.T, path string) *Dir {
 	t.Helper()
 	d, err := Open(path)
 	if err != nil {
@@ -36,7 +38,9 @@
 	return d
 }
 
-func read(t *testing.T, path string) int64 {
+// readVersion returns the number that the newer valid snapshot was written with, or 0 without one. A mix of two
+// snapshots fails the test.
+func readVersion(t *testing.T, path string) int64 {
 	t.Helper()
 	s, _, _ := Read(path)
 	if s == nil {
@@ -44,19 +48,19 @@
 	}
 	for _, v := range s.Servers {
 		if v.Started != s.Version || len(s.Servers) != 20 {
-			t.Fatalf("a state of %d and %d", s.Version, v.Started)
+			t.Fatalf("the state mixes versions %d and %d", s.Version, v.Started)
 		}
 	}
 	return s.Version
 }
 
-// torn is a file on which a write breaks off after so many bytes, as a full disk or a crash does it.
-type torn struct {
+// tornFile is a file on which writing breaks off after a number of bytes, as on a full disk or in a crash.
+type tornFile struct {
 	*os.File
-	left int
+	left int // bytes that can still be written
 }
 
-func (f *torn) Write(p []byte) (int, error) {
+func (f *tornFile) Write(p []byte) (int, error) {
 	n, err := f.File.Write(p[:min(len(p), f.left)])
 	if f.left -= n; err == nil && n < len(p) {
 		err = syscall.ENOSPC
@@ -64,121 +68,122 @@
 	return n, err
 }
 
-// A thousand writes that break off, each at a place of its own and with what the disk makes of bytes that were not synced yet:
-// what is read is the old state or the new one, whole. The write after it works.
-func TestCrashPoints(t *testing.T) {
+// A full disk or a crash breaks off a write at any byte, and after a crash unsynced bytes may be lost or mixed with
+// older ones. In each of a thousand cases at random positions, the old or the new state must be read completely, and
+// the next write must work.
+func TestBrokenWriteKeepsOldState(t *testing.T) {
 	rng := rand.New(rand.NewPCG(18, 0))
 	path := t.TempDir()
-	d := opened(t, path)
+	d := mustOpen(t, path)
 	last := int64(0)
 	for point := range 1000 {
-		fresh := text(t, int64(point)+1)
-		name := filepath.Join(path, slots[d.next])
-		old, _ := os.ReadFile(name)
-		cut := rng.IntN(len(fresh) + 1)
+		newState := encodedState(t, int64(point)+1)
+		name := filepath.Join(path, slotNames[d.next])
+		oldBytes, _ := os.ReadFile(name)
+		cutAt := rng.IntN(len(newState) + 1)
 		d.open = func(name string) (file, error) {
 			f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
-			return &torn{f, cut}, err
+			return &tornFile{f, cutAt}, err
 		}
-		err := d.Write(fresh)
-		if whole := err == nil; whole != (cut == len(fresh)) || !whole && !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("cut at %d of %d: %v", cut, len(fresh), err)
+		err := d.Write(newState)
+		if complete := err == nil; complete != (cutAt == len(newState)) || !complete && !errors.Is(err, syscall.ENOSPC) {
+			t.Fatalf("write cut at %d of %d bytes: error %v", cutAt, len(newState), err)
 		}
-		if err != nil && point%2 == 0 { // a crash: what had not been synced may have come to the disk in part, or over the old bytes
-			image := append([]byte(nil), fresh[:rng.IntN(cut+1)]...)
-			if rng.IntN(2) == 0 && len(old) > len(image) {
-				image = append(image, old[len(image):]...)
+		if err != nil && point%2 == 0 { // a crash: unsynced bytes may have reached the disk in part, or over older bytes
+			image := append([]byte(nil), newState[:rng.IntN(cutAt+1)]...)
+			if rng.IntN(2) == 0 && len(oldBytes) > len(image) {
+				image = append(image, oldBytes[len(image):]...)
 			}
 			if err := os.WriteFile(name, image, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			d.Close()
-			d = opened(t, path)
+			d = mustOpen(t, path)
 		}
-		switch got := read(t, path); {
+		switch got := readVersion(t, path); {
 		case got == int64(point)+1:
 			last = got
 		case got != last:
-			t.Fatalf("point %d, cut at %d: read %d, want %d or %d", point, cut, got, last, point+1)
+			t.Fatalf("case %d, write cut at byte %d: read version %d, want %d or %d", point, cutAt, got, last, point+1)
 		}
 		d.open = func(name string) (file, error) { return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600) }
 	}
 }
 
-// A directory has one writer; whoever comes second reads, and can have it when the first is gone.
-func TestTwoOnOneDirectory(t *testing.T) {
+// A directory has one writer at a time. A second process can read it, and can open it once the first has closed it.
+func TestDirectoryHasOneWriter(t *testing.T) {
 	path := t.TempDir()
-	d := opened(t, path)
-	if err := d.Write(text(t, 3)); err != nil {
+	d := mustOpen(t, path)
+	if err := d.Write(encodedState(t, 3)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path); !errors.Is(err, ErrTaken) {
-		t.Errorf("a second one: %v", err)
+	if _, err := Open(path); !errors.Is(err, ErrLocked) {
+		t.Errorf("opening a locked directory: error %v, want ErrLocked", err)
 	}
-	if got := read(t, path); got != 3 {
-		t.Errorf("read %d", got)
+	if got := readVersion(t, path); got != 3 {
+		t.Errorf("read version %d from a locked directory, want 3", got)
 	}
 	d.Close()
-	if err := opened(t, path).Write(text(t, 4)); err != nil || read(t, path) != 4 {
-		t.Error(err, read(t, path))
+	if err := mustOpen(t, path).Write(encodedState(t, 4)); err != nil || readVersion(t, path) != 4 {
+		t.Error(err, readVersion(t, path))
 	}
 	if _, err := Open(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no such directory: %v", err)
+		t.Errorf("opening a directory that does not exist: error %v, want os.ErrNotExist", err)
 	}
 }
 
-// A damaged newer file leaves the older one, and is told of.
-func TestFallsBack(t *testing.T) {
+// If the newer file is damaged, the older one is read and the damage is reported.
+func TestDamagedNewerFileFallsBackToOlder(t *testing.T) {
 	path := t.TempDir()
-	d := opened(t, path)
+	d := mustOpen(t, path)
 	for v := range int64(2) {
-		if err := d.Write(text(t, v+1)); err != nil {
+		if err := d.Write(encodedState(t, v+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	name := filepath.Join(path, slots[1-d.next])
+	name := filepath.Join(path, slotNames[1-d.next])
 	b, _ := os.ReadFile(name)
 	b[len(b)/2] ^= 4
 	if err := os.WriteFile(name, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, wrong := Read(path); s == nil || s.Version != 1 || len(wrong) != 1 || !errors.Is(wrong[0], state.ErrSum) {
-		t.Errorf("%+v, %v", s, wrong)
+	if s, _, invalid := Read(path); s == nil || s.Version != 1 || len(invalid) != 1 || !errors.Is(invalid[0], state.ErrChecksum) {
+		t.Errorf("read %+v with errors %v, want version 1 and one ErrChecksum", s, invalid)
 	}
 }
 
-// A keeper goes on when the disk is full, tells once that it is and once that it is not, and holds up nobody for longer than they
-// want to wait while the disk stands still.
-func TestKeeper(t *testing.T) {
+// A Persister continues while the disk is full, reports once that writing fails and once that it works again, and
+// blocks no caller beyond the caller's own timeout while the disk does not respond.
+func TestPersisterSurvivesFullAndStalledDisk(t *testing.T) {
 	path := t.TempDir()
-	d := opened(t, path)
-	good := d.open
-	stuck := make(chan struct{})
+	d := mustOpen(t, path)
+	openFile := d.open
+	release := make(chan struct{})
 	d.open = func(string) (file, error) { return nil, syscall.ENOSPC }
-	told := make(chan error, 10)
-	k := Keep(d, time.Hour, func() ([]byte, error) { return text(t, 9), nil }, func(err error) { told <- err })
+	notified := make(chan error, 10)
+	persister := Keep(d, time.Hour, func() ([]byte, error) { return encodedState(t, 9), nil }, func(err error) { notified <- err })
 	for range 3 {
-		if err := k.Now(time.Minute); !errors.Is(err, syscall.ENOSPC) {
-			t.Errorf("on a full disk: %v", err)
+		if err := persister.Now(time.Minute); !errors.Is(err, syscall.ENOSPC) {
+			t.Errorf("full disk: error %v, want ENOSPC", err)
 		}
 	}
-	d.open = good // no write is under way
-	if err := k.Now(time.Minute); err != nil || read(t, path) != 9 {
-		t.Error("once there is room:", err)
+	d.open = openFile // no write is in progress
+	if err := persister.Now(time.Minute); err != nil || readVersion(t, path) != 9 {
+		t.Error("after the disk has space again:", err)
 	}
 	d.open = func(name string) (file, error) {
-		<-stuck
-		return good(name)
+		<-release
+		return openFile(name)
 	}
-	if err := k.Now(time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("on a disk that stands still: %v", err)
+	if err := persister.Now(time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("disk that does not respond: error %v, want os.ErrDeadlineExceeded", err)
 	}
-	close(stuck)
-	k.Stop()
-	if first, second := <-told, <-told; !errors.Is(first, syscall.ENOSPC) || second != nil || len(told) > 0 {
-		t.Errorf("told %v and %v", first, second)
+	close(release)
+	persister.Stop()
+	if first, second := <-notified, <-notified; !errors.Is(first, syscall.ENOSPC) || second != nil || len(notified) > 0 {
+		t.Errorf("notified of %v and %v, want ENOSPC, then nil, and no more", first, second)
 	}
-	if err := k.Now(time.Millisecond); err == nil {
-		t.Error("it goes on when it has ended")
+	if err := persister.Now(time.Millisecond); err == nil {
+		t.Error("a Persister that has stopped accepts a write")
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,6 @@
-// Package state is what a node knows that outlives its process: for a successor that takes over, and for a start after a crash
-// where the installation has a disk that lasts. It says how it is written, how it is read under bounds, and how each part of it
-// ages. It has no I/O and no clock.
+// Package state holds the state of a node that outlives its process: for a successor in a hand-over, and for a start
+// after a crash if the installation has a persistent disk. It defines the stored form, the limits under which it is
+// read, and how each part of it ages. It does no I/O and reads no clock.
 package state
 
 import (
@@ -10,25 +10,27 @@
 	"portstall/policy"
 )
 
-// Snapshot is a node's state at one moment. Times are on the node's clock: Unix time that does not step.
+// Snapshot is a node's state at one moment. Times are on the node's clock: Unix time that does not step. The numbers in
+// the tags are the stored format and stay.
 type Snapshot struct {
 	Taken     time.Duration   `cbor:"1,keyasint"`
-	Fleet     string          `cbor:"2,keyasint"` // where the list is from: versions and ids mean nothing elsewhere
-	Exact     bool            `cbor:"3,keyasint"` // for a successor: what it does not tell has not happened
-	Drained   bool            `cbor:"4,keyasint"` // operators sent the clients away
-	Version   int64           `cbor:"5,keyasint"` // of the list
+	Fleet     string          `cbor:"2,keyasint"` // where the server list comes from: its version and ids are valid only there
+	Exact     bool            `cbor:"3,keyasint"` // written for a successor: what is not in it has not happened
+	Drained   bool            `cbor:"4,keyasint"` // an operator has drained the node of its clients
+	Version   int64           `cbor:"5,keyasint"` // of the server list
 	Servers   []Server        `cbor:"6,keyasint"`
-	Out       []string        `cbor:"7,keyasint"`  // by hand
-	Returned  []At            `cbor:"8,keyasint"`  // put back by hand, and when
-	Open      []At            `cbor:"9,keyasint"`  // requests, and until when at most
-	Hearsay   []At            `cbor:"10,keyasint"` // the same of other processes of the node
-	Keys      []Key           `cbor:"11,keyasint"` // where keys may have run
+	Out       []string        `cbor:"7,keyasint"`  // ids of servers that an operator has disabled
+	Returned  []At            `cbor:"8,keyasint"`  // servers that an operator has enabled again, and when
+	Open      []At            `cbor:"9,keyasint"`  // ids of open requests, and the latest time at which each ends
+	Hearsay   []At            `cbor:"10,keyasint"` // the same for other processes of the node
+	Keys      []Key           `cbor:"11,keyasint"` // idempotency keys, and where they may have run
 	Classes   []Class         `cbor:"12,keyasint"`
 	Totals    policy.Totals   `cbor:"13,keyasint"`
 	Contracts []contract.Left `cbor:"14,keyasint"`
 }
 
-// Server is one of the list, and what is known of it.
+// Server is an entry of the server list with the statistics of that server. The numbers in the tags are the stored
+// format.
 type Server struct {
 	ID      string    `cbor:"1,keyasint"`
 	Addr    string    `cbor:"2,keyasint"`
@@ -36,11 +38,13 @@
 	Kind    string    `cbor:"4,keyasint,omitempty"`
 	Cell    int64     `cbor:"5,keyasint,omitempty"`
 	State   string    `cbor:"6,keyasint"`
-	Started int64     `cbor:"7,keyasint,omitempty"` // Unix milliseconds, as discovery tells it
+	Started int64     `cbor:"7,keyasint,omitempty"` // Unix milliseconds, as discovery reports it
 	Known   *Evidence `cbor:"8,keyasint,omitempty"`
 }
 
-// Evidence is policy.Evidence, written shortly.
+// ServerStats is policy.ServerStats with tags that keep the stored form short: zero values are left out. The two types
+// must have the same fields, as they are converted into each other. Fields without a number in the tag are stored under
+// their Go names.
 type Evidence struct {
 	Mode               policy.Mode `cbor:"1,keyasint,omitempty"`
 	Trial              bool        `cbor:"2,keyasint,omitempty"`
@@ -56,18 +60,19 @@
 	Served             float64     `cbor:",omitempty"`
 }
 
-// Of is what is known of a server, to be written.
+// StatsOf returns a copy of a server's statistics in the stored form.
 func Of(e policy.Evidence) *Evidence {
-	v := Evidence(e)
-	return &v
+	stored := Evidence(e)
+	return &stored
 }
 
-// Learnt is what the policy is to adopt. Same names a server as the reader lists it, by the policy's number and with its start; false
-// for one that it does not list, or that has started anew since.
+// LearnedState returns the learned state for the policy to adopt. The function same returns the number that the
+// reader's policy has for a server and the server's start time, or false for a server that is not in the reader's list
+// or has restarted since.
 func (s *Snapshot) Learnt(same func(*Server) (number uint32, launched time.Duration, ok bool)) *policy.Learnt {
-	l := &policy.Learnt{Totals: s.Totals, Classes: map[string]policy.ClassSums{}}
+	learned := &policy.Learnt{Totals: s.Totals, Classes: map[string]policy.ClassSums{}}
 	for _, c := range s.Classes {
-		l.Classes[c.Name] = c.Sums
+		learned.Classes[c.Name] = c.Sums
 	}
 	for i := range s.Servers {
 		v := &s.Servers[i]
@@ -75,25 +80,26 @@
 			continue
 		}
 		if number, launched, ok := same(v); ok {
-			l.Servers = append(l.Servers, policy.Known{ID: number, Launched: launched.Seconds(), Evidence: policy.Evidence(*v.Known)})
+			learned.Servers = append(learned.Servers, policy.Known{ID: number, Launched: launched.Seconds(), Evidence: policy.Evidence(*v.Known)})
 		}
 	}
-	return l
+	return learned
 }
 
-// Class is what is known of a class.
+// Class holds the statistics of a class of requests.
 type Class struct {
 	Name string           `cbor:"1,keyasint"`
 	Sums policy.ClassSums `cbor:"2,keyasint"`
 }
 
-// At is an id and a time.
+// TimedID is an id and a time.
 type At struct {
 	ID string        `cbor:"1,keyasint"`
 	At time.Duration `cbor:"2,keyasint"`
 }
 
-// Key is where a key may have run, and until when repeats of it are dropped there.
+// KeyRecord says in which pod a request with an idempotency key may have run, and until when repeats of it are dropped
+// there. It has the same fields as cell.KeyRecord, which it is converted to and from.
 type Key struct {
 	Key   uint64        `cbor:"1,keyasint"`
 	Pod   int64         `cbor:"2,keyasint"`
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,8 +15,8 @@
 
 const now = 400_000 * time.Hour // Unix time, about 2015
 
-// full is a snapshot with something of everything.
-func full(servers int) *Snapshot {
+// fullSnapshot returns a snapshot with entries in each list and the given number of servers.
+func fullSnapshot(servers int) *Snapshot {
 	s := &Snapshot{Taken: now, Fleet: "f", Version: 7, Out: []string{"s-1"}, Returned: []At{{"s-2", now - time.Second}},
 		Open: []At{{"x", now + time.Second}}, Hearsay: []At{{"y", now + 2*time.Second}}, Keys: []Key{{9, 3, now + time.Minute}},
 		Classes: []Class{{"view", policy.ClassSums{Requests: 8, Latency: 1, Answers: 7, Least: 2}}}, Totals: policy.Totals{Total: 9, Picks: 8, Retries: 4},
@@ -28,7 +28,8 @@
 	return s
 }
 
-func encoded(t testing.TB, s *Snapshot) []byte {
+// mustEncode returns the stored form of a snapshot.
+func mustEncode(t testing.TB, s *Snapshot) []byte {
 	t.Helper()
 	text, err := Encode(s)
 	if err != nil {
@@ -37,120 +38,125 @@
 	return text
 }
 
-func TestRoundTrip(t *testing.T) {
-	s := full(3)
-	got, err := Decode(encoded(t, s))
+// A snapshot is the same after it was encoded and decoded.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
+	s := fullSnapshot(3)
+	got, err := Decode(mustEncode(t, s))
 	if err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("%v\n got %+v\nwant %+v", err, got, s)
+		t.Errorf("error %v\n got %+v\nwant %+v", err, got, s)
 	}
 }
 
-// A file cut at every byte, with every bit flipped, of another version, with more behind it: none is taken, each says why.
-func TestDamage(t *testing.T) {
-	text := encoded(t, full(2))
+// A crash or a faulty disk can leave a file that is cut at any byte, has a flipped bit or surplus bytes, or is of
+// another version: none is accepted, and the error says which of these it is.
+func TestDecodeRejectsDamage(t *testing.T) {
+	text := mustEncode(t, fullSnapshot(2))
 	for n := range text {
-		if _, err := Decode(text[:n]); !errors.Is(err, ErrCut) && !errors.Is(err, ErrForm) || n > len(magic) && !errors.Is(err, ErrCut) {
-			t.Fatalf("cut at %d: %v", n, err)
+		if _, err := Decode(text[:n]); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrMalformed) || n > len(magic) && !errors.Is(err, ErrTruncated) {
+			t.Fatalf("cut at byte %d: error %v, want ErrTruncated", n, err)
 		}
 	}
 	for i := range len(text) * 8 {
 		text[i/8] ^= 1 << (i % 8)
 		if _, err := Decode(text); err == nil {
-			t.Fatalf("bit %d is flipped, and it is taken", i)
+			t.Fatalf("a snapshot with bit %d flipped is accepted", i)
 		}
 		text[i/8] ^= 1 << (i % 8)
 	}
-	if _, err := Decode(append(text, 0)); !errors.Is(err, ErrForm) {
-		t.Errorf("a byte behind it: %v", err)
+	if _, err := Decode(append(text, 0)); !errors.Is(err, ErrMalformed) {
+		t.Errorf("surplus byte after the snapshot: error %v, want ErrMalformed", err)
 	}
 	text[len(magic)]++
-	if _, err := Decode(text); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), "2, not 1") {
-		t.Errorf("another version: %v", err)
+	if _, err := Decode(text); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), "found 2, expected 1") {
+		t.Errorf("another format version: error %v, want ErrVersion with both versions", err)
 	}
 }
 
-// What a sound file can't say is refused, or, where it is about one server alone, forgotten.
-func TestNonsense(t *testing.T) {
-	for name, spoil := range map[string]func(s *Snapshot){
-		"a server twice":     func(s *Snapshot) { s.Servers[1].ID = "s-0" },
-		"no address":         func(s *Snapshot) { s.Servers[0].Addr = "" },
-		"a long id":          func(s *Snapshot) { s.Out[0] = strings.Repeat("x", 600) },
-		"no id":              func(s *Snapshot) { s.Open[0].ID = "" },
-		"a time below zero":  func(s *Snapshot) { s.Taken = -1 },
-		"totals":             func(s *Snapshot) { s.Totals.Mean = math.Inf(1) },
-		"a class":            func(s *Snapshot) { s.Classes[0].Sums.Least = math.NaN() },
-		"what a contract is": func(s *Snapshot) { s.Contracts[0].Work = math.NaN() },
+// A file with a correct checksum may still hold values that no node writes. The snapshot is rejected, or, if the values
+// are the statistics of a single server, these alone are removed.
+func TestDecodeRejectsInvalidValues(t *testing.T) {
+	for name, change := range map[string]func(s *Snapshot){
+		"duplicate server":        func(s *Snapshot) { s.Servers[1].ID = "s-0" },
+		"empty address":           func(s *Snapshot) { s.Servers[0].Addr = "" },
+		"id too long":             func(s *Snapshot) { s.Out[0] = strings.Repeat("x", 600) },
+		"empty id":                func(s *Snapshot) { s.Open[0].ID = "" },
+		"negative time":           func(s *Snapshot) { s.Taken = -1 },
+		"infinite mean in totals": func(s *Snapshot) { s.Totals.Mean = math.Inf(1) },
+		"NaN in a class":          func(s *Snapshot) { s.Classes[0].Sums.Least = math.NaN() },
+		"NaN in a contract":       func(s *Snapshot) { s.Contracts[0].Work = math.NaN() },
 	} {
-		s := full(2)
-		spoil(s)
-		if _, err := Decode(encoded(t, s)); !errors.Is(err, ErrForm) {
-			t.Errorf("%s: %v", name, err)
+		s := fullSnapshot(2)
+		change(s)
+		if _, err := Decode(mustEncode(t, s)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
-	for name, spoil := range map[string]func(e *Evidence){
-		"a latency": func(e *Evidence) { e.Latency = -1 }, "a mode": func(e *Evidence) { e.Mode = 3 }, "a bound": func(e *Evidence) { e.Room = math.NaN() },
+	for name, change := range map[string]func(e *Evidence){
+		"negative latency": func(e *Evidence) { e.Latency = -1 }, "unknown mode": func(e *Evidence) { e.Mode = 3 }, "NaN capacity": func(e *Evidence) { e.Room = math.NaN() },
 	} {
-		s := full(2)
-		spoil(s.Servers[0].Known)
-		if got, err := Decode(encoded(t, s)); err != nil || got.Servers[0].Known != nil || got.Servers[1].Known == nil {
-			t.Errorf("%s: %v", name, err)
+		s := fullSnapshot(2)
+		change(s.Servers[0].Known)
+		if got, err := Decode(mustEncode(t, s)); err != nil || got.Servers[0].Known != nil || got.Servers[1].Known == nil {
+			t.Errorf("%s: error %v, or statistics are not removed for this server alone", name, err)
 		}
 	}
 }
 
-// Each field's rule, for one who reads at once, after a while, after an hour, by a clock a day behind, and in another fleet.
+// Each field follows its rule of Age for readers that read at once, some seconds later, after an hour, with a clock a
+// day behind the writer's, and in another fleet.
 func TestAge(t *testing.T) {
 	for _, c := range []struct {
-		name                                        string
-		exact                                       bool
-		after                                       time.Duration
-		fleet                                       string
-		drops                                       int
-		out, returned, list, open, learnt, busy, on bool
+		name                                                  string
+		exact                                                 bool
+		after                                                 time.Duration
+		fleet                                                 string
+		drops                                                 int
+		disabled, enabled, list, open, learned, queues, times bool
 	}{
-		{"at once, by a successor", true, 0, "f", 0, true, true, true, true, true, true, true},
-		{"a successor whose clock was set ahead by an hour", true, time.Hour, "f", 0, true, true, true, true, true, true, true},
-		{"and back by a day", true, -24 * time.Hour, "f", 0, true, true, true, true, true, true, true},
-		{"after a crash", false, 900 * time.Millisecond, "f", 1, true, true, true, true, true, true, true},
-		{"after 5 s", false, 5 * time.Second, "f", 1, true, true, true, false, true, false, true},
-		{"after an hour", false, time.Hour, "f", 2, true, false, true, false, false, false, false},
-		{"written by a clock a day ahead", false, -24 * time.Hour, "f", 2, true, true, true, false, false, false, false},
-		{"of another fleet", false, time.Second / 2, "g", 2, false, false, false, false, false, false, false},
+		{"by a successor at once", true, 0, "f", 0, true, true, true, true, true, true, true},
+		{"by a successor whose clock is an hour ahead", true, time.Hour, "f", 0, true, true, true, true, true, true, true},
+		{"by a successor whose clock is a day behind", true, -24 * time.Hour, "f", 0, true, true, true, true, true, true, true},
+		{"900 ms after a crash", false, 900 * time.Millisecond, "f", 1, true, true, true, true, true, true, true},
+		{"5 s after a crash", false, 5 * time.Second, "f", 1, true, true, true, false, true, false, true},
+		{"an hour after a crash", false, time.Hour, "f", 2, true, false, true, false, false, false, false},
+		{"after a crash, written a day in the future", false, -24 * time.Hour, "f", 2, true, true, true, false, false, false, false},
+		{"after a crash, in another fleet", false, time.Second / 2, "g", 2, false, false, false, false, false, false, false},
 	} {
-		s := full(2)
+		s := fullSnapshot(2)
 		s.Exact = c.exact
 		at := now + c.after
 		drops := s.Age(Reader{Now: at, Fleet: c.fleet, ColdFor: 8 * time.Second})
 		var e Evidence
-		learnt := len(s.Servers) > 0 && s.Servers[0].Known != nil
-		if learnt {
+		learned := len(s.Servers) > 0 && s.Servers[0].Known != nil
+		if learned {
 			e = *s.Servers[0].Known
 		}
-		got := [...]bool{len(s.Out) == 1, len(s.Returned) == 1, len(s.Servers) == 2, len(s.Open) == 1 && s.Open[0].At > at, learnt,
-			e.Others == 4 && e.Mode == 1, learnt && e.Latency > 0 && math.Abs(e.Latency/e.Occupancy-0.1) < 1e-9}
-		if want := [...]bool{c.out, c.returned, c.list, c.open, c.learnt, c.busy, c.on}; got != want || len(drops) != c.drops {
-			t.Errorf("%s: out, returned, list, open, learnt, queues, service times: %v, want %v; %v", c.name, got, want, drops)
+		got := [...]bool{len(s.Out) == 1, len(s.Returned) == 1, len(s.Servers) == 2, len(s.Open) == 1 && s.Open[0].At > at, learned,
+			e.Others == 4 && e.Mode == 1, learned && e.Latency > 0 && math.Abs(e.Latency/e.Occupancy-0.1) < 1e-9}
+		if want := [...]bool{c.disabled, c.enabled, c.list, c.open, c.learned, c.queues, c.times}; got != want || len(drops) != c.drops {
+			t.Errorf("%s: disabled, enabled, server list, open requests, learned state, queues, service times kept: %v, want %v; dropped %v", c.name, got, want, drops)
 		}
 		if s.Totals.Retries != 4 || s.Contracts[0].Tokens != -3 {
-			t.Errorf("%s: %v retries, %v tokens", c.name, s.Totals.Retries, s.Contracts[0].Tokens)
+			t.Errorf("%s: %v retries and %v tokens, want 4 and -3", c.name, s.Totals.Retries, s.Contracts[0].Tokens)
 		}
 		for _, r := range s.Returned {
 			if r.At > at {
-				t.Errorf("%s: put back by hand %v from now on", c.name, r.At-at)
+				t.Errorf("%s: server enabled by an operator %v in the future", c.name, r.At-at)
 			}
 		}
 	}
 }
 
+// Decode and Age accept any bytes without a panic, and what was decoded can be encoded again.
 func FuzzDecode(f *testing.F) {
-	text := encoded(f, full(3))
+	text := mustEncode(f, fullSnapshot(3))
 	f.Add(text)
 	f.Add(text[:20])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) >= header { // the sum is put right, so that the fuzzer comes to what is behind it
+		if len(b) >= headerLen { // correct the header, so that the fuzzer reaches the body
 			b = append([]byte(nil), b...)
 			copy(b, text[:len(magic)+2])
-			seal(b)
+			writeLengthAndSum(b)
 		}
 		s, err := Decode(b)
 		if err != nil {
@@ -158,7 +164,7 @@
 		}
 		s.Age(Reader{Now: now, Fleet: "f", ColdFor: time.Second})
 		if _, err := Encode(s); err != nil {
-			t.Errorf("read and not to be written: %v", err)
+			t.Errorf("a snapshot that was decoded cannot be encoded: %v", err)
 		}
 	})
 }
