--- a/internal/back/http/download.go
+++ b/internal/back/http/download.go
@@ -31,7 +31,8 @@
 func newDownload(s *Back, c *back.Conn, got response) *download {
 	c.ReadTimeout = streamStallTimeout
 	c.Limit.N = 2 * message.Max // the framing of chunks is not counted in the body
-	return &download{Reader: io.MultiReader(bytes.NewReader(got.body), got.resp.Body), readAhead: int64(len(got.body)), conn: c, resp: got.resp, heldBytes: got.heldBytes, pool: s.Pool, budget: s.Budget}
+	return &download{Reader: io.MultiReader(bytes.NewReader(got.body), got.resp.Body), readAhead: int64(len(got.body)),
+		conn: c, resp: got.resp, heldBytes: got.heldBytes, pool: s.Pool, budget: s.Budget}
 }
 
 const (
--- a/internal/back/pool_test.go
+++ b/internal/back/pool_test.go
@@ -57,7 +57,7 @@
 	now = now.Add(reuseDelay)
 	got, err := p.Get(context.Background(), s)
 	if err != nil || got == c || waits != 1 {
-		t.Fatalf("Get after surplus: error %v, same connection %v, %d waits; want another connection after 1 wait, or the late copy is taken for the next response", err, got == c, waits)
+		t.Fatalf("Get after surplus: error %v, same connection %v, %d waits; want another connection after 1 wait", err, got == c, waits)
 	}
 	next, err := ln.Accept()
 	if err != nil {
@@ -68,7 +68,7 @@
 	p.Put(got)
 	now = now.Add(reuseDelay)
 	if again, err := p.Get(context.Background(), s); again != got || waits != 1 {
-		t.Errorf("Get after surplusWindow without surplus: error %v, another connection %v, %d waits; want the same connection and no further wait", err, again != got, waits)
+		t.Errorf("Get after surplusWindow: error %v, another connection %v, %d waits; want the same connection, no new wait", err, again != got, waits)
 	}
 	p.Close(got)
 }
--- a/internal/back/tunnel/opaque.go
+++ b/internal/back/tunnel/opaque.go
@@ -67,7 +67,8 @@
 
 // NewSender returns a Sender without tunnels.
 func New(c *core.Core, p *back.Pool, draining func() bool) *Back {
-	return &Back{Core: c, Pool: p, Draining: draining, pipesInUse: make(chan struct{}, PipesMost), open: map[*Tunnel]struct{}{}, endedByCause: map[Cause]uint64{}}
+	return &Back{Core: c, Pool: p, Draining: draining, pipesInUse: make(chan struct{}, PipesMost),
+		open: map[*Tunnel]struct{}{}, endedByCause: map[Cause]uint64{}}
 }
 
 // Tunnel is a message.Tunnel: a connection to a server for one client. It ends once, with one cause; mu guards the
--- a/internal/state/age.go
+++ b/internal/state/age.go
@@ -53,7 +53,7 @@
 //	contracts                debts and counts of attempts stay; unused quota only if the snapshot is exact
 //	retry budget             stays, up to a maximum
 //
-// A snapshot of another fleet keeps no state of servers. One whose time cannot be known keeps no decaying values.
+// From a snapshot of another fleet no state of servers is used; from one written in the future, no decaying values.
 func (s *Snapshot) Age(r Reader) (drops []Drop) {
 	drop := func(field, why string, args ...any) { drops = append(drops, Drop{field, fmt.Sprintf(why, args...)}) }
 	age := r.Now - s.Taken
@@ -129,7 +129,8 @@
 
 // fade ages the decaying values by dt seconds; now is the reader's time in seconds.
 func (s *Snapshot) fade(dt, now float64) {
-	sumsDecay, capacityDecay, slotsDecay := math.Exp(-dt/sumsTimeConstant), math.Exp(-dt/capacityTimeConstant), math.Exp(-dt/slotsTimeConstant)
+	sumsDecay, capacityDecay, slotsDecay := math.Exp(-dt/sumsTimeConstant), math.Exp(-dt/capacityTimeConstant),
+		math.Exp(-dt/slotsTimeConstant)
 	for i := range s.Servers {
 		e := s.Servers[i].Known
 		if e == nil {
@@ -155,7 +156,8 @@
 		c.Requests, c.Latency, c.Answers = c.Requests*capacityDecay, c.Latency*capacityDecay, c.Answers*capacityDecay
 	}
 	t := &s.Totals
-	t.Total, t.Lessers, t.Picks, t.Span, t.Seen = t.Total*capacityDecay, t.Lessers*capacityDecay, t.Picks*sumsDecay, t.Span*sumsDecay, t.Seen*sumsDecay
+	t.Total, t.Lessers, t.Picks, t.Span, t.Seen = t.Total*capacityDecay, t.Lessers*capacityDecay,
+		t.Picks*sumsDecay, t.Span*sumsDecay, t.Seen*sumsDecay
 	t.Strain *= math.Exp(-dt / pressureTimeConstant)
 	t.Retries = min(t.Retries, 10)
 }
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -130,7 +130,8 @@
 // StartPersister writes what encode returns at each interval until Stop. Both functions are called in the Persister's
 // goroutine.
 func Keep(dir *Dir, interval time.Duration, encode func() ([]byte, error), notify func(error)) *Keeper {
-	p := &Keeper{dir: dir, interval: interval, encode: encode, notify: notify, writeRequests: make(chan chan error), stop: make(chan struct{}), done: make(chan struct{})}
+	p := &Keeper{dir: dir, interval: interval, encode: encode, notify: notify, writeRequests: make(chan chan error),
+		stop: make(chan struct{}), done: make(chan struct{})}
 	go p.run()
 	return p
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -134,7 +134,8 @@
 		got := [...]bool{len(s.Out) == 1, len(s.Returned) == 1, len(s.Servers) == 2, len(s.Open) == 1 && s.Open[0].At > at, learned,
 			e.Others == 4 && e.Mode == 1, learned && e.Latency > 0 && math.Abs(e.Latency/e.Occupancy-0.1) < 1e-9}
 		if want := [...]bool{c.disabled, c.enabled, c.list, c.open, c.learned, c.queues, c.times}; got != want || len(drops) != c.drops {
-			t.Errorf("%s: disabled, enabled, server list, open requests, learned state, queues, service times kept: %v, want %v; dropped %v", c.name, got, want, drops)
+			t.Errorf("%s: disabled, enabled, server list, open requests, learned state, queues, service times kept: %v, want %v; dropped %v",
+				c.name, got, want, drops)
 		}
 		if s.Totals.Retries != 4 || s.Contracts[0].Tokens != -3 {
 			t.Errorf("%s: %v retries and %v tokens, want 4 and -3", c.name, s.Totals.Retries, s.Contracts[0].Tokens)
