--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -13,27 +13,27 @@
 )
 
 // answer is what a client is told.
-type answer struct {
+type response struct {
 	message.Answer
 	status     int
 	retryAfter time.Duration
-	reason     string // of a refusal, for programs
+	refusal    string // of a refusal, for programs
 }
 
 // release gives back what the answer holds.
-func (a *answer) release() {
+func (a *response) release() {
 	if a.Budget != nil {
 		a.Release()
 	}
 }
 
 // worded puts a final answer into HTTP's words.
-func worded(a core.Answer) answer {
+func toResponse(a core.Answer) response {
 	if a.Kind == core.Served {
-		return answer{status: stdhttp.StatusOK, Answer: *a.Payload.(*message.Answer)}
+		return response{status: stdhttp.StatusOK, Answer: *a.Payload.(*message.Answer)}
 	}
-	out := answer{}
-	if out.status, out.retryAfter, out.reason = message.Refusal(a); out.reason != "" {
+	out := response{}
+	if out.status, out.retryAfter, out.refusal = message.Refusal(a); out.refusal != "" {
 		out.Body = []byte("refused: " + a.Rule.Why() + "\n")
 	}
 	return out
@@ -41,7 +41,7 @@
 
 // write sends an answer; an error means that the client has left or does not read, or that a large answer broke off,
 // which the client can tell once its connection is closed.
-func (c *conn) write(in *stdhttp.Request, a answer, last bool) error {
+func (c *conn) writeResponse(in *stdhttp.Request, a response, last bool) error {
 	h := stdhttp.Header{"Date": {time.Now().UTC().Format(stdhttp.TimeFormat)}}
 	if a.Type != "" {
 		h.Set("Content-Type", a.Type)
@@ -49,8 +49,8 @@
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if a.reason != "" {
-		h.Set(message.RefusalHeader, a.reason)
+	if a.refusal != "" {
+		h.Set(message.RefusalHeader, a.refusal)
 	}
 	resp := stdhttp.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: h, Request: in, Close: last}
 	if a.Stream != nil {
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -36,7 +36,7 @@
 }
 
 // hint is what a client says that its request costs, in seconds; 0 where it says nothing that makes sense.
-func hint(h stdhttp.Header) float64 {
+func costHint(h stdhttp.Header) float64 {
 	us, err := strconv.ParseFloat(h.Get("X-Cost-Hint"), 64)
 	if err != nil || !(us > 0 && us < 3.6e9) {
 		return 0
--- a/internal/front/http/clients.go
+++ b/internal/front/http/clients.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	maxID = 256
+	maxRequestIDLength = 256
 	// A client is owed an error or a close within 3 s of connecting, whatever it sends or doesn't.
-	HeadTime  = 2500 * time.Millisecond // for a first request's head from the connection's start, for others from its first byte
-	BodyStall = 2 * time.Second         // for further bytes of a body
-	bodyTime  = 3 * time.Second         // for the whole of a body, beyond what it takes
-	slowest   = 32 << 10                // at so many bytes a second
-	roomTime  = time.Second             // for a request to get its part of the bytes that bodies may hold
-	roomSoon  = 50 * time.Millisecond   // a client that leaves while its request waits no longer than that has left just before
-	readTime  = 50 * time.Millisecond   // within this of a request's first byte most are there
+	HeadTime      = 2500 * time.Millisecond // for a first request's head from the connection's start, for others from its first byte
+	BodyStall     = 2 * time.Second         // for further bytes of a body
+	bodyTimeout   = 3 * time.Second         // for the whole of a body, beyond what it takes
+	minBodyRate   = 32 << 10                // at so many bytes a second
+	budgetTimeout = time.Second             // for a request to get its part of the bytes that bodies may hold
+	shortWait     = 50 * time.Millisecond   // a client that leaves while its request waits no longer than that has left just before
+	arrivalTime   = 50 * time.Millisecond   // within this of a request's first byte most are there
 	// SilentTime is how long a new connection may say nothing before it makes room first: a request comes on its heels.
 	SilentTime = 200 * time.Millisecond
 	// IdleTime is how long a connection is kept that carries no request. Some clients keep theirs for good.
-	IdleTime   = 5 * time.Second
-	lateTime   = 30 * time.Second       // for the rest of a request that has its answer already
-	lingerTime = 100 * time.Millisecond // for a rejected client to read why before its connection is reset
-	overTime   = 250 * time.Millisecond // when a client is to come back that found no place, or left before it had one
-	lingerSize = 256 << 10              // and how much of what it goes on sending is read meanwhile
+	IdleTime           = 5 * time.Second
+	lateBodyTimeout    = 30 * time.Second       // for the rest of a request that has its answer already
+	lingerTimeout      = 100 * time.Millisecond // for a rejected client to read why before its connection is reset
+	overloadRetryAfter = 250 * time.Millisecond // when a client is to come back that found no place, or left before it had one
+	maxLingerBytes     = 256 << 10              // and how much of what it goes on sending is read meanwhile
 )
 
 // Options are what a front is made of. Its functions are called from many goroutines.
@@ -62,31 +62,31 @@
 	Options
 	slots chan struct{}
 
-	mu     sync.Mutex
-	conns  map[*conn]struct{}
-	active int           // connections, and what else Go runs
-	quiet  chan struct{} // closed when none is left; nil while nobody waits for it
+	mu       sync.Mutex
+	conns    map[*conn]struct{}
+	active   int           // connections, and what else Go runs
+	finished chan struct{} // closed when none is left; nil while nobody waits for it
 }
 
 // conn is one of them.
 type conn struct {
 	net.Conn
-	start time.Time
-	in    *bufio.Reader
-	over  bool            // there were too many already when it came, or it is of no further use behind its next answer
-	spilt bool            // what it sent ahead of that answer was thrown away, and more may come
-	end   <-chan struct{} // is closed once the client is seen to leave; nil: nobody looks
-	stop  func() bool     // ends that watch, and tells whether something was thrown away
-	user  string          // whom a tunnel was opened for; empty: none, or none was asked for
+	accepted       time.Time
+	reader         *bufio.Reader
+	closeAfterNext bool            // there were too many already when it came, or it is of no further use behind its next answer
+	inputDiscarded bool            // what it sent ahead of that answer was thrown away, and more may come
+	clientLeft     <-chan struct{} // is closed once the client is seen to leave; nil: nobody looks
+	stopWatch      func() bool     // ends that watch, and tells whether something was thrown away
+	user           string          // whom a tunnel was opened for; empty: none, or none was asked for
 
 	// Guarded by Front.mu.
-	begun     time.Time // when the first byte of its latest request was seen
-	reading   bool      // the first byte of a request is there, the last is not
-	busy      bool      // a request is being answered
-	streaming bool      // its body, or the answer's, is large and on its way
-	used      bool      // one has been
-	since     time.Time // when it came or its last request was answered
-	closing   bool      // it made room for another, or the node leaves
+	requestStart  time.Time // when the first byte of its latest request was seen
+	reading       bool      // the first byte of a request is there, the last is not
+	busy          bool      // a request is being answered
+	streaming     bool      // its body, or the answer's, is large and on its way
+	servedRequest bool      // one has been
+	lastChange    time.Time // when it came or its last request was answered
+	closing       bool      // it made room for another, or the node leaves
 }
 
 // New returns a front without connections.
@@ -127,9 +127,9 @@
 		defer func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.active--; s.active == 0 && s.quiet != nil {
-				close(s.quiet)
-				s.quiet = nil
+			if s.active--; s.active == 0 && s.finished != nil {
+				close(s.finished)
+				s.finished = nil
 			}
 		}()
 		f()
@@ -144,10 +144,10 @@
 		s.mu.Unlock()
 		return true
 	}
-	if s.quiet == nil {
-		s.quiet = make(chan struct{})
+	if s.finished == nil {
+		s.finished = make(chan struct{})
 	}
-	quiet := s.quiet
+	quiet := s.finished
 	s.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -176,15 +176,15 @@
 // Serve answers the requests of one connection, for which the caller holds a slot, until it is closed. What in has read
 // ahead counts; it has a buffer of message.HeadSize. User is whom a tunnel was opened for, empty for none.
 func (s *Front) Serve(socket net.Conn, in *bufio.Reader, user string) {
-	c := &conn{Conn: socket, start: time.Now(), in: in, user: user}
-	c.since = c.start
+	c := &conn{Conn: socket, accepted: time.Now(), reader: in, user: user}
+	c.lastChange = c.accepted
 	s.mu.Lock()
 	if len(s.conns) >= s.Limit {
-		c.over = !s.makeRoom()
+		c.closeAfterNext = !s.evictIdle()
 	}
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
-	s.talk(c)
+	s.serveRequests(c)
 	c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -195,32 +195,32 @@
 // makeRoom closes a connection that carries no request, and of those that are alike the one that has stood for
 // longest: first one that has said nothing for a while, then one that a client keeps, then a new one. A request that
 // waits to be read, or is being read, spares a new one. s.mu is held.
-func (s *Front) makeRoom() bool {
+func (s *Front) evictIdle() bool {
 	var spare *conn
 	best := 3
 	for c := range s.conns {
 		rank := 1
-		if !c.used {
-			if rank = 0; time.Since(c.start) < SilentTime+s.Slack {
+		if !c.servedRequest {
+			if rank = 0; time.Since(c.accepted) < SilentTime+s.Slack {
 				rank = 2
 			}
 		}
-		if c.busy || rank > best || rank == best && !c.since.Before(spare.since) {
+		if c.busy || rank > best || rank == best && !c.lastChange.Before(spare.lastChange) {
 			continue
 		}
-		if c.used && !c.reading || time.Since(c.begun) > readTime && flow.Pending(c.Conn) == flow.Nothing {
+		if c.servedRequest && !c.reading || time.Since(c.requestStart) > arrivalTime && flow.Pending(c.Conn) == flow.Nothing {
 			spare, best = c, rank
 		}
 	}
 	if spare != nil {
-		s.drop(spare)
+		s.evict(spare)
 	}
 	return spare != nil
 }
 
 // drop takes a connection off those that count and ends its reading, so that it closes. A request that has just been
 // read is still answered. s.mu is held.
-func (s *Front) drop(c *conn) {
+func (s *Front) evict(c *conn) {
 	if !c.closing {
 		c.closing = true
 		delete(s.conns, c)
@@ -230,7 +230,7 @@
 
 // deadline bounds the next reads from a connection, unless it is closing. A request that has begun is read to its end all
 // the same.
-func (s *Front) deadline(c *conn, t time.Time) {
+func (s *Front) setReadDeadline(c *conn, t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !c.closing || c.reading || c.busy {
@@ -255,25 +255,25 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if !c.busy && !c.reading && flow.Pending(c.Conn) == flow.Nothing {
-			s.drop(c) // with a request on its way it closes behind that one's answer
+			s.evict(c) // with a request on its way it closes behind that one's answer
 		}
 	}
 }
 
 // mark notes that a request has come or was answered, and tells whether the connection is to stay.
-func (s *Front) mark(c *conn, busy bool) bool {
+func (s *Front) setBusy(c *conn, busy bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.busy, c.used, c.reading, c.streaming, c.since = busy, true, false, false, time.Now()
+	c.busy, c.servedRequest, c.reading, c.streaming, c.lastChange = busy, true, false, false, time.Now()
 	return !c.closing && (busy || !s.Away())
 }
 
 // request is one that was read. It is for the core but where it asks for GET /ready.
 type request struct {
 	*core.Request
-	in   *stdhttp.Request
-	body *flow.Upload
-	shut bool // it waited for room while so much stood unread that its client's end could not be seen
+	httpRequest  *stdhttp.Request
+	body         *flow.Upload
+	windowClosed bool // it waited for room while so much stood unread that its client's end could not be seen
 }
 
 // rejection is the answer to a request that is not handed to the policy. Its connection is closed: what follows on
@@ -285,9 +285,9 @@
 }
 
 // talk answers one request after the other.
-func (s *Front) talk(c *conn) {
+func (s *Front) serveRequests(c *conn) {
 	for {
-		r, no := s.read(c)
+		r, no := s.readRequest(c)
 		if no != nil {
 			c.reject(no)
 			return
@@ -295,35 +295,35 @@
 		if r == nil {
 			return
 		}
-		if !s.mark(c, true) && !s.Away() {
-			c.over = true
+		if !s.setBusy(c, true) && !s.Away() {
+			c.closeAfterNext = true
 		}
-		if !s.exchange(c, r) || !s.mark(c, false) {
+		if !s.serveRequest(c, r) || !s.setBusy(c, false) {
 			return
 		}
 	}
 }
 
 // exchange gives a request its answer and tells whether the connection stays.
-func (s *Front) exchange(c *conn, r *request) bool {
+func (s *Front) serveRequest(c *conn, r *request) bool {
 	defer s.Budget.RequestDone(r.body.Held())
 	stays := true
 	if !r.body.Whole() {
-		s.stream(c)
+		s.markStreaming(c)
 		pumped := make(chan struct{})
 		go func() {
 			defer close(pumped)
-			r.body.Pump(s.paced(c, r.in.Body))
+			r.body.Pump(s.timedReader(c, r.httpRequest.Body))
 		}()
 		defer func() {
 			r.body.Drop()
 			if !stays { // the client may still be sending: it is to read its answer first
-				s.linger(c, pumped)
+				s.awaitBody(c, pumped)
 			}
 			<-pumped
 		}()
 	}
-	a, ok := s.answer(c, r)
+	a, ok := s.respond(c, r)
 	if !ok {
 		c.Close() // ends the pump too
 		stays = false
@@ -336,22 +336,22 @@
 		early = true
 	}
 	if a.Stream != nil {
-		s.stream(c)
+		s.markStreaming(c)
 	}
-	last := r.in.Close || c.over || early || s.Away()
-	stays = c.write(r.in, a, last) == nil && !last
+	last := r.httpRequest.Close || c.closeAfterNext || early || s.Away()
+	stays = c.writeResponse(r.httpRequest, a, last) == nil && !last
 	a.release()
 	if r.Request != nil {
 		s.Core.Written(r.Request)
 	}
-	if c.spilt {
-		c.part()
+	if c.inputDiscarded {
+		c.closeAfterResponse()
 	}
 	return stays
 }
 
 // stream notes that a large body is on its way.
-func (s *Front) stream(c *conn) {
+func (s *Front) markStreaming(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.streaming = true
@@ -359,35 +359,35 @@
 
 // linger lets a client finish its request before the connection is closed: closing resets one on which something is
 // unread, and with it the answer that the client has not read.
-func (s *Front) linger(c *conn, pumped <-chan struct{}) {
+func (s *Front) awaitBody(c *conn, pumped <-chan struct{}) {
 	select {
 	case <-pumped:
-	case <-time.After(lateTime):
+	case <-time.After(lateBodyTimeout):
 		c.Close()
 	}
 }
 
 // read reads the next request, with its body where that is small. Both results are nil where there is none, or nobody
 // to tell what is wrong with it.
-func (s *Front) read(c *conn) (*request, *rejection) {
-	end := c.start.Add(HeadTime + s.Slack)
-	if c.used {
-		s.deadline(c, time.Now().Add(IdleTime+s.Slack))
+func (s *Front) readRequest(c *conn) (*request, *rejection) {
+	end := c.accepted.Add(HeadTime + s.Slack)
+	if c.servedRequest {
+		s.setReadDeadline(c, time.Now().Add(IdleTime+s.Slack))
 	} else {
-		s.deadline(c, end)
+		s.setReadDeadline(c, end)
 	}
-	if _, err := c.in.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return nil, nil
 	}
 	begun := time.Now()
-	if c.used {
+	if c.servedRequest {
 		end = begun.Add(HeadTime + s.Slack)
 	}
 	s.mu.Lock()
-	c.reading, c.begun = true, begun
+	c.reading, c.requestStart = true, begun
 	s.mu.Unlock()
-	s.deadline(c, end) // also where it was taken for idle just behind its first byte
-	head, err := c.head()
+	s.setReadDeadline(c, end) // also where it was taken for idle just behind its first byte
+	head, err := c.peekHead()
 	if err != nil && !time.Now().Before(end) {
 		return nil, &rejection{status: stdhttp.StatusRequestTimeout, text: "the head did not come in time"}
 	}
@@ -397,36 +397,36 @@
 	if err != nil {
 		return nil, &rejection{status: stdhttp.StatusBadRequest, text: err.Error()}
 	}
-	if twoFramings(head) {
+	if hasTwoFramings(head) {
 		// net/http drops a Content-Length beside Transfer-Encoding: a request hidden by the one or the other would go
 		// unseen.
 		return nil, &rejection{status: stdhttp.StatusBadRequest, text: "Content-Length beside Transfer-Encoding"}
 	}
-	in, err := stdhttp.ReadRequest(c.in)
+	in, err := stdhttp.ReadRequest(c.reader)
 	if err != nil {
 		return nil, &rejection{status: stdhttp.StatusBadRequest, text: err.Error()}
 	}
-	r := &request{in: in}
-	if no := s.check(r, c); no != nil {
+	r := &request{httpRequest: in}
+	if no := s.checkHead(r, c); no != nil {
 		return nil, no
 	}
-	return r, s.body(c, r)
+	return r, s.readBody(c, r)
 }
 
 // body reads the body of a request, if that is small; what is large is passed on while it comes.
-func (s *Front) body(c *conn, r *request) *rejection {
-	in := r.in
+func (s *Front) readBody(c *conn, r *request) *rejection {
+	in := r.httpRequest
 	held := flow.Need(in.ContentLength)
 	begun := s.Core.Now()
-	ctx, cancel := context.WithTimeout(s.Core.Context(), roomTime+s.Slack)
+	ctx, cancel := context.WithTimeout(s.Core.Context(), budgetTimeout+s.Slack)
 	defer cancel()
 	if s.Budget.Request(ctx, held) != nil {
-		return &rejection{status: stdhttp.StatusServiceUnavailable, text: "too many bodies are on their way", retryAfter: roomTime}
+		return &rejection{status: stdhttp.StatusServiceUnavailable, text: "too many bodies are on their way", retryAfter: budgetTimeout}
 	}
 	var stood time.Duration // how long all of the request stood here: its client's time has been running
-	if waited := s.Core.Now() - begun; waited > roomSoon {
-		r.shut = flow.Shut(c.Conn)
-		if in.ContentLength < 0 || int64(c.in.Buffered()+flow.Unread(c.Conn)) >= in.ContentLength { // of chunks it can't be told
+	if waited := s.Core.Now() - begun; waited > shortWait {
+		r.windowClosed = flow.Shut(c.Conn)
+		if in.ContentLength < 0 || int64(c.reader.Buffered()+flow.Unread(c.Conn)) >= in.ContentLength { // of chunks it can't be told
 			stood = waited
 		}
 	}
@@ -434,10 +434,10 @@
 		c.SetWriteDeadline(time.Now().Add(BodyStall))
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error shows when the body is read
 	}
-	up, err := flow.NewUpload(s.paced(c, in.Body), in.ContentLength)
+	up, err := flow.NewUpload(s.timedReader(c, in.Body), in.ContentLength)
 	if err != nil {
 		s.Budget.RequestDone(held)
-		return badBody(err)
+		return bodyRejection(err)
 	}
 	if up.Held() < held {
 		s.Budget.RequestDone(held - up.Held())
@@ -455,7 +455,7 @@
 }
 
 // badBody tells a client why its body could not be read.
-func badBody(err error) *rejection {
+func bodyRejection(err error) *rejection {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &rejection{status: stdhttp.StatusRequestTimeout, text: "the body did not come in time"}
@@ -466,25 +466,25 @@
 }
 
 // paced returns a reader of a request's body that gives up on a client which stands still, or is too slow.
-func (s *Front) paced(c *conn, body io.Reader) io.Reader {
-	return &pacedBody{clients: s, conn: c, body: body}
+func (s *Front) timedReader(c *conn, body io.Reader) io.Reader {
+	return &timedBody{front: s, conn: c, body: body}
 }
 
-type pacedBody struct {
-	clients *Front
-	conn    *conn
-	body    io.Reader
-	waited  time.Duration // for the client
-	read    int64
+type timedBody struct {
+	front    *Front
+	conn     *conn
+	body     io.Reader
+	waited   time.Duration // for the client
+	received int64
 }
 
-func (b *pacedBody) Read(p []byte) (int, error) {
+func (b *timedBody) Read(p []byte) (int, error) {
 	begun := time.Now()
-	left := bodyTime + b.clients.Slack + time.Duration(b.read)*time.Second/slowest - b.waited
-	b.clients.deadline(b.conn, begun.Add(min(BodyStall+b.clients.Slack, left)))
+	left := bodyTimeout + b.front.Slack + time.Duration(b.received)*time.Second/minBodyRate - b.waited
+	b.front.setReadDeadline(b.conn, begun.Add(min(BodyStall+b.front.Slack, left)))
 	n, err := b.body.Read(p)
 	b.waited += time.Since(begun)
-	if b.read += int64(n); b.read > message.Max {
+	if b.received += int64(n); b.received > message.Max {
 		return n, message.ErrTooLarge
 	}
 	return n, err
@@ -492,26 +492,26 @@
 
 // head waits until the head of the next request is in the buffer, and returns it as it was sent. Empty lines ahead of
 // it are skipped.
-func (c *conn) head() ([]byte, error) {
+func (c *conn) peekHead() ([]byte, error) {
 	seen := 0
 	for {
-		text, _ := c.in.Peek(c.in.Buffered())
+		text, _ := c.reader.Peek(c.reader.Buffered())
 		if n := len(text) - len(bytes.TrimLeft(text, "\r\n")); n > 0 && seen == 0 {
-			c.in.Discard(n)
+			c.reader.Discard(n)
 			continue
 		}
-		if n := headEnd(text, max(0, seen-3)); n > 0 {
+		if n := headLength(text, max(0, seen-3)); n > 0 {
 			return text[:n], nil
 		}
 		seen = len(text)
-		if _, err := c.in.Peek(seen + 1); err != nil {
+		if _, err := c.reader.Peek(seen + 1); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // headEnd returns the length of a head, or 0 where its end is not there. It is looked for from the given place on.
-func headEnd(text []byte, from int) int {
+func headLength(text []byte, from int) int {
 	for i := from; ; i++ {
 		n := bytes.IndexByte(text[i:], '\n')
 		if n < 0 {
@@ -527,7 +527,7 @@
 }
 
 // twoFramings tells whether a head says in two ways where its request ends.
-func twoFramings(head []byte) bool {
+func hasTwoFramings(head []byte) bool {
 	var length, encoding bool
 	for line := range bytes.Lines(head) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
@@ -539,8 +539,8 @@
 }
 
 // check tells what is wrong with a request, by its head alone.
-func (s *Front) check(r *request, c *conn) *rejection {
-	in := r.in
+func (s *Front) checkHead(r *request, c *conn) *rejection {
+	in := r.httpRequest
 	no := func(status int, format string, args ...any) *rejection {
 		return &rejection{status: status, text: fmt.Sprintf(format, args...)}
 	}
@@ -576,9 +576,9 @@
 	}
 	h := in.Header
 	r.Request = &core.Request{ID: h.Get("X-Request-Id"), Class: h.Get("X-Class"), Tenant: h.Get("X-Tenant"), Key: h.Get("Idempotency-Key"), Repeat: h.Get("X-Retry") == "1",
-		Hint: hint(h), Caller: Caller(h, Address(c.Conn), c.user), Message: in,
+		Hint: costHint(h), Caller: Caller(h, Address(c.Conn), c.user), Message: in,
 		Left: func() bool { return flow.Left(c.Conn) }}
-	if r.ID == "" || len(r.ID) > maxID {
+	if r.ID == "" || len(r.ID) > maxRequestIDLength {
 		return no(bad, "X-Request-Id: missing or too long")
 	}
 	var err error
@@ -592,74 +592,74 @@
 }
 
 // answer gives a request exactly one answer, unless its client leaves before.
-func (s *Front) answer(c *conn, r *request) (answer, bool) {
+func (s *Front) respond(c *conn, r *request) (response, bool) {
 	if r.Request == nil {
-		return answer{status: s.Ready()}, true
+		return response{status: s.Ready()}, true
 	}
-	if c.over { // nothing was sent: refusing is harmless, whatever the class
-		return answer{status: stdhttp.StatusServiceUnavailable, Answer: message.Answer{Body: []byte("too many connections\n")},
-			retryAfter: overTime}, true
+	if c.closeAfterNext { // nothing was sent: refusing is harmless, whatever the class
+		return response{status: stdhttp.StatusServiceUnavailable, Answer: message.Answer{Body: []byte("too many connections\n")},
+			retryAfter: overloadRetryAfter}, true
 	}
 	whole := r.body.Whole()
-	if whole && r.shut && c.gone() {
-		return worded(core.Answer{Kind: core.Refused, RetryAfter: overTime}), true
+	if whole && r.windowClosed && c.discardAndCheckLeft() {
+		return toResponse(core.Answer{Kind: core.Refused, RetryAfter: overloadRetryAfter}), true
 	}
 	if whole {
-		r.Waits = c.watch
+		r.Waits = c.watchClient
 	}
 	if !s.Core.Begin(r.Request) {
-		c.unwatch()
+		c.stopWatching()
 		c.reject(&rejection{status: stdhttp.StatusConflict, text: "X-Request-Id: a request with this id is open"})
-		return answer{}, false
+		return response{}, false
 	}
 	select {
 	case a := <-r.Answer():
-		c.unwatch()
-		return worded(a), true
+		c.stopWatching()
+		return toResponse(a), true
 	default:
 	}
 	if !whole {
 		select {
 		case a := <-r.Answer():
-			return worded(a), true
+			return toResponse(a), true
 		case <-r.body.Ended():
 		}
 		if err := r.body.Err(); err != nil {
 			s.Core.Gone(r.Request)
-			c.reject(badBody(err))
-			return answer{}, false
+			c.reject(bodyRejection(err))
+			return response{}, false
 		}
 	}
-	c.watch()
-	a, ok := r.Await(c.end)
-	c.unwatch()
+	c.watchClient()
+	a, ok := r.Await(c.clientLeft)
+	c.stopWatching()
 	if !ok {
 		// It may have ended its sending alone, and wait for its answer.
-		c.over, a = true, core.Answer{Kind: core.Failed}
+		c.closeAfterNext, a = true, core.Answer{Kind: core.Failed}
 		if !s.Core.Gone(r.Request) {
-			a = core.Answer{Kind: core.Refused, RetryAfter: overTime}
+			a = core.Answer{Kind: core.Refused, RetryAfter: overloadRetryAfter}
 		}
-		return worded(a), true
+		return toResponse(a), true
 	}
-	return worded(a), true
+	return toResponse(a), true
 }
 
 // reject answers what is no request.
 func (c *conn) reject(no *rejection) {
-	if c.write(nil, answer{status: no.status, retryAfter: no.retryAfter, Answer: message.Answer{Body: []byte(no.text + "\n")}}, true) != nil {
+	if c.writeResponse(nil, response{status: no.status, retryAfter: no.retryAfter, Answer: message.Answer{Body: []byte(no.text + "\n")}}, true) != nil {
 		return
 	}
-	c.part()
+	c.closeAfterResponse()
 }
 
 // part ends a connection on which more may come behind its last answer. Closing resets one on which something is unread, and with
 // it what the client has not read.
-func (c *conn) part() {
+func (c *conn) closeAfterResponse() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerTime))
-	io.CopyN(io.Discard, c.Conn, lingerSize)
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 }
 
 // parseDeadline reads a number and its unit: m for milliseconds or u for microseconds.
--- a/internal/front/http/fuzz_test.go
+++ b/internal/front/http/fuzz_test.go
@@ -19,28 +19,28 @@
 )
 
 // canned is a client that has said all it ever will.
-type canned struct {
+type scriptedConn struct {
 	io.Reader
-	told bytes.Buffer
+	written bytes.Buffer
 }
 
-func (c *canned) Write(p []byte) (int, error)      { return c.told.Write(p) }
-func (c *canned) Close() error                     { return nil }
-func (c *canned) LocalAddr() net.Addr              { return &net.TCPAddr{} }
-func (c *canned) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (c *canned) SetDeadline(time.Time) error      { return nil }
-func (c *canned) SetReadDeadline(time.Time) error  { return nil }
-func (c *canned) SetWriteDeadline(time.Time) error { return nil }
+func (c *scriptedConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
+func (c *scriptedConn) Close() error                     { return nil }
+func (c *scriptedConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
+func (c *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (c *scriptedConn) SetDeadline(time.Time) error      { return nil }
+func (c *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-type still struct{}
+type stubServices struct{}
 
-func (still) Now() time.Duration                                     { return 1 }
-func (still) AfterFunc(time.Duration, func())                        {}
-func (still) Server(uint32) (any, bool)                              { return nil, false }
-func (still) Watch()                                                 {}
-func (still) Among(*core.Request) []uint32                           { return nil }
-func (still) Fetch()                                                 {}
-func (still) Attempt(context.Context, *core.Attempt) (r core.Result) { return r }
+func (stubServices) Now() time.Duration                                     { return 1 }
+func (stubServices) AfterFunc(time.Duration, func())                        {}
+func (stubServices) Server(uint32) (any, bool)                              { return nil, false }
+func (stubServices) Watch()                                                 {}
+func (stubServices) Among(*core.Request) []uint32                           { return nil }
+func (stubServices) Fetch()                                                 {}
+func (stubServices) Attempt(context.Context, *core.Attempt) (r core.Result) { return r }
 
 // Whatever a client says, in one piece or many: each request that is read has one framing, an id, a time and a body of the
 // length it told; nothing panics, and the budget of bodies is whole again.
@@ -54,7 +54,7 @@
 	f.Add([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"), 9)
 	f.Add([]byte("CONNECT a:1 HTTP/1.1\r\nHost : a\r\n\r\n"), 2)
 	c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", Aim: 1, Deadline: 1}}}, 1,
-		core.Options{Clock: still{}, Back: still{}, Roster: still{}, Log: slog.New(slog.DiscardHandler)})
+		core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -62,20 +62,20 @@
 		budget := flow.NewBudget(1 << 20)
 		s := New(Options{Until: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1, Away: func() bool { return false }, Ready: func() int { return 200 },
 			Fits: func(*stdhttp.Request) error { return nil }})
-		sock := &canned{Reader: pieces{bytes.NewReader(text), max(1, piece&0xff)}}
-		k := &conn{Conn: sock, start: time.Now(), in: bufio.NewReaderSize(sock, message.HeadSize)}
+		sock := &scriptedConn{Reader: pieceReader{bytes.NewReader(text), max(1, piece&0xff)}}
+		k := &conn{Conn: sock, accepted: time.Now(), reader: bufio.NewReaderSize(sock, message.HeadSize)}
 		for range 8 {
-			r, no := s.read(k)
+			r, no := s.readRequest(k)
 			if r == nil || no != nil {
 				break
 			}
-			if r.in.ContentLength >= 0 && len(r.in.TransferEncoding) > 0 {
-				t.Errorf("two framings: %v %v", r.in.ContentLength, r.in.TransferEncoding)
+			if r.httpRequest.ContentLength >= 0 && len(r.httpRequest.TransferEncoding) > 0 {
+				t.Errorf("two framings: %v %v", r.httpRequest.ContentLength, r.httpRequest.TransferEncoding)
 			}
-			if r.Request != nil && (r.ID == "" || len(r.ID) > maxID || r.Patience <= 0 || r.Body == nil) {
+			if r.Request != nil && (r.ID == "" || len(r.ID) > maxRequestIDLength || r.Patience <= 0 || r.Body == nil) {
 				t.Errorf("request %+v", r.Request)
 			}
-			if strings.EqualFold(r.in.Method, "CONNECT") {
+			if strings.EqualFold(r.httpRequest.Method, "CONNECT") {
 				t.Error("a CONNECT passes for a request")
 			}
 			whole := r.body.Whole()
@@ -83,15 +83,15 @@
 			if !whole {
 				break
 			}
-			k.used = true
+			k.servedRequest = true
 		}
 	})
 }
 
 // pieces reads so many bytes at a time.
-type pieces struct {
+type pieceReader struct {
 	*bytes.Reader
-	n int
+	size int
 }
 
-func (p pieces) Read(b []byte) (int, error) { return p.Reader.Read(b[:min(len(b), p.n)]) }
+func (p pieceReader) Read(b []byte) (int, error) { return p.Reader.Read(b[:min(len(b), p.size)]) }
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -9,7 +9,7 @@
 	"portstall/internal/message"
 )
 
-func TestHeads(t *testing.T) {
+func TestHeadLengthAndFramings(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		text string
@@ -22,13 +22,13 @@
 		{"POST / HTTP/1.1\r\ncontent-length : 3\r\nTRANSFER-ENCODING:chunked\r\n\r\n", 66, true},
 		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nContent-Length: 3\r\n\r\n", 47, false},
 	} {
-		if n := headEnd([]byte(c.text), 0); n != c.end {
+		if n := headLength([]byte(c.text), 0); n != c.end {
 			t.Errorf("%q: ends at %d, want %d", c.text, n, c.end)
-		} else if two := twoFramings([]byte(c.text[:n])); two != c.two {
+		} else if two := hasTwoFramings([]byte(c.text[:n])); two != c.two {
 			t.Errorf("%q: two framings %v", c.text, two)
 		}
-		cl := &conn{in: bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.text)), message.HeadSize)}
-		if head, err := cl.head(); c.end > 0 && string(head) != c.text[:c.end] || (err == nil) != (c.end > 0) {
+		cl := &conn{reader: bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.text)), message.HeadSize)}
+		if head, err := cl.peekHead(); c.end > 0 && string(head) != c.text[:c.end] || (err == nil) != (c.end > 0) {
 			t.Errorf("%q byte by byte: %q, %v", c.text, head, err)
 		}
 	}
--- a/internal/front/http/watch_test.go
+++ b/internal/front/http/watch_test.go
@@ -19,22 +19,22 @@
 )
 
 // heir is a successor that gives its word once the test lets it.
-type heir struct {
-	asked chan struct{}
-	word  chan handover.Verdict
-	ended atomic.Int32
+type stubSuccessor struct {
+	claimed chan struct{}
+	verdict chan handover.Verdict
+	ended   atomic.Int32
 }
 
-func (h *heir) Claim(string, time.Duration) handover.Verdict {
-	close(h.asked)
-	return <-h.word
+func (h *stubSuccessor) Claim(string, time.Duration) handover.Verdict {
+	close(h.claimed)
+	return <-h.verdict
 }
-func (h *heir) Ended(string) { h.ended.Add(1) }
+func (h *stubSuccessor) Ended(string) { h.ended.Add(1) }
 
 // A client that leaves while its request waits for a successor's word is seen to, whatever stands unread behind it: before the request
 // begins, so that no attempt does. What a client that stands sent ahead is not touched for a word that comes at once, nor where it is
 // little.
-func TestWhoLeavesAheadOfASuccessorsWordIsSeen(t *testing.T) {
+func TestClientThatLeavesDuringSuccessorClaimIsDetected(t *testing.T) {
 	t.Parallel()
 	const patience = 20 * time.Second
 	head := "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: a\r\nX-Class: save\r\nX-Deadline: 900m\r\n\r\n"
@@ -52,9 +52,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			h := &heir{asked: make(chan struct{}), word: make(chan handover.Verdict, 1)}
+			h := &stubSuccessor{claimed: make(chan struct{}), verdict: make(chan handover.Verdict, 1)}
 			k, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", Aim: 1, Deadline: 1}}}, 1,
-				core.Options{Clock: still{}, Back: still{}, Roster: still{}, Log: slog.New(slog.DiscardHandler)})
+				core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -75,7 +75,7 @@
 			}
 			f.Take()
 			f.Go(func() { f.Serve(near, bufio.NewReaderSize(near, message.HeadSize), "") })
-			<-h.asked
+			<-h.claimed
 			if c.leaves {
 				far.Close()
 				for end := time.Now().Add(patience); !flow.Left(near); time.Sleep(time.Millisecond) {
@@ -85,7 +85,7 @@
 					}
 				}
 			}
-			h.word <- c.verdict
+			h.verdict <- c.verdict
 			if c.told != "" {
 				resp, err := stdhttp.ReadResponse(bufio.NewReader(far), nil)
 				if err != nil || fmt.Sprint(resp.StatusCode) != c.told {
--- a/internal/front/tunnel/connect.go
+++ b/internal/front/tunnel/connect.go
@@ -15,24 +15,24 @@
 )
 
 // maxHead bounds the head of a CONNECT request, in bytes.
-const maxHead = 8 << 10
+const maxConnectHead = 8 << 10
 
 // Connect reads a client's CONNECT request and finds its route. It reads nothing beyond the request's head. An error has been
 // told to the client, with a status; the connection is of no further use. Who calls bounds the time by the connection's
 // deadline. In must have a buffer of at least 8 KiB.
-func Connect(in *bufio.Reader, out io.Writer, t *Table) (*Opening, error) {
+func Connect(in *bufio.Reader, out io.Writer, t *Table) (*Request, error) {
 	say := func(status int, headers string) error {
 		_, err := fmt.Fprintf(out, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n", status, http.StatusText(status), headers)
 		return err
 	}
-	if err := wholeHead(in); err != nil {
+	if err := awaitHead(in); err != nil {
 		say(http.StatusBadRequest, "")
 		return nil, err
 	}
 	req, err := http.ReadRequest(in)
 	if err != nil {
 		say(http.StatusBadRequest, "")
-		return nil, fmt.Errorf("%w: %v", ErrRequest, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	if req.Method != http.MethodConnect {
 		say(http.StatusMethodNotAllowed, "Allow: CONNECT\r\n")
@@ -40,14 +40,14 @@
 	}
 	if req.ContentLength > 0 || len(req.TransferEncoding) > 0 { // it has no content (RFC 9110, 9.3.6): what follows would be taken for the tunnel's
 		say(http.StatusBadRequest, "")
-		return nil, fmt.Errorf("%w: CONNECT with content", ErrRequest)
+		return nil, fmt.Errorf("%w: CONNECT with content", ErrMalformed)
 	}
-	o := &Opening{}
-	if !t.Open() {
-		user, password, ok := basic(req.Header.Get("Proxy-Authorization"))
-		if !ok || !t.Knows(user, password) {
+	o := &Request{}
+	if !t.AllowsAnonymous() {
+		user, password, ok := parseBasic(req.Header.Get("Proxy-Authorization"))
+		if !ok || !t.Authenticate(user, password) {
 			say(http.StatusProxyAuthRequired, "Proxy-Authenticate: Basic realm=\"portstall\"\r\n")
-			return nil, ErrPassword
+			return nil, ErrCredentials
 		}
 		o.User = user
 	}
@@ -55,12 +55,12 @@
 	port, e := strconv.ParseUint(portText, 10, 16)
 	if err != nil || e != nil {
 		say(http.StatusBadRequest, "")
-		return nil, fmt.Errorf("%w: %q is not host:port", ErrRequest, req.Host)
+		return nil, fmt.Errorf("%w: %q is not host:port", ErrMalformed, req.Host)
 	}
 	var ok bool
 	if o.Route, ok = t.Find(host, uint16(port)); !ok {
 		say(http.StatusForbidden, "")
-		return nil, ErrRoute
+		return nil, ErrNoRoute
 	}
 	o.reply = func(status int, after time.Duration, reason string) error {
 		if status == http.StatusOK {
@@ -80,10 +80,10 @@
 }
 
 // wholeHead waits until a head is in the buffer, so that one without an end takes no more memory than the buffer.
-func wholeHead(in *bufio.Reader) error {
+func awaitHead(in *bufio.Reader) error {
 	for n := 1; ; n = in.Buffered() + 1 {
-		if n > maxHead {
-			return fmt.Errorf("%w: its head is over %d bytes", ErrRequest, maxHead)
+		if n > maxConnectHead {
+			return fmt.Errorf("%w: its head is over %d bytes", ErrMalformed, maxConnectHead)
 		}
 		if _, err := in.Peek(n); err != nil {
 			return fmt.Errorf("request: %w", err)
@@ -96,7 +96,7 @@
 }
 
 // basic reads a Basic credential (RFC 7617).
-func basic(header string) (user, password string, ok bool) {
+func parseBasic(header string) (user, password string, ok bool) {
 	scheme, text, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "Basic") {
 		return "", "", false
--- a/internal/front/tunnel/front.go
+++ b/internal/front/tunnel/front.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	openTime = 5 * time.Second // a client may take over asking for its tunnel,
-	openMost = 64              // so many may be at it; the next waits to be accepted
+	openTimeout = 5 * time.Second // a client may take over asking for its tunnel,
+	maxOpening  = 64              // so many may be at it; the next waits to be accepted
 )
 
 // Options are what a front is made of. Its functions are called from many goroutines.
@@ -40,18 +40,18 @@
 // Front takes in clients that ask for tunnels. It is safe for concurrent use.
 type Front struct {
 	Options
-	opening chan struct{}
-	opened  atomic.Uint64
-	name    string // begins the ids of its requests
+	opening      chan struct{}
+	requestCount atomic.Uint64
+	idPrefix     string // begins the ids of its requests
 }
 
 // NewFront returns a front.
 func NewFront(o Options) *Front {
-	return &Front{Options: o, opening: make(chan struct{}, openMost), name: fmt.Sprintf("tunnel/%x/", time.Now().UnixNano())}
+	return &Front{Options: o, opening: make(chan struct{}, maxOpening), idPrefix: fmt.Sprintf("tunnel/%x/", time.Now().UnixNano())}
 }
 
 // Opener reads what a client asks for: SOCKS5 or Connect.
-type Opener func(*bufio.Reader, io.Writer, *Table) (*Opening, error)
+type Opener func(*bufio.Reader, io.Writer, *Table) (*Request, error)
 
 // Accept takes clients in until ln is closed.
 func (f *Front) Accept(ln net.Listener, read Opener) {
@@ -66,12 +66,12 @@
 		}
 		f.opening <- struct{}{}
 		f.Go(func() {
-			in, o := f.open(conn, read)
+			in, o := f.readRequest(conn, read)
 			<-f.opening
 			switch {
 			case o == nil:
 				conn.Close()
-			case o.Route.Opaque && f.carry(conn, in, o):
+			case o.Route.Opaque && f.serveOpaque(conn, in, o):
 				conn.Close()
 				f.Leave()
 			case o.Accept() != nil: // for requests, or so by now
@@ -87,8 +87,8 @@
 
 // open lets a client ask for its tunnel. Nil: it was told that there is none, as far as that can be told. Else a place is
 // taken for it.
-func (f *Front) open(conn net.Conn, read Opener) (*bufio.Reader, *Opening) {
-	conn.SetDeadline(time.Now().Add(openTime))
+func (f *Front) readRequest(conn net.Conn, read Opener) (*bufio.Reader, *Request) {
+	conn.SetDeadline(time.Now().Add(openTimeout))
 	in := bufio.NewReaderSize(conn, message.HeadSize)
 	o, err := read(in, conn, f.Table)
 	if err != nil {
@@ -104,25 +104,25 @@
 
 // carry makes an opaque tunnel a request of its own: its final answer is the reply to the client, and what follows is the
 // tunnel's life. False: its route is for requests by now, and the client was told nothing.
-func (f *Front) carry(conn net.Conn, in *bufio.Reader, o *Opening) bool {
-	r := f.begin(conn, o)
+func (f *Front) serveOpaque(conn net.Conn, in *bufio.Reader, o *Request) bool {
+	r := f.beginRequest(conn, o)
 	if r == nil {
 		return o.Route.Opaque
 	}
-	f.stand(conn, in, o, r)
+	f.respondAndRelay(conn, in, o, r)
 	return true
 }
 
 // begin hands the core a request for an opaque tunnel. Its route is that of the moment in which its contract and its cell are
 // looked up: one that has changed since the client named it is looked up anew. Nil: the client was told that there is none, unless
 // its route is not opaque any more.
-func (f *Front) begin(conn net.Conn, o *Opening) *core.Request {
+func (f *Front) beginRequest(conn net.Conn, o *Request) *core.Request {
 	caller := f.Caller(conn, o.User)
 	for {
 		route := o.Route
 		stream := &message.Stream{Limits: route.Limits}
-		r := &core.Request{ID: fmt.Sprint(f.name, f.opened.Add(1)), Class: route.Class, Tenant: caller.Tenant, Caller: caller,
-			Arrived: f.Core.Now(), Patience: openTime, Body: stream, Message: stream, Left: func() bool { return flow.Left(conn) }}
+		r := &core.Request{ID: fmt.Sprint(f.idPrefix, f.requestCount.Add(1)), Class: route.Class, Tenant: caller.Tenant, Caller: caller,
+			Arrived: f.Core.Now(), Patience: openTimeout, Body: stream, Message: stream, Left: func() bool { return flow.Left(conn) }}
 		now, there := route, true
 		r.Holds = func() bool {
 			now, there = f.Table.Find(route.Host, route.Port)
@@ -145,8 +145,8 @@
 }
 
 // stand waits for a request's final answer and, where that is a tunnel, lets it live.
-func (f *Front) stand(conn net.Conn, in *bufio.Reader, o *Opening, r *core.Request) {
-	a, ok := f.await(conn, in, r)
+func (f *Front) respondAndRelay(conn net.Conn, in *bufio.Reader, o *Request, r *core.Request) {
+	a, ok := f.awaitResponse(conn, in, r)
 	if !ok {
 		return
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	defer a.Payload.Release()
-	conn.SetDeadline(time.Now().Add(openTime))
+	conn.SetDeadline(time.Now().Add(openTimeout))
 	if o.Accept() != nil {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // await waits for the final answer. Not ok: the client has left before it, and the core knows.
-func (f *Front) await(conn net.Conn, in *bufio.Reader, r *core.Request) (core.Answer, bool) {
+func (f *Front) awaitResponse(conn net.Conn, in *bufio.Reader, r *core.Request) (core.Answer, bool) {
 	conn.SetDeadline(time.Time{})
 	// What it sends ahead of the reply stays unread, here or in the socket.
 	end, stop := flow.Watch(conn, in, false)
--- a/internal/front/tunnel/front_test.go
+++ b/internal/front/tunnel/front_test.go
@@ -16,18 +16,18 @@
 )
 
 // nothing is a back and a roster that know no server.
-type nothing struct{}
+type stubServices struct{}
 
-func (nothing) Attempt(context.Context, *core.Attempt) core.Result { return core.Result{} }
-func (nothing) Server(uint32) (any, bool)                          { return nil, false }
-func (nothing) Watch()                                             {}
-func (nothing) Fetch()                                             {}
-func (nothing) Now() time.Duration                                 { return time.Duration(time.Now().UnixNano()) }
-func (nothing) AfterFunc(d time.Duration, f func())                { time.AfterFunc(d, f) }
+func (stubServices) Attempt(context.Context, *core.Attempt) core.Result { return core.Result{} }
+func (stubServices) Server(uint32) (any, bool)                          { return nil, false }
+func (stubServices) Watch()                                             {}
+func (stubServices) Fetch()                                             {}
+func (stubServices) Now() time.Duration                                 { return time.Duration(time.Now().UnixNano()) }
+func (stubServices) AfterFunc(d time.Duration, f func())                { time.AfterFunc(d, f) }
 
 // A route that changes between the client's opening and the moment in which the core takes the request is looked up anew: the request
 // has the class and the limits of the new one, or the client is told that there is none.
-func TestRouteIsLookedUpInTheCoresHold(t *testing.T) {
+func TestRouteChangedBeforeRequestBeginsIsLookedUpAgain(t *testing.T) {
 	before := Route{Host: "a.example.org", Port: 7, Service: "s", Opaque: true, Class: "view"}
 	other := before
 	other.Class, other.Limits.Idle = "buy", time.Minute
@@ -48,7 +48,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{
 				{Name: "view", Aim: time.Second, Deadline: time.Second, Worth: 1}, {Name: "buy", Aim: time.Second, Deadline: time.Second, Worth: 1}}},
-				1, core.Options{Clock: nothing{}, Back: nothing{}, Roster: nothing{}, Log: slog.New(slog.DiscardHandler)})
+				1, core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -59,7 +59,7 @@
 			}
 			f := NewFront(Options{Core: c, Table: table, Caller: func(net.Conn, string) contract.Caller { return contract.Caller{Tenant: "t"} }})
 			var said bytes.Buffer
-			in := bufio.NewReaderSize(strings.NewReader("CONNECT a.example.org:7 HTTP/1.1\r\nHost: a.example.org:7\r\n\r\n"), maxHead)
+			in := bufio.NewReaderSize(strings.NewReader("CONNECT a.example.org:7 HTTP/1.1\r\nHost: a.example.org:7\r\n\r\n"), maxConnectHead)
 			o, err := Connect(in, &said, table)
 			if err != nil {
 				t.Fatal(err)
@@ -67,7 +67,7 @@
 			c.Lock()
 			table.Change(&k.change)
 			c.Unlock()
-			r := f.begin(nil, o)
+			r := f.beginRequest(nil, o)
 			if (r != nil) != (k.class != "") || r != nil && r.Class != k.class || o.Route.Opaque != k.opaque {
 				t.Errorf("taken: %+v by %+v, want class %q", r, o.Route, k.class)
 			}
--- a/internal/front/tunnel/routes.go
+++ b/internal/front/tunnel/routes.go
@@ -45,7 +45,7 @@
 func NewTable(routes []Route, users map[string][sha256.Size]byte) (*Table, error) {
 	t := &Table{routes: make(map[address]Route, len(routes)), users: users}
 	for i, r := range routes {
-		at := r.normal()
+		at := r.normalize()
 		if field, why := r.Check(); field != "" {
 			return nil, fmt.Errorf("routes[%d].%s: %s", i, field, why)
 		}
@@ -58,7 +58,7 @@
 }
 
 // normal brings a route's host into the form in which it is looked up.
-func (r *Route) normal() address {
+func (r *Route) normalize() address {
 	r.Host = strings.ToLower(strings.TrimSuffix(r.Host, "."))
 	return address{r.Host, r.Port}
 }
@@ -66,7 +66,7 @@
 // Name is what a route is called: host:port, with the host in lower case and without a dot at its end.
 func (r *Route) Name() string {
 	at := *r
-	return at.normal().String()
+	return at.normalize().String()
 }
 
 // Check reports the first field that makes no sense, by the name that files give it.
@@ -134,7 +134,7 @@
 		}
 	}
 	for _, r := range c.Put {
-		at := r.normal()
+		at := r.normalize()
 		t.routes[at] = r
 	}
 }
@@ -165,10 +165,10 @@
 }
 
 // Open tells whether anybody may come in without a password.
-func (t *Table) Open() bool { return len(t.users) == 0 }
+func (t *Table) AllowsAnonymous() bool { return len(t.users) == 0 }
 
 // Knows tells whether a user showed the right password. It takes as long for a user that is not known.
-func (t *Table) Knows(user, password string) bool {
+func (t *Table) Authenticate(user, password string) bool {
 	want, ok := t.users[user]
 	got := sha256.Sum256([]byte(password))
 	return subtle.ConstantTimeCompare(want[:], got[:]) == 1 && ok
--- a/internal/front/tunnel/routes_test.go
+++ b/internal/front/tunnel/routes_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-func drawRoute(t *rapid.T) Route {
+func genRoute(t *rapid.T) Route {
 	return Route{Host: rapid.SampledFrom([]string{"a.org", "B.org.", "c.org"}).Draw(t, "host"), Port: rapid.SampledFrom([]uint16{80, 443}).Draw(t, "port"),
 		Service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service")}
 }
 
 // A table that was changed in place finds what one finds that was made anew of the same routes.
-func TestRoutesChangedInPlace(t *testing.T) {
+func TestTableChangedInPlaceEqualsNewTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tab, err := NewTable(nil, nil)
 		if err != nil {
@@ -25,7 +25,7 @@
 		}
 		there := map[string]Route{}
 		for range rapid.IntRange(1, 20).Draw(rt, "changes") {
-			c := Change{Put: rapid.SliceOfN(rapid.Custom(drawRoute), 0, 3).Draw(rt, "put"),
+			c := Change{Put: rapid.SliceOfN(rapid.Custom(genRoute), 0, 3).Draw(rt, "put"),
 				Gone: rapid.SliceOfN(rapid.SampledFrom([]string{"a.org:80", "b.org:443", "c.org:80", "d.org:1", "none"}), 0, 2).Draw(rt, "gone")}
 			then, named := maps.Clone(there), map[string]bool{}
 			for _, n := range c.Gone {
@@ -67,8 +67,8 @@
 }
 
 // A change that makes no sense names route and field, and the check changes nothing.
-func TestRouteChangesThatMakeNoSense(t *testing.T) {
-	tab := routes(t, false)
+func TestInvalidRouteChangesAreRejected(t *testing.T) {
+	tab := testTable(t, false)
 	for _, c := range []struct {
 		change Change
 		want   string
@@ -91,7 +91,7 @@
 }
 
 // Clients who look up while routes change see a route as it was or as it is.
-func TestRoutesWhileTheyChange(t *testing.T) {
+func TestLookupsDuringChangesNeverGoBack(t *testing.T) {
 	tab, _ := NewTable([]Route{{Host: "a", Port: 1, Service: "0"}, {Host: "b", Port: 1, Service: "0"}}, nil)
 	var all sync.WaitGroup
 	done := make(chan struct{})
--- a/internal/front/tunnel/socks5.go
+++ b/internal/front/tunnel/socks5.go
@@ -13,53 +13,53 @@
 
 // Reply codes of SOCKS5 (RFC 1928, 6).
 const (
-	replyOK             = 0
-	replyFailure        = 1 // of the server: it leaves, or has no room
-	replyNotAllowed     = 2 // by the routes or the contracts
-	replyRefused        = 5 // no server takes the connection
-	replyNoCommand      = 7
-	replyNoAddressType  = 8
-	methodNone          = 0x00
-	methodPassword      = 0x02 // RFC 1929
-	methodUnacceptable  = 0xff
-	version, passwordV1 = 5, 1
+	replySucceeded                = 0
+	replyServerFailure            = 1 // of the server: it leaves, or has no room
+	replyNotAllowed               = 2 // by the routes or the contracts
+	replyConnectionRefused        = 5 // no server takes the connection
+	replyCommandNotSupported      = 7
+	replyAddressTypeNotSupported  = 8
+	methodNone                    = 0x00
+	methodPassword                = 0x02 // RFC 1929
+	methodNoneAcceptable          = 0xff
+	socksVersion, passwordVersion = 5, 1
 )
 
 // Errors of clients. Each has been told to the client as far as its protocol lets that be told.
 var (
-	ErrVersion  = errors.New("not SOCKS5")
-	ErrMethod   = errors.New("no method of authentication that is spoken here")
-	ErrPassword = errors.New("wrong user or password")
-	ErrCommand  = errors.New("only CONNECT is done here")
-	ErrRoute    = errors.New("there is no route to that name")
-	ErrLeaving  = errors.New("no tunnel is opened now")
-	ErrRequest  = errors.New("the request can't be read")
+	ErrVersion     = errors.New("not SOCKS5")
+	ErrAuthMethod  = errors.New("no method of authentication that is spoken here")
+	ErrCredentials = errors.New("wrong user or password")
+	ErrCommand     = errors.New("only CONNECT is done here")
+	ErrNoRoute     = errors.New("there is no route to that name")
+	ErrLeaving     = errors.New("no tunnel is opened now")
+	ErrMalformed   = errors.New("the request can't be read")
 )
 
 // Opening is a client that asks for a tunnel and has not been answered.
-type Opening struct {
+type Request struct {
 	Route Route
 	User  string // empty where no password is asked for
 	reply func(status int, after time.Duration, reason string) error
 }
 
 // Accept tells the client that its tunnel stands.
-func (o *Opening) Accept() error { return o.reply(http.StatusOK, 0, "") }
+func (o *Request) Accept() error { return o.reply(http.StatusOK, 0, "") }
 
 // Refuse tells it that none is to be had, by HTTP's status and what goes with it. SOCKS5 has a byte for all of that.
-func (o *Opening) Refuse(status int, after time.Duration, reason string) error {
+func (o *Request) Refuse(status int, after time.Duration, reason string) error {
 	return o.reply(status, after, reason)
 }
 
 // SOCKS5 reads a client's greeting, password and request, and finds its route. It reads nothing beyond the request. An
 // error has been told to the client; the connection is of no further use. Who calls bounds the time by the connection's
 // deadline.
-func SOCKS5(in *bufio.Reader, out io.Writer, t *Table) (*Opening, error) {
+func SOCKS5(in *bufio.Reader, out io.Writer, t *Table) (*Request, error) {
 	var head [2]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return nil, fmt.Errorf("greeting: %w", err)
 	}
-	if head[0] != version {
+	if head[0] != socksVersion {
 		return nil, ErrVersion // a reply would not be understood
 	}
 	methods := make([]byte, head[1])
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("greeting: %w", err)
 	}
 	want := byte(methodPassword)
-	if t.Open() {
+	if t.AllowsAnonymous() {
 		want = methodNone
 	}
 	offered := false
@@ -75,37 +75,37 @@
 		offered = offered || m == want
 	}
 	if !offered {
-		out.Write([]byte{version, methodUnacceptable})
-		return nil, ErrMethod
+		out.Write([]byte{socksVersion, methodNoneAcceptable})
+		return nil, ErrAuthMethod
 	}
-	if _, err := out.Write([]byte{version, want}); err != nil {
+	if _, err := out.Write([]byte{socksVersion, want}); err != nil {
 		return nil, err
 	}
-	o := &Opening{}
+	o := &Request{}
 	if want == methodPassword {
 		user, password, err := readPassword(in)
 		if err != nil {
 			return nil, err
 		}
-		if !t.Knows(user, password) {
-			out.Write([]byte{passwordV1, 1})
-			return nil, ErrPassword
+		if !t.Authenticate(user, password) {
+			out.Write([]byte{passwordVersion, 1})
+			return nil, ErrCredentials
 		}
-		if _, err := out.Write([]byte{passwordV1, 0}); err != nil {
+		if _, err := out.Write([]byte{passwordVersion, 0}); err != nil {
 			return nil, err
 		}
 		o.User = user
 	}
 	reply := func(code byte) error {
 		// The address that the node uses towards web servers is nobody's business: all noughts, as is common.
-		_, err := out.Write([]byte{version, code, 0, 1, 0, 0, 0, 0, 0, 0})
+		_, err := out.Write([]byte{socksVersion, code, 0, 1, 0, 0, 0, 0, 0, 0})
 		return err
 	}
 	var req [4]byte
 	if _, err := io.ReadFull(in, req[:]); err != nil {
 		return nil, fmt.Errorf("request: %w", err)
 	}
-	if req[0] != version {
+	if req[0] != socksVersion {
 		return nil, ErrVersion
 	}
 	host, known, err := readHost(in, req[3])
@@ -113,32 +113,32 @@
 		return nil, err
 	}
 	if !known {
-		reply(replyNoAddressType)
-		return nil, fmt.Errorf("%w: address type %d", ErrRequest, req[3])
+		reply(replyAddressTypeNotSupported)
+		return nil, fmt.Errorf("%w: address type %d", ErrMalformed, req[3])
 	}
 	var port [2]byte
 	if _, err := io.ReadFull(in, port[:]); err != nil {
 		return nil, fmt.Errorf("request: %w", err)
 	}
 	if req[1] != 1 { // BIND and UDP ASSOCIATE
-		reply(replyNoCommand)
+		reply(replyCommandNotSupported)
 		return nil, fmt.Errorf("%w: command %d", ErrCommand, req[1])
 	}
 	var ok bool
 	if o.Route, ok = t.Find(host, uint16(port[0])<<8|uint16(port[1])); !ok {
 		reply(replyNotAllowed)
-		return nil, ErrRoute
+		return nil, ErrNoRoute
 	}
 	o.reply = func(status int, _ time.Duration, _ string) error {
 		switch status {
 		case http.StatusOK:
-			return reply(replyOK)
+			return reply(replySucceeded)
 		case http.StatusBadGateway:
-			return reply(replyRefused)
+			return reply(replyConnectionRefused)
 		case http.StatusForbidden, http.StatusTooManyRequests:
 			return reply(replyNotAllowed)
 		}
-		return reply(replyFailure)
+		return reply(replyServerFailure)
 	}
 	return o, nil
 }
@@ -149,11 +149,11 @@
 	if err != nil {
 		return "", "", fmt.Errorf("password: %w", err)
 	}
-	if v != passwordV1 {
-		return "", "", fmt.Errorf("%w: version %d of the password", ErrRequest, v)
+	if v != passwordVersion {
+		return "", "", fmt.Errorf("%w: version %d of the password", ErrMalformed, v)
 	}
 	for _, s := range []*string{&user, &password} {
-		if *s, err = readText(in); err != nil {
+		if *s, err = readString(in); err != nil {
 			return "", "", fmt.Errorf("password: %w", err)
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // readText reads a length and so many bytes.
-func readText(in *bufio.Reader) (string, error) {
+func readString(in *bufio.Reader) (string, error) {
 	n, err := in.ReadByte()
 	if err != nil {
 		return "", err
@@ -182,7 +182,7 @@
 	case 4:
 		size = net.IPv6len
 	case 3:
-		host, err = readText(in)
+		host, err = readString(in)
 		if err != nil {
 			err = fmt.Errorf("request: %w", err)
 		}
--- a/internal/front/tunnel/tunnel_test.go
+++ b/internal/front/tunnel/tunnel_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-func routes(t testing.TB, users bool) *Table {
+func testTable(t testing.TB, users bool) *Table {
 	t.Helper()
 	var known map[string][sha256.Size]byte
 	if users {
@@ -27,11 +27,11 @@
 }
 
 // request is a SOCKS5 request by name.
-func request(command byte, host string, port uint16) string {
+func socksRequest(command byte, host string, port uint16) string {
 	return string([]byte{5, command, 0, 3, byte(len(host))}) + host + string([]byte{byte(port >> 8), byte(port)})
 }
 
-const rest = "GET / HTTP/1.1\r\n"
+const trailing = "GET / HTTP/1.1\r\n"
 
 // Each message that a client can send, sound and broken: what it is told, byte by byte, what comes of it, and that nothing
 // of what follows is taken.
@@ -40,7 +40,7 @@
 	password := func(user, password string) string {
 		return "\x01" + string(rune(len(user))) + user + string(rune(len(password))) + password
 	}
-	good := request(1, "placement.example.org", 80)
+	good := socksRequest(1, "placement.example.org", 80)
 	for _, c := range []struct {
 		name, in string
 		users    bool
@@ -49,29 +49,29 @@
 	}{
 		{"no password", "\x05\x01\x00" + good, false, "\x05\x00", nil},
 		{"among other methods", "\x05\x03\x01\x02\x00" + good, false, "\x05\x00", nil},
-		{"capital letters, a dot", "\x05\x01\x00" + request(1, "PLACEMENT.example.org.", 80), false, "\x05\x00", nil},
+		{"capital letters, a dot", "\x05\x01\x00" + socksRequest(1, "PLACEMENT.example.org.", 80), false, "\x05\x00", nil},
 		{"a password", "\x05\x02\x00\x02" + password("centre", "secret") + good, true, "\x05\x02\x01\x00", nil},
-		{"a wrong password", "\x05\x01\x02" + password("centre", "guess"), true, "\x05\x02\x01\x01", ErrPassword},
-		{"an unknown user", "\x05\x01\x02" + password("who", "secret"), true, "\x05\x02\x01\x01", ErrPassword},
-		{"no method that is spoken", "\x05\x01\x01", false, "\x05\xff", ErrMethod},
-		{"no methods at all", "\x05\x00", false, "\x05\xff", ErrMethod},
-		{"no password where one is asked for", "\x05\x01\x00", true, "\x05\xff", ErrMethod},
-		{"a password of another version", "\x05\x01\x02\x02", true, "\x05\x02", ErrRequest},
+		{"a wrong password", "\x05\x01\x02" + password("centre", "guess"), true, "\x05\x02\x01\x01", ErrCredentials},
+		{"an unknown user", "\x05\x01\x02" + password("who", "secret"), true, "\x05\x02\x01\x01", ErrCredentials},
+		{"no method that is spoken", "\x05\x01\x01", false, "\x05\xff", ErrAuthMethod},
+		{"no methods at all", "\x05\x00", false, "\x05\xff", ErrAuthMethod},
+		{"no password where one is asked for", "\x05\x01\x00", true, "\x05\xff", ErrAuthMethod},
+		{"a password of another version", "\x05\x01\x02\x02", true, "\x05\x02", ErrMalformed},
 		{"SOCKS4", "\x04\x01\x00\x50", false, "", ErrVersion},
 		{"another version in the request", "\x05\x01\x00\x04\x01\x00\x01", false, "\x05\x00", ErrVersion},
-		{"BIND", "\x05\x01\x00" + request(2, "placement.example.org", 80), false, "\x05\x00" + fail(7), ErrCommand},
-		{"UDP ASSOCIATE", "\x05\x01\x00" + request(3, "placement.example.org", 80), false, "\x05\x00" + fail(7), ErrCommand},
-		{"another name", "\x05\x01\x00" + request(1, "example.org", 80), false, "\x05\x00" + fail(2), ErrRoute},
-		{"another port", "\x05\x01\x00" + request(1, "placement.example.org", 81), false, "\x05\x00" + fail(2), ErrRoute},
-		{"an address", "\x05\x01\x00\x05\x01\x00\x01\x7f\x00\x00\x01\x00\x50", false, "\x05\x00" + fail(2), ErrRoute},
-		{"an address of IPv6", "\x05\x01\x00\x05\x01\x00\x04" + strings.Repeat("\x00", 16) + "\x00\x50", false, "\x05\x00" + fail(2), ErrRoute},
-		{"an address as a name", "\x05\x01\x00" + request(1, "127.0.0.1", 80), false, "\x05\x00" + fail(2), ErrRoute},
-		{"an unknown kind of address", "\x05\x01\x00\x05\x01\x00\x09", false, "\x05\x00" + fail(8), ErrRequest},
-		{"an empty name", "\x05\x01\x00" + request(1, "", 80), false, "\x05\x00" + fail(2), ErrRoute},
+		{"BIND", "\x05\x01\x00" + socksRequest(2, "placement.example.org", 80), false, "\x05\x00" + fail(7), ErrCommand},
+		{"UDP ASSOCIATE", "\x05\x01\x00" + socksRequest(3, "placement.example.org", 80), false, "\x05\x00" + fail(7), ErrCommand},
+		{"another name", "\x05\x01\x00" + socksRequest(1, "example.org", 80), false, "\x05\x00" + fail(2), ErrNoRoute},
+		{"another port", "\x05\x01\x00" + socksRequest(1, "placement.example.org", 81), false, "\x05\x00" + fail(2), ErrNoRoute},
+		{"an address", "\x05\x01\x00\x05\x01\x00\x01\x7f\x00\x00\x01\x00\x50", false, "\x05\x00" + fail(2), ErrNoRoute},
+		{"an address of IPv6", "\x05\x01\x00\x05\x01\x00\x04" + strings.Repeat("\x00", 16) + "\x00\x50", false, "\x05\x00" + fail(2), ErrNoRoute},
+		{"an address as a name", "\x05\x01\x00" + socksRequest(1, "127.0.0.1", 80), false, "\x05\x00" + fail(2), ErrNoRoute},
+		{"an unknown kind of address", "\x05\x01\x00\x05\x01\x00\x09", false, "\x05\x00" + fail(8), ErrMalformed},
+		{"an empty name", "\x05\x01\x00" + socksRequest(1, "", 80), false, "\x05\x00" + fail(2), ErrNoRoute},
 	} {
 		var out bytes.Buffer
-		in := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.in+rest)), maxHead)
-		o, err := SOCKS5(in, &out, routes(t, c.users))
+		in := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.in+trailing)), maxConnectHead)
+		o, err := SOCKS5(in, &out, testTable(t, c.users))
 		if !errors.Is(err, c.err) || (err == nil) != (c.err == nil) || out.String() != c.out {
 			t.Errorf("%s: %v after %q, want %v after %q", c.name, err, out.String(), c.err, c.out)
 		}
@@ -80,7 +80,7 @@
 		}
 		out.Reset()
 		o.Accept()
-		if left, _ := io.ReadAll(in); string(left) != rest || out.String() != fail(0) || o.Route.Service != "placement" {
+		if left, _ := io.ReadAll(in); string(left) != trailing || out.String() != fail(0) || o.Route.Service != "placement" {
 			t.Errorf("%s: accepted with %q, %q is left, route %+v", c.name, out.String(), left, o.Route)
 		}
 		out.Reset()
@@ -91,7 +91,7 @@
 	// Cut anywhere, it is an error and no tunnel.
 	whole := "\x05\x01\x02" + password("centre", "secret") + good
 	for i := range len(whole) {
-		if _, err := SOCKS5(bufio.NewReader(strings.NewReader(whole[:i])), io.Discard, routes(t, true)); err == nil {
+		if _, err := SOCKS5(bufio.NewReader(strings.NewReader(whole[:i])), io.Discard, testTable(t, true)); err == nil {
 			t.Errorf("cut behind %d bytes a tunnel is asked for", i)
 		}
 	}
@@ -112,23 +112,23 @@
 	}{
 		{"a route", head("placement.example.org:80", ""), false, "", nil},
 		{"a password", head("placement.example.org:80", auth("centre:secret")), true, "", nil},
-		{"a wrong password", head("placement.example.org:80", auth("centre:guess")), true, "407", ErrPassword},
-		{"no password", head("placement.example.org:80", ""), true, "407", ErrPassword},
-		{"a credential that is none", head("placement.example.org:80", "Proxy-Authorization: Basic %%%\r\n"), true, "407", ErrPassword},
-		{"another scheme", head("placement.example.org:80", "Proxy-Authorization: Bearer x\r\n"), true, "407", ErrPassword},
-		{"another name", head("example.org:80", ""), false, "403", ErrRoute},
-		{"an address", head("127.0.0.1:80", ""), false, "403", ErrRoute},
-		{"an address of IPv6", head("[::1]:80", ""), false, "403", ErrRoute},
-		{"no port", head("placement.example.org", ""), false, "400", ErrRequest},
-		{"a port that is none", head("placement.example.org:99999", ""), false, "400", ErrRequest},
+		{"a wrong password", head("placement.example.org:80", auth("centre:guess")), true, "407", ErrCredentials},
+		{"no password", head("placement.example.org:80", ""), true, "407", ErrCredentials},
+		{"a credential that is none", head("placement.example.org:80", "Proxy-Authorization: Basic %%%\r\n"), true, "407", ErrCredentials},
+		{"another scheme", head("placement.example.org:80", "Proxy-Authorization: Bearer x\r\n"), true, "407", ErrCredentials},
+		{"another name", head("example.org:80", ""), false, "403", ErrNoRoute},
+		{"an address", head("127.0.0.1:80", ""), false, "403", ErrNoRoute},
+		{"an address of IPv6", head("[::1]:80", ""), false, "403", ErrNoRoute},
+		{"no port", head("placement.example.org", ""), false, "400", ErrMalformed},
+		{"a port that is none", head("placement.example.org:99999", ""), false, "400", ErrMalformed},
 		{"another method", "GET http://placement.example.org/ HTTP/1.1\r\nHost: placement.example.org\r\n\r\n", false, "405", ErrCommand},
-		{"content", head("placement.example.org:80", "Content-Length: 3\r\n"), false, "400", ErrRequest},
-		{"noise", "\x05\x01\x00\r\n\r\n", false, "400", ErrRequest},
-		{"an endless head", "CONNECT placement.example.org:80 HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHead), false, "400", ErrRequest},
+		{"content", head("placement.example.org:80", "Content-Length: 3\r\n"), false, "400", ErrMalformed},
+		{"noise", "\x05\x01\x00\r\n\r\n", false, "400", ErrMalformed},
+		{"an endless head", "CONNECT placement.example.org:80 HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxConnectHead), false, "400", ErrMalformed},
 	} {
 		var out bytes.Buffer
-		in := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.in+rest)), 2*maxHead)
-		o, err := Connect(in, &out, routes(t, c.users))
+		in := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.in+trailing)), 2*maxConnectHead)
+		o, err := Connect(in, &out, testTable(t, c.users))
 		if !errors.Is(err, c.err) || (err == nil) != (c.err == nil) || !strings.HasPrefix(strings.TrimPrefix(out.String(), "HTTP/1.1 "), c.status) ||
 			(c.status == "") != (out.Len() == 0) {
 			t.Errorf("%s: %v after %q, want %v after %q", c.name, err, out.String(), c.err, c.status)
@@ -137,7 +137,7 @@
 			continue
 		}
 		o.Accept()
-		if left, _ := io.ReadAll(in); string(left) != rest || !strings.HasPrefix(out.String(), "HTTP/1.1 200 ") || strings.Contains(out.String(), "Content-Length") {
+		if left, _ := io.ReadAll(in); string(left) != trailing || !strings.HasPrefix(out.String(), "HTTP/1.1 200 ") || strings.Contains(out.String(), "Content-Length") {
 			t.Errorf("%s: accepted with %q, %q is left", c.name, out.String(), left)
 		}
 		out.Reset()
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestTablesThatMakeNoSense(t *testing.T) {
+func TestInvalidTablesAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		routes []Route
 		want   string
@@ -166,13 +166,13 @@
 }
 
 // Whatever comes, the readers answer, and a tunnel is only asked for to a route.
-func FuzzOpenings(f *testing.F) {
-	f.Add([]byte("\x05\x01\x00" + request(1, "placement.example.org", 80)))
+func FuzzRequests(f *testing.F) {
+	f.Add([]byte("\x05\x01\x00" + socksRequest(1, "placement.example.org", 80)))
 	f.Add([]byte("CONNECT placement.example.org:80 HTTP/1.1\r\nHost: x\r\n\r\n"))
-	tab := routes(f, false)
+	tab := testTable(f, false)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		for _, read := range []func(*bufio.Reader, io.Writer, *Table) (*Opening, error){SOCKS5, Connect} {
-			if o, err := read(bufio.NewReaderSize(bytes.NewReader(text), maxHead), io.Discard, tab); err == nil && o.Route.Service != "placement" {
+		for _, read := range []func(*bufio.Reader, io.Writer, *Table) (*Request, error){SOCKS5, Connect} {
+			if o, err := read(bufio.NewReaderSize(bytes.NewReader(text), maxConnectHead), io.Discard, tab); err == nil && o.Route.Service != "placement" {
 				t.Errorf("%q leads to %+v", text, o.Route)
 			}
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -29,7 +29,7 @@
 type Phase uint8
 
 const (
-	Warm     Phase = iota // it has its predecessor's state, or has none, and builds up
+	Starting Phase = iota // it has its predecessor's state, or has none, and builds up
 	Seeking               // it looks who serves
 	Asking                // it has said that it is ready
 	Serves                // it has the token, and takes clients
@@ -43,7 +43,7 @@
 
 // yieldTicks is how many ticks a successor has from Yours to Serving before its predecessor tries to take the token back. One
 // that has it keeps it.
-const yieldTicks = 20
+const transferTicks = 20
 
 // Env is what a Machine makes happen. None of it may wait for another process.
 type Env interface {
@@ -62,34 +62,34 @@
 
 // Machine is the part of one process. Its owner guards it; the zero value is a process without a predecessor.
 type Machine struct {
-	Phase  Phase
-	Before Peer // the predecessor
-	Heir   Peer // the successor of one that yields or is relieved; 0 once it has gone
-	Built  bool
-	Ends   bool   // it was told to end: it takes no clients again
-	Number uint64 // of the token, when it was last had or let go here
-	waited int    // ticks in the phase
+	Phase        Phase
+	Before       Peer // the predecessor
+	Heir         Peer // the successor of one that yields or is relieved; 0 once it has gone
+	Initialized  bool
+	Ends         bool   // it was told to end: it takes no clients again
+	Number       uint64 // of the token, when it was last had or let go here
+	ticksInPhase int    // ticks in the phase
 }
 
-func (m *Machine) enter(p Phase) { m.Phase, m.waited = p, 0 }
+func (m *Machine) enter(p Phase) { m.Phase, m.ticksInPhase = p, 0 }
 
 // Ready tells that the process has built up and can serve. Before that nobody is sought.
 func (m *Machine) Ready(env Env) {
-	m.Built = true
-	if m.Phase == Warm {
-		m.ask(env)
+	m.Initialized = true
+	if m.Phase == Starting {
+		m.requestClients(env)
 	}
 }
 
 // Alone is Ready where no other process of the node can be: it takes the clients.
 func (m *Machine) Alone(env Env) {
-	m.Built = true
+	m.Initialized = true
 	m.enter(Serves)
 	env.Accept(true)
 }
 
 // ask asks the predecessor for the clients. Without one it looks once more who is there, and takes them if nobody is.
-func (m *Machine) ask(env Env) {
+func (m *Machine) requestClients(env Env) {
 	if m.Before == 0 {
 		m.enter(Seeking)
 		env.Seek()
@@ -99,13 +99,13 @@
 	env.Tell(m.Before, Ready)
 }
 
-func (m *Machine) number(env Env, n uint64) {
+func (m *Machine) setTokenNumber(env Env, n uint64) {
 	m.Number = n
 	env.Mark(n)
 }
 
 // take serves if the token can be had, with the number that the predecessor told; 0: none did.
-func (m *Machine) take(env Env, number uint64) {
+func (m *Machine) takeToken(env Env, number uint64) {
 	n, had := env.Lock()
 	if had && number != 0 && n != number { // it was taken back, and let go anew: for this process or another
 		env.Unlock()
@@ -113,7 +113,7 @@
 	}
 	switch {
 	case had:
-		m.number(env, n+1)
+		m.setTokenNumber(env, n+1)
 		m.enter(Serves)
 		env.Accept(true)
 		if m.Before != 0 {
@@ -139,7 +139,7 @@
 func (m *Machine) NoOne(env Env) {
 	if m.Phase == Seeking {
 		m.Before = 0
-		m.take(env, 0)
+		m.takeToken(env, 0)
 	}
 }
 
@@ -147,11 +147,11 @@
 func (m *Machine) Heard(env Env, from Peer, what Message, number uint64) {
 	switch what {
 	case State:
-		if m.Phase == Seeking || m.Phase == Warm && m.Before == 0 {
+		if m.Phase == Seeking || m.Phase == Starting && m.Before == 0 {
 			m.Before = from
-			m.enter(Warm)
-			if m.Built {
-				m.ask(env)
+			m.enter(Starting)
+			if m.Initialized {
+				m.requestClients(env)
 			}
 		}
 	case Later:
@@ -167,12 +167,12 @@
 		m.enter(Yielding)
 		m.Heir = from
 		env.Accept(false)
-		m.number(env, m.Number+1)
+		m.setTokenNumber(env, m.Number+1)
 		env.Unlock() // before the successor is told: it is to have the token at once
 		env.Yield(from, m.Number)
 	case Yours:
 		if m.Phase == Asking && from == m.Before {
-			m.take(env, number)
+			m.takeToken(env, number)
 		}
 	case Serving:
 		if m.Phase == Yielding && from == m.Heir {
@@ -192,13 +192,13 @@
 		}
 	}
 	if who == m.Heir && m.Heir != 0 {
-		m.Heir, m.waited = 0, 0
-		m.takeBack(env)
+		m.Heir, m.ticksInPhase = 0, 0
+		m.retakeToken(env)
 	}
 }
 
 // takeBack serves again where the successor has ended or never took the token. One that another process took stays there.
-func (m *Machine) takeBack(env Env) {
+func (m *Machine) retakeToken(env Env) {
 	if m.Phase != Yielding && m.Phase != Relieved {
 		return
 	}
@@ -208,12 +208,12 @@
 	}
 	// The successor has raised the number by one when it took the token, and by one more if it let it go for a third process, which
 	// is to have it unless it ends too.
-	if n > m.Number+1 && m.waited < 2*yieldTicks {
+	if n > m.Number+1 && m.ticksInPhase < 2*transferTicks {
 		env.Unlock()
 		return
 	}
 	m.Heir = 0
-	m.number(env, n+1) // what the successor was told of is old from now on, whatever becomes of this process
+	m.setTokenNumber(env, n+1) // what the successor was told of is old from now on, whatever becomes of this process
 	m.enter(Serves)
 	env.Resume()
 	if !m.Ends { // else it is there for the next successor alone
@@ -223,21 +223,21 @@
 
 // Tick is called a few times a second for as long as Unsettled: what did not work is tried again.
 func (m *Machine) Tick(env Env) {
-	m.waited++
+	m.ticksInPhase++
 	switch m.Phase {
 	case Seeking:
 		env.Seek()
 	case Asking:
-		if m.waited%yieldTicks == 0 { // also where a Yours came too late for the token
+		if m.ticksInPhase%transferTicks == 0 { // also where a Yours came too late for the token
 			env.Tell(m.Before, Ready)
 		}
 	case Yielding:
-		if m.Heir == 0 || m.waited >= yieldTicks {
-			m.takeBack(env)
+		if m.Heir == 0 || m.ticksInPhase >= transferTicks {
+			m.retakeToken(env)
 		}
 	case Relieved:
 		if m.Heir == 0 {
-			m.takeBack(env)
+			m.retakeToken(env)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 }
 
 // Settled tells of a process without successor that it has tried for long enough to take the node back: another one serves.
-func (m *Machine) Settled() bool { return m.waited > 3*yieldTicks }
+func (m *Machine) Settled() bool { return m.ticksInPhase > 3*transferTicks }
 
 // End takes in that the process was told to end.
 func (m *Machine) End() { m.Ends = true }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -23,9 +23,9 @@
 const Version = 2
 
 const (
-	stateTime = 2 * time.Second // for a predecessor to hand over; one that takes longer is as good as dead
-	sendTime  = time.Second     // for a message to be written: the other reads at once
-	mostQueue = 100_000         // messages that wait to be written; a process that reads so slowly is cut off
+	stateTimeout = 2 * time.Second // for a predecessor to hand over; one that takes longer is as good as dead
+	sendTimeout  = time.Second     // for a message to be written: the other reads at once
+	maxQueued    = 100_000         // messages that wait to be written; a process that reads so slowly is cut off
 )
 
 // Call is what an operator told one of the two.
@@ -64,7 +64,7 @@
 
 // message is one line on the socket. Claim and order are answered by an ack with the same number.
 type message struct {
-	Kind    kind             `json:"kind"`
+	Kind    messageKind      `json:"kind"`
 	Number  uint64           `json:"number,omitempty"`
 	Version int              `json:"version,omitempty"` // hello
 	What    handover.Message `json:"what,omitempty"`    // word
@@ -77,44 +77,44 @@
 	Error   string           `json:"error,omitempty"` // ack
 }
 
-type kind string
+type messageKind string
 
 const (
-	hello kind = "hello"
-	word  kind = "word"
-	claim kind = "claim"
-	ended kind = "ended"
-	order kind = "order"
-	ack   kind = "ack"
+	kindHello    messageKind = "hello"
+	kindHandover messageKind = "word"
+	kindClaim    messageKind = "claim"
+	kindEnded    messageKind = "ended"
+	kindOrder    messageKind = "order"
+	kindAck      messageKind = "ack"
 )
 
 // ErrGone says that the other process has ended.
-var ErrGone = errors.New("the other process is gone")
+var ErrPeerExited = errors.New("the other process is gone")
 
 // Peer is the other process. What is told it goes out in the order of the calls.
 type Peer struct {
-	conn net.Conn
-	in   *json.Decoder // one for all: it may have read ahead
-
-	mu     sync.Mutex
-	queue  []func() message // made when their turn comes: what is large is not made where others wait
-	wake   chan struct{}
-	number uint64
-	waits  map[uint64]chan message
-	gone   bool
+	conn    net.Conn
+	decoder *json.Decoder // one for all: it may have read ahead
+
+	mu         sync.Mutex
+	queue      []func() message // made when their turn comes: what is large is not made where others wait
+	wake       chan struct{}
+	lastNumber uint64
+	pending    map[uint64]chan message
+	closed     bool
 }
 
 // Dial asks the process that listens at path, if any, for its state. What is not Later is its state, and Follow must be called
 // then, or Close. Where there is none, the error is that of the socket.
 func Dial(path string) (p *Peer, what handover.Message, state []byte, err error) {
-	conn, err := net.DialTimeout("unix", path, stateTime)
+	conn, err := net.DialTimeout("unix", path, stateTimeout)
 	if err != nil {
 		return nil, 0, nil, err
 	}
 	in := json.NewDecoder(conn)
-	conn.SetDeadline(time.Now().Add(stateTime))
+	conn.SetDeadline(time.Now().Add(stateTimeout))
 	var m message
-	if err = json.NewEncoder(conn).Encode(message{Kind: hello, Version: Version}); err == nil {
+	if err = json.NewEncoder(conn).Encode(message{Kind: kindHello, Version: Version}); err == nil {
 		err = in.Decode(&m)
 	}
 	if err == nil && m.Error != "" {
@@ -126,25 +126,25 @@
 	}
 	conn.SetDeadline(time.Time{})
 	p = newPeer(conn)
-	p.in = in
+	p.decoder = in
 	return p, m.What, m.State, nil
 }
 
 func newPeer(conn net.Conn) *Peer {
-	p := &Peer{conn: conn, in: json.NewDecoder(conn), waits: map[uint64]chan message{}, wake: make(chan struct{}, 1)}
-	go p.write()
+	p := &Peer{conn: conn, decoder: json.NewDecoder(conn), pending: map[uint64]chan message{}, wake: make(chan struct{}, 1)}
+	go p.writeLoop()
 	return p
 }
 
 // Follow takes in what the other process says, until it is gone.
 func (p *Peer) Follow(node Node) {
-	go p.read(node)
+	go p.readLoop(node)
 }
 
 // Tell tells a word on who serves. State, which may be nil, is called when its turn comes.
 func (p *Peer) Tell(what handover.Message, number uint64, state func() []byte) {
-	p.push(func() message {
-		m := message{Kind: word, What: what, Token: number}
+	p.enqueue(func() message {
+		m := message{Kind: kindHandover, What: what, Token: number}
 		if state != nil {
 			m.State = state()
 		}
@@ -154,7 +154,7 @@
 
 // Claim asks whether a request may begin here that lasts until then at most. Without an answer it is Busy.
 func (p *Peer) Claim(ctx context.Context, id string, until time.Duration) handover.Verdict {
-	a, err := p.ask(ctx, message{Kind: claim, ID: id, Until: int64(until)})
+	a, err := p.call(ctx, message{Kind: kindClaim, ID: id, Until: int64(until)})
 	if err != nil {
 		return handover.Busy
 	}
@@ -162,12 +162,14 @@
 }
 
 // Ended tells that a request has ended here.
-func (p *Peer) Ended(id string) { p.push(func() message { return message{Kind: ended, ID: id} }) }
+func (p *Peer) Ended(id string) {
+	p.enqueue(func() message { return message{Kind: kindEnded, ID: id} })
+}
 
 // Order passes an operator's call on and returns once it is done there. A process that is gone needs no order.
 func (p *Peer) Order(ctx context.Context, o Order) error {
-	_, err := p.ask(ctx, message{Kind: order, Order: &o})
-	if errors.Is(err, ErrGone) {
+	_, err := p.call(ctx, message{Kind: kindOrder, Order: &o})
+	if errors.Is(err, ErrPeerExited) {
 		return nil
 	}
 	return err
@@ -175,47 +177,47 @@
 
 // Close ends the talk, as the end of this process does.
 func (p *Peer) Close() error {
-	p.finish()
+	p.shutdown()
 	return p.conn.Close()
 }
 
 // finish lets go whoever waits, and takes nothing more.
-func (p *Peer) finish() {
+func (p *Peer) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.gone {
+	if p.closed {
 		return
 	}
-	p.gone, p.queue = true, nil
+	p.closed, p.queue = true, nil
 	close(p.wake)
-	for number, answer := range p.waits {
+	for number, answer := range p.pending {
 		close(answer)
-		delete(p.waits, number)
+		delete(p.pending, number)
 	}
 }
 
 // ask sends a message and waits for its ack.
-func (p *Peer) ask(ctx context.Context, m message) (message, error) {
+func (p *Peer) call(ctx context.Context, m message) (message, error) {
 	answer := make(chan message, 1)
 	p.mu.Lock()
-	if p.gone {
+	if p.closed {
 		p.mu.Unlock()
-		return message{}, ErrGone
+		return message{}, ErrPeerExited
 	}
-	p.number++
-	m.Number = p.number
-	p.waits[m.Number] = answer
+	p.lastNumber++
+	m.Number = p.lastNumber
+	p.pending[m.Number] = answer
 	p.mu.Unlock()
-	p.push(func() message { return m })
+	p.enqueue(func() message { return m })
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.waits, m.Number)
+		delete(p.pending, m.Number)
 	}()
 	select {
 	case a, ok := <-answer:
 		if !ok {
-			return a, ErrGone
+			return a, ErrPeerExited
 		}
 		if a.Error != "" {
 			return a, errors.New(a.Error)
@@ -227,13 +229,13 @@
 }
 
 // push puts a message into the queue. It does not wait.
-func (p *Peer) push(f func() message) {
+func (p *Peer) enqueue(f func() message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.gone {
+	if p.closed {
 		return
 	}
-	if len(p.queue) >= mostQueue {
+	if len(p.queue) >= maxQueued {
 		p.conn.Close() // its end is noticed by the reader
 		return
 	}
@@ -245,7 +247,7 @@
 }
 
 // write sends what is in the queue, until the connection has ended.
-func (p *Peer) write() {
+func (p *Peer) writeLoop() {
 	out := json.NewEncoder(p.conn)
 	for range p.wake {
 		for {
@@ -257,7 +259,7 @@
 			f := p.queue[0]
 			p.queue = p.queue[1:]
 			p.mu.Unlock()
-			p.conn.SetWriteDeadline(time.Now().Add(sendTime))
+			p.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 			if out.Encode(f()) != nil {
 				p.conn.Close() // half a message may be out
 			}
@@ -266,12 +268,12 @@
 }
 
 // read takes in the other's messages until it is gone.
-func (p *Peer) read(node Node) {
+func (p *Peer) readLoop(node Node) {
 	orders := make(chan message, 100) // they may wait for other processes, and nothing else is to wait for them
 	obeyed := make(chan struct{})
 	answer := func(m message, a message) {
-		a.Kind, a.Number = ack, m.Number
-		p.push(func() message { return a })
+		a.Kind, a.Number = kindAck, m.Number
+		p.enqueue(func() message { return a })
 	}
 	go func() {
 		defer close(obeyed)
@@ -285,24 +287,24 @@
 	}()
 	for {
 		var m message
-		if p.in.Decode(&m) != nil {
+		if p.decoder.Decode(&m) != nil {
 			break
 		}
 		switch {
-		case m.Kind == ack:
+		case m.Kind == kindAck:
 			p.mu.Lock()
-			if answer := p.waits[m.Number]; answer != nil {
+			if answer := p.pending[m.Number]; answer != nil {
 				answer <- m
-				delete(p.waits, m.Number)
+				delete(p.pending, m.Number)
 			}
 			p.mu.Unlock()
-		case m.Kind == word:
+		case m.Kind == kindHandover:
 			node.Heard(p, m.What, m.Token, m.State)
-		case m.Kind == claim:
+		case m.Kind == kindClaim:
 			answer(m, message{Verdict: node.Claim(p, m.ID, time.Duration(m.Until))})
-		case m.Kind == ended:
+		case m.Kind == kindEnded:
 			node.Ended(p, m.ID)
-		case m.Kind == order && m.Order != nil:
+		case m.Kind == kindOrder && m.Order != nil:
 			orders <- m
 		default:
 			answer(m, message{Error: fmt.Sprintf("message %q is not known", m.Kind)})
@@ -310,17 +312,17 @@
 	}
 	close(orders)
 	p.conn.Close()
-	p.finish()
+	p.shutdown()
 	<-obeyed
 	node.Gone(p)
 }
 
 // Listener waits for successors.
 type Listener struct {
-	ln   net.Listener
-	node Node
-	log  *slog.Logger
-	own  string
+	ln      net.Listener
+	node    Node
+	log     *slog.Logger
+	ownPath string
 }
 
 // Listen takes the place at path, whoever held it, and stays to be found by Others when another process has taken it.
@@ -344,8 +346,8 @@
 		os.Remove(name)
 		return nil, err
 	}
-	l := &Listener{ln: ln, node: node, log: log, own: name}
-	go l.accept()
+	l := &Listener{ln: ln, node: node, log: log, ownPath: name}
+	go l.acceptLoop()
 	return l, nil
 }
 
@@ -357,11 +359,11 @@
 
 // Close ends the wait. Successors that were met stay.
 func (l *Listener) Close() error {
-	os.Remove(l.own)
+	os.Remove(l.ownPath)
 	return l.ln.Close()
 }
 
-func (l *Listener) accept() {
+func (l *Listener) acceptLoop() {
 	for {
 		conn, err := l.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -372,28 +374,28 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		go l.meet(conn)
+		go l.handshake(conn)
 	}
 }
 
 // meet answers a successor's hello and then takes in what it says.
-func (l *Listener) meet(conn net.Conn) {
+func (l *Listener) handshake(conn net.Conn) {
 	in := json.NewDecoder(conn)
 	var m message
-	conn.SetReadDeadline(time.Now().Add(stateTime))
+	conn.SetReadDeadline(time.Now().Add(stateTimeout))
 	err := in.Decode(&m)
-	if err == nil && m.Kind == hello && m.Version != Version {
+	if err == nil && m.Kind == kindHello && m.Version != Version {
 		err = fmt.Errorf("version %d is spoken here, not %d", Version, m.Version)
-		json.NewEncoder(conn).Encode(message{Kind: ack, Error: err.Error()})
+		json.NewEncoder(conn).Encode(message{Kind: kindAck, Error: err.Error()})
 	}
-	if err != nil || m.Kind != hello {
+	if err != nil || m.Kind != kindHello {
 		l.log.Warn("no successor's hello", "err", err)
 		conn.Close()
 		return
 	}
 	conn.SetReadDeadline(time.Time{})
 	p := newPeer(conn)
-	p.in = in
+	p.decoder = in
 	l.node.Hello(p)
-	p.read(l.node)
+	p.readLoop(l.node)
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -14,55 +14,55 @@
 	"portstall/internal/handover"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // fake is a process; what it is told goes to its channels.
-type fake struct {
-	state  string
-	met    chan *Peer
-	heard  chan string
-	orders chan Order
-	gone   chan struct{}
-	err    error
+type stubNode struct {
+	state    string
+	peers    chan *Peer
+	received chan string
+	orders   chan Order
+	exited   chan struct{}
+	orderErr error
 }
 
-func newFake(state string) *fake {
-	return &fake{state: state, met: make(chan *Peer, 10), heard: make(chan string, 10), orders: make(chan Order, 10), gone: make(chan struct{}, 10)}
+func newStubNode(state string) *stubNode {
+	return &stubNode{state: state, peers: make(chan *Peer, 10), received: make(chan string, 10), orders: make(chan Order, 10), exited: make(chan struct{}, 10)}
 }
 
-func (f *fake) Hello(p *Peer) {
+func (f *stubNode) Hello(p *Peer) {
 	if f.state == "" {
 		p.Tell(handover.Later, 0, nil)
 	} else {
 		p.Tell(handover.State, 0, func() []byte { return []byte(f.state) })
 	}
-	f.met <- p
+	f.peers <- p
 }
-func (f *fake) Heard(_ *Peer, what handover.Message, number uint64, state []byte) {
-	f.heard <- string(rune('0'+what)) + string(rune('0'+number)) + string(state)
+func (f *stubNode) Heard(_ *Peer, what handover.Message, number uint64, state []byte) {
+	f.received <- string(rune('0'+what)) + string(rune('0'+number)) + string(state)
 }
-func (f *fake) Claim(_ *Peer, id string, until time.Duration) handover.Verdict {
+func (f *stubNode) Claim(_ *Peer, id string, until time.Duration) handover.Verdict {
 	if id == "open" || until != time.Hour {
 		return handover.Open
 	}
 	return handover.Granted
 }
-func (f *fake) Ended(_ *Peer, id string)    { f.heard <- id }
-func (f *fake) Obey(_ *Peer, o Order) error { f.orders <- o; return f.err }
-func (f *fake) Gone(*Peer)                  { f.gone <- struct{}{} }
+func (f *stubNode) Ended(_ *Peer, id string)    { f.received <- id }
+func (f *stubNode) Obey(_ *Peer, o Order) error { f.orders <- o; return f.orderErr }
+func (f *stubNode) Gone(*Peer)                  { f.exited <- struct{}{} }
 
-func within[T any](t *testing.T, what string, c <-chan T) T {
+func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal(what, ": did not come")
 		panic("unreachable")
 	}
 }
 
-func listen(t *testing.T, path string, f *fake) *Listener {
+func listen(t *testing.T, path string, f *stubNode) *Listener {
 	t.Helper()
 	l, err := Listen(path, f, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -72,26 +72,26 @@
 	return l
 }
 
-func TestTalk(t *testing.T) {
+func TestPeersExchangeMessages(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	path := filepath.Join(t.TempDir(), "sock")
-	old, young := newFake("seven"), newFake("")
+	old, young := newStubNode("seven"), newStubNode("")
 	l := listen(t, path, old)
 	p, what, state, err := Dial(path)
 	if err != nil || what != handover.State || string(state) != "seven" {
 		t.Fatalf("%d %q, %v", what, state, err)
 	}
-	q := within(t, "the successor", old.met)
+	q := receive(t, "the successor", old.peers)
 	// An order from before the successor reads is waiting for it.
 	done := make(chan error, 1)
 	go func() { done <- q.Order(ctx, Order{Call: Disable, ID: "s-1"}) }()
 	p.Follow(young)
-	if o := within(t, "the order", young.orders); o.Call != Disable || o.ID != "s-1" {
+	if o := receive(t, "the order", young.orders); o.Call != Disable || o.ID != "s-1" {
 		t.Errorf("got %+v", o)
 	}
-	if err := within(t, "its ack", done); err != nil {
+	if err := receive(t, "its ack", done); err != nil {
 		t.Error(err)
 	}
 	p.Tell(handover.Ready, 0, nil)
@@ -100,20 +100,20 @@
 	for _, c := range []struct {
 		heard chan string
 		want  string
-	}{{old.heard, "20"}, {old.heard, "x"}, {young.heard, "37eight"}} {
-		if got := within(t, c.want, c.heard); got != c.want {
+	}{{old.received, "20"}, {old.received, "x"}, {young.received, "37eight"}} {
+		if got := receive(t, c.want, c.heard); got != c.want {
 			t.Errorf("heard %q, want %q", got, c.want)
 		}
 	}
 	if a, b := q.Claim(ctx, "open", time.Hour), q.Claim(ctx, "free", time.Hour); a != handover.Open || b != handover.Granted {
 		t.Errorf("claims: %d and %d", a, b)
 	}
-	old.err = errors.New("not here")
+	old.orderErr = errors.New("not here")
 	if err := p.Order(ctx, Order{Call: Drain}); err == nil || !strings.Contains(err.Error(), "not here") {
 		t.Errorf("an order that the other refuses: %v", err)
 	}
 	// A successor takes the place of the old process while that one still listens, and both are found.
-	listen(t, path, newFake("nine"))
+	listen(t, path, newStubNode("nine"))
 	if _, _, state, err := Dial(path); err != nil || string(state) != "nine" {
 		t.Errorf("in its place: %q, %v", state, err)
 	}
@@ -129,7 +129,7 @@
 	}
 	l.Close()
 	q.conn.Close()
-	within(t, "the end of the old process", young.gone)
+	receive(t, "the end of the old process", young.exited)
 	if err := p.Order(ctx, Order{Call: Drain}); err != nil {
 		t.Errorf("an order for a process that is gone: %v", err)
 	}
@@ -139,17 +139,17 @@
 }
 
 // Nobody there, a dead process's socket, one that can't hand over and one of another version: the start goes on in each case.
-func TestNoPredecessor(t *testing.T) {
+func TestDialWithoutUsablePredecessorFails(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "sock")
 	if _, _, _, err := Dial(path); err == nil {
 		t.Error("somebody is there")
 	}
-	listen(t, path, newFake("{}")).Close()
+	listen(t, path, newStubNode("{}")).Close()
 	if _, _, _, err := Dial(path); err == nil {
 		t.Error("a dead process hands over")
 	}
-	listen(t, path, newFake(""))
+	listen(t, path, newStubNode(""))
 	if p, what, _, err := Dial(path); err != nil || what != handover.Later {
 		t.Errorf("one that can't: %d, %v", what, err)
 	} else {
@@ -160,16 +160,16 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	json.NewEncoder(conn).Encode(message{Kind: hello, Version: Version + 1})
+	json.NewEncoder(conn).Encode(message{Kind: kindHello, Version: Version + 1})
 	var m message
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if err := json.NewDecoder(conn).Decode(&m); err != nil || m.Error == "" || m.State != nil {
 		t.Errorf("another version: %+v, %v", m, err)
 	}
 }
 
 // A process that does not answer holds up its caller for no longer than it has time.
-func TestOrderGivesUp(t *testing.T) {
+func TestOrderTimesOutWithoutReply(t *testing.T) {
 	t.Parallel()
 	a, b := net.Pipe()
 	defer a.Close()
@@ -185,7 +185,7 @@
 }
 
 // One holder of the token at a time, whoever ends leaves it, and its number stays.
-func TestToken(t *testing.T) {
+func TestTokenHasOneHolderAndKeepsItsNumber(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "token")
 	a, err := OpenToken(path)
