--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -10,10 +10,11 @@
 	"portstall/internal/contract"
 )
 
-// UserHeader stands in matches for whom a tunnel was opened for. No client can set it: what it says is not looked at.
+// UserHeader is the header by which matches refer to the user that a tunnel was opened for. Clients cannot set it: the
+// value that they send is ignored.
 const UserHeader = "Proxy-User"
 
-// Caller is what a request tells of who sent it. A token is shown as a bearer's (RFC 6750).
+// Caller returns what a request says about its sender. A token is presented as a bearer token (RFC 6750).
 func Caller(h stdhttp.Header, from netip.Addr, user string) contract.Caller {
 	c := contract.Caller{Tenant: h.Get("X-Tenant"), From: from, Header: func(name string) string {
 		if name == UserHeader {
@@ -27,7 +28,7 @@
 	return c
 }
 
-// Address is the remote end of a connection, zero where it has none.
+// RemoteAddr returns the remote address of a connection, or the zero Addr if it has none.
 func Address(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr().Unmap()
@@ -35,7 +36,8 @@
 	return netip.Addr{}
 }
 
-// hint is what a client says that its request costs, in seconds; 0 where it says nothing that makes sense.
+// costHint returns the expected cost of a request, in seconds, as its client gives it; 0 if it gives none or no valid
+// one.
 func costHint(h stdhttp.Header) float64 {
 	us, err := strconv.ParseFloat(h.Get("X-Cost-Hint"), 64)
 	if err != nil || !(us > 0 && us < 3.6e9) {
--- /dev/null
+++ b/internal/front/http/front.go
@@ -0,0 +1,712 @@
+// Package http is the front for clients that speak HTTP/1.1, over any kind of connection: it reads requests, passes them
+// to the core and writes the final responses.
+package http
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	stdhttp "net/http"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"portstall/internal/core"
+	"portstall/internal/flow"
+	"portstall/internal/message"
+)
+
+const (
+	maxRequestIDLength = 256 // bytes
+
+	// HeadTimeout is the time for a request's head to arrive: for the first request from the start of the connection, for later
+	// ones from their first byte. A client must receive an error or a close within 3 s of connecting, whatever it sends.
+	HeadTime = 2500 * time.Millisecond
+	// BodyStallTimeout is how long a client may pause within a body.
+	BodyStall = 2 * time.Second
+	// bodyTimeout is the time for a complete body, in addition to its size divided by minBodyRate.
+	bodyTimeout = 3 * time.Second
+	// minBodyRate is the slowest accepted transfer of a body, in bytes per second.
+	minBodyRate = 32 << 10
+	// budgetTimeout is how long a request may wait for its share of the bytes that bodies may hold.
+	budgetTimeout = time.Second
+	// shortWait is a wait for budget after which the client need not be checked: one that disconnected during the wait did so
+	// just now.
+	shortWait = 50 * time.Millisecond
+	// arrivalTime is the time from a request's first byte within which most of its other bytes arrive.
+	arrivalTime = 50 * time.Millisecond
+	// NewConnGrace is how long a new connection may be silent before it is the first to be evicted: its request usually follows
+	// at once.
+	SilentTime = 200 * time.Millisecond
+	// IdleTimeout is how long a connection without a request stays open. Some clients never close theirs.
+	IdleTime = 5 * time.Second
+	// lateBodyTimeout is the time for the rest of a request that has been responded to already.
+	lateBodyTimeout = 30 * time.Second
+	// lingerTimeout is how long a rejected client may take to read the reason before its connection is reset.
+	lingerTimeout = 100 * time.Millisecond
+	// overloadRetryAfter is when a client may return that found no capacity, or that disconnected before it had any.
+	overloadRetryAfter = 250 * time.Millisecond
+	// maxLingerBytes is how much of a rejected client's further input is read within lingerTimeout.
+	maxLingerBytes = 256 << 10
+)
+
+// Options configures a Front. Its functions are called from many goroutines.
+type Options struct {
+	Core   *core.Core
+	Budget *flow.Budget
+	Limit  int         // maximum number of connections
+	Away   func() bool // reports whether clients are to close their connections and go to another node or process
+	Ready  func() int  // returns the status for GET /ready
+	// Deadline returns the latest time, on the core's clock, for the response to a request that arrives now; 0: the request's own
+	// deadline alone counts.
+	Until func() time.Duration
+	// CheckRequest returns an error if a request's head does not meet the requirements of its class.
+	Fits func(*stdhttp.Request) error
+	// Slack is added to the timeouts of clients, for tests that run many nodes on a busy machine.
+	Slack time.Duration
+}
+
+// Front holds the connections of this node's clients. At the limit a new connection replaces one that carries no
+// request; if there is none, its request is rejected. An eighth beyond the limit further connections wait in the
+// listener's backlog. It is safe for concurrent use.
+type Front struct {
+	Options
+	slots chan struct{} // holds one element per accepted connection; its capacity is the initial limit and an eighth
+
+	mu       sync.Mutex
+	conns    map[*conn]struct{}
+	active   int           // connections and functions that Go runs
+	finished chan struct{} // closed when active becomes 0; nil while nothing waits for that
+}
+
+// conn is one client connection. The fields up to user belong to the goroutine that serves it.
+type conn struct {
+	net.Conn
+	accepted time.Time
+	reader   *bufio.Reader
+	// closeAfterNext is set when the connection exceeds the limit or cannot carry another request: the next response is the
+	// last one, and a request that has not begun is rejected.
+	closeAfterNext bool
+	inputDiscarded bool            // input that the client sent ahead of its response was discarded, and more may arrive
+	clientLeft     <-chan struct{} // closed once the client is seen to disconnect; nil: not watched
+	stopWatch      func() bool     // ends that watch and reports whether input was discarded
+	user           string          // the user that the tunnel was opened for; empty: no tunnel, or one without a user
+
+	// Guarded by Front.mu.
+	requestStart  time.Time // when the first byte of the latest request was seen
+	reading       bool      // a request has been received in part
+	busy          bool      // a request is being responded to
+	streaming     bool      // a large request or response body is being transferred
+	servedRequest bool      // a request has been read
+	lastChange    time.Time // when the connection was accepted, or busy was last set
+	closing       bool      // the connection was evicted, or the node is stopping
+}
+
+// New returns a Front without connections.
+func New(o Options) *Front {
+	return &Front{Options: o, slots: make(chan struct{}, o.Limit+o.Limit/8), conns: map[*conn]struct{}{}}
+}
+
+// Resize sets the maximum number of connections. While there are more, each new connection evicts an idle one.
+func (s *Front) Resize(limit int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Limit = limit
+}
+
+// Accept accepts and serves connections until ln is closed.
+func (s *Front) Accept(ln net.Listener) error {
+	for {
+		s.slots <- struct{}{}
+		socket, err := ln.Accept()
+		if err != nil {
+			<-s.slots
+			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) {
+				time.Sleep(5 * time.Millisecond)
+				continue
+			}
+			return err
+		}
+		s.Go(func() { s.Serve(socket, bufio.NewReaderSize(socket, message.HeadSize), "") })
+	}
+}
+
+// Go runs f in a goroutine that Wait waits for.
+func (s *Front) Go(f func()) {
+	s.mu.Lock()
+	s.active++
+	s.mu.Unlock()
+	go func() {
+		defer func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			if s.active--; s.active == 0 && s.finished != nil {
+				close(s.finished)
+				s.finished = nil
+			}
+		}()
+		f()
+	}()
+}
+
+// Wait returns true once no connection is left and all functions that Go runs have returned; false if ctx ends or d
+// elapses before. New connections may arrive after it has returned.
+func (s *Front) Wait(ctx context.Context, d time.Duration) bool {
+	s.mu.Lock()
+	if s.active == 0 {
+		s.mu.Unlock()
+		return true
+	}
+	if s.finished == nil {
+		s.finished = make(chan struct{})
+	}
+	finished := s.finished
+	s.mu.Unlock()
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-finished:
+		return true
+	case <-ctx.Done():
+	case <-t.C:
+	}
+	return false
+}
+
+// AcquireSlot reserves a slot for one more connection, if one is free. Serve releases it, or ReleaseSlot.
+func (s *Front) Take() bool {
+	select {
+	case s.slots <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+// ReleaseSlot releases a slot that AcquireSlot reserved.
+func (s *Front) Leave() { <-s.slots }
+
+// Serve responds to the requests of one connection until it is closed. The caller holds a slot, which Serve releases.
+// What reader has buffered already is part of the input; its buffer has message.MaxHead bytes. User is the user that a
+// tunnel was opened for, empty for none.
+func (s *Front) Serve(socket net.Conn, reader *bufio.Reader, user string) {
+	c := &conn{Conn: socket, accepted: time.Now(), reader: reader, user: user}
+	c.lastChange = c.accepted
+	s.mu.Lock()
+	if len(s.conns) >= s.Limit {
+		c.closeAfterNext = !s.evictIdle()
+	}
+	s.conns[c] = struct{}{}
+	s.mu.Unlock()
+	s.serveRequests(c)
+	c.Close()
+	s.mu.Lock()
+	delete(s.conns, c)
+	s.mu.Unlock()
+	<-s.slots
+}
+
+// evictIdle closes a connection that carries no request, and reports whether there was one. In order of preference: one
+// that has sent nothing within NewConnGrace, one that a client keeps open after a request, a new one; among equals the one
+// unchanged for longest. A new connection whose request is waiting to be read, or is being read, is not closed. s.mu is
+// held.
+func (s *Front) evictIdle() bool {
+	var candidate *conn
+	bestRank := 3
+	for c := range s.conns {
+		rank := 1
+		if !c.servedRequest {
+			if rank = 0; time.Since(c.accepted) < SilentTime+s.Slack {
+				rank = 2
+			}
+		}
+		if c.busy || rank > bestRank || rank == bestRank && !c.lastChange.Before(candidate.lastChange) {
+			continue
+		}
+		if c.servedRequest && !c.reading || time.Since(c.requestStart) > arrivalTime && flow.Pending(c.Conn) == flow.Nothing {
+			candidate, bestRank = c, rank
+		}
+	}
+	if candidate != nil {
+		s.evict(candidate)
+	}
+	return candidate != nil
+}
+
+// evict removes a connection from those that are counted and ends its reading, so that it closes. A request that has
+// just been read is still responded to. s.mu is held.
+func (s *Front) evict(c *conn) {
+	if !c.closing {
+		c.closing = true
+		delete(s.conns, c)
+		c.SetReadDeadline(time.Unix(1, 0))
+	}
+}
+
+// setReadDeadline bounds the next reads from a connection, unless it is closing. A request that has begun is read
+// completely even then.
+func (s *Front) setReadDeadline(c *conn, t time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !c.closing || c.reading || c.busy {
+		c.SetReadDeadline(t)
+	}
+}
+
+// Abort closes connections at once: those without a large body in transfer, or all.
+func (s *Front) Cut(all bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if all || !c.streaming {
+			c.Close()
+		}
+	}
+}
+
+// CloseIdle closes the connections that carry no request.
+func (s *Front) CloseIdle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if !c.busy && !c.reading && flow.Pending(c.Conn) == flow.Nothing {
+			s.evict(c) // a request that is arriving is still responded to
+		}
+	}
+}
+
+// setBusy records that a request was read (busy) or responded to, and reports whether the connection stays open.
+func (s *Front) setBusy(c *conn, busy bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.busy, c.servedRequest, c.reading, c.streaming, c.lastChange = busy, true, false, false, time.Now()
+	return !c.closing && (busy || !s.Away())
+}
+
+// request is a request that was read. core.Request is nil for GET /ready, which the front responds to itself.
+type request struct {
+	*core.Request
+	httpRequest *stdhttp.Request
+	body        *flow.Upload
+	// windowClosed: the request waited for budget while so much input was unread that the client may have disconnected unseen.
+	windowClosed bool
+}
+
+// rejection is the response to input that is not passed to the core. The connection is closed after it: what follows
+// cannot be told apart from the rest of that request.
+type rejection struct {
+	status     int
+	text       string
+	retryAfter time.Duration // when the client may try again; 0: not specified
+}
+
+// serveRequests responds to the requests of a connection, one after the other.
+func (s *Front) serveRequests(c *conn) {
+	for {
+		r, rejected := s.readRequest(c)
+		if rejected != nil {
+			c.reject(rejected)
+			return
+		}
+		if r == nil {
+			return
+		}
+		if !s.setBusy(c, true) && !s.Away() {
+			c.closeAfterNext = true
+		}
+		if !s.serveRequest(c, r) || !s.setBusy(c, false) {
+			return
+		}
+	}
+}
+
+// serveRequest responds to one request and reports whether the connection stays open.
+func (s *Front) serveRequest(c *conn, r *request) bool {
+	defer s.Budget.RequestDone(r.body.Held())
+	stays := true
+	if !r.body.Whole() {
+		s.markStreaming(c)
+		pumped := make(chan struct{})
+		go func() {
+			defer close(pumped)
+			r.body.Pump(s.timedReader(c, r.httpRequest.Body))
+		}()
+		defer func() {
+			r.body.Drop()
+			if !stays { // the client may still be sending: let it read its response first
+				s.awaitBody(c, pumped)
+			}
+			<-pumped
+		}()
+	}
+	a, ok := s.respond(c, r)
+	if !ok {
+		c.Close() // also ends the pump
+		stays = false
+		return false
+	}
+	early := false // the response came before the end of the request: what follows cannot be told apart from its rest
+	select {
+	case <-r.body.Ended():
+	default:
+		early = true
+	}
+	if a.Stream != nil {
+		s.markStreaming(c)
+	}
+	last := r.httpRequest.Close || c.closeAfterNext || early || s.Away()
+	stays = c.writeResponse(r.httpRequest, a, last) == nil && !last
+	a.release()
+	if r.Request != nil {
+		s.Core.Written(r.Request)
+	}
+	if c.inputDiscarded {
+		c.closeAfterResponse()
+	}
+	return stays
+}
+
+// markStreaming records that a large body is being transferred.
+func (s *Front) markStreaming(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.streaming = true
+}
+
+// awaitBody lets a client finish its request before the connection is closed: closing a connection with unread input
+// resets it, and the client loses the response that it has not read.
+func (s *Front) awaitBody(c *conn, pumped <-chan struct{}) {
+	select {
+	case <-pumped:
+	case <-time.After(lateBodyTimeout):
+		c.Close()
+	}
+}
+
+// readRequest reads the next request, and its body if that is small. Both results are nil if the connection ends
+// without a request, or nobody is left to receive a rejection.
+func (s *Front) readRequest(c *conn) (*request, *rejection) {
+	end := c.accepted.Add(HeadTime + s.Slack)
+	if c.servedRequest {
+		s.setReadDeadline(c, time.Now().Add(IdleTime+s.Slack))
+	} else {
+		s.setReadDeadline(c, end)
+	}
+	if _, err := c.reader.Peek(1); err != nil {
+		return nil, nil
+	}
+	begun := time.Now()
+	if c.servedRequest {
+		end = begun.Add(HeadTime + s.Slack)
+	}
+	s.mu.Lock()
+	c.reading, c.requestStart = true, begun
+	s.mu.Unlock()
+	s.setReadDeadline(c, end) // also if it was evicted as idle right after its first byte
+	head, err := c.peekHead()
+	if err != nil && !time.Now().Before(end) {
+		return nil, &rejection{status: stdhttp.StatusRequestTimeout, text: "the head did not come in time"}
+	}
+	if errors.Is(err, bufio.ErrBufferFull) {
+		return nil, &rejection{status: stdhttp.StatusRequestHeaderFieldsTooLarge, text: "the head is too large"}
+	}
+	if err != nil {
+		return nil, &rejection{status: stdhttp.StatusBadRequest, text: err.Error()}
+	}
+	if hasTwoFramings(head) {
+		// net/http ignores a Content-Length next to Transfer-Encoding. Readers that disagree about the framing allow request
+		// smuggling.
+		return nil, &rejection{status: stdhttp.StatusBadRequest, text: "Content-Length beside Transfer-Encoding"}
+	}
+	req, err := stdhttp.ReadRequest(c.reader)
+	if err != nil {
+		return nil, &rejection{status: stdhttp.StatusBadRequest, text: err.Error()}
+	}
+	r := &request{httpRequest: req}
+	if rejected := s.checkHead(r, c); rejected != nil {
+		return nil, rejected
+	}
+	return r, s.readBody(c, r)
+}
+
+// readBody reads the body of a request if it is small. A large one is passed on as it arrives.
+func (s *Front) readBody(c *conn, r *request) *rejection {
+	req := r.httpRequest
+	held := flow.Need(req.ContentLength)
+	begun := s.Core.Now()
+	ctx, cancel := context.WithTimeout(s.Core.Context(), budgetTimeout+s.Slack)
+	defer cancel()
+	if s.Budget.Request(ctx, held) != nil {
+		return &rejection{status: stdhttp.StatusServiceUnavailable, text: "too many bodies are on their way", retryAfter: budgetTimeout}
+	}
+	var waitedComplete time.Duration // how long the complete request waited here; its client's deadline was running meanwhile
+	if waited := s.Core.Now() - begun; waited > shortWait {
+		r.windowClosed = flow.Shut(c.Conn)
+		// Whether a chunked body has arrived completely is not known: it counts as complete.
+		if req.ContentLength < 0 || int64(c.reader.Buffered()+flow.Unread(c.Conn)) >= req.ContentLength {
+			waitedComplete = waited
+		}
+	}
+	if req.ContentLength != 0 && req.Header.Get("Expect") != "" {
+		c.SetWriteDeadline(time.Now().Add(BodyStall))
+		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error shows up when the body is read
+	}
+	upload, err := flow.NewUpload(s.timedReader(c, req.Body), req.ContentLength)
+	if err != nil {
+		s.Budget.RequestDone(held)
+		return bodyRejection(err)
+	}
+	if upload.Held() < held {
+		s.Budget.RequestDone(held - upload.Held())
+	}
+	if r.body = upload; r.Request != nil {
+		r.Body, r.Arrived = upload, s.Core.Now()
+		if upload.Whole() {
+			r.Arrived -= waitedComplete
+		}
+		if until := s.Until(); until > 0 {
+			r.Patience = min(r.Patience, until-r.Arrived)
+		}
+	}
+	return nil
+}
+
+// bodyRejection returns the rejection for a body that could not be read.
+func bodyRejection(err error) *rejection {
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return &rejection{status: stdhttp.StatusRequestTimeout, text: "the body did not come in time"}
+	case errors.Is(err, message.ErrTooLarge):
+		return &rejection{status: stdhttp.StatusRequestEntityTooLarge, text: fmt.Sprintf("body: over %d bytes", message.Max)}
+	}
+	// Truncated or malformed: the client did not send what it announced.
+	return &rejection{status: stdhttp.StatusBadRequest, text: "body: " + err.Error()}
+}
+
+// timedReader returns a reader of a request's body that fails once the client stalls or is too slow.
+func (s *Front) timedReader(c *conn, body io.Reader) io.Reader {
+	return &timedBody{front: s, conn: c, body: body}
+}
+
+// timedBody reads the body of a request within BodyStallTimeout, bodyTimeout and minBodyRate. It is used by one
+// goroutine at a time.
+type timedBody struct {
+	front    *Front
+	conn     *conn
+	body     io.Reader
+	waited   time.Duration // total time spent waiting for the client
+	received int64         // bytes
+}
+
+func (b *timedBody) Read(p []byte) (int, error) {
+	begun := time.Now()
+	left := bodyTimeout + b.front.Slack + time.Duration(b.received)*time.Second/minBodyRate - b.waited
+	b.front.setReadDeadline(b.conn, begun.Add(min(BodyStall+b.front.Slack, left)))
+	n, err := b.body.Read(p)
+	b.waited += time.Since(begun)
+	if b.received += int64(n); b.received > message.Max {
+		return n, message.ErrTooLarge
+	}
+	return n, err
+}
+
+// peekHead waits until the head of the next request is in the buffer, and returns it as it was sent. Empty lines before
+// it are skipped.
+func (c *conn) peekHead() ([]byte, error) {
+	seen := 0
+	for {
+		text, _ := c.reader.Peek(c.reader.Buffered())
+		if n := len(text) - len(bytes.TrimLeft(text, "\r\n")); n > 0 && seen == 0 {
+			c.reader.Discard(n)
+			continue
+		}
+		if n := headLength(text, max(0, seen-3)); n > 0 {
+			return text[:n], nil
+		}
+		seen = len(text)
+		if _, err := c.reader.Peek(seen + 1); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// headLength returns the length of the head in text, or 0 if its end has not arrived. The search for the end starts at
+// from.
+func headLength(text []byte, from int) int {
+	for i := from; ; i++ {
+		n := bytes.IndexByte(text[i:], '\n')
+		if n < 0 {
+			return 0
+		}
+		i += n
+		if rest := text[i+1:]; bytes.HasPrefix(rest, []byte("\n")) {
+			return i + 2
+		} else if bytes.HasPrefix(rest, []byte("\r\n")) {
+			return i + 3
+		}
+	}
+}
+
+// hasTwoFramings reports whether a head specifies the end of its request in two ways.
+func hasTwoFramings(head []byte) bool {
+	var length, encoding bool
+	for line := range bytes.Lines(head) {
+		name, _, _ := bytes.Cut(line, []byte(":"))
+		name = bytes.TrimSpace(name)
+		length = length || bytes.EqualFold(name, []byte("Content-Length"))
+		encoding = encoding || bytes.EqualFold(name, []byte("Transfer-Encoding"))
+	}
+	return length && encoding
+}
+
+// checkHead returns the rejection of a request whose head is invalid, or nil. It sets core.Request, except for GET
+// /ready.
+func (s *Front) checkHead(r *request, c *conn) *rejection {
+	req := r.httpRequest
+	rejectf := func(status int, format string, args ...any) *rejection {
+		return &rejection{status: status, text: fmt.Sprintf(format, args...)}
+	}
+	bad := stdhttp.StatusBadRequest
+	switch expect := req.Header.Get("Expect"); {
+	case !req.ProtoAtLeast(1, 1):
+		return rejectf(stdhttp.StatusHTTPVersionNotSupported, "only HTTP/1.1 is spoken here")
+	case req.Host == "":
+		return rejectf(bad, "Host: missing")
+	case expect != "" && !strings.EqualFold(expect, "100-continue"):
+		return rejectf(stdhttp.StatusExpectationFailed, "Expect: %q is not known", expect)
+	case req.Method != stdhttp.MethodGet && req.Method != stdhttp.MethodPost:
+		return rejectf(stdhttp.StatusMethodNotAllowed, "a request is a GET or a POST")
+	case req.ContentLength > message.Max:
+		return rejectf(stdhttp.StatusRequestEntityTooLarge, "Content-Length: over %d", message.Max)
+	case req.Method == stdhttp.MethodGet && req.ContentLength != 0:
+		return rejectf(bad, "Content-Length: a GET has no body")
+	case req.Method == stdhttp.MethodPost && req.ContentLength >= 0 && req.Header.Get("Content-Length") == "":
+		return rejectf(stdhttp.StatusLengthRequired, "Content-Length: missing")
+	}
+	for name := range req.Header {
+		if strings.Contains(name, " ") { // net/http accepts it, and does not treat "Transfer-Encoding :" as Transfer-Encoding
+			return rejectf(bad, "%q is no name of a header", name)
+		}
+	}
+	if req.URL.Path == "/ready" {
+		return nil
+	}
+	for _, name := range message.Headers {
+		if len(req.Header[name]) > 1 {
+			return rejectf(bad, "%s: more than one", name)
+		}
+	}
+	h := req.Header
+	r.Request = &core.Request{ID: h.Get("X-Request-Id"), Class: h.Get("X-Class"), Tenant: h.Get("X-Tenant"),
+		Key: h.Get("Idempotency-Key"), Repeat: h.Get("X-Retry") == "1",
+		Hint: costHint(h), Caller: Caller(h, Address(c.Conn), c.user), Message: req,
+		Left: func() bool { return flow.Left(c.Conn) }}
+	if r.ID == "" || len(r.ID) > maxRequestIDLength {
+		return rejectf(bad, "X-Request-Id: missing or too long")
+	}
+	var err error
+	if r.Patience, err = parseDeadline(req.Header.Get("X-Deadline")); err != nil {
+		return rejectf(bad, "X-Deadline: %v", err)
+	}
+	if err := s.Fits(req); err != nil {
+		return rejectf(bad, "%v", err)
+	}
+	return nil
+}
+
+// respond returns exactly one response to a request. False: a rejection was written already, or the client has
+// disconnected.
+func (s *Front) respond(c *conn, r *request) (response, bool) {
+	if r.Request == nil {
+		return response{status: s.Ready()}, true
+	}
+	if c.closeAfterNext { // nothing was sent: rejecting is safe for every class
+		return response{status: stdhttp.StatusServiceUnavailable, Answer: message.Answer{Body: []byte("too many connections\n")},
+			retryAfter: overloadRetryAfter}, true
+	}
+	whole := r.body.Whole()
+	if whole && r.windowClosed && c.discardAndCheckLeft() {
+		return toResponse(core.Answer{Kind: core.Refused, RetryAfter: overloadRetryAfter}), true
+	}
+	if whole {
+		r.Waits = c.watchClient
+	}
+	if !s.Core.Begin(r.Request) {
+		c.stopWatching()
+		c.reject(&rejection{status: stdhttp.StatusConflict, text: "X-Request-Id: a request with this id is open"})
+		return response{}, false
+	}
+	select {
+	case a := <-r.Answer():
+		c.stopWatching()
+		return toResponse(a), true
+	default:
+	}
+	if !whole {
+		select {
+		case a := <-r.Answer():
+			return toResponse(a), true
+		case <-r.body.Ended():
+		}
+		if err := r.body.Err(); err != nil {
+			s.Core.Gone(r.Request)
+			c.reject(bodyRejection(err))
+			return response{}, false
+		}
+	}
+	c.watchClient()
+	a, ok := r.Await(c.clientLeft)
+	c.stopWatching()
+	if !ok {
+		// The client may have closed only its sending side and still wait for the response.
+		c.closeAfterNext, a = true, core.Answer{Kind: core.Failed}
+		if !s.Core.Gone(r.Request) {
+			a = core.Answer{Kind: core.Refused, RetryAfter: overloadRetryAfter}
+		}
+		return toResponse(a), true
+	}
+	return toResponse(a), true
+}
+
+// reject writes the response to invalid input and ends the connection.
+func (c *conn) reject(rejected *rejection) {
+	if c.writeResponse(nil, response{status: rejected.status, retryAfter: rejected.retryAfter,
+		Answer: message.Answer{Body: []byte(rejected.text + "\n")}}, true) != nil {
+		return
+	}
+	c.closeAfterResponse()
+}
+
+// closeAfterResponse ends a connection on which more input may arrive after its last response. Closing a connection
+// with unread input resets it, and the client loses what it has not read.
+func (c *conn) closeAfterResponse() {
+	if t, ok := c.Conn.(*net.TCPConn); ok {
+		t.CloseWrite()
+	}
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.Conn, maxLingerBytes)
+}
+
+// parseDeadline parses a number with its unit: m for milliseconds or u for microseconds.
+func parseDeadline(s string) (time.Duration, error) {
+	unit := time.Millisecond
+	digits, ok := strings.CutSuffix(s, "m")
+	if !ok {
+		unit = time.Microsecond
+		if digits, ok = strings.CutSuffix(s, "u"); !ok {
+			return 0, fmt.Errorf("%q has no unit m or u", s)
+		}
+	}
+	f, err := strconv.ParseFloat(digits, 64)
+	if err != nil || !(f > 0 && f <= 1e12) {
+		return 0, fmt.Errorf("%q is no time", s)
+	}
+	return time.Duration(f * float64(unit)), nil
+}
--- a/internal/front/http/fuzz_test.go
+++ b/internal/front/http/fuzz_test.go
@@ -18,7 +18,7 @@
 	"portstall/policy"
 )
 
-// canned is a client that has said all it ever will.
+// scriptedConn is the connection of a client that sends a fixed text and then ends. What is written to it is recorded.
 type scriptedConn struct {
 	io.Reader
 	written bytes.Buffer
@@ -32,6 +32,7 @@
 func (c *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
+// stubServices is a clock, a sender and a discovery service of which none does anything.
 type stubServices struct{}
 
 func (stubServices) Now() time.Duration                                     { return 1 }
@@ -42,8 +43,8 @@
 func (stubServices) Fetch()                                                 {}
 func (stubServices) Attempt(context.Context, *core.Attempt) (r core.Result) { return r }
 
-// Whatever a client says, in one piece or many: each request that is read has one framing, an id, a time and a body of the
-// length it told; nothing panics, and the budget of bodies is whole again.
+// Any input, in one piece or many: each request that is read has one framing, an id, a timeout and a body of the
+// announced length; nothing panics, and all of the body budget is returned.
 func FuzzRequests(f *testing.F) {
 	const good = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: a\r\nX-Class: save\r\nX-Deadline: 900m\r\n"
 	f.Add([]byte(good+"Content-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n"), 1)
@@ -58,29 +59,31 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Fuzz(func(t *testing.T, text []byte, piece int) {
+	f.Fuzz(func(t *testing.T, text []byte, pieceSize int) {
 		budget := flow.NewBudget(1 << 20)
-		s := New(Options{Until: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1, Away: func() bool { return false }, Ready: func() int { return 200 },
+		s := New(Options{Until: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1,
+			Away: func() bool { return false }, Ready: func() int { return 200 },
 			Fits: func(*stdhttp.Request) error { return nil }})
-		sock := &scriptedConn{Reader: pieceReader{bytes.NewReader(text), max(1, piece&0xff)}}
-		k := &conn{Conn: sock, accepted: time.Now(), reader: bufio.NewReaderSize(sock, message.HeadSize)}
+		socket := &scriptedConn{Reader: pieceReader{bytes.NewReader(text), max(1, pieceSize&0xff)}}
+		k := &conn{Conn: socket, accepted: time.Now(), reader: bufio.NewReaderSize(socket, message.HeadSize)}
 		for range 8 {
-			r, no := s.readRequest(k)
-			if r == nil || no != nil {
+			r, rejected := s.readRequest(k)
+			if r == nil || rejected != nil {
 				break
 			}
 			if r.httpRequest.ContentLength >= 0 && len(r.httpRequest.TransferEncoding) > 0 {
-				t.Errorf("two framings: %v %v", r.httpRequest.ContentLength, r.httpRequest.TransferEncoding)
+				t.Errorf("accepted with two framings: Content-Length %v and Transfer-Encoding %v",
+					r.httpRequest.ContentLength, r.httpRequest.TransferEncoding)
 			}
 			if r.Request != nil && (r.ID == "" || len(r.ID) > maxRequestIDLength || r.Patience <= 0 || r.Body == nil) {
-				t.Errorf("request %+v", r.Request)
+				t.Errorf("accepted without a valid id, timeout or body: %+v", r.Request)
 			}
 			if strings.EqualFold(r.httpRequest.Method, "CONNECT") {
-				t.Error("a CONNECT passes for a request")
+				t.Error("a CONNECT was accepted as a request")
 			}
-			whole := r.body.Whole()
+			complete := r.body.Whole()
 			budget.RequestDone(r.body.Held())
-			if !whole {
+			if !complete {
 				break
 			}
 			k.servedRequest = true
@@ -88,7 +91,7 @@
 	})
 }
 
-// pieces reads so many bytes at a time.
+// pieceReader returns at most size bytes from each read.
 type pieceReader struct {
 	*bytes.Reader
 	size int
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -9,6 +9,8 @@
 	"portstall/internal/message"
 )
 
+// The end of a head is found in CRLF and LF form, also when it arrives byte by byte, and two framings in one head are
+// recognized.
 func TestHeadLengthAndFramings(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -23,13 +25,13 @@
 		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nContent-Length: 3\r\n\r\n", 47, false},
 	} {
 		if n := headLength([]byte(c.text), 0); n != c.end {
-			t.Errorf("%q: ends at %d, want %d", c.text, n, c.end)
+			t.Errorf("%q: head ends at %d, want %d", c.text, n, c.end)
 		} else if two := hasTwoFramings([]byte(c.text[:n])); two != c.two {
-			t.Errorf("%q: two framings %v", c.text, two)
+			t.Errorf("%q: got two framings: %v", c.text, two)
 		}
 		cl := &conn{reader: bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.text)), message.HeadSize)}
 		if head, err := cl.peekHead(); c.end > 0 && string(head) != c.text[:c.end] || (err == nil) != (c.end > 0) {
-			t.Errorf("%q byte by byte: %q, %v", c.text, head, err)
+			t.Errorf("%q byte by byte: got head %q, error %v", c.text, head, err)
 		}
 	}
 }
--- /dev/null
+++ b/internal/front/http/response.go
@@ -0,0 +1,77 @@
+package http
+
+import (
+	"bytes"
+	"io"
+	stdhttp "net/http"
+	"strconv"
+	"time"
+
+	"portstall/internal/core"
+	"portstall/internal/flow"
+	"portstall/internal/message"
+)
+
+// response is what a client receives for one request. Its holder calls release once.
+type response struct {
+	message.Answer
+	status     int
+	retryAfter time.Duration
+	refusal    string // reason of a rejection, for programs: the value of message.RefusalHeader; empty: none
+}
+
+// release returns the bytes that the response holds to their budget.
+func (r *response) release() {
+	if r.Budget != nil {
+		r.Release()
+	}
+}
+
+// toResponse translates a final response of the core into HTTP.
+func toResponse(a core.Answer) response {
+	if a.Kind == core.Served {
+		return response{status: stdhttp.StatusOK, Answer: *a.Payload.(*message.Answer)}
+	}
+	out := response{}
+	if out.status, out.retryAfter, out.refusal = message.Refusal(a); out.refusal != "" {
+		out.Body = []byte("refused: " + a.Rule.Why() + "\n")
+	}
+	return out
+}
+
+// writeResponse sends a response; last: it announces the end of the connection. An error means that the client has
+// disconnected or does not read, or that a large response was interrupted, which the client notices once its connection
+// is closed.
+func (c *conn) writeResponse(req *stdhttp.Request, r response, last bool) error {
+	h := stdhttp.Header{"Date": {time.Now().UTC().Format(stdhttp.TimeFormat)}}
+	if r.Type != "" {
+		h.Set("Content-Type", r.Type)
+	}
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	if r.refusal != "" {
+		h.Set(message.RefusalHeader, r.refusal)
+	}
+	resp := stdhttp.Response{StatusCode: r.status, ProtoMajor: 1, ProtoMinor: 1, Header: h, Request: req, Close: last}
+	if r.Stream != nil {
+		resp.ContentLength = r.Length
+		if resp.ContentLength < 0 {
+			resp.TransferEncoding = []string{"chunked"}
+		}
+		out, body := flow.Writer(flow.Paced{Conn: c.Conn, Stall: flow.WriteStall}, r.Stream)
+		resp.Body = io.NopCloser(body)
+		if err := resp.Write(flow.Plain{Writer: out}); err != nil {
+			return err
+		}
+		return out.Flush()
+	}
+	resp.ContentLength, resp.Body = int64(len(r.Body)), io.NopCloser(bytes.NewReader(r.Body))
+	var b bytes.Buffer
+	b.Grow(512 + len(r.Body))
+	if err := resp.Write(&b); err != nil {
+		return err
+	}
+	_, err := flow.Paced{Conn: c.Conn, Stall: flow.WriteStall}.Write(b.Bytes())
+	return err
+}
--- a/internal/front/http/watch.go
+++ b/internal/front/http/watch.go
@@ -6,16 +6,16 @@
 	"portstall/internal/flow"
 )
 
-// watch begins to look for the client's leaving, unless it is looked for already. The request is whole. Until unwatch nothing else
-// reads from the connection.
+// watchClient starts to watch for the client disconnecting, unless that is being watched already. The request has been
+// read completely. Until stopWatching is called nothing else reads from the connection.
 func (c *conn) watchClient() {
 	if c.clientLeft == nil {
-		c.SetReadDeadline(time.Time{}) // no bound on waiting, also where the connection is to close behind this answer
+		c.SetReadDeadline(time.Time{}) // waiting is unbounded, even if the connection is to be closed after this response
 		c.clientLeft, c.stopWatch = flow.Watch(c.Conn, c.reader, true)
 	}
 }
 
-// unwatch ends the watch, if there is one.
+// stopWatching ends the watch, if there is one.
 func (c *conn) stopWatching() {
 	if c.clientLeft != nil {
 		c.noteDiscarded(c.stopWatch())
@@ -23,17 +23,19 @@
 	}
 }
 
-// gone tells of a client whose window may have been shut while its request waited for room, so that it may have left long ago, whether
-// it has. What it sent ahead is thrown away. The request is whole, and nobody watches.
+// discardAndCheckLeft discards what the client sent ahead and reports whether it has disconnected. It is for a client
+// whose receive window may have been closed while its request waited for budget: it may have left long ago without that
+// being visible. The request has been read completely, and nothing watches the client.
 func (c *conn) discardAndCheckLeft() bool {
-	spilt, ended := flow.Spill(c.Conn, c.reader)
-	c.noteDiscarded(spilt)
+	discarded, ended := flow.Spill(c.Conn, c.reader)
+	c.noteDiscarded(discarded)
 	return ended
 }
 
-// lost notes that a part of what the client sent ahead is: it is to ask for that anew, on another connection.
-func (c *conn) noteDiscarded(spilt bool) {
-	if spilt {
+// noteDiscarded records whether input that the client sent ahead was discarded. The connection is closed then: the
+// client has to send that input again, on another connection.
+func (c *conn) noteDiscarded(discarded bool) {
+	if discarded {
 		c.inputDiscarded, c.closeAfterNext = true, true
 	}
 }
--- a/internal/front/http/watch_test.go
+++ b/internal/front/http/watch_test.go
@@ -18,7 +18,7 @@
 	"portstall/policy"
 )
 
-// heir is a successor that gives its word once the test lets it.
+// stubSuccessor is a successor that replies to a claim once the test provides the verdict.
 type stubSuccessor struct {
 	claimed chan struct{}
 	verdict chan handover.Verdict
@@ -31,24 +31,26 @@
 }
 func (h *stubSuccessor) Ended(string) { h.ended.Add(1) }
 
-// A client that leaves while its request waits for a successor's word is seen to, whatever stands unread behind it: before the request
-// begins, so that no attempt does. What a client that stands sent ahead is not touched for a word that comes at once, nor where it is
-// little.
+// A client that disconnects while its request waits for a successor's reply must be noticed before the request begins,
+// so that no attempt is sent, however much unread input hides the end of the connection. What a client that stays
+// connected sent ahead must not be discarded if the reply comes at once, or if it is little.
 func TestClientThatLeavesDuringSuccessorClaimIsDetected(t *testing.T) {
 	t.Parallel()
-	const patience = 20 * time.Second
+	const testTimeout = 20 * time.Second
 	head := "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: a\r\nX-Class: save\r\nX-Deadline: 900m\r\n\r\n"
 	for _, c := range []struct {
 		name, text string
 		verdict    handover.Verdict
 		leaves     bool
-		told       string
+		status     string // of the response; empty: none
 	}{
-		{"alone", head, handover.Granted, true, ""},
-		{"with more behind it than the kernel takes", head + strings.Repeat(head, 200<<10), handover.Granted, true, ""},
-		{"with more behind it than the kernel takes, open there", head + strings.Repeat(head, 200<<10), handover.Open, true, ""},
-		{"busy there, stands", head + strings.Repeat(head, 20), handover.Busy, false, "503"},
-		{"open there, stands", head + strings.Repeat(head, 20), handover.Open, false, "409"},
+		{"request alone, client leaves, claim granted", head, handover.Granted, true, ""},
+		{"more input than kernel buffers hold, client leaves, claim granted",
+			head + strings.Repeat(head, 200<<10), handover.Granted, true, ""},
+		{"more input than kernel buffers hold, client leaves, id open at successor",
+			head + strings.Repeat(head, 200<<10), handover.Open, true, ""},
+		{"client stays, successor busy", head + strings.Repeat(head, 20), handover.Busy, false, "503"},
+		{"client stays, id open at successor", head + strings.Repeat(head, 20), handover.Open, false, "409"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -62,42 +64,43 @@
 			k.Lock()
 			k.Yield(h)
 			k.Unlock()
-			f := New(Options{Core: k, Budget: flow.NewBudget(1 << 20), Limit: 1, Away: func() bool { return true }, Ready: func() int { return 200 },
+			f := New(Options{Core: k, Budget: flow.NewBudget(1 << 20), Limit: 1,
+				Away: func() bool { return true }, Ready: func() int { return 200 },
 				Until: func() time.Duration { return 0 }, Fits: func(*stdhttp.Request) error { return nil }})
-			far, near, err := standin.Pair()
+			client, server, err := standin.Pair()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer far.Close()
-			far.SetDeadline(time.Now().Add(patience))
-			if n, err := standin.Pour(far, c.text, 64<<10); err != nil || (n < len(c.text)) != (len(c.text) > 1<<20) {
-				t.Fatalf("the kernels took %d bytes of %d: %v", n, len(c.text), err)
+			defer client.Close()
+			client.SetDeadline(time.Now().Add(testTimeout))
+			if n, err := standin.Pour(client, c.text, 64<<10); err != nil || (n < len(c.text)) != (len(c.text) > 1<<20) {
+				t.Fatalf("kernel buffers accepted %d of %d bytes: %v", n, len(c.text), err)
 			}
 			f.Take()
-			f.Go(func() { f.Serve(near, bufio.NewReaderSize(near, message.HeadSize), "") })
+			f.Go(func() { f.Serve(server, bufio.NewReaderSize(server, message.HeadSize), "") })
 			<-h.claimed
 			if c.leaves {
-				far.Close()
-				for end := time.Now().Add(patience); !flow.Left(near); time.Sleep(time.Millisecond) {
+				client.Close()
+				for end := time.Now().Add(testTimeout); !flow.Left(server); time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						t.Error("not seen to leave")
+						t.Error("client's disconnecting was not detected")
 						break
 					}
 				}
 			}
 			h.verdict <- c.verdict
-			if c.told != "" {
-				resp, err := stdhttp.ReadResponse(bufio.NewReader(far), nil)
-				if err != nil || fmt.Sprint(resp.StatusCode) != c.told {
-					t.Errorf("it is told %v, %v, want %s", resp, err, c.told)
+			if c.status != "" {
+				resp, err := stdhttp.ReadResponse(bufio.NewReader(client), nil)
+				if err != nil || fmt.Sprint(resp.StatusCode) != c.status {
+					t.Errorf("response %v, error %v, want status %s", resp, err, c.status)
 				}
-				far.Close()
+				client.Close()
 			}
-			if !f.Wait(t.Context(), patience) {
-				t.Error("its connection stays")
+			if !f.Wait(t.Context(), testTimeout) {
+				t.Error("connection was not closed")
 			}
 			if len(k.Open()) != 0 {
-				t.Error("its request stays")
+				t.Error("request is still open")
 			}
 		})
 	}
--- a/internal/front/tunnel/connect.go
+++ b/internal/front/tunnel/connect.go
@@ -14,52 +14,53 @@
 	"portstall/internal/message"
 )
 
-// maxHead bounds the head of a CONNECT request, in bytes.
+// maxConnectHead bounds the head of a CONNECT request, in bytes.
 const maxConnectHead = 8 << 10
 
-// Connect reads a client's CONNECT request and finds its route. It reads nothing beyond the request's head. An error has been
-// told to the client, with a status; the connection is of no further use. Who calls bounds the time by the connection's
-// deadline. In must have a buffer of at least 8 KiB.
+// Connect reads a client's CONNECT request and finds its route. It reads nothing beyond the request's head. On an error
+// the client has received a status, and the connection is of no further use. The caller bounds the time by the
+// connection's deadline. The buffer of in must have at least 8 KiB.
 func Connect(in *bufio.Reader, out io.Writer, t *Table) (*Request, error) {
-	say := func(status int, headers string) error {
+	respond := func(status int, headers string) error {
 		_, err := fmt.Fprintf(out, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n", status, http.StatusText(status), headers)
 		return err
 	}
 	if err := awaitHead(in); err != nil {
-		say(http.StatusBadRequest, "")
+		respond(http.StatusBadRequest, "")
 		return nil, err
 	}
 	req, err := http.ReadRequest(in)
 	if err != nil {
-		say(http.StatusBadRequest, "")
+		respond(http.StatusBadRequest, "")
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	if req.Method != http.MethodConnect {
-		say(http.StatusMethodNotAllowed, "Allow: CONNECT\r\n")
+		respond(http.StatusMethodNotAllowed, "Allow: CONNECT\r\n")
 		return nil, fmt.Errorf("%w: %s", ErrCommand, req.Method)
 	}
-	if req.ContentLength > 0 || len(req.TransferEncoding) > 0 { // it has no content (RFC 9110, 9.3.6): what follows would be taken for the tunnel's
-		say(http.StatusBadRequest, "")
-		return nil, fmt.Errorf("%w: CONNECT with content", ErrMalformed)
+	// CONNECT has no content (RFC 9110, 9.3.6): what follows would be read as the tunnel's data.
+	if req.ContentLength > 0 || len(req.TransferEncoding) > 0 {
+		respond(http.StatusBadRequest, "")
+		return nil, fmt.Errorf("%w: CONNECT has content", ErrMalformed)
 	}
 	o := &Request{}
 	if !t.AllowsAnonymous() {
 		user, password, ok := parseBasic(req.Header.Get("Proxy-Authorization"))
 		if !ok || !t.Authenticate(user, password) {
-			say(http.StatusProxyAuthRequired, "Proxy-Authenticate: Basic realm=\"portstall\"\r\n")
+			respond(http.StatusProxyAuthRequired, "Proxy-Authenticate: Basic realm=\"portstall\"\r\n")
 			return nil, ErrCredentials
 		}
 		o.User = user
 	}
 	host, portText, err := net.SplitHostPort(req.Host)
-	port, e := strconv.ParseUint(portText, 10, 16)
-	if err != nil || e != nil {
-		say(http.StatusBadRequest, "")
+	port, portErr := strconv.ParseUint(portText, 10, 16)
+	if err != nil || portErr != nil {
+		respond(http.StatusBadRequest, "")
 		return nil, fmt.Errorf("%w: %q is not host:port", ErrMalformed, req.Host)
 	}
 	var ok bool
 	if o.Route, ok = t.Find(host, uint16(port)); !ok {
-		say(http.StatusForbidden, "")
+		respond(http.StatusForbidden, "")
 		return nil, ErrNoRoute
 	}
 	o.reply = func(status int, after time.Duration, reason string) error {
@@ -74,16 +75,16 @@
 		if reason != "" {
 			headers += message.RefusalHeader + ": " + reason + "\r\n"
 		}
-		return say(status, headers)
+		return respond(status, headers)
 	}
 	return o, nil
 }
 
-// wholeHead waits until a head is in the buffer, so that one without an end takes no more memory than the buffer.
+// awaitHead waits until a head is in the buffer, so that one without an end takes no more memory than the buffer.
 func awaitHead(in *bufio.Reader) error {
 	for n := 1; ; n = in.Buffered() + 1 {
 		if n > maxConnectHead {
-			return fmt.Errorf("%w: its head is over %d bytes", ErrMalformed, maxConnectHead)
+			return fmt.Errorf("%w: head exceeds %d bytes", ErrMalformed, maxConnectHead)
 		}
 		if _, err := in.Peek(n); err != nil {
 			return fmt.Errorf("request: %w", err)
@@ -95,7 +96,7 @@
 	}
 }
 
-// basic reads a Basic credential (RFC 7617).
+// parseBasic parses a Basic credential (RFC 7617).
 func parseBasic(header string) (user, password string, ok bool) {
 	scheme, text, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "Basic") {
--- a/internal/front/tunnel/front.go
+++ b/internal/front/tunnel/front.go
@@ -18,49 +18,49 @@
 )
 
 const (
-	openTimeout = 5 * time.Second // a client may take over asking for its tunnel,
-	maxOpening  = 64              // so many may be at it; the next waits to be accepted
+	openTimeout = 5 * time.Second // for a client to request its tunnel, and for the response to reach it
+	maxOpening  = 64              // clients that may be requesting a tunnel at a time; further ones wait to be accepted
 )
 
-// Options are what a front is made of. Its functions are called from many goroutines.
+// Options configures a Front. Its functions are called from many goroutines.
 type Options struct {
 	Core  *core.Core
 	Table *Table
 	Log   *slog.Logger
-	Away  func() bool  // whether clients are sent away
-	Go    func(func()) // runs what is waited for when the node ends
-	Take  func() bool  // takes one of the places for connections, if there is one,
-	Leave func()       // and gives it back
-	// HTTP serves the requests that come through a tunnel, and gives its place back.
+	Away  func() bool  // reports whether clients are to go to another node or process
+	Go    func(func()) // runs a function that is waited for when the node stops
+	Take  func() bool  // reserves a slot for a connection, if one is free
+	Leave func()       // releases the slot
+	// ServeRequests serves the requests that arrive through a tunnel, and releases its slot.
 	HTTP func(conn net.Conn, in *bufio.Reader, user string)
-	// Caller is what the contracts are told of whom an opaque tunnel is for.
+	// Caller returns what the contracts need to know about the client of an opaque tunnel.
 	Caller func(conn net.Conn, user string) contract.Caller
 }
 
-// Front takes in clients that ask for tunnels. It is safe for concurrent use.
+// Front accepts clients that request tunnels. It is safe for concurrent use.
 type Front struct {
 	Options
-	opening      chan struct{}
-	requestCount atomic.Uint64
-	idPrefix     string // begins the ids of its requests
+	opening      chan struct{} // holds one element per client that is requesting a tunnel
+	requestCount atomic.Uint64 // numbers the ids of the requests for opaque tunnels
+	idPrefix     string        // begins those ids; differs between processes
 }
 
-// NewFront returns a front.
+// NewFront returns a Front that accepts no clients yet.
 func NewFront(o Options) *Front {
 	return &Front{Options: o, opening: make(chan struct{}, maxOpening), idPrefix: fmt.Sprintf("tunnel/%x/", time.Now().UnixNano())}
 }
 
-// Opener reads what a client asks for: SOCKS5 or Connect.
+// RequestReader reads which tunnel a client requests. SOCKS5 and Connect are RequestReaders.
 type Opener func(*bufio.Reader, io.Writer, *Table) (*Request, error)
 
-// Accept takes clients in until ln is closed.
+// Accept accepts clients until ln is closed.
 func (f *Front) Accept(ln net.Listener, read Opener) {
 	for {
 		conn, err := ln.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // out of descriptors, most likely
+		case err != nil: // most likely out of file descriptors
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -74,7 +74,7 @@
 			case o.Route.Opaque && f.serveOpaque(conn, in, o):
 				conn.Close()
 				f.Leave()
-			case o.Accept() != nil: // for requests, or so by now
+			case o.Accept() != nil: // the route is for requests, or has become so meanwhile
 				conn.Close()
 				f.Leave()
 			default:
@@ -85,14 +85,14 @@
 	}
 }
 
-// open lets a client ask for its tunnel. Nil: it was told that there is none, as far as that can be told. Else a place is
-// taken for it.
+// readRequest reads which tunnel a client requests, and reserves a slot for it. Nil: the tunnel was refused, and the
+// client was notified as far as its protocol allows.
 func (f *Front) readRequest(conn net.Conn, read Opener) (*bufio.Reader, *Request) {
 	conn.SetDeadline(time.Now().Add(openTimeout))
 	in := bufio.NewReaderSize(conn, message.HeadSize)
 	o, err := read(in, conn, f.Table)
 	if err != nil {
-		f.Log.Info("no tunnel was opened", "client", conn.RemoteAddr(), "err", err)
+		f.Log.Info("tunnel request failed", "client", conn.RemoteAddr(), "err", err)
 		return nil, nil
 	}
 	if f.Away() || !f.Take() {
@@ -102,8 +102,8 @@
 	return in, o
 }
 
-// carry makes an opaque tunnel a request of its own: its final answer is the reply to the client, and what follows is the
-// tunnel's life. False: its route is for requests by now, and the client was told nothing.
+// serveOpaque handles an opaque tunnel as one request: the request's final response is the reply to the client, and the
+// tunnel's lifetime follows. False: the route has changed to one for requests, and the client has received nothing.
 func (f *Front) serveOpaque(conn net.Conn, in *bufio.Reader, o *Request) bool {
 	r := f.beginRequest(conn, o)
 	if r == nil {
@@ -113,9 +113,9 @@
 	return true
 }
 
-// begin hands the core a request for an opaque tunnel. Its route is that of the moment in which its contract and its cell are
-// looked up: one that has changed since the client named it is looked up anew. Nil: the client was told that there is none, unless
-// its route is not opaque any more.
+// beginRequest passes a request for an opaque tunnel to the core. The route must be the current one when the request's
+// contract and cell are looked up: if it has changed since the client named it, it is looked up again. Nil: the tunnel
+// was refused and the client notified, unless the route is no longer opaque.
 func (f *Front) beginRequest(conn net.Conn, o *Request) *core.Request {
 	caller := f.Caller(conn, o.User)
 	for {
@@ -123,28 +123,29 @@
 		stream := &message.Stream{Limits: route.Limits}
 		r := &core.Request{ID: fmt.Sprint(f.idPrefix, f.requestCount.Add(1)), Class: route.Class, Tenant: caller.Tenant, Caller: caller,
 			Arrived: f.Core.Now(), Patience: openTimeout, Body: stream, Message: stream, Left: func() bool { return flow.Left(conn) }}
-		now, there := route, true
+		current, exists := route, true
 		r.Holds = func() bool {
-			now, there = f.Table.Find(route.Host, route.Port)
-			return there && now == route
+			current, exists = f.Table.Find(route.Host, route.Port)
+			return exists && current == route
 		}
 		switch {
 		case f.Core.Begin(r):
 			return r
-		case !there:
+		case !exists:
 			o.Refuse(http.StatusForbidden, 0, "")
 			return nil
-		case now == route: // no other request has its id
+		case current == route: // the core cannot accept it; no other request has its id
 			o.Refuse(http.StatusServiceUnavailable, time.Second, "")
 			return nil
 		}
-		if o.Route = now; !now.Opaque {
+		if o.Route = current; !current.Opaque {
 			return nil
 		}
 	}
 }
 
-// stand waits for a request's final answer and, where that is a tunnel, lets it live.
+// respondAndRelay waits for a request's final response, replies to the client and, if the tunnel is established, relays
+// until it ends.
 func (f *Front) respondAndRelay(conn net.Conn, in *bufio.Reader, o *Request, r *core.Request) {
 	a, ok := f.awaitResponse(conn, in, r)
 	if !ok {
@@ -168,12 +169,13 @@
 	a.Payload.(message.Tunnel).Relay(conn, in)
 }
 
-// await waits for the final answer. Not ok: the client has left before it, and the core knows.
+// awaitResponse waits for the final response. Not ok: the client has disconnected before it, and the core has been
+// notified.
 func (f *Front) awaitResponse(conn net.Conn, in *bufio.Reader, r *core.Request) (core.Answer, bool) {
 	conn.SetDeadline(time.Time{})
-	// What it sends ahead of the reply stays unread, here or in the socket.
-	end, stop := flow.Watch(conn, in, false)
-	a, ok := r.Await(end)
+	// What the client sends before the reply stays unread, in the reader or in the socket.
+	clientLeft, stop := flow.Watch(conn, in, false)
+	a, ok := r.Await(clientLeft)
 	if !ok {
 		f.Core.Gone(r)
 		return core.Answer{}, false
--- a/internal/front/tunnel/front_test.go
+++ b/internal/front/tunnel/front_test.go
@@ -15,7 +15,7 @@
 	"portstall/policy"
 )
 
-// nothing is a back and a roster that know no server.
+// stubServices is a clock, a sender and a discovery service that know no web server.
 type stubServices struct{}
 
 func (stubServices) Attempt(context.Context, *core.Attempt) core.Result { return core.Result{} }
@@ -25,25 +25,25 @@
 func (stubServices) Now() time.Duration                                 { return time.Duration(time.Now().UnixNano()) }
 func (stubServices) AfterFunc(d time.Duration, f func())                { time.AfterFunc(d, f) }
 
-// A route that changes between the client's opening and the moment in which the core takes the request is looked up anew: the request
-// has the class and the limits of the new one, or the client is told that there is none.
+// A route that changes between the client's request and the moment in which the core accepts it must be looked up
+// again: the request gets the class and limits of the new route, or the client is refused.
 func TestRouteChangedBeforeRequestBeginsIsLookedUpAgain(t *testing.T) {
 	before := Route{Host: "a.example.org", Port: 7, Service: "s", Opaque: true, Class: "view"}
 	other := before
 	other.Class, other.Limits.Idle = "buy", time.Minute
 	plain := Route{Host: before.Host, Port: before.Port, Service: "s"}
 	for _, k := range []struct {
-		name   string
-		change Change
-		class  string // of the request that is taken; empty: none is
-		told   string
-		opaque bool
+		name     string
+		change   Change
+		class    string // of the request that the core accepts; empty: none is accepted
+		response string // to the client; empty: none
+		opaque   bool
 	}{
-		{"it stays", Change{}, "view", "", true},
-		{"another one changes", Change{Put: []Route{{Host: "b.example.org", Port: 7, Service: "s"}}}, "view", "", true},
-		{"another class", Change{Put: []Route{other}}, "buy", "", true},
-		{"it goes", Change{Gone: []string{"a.example.org:7"}}, "", "HTTP/1.1 403 ", true},
-		{"for requests now", Change{Put: []Route{plain}}, "", "", false},
+		{"route unchanged", Change{}, "view", "", true},
+		{"another route added", Change{Put: []Route{{Host: "b.example.org", Port: 7, Service: "s"}}}, "view", "", true},
+		{"class changed", Change{Put: []Route{other}}, "buy", "", true},
+		{"route removed", Change{Gone: []string{"a.example.org:7"}}, "", "HTTP/1.1 403 ", true},
+		{"no longer opaque", Change{Put: []Route{plain}}, "", "", false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{
@@ -58,9 +58,9 @@
 				t.Fatal(err)
 			}
 			f := NewFront(Options{Core: c, Table: table, Caller: func(net.Conn, string) contract.Caller { return contract.Caller{Tenant: "t"} }})
-			var said bytes.Buffer
+			var written bytes.Buffer
 			in := bufio.NewReaderSize(strings.NewReader("CONNECT a.example.org:7 HTTP/1.1\r\nHost: a.example.org:7\r\n\r\n"), maxConnectHead)
-			o, err := Connect(in, &said, table)
+			o, err := Connect(in, &written, table)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -69,10 +69,10 @@
 			c.Unlock()
 			r := f.beginRequest(nil, o)
 			if (r != nil) != (k.class != "") || r != nil && r.Class != k.class || o.Route.Opaque != k.opaque {
-				t.Errorf("taken: %+v by %+v, want class %q", r, o.Route, k.class)
+				t.Errorf("accepted %+v by route %+v, want class %q", r, o.Route, k.class)
 			}
-			if !strings.HasPrefix(said.String(), k.told) || k.told == "" && said.Len() > 0 {
-				t.Errorf("told %q, want %q", said.String(), k.told)
+			if !strings.HasPrefix(written.String(), k.response) || k.response == "" && written.Len() > 0 {
+				t.Errorf("response %q, want %q", written.String(), k.response)
 			}
 			if r != nil && o.Route.Class != r.Class {
 				t.Errorf("the request is of class %q, the route of %q", r.Class, o.Route.Class)
--- a/internal/front/tunnel/routes.go
+++ b/internal/front/tunnel/routes.go
@@ -1,6 +1,6 @@
-// Package tunnel is the clients' side of tunnels: it speaks SOCKS5 (RFC 1928, RFC 1929) and HTTP CONNECT (RFC 9110, 9.3.6)
-// up to the point where a tunnel stands, and knows which names may be asked for. What then comes through the tunnel is the
-// business of whoever it is handed to. It decides nothing about web servers.
+// Package tunnel is the client side of tunnels: it speaks SOCKS5 (RFC 1928, RFC 1929) and HTTP CONNECT (RFC 9110, 9.3.6)
+// until a tunnel is established, and holds the names that clients may request. What then arrives through the tunnel is
+// handled by the functions in Options. It makes no decision about web servers.
 package tunnel
 
 import (
@@ -15,25 +15,28 @@
 	"portstall/internal/message"
 )
 
-// Route is what a client may ask for by name and port. There is no route to an address: this is no open proxy.
+// Route is a destination that a client may request by name and port. There are no routes to addresses: this is not an
+// open proxy.
 type Route struct {
-	Host    string // lower case, without a dot at its end
+	Host    string // lower case, without a trailing dot
 	Port    uint16
 	Service string
 
-	Opaque bool // the tunnel itself is the request,
-	Class  string
-	Limits message.Limits // and lives within these
+	Opaque bool           // the tunnel itself is one request; else HTTP requests arrive through it
+	Class  string         // of an opaque tunnel's request
+	Limits message.Limits // of an opaque tunnel's lifetime
 }
 
-// Table holds the routes and the users. It is safe for concurrent use; a change of its routes is seen whole or not at all.
+// Table holds the routes and the users. It is safe for concurrent use. A lookup sees a change of the routes completely
+// or not at all.
 type Table struct {
-	users map[string][sha256.Size]byte // never changed
+	users map[string][sha256.Size]byte // SHA-256 of the password by user; not changed after NewTable
 
 	mu     sync.RWMutex
 	routes map[address]Route
 }
 
+// address is the key of a route: a normalized host and a port.
 type address struct {
 	host string
 	port uint16
@@ -41,42 +44,43 @@
 
 func (a address) String() string { return fmt.Sprintf("%s:%d", a.host, a.port) }
 
-// NewTable makes a table. With no users nobody has to show a password. An error names the route or user at fault.
+// NewTable returns a table. Without users no password is required. An error names the route at fault.
 func NewTable(routes []Route, users map[string][sha256.Size]byte) (*Table, error) {
 	t := &Table{routes: make(map[address]Route, len(routes)), users: users}
 	for i, r := range routes {
-		at := r.normalize()
+		key := r.normalize()
 		if field, why := r.Check(); field != "" {
 			return nil, fmt.Errorf("routes[%d].%s: %s", i, field, why)
 		}
-		if _, dup := t.routes[at]; dup {
-			return nil, fmt.Errorf("routes[%d].host: there is a route to %s already", i, at)
+		if _, dup := t.routes[key]; dup {
+			return nil, fmt.Errorf("routes[%d].host: duplicate route to %s", i, key)
 		}
-		t.routes[at] = r
+		t.routes[key] = r
 	}
 	return t, nil
 }
 
-// normal brings a route's host into the form in which it is looked up.
+// normalize brings a route's host into the form in which it is looked up, and returns the route's key.
 func (r *Route) normalize() address {
 	r.Host = strings.ToLower(strings.TrimSuffix(r.Host, "."))
 	return address{r.Host, r.Port}
 }
 
-// Name is what a route is called: host:port, with the host in lower case and without a dot at its end.
+// Name returns the name of a route: host:port, with the host in lower case and without a trailing dot.
 func (r *Route) Name() string {
-	at := *r
-	return at.normalize().String()
+	copied := *r
+	return copied.normalize().String()
 }
 
-// Check reports the first field that makes no sense, by the name that files give it.
+// Check returns the first invalid field, by its name in files, and the reason. An empty field means that the route is
+// valid.
 func (r *Route) Check() (field, why string) {
 	host := strings.TrimSuffix(r.Host, ".")
 	if _, err := netip.ParseAddr(strings.Trim(host, "[]")); err == nil {
-		return "host", fmt.Sprintf("%q is an address; a route is to a name", host)
+		return "host", fmt.Sprintf("%q is an address; a route needs a host name", host)
 	}
 	if host == "" || len(host) > 255 || strings.ContainsAny(host, " \r\n\t/:") {
-		return "host", fmt.Sprintf("%q is no name", host)
+		return "host", fmt.Sprintf("%q is not a host name", host)
 	}
 	if r.Port == 0 {
 		return "port", "missing"
@@ -84,16 +88,17 @@
 	return "", ""
 }
 
-// Change is what becomes of the routes. It costs by what is in it, not by what there is. Tunnels that stand already go on.
+// Change is a change of the routes. Its cost depends on its own size, not on the number of routes. Established tunnels
+// are not affected.
 type Change struct {
-	Put  []Route  // new ones, or those of an address that is there in place of what they were
-	Gone []string // as Route.Name has it; one that is not there is of no interest
+	Put  []Route  // routes to add, or to replace the one of the same address
+	Gone []string // names of routes to remove (Route.Name); unknown ones are ignored
 }
 
-// ChangeError is what is wrong with a change.
+// ChangeError is the reason why a change is invalid.
 type ChangeError struct {
 	Name  string // of the route at fault
-	Field string // empty: the route as a whole
+	Field string // of the route; empty: the route itself is at fault
 	Why   string
 }
 
@@ -104,7 +109,8 @@
 	return fmt.Sprintf("route %q: %s: %s", e.Name, e.Field, e.Why)
 }
 
-// Check tells whether a change makes sense: what it puts is sound and put once. It changes nothing. An error is a *ChangeError.
+// Check reports whether a change is valid: each route that it puts is valid and is named only once. It does not change
+// the table. An error is a *ChangeError.
 func (t *Table) Check(c *Change) error {
 	named := make(map[string]bool, len(c.Put)+len(c.Gone))
 	for _, name := range c.Gone {
@@ -117,14 +123,14 @@
 			return &ChangeError{name, field, why}
 		}
 		if named[name] {
-			return &ChangeError{name, "", "is put twice, or both put and gone"}
+			return &ChangeError{name, "", "is put twice, or both put and removed"}
 		}
 		named[name] = true
 	}
 	return nil
 }
 
-// Change puts a change in force, whole for whoever looks up; it must have been checked (Check).
+// ApplyChange applies a change, which must have passed Check. Lookups see all of it or nothing.
 func (t *Table) Change(c *Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,12 +140,12 @@
 		}
 	}
 	for _, r := range c.Put {
-		at := r.normalize()
-		t.routes[at] = r
+		key := r.normalize()
+		t.routes[key] = r
 	}
 }
 
-// parseName takes a route's name apart.
+// parseName splits a route's name.
 func parseName(name string) (host string, port uint16, ok bool) {
 	i := strings.LastIndexByte(name, ':')
 	if i < 0 {
@@ -149,7 +155,7 @@
 	return name[:i], uint16(n), err == nil
 }
 
-// Find is the route to a name and port.
+// Find returns the route to a host and port.
 func (t *Table) Find(host string, port uint16) (Route, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -157,17 +163,18 @@
 	return r, ok
 }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (t *Table) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return len(t.routes)
 }
 
-// Open tells whether anybody may come in without a password.
+// AllowsAnonymous reports whether tunnels may be requested without a password.
 func (t *Table) AllowsAnonymous() bool { return len(t.users) == 0 }
 
-// Knows tells whether a user showed the right password. It takes as long for a user that is not known.
+// Authenticate reports whether a password is the user's. An unknown user takes as long as a known one, so that the time
+// does not reveal which users exist.
 func (t *Table) Authenticate(user, password string) bool {
 	want, ok := t.users[user]
 	got := sha256.Sum256([]byte(password))
--- a/internal/front/tunnel/socks5.go
+++ b/internal/front/tunnel/socks5.go
@@ -11,56 +11,60 @@
 	"time"
 )
 
-// Reply codes of SOCKS5 (RFC 1928, 6).
+// Values of the SOCKS5 protocol (RFC 1928; the password's are of RFC 1929).
 const (
-	replySucceeded                = 0
-	replyServerFailure            = 1 // of the server: it leaves, or has no room
-	replyNotAllowed               = 2 // by the routes or the contracts
-	replyConnectionRefused        = 5 // no server takes the connection
-	replyCommandNotSupported      = 7
-	replyAddressTypeNotSupported  = 8
-	methodNone                    = 0x00
-	methodPassword                = 0x02 // RFC 1929
-	methodNoneAcceptable          = 0xff
+	replySucceeded               = 0
+	replyServerFailure           = 1 // the node is stopping, or is at its limit
+	replyNotAllowed              = 2 // by the routes or the contracts
+	replyConnectionRefused       = 5 // no web server accepted the connection
+	replyCommandNotSupported     = 7
+	replyAddressTypeNotSupported = 8
+
+	methodNone           = 0x00
+	methodPassword       = 0x02
+	methodNoneAcceptable = 0xff
+
 	socksVersion, passwordVersion = 5, 1
 )
 
-// Errors of clients. Each has been told to the client as far as its protocol lets that be told.
+// Errors of clients. Each has been reported to the client as far as its protocol allows.
 var (
-	ErrVersion     = errors.New("not SOCKS5")
-	ErrAuthMethod  = errors.New("no method of authentication that is spoken here")
+	ErrVersion     = errors.New("unsupported SOCKS version")
+	ErrAuthMethod  = errors.New("no acceptable authentication method")
 	ErrCredentials = errors.New("wrong user or password")
-	ErrCommand     = errors.New("only CONNECT is done here")
-	ErrNoRoute     = errors.New("there is no route to that name")
-	ErrLeaving     = errors.New("no tunnel is opened now")
-	ErrMalformed   = errors.New("the request can't be read")
+	ErrCommand     = errors.New("only the CONNECT command is supported")
+	ErrNoRoute     = errors.New("no route to the requested name")
+	ErrLeaving     = errors.New("no tunnels are opened now")
+	ErrMalformed   = errors.New("malformed request")
 )
 
-// Opening is a client that asks for a tunnel and has not been answered.
+// Request is a client's request for a tunnel, to which nothing has been replied. At most one of Accept and Refuse is
+// called.
 type Request struct {
 	Route Route
-	User  string // empty where no password is asked for
+	User  string // empty if no password is required
 	reply func(status int, after time.Duration, reason string) error
 }
 
-// Accept tells the client that its tunnel stands.
+// Accept tells the client that its tunnel is established.
 func (o *Request) Accept() error { return o.reply(http.StatusOK, 0, "") }
 
-// Refuse tells it that none is to be had, by HTTP's status and what goes with it. SOCKS5 has a byte for all of that.
+// Refuse tells the client that it gets no tunnel: an HTTP status, when to retry (0: not specified) and the reason for
+// programs. SOCKS5 maps the status to a reply code and drops the rest.
 func (o *Request) Refuse(status int, after time.Duration, reason string) error {
 	return o.reply(status, after, reason)
 }
 
 // SOCKS5 reads a client's greeting, password and request, and finds its route. It reads nothing beyond the request. An
-// error has been told to the client; the connection is of no further use. Who calls bounds the time by the connection's
-// deadline.
+// error has been reported to the client; the connection is of no further use. The caller bounds the time by the
+// connection's deadline.
 func SOCKS5(in *bufio.Reader, out io.Writer, t *Table) (*Request, error) {
 	var head [2]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return nil, fmt.Errorf("greeting: %w", err)
 	}
 	if head[0] != socksVersion {
-		return nil, ErrVersion // a reply would not be understood
+		return nil, ErrVersion // the client would not understand a reply
 	}
 	methods := make([]byte, head[1])
 	if _, err := io.ReadFull(in, methods); err != nil {
@@ -97,7 +101,7 @@
 		o.User = user
 	}
 	reply := func(code byte) error {
-		// The address that the node uses towards web servers is nobody's business: all noughts, as is common.
+		// The address that the node uses towards web servers is not disclosed: all zeros, as is common.
 		_, err := out.Write([]byte{socksVersion, code, 0, 1, 0, 0, 0, 0, 0, 0})
 		return err
 	}
@@ -145,12 +149,12 @@
 
 // readPassword reads a user and a password (RFC 1929, 2).
 func readPassword(in *bufio.Reader) (user, password string, err error) {
-	v, err := in.ReadByte()
+	version, err := in.ReadByte()
 	if err != nil {
 		return "", "", fmt.Errorf("password: %w", err)
 	}
-	if v != passwordVersion {
-		return "", "", fmt.Errorf("%w: version %d of the password", ErrMalformed, v)
+	if version != passwordVersion {
+		return "", "", fmt.Errorf("%w: password version %d", ErrMalformed, version)
 	}
 	for _, s := range []*string{&user, &password} {
 		if *s, err = readString(in); err != nil {
@@ -160,7 +164,7 @@
 	return user, password, nil
 }
 
-// readText reads a length and so many bytes.
+// readString reads a one-byte length and that many bytes.
 func readString(in *bufio.Reader) (string, error) {
 	n, err := in.ReadByte()
 	if err != nil {
@@ -173,10 +177,11 @@
 	return string(b), nil
 }
 
-// readHost reads what is asked for; an address is given as text, which no route has.
-func readHost(in *bufio.Reader, kind byte) (host string, known bool, err error) {
+// readHost reads the requested host. An address is returned as text, which matches no route. Known is false for an
+// unknown address type.
+func readHost(in *bufio.Reader, addressType byte) (host string, known bool, err error) {
 	size := 0
-	switch kind {
+	switch addressType {
 	case 1:
 		size = net.IPv4len
 	case 4:
