--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,79 +1,107 @@
-// Package handover decides which of a node's processes serves its clients while one replaces another. It is a state machine
-// without I/O or clock: what happens is told to it, what it wants goes to an Env. Its messages are carried by
-// internal/upgrade, and all their interleavings, with a crash at each step, are played in its test.
+// Package handover decides which of a node's processes serves its clients while one replaces another. It is a state
+// machine without I/O or clock: events are passed to it, and its effects go to an Env. Its messages are carried by
+// internal/upgrade. Its test explores all interleavings of the messages, with a crash at each step.
 //
-// One process at a time holds the token, and only that one takes clients. The kernel takes the token from a process that ends,
-// however it ends, so that a process which can have it knows that no other serves. A predecessor that has let the token go keeps
-// its listener until its own end, and takes the node back when its successor ends before or after it has confirmed.
+// One process at a time holds the token, and only that one accepts clients. The kernel releases the token of a process
+// that exits, however it exits, so that a process which obtains it knows that no other one serves. A predecessor that
+// has released the token keeps its listener open until it exits, and adopts the clients again if its successor exits,
+// before or after confirming.
 //
-// The token bears a number, which whoever has it raises when it takes it and when it lets it go for a successor. A successor takes
-// it only with the number that it was told: one that reads an old Yours late, when its predecessor has taken the node back and let it go again, would
-// else serve without knowing what came between.
+// The token has a number, which its holder raises when it takes the token and when it releases it for a successor. A
+// successor takes the token only with the number that it received. Otherwise one that reads an outdated Transfer late,
+// when its predecessor has retaken the token and released it again, would serve without knowing what happened in
+// between.
 package handover
 
 // Peer names another process at a Machine; 0: none.
 type Peer int
 
-// Message is what the processes tell each other.
+// Message is a message between two processes of a node. Its values are sent to processes of other builds: their order
+// stays.
 type Message uint8
 
 const (
-	State   Message = iota // to a successor: all that it needs to build up
-	Later                  // to a successor: not from this process now; look again who is there
-	Ready                  // to a predecessor: built up, let me have the clients
-	Yours                  // to a successor: nothing more is taken here on its own; here is what has changed since
-	Serving                // to a predecessor: the token is had, clients are taken
+	// State goes to a successor: all that it needs to initialize.
+	State Message = iota
+	// NotServing goes to a successor: this process does not hand over now; search again for the one that serves.
+	Later
+	// Ready goes to a predecessor: the successor is initialized and requests the clients.
+	Ready
+	// Transfer goes to a successor: this process begins no more requests on its own. It carries what has changed since State.
+	Yours
+	// Serving goes to a predecessor: the successor holds the token and accepts clients.
+	Serving
 )
 
-// Phase is how a process stands.
+// Phase is the state of a process in a hand-over.
 type Phase uint8
 
 const (
-	Starting Phase = iota // it has its predecessor's state, or has none, and builds up
-	Seeking               // it looks who serves
-	Asking                // it has said that it is ready
-	Serves                // it has the token, and takes clients
-	Yielding              // its successor was told that clients are its own, and has not confirmed
-	Relieved              // its successor serves; what was taken is finished
+	// Starting: the process has its predecessor's state, or has no predecessor, and initializes.
+	Starting Phase = iota
+	// Searching: it searches for the process that serves.
+	Seeking
+	// Requesting: it has told its predecessor that it is ready.
+	Asking
+	// Active: it holds the token and accepts clients.
+	Serves
+	// Transferring: its successor has been given the clients and has not confirmed.
+	Yielding
+	// Finishing: its successor serves, and it finishes the requests that it has accepted.
+	Relieved
 )
 
 func (p Phase) String() string {
-	return [...]string{"warm", "seeking", "asking", "serves", "yielding", "relieved"}[p]
+	return [...]string{"starting", "searching", "requesting", "active", "transferring", "finishing"}[p]
 }
 
-// yieldTicks is how many ticks a successor has from Yours to Serving before its predecessor tries to take the token back. One
-// that has it keeps it.
+// transferTicks is how many ticks a successor has from Transfer to Serving before its predecessor tries to retake the
+// token. A successor that holds the token keeps it.
 const transferTicks = 20
 
-// Env is what a Machine makes happen. None of it may wait for another process.
+// Env carries out the effects of a Machine. None of its methods may wait for another process.
 type Env interface {
-	Lock() (number uint64, had bool) // takes the token, unless another process has it
-	Mark(number uint64)              // writes that number on the token, which is had
-	Unlock()                         // lets it go
-	Accept(on bool)                  // takes new clients, and is the one that successors find; or takes no more. The listener stays open
-	Yield(to Peer, number uint64)    // from now on asks that process before each new request, and tells it Yours, the number and all that it needs
-	Relieve()                        // sends clients away and finishes what was taken
-	Resume()                         // is alone again: asks nobody, sends no client away
+	// LockToken takes the token and returns its number, unless another process holds it.
+	Lock() (number uint64, held bool)
+	// SetTokenNumber writes a number to the token, which is held.
+	Mark(number uint64)
+	// UnlockToken releases the token.
+	Unlock()
+	// SetAccepting starts or stops accepting clients. A process that starts becomes the one that successors find. The
+	// listener stays open in both cases.
+	Accept(on bool)
+	// TransferTo begins to ask that process before each new request, and sends it Transfer with the number and all that it
+	// needs.
+	Yield(to Peer, number uint64)
+	// FinishRequests begins to close the clients' connections and to finish the requests that were accepted.
+	Relieve()
+	// Resume ends what TransferTo and FinishRequests began: the process decides alone again and keeps its clients.
+	Resume()
+	// Send sends a message without waiting.
 	Tell(to Peer, m Message)
-	// Seek looks for a process that serves, or has served and is not yet over: its State or Later comes by Heard, that there is
-	// none by NoOne. One that is done with its clients but not with their requests must be found: those are still in flight.
+	// Search looks for a process that serves, or that has served and has not exited. Its State or NotServing is passed to
+	// Machine.Received; if there is none, Machine.NoneFound is called. A process that has no clients left but unfinished
+	// requests must be found: their ids are still in use.
 	Seek()
 }
 
-// Machine is the part of one process. Its owner guards it; the zero value is a process without a predecessor.
+// Machine is the hand-over state of one process. Its owner guards it with a lock. The zero value is a process without a
+// predecessor.
 type Machine struct {
 	Phase        Phase
-	Before       Peer // the predecessor
-	Heir         Peer // the successor of one that yields or is relieved; 0 once it has gone
-	Initialized  bool
-	Ends         bool   // it was told to end: it takes no clients again
-	Number       uint64 // of the token, when it was last had or let go here
-	ticksInPhase int    // ticks in the phase
+	Before       Peer   // the predecessor
+	Heir         Peer   // the successor, in the phases Transferring and Finishing; 0 once it has exited
+	Initialized  bool   // the process can serve
+	Ends         bool   // the process was asked to stop: it accepts no clients again
+	Number       uint64 // of the token, when this process last held or released it
+	ticksInPhase int
 }
 
+// enter changes the phase.
 func (m *Machine) enter(p Phase) { m.Phase, m.ticksInPhase = p, 0 }
 
-// Ready tells that the process has built up and can serve. Before that nobody is sought.
+// ReadyToServe records that the process is initialized and can serve. Before that it does not search for other
+// processes.
 func (m *Machine) Ready(env Env) {
 	m.Initialized = true
 	if m.Phase == Starting {
@@ -81,14 +109,15 @@
 	}
 }
 
-// Alone is Ready where no other process of the node can be: it takes the clients.
+// ServeAlone is ReadyToServe for a node without other processes: it accepts clients at once.
 func (m *Machine) Alone(env Env) {
 	m.Initialized = true
 	m.enter(Serves)
 	env.Accept(true)
 }
 
-// ask asks the predecessor for the clients. Without one it looks once more who is there, and takes them if nobody is.
+// requestClients asks the predecessor for the clients. Without a predecessor it searches once more for a process that
+// serves, and accepts clients if there is none.
 func (m *Machine) requestClients(env Env) {
 	if m.Before == 0 {
 		m.enter(Seeking)
@@ -99,20 +128,21 @@
 	env.Tell(m.Before, Ready)
 }
 
+// setTokenNumber records the token's number and writes it to the token.
 func (m *Machine) setTokenNumber(env Env, n uint64) {
 	m.Number = n
 	env.Mark(n)
 }
 
-// take serves if the token can be had, with the number that the predecessor told; 0: none did.
+// takeToken accepts clients if the token is free and has the number that the predecessor sent; 0: none was sent.
 func (m *Machine) takeToken(env Env, number uint64) {
-	n, had := env.Lock()
-	if had && number != 0 && n != number { // it was taken back, and let go anew: for this process or another
+	n, held := env.Lock()
+	if held && number != 0 && n != number { // the predecessor retook and released it again: for this process or another
 		env.Unlock()
-		had = false
+		held = false
 	}
 	switch {
-	case had:
+	case held:
 		m.setTokenNumber(env, n+1)
 		m.enter(Serves)
 		env.Accept(true)
@@ -120,13 +150,13 @@
 			env.Tell(m.Before, Serving)
 		}
 	case m.Before != 0:
-		m.enter(Asking) // the predecessor took it back: it is asked again
+		m.enter(Asking) // the predecessor retook the token: it is asked again
 	default:
 		m.enter(Seeking)
 	}
 }
 
-// Hello takes in that another process asks for the state.
+// StateRequested handles another process's request for the state.
 func (m *Machine) Hello(env Env, from Peer) {
 	if m.Phase == Serves {
 		env.Tell(from, State)
@@ -135,7 +165,7 @@
 	}
 }
 
-// NoOne takes in that nobody was found who serves.
+// NoneFound handles the end of a search that found no process.
 func (m *Machine) NoOne(env Env) {
 	if m.Phase == Seeking {
 		m.Before = 0
@@ -143,7 +173,7 @@
 	}
 }
 
-// Heard takes in a message; the number is of Yours.
+// Received handles a message. The number is that of Transfer.
 func (m *Machine) Heard(env Env, from Peer, what Message, number uint64) {
 	switch what {
 	case State:
@@ -168,7 +198,7 @@
 		m.Heir = from
 		env.Accept(false)
 		m.setTokenNumber(env, m.Number+1)
-		env.Unlock() // before the successor is told: it is to have the token at once
+		env.Unlock() // before the successor is notified: it must find the token free
 		env.Yield(from, m.Number)
 	case Yours:
 		if m.Phase == Asking && from == m.Before {
@@ -182,11 +212,11 @@
 	}
 }
 
-// Gone takes in that another process is gone.
+// PeerExited handles the exit of another process.
 func (m *Machine) Gone(env Env, who Peer) {
 	if who == m.Before {
 		m.Before = 0
-		if m.Phase == Asking { // its state may be old by now: another process can have taken requests meanwhile
+		if m.Phase == Asking { // its state may be outdated: another process may have accepted requests meanwhile
 			m.enter(Seeking)
 			env.Seek()
 		}
@@ -197,38 +227,39 @@
 	}
 }
 
-// takeBack serves again where the successor has ended or never took the token. One that another process took stays there.
+// retakeToken serves again after the successor has exited or never took the token. A token that another process holds
+// stays there.
 func (m *Machine) retakeToken(env Env) {
 	if m.Phase != Yielding && m.Phase != Relieved {
 		return
 	}
-	n, had := env.Lock()
-	if !had {
+	n, held := env.Lock()
+	if !held {
 		return
 	}
-	// The successor has raised the number by one when it took the token, and by one more if it let it go for a third process, which
-	// is to have it unless it ends too.
+	// The successor raised the number by one when it took the token, and by one more if it released it for a third process.
+	// That one may take it, unless it exits too.
 	if n > m.Number+1 && m.ticksInPhase < 2*transferTicks {
 		env.Unlock()
 		return
 	}
 	m.Heir = 0
-	m.setTokenNumber(env, n+1) // what the successor was told of is old from now on, whatever becomes of this process
+	m.setTokenNumber(env, n+1) // the number that the successor received is outdated from now on, even if this process exits
 	m.enter(Serves)
 	env.Resume()
-	if !m.Ends { // else it is there for the next successor alone
+	if !m.Ends { // else the process is only found by the next successor
 		env.Accept(true)
 	}
 }
 
-// Tick is called a few times a second for as long as Unsettled: what did not work is tried again.
+// Tick retries what has not succeeded. It is called a few times a second while NeedsTick.
 func (m *Machine) Tick(env Env) {
 	m.ticksInPhase++
 	switch m.Phase {
 	case Seeking:
 		env.Seek()
 	case Asking:
-		if m.ticksInPhase%transferTicks == 0 { // also where a Yours came too late for the token
+		if m.ticksInPhase%transferTicks == 0 { // also after a Transfer that came too late for the token
 			env.Tell(m.Before, Ready)
 		}
 	case Yielding:
@@ -242,13 +273,14 @@
 	}
 }
 
-// Unsettled tells whether Tick is wanted.
+// NeedsTick reports whether Tick must be called.
 func (m *Machine) Unsettled() bool {
 	return m.Phase == Seeking || m.Phase == Asking || m.Phase == Yielding || m.Phase == Relieved && m.Heir == 0
 }
 
-// Settled tells of a process without successor that it has tried for long enough to take the node back: another one serves.
+// RetakeTimedOut reports, for a process whose successor has exited, whether it has tried to retake the token for long
+// enough: another process serves.
 func (m *Machine) Settled() bool { return m.ticksInPhase > 3*transferTicks }
 
-// End takes in that the process was told to end.
+// Stop records that the process was asked to stop.
 func (m *Machine) End() { m.Ends = true }
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -10,62 +10,64 @@
 	"time"
 )
 
-// world is up to three processes of one node, what they have told each other and not yet read, and the kernel's part: the
-// token, the name by which a process is found, and the end of a connection behind all that was written on it. One id is
-// asked for, again and again, by clients of whichever process takes them.
+// simulation is up to three processes of one node with the messages between them that have not been read, and the
+// kernel's share: the token, the name under which a process is found, and the end of a connection after everything that
+// was written to it. One id is requested again and again, by clients of each process that accepts them.
 type simulation struct {
-	procs        [4]process // from 1 on
-	channels     [4][4][]packet
-	tokenHolder  int // who has it; 0: nobody
+	procs        [4]process     // from index 1 on
+	channels     [4][4][]packet // unread packets, by sender and receiver
+	tokenHolder  int            // 0: none
 	tokenNumber  uint64
-	discoverable int // whom successors find
-	requestsLeft int // requests that clients still make
+	discoverable int // the process that successors find
+	requestsLeft int // requests that clients may still send
 	crashesLeft  int
 	hangsLeft    int
-	ticksLeft    int // that may come before something else does
+	ticksLeft    int // ticks that may still come before another event
 	fault        injectedFault
-	violation    string
+	violation    string // the first violation of an invariant; empty: none
 }
 
-// plant is a fault put in on purpose.
+// injectedFault is a fault in the protocol that the search must find.
 type injectedFault uint8
 
 const (
 	noFault       injectedFault = iota
-	noTokenNumber               // the token bears no number
-	neverAsks                   // a predecessor asks nobody
-	omitsPending                // an id that was asked for is not told of with Yours
-	noLock                      // the token is had by whoever wants it
+	noTokenNumber               // the token has no number
+	neverAsks                   // a predecessor does not ask its successor
+	omitsPending                // an id whose claim is pending is not reported with Transfer
+	noLock                      // any process can take the token
 )
 
+// process is one process of the node.
 type process struct {
 	Machine
 	requestIDs   Ids
 	up           bool
 	hung         bool
 	accepts      bool
-	servedBefore bool // it has taken clients once: they keep connections
-	open         bool // the id is open here, its attempt in flight
-	claimPending bool // its begin waits for the successor's word
+	servedBefore bool // it has accepted clients, which keep their connections
+	open         bool // the id is open here, with its attempt in flight
+	claimPending bool // the begin of the id waits for the successor's reply
 	initialized  bool
 }
 
+// packet is one message between two processes, or the end of the connection (closed).
 type packet struct {
 	closed        bool
 	what          Message
 	number        uint64
-	claim         Verdict // Ask: a claim; Granted, Open, Busy: its answer
+	claim         Verdict // AskFirst: a claim; Granted, AlreadyOpen, Undecided: the reply to one
 	isClaim       bool
-	requestEnded  bool // the id has ended there
-	openHere      bool // with State and Yours: the id is open there, or asked for,
-	openElsewhere bool // or elsewhere as far as is known there
+	requestEnded  bool // the request with the id has ended at the sender
+	openHere      bool // with State and Transfer: the id is open or pending at the sender
+	openElsewhere bool // with State and Transfer: the sender knows the id to be open at another process
 }
 
-const id = "x"
+const id = "x" // the only request id in the simulation
 
 const noDeadline = time.Duration(1 << 60)
 
-// env makes a machine's wishes come true at once, as the kernel does.
+// env carries out a machine's effects at once, as the kernel does.
 type env struct {
 	sim   *simulation
 	index int
@@ -112,7 +114,7 @@
 	e.send(to, packet{what: Yours, number: number, openHere: e.reportsOpen(), openElsewhere: len(e.process().requestIDs.Theirs(0)) > 0})
 }
 
-// knows tells whether a process tells others that the id is open here.
+// reportsOpen reports whether a process tells others that the id is open here.
 func (e env) reportsOpen() bool {
 	return e.process().open || e.process().claimPending && e.sim.fault != omitsPending
 }
@@ -125,7 +127,7 @@
 
 func (e env) Seek() {
 	q := e.sim.discoverable
-	for p := range e.sim.procs { // else whoever has served and is not yet over
+	for p := range e.sim.procs { // else any process that has served and has not exited
 		if !e.sim.procs[q].up && e.sim.procs[p].up && e.sim.procs[p].servedBefore {
 			q = p
 		}
@@ -138,17 +140,17 @@
 	}
 }
 
-// clone is a world that shares nothing with this one.
-func (w *simulation) clone() *simulation {
-	c := *w
+// clone returns a copy that shares no mutable state with s.
+func (s *simulation) clone() *simulation {
+	c := *s
 	for i := range c.procs {
 		c.procs[i].requestIDs.remote, c.procs[i].requestIDs.pending = maps.Clone(c.procs[i].requestIDs.remote), maps.Clone(c.procs[i].requestIDs.pending)
 	}
-	return &c // wires are replaced, never written
+	return &c // channels are replaced, never written
 }
 
-// key tells worlds apart.
-func (w *simulation) key() string {
+// key returns a text that differs between different simulations.
+func (s *simulation) key() string {
 	b := make([]byte, 0, 128)
 	bit := func(all ...bool) {
 		n := byte(0)
@@ -160,8 +162,8 @@
 		}
 		b = append(b, n)
 	}
-	for i := range w.procs {
-		p := &w.procs[i]
+	for i := range s.procs {
+		p := &s.procs[i]
 		if !p.up {
 			b = append(b, 0xff)
 			continue
@@ -171,49 +173,49 @@
 		bit(p.requestIDs.Asks, p.requestIDs.pending[id], held, p.Phase == Yielding && p.ticksInPhase >= transferTicks-1)
 		b = append(b, byte(p.Phase), byte(p.Number), byte(p.Before), byte(p.Heir), byte(t.peer))
 	}
-	for i := range w.channels {
-		for k := range w.channels[i] {
-			for _, l := range w.channels[i][k] {
+	for i := range s.channels {
+		for k := range s.channels[i] {
+			for _, l := range s.channels[i][k] {
 				bit(l.closed, l.isClaim, l.requestEnded, l.openHere, l.openElsewhere)
 				b = append(b, byte(l.what), byte(l.claim), byte(l.number))
 			}
 			b = append(b, 0xfe)
 		}
 	}
-	return string(append(b, byte(w.tokenHolder), byte(w.tokenNumber), byte(w.discoverable), byte(w.requestsLeft), byte(w.crashesLeft), byte(w.hangsLeft), byte(w.ticksLeft)))
+	return string(append(b, byte(s.tokenHolder), byte(s.tokenNumber), byte(s.discoverable), byte(s.requestsLeft), byte(s.crashesLeft), byte(s.hangsLeft), byte(s.ticksLeft)))
 }
 
-// begin lets a request of the id begin at a process, if that may.
-func (w *simulation) beginRequest(p int) {
-	q := &w.procs[p]
+// beginRequest lets a request with the id begin at a process, if it may.
+func (s *simulation) beginRequest(p int) {
+	q := &s.procs[p]
 	switch q.requestIDs.Begin(0, id, q.open) {
 	case Granted:
-		w.sendAttempt(p)
+		s.sendAttempt(p)
 	case Ask:
-		if q.Heir != 0 && w.procs[q.Heir].up {
+		if q.Heir != 0 && s.procs[q.Heir].up {
 			q.claimPending = true
-			env{w, p}.send(q.Heir, packet{isClaim: true, claim: Ask})
+			env{s, p}.send(q.Heir, packet{isClaim: true, claim: Ask})
 		} else {
-			q.requestIDs.Answered(id) // turned away
+			q.requestIDs.Answered(id) // rejected
 		}
 	}
 }
 
-// opens is an attempt's send.
-func (w *simulation) sendAttempt(p int) {
-	for i := range w.procs {
-		if i != p && w.procs[i].up && w.procs[i].open {
-			w.violation = fmt.Sprintf("%d sends the id that %d has in flight", p, i)
+// sendAttempt sends the attempt of the request. It is a violation if another process has one in flight.
+func (s *simulation) sendAttempt(p int) {
+	for i := range s.procs {
+		if i != p && s.procs[i].up && s.procs[i].open {
+			s.violation = fmt.Sprintf("process %d sends the id that process %d has in flight", p, i)
 		}
 	}
-	w.procs[p].open = true
+	s.procs[p].open = true
 }
 
-// read lets a process take in the next letter from another one.
-func (w *simulation) receive(to, from int) {
-	l := w.channels[from][to][0]
-	w.channels[from][to] = w.channels[from][to][1:]
-	p, e := &w.procs[to], env{w, to}
+// receive lets a process handle the next packet from another one.
+func (s *simulation) receive(to, from int) {
+	l := s.channels[from][to][0]
+	s.channels[from][to] = s.channels[from][to][1:]
+	p, e := &s.procs[to], env{s, to}
 	switch {
 	case l.closed:
 		p.requestIDs.Gone(Peer(from))
@@ -231,7 +233,7 @@
 			p.claimPending = false
 			p.requestIDs.Answered(id)
 			if l.claim == Granted {
-				w.sendAttempt(to)
+				s.sendAttempt(to)
 			}
 		}
 	default:
@@ -248,110 +250,110 @@
 	}
 }
 
-// kill ends a process. Its token is free and its connections end behind what was written; which of the two is noticed first
-// is open, as nobody looks for the token without a reason.
-func (w *simulation) crash(p int) {
-	w.procs[p].up = false
-	if w.tokenHolder == p {
-		w.tokenHolder = 0
+// crash ends a process. Its token becomes free and its connections end after what was written. Which of the two another
+// process notices first is open, as nobody checks the token without a reason.
+func (s *simulation) crash(p int) {
+	s.procs[p].up = false
+	if s.tokenHolder == p {
+		s.tokenHolder = 0
 	}
-	for q := range w.procs {
-		if q != p && w.procs[q].up {
-			w.channels[p][q] = append(slices.Clone(w.channels[p][q]), packet{closed: true})
+	for q := range s.procs {
+		if q != p && s.procs[q].up {
+			s.channels[p][q] = append(slices.Clone(s.channels[p][q]), packet{closed: true})
 		}
-		w.channels[q][p] = nil
+		s.channels[q][p] = nil
 	}
 }
 
-// end is a process's own end, once a successor serves and nothing is left to do here.
-func (w *simulation) mayExit(p int) bool {
-	q := &w.procs[p]
-	before := q.Before != 0 && w.procs[q.Before].up // it answers claims of its own predecessor
-	return q.Phase == Relieved && q.Heir != 0 && !q.open && !q.claimPending && !before
+// mayExit reports whether a process may exit by itself: its successor serves and nothing is left to do here.
+func (s *simulation) mayExit(p int) bool {
+	q := &s.procs[p]
+	hasPredecessor := q.Before != 0 && s.procs[q.Before].up // it decides on claims of its own predecessor
+	return q.Phase == Relieved && q.Heir != 0 && !q.open && !q.claimPending && !hasPredecessor
 }
 
-// next are the worlds that can come of this one, with what happens on the way.
-func (w *simulation) successors() (names []string, worlds []*simulation) {
+// nextStates returns the simulations that can follow this one, with the name of the event that leads to each.
+func (s *simulation) nextStates() (names []string, next []*simulation) {
 	add := func(name string, do func(c *simulation)) {
-		c := w.clone()
+		c := s.clone()
 		do(c)
-		names, worlds = append(names, name), append(worlds, c)
+		names, next = append(names, name), append(next, c)
 	}
-	for p := 1; p < len(w.procs); p++ {
-		q := &w.procs[p]
+	for p := 1; p < len(s.procs); p++ {
+		q := &s.procs[p]
 		if !q.up {
 			continue
 		}
-		if w.crashesLeft > 0 {
-			add(fmt.Sprint("kill ", p), func(c *simulation) { c.crashesLeft--; c.crash(p) })
+		if s.crashesLeft > 0 {
+			add(fmt.Sprint("crash of ", p), func(c *simulation) { c.crashesLeft--; c.crash(p) })
 		}
 		if q.hung {
-			add(fmt.Sprint(p, " goes on"), func(c *simulation) { c.procs[p].hung = false })
+			add(fmt.Sprint(p, " resumes"), func(c *simulation) { c.procs[p].hung = false })
 			continue
 		}
-		if w.hangsLeft > 0 && q.Initialized && p > 1 {
+		if s.hangsLeft > 0 && q.Initialized && p > 1 {
 			add(fmt.Sprint(p, " hangs"), func(c *simulation) { c.hangsLeft--; c.procs[p].hung = true })
 		}
 		if !q.initialized {
-			add(fmt.Sprint(p, " has built up"), func(c *simulation) { c.procs[p].initialized = true; c.procs[p].Ready(env{c, p}) })
+			add(fmt.Sprint(p, " is initialized"), func(c *simulation) { c.procs[p].initialized = true; c.procs[p].Ready(env{c, p}) })
 		}
-		for from := 1; from < len(w.procs); from++ {
-			if len(w.channels[from][p]) > 0 {
-				add(fmt.Sprint(p, " reads ", from), func(c *simulation) { c.receive(p, from) })
+		for from := 1; from < len(s.procs); from++ {
+			if len(s.channels[from][p]) > 0 {
+				add(fmt.Sprint(p, " receives from ", from), func(c *simulation) { c.receive(p, from) })
 			}
 		}
-		if w.ticksLeft > 0 && q.Unsettled() {
+		if s.ticksLeft > 0 && q.Unsettled() {
 			add(fmt.Sprint(p, " ticks"), func(c *simulation) {
 				c.ticksLeft--
 				c.procs[p].ticksInPhase = transferTicks - 1 // any number of ticks may have passed
 				c.procs[p].Tick(env{c, p})
 			})
 		}
-		if w.requestsLeft > 0 && q.servedBefore {
-			add(fmt.Sprint("a client asks ", p), func(c *simulation) { c.requestsLeft--; c.beginRequest(p) })
+		if s.requestsLeft > 0 && q.servedBefore {
+			add(fmt.Sprint("a client sends a request to ", p), func(c *simulation) { c.requestsLeft--; c.beginRequest(p) })
 		}
 		if q.open {
-			add(fmt.Sprint(p, " answers"), func(c *simulation) {
+			add(fmt.Sprint(p, " completes its request"), func(c *simulation) {
 				c.procs[p].open = false
 				if h := c.procs[p].Heir; c.procs[p].requestIDs.Asks && h != 0 {
 					env{c, p}.send(h, packet{requestEnded: true})
 				}
 			})
 		}
-		if w.mayExit(p) {
-			add(fmt.Sprint(p, " ends"), func(c *simulation) { c.crash(p) })
+		if s.mayExit(p) {
+			add(fmt.Sprint(p, " exits"), func(c *simulation) { c.crash(p) })
 		}
 	}
-	return names, worlds
+	return names, next
 }
 
-// check holds what is always true.
-func (w *simulation) violated() string {
-	if w.violation != "" {
-		return w.violation
+// violated returns which invariant does not hold; empty: all hold.
+func (s *simulation) violated() string {
+	if s.violation != "" {
+		return s.violation
 	}
-	takes := 0
-	for p := 1; p < len(w.procs); p++ {
-		if q := &w.procs[p]; q.up && q.accepts {
-			takes++
-			if w.tokenHolder != p {
-				return fmt.Sprintf("%d takes clients without the token", p)
+	accepting := 0
+	for p := 1; p < len(s.procs); p++ {
+		if q := &s.procs[p]; q.up && q.accepts {
+			accepting++
+			if s.tokenHolder != p {
+				return fmt.Sprintf("process %d accepts clients without the token", p)
 			}
 		}
 	}
-	if takes > 1 {
-		return "two processes take clients"
+	if accepting > 1 {
+		return "two processes accept clients"
 	}
 	return ""
 }
 
-// settles plays on, fairly and without further harm, and tells whether exactly one process then takes clients.
-func (w *simulation) finalViolation() string {
-	c := w.clone()
+// finalViolation continues fairly and without further faults, and checks that exactly one process then accepts clients.
+func (s *simulation) finalViolation() string {
+	c := s.clone()
 	c.crashesLeft, c.hangsLeft, c.requestsLeft = 0, 0, 0
 	alive, rounds := false, 0
-	for calm := false; !calm; {
-		calm = true
+	for settled := false; !settled; {
+		settled = true
 		for p := 1; p < len(c.procs); p++ {
 			q := &c.procs[p]
 			if !q.up {
@@ -359,71 +361,72 @@
 			}
 			alive, q.hung = true, false
 			if !q.initialized {
-				calm, q.initialized = false, true
+				settled, q.initialized = false, true
 				q.Ready(env{c, p})
 			}
 			for from := 1; from < len(c.procs); from++ {
 				for len(c.channels[from][p]) > 0 && c.procs[p].up {
-					calm = false
+					settled = false
 					c.receive(p, from)
 				}
 			}
 			if rounds++; q.Unsettled() && rounds < 200 {
-				calm = false
+				settled = false
 				q.Tick(env{c, p})
 			}
 		}
 	}
-	takes := 0
+	accepting := 0
 	for p := range c.procs {
 		if c.procs[p].up && c.procs[p].accepts {
-			takes++
+			accepting++
 		}
 	}
-	if alive && takes != 1 {
-		return fmt.Sprintf("in the end %d processes take clients", takes)
+	if alive && accepting != 1 {
+		return fmt.Sprintf("in the end %d processes accept clients", accepting)
 	}
 	return c.violated()
 }
 
-// first is a world in which process 1 serves and others are to follow, each of the one before.
-func newSimulation(successors, asks, kills, hangs, ticks int) *simulation {
-	w := &simulation{requestsLeft: asks, crashesLeft: kills, hangsLeft: hangs, ticksLeft: ticks}
-	w.procs[1].up = true
-	w.procs[1].initialized = true
-	w.procs[1].Ready(env{w, 1})
+// newSimulation returns a simulation in which process 1 serves and others start as successors, each of the one before.
+func newSimulation(successors, requests, crashes, hangs, ticks int) *simulation {
+	s := &simulation{requestsLeft: requests, crashesLeft: crashes, hangsLeft: hangs, ticksLeft: ticks}
+	s.procs[1].up = true
+	s.procs[1].initialized = true
+	s.procs[1].Ready(env{s, 1})
 	for p := 2; p < 2+successors; p++ {
-		w.procs[p].up = true
-		w.procs[p].Phase = Seeking
-		env{w, p}.Seek()
+		s.procs[p].up = true
+		s.procs[p].Phase = Seeking
+		env{s, p}.Seek()
 	}
-	return w
+	return s
 }
 
-// explore plays all interleavings of a world, and returns how many states there are and the first way to one that is wrong.
-func explore(w *simulation, most int) (states int, wrong string) {
+// explore plays all interleavings of a simulation, up to maxStates, and returns the number of states and the first
+// trace that violates an invariant.
+func explore(s *simulation, maxStates int) (states int, wrong string) {
 	type step struct {
-		w    *simulation
-		from int
-		name string
+		state *simulation
+		from  int
+		name  string
 	}
-	steps := []step{{w, -1, "start"}}
-	seen := map[string]bool{w.key(): true}
-	for i := 0; i < len(steps) && i < most; i++ {
-		why := steps[i].w.violated()
+	steps := []step{{s, -1, "start"}}
+	seen := map[string]bool{s.key(): true}
+	for i := 0; i < len(steps) && i < maxStates; i++ {
+		why := steps[i].state.violated()
 		if why == "" {
-			why = steps[i].w.finalViolation()
+			why = steps[i].state.finalViolation()
 		}
 		if why != "" {
-			var way []string
+			var trace []string
 			for k := i; k >= 0; k = steps[k].from {
-				way = append(way, steps[k].name)
+				trace = append(trace, steps[k].name)
 			}
-			slices.Reverse(way)
-			return i, why + ":\n" + strings.Join(way, "\n")
+			slices.Reverse(trace)
+			return i, why + ":\n" + strings.Join(trace, "\n")
 		}
-		names, worlds := steps[i].w.successors()
-		for k, n := range worlds {
+		names, next := steps[i].state.nextStates()
+		for k, n := range next {
 			if key := n.key(); !seen[key] {
 				seen[key] = true
 				steps = append(steps, step{n, i, names[k]})
@@ -433,45 +436,45 @@
 	return len(steps), ""
 }
 
-// All interleavings of a hand-over, with a crash and a hang at each step: no id is in flight at two processes, no two take
-// clients, and whatever happens one takes them in the end while one is alive.
+// All interleavings of a hand-over, with a crash and a hang at each step: no id is in flight at two processes, no two
+// processes accept clients, and one accepts them in the end while any process is alive.
 func TestAllInterleavingsKeepInvariants(t *testing.T) {
 	for _, c := range []struct {
-		name                                  string
-		successors, asks, kills, hangs, ticks int
+		name                                        string
+		successors, requests, crashes, hangs, ticks int
 	}{
 		{"one successor, a crash", 1, 2, 1, 0, 2},
 		{"one successor, a hang", 1, 2, 0, 1, 2},
 		{"one successor, a crash and a hang", 1, 1, 1, 1, 2},
-		{"two at once, a crash", 2, 0, 1, 0, 2},
-		{"two at once, requests and a crash", 2, 2, 1, 0, 1},
-		{"large: two at once, requests and a crash", 2, 2, 1, 0, 2},
-		{"two at once, a crash and a hang", 2, 0, 1, 1, 2},
+		{"two successors at once, a crash", 2, 0, 1, 0, 2},
+		{"two successors at once, requests and a crash", 2, 2, 1, 0, 1},
+		{"large: two successors at once, requests and a crash", 2, 2, 1, 0, 2},
+		{"two successors at once, a crash and a hang", 2, 0, 1, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if t.Parallel(); strings.HasPrefix(c.name, "large") && os.Getenv("PORTSTALL_HANDOVER") == "" {
 				t.Skip("PORTSTALL_HANDOVER is not set: it takes 20 s under the race detector")
 			}
-			const most = 300_000
-			states, wrong := explore(newSimulation(c.successors, c.asks, c.kills, c.hangs, c.ticks), most)
+			const maxStates = 300_000
+			states, wrong := explore(newSimulation(c.successors, c.requests, c.crashes, c.hangs, c.ticks), maxStates)
 			if wrong != "" {
 				t.Fatal(wrong)
 			}
-			if states >= most {
-				t.Errorf("not all of it was played")
+			if states >= maxStates {
+				t.Errorf("the search stopped before all states were explored")
 			}
 			t.Logf("%d states", states)
 		})
 	}
 }
 
-// That the search finds what is wrong: each fault put in on purpose is found.
+// The search finds violations: it must find each injected fault.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for _, p := range []injectedFault{noTokenNumber, neverAsks, omitsPending, noLock} {
-		w := newSimulation(1, 2, 1, 0, 2)
-		w.fault = p
-		if states, wrong := explore(w, 300_000); wrong == "" {
-			t.Errorf("plant %d is not found in %d states", p, states)
+		s := newSimulation(1, 2, 1, 0, 2)
+		s.fault = p
+		if states, wrong := explore(s, 300_000); wrong == "" {
+			t.Errorf("injected fault %d was not found in %d states", p, states)
 		}
 	}
 }
