--- a/internal/upgrade/token.go
+++ b/internal/upgrade/token.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// Token is what one process of a node has at a time: a lock on a file, which the kernel takes from a process that ends. The file
-// holds the token's number. Not safe for concurrent use.
+// Token is a lock on a file, which one process of a node holds at a time and which the kernel releases when that
+// process exits. The file contains the token's number. It is not safe for concurrent use.
 type Token struct {
 	file *os.File
-	held bool
+	held bool // by this process
 }
 
-// OpenToken opens the token at path, which is made if it is not there.
+// OpenToken opens the token at path, and creates it if it does not exist.
 func OpenToken(path string) (*Token, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -24,9 +24,9 @@
 	return &Token{file: f}, nil
 }
 
-// Lock takes the token and tells its number, unless another process has it. A file that can't be locked at all is an error: then
-// nothing tells whether another process serves.
-func (t *Token) Lock() (number uint64, had bool, err error) {
+// Lock takes the token and returns its number, unless another process holds it. A file that cannot be locked at all is
+// an error: then it is unknown whether another process serves.
+func (t *Token) Lock() (number uint64, held bool, err error) {
 	if !t.held {
 		err := syscall.Flock(int(t.file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -38,21 +38,21 @@
 		t.held = true
 	}
 	var b [8]byte
-	t.file.ReadAt(b[:], 0) // one that is new is empty: 0
+	t.file.ReadAt(b[:], 0) // a new file is empty: the number is 0
 	return binary.LittleEndian.Uint64(b[:]), true, nil
 }
 
-// Mark writes a number on the token, which is had.
+// SetNumber writes a number to the token, which must be held.
 func (t *Token) Mark(number uint64) error {
 	_, err := t.file.WriteAt(binary.LittleEndian.AppendUint64(nil, number), 0)
 	return err
 }
 
-// Unlock lets it go.
+// Unlock releases the token.
 func (t *Token) Unlock() {
 	t.held = false
 	syscall.Flock(int(t.file.Fd()), syscall.LOCK_UN)
 }
 
-// Close lets it go for good.
+// Close releases the token and closes its file.
 func (t *Token) Close() error { return t.file.Close() }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -1,6 +1,6 @@
-// Package upgrade carries what the processes of one node say to each other while one replaces another, over a Unix socket in
-// the directory that they share. It moves messages and has the token's file; who serves is decided by internal/handover, and
-// what is handed over is the node's business.
+// Package upgrade carries the messages between the processes of one node while one replaces another, over a Unix socket
+// in a directory that they share, and holds the token's file. Which process serves is decided by internal/handover; the
+// content of the handed-over state is up to the node.
 package upgrade
 
 import (
@@ -18,19 +18,20 @@
 	"portstall/internal/handover"
 )
 
-// Version is that of the messages. Processes that speak different ones share nothing: the successor then starts as
-// after a crash.
+// Version is the version of the messages. Processes with different versions exchange nothing: the successor then starts
+// as after a crash.
 const Version = 2
 
 const (
-	stateTimeout = 2 * time.Second // for a predecessor to hand over; one that takes longer is as good as dead
-	sendTimeout  = time.Second     // for a message to be written: the other reads at once
-	maxQueued    = 100_000         // messages that wait to be written; a process that reads so slowly is cut off
+	stateTimeout = 2 * time.Second // for a predecessor to hand over its state; one that takes longer counts as exited
+	sendTimeout  = time.Second     // for one message to be written: the receiver reads at once
+	maxQueued    = 100_000         // messages waiting to be written; a peer that reads more slowly is disconnected
 )
 
-// Call is what an operator told one of the two.
+// Call is an operator's command that one process passes on to another.
 type Call string
 
+// The calls: to disable or enable a web server, and to drain the node or end the drain.
 const (
 	Disable Call = "disable"
 	Enable  Call = "enable"
@@ -38,110 +39,116 @@
 	Resume  Call = "resume"
 )
 
-// Order is a call with the web server that it names.
+// Order is a call with its parameters.
 type Order struct {
 	Call Call   `json:"call"`
-	ID   string `json:"id,omitempty"`
-	At   int64  `json:"at,omitempty"`   // Unix nanoseconds of the call
-	From uint64 `json:"from,omitempty"` // a number of the call's own, given where operators said it
+	ID   string `json:"id,omitempty"` // of the web server to enable or disable
+	At   int64  `json:"at,omitempty"` // time of the call, in Unix nanoseconds
+	// From is a random number of the call, set by the process at which the operator made it; 0: not set yet.
+	From uint64 `json:"from,omitempty"`
 }
 
-// Node is what a process lets others do. But for Obey, whose calls come one after the other, nothing may wait for another
-// process.
+// Node handles what other processes send. None of its methods may wait for another process, except Execute, whose calls
+// come one after the other.
 type Node interface {
-	// Hello is called when a process asks for the state; what Tell says first answers it.
+	// StateRequested handles a process's request for the state; the first Send to that process is the reply.
 	Hello(*Peer)
-	// Heard is called with each word on who serves. State is nil but for State and Yours.
+	// Received handles a message of the hand-over. State is nil except for State and Transfer.
 	Heard(p *Peer, what handover.Message, number uint64, state []byte)
-	// Claim is called before a request begins at a predecessor, and Ended when one of its has ended.
+	// Claim decides on a request that is about to begin at a predecessor, and that ends at until at the latest.
 	Claim(p *Peer, id string, until time.Duration) handover.Verdict
+	// RequestEnded handles the end of a request at another process.
 	Ended(p *Peer, id string)
-	// Obey does what an operator told another process.
+	// Execute carries out an operator's call that was made at another process.
 	Obey(*Peer, Order) error
-	// Gone is called when the other process is gone.
+	// PeerExited handles the exit of the other process.
 	Gone(*Peer)
 }
 
-// message is one line on the socket. Claim and order are answered by an ack with the same number.
+// message is one line on the socket. A claim or an order is replied to by an ack with the same number. The keys, the
+// kinds and the calls are a wire format between processes of different builds: they stay.
 type message struct {
 	Kind    messageKind      `json:"kind"`
 	Number  uint64           `json:"number,omitempty"`
 	Version int              `json:"version,omitempty"` // hello
 	What    handover.Message `json:"what,omitempty"`    // word
-	Token   uint64           `json:"token,omitempty"`   // word Yours: the token's number
-	State   []byte           `json:"state,omitempty"`   // word State, Yours
-	ID      string           `json:"id,omitempty"`      // claim, ended
-	Until   int64            `json:"until,omitempty"`   // claim
-	Verdict handover.Verdict `json:"verdict,omitempty"` // ack of claim
-	Order   *Order           `json:"order,omitempty"`
-	Error   string           `json:"error,omitempty"` // ack
+	Token   uint64           `json:"token,omitempty"`   // word with Transfer: the token's number
+	State   []byte           `json:"state,omitempty"`   // word with State or Transfer
+	ID      string           `json:"id,omitempty"`      // claim, ended: the request's id
+	Until   int64            `json:"until,omitempty"`   // claim: the request's deadline on the core's clock, in nanoseconds
+	Verdict handover.Verdict `json:"verdict,omitempty"` // ack of a claim
+	Order   *Order           `json:"order,omitempty"`   // order
+	Error   string           `json:"error,omitempty"`   // ack
 }
 
+// messageKind is the kind of a message on the socket.
 type messageKind string
 
 const (
-	kindHello    messageKind = "hello"
-	kindHandover messageKind = "word"
-	kindClaim    messageKind = "claim"
-	kindEnded    messageKind = "ended"
-	kindOrder    messageKind = "order"
-	kindAck      messageKind = "ack"
+	kindHello    messageKind = "hello" // a successor's request for the state
+	kindHandover messageKind = "word"  // a handover.Message
+	kindClaim    messageKind = "claim" // a request for a handover.Verdict
+	kindEnded    messageKind = "ended" // the end of a request
+	kindOrder    messageKind = "order" // an operator's call
+	kindAck      messageKind = "ack"   // the reply to a claim or an order, or an error
 )
 
-// ErrGone says that the other process has ended.
-var ErrPeerExited = errors.New("the other process is gone")
+// ErrPeerExited is the error of calls to a process that has exited or disconnected.
+var ErrPeerExited = errors.New("the other process has exited")
 
-// Peer is the other process. What is told it goes out in the order of the calls.
+// Peer is a connection to another process of the node. Messages are sent in the order of the calls. Its methods are
+// safe for concurrent use.
 type Peer struct {
 	conn    net.Conn
-	decoder *json.Decoder // one for all: it may have read ahead
+	decoder *json.Decoder // the only reader of conn: it may have buffered input
 
 	mu         sync.Mutex
-	queue      []func() message // made when their turn comes: what is large is not made where others wait
-	wake       chan struct{}
+	queue      []func() message // each makes its message when it is sent, so that large states do not accumulate
+	wake       chan struct{}    // wakes writeLoop; closed by shutdown
 	lastNumber uint64
-	pending    map[uint64]chan message
+	pending    map[uint64]chan message // calls that wait for an ack, by number
 	closed     bool
 }
 
-// Dial asks the process that listens at path, if any, for its state. What is not Later is its state, and Follow must be called
-// then, or Close. Where there is none, the error is that of the socket.
+// Dial requests the state from the process that listens at path. If what is not NotServing it is State; then Receive or
+// Close must be called. If no process listens, the error is that of the socket.
 func Dial(path string) (p *Peer, what handover.Message, state []byte, err error) {
 	conn, err := net.DialTimeout("unix", path, stateTimeout)
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	in := json.NewDecoder(conn)
+	decoder := json.NewDecoder(conn)
 	conn.SetDeadline(time.Now().Add(stateTimeout))
 	var m message
 	if err = json.NewEncoder(conn).Encode(message{Kind: kindHello, Version: Version}); err == nil {
-		err = in.Decode(&m)
+		err = decoder.Decode(&m)
 	}
 	if err == nil && m.Error != "" {
 		err = errors.New(m.Error)
 	}
 	if err != nil {
 		conn.Close()
-		return nil, 0, nil, fmt.Errorf("the process before does not hand over: %w", err)
+		return nil, 0, nil, fmt.Errorf("predecessor did not hand over its state: %w", err)
 	}
 	conn.SetDeadline(time.Time{})
 	p = newPeer(conn)
-	p.decoder = in
+	p.decoder = decoder
 	return p, m.What, m.State, nil
 }
 
+// newPeer returns a Peer that sends on conn. It reads nothing before Receive or readLoop.
 func newPeer(conn net.Conn) *Peer {
 	p := &Peer{conn: conn, decoder: json.NewDecoder(conn), pending: map[uint64]chan message{}, wake: make(chan struct{}, 1)}
 	go p.writeLoop()
 	return p
 }
 
-// Follow takes in what the other process says, until it is gone.
+// Receive starts to pass the other process's messages to node, until that process exits.
 func (p *Peer) Follow(node Node) {
 	go p.readLoop(node)
 }
 
-// Tell tells a word on who serves. State, which may be nil, is called when its turn comes.
+// Send sends a message of the hand-over. State, which may be nil, is called when the message is written.
 func (p *Peer) Tell(what handover.Message, number uint64, state func() []byte) {
 	p.enqueue(func() message {
 		m := message{Kind: kindHandover, What: what, Token: number}
@@ -152,7 +159,8 @@
 	})
 }
 
-// Claim asks whether a request may begin here that lasts until then at most. Without an answer it is Busy.
+// Claim asks whether a request may begin here that ends at until at the latest. Without a reply the verdict is
+// Undecided.
 func (p *Peer) Claim(ctx context.Context, id string, until time.Duration) handover.Verdict {
 	a, err := p.call(ctx, message{Kind: kindClaim, ID: id, Until: int64(until)})
 	if err != nil {
@@ -161,12 +169,13 @@
 	return a.Verdict
 }
 
-// Ended tells that a request has ended here.
+// RequestEnded reports that a request has ended here.
 func (p *Peer) Ended(id string) {
 	p.enqueue(func() message { return message{Kind: kindEnded, ID: id} })
 }
 
-// Order passes an operator's call on and returns once it is done there. A process that is gone needs no order.
+// SendOrder passes an operator's call on, and returns once it was carried out there. A process that has exited needs no
+// order.
 func (p *Peer) Order(ctx context.Context, o Order) error {
 	_, err := p.call(ctx, message{Kind: kindOrder, Order: &o})
 	if errors.Is(err, ErrPeerExited) {
@@ -175,13 +184,13 @@
 	return err
 }
 
-// Close ends the talk, as the end of this process does.
+// Close ends the connection, as the exit of this process does.
 func (p *Peer) Close() error {
 	p.shutdown()
 	return p.conn.Close()
 }
 
-// finish lets go whoever waits, and takes nothing more.
+// shutdown fails all pending calls and drops the queue; nothing more is queued.
 func (p *Peer) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,15 +199,15 @@
 	}
 	p.closed, p.queue = true, nil
 	close(p.wake)
-	for number, answer := range p.pending {
-		close(answer)
+	for number, waiting := range p.pending {
+		close(waiting)
 		delete(p.pending, number)
 	}
 }
 
-// ask sends a message and waits for its ack.
+// call sends a message and waits for its ack.
 func (p *Peer) call(ctx context.Context, m message) (message, error) {
-	answer := make(chan message, 1)
+	reply := make(chan message, 1)
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
@@ -206,7 +215,7 @@
 	}
 	p.lastNumber++
 	m.Number = p.lastNumber
-	p.pending[m.Number] = answer
+	p.pending[m.Number] = reply
 	p.mu.Unlock()
 	p.enqueue(func() message { return m })
 	defer func() {
@@ -215,7 +224,7 @@
 		delete(p.pending, m.Number)
 	}()
 	select {
-	case a, ok := <-answer:
+	case a, ok := <-reply:
 		if !ok {
 			return a, ErrPeerExited
 		}
@@ -224,11 +233,11 @@
 		}
 		return a, nil
 	case <-ctx.Done():
-		return message{}, fmt.Errorf("the other process: %w", ctx.Err())
+		return message{}, fmt.Errorf("no reply from the other process: %w", ctx.Err())
 	}
 }
 
-// push puts a message into the queue. It does not wait.
+// enqueue appends a message to the queue. It does not wait.
 func (p *Peer) enqueue(f func() message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,7 +245,7 @@
 		return
 	}
 	if len(p.queue) >= maxQueued {
-		p.conn.Close() // its end is noticed by the reader
+		p.conn.Close() // readLoop notices the end
 		return
 	}
 	p.queue = append(p.queue, f)
@@ -246,7 +255,7 @@
 	}
 }
 
-// write sends what is in the queue, until the connection has ended.
+// writeLoop sends the queued messages until the connection has ended.
 func (p *Peer) writeLoop() {
 	out := json.NewEncoder(p.conn)
 	for range p.wake {
@@ -261,28 +270,28 @@
 			p.mu.Unlock()
 			p.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 			if out.Encode(f()) != nil {
-				p.conn.Close() // half a message may be out
+				p.conn.Close() // a part of a message may have been sent
 			}
 		}
 	}
 }
 
-// read takes in the other's messages until it is gone.
+// readLoop passes the other process's messages to node until that process exits.
 func (p *Peer) readLoop(node Node) {
-	orders := make(chan message, 100) // they may wait for other processes, and nothing else is to wait for them
-	obeyed := make(chan struct{})
-	answer := func(m message, a message) {
+	orders := make(chan message, 100) // orders may wait for other processes, and must not delay other messages
+	executed := make(chan struct{})
+	reply := func(m message, a message) {
 		a.Kind, a.Number = kindAck, m.Number
 		p.enqueue(func() message { return a })
 	}
 	go func() {
-		defer close(obeyed)
+		defer close(executed)
 		for m := range orders {
 			a := message{}
 			if err := node.Obey(p, *m.Order); err != nil {
 				a.Error = err.Error()
 			}
-			answer(m, a)
+			reply(m, a)
 		}
 	}()
 	for {
@@ -293,52 +302,53 @@
 		switch {
 		case m.Kind == kindAck:
 			p.mu.Lock()
-			if answer := p.pending[m.Number]; answer != nil {
-				answer <- m
+			if waiting := p.pending[m.Number]; waiting != nil {
+				waiting <- m
 				delete(p.pending, m.Number)
 			}
 			p.mu.Unlock()
 		case m.Kind == kindHandover:
 			node.Heard(p, m.What, m.Token, m.State)
 		case m.Kind == kindClaim:
-			answer(m, message{Verdict: node.Claim(p, m.ID, time.Duration(m.Until))})
+			reply(m, message{Verdict: node.Claim(p, m.ID, time.Duration(m.Until))})
 		case m.Kind == kindEnded:
 			node.Ended(p, m.ID)
 		case m.Kind == kindOrder && m.Order != nil:
 			orders <- m
 		default:
-			answer(m, message{Error: fmt.Sprintf("message %q is not known", m.Kind)})
+			reply(m, message{Error: fmt.Sprintf("unknown message kind %q", m.Kind)})
 		}
 	}
 	close(orders)
 	p.conn.Close()
 	p.shutdown()
-	<-obeyed
+	<-executed
 	node.Gone(p)
 }
 
-// Listener waits for successors.
+// Listener accepts successors.
 type Listener struct {
 	ln      net.Listener
 	node    Node
 	log     *slog.Logger
-	ownPath string
+	ownPath string // the name of its socket that is its own; the shared path may lead to another process's
 }
 
-// Listen takes the place at path, whoever held it, and stays to be found by Others when another process has taken it.
+// Listen takes over the shared path from the process that has it. When another process takes the path over in turn,
+// this one can still be found by ListenerPaths.
 func Listen(path string, node Node, log *slog.Logger) (*Listener, error) {
-	own, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
+	temp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return nil, err
 	}
-	name := own.Name()
-	own.Close()
+	name := temp.Name()
+	temp.Close()
 	os.Remove(name)
 	ln, err := net.Listen("unix", name)
 	if err != nil {
 		return nil, err
 	}
-	// Under another name first: there is no moment at which a successor finds nobody.
+	// The new socket replaces the old one by a rename: at no moment does a successor find none.
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
 	link := name + ".new"
 	if err := errors.Join(os.Link(name, link), os.Rename(link, path)); err != nil {
@@ -351,18 +361,19 @@
 	return l, nil
 }
 
-// Others are the sockets of processes that have listened at path, the one that it leads to first.
+// ListenerPaths returns the sockets of all processes that have listened at path, first the one that path leads to.
 func Others(path string) []string {
-	all, _ := filepath.Glob(path + ".*") // a pattern of ours
+	all, _ := filepath.Glob(path + ".*") // the only error is a malformed pattern
 	return append([]string{path}, all...)
 }
 
-// Close ends the wait. Successors that were met stay.
+// Close stops accepting successors. Those that are connected stay so.
 func (l *Listener) Close() error {
 	os.Remove(l.ownPath)
 	return l.ln.Close()
 }
 
+// acceptLoop accepts successors until the listener is closed.
 func (l *Listener) acceptLoop() {
 	for {
 		conn, err := l.ln.Accept()
@@ -370,7 +381,7 @@
 			return
 		}
 		if err != nil {
-			l.log.Warn("waiting for a successor", "err", err)
+			l.log.Warn("accepting a successor failed", "err", err)
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
@@ -378,24 +389,24 @@
 	}
 }
 
-// meet answers a successor's hello and then takes in what it says.
+// handshake replies to a successor's hello and then handles its messages.
 func (l *Listener) handshake(conn net.Conn) {
-	in := json.NewDecoder(conn)
+	decoder := json.NewDecoder(conn)
 	var m message
 	conn.SetReadDeadline(time.Now().Add(stateTimeout))
-	err := in.Decode(&m)
+	err := decoder.Decode(&m)
 	if err == nil && m.Kind == kindHello && m.Version != Version {
-		err = fmt.Errorf("version %d is spoken here, not %d", Version, m.Version)
+		err = fmt.Errorf("this process speaks protocol version %d, not %d", Version, m.Version)
 		json.NewEncoder(conn).Encode(message{Kind: kindAck, Error: err.Error()})
 	}
 	if err != nil || m.Kind != kindHello {
-		l.log.Warn("no successor's hello", "err", err)
+		l.log.Warn("connection to the upgrade socket without a valid hello", "err", err)
 		conn.Close()
 		return
 	}
 	conn.SetReadDeadline(time.Time{})
 	p := newPeer(conn)
-	p.decoder = in
+	p.decoder = decoder
 	l.node.Hello(p)
 	p.readLoop(l.node)
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -16,14 +16,14 @@
 
 const testTimeout = 20 * time.Second
 
-// fake is a process; what it is told goes to its channels.
+// stubNode is a Node that records what it receives in channels. An empty state means that it cannot hand over.
 type stubNode struct {
 	state    string
 	peers    chan *Peer
-	received chan string
+	received chan string // hand-over messages, as message, number and state, and ids of requests that have ended
 	orders   chan Order
 	exited   chan struct{}
-	orderErr error
+	orderErr error // what Execute returns
 }
 
 func newStubNode(state string) *stubNode {
@@ -51,13 +51,14 @@
 func (f *stubNode) Obey(_ *Peer, o Order) error { f.orders <- o; return f.orderErr }
 func (f *stubNode) Gone(*Peer)                  { f.exited <- struct{}{} }
 
+// receive returns the next value of c, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal(what, ": did not come")
+		t.Fatal(what, ": not received in time")
 		panic("unreachable")
 	}
 }
@@ -72,23 +73,25 @@
 	return l
 }
 
+// Two processes exchange state, hand-over messages, claims and orders in both directions. A second successor replaces
+// the first process at the shared path, both can still be found, and calls to an exited process return at once.
 func TestPeersExchangeMessages(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	path := filepath.Join(t.TempDir(), "sock")
-	old, young := newStubNode("seven"), newStubNode("")
-	l := listen(t, path, old)
+	predecessor, successor := newStubNode("seven"), newStubNode("")
+	l := listen(t, path, predecessor)
 	p, what, state, err := Dial(path)
 	if err != nil || what != handover.State || string(state) != "seven" {
 		t.Fatalf("%d %q, %v", what, state, err)
 	}
-	q := receive(t, "the successor", old.peers)
-	// An order from before the successor reads is waiting for it.
+	q := receive(t, "the successor", predecessor.peers)
+	// An order that is sent before the successor reads must reach it.
 	done := make(chan error, 1)
 	go func() { done <- q.Order(ctx, Order{Call: Disable, ID: "s-1"}) }()
-	p.Follow(young)
-	if o := receive(t, "the order", young.orders); o.Call != Disable || o.ID != "s-1" {
+	p.Follow(successor)
+	if o := receive(t, "the order", successor.orders); o.Call != Disable || o.ID != "s-1" {
 		t.Errorf("got %+v", o)
 	}
 	if err := receive(t, "its ack", done); err != nil {
@@ -98,24 +101,24 @@
 	p.Ended("x")
 	q.Tell(handover.Yours, 7, func() []byte { return []byte("eight") })
 	for _, c := range []struct {
-		heard chan string
-		want  string
-	}{{old.received, "20"}, {old.received, "x"}, {young.received, "37eight"}} {
-		if got := receive(t, c.want, c.heard); got != c.want {
-			t.Errorf("heard %q, want %q", got, c.want)
+		received chan string
+		want     string
+	}{{predecessor.received, "20"}, {predecessor.received, "x"}, {successor.received, "37eight"}} {
+		if got := receive(t, c.want, c.received); got != c.want {
+			t.Errorf("received %q, want %q", got, c.want)
 		}
 	}
 	if a, b := q.Claim(ctx, "open", time.Hour), q.Claim(ctx, "free", time.Hour); a != handover.Open || b != handover.Granted {
-		t.Errorf("claims: %d and %d", a, b)
+		t.Errorf("verdicts %d and %d", a, b)
 	}
-	old.orderErr = errors.New("not here")
+	predecessor.orderErr = errors.New("not here")
 	if err := p.Order(ctx, Order{Call: Drain}); err == nil || !strings.Contains(err.Error(), "not here") {
-		t.Errorf("an order that the other refuses: %v", err)
+		t.Errorf("order that the other process refuses: %v", err)
 	}
-	// A successor takes the place of the old process while that one still listens, and both are found.
+	// A successor takes over the path while the old process still listens, and both are found.
 	listen(t, path, newStubNode("nine"))
 	if _, _, state, err := Dial(path); err != nil || string(state) != "nine" {
-		t.Errorf("in its place: %q, %v", state, err)
+		t.Errorf("Dial after another process took the path: state %q, error %v", state, err)
 	}
 	found := map[string]bool{}
 	for _, at := range Others(path) {
@@ -125,33 +128,34 @@
 		}
 	}
 	if !found["seven"] || !found["nine"] {
-		t.Errorf("found %v", found)
+		t.Errorf("found the states %v", found)
 	}
 	l.Close()
 	q.conn.Close()
-	receive(t, "the end of the old process", young.exited)
+	receive(t, "the predecessor's exit", successor.exited)
 	if err := p.Order(ctx, Order{Call: Drain}); err != nil {
-		t.Errorf("an order for a process that is gone: %v", err)
+		t.Errorf("order to an exited process: %v", err)
 	}
 	if v := p.Claim(ctx, "free", time.Hour); v != handover.Busy {
-		t.Errorf("a claim at a process that is gone: %d", v)
+		t.Errorf("claim at an exited process: verdict %d", v)
 	}
 }
 
-// Nobody there, a dead process's socket, one that can't hand over and one of another version: the start goes on in each case.
-func TestDialWithoutUsablePredecessorFails(t *testing.T) {
+// No listener, the socket of an exited process, one that cannot hand over and one of another version: Dial must return
+// in each case, so that the process can start without a state.
+func TestDialReturnsWithoutUsablePredecessor(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "sock")
 	if _, _, _, err := Dial(path); err == nil {
-		t.Error("somebody is there")
+		t.Error("Dial succeeded without a listener")
 	}
 	listen(t, path, newStubNode("{}")).Close()
 	if _, _, _, err := Dial(path); err == nil {
-		t.Error("a dead process hands over")
+		t.Error("Dial succeeded at the socket of an exited process")
 	}
 	listen(t, path, newStubNode(""))
 	if p, what, _, err := Dial(path); err != nil || what != handover.Later {
-		t.Errorf("one that can't: %d, %v", what, err)
+		t.Errorf("process that cannot hand over: message %d, error %v", what, err)
 	} else {
 		p.Close()
 	}
@@ -164,11 +168,11 @@
 	var m message
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	if err := json.NewDecoder(conn).Decode(&m); err != nil || m.Error == "" || m.State != nil {
-		t.Errorf("another version: %+v, %v", m, err)
+		t.Errorf("hello of another version: reply %+v, error %v", m, err)
 	}
 }
 
-// A process that does not answer holds up its caller for no longer than it has time.
+// A process that does not reply must not delay the sender of an order beyond the context's deadline.
 func TestOrderTimesOutWithoutReply(t *testing.T) {
 	t.Parallel()
 	a, b := net.Pipe()
@@ -180,11 +184,11 @@
 	p := newPeer(a)
 	defer p.Close()
 	if err := p.Order(ctx, Order{Call: Drain}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a deadline exceeded", err)
 	}
 }
 
-// One holder of the token at a time, whoever ends leaves it, and its number stays.
+// The token has one holder at a time, the exit of the holder releases it, and its number persists.
 func TestTokenHasOneHolderAndKeepsItsNumber(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "token")
@@ -198,16 +202,16 @@
 	}
 	defer b.Close()
 	if n, had, err := a.Lock(); n != 0 || !had || err != nil {
-		t.Error("a new one:", n, had, err)
+		t.Error("new token:", n, had, err)
 	}
 	if err := a.Mark(5); err != nil {
 		t.Error(err)
 	}
 	if _, had, err := b.Lock(); had || err != nil {
-		t.Error("two have it:", err)
+		t.Error("two processes hold the token:", err)
 	}
 	a.Close()
 	if n, had, err := b.Lock(); n != 5 || !had || err != nil {
-		t.Error("after its holder's end:", n, had, err)
+		t.Error("after the holder closed it:", n, had, err)
 	}
 }
