--- a/internal/front/http/fuzz_test.go
+++ b/internal/front/http/fuzz_test.go
@@ -18,32 +18,33 @@
 	"portstall/policy"
 )
 
-// canned is a client that has said all it ever will.
-type canned struct {
+// scriptedConn is the connection of a client that sends a fixed text and then ends. What is written to it is recorded.
+type scriptedConn struct {
 	io.Reader
-	told bytes.Buffer
+	written bytes.Buffer
 }
 
-func (c *canned) Write(p []byte) (int, error)      { return c.told.Write(p) }
-func (c *canned) Close() error                     { return nil }
-func (c *canned) LocalAddr() net.Addr              { return &net.TCPAddr{} }
-func (c *canned) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (c *canned) SetDeadline(time.Time) error      { return nil }
-func (c *canned) SetReadDeadline(time.Time) error  { return nil }
-func (c *canned) SetWriteDeadline(time.Time) error { return nil }
+func (c *scriptedConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
+func (c *scriptedConn) Close() error                     { return nil }
+func (c *scriptedConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
+func (c *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (c *scriptedConn) SetDeadline(time.Time) error      { return nil }
+func (c *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-type still struct{}
+// stubServices is a clock, a sender and a discovery service of which none does anything.
+type stubServices struct{}
 
-func (still) Now() time.Duration                                     { return 1 }
-func (still) AfterFunc(time.Duration, func())                        {}
-func (still) Server(uint32) (any, bool)                              { return nil, false }
-func (still) Watch()                                                 {}
-func (still) Among(*core.Request) []uint32                           { return nil }
-func (still) Fetch()                                                 {}
-func (still) Attempt(context.Context, *core.Attempt) (r core.Result) { return r }
+func (stubServices) Now() time.Duration                                     { return 1 }
+func (stubServices) AfterFunc(time.Duration, func())                        {}
+func (stubServices) Server(uint32) (any, bool)                              { return nil, false }
+func (stubServices) Watch()                                                 {}
+func (stubServices) Among(*core.Request) []uint32                           { return nil }
+func (stubServices) Fetch()                                                 {}
+func (stubServices) Attempt(context.Context, *core.Attempt) (r core.Result) { return r }
 
-// Whatever a client says, in one piece or many: each request that is read has one framing, an id, a time and a body of the
-// length it told; nothing panics, and the budget of bodies is whole again.
+// Any input, in one piece or many: each request that is read has one framing, an id, a timeout and a body of the
+// announced length; nothing panics, and all of the body budget is returned.
 func FuzzRequests(f *testing.F) {
 	const good = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: a\r\nX-Class: save\r\nX-Deadline: 900m\r\n"
 	f.Add([]byte(good+"Content-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n"), 1)
@@ -54,44 +55,46 @@
 	f.Add([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"), 9)
 	f.Add([]byte("CONNECT a:1 HTTP/1.1\r\nHost : a\r\n\r\n"), 2)
 	c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", Aim: 1, Deadline: 1}}}, 1,
-		core.Options{Clock: still{}, Back: still{}, Roster: still{}, Log: slog.New(slog.DiscardHandler)})
+		core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Fuzz(func(t *testing.T, text []byte, piece int) {
+	f.Fuzz(func(t *testing.T, text []byte, pieceSize int) {
 		budget := flow.NewBudget(1 << 20)
-		s := New(Options{Until: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1, Away: func() bool { return false }, Ready: func() int { return 200 },
+		s := New(Options{Until: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1,
+			Away: func() bool { return false }, Ready: func() int { return 200 },
 			Fits: func(*stdhttp.Request) error { return nil }})
-		sock := &canned{Reader: pieces{bytes.NewReader(text), max(1, piece&0xff)}}
-		k := &conn{Conn: sock, start: time.Now(), in: bufio.NewReaderSize(sock, message.HeadSize)}
+		socket := &scriptedConn{Reader: pieceReader{bytes.NewReader(text), max(1, pieceSize&0xff)}}
+		k := &conn{Conn: socket, accepted: time.Now(), reader: bufio.NewReaderSize(socket, message.HeadSize)}
 		for range 8 {
-			r, no := s.read(k)
-			if r == nil || no != nil {
+			r, rejected := s.readRequest(k)
+			if r == nil || rejected != nil {
 				break
 			}
-			if r.in.ContentLength >= 0 && len(r.in.TransferEncoding) > 0 {
-				t.Errorf("two framings: %v %v", r.in.ContentLength, r.in.TransferEncoding)
+			if r.httpRequest.ContentLength >= 0 && len(r.httpRequest.TransferEncoding) > 0 {
+				t.Errorf("accepted with two framings: Content-Length %v and Transfer-Encoding %v",
+					r.httpRequest.ContentLength, r.httpRequest.TransferEncoding)
 			}
-			if r.Request != nil && (r.ID == "" || len(r.ID) > maxID || r.Patience <= 0 || r.Body == nil) {
-				t.Errorf("request %+v", r.Request)
+			if r.Request != nil && (r.ID == "" || len(r.ID) > maxRequestIDLength || r.Patience <= 0 || r.Body == nil) {
+				t.Errorf("accepted without a valid id, timeout or body: %+v", r.Request)
 			}
-			if strings.EqualFold(r.in.Method, "CONNECT") {
-				t.Error("a CONNECT passes for a request")
+			if strings.EqualFold(r.httpRequest.Method, "CONNECT") {
+				t.Error("a CONNECT was accepted as a request")
 			}
-			whole := r.body.Whole()
+			complete := r.body.Whole()
 			budget.RequestDone(r.body.Held())
-			if !whole {
+			if !complete {
 				break
 			}
-			k.used = true
+			k.servedRequest = true
 		}
 	})
 }
 
-// pieces reads so many bytes at a time.
-type pieces struct {
+// pieceReader returns at most size bytes from each read.
+type pieceReader struct {
 	*bytes.Reader
-	n int
+	size int
 }
 
-func (p pieces) Read(b []byte) (int, error) { return p.Reader.Read(b[:min(len(b), p.n)]) }
+func (p pieceReader) Read(b []byte) (int, error) { return p.Reader.Read(b[:min(len(b), p.size)]) }
--- a/internal/front/http/watch.go
+++ b/internal/front/http/watch.go
@@ -6,34 +6,36 @@
 	"portstall/internal/flow"
 )
 
-// watch begins to look for the client's leaving, unless it is looked for already. The request is whole. Until unwatch nothing else
-// reads from the connection.
-func (c *conn) watch() {
-	if c.end == nil {
-		c.SetReadDeadline(time.Time{}) // no bound on waiting, also where the connection is to close behind this answer
-		c.end, c.stop = flow.Watch(c.Conn, c.in, true)
+// watchClient starts to watch for the client disconnecting, unless that is being watched already. The request has been
+// read completely. Until stopWatching is called nothing else reads from the connection.
+func (c *conn) watchClient() {
+	if c.clientLeft == nil {
+		c.SetReadDeadline(time.Time{}) // waiting is unbounded, even if the connection is to be closed after this response
+		c.clientLeft, c.stopWatch = flow.Watch(c.Conn, c.reader, true)
 	}
 }
 
-// unwatch ends the watch, if there is one.
-func (c *conn) unwatch() {
-	if c.end != nil {
-		c.lost(c.stop())
-		c.end, c.stop = nil, nil
+// stopWatching ends the watch, if there is one.
+func (c *conn) stopWatching() {
+	if c.clientLeft != nil {
+		c.noteDiscarded(c.stopWatch())
+		c.clientLeft, c.stopWatch = nil, nil
 	}
 }
 
-// gone tells of a client whose window may have been shut while its request waited for room, so that it may have left long ago, whether
-// it has. What it sent ahead is thrown away. The request is whole, and nobody watches.
-func (c *conn) gone() bool {
-	spilt, ended := flow.Spill(c.Conn, c.in)
-	c.lost(spilt)
+// discardAndCheckLeft discards what the client sent ahead and reports whether it has disconnected. It is for a client
+// whose receive window may have been closed while its request waited for budget: it may have left long ago without that
+// being visible. The request has been read completely, and nothing watches the client.
+func (c *conn) discardAndCheckLeft() bool {
+	discarded, ended := flow.Spill(c.Conn, c.reader)
+	c.noteDiscarded(discarded)
 	return ended
 }
 
-// lost notes that a part of what the client sent ahead is: it is to ask for that anew, on another connection.
-func (c *conn) lost(spilt bool) {
-	if spilt {
-		c.spilt, c.over = true, true
+// noteDiscarded records whether input that the client sent ahead was discarded. The connection is closed then: the
+// client has to send that input again, on another connection.
+func (c *conn) noteDiscarded(discarded bool) {
+	if discarded {
+		c.inputDiscarded, c.closeAfterNext = true, true
 	}
 }
