--- a/internal/control/follow/client.go
+++ b/internal/control/follow/client.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	dialWait = time.Second     // an address where no connection comes up is as good as one that refuses
-	headWait = 2 * time.Second // for an answer's head, from its first byte on; its body has resource.BodyLimit behind that, to arrive
-	idleWait = time.Minute     // a connection on which nothing is asked is closed
+	dialTimeout = time.Second     // an address where no connection comes up is as good as one that refuses
+	headTimeout = 2 * time.Second // for an answer's head, from its first byte on; its body has resource.BodyLimit behind that, to arrive
+	idleTimeout = time.Minute     // a connection on which nothing is asked is closed
 
-	maxHead = 16 << 10 // bytes of an answer's head
-	maxText = 256      // bytes of an error's text that are read
+	maxHead      = 16 << 10 // bytes of an answer's head
+	maxErrorText = 256      // bytes of an error's text that are read
 )
 
 // Kind is how a call failed.
@@ -96,22 +96,22 @@
 type Client struct {
 	name, role string
 	clock      Clock
-	count      *Status
+	status     *Status
 	http       *http.Client
 	decode     func(io.Reader) (*resource.Delta, error) // of an answer's JSON
 }
 
 // NewClient makes one for a caller of a name, which control shows, and a role: node or control.
 func NewClient(name, role string, clock Clock, count *Status) *Client {
-	dialer := &net.Dialer{Timeout: dialWait}
-	return &Client{name: name, role: role, clock: clock, count: count, decode: decode, http: &http.Client{
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	return &Client{name: name, role: role, clock: clock, status: count, decode: decode, http: &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{
 			DisableCompression:     true, // it would not bound what comes out
 			MaxIdleConns:           1,    // and the one in use
 			MaxIdleConnsPerHost:    1,
 			MaxConnsPerHost:        1,
-			IdleConnTimeout:        idleWait,
+			IdleConnTimeout:        idleTimeout,
 			MaxResponseHeaderBytes: maxHead,
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dialer.DialContext(ctx, network, addr)
@@ -129,12 +129,12 @@
 // Get makes one call to host:port. Its limits bound how long the source and the network may take: an answer that has arrived is decoded,
 // however long that takes here, unless ctx ends. An error is a *CallError; after one for Silent or Broken the connection is closed.
 func (c *Client) Get(ctx context.Context, source string, q *Query) (*resource.Delta, error) {
-	c.count.calls.Add(1)
+	c.status.calls.Add(1)
 	d, err := c.get(ctx, source, q)
 	if err != nil {
 		return nil, err
 	}
-	c.count.answers.Add(1)
+	c.status.answers.Add(1)
 	return d, nil
 }
 
@@ -145,16 +145,16 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	defer context.AfterFunc(parent, cancel)()
 	end := &deadline{clock: c.clock, cancel: cancel}
-	defer end.over()
+	defer end.disarm()
 	end.set(q.Limit, Silent)
 	fail := func(kind Kind, err error) *CallError {
 		cancel()
-		if late := end.passed(); late != "" {
+		if late := end.expiredKind(); late != "" {
 			kind = late
 		}
 		return &CallError{Kind: kind, Source: source, Err: err}
 	}
-	trace := &httptrace.ClientTrace{GotFirstResponseByte: end.begin}
+	trace := &httptrace.ClientTrace{GotFirstResponseByte: end.responseStarted}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, q.url(source, c.name, c.role), nil)
 	if err != nil {
 		return nil, fail(Unreachable, err)
@@ -164,7 +164,7 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		kind := Unreachable
-		if end.begun() {
+		if end.hasStarted() {
 			kind = Malformed // of an answer: its head is over the bound, or none
 		}
 		return nil, fail(kind, errors.Unwrap(err)) // without the address, which is long
@@ -172,7 +172,7 @@
 	defer resp.Body.Close()
 	end.set(resource.BodyLimit(resp.ContentLength), Broken)
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxText))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 		kind, after := OtherStatus, time.Duration(0)
 		switch resp.StatusCode {
 		case http.StatusConflict:
@@ -191,14 +191,14 @@
 	if coding != "" && coding != "gzip" {
 		return nil, fail(Malformed, fmt.Errorf("Content-Encoding: %q was not asked for", coding))
 	}
-	body, err := receive(parent, resp.Body)
+	body, err := readBody(parent, resp.Body)
 	switch {
 	case errors.Is(err, errTooLong):
 		return nil, fail(TooLong, err)
 	case err != nil:
 		return nil, fail(Broken, err)
 	}
-	end.over() // it has arrived: what is left to do is ours, however long it takes
+	end.disarm() // it has arrived: what is left to do is ours, however long it takes
 	d, err := c.read(body, coding)
 	switch {
 	case errors.Is(err, errTooLong):
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.decode(&bounded{z, resource.MaxAnswer})
+	return c.decode(&limitedReader{z, resource.MaxAnswer})
 }
 
 // deadline gives a call up. It counts on a clock whose timers can't be stopped.
@@ -226,19 +226,19 @@
 	clock  Clock
 	cancel context.CancelFunc
 
-	mu    sync.Mutex
-	turn  int
-	late  Kind // what is passed; empty: nothing yet
-	first bool // the answer has begun
+	mu         sync.Mutex
+	generation int
+	expired    Kind // what is passed; empty: nothing yet
+	started    bool // the answer has begun
 }
 
 // begin is for the first byte of an answer.
-func (d *deadline) begin() {
+func (d *deadline) responseStarted() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.first { // else there was an interim head before
-		d.first = true
-		d.put(headWait, Broken)
+	if !d.started { // else there was an interim head before
+		d.started = true
+		d.setLocked(headTimeout, Broken)
 	}
 }
 
@@ -246,61 +246,61 @@
 func (d *deadline) set(in time.Duration, kind Kind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.put(in, kind)
+	d.setLocked(in, kind)
 }
 
-func (d *deadline) put(in time.Duration, kind Kind) {
-	if d.late != "" {
+func (d *deadline) setLocked(in time.Duration, kind Kind) {
+	if d.expired != "" {
 		return
 	}
-	d.turn++
-	turn := d.turn
+	d.generation++
+	turn := d.generation
 	d.clock.AfterFunc(in, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.turn == turn {
-			d.late = kind
+		if d.generation == turn {
+			d.expired = kind
 			d.cancel()
 		}
 	})
 }
 
 // over lets the deadline pass without a word.
-func (d *deadline) over() {
+func (d *deadline) disarm() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.turn++
+	d.generation++
 }
 
 // passed is how the call failed by its deadline; empty: it did not.
-func (d *deadline) passed() Kind {
+func (d *deadline) expiredKind() Kind {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.late
+	return d.expired
 }
 
 // begun tells whether a first byte of an answer came.
-func (d *deadline) begun() bool {
+func (d *deadline) hasStarted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.first
+	return d.started
 }
 
 // Counted is a connection whose bytes are added to what is given for them.
-func Counted(c net.Conn, in, out *atomic.Int64) net.Conn { return &counted{c, in, out} }
+func Counted(c net.Conn, in, out *atomic.Int64) net.Conn { return &countingConn{c, in, out} }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out.Add(int64(n))
 	return n, err
--- a/internal/control/follow/client_test.go
+++ b/internal/control/follow/client_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // testClock runs only when it is told to. What is set on it is told on added.
 type testClock struct {
@@ -77,9 +77,9 @@
 }
 
 // await returns once a timer for just so long is set.
-func (c *testClock) await(t *testing.T, d time.Duration) {
+func (c *testClock) awaitTimer(t *testing.T, d time.Duration) {
 	t.Helper()
-	for end := time.After(patience); ; {
+	for end := time.After(testTimeout); ; {
 		select {
 		case got := <-c.added:
 			if got == d {
@@ -92,7 +92,7 @@
 }
 
 // raw answers each connection's first call with what write writes, and closes the connection once that returns.
-func raw(t *testing.T, write func(c net.Conn, r *http.Request)) string {
+func serveRaw(t *testing.T, write func(c net.Conn, r *http.Request)) string {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
@@ -136,11 +136,11 @@
 }
 
 // ok is an answer with a body of its length.
-func ok(body string, headers ...string) string {
+func okResponse(body string, headers ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), strings.Join(append(headers, ""), "\r\n"), body)
 }
 
-const delta = `{"from":"5.1","to":"5.2","sum":"00000000000000ab","later":{"x":[1]},"put":[{"kind":"contract","name":"a","spec":{"rate":1}}],` +
+const deltaJSON = `{"from":"5.1","to":"5.2","sum":"00000000000000ab","later":{"x":[1]},"put":[{"kind":"contract","name":"a","spec":{"rate":1}}],` +
 	`"gone":[{"kind":"route","name":"h:1"}]}`
 
 func newClient(t *testing.T, clock Clock) (*Client, *Status) {
@@ -154,18 +154,18 @@
 var query = Query{Since: resource.Version{Epoch: 5, Number: 1}, Sum: 0xff, Wait: 12 * time.Second, Limit: 14 * time.Second}
 
 // What is asked, and what is read of an answer, plain and compressed; bytes are counted as they are on the wire.
-func TestGet(t *testing.T) {
+func TestGetSendsQueryAndDecodesResponse(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, answer string }{
-		{"plain", ok(delta)},
-		{"gzip", ok(gzipped(delta), "Content-Encoding: gzip")},
-		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(delta), delta)},
-		{"interim head", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok(delta)},
+		{"plain", okResponse(deltaJSON)},
+		{"gzip", okResponse(gzipped(deltaJSON), "Content-Encoding: gzip")},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(deltaJSON), deltaJSON)},
+		{"interim head", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse(deltaJSON)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			asked := make(chan *http.Request, 1)
-			addr := raw(t, func(conn net.Conn, r *http.Request) {
+			addr := serveRaw(t, func(conn net.Conn, r *http.Request) {
 				asked <- r
 				io.WriteString(conn, c.answer)
 			})
@@ -204,12 +204,12 @@
 }
 
 // A first call names no version.
-func TestGetFirst(t *testing.T) {
+func TestFirstGetNamesNoVersion(t *testing.T) {
 	t.Parallel()
 	asked := make(chan string, 1)
-	addr := raw(t, func(conn net.Conn, r *http.Request) {
+	addr := serveRaw(t, func(conn net.Conn, r *http.Request) {
 		asked <- r.URL.RawQuery
-		io.WriteString(conn, ok(delta))
+		io.WriteString(conn, okResponse(deltaJSON))
 	})
 	client, _ := newClient(t, newTestClock())
 	if _, err := client.Get(t.Context(), addr, &Query{Limit: time.Second}); err != nil {
@@ -221,7 +221,7 @@
 }
 
 // Whatever comes in an answer's place ends the call with its kind. Each of these is over at once: nothing waits for a deadline.
-func TestGetFails(t *testing.T) {
+func TestGetReportsFailureKind(t *testing.T) {
 	t.Parallel()
 	long := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","put":[{"kind":"contract","name":"` + strings.Repeat("a", resource.MaxAnswer) + `"}]}`
 	many := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","gone":[` + strings.Repeat("{},", resource.MaxResources) + `{}]}`
@@ -237,36 +237,36 @@
 		{"sent elsewhere", "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", OtherStatus, "302"},
 		{"no HTTP", "hello\r\n\r\n", Malformed, "malformed"},
 		{"a head over the bound", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", 2*maxHead) + "\r\n\r\n", Malformed, "exceeded"},
-		{"cut off in the middle", ok(delta)[:len(ok(delta))-20], Broken, "unexpected EOF"},
-		{"cut off in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n" + delta[:50], Broken, "unexpected EOF"},
-		{"cut off behind its JSON", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(delta)+1, delta), Broken, "unexpected EOF"},
-		{"JSON that ends early", ok(delta[:len(delta)-30]), Malformed, "unexpected"},
-		{"JSON that ends between tokens", ok(`{"from":"5.1"`), Malformed, "unexpected EOF"},
-		{"no JSON", ok("<html>"), Malformed, "invalid character"},
-		{"nothing", ok(""), Malformed, "EOF"},
-		{"null", ok("null"), Malformed, `where "{" is due`},
-		{"a list", ok("[]"), Malformed, `where "{" is due`},
-		{"no from", ok(`{"to":"5.2","sum":"0000000000000000"}`), Malformed, "from: missing"},
-		{"no to", ok(`{"from":"5.2","sum":"0000000000000000"}`), Malformed, "to: missing"},
-		{"no sum", ok(`{"from":"5.1","to":"5.2"}`), Malformed, "sum: missing"},
-		{"a field twice", ok(`{"from":"5.1","from":"0.0","to":"5.2","sum":"0000000000000000"}`), Malformed, "from: twice"},
-		{"a version that is none", ok(`{"from":"5","to":"5.2","sum":"0000000000000000"}`), Malformed, `from: "5" is no version`},
-		{"a put of another type", ok(`{"from":"5.1","to":"5.2","sum":"0000000000000000","put":{}}`), Malformed, "put: "},
-		{"an element of another type", ok(`{"from":"5.1","to":"5.2","sum":"0000000000000000","put":[{"kind":1}]}`), Malformed, "put: [0]: "},
-		{"more behind it", ok(delta + "{}"), Malformed, "something follows"},
-		{"too many", ok(many), Malformed, "gone: over 100000 elements"},
-		{"too long", ok(long), TooLong, "over 16777216 bytes"},
-		{"too long once it is out of gzip", ok(gzipped(long), "Content-Encoding: gzip"), TooLong, "over 16777216 bytes"},
-		{"no gzip", ok(delta, "Content-Encoding: gzip"), Malformed, "gzip"},
-		{"gzip that ends early", ok(gzipped(delta)[:60], "Content-Encoding: gzip"), Malformed, "unexpected EOF"},
-		{"gzip that ends early behind its JSON", ok(gzipped(delta)[:len(gzipped(delta))-4], "Content-Encoding: gzip"), Malformed, "EOF"},
-		{"gzip with a wrong sum", ok(gzipped(delta)[:len(gzipped(delta))-8]+"12345678", "Content-Encoding: gzip"), Malformed, "checksum"},
-		{"gzip and more", ok(gzipped(delta)+"x", "Content-Encoding: gzip"), Malformed, "EOF"},
-		{"another coding", ok(delta, "Content-Encoding: br"), Malformed, `"br" was not asked for`},
+		{"cut off in the middle", okResponse(deltaJSON)[:len(okResponse(deltaJSON))-20], Broken, "unexpected EOF"},
+		{"cut off in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n" + deltaJSON[:50], Broken, "unexpected EOF"},
+		{"cut off behind its JSON", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(deltaJSON)+1, deltaJSON), Broken, "unexpected EOF"},
+		{"JSON that ends early", okResponse(deltaJSON[:len(deltaJSON)-30]), Malformed, "unexpected"},
+		{"JSON that ends between tokens", okResponse(`{"from":"5.1"`), Malformed, "unexpected EOF"},
+		{"no JSON", okResponse("<html>"), Malformed, "invalid character"},
+		{"nothing", okResponse(""), Malformed, "EOF"},
+		{"null", okResponse("null"), Malformed, `where "{" is due`},
+		{"a list", okResponse("[]"), Malformed, `where "{" is due`},
+		{"no from", okResponse(`{"to":"5.2","sum":"0000000000000000"}`), Malformed, "from: missing"},
+		{"no to", okResponse(`{"from":"5.2","sum":"0000000000000000"}`), Malformed, "to: missing"},
+		{"no sum", okResponse(`{"from":"5.1","to":"5.2"}`), Malformed, "sum: missing"},
+		{"a field twice", okResponse(`{"from":"5.1","from":"0.0","to":"5.2","sum":"0000000000000000"}`), Malformed, "from: twice"},
+		{"a version that is none", okResponse(`{"from":"5","to":"5.2","sum":"0000000000000000"}`), Malformed, `from: "5" is no version`},
+		{"a put of another type", okResponse(`{"from":"5.1","to":"5.2","sum":"0000000000000000","put":{}}`), Malformed, "put: "},
+		{"an element of another type", okResponse(`{"from":"5.1","to":"5.2","sum":"0000000000000000","put":[{"kind":1}]}`), Malformed, "put: [0]: "},
+		{"more behind it", okResponse(deltaJSON + "{}"), Malformed, "something follows"},
+		{"too many", okResponse(many), Malformed, "gone: over 100000 elements"},
+		{"too long", okResponse(long), TooLong, "over 16777216 bytes"},
+		{"too long once it is out of gzip", okResponse(gzipped(long), "Content-Encoding: gzip"), TooLong, "over 16777216 bytes"},
+		{"no gzip", okResponse(deltaJSON, "Content-Encoding: gzip"), Malformed, "gzip"},
+		{"gzip that ends early", okResponse(gzipped(deltaJSON)[:60], "Content-Encoding: gzip"), Malformed, "unexpected EOF"},
+		{"gzip that ends early behind its JSON", okResponse(gzipped(deltaJSON)[:len(gzipped(deltaJSON))-4], "Content-Encoding: gzip"), Malformed, "EOF"},
+		{"gzip with a wrong sum", okResponse(gzipped(deltaJSON)[:len(gzipped(deltaJSON))-8]+"12345678", "Content-Encoding: gzip"), Malformed, "checksum"},
+		{"gzip and more", okResponse(gzipped(deltaJSON)+"x", "Content-Encoding: gzip"), Malformed, "EOF"},
+		{"another coding", okResponse(deltaJSON, "Content-Encoding: br"), Malformed, `"br" was not asked for`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			addr := raw(t, func(conn net.Conn, _ *http.Request) { io.WriteString(conn, c.answer) })
+			addr := serveRaw(t, func(conn net.Conn, _ *http.Request) { io.WriteString(conn, c.answer) })
 			client, status := newClient(t, newTestClock())
 			d, err := client.Get(t.Context(), addr, &query)
 			var call *CallError
@@ -297,7 +297,7 @@
 
 // An answer that does not begin is given up at the call's limit, and one that does not end so long after its first byte; the
 // connection is closed then.
-func TestGetGivesUp(t *testing.T) {
+func TestGetTimesOut(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
@@ -306,16 +306,16 @@
 		kind  Kind
 	}{
 		{"silent", "", query.Limit, Silent},
-		{"a head that does not end", "HTTP/1.1 200 OK\r\nX: ", headWait, Broken},
-		{"an interim head and no more", "HTTP/1.1 103 Early Hints\r\n\r\n", headWait, Broken},
-		{"a body that does not end", ok(delta)[:200], resource.BodyLimit(int64(len(delta))), Broken},
+		{"a head that does not end", "HTTP/1.1 200 OK\r\nX: ", headTimeout, Broken},
+		{"an interim head and no more", "HTTP/1.1 103 Early Hints\r\n\r\n", headTimeout, Broken},
+		{"a body that does not end", okResponse(deltaJSON)[:200], resource.BodyLimit(int64(len(deltaJSON))), Broken},
 		{"chunks that do not end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n", resource.BodyLimit(-1), Broken},
 		{"an error's text that does not end", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 100\r\n\r\nso", resource.BodyLimit(100), Broken},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			asked, closed := make(chan struct{}), make(chan struct{})
-			addr := raw(t, func(conn net.Conn, _ *http.Request) {
+			addr := serveRaw(t, func(conn net.Conn, _ *http.Request) {
 				defer close(closed)
 				close(asked)
 				io.WriteString(conn, c.begin)
@@ -329,7 +329,7 @@
 				got <- err
 			}()
 			await(t, asked, "the call")
-			clock.await(t, c.limit)
+			clock.awaitTimer(t, c.limit)
 			clock.advance(c.limit - 1)
 			select {
 			case err := <-got:
@@ -347,12 +347,12 @@
 }
 
 // Bytes that trickle do not put the end off: it is counted from the first one.
-func TestGetTrickle(t *testing.T) {
+func TestGetTimesOutOnSlowBody(t *testing.T) {
 	t.Parallel()
 	clock := newTestClock()
-	addr := raw(t, func(conn net.Conn, _ *http.Request) {
+	addr := serveRaw(t, func(conn net.Conn, _ *http.Request) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n")
-		clock.await(t, resource.BodyLimit(-1))
+		clock.awaitTimer(t, resource.BodyLimit(-1))
 		for range 10 {
 			if _, err := io.WriteString(conn, "1\r\n \r\n"); err != nil {
 				return
@@ -370,7 +370,7 @@
 }
 
 // Calls share a connection, and the end of the caller's context ends a call.
-func TestGetConnections(t *testing.T) {
+func TestGetReusesConnectionAndStopsWithContext(t *testing.T) {
 	t.Parallel()
 	ln, err := standin.Listen()
 	if err != nil {
@@ -385,7 +385,7 @@
 				<-r.Context().Done()
 				return
 			}
-			io.WriteString(w, delta)
+			io.WriteString(w, deltaJSON)
 		}),
 		ConnState: func(c net.Conn, s http.ConnState) { conns.Store(c.RemoteAddr().String(), true) },
 	}
@@ -419,7 +419,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, delta) })}
+	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, deltaJSON) })}
 	go srv.Serve(ln)
 	defer srv.Close()
 	c := NewClient("n0", "node", SystemClock(), &Status{})
--- a/internal/control/follow/decode.go
+++ b/internal/control/follow/decode.go
@@ -13,15 +13,15 @@
 // from, to and sum must be there, as a delta without them would read as a snapshot of nothing.
 func decode(r io.Reader) (*resource.Delta, error) {
 	d := &resource.Delta{}
-	dec := json.NewDecoder(&blanks{r: r})
-	if err := delim(dec, '{'); err != nil {
+	dec := json.NewDecoder(&whitespaceLimiter{r: r})
+	if err := expectDelim(dec, '{'); err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
 	for dec.More() {
 		t, err := dec.Token()
 		if err != nil {
-			return nil, early(err)
+			return nil, unexpectedEOF(err)
 		}
 		field, _ := t.(string)
 		if seen[field] {
@@ -36,14 +36,14 @@
 		case "sum":
 			err = dec.Decode(&d.Sum)
 		case "put":
-			err = list(dec, func() error {
+			err = decodeList(dec, func() error {
 				var r resource.Resource
 				err := dec.Decode(&r)
 				d.Put = append(d.Put, r)
 				return err
 			})
 		case "gone":
-			err = list(dec, func() error {
+			err = decodeList(dec, func() error {
 				var k resource.Key
 				err := dec.Decode(&k)
 				d.Gone = append(d.Gone, k)
@@ -54,13 +54,13 @@
 			err, known = dec.Decode(&skip), false
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", field, early(err))
+			return nil, fmt.Errorf("%s: %w", field, unexpectedEOF(err))
 		}
 		if known {
 			seen[field] = true
 		}
 	}
-	if err := delim(dec, '}'); err != nil {
+	if err := expectDelim(dec, '}'); err != nil {
 		return nil, err
 	}
 	for _, field := range []string{"from", "to", "sum"} {
@@ -78,8 +78,8 @@
 }
 
 // list reads the elements of a list, as many as a set may have.
-func list(dec *json.Decoder, element func() error) error {
-	if err := delim(dec, '['); err != nil {
+func decodeList(dec *json.Decoder, element func() error) error {
+	if err := expectDelim(dec, '['); err != nil {
 		return err
 	}
 	for n := 0; dec.More(); n++ {
@@ -90,13 +90,13 @@
 			return fmt.Errorf("[%d]: %w", n, err)
 		}
 	}
-	return delim(dec, ']')
+	return expectDelim(dec, ']')
 }
 
-func delim(dec *json.Decoder, want json.Delim) error {
+func expectDelim(dec *json.Decoder, want json.Delim) error {
 	t, err := dec.Token()
 	if err != nil {
-		return early(err)
+		return unexpectedEOF(err)
 	}
 	if t != want {
 		return fmt.Errorf("%v where %q is due", t, want)
@@ -105,7 +105,7 @@
 }
 
 // early makes the end of the text, where something is due, an error like others.
-func early(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/control/follow/run.go
+++ b/internal/control/follow/run.go
@@ -19,15 +19,15 @@
 }
 
 // SystemClock tells Unix time that runs on evenly when the system's clock is set, from the moment in which it is made.
-func SystemClock() Clock { return clock{time.Now()} }
+func SystemClock() Clock { return systemClock{time.Now()} }
 
-type clock struct{ start time.Time }
+type systemClock struct{ start time.Time }
 
-func (c clock) Now() time.Duration {
+func (c systemClock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-func (c clock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
+func (c systemClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
 // Options say whom to follow, and what becomes of a change.
 type Options struct {
@@ -47,7 +47,7 @@
 }
 
 // fill puts in what was not given.
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.Status == nil {
 		o.Status = &Status{}
 	}
@@ -80,7 +80,7 @@
 	if len(o.Sources) == 0 || o.Name == "" || o.Set == nil || o.Take == nil {
 		return errors.New("follow: a name, sources, a set and what takes a change are needed")
 	}
-	o.fill()
+	o.setDefaults()
 	return o.run(ctx, NewClient(o.Name, o.Role, o.Clock, o.Status))
 }
 
@@ -91,7 +91,7 @@
 	if o.Role == "control" {
 		f.SetPace(resource.ControlPace)
 	}
-	r := &run{Options: *o, follower: f}
+	r := &runner{Options: *o, follower: f}
 	for {
 		c := f.Next(o.Clock.Now(), o.Draw())
 		sleep(ctx, o.Clock, c.Rest)
@@ -104,43 +104,43 @@
 		case ctx.Err() != nil:
 			return nil
 		case err != nil:
-			r.failed(err)
+			r.handleFailure(err)
 		default:
-			r.told(source, d)
+			r.handleResponse(source, d)
 		}
 	}
 }
 
 // run is one that follows.
-type run struct {
+type runner struct {
 	Options
-	follower *resource.Follower
-	silent   bool // that calls fail has been logged
+	follower      *resource.Follower
+	failureLogged bool // that calls fail has been logged
 }
 
 // failures tells the follower's kinds by ours.
-var failures = map[Kind]resource.FailureKind{Unreachable: resource.Unreachable, Silent: resource.Silent, Broken: resource.Unreachable,
+var failureKinds = map[Kind]resource.FailureKind{Unreachable: resource.Unreachable, Silent: resource.Silent, Broken: resource.Unreachable,
 	TooLong: resource.Invalid, Malformed: resource.Invalid, Behind: resource.Behind, Full: resource.Busy, OtherStatus: resource.Rejected}
 
 // failed takes in that a call brought nothing. Failures that follow each other are logged once.
-func (r *run) failed(err error) {
+func (r *runner) handleFailure(err error) {
 	how := resource.Failure{Err: err}
 	var call *CallError
 	if errors.As(err, &call) {
-		how.Kind, how.RetryAfter = failures[call.Kind], call.RetryAfter
-		r.Status.failed(call.Kind, err.Error())
+		how.Kind, how.RetryAfter = failureKinds[call.Kind], call.RetryAfter
+		r.Status.recordFailure(call.Kind, err.Error())
 	}
 	r.follower.Failed(r.Clock.Now(), how, r.Draw())
 	level := slog.LevelDebug
-	if !r.silent {
+	if !r.failureLogged {
 		level = slog.LevelWarn
 	}
-	r.silent = true
+	r.failureLogged = true
 	r.Log.Log(context.Background(), level, "asking control failed", "err", err)
 }
 
 // told takes in an answer.
-func (r *run) told(source string, d *resource.Delta) {
+func (r *runner) handleResponse(source string, d *resource.Delta) {
 	now := r.Clock.Now()
 	before := r.Set.Version()
 	take, err := r.follower.Told(now, d)
@@ -156,7 +156,7 @@
 		kind = Refused
 	}
 	st := r.follower.Status()
-	r.Status.change(func(s *Stands) {
+	r.Status.update(func(s *Stands) {
 		s.Version, s.Refused, s.Why, s.LastError, s.Source, s.Heard = st.Version, st.Refused, st.Why, "", source, now
 		if take && err == nil {
 			s.Changed = now
@@ -164,7 +164,7 @@
 	})
 	switch {
 	case err != nil:
-		r.Status.failed(kind, err.Error())
+		r.Status.recordFailure(kind, err.Error())
 		r.Log.Error("a change is not taken", "from", source, "version", d.To, "in force", before, "err", err)
 		return
 	case !take:
@@ -178,8 +178,8 @@
 		r.Status.resources.Add(int64(len(d.Put) + len(d.Gone)))
 		r.Log.Info("a change is in force", "from", source, "version", d.To, "before", before, "put", len(d.Put), "gone", len(d.Gone))
 	}
-	if r.silent {
-		r.silent = false
+	if r.failureLogged {
+		r.failureLogged = false
 		r.Log.Info("control answers again", "from", source)
 	}
 }
--- a/internal/control/follow/run_test.go
+++ b/internal/control/follow/run_test.go
@@ -14,10 +14,10 @@
 )
 
 // answerer is a control process that answers its calls one after the other with what the test puts in, each on a connection of its own.
-func answerer(t *testing.T) (addr string, next chan<- string, asked <-chan string) {
+func stubControl(t *testing.T) (addr string, next chan<- string, asked <-chan string) {
 	answers, calls := make(chan string, 100), make(chan string, 100)
 	done := make(chan struct{})
-	addr = raw(t, func(c net.Conn, r *http.Request) {
+	addr = serveRaw(t, func(c net.Conn, r *http.Request) {
 		select {
 		case calls <- r.URL.RawQuery:
 		case <-done:
@@ -42,31 +42,31 @@
 }
 
 // encoded is an answer of a delta.
-func encoded(t *testing.T, d *resource.Delta) string {
+func deltaResponse(t *testing.T, d *resource.Delta) string {
 	t.Helper()
 	text, err := resource.Encode(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ok(string(text), "Connection: close")
+	return okResponse(string(text), "Connection: close")
 }
 
-func contract(name string) resource.Resource {
+func contractResource(name string) resource.Resource {
 	return resource.Resource{Key: resource.Key{Kind: resource.Contract, Name: name}, Spec: []byte(`{"name":"` + name + `"}`)}
 }
 
 // following is a follower whose sleeps pass as soon as they begin.
-type following struct {
-	set    *resource.Set
-	status Status
-	taken  chan *resource.Delta
-	stop   func()
+type testFollower struct {
+	set     *resource.Set
+	status  Status
+	applied chan *resource.Delta
+	stop    func()
 }
 
 // eager is a clock on which sleeps take no time, and deadlines never come.
-type eager struct{ *testClock }
+type instantClock struct{ *testClock }
 
-func (c eager) AfterFunc(d time.Duration, f func()) {
+func (c instantClock) AfterFunc(d time.Duration, f func()) {
 	if d < 2*time.Second { // a rest; calls have longer
 		c.mu.Lock()
 		c.now += d
@@ -75,12 +75,12 @@
 	}
 }
 
-func startFollowing(t *testing.T, sources ...string) *following {
-	f := &following{set: resource.NewSet(false), taken: make(chan *resource.Delta, 100)}
+func startFollower(t *testing.T, sources ...string) *testFollower {
+	f := &testFollower{set: resource.NewSet(false), applied: make(chan *resource.Delta, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() {
-		over <- Run(ctx, Options{Name: "n0", Role: "node", Sources: sources, Set: f.set, Status: &f.status, Clock: eager{newTestClock()},
+		over <- Run(ctx, Options{Name: "n0", Role: "node", Sources: sources, Set: f.set, Status: &f.status, Clock: instantClock{newTestClock()},
 			Draw: func() float64 { return 0.5 }, Take: func(d *resource.Delta) error {
 				for _, r := range d.Put {
 					if r.Name == "odd" {
@@ -90,7 +90,7 @@
 				if err := f.set.Apply(d); err != nil {
 					return err
 				}
-				f.taken <- d
+				f.applied <- d
 				return nil
 			}})
 	}()
@@ -114,7 +114,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s does not come", what)
 		panic("")
 	}
@@ -122,10 +122,10 @@
 
 // From nothing to a snapshot, a delta, one that is lost, one that is doubled, one against another version, a refused one and a version past
 // it: what is in force is what was told, and each is counted as what it was.
-func TestRun(t *testing.T) {
+func TestRunAppliesChangesAndCountsFailures(t *testing.T) {
 	t.Parallel()
-	addr, next, asked := answerer(t)
-	f := startFollowing(t, addr)
+	addr, next, asked := stubControl(t)
+	f := startFollower(t, addr)
 	book := resource.NewSet(true)
 	change := func(put ...resource.Resource) *resource.Delta {
 		v := book.Version()
@@ -141,30 +141,30 @@
 			t.Fatalf("asked %s, want %s", got, want)
 		}
 	}
-	change(contract("a"))
+	change(contractResource("a"))
 	says("name=n0&role=node")
-	next <- encoded(t, book.Snapshot())
-	await(t, f.taken, "the snapshot")
+	next <- deltaResponse(t, book.Snapshot())
+	await(t, f.applied, "the snapshot")
 	says("since=5.1")
-	d2 := change(contract("b"))
-	next <- encoded(t, d2)
-	await(t, f.taken, "a delta")
+	d2 := change(contractResource("b"))
+	next <- deltaResponse(t, d2)
+	await(t, f.applied, "a delta")
 	says("since=5.2")
-	next <- encoded(t, d2) // doubled: passed over
+	next <- deltaResponse(t, d2) // doubled: passed over
 	says("since=5.2")
-	next <- ok(`{"from":"5.2","to":"5.3","sum":`, "Connection: close") // lost in the middle
+	next <- okResponse(`{"from":"5.2","to":"5.3","sum":`, "Connection: close") // lost in the middle
 	says("since=5.2")
-	change(contract("c"))
-	d4 := change(contract("d"))
-	next <- encoded(t, d4) // against a version that is not ours: the whole is asked for
+	change(contractResource("c"))
+	d4 := change(contractResource("d"))
+	next <- deltaResponse(t, d4) // against a version that is not ours: the whole is asked for
 	if got := await(t, asked, "a call"); strings.Contains(got, "since") {
 		t.Fatalf("asked %s", got)
 	}
-	next <- encoded(t, book.Snapshot())
-	await(t, f.taken, "the snapshot")
+	next <- deltaResponse(t, book.Snapshot())
+	await(t, f.applied, "the snapshot")
 	says("since=5.4")
-	odd := change(contract("odd"))
-	next <- encoded(t, odd)
+	odd := change(contractResource("odd"))
+	next <- deltaResponse(t, odd)
 	got := await(t, asked, "a call")
 	if !strings.Contains(got, "refused=5.5") || !strings.Contains(got, "since=5.4") || !strings.Contains(got, "why=contract+%22odd%22%3A+rate%3A+too+odd") {
 		t.Fatalf("asked %s", got)
@@ -172,14 +172,14 @@
 	// A kind that is not known is refused as well, before it is taken; then a version past both puts it right.
 	strange := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 5, Number: 6}, Sum: odd.Sum,
 		Put: []resource.Resource{{Key: resource.Key{Kind: "widget", Name: "w"}, Spec: []byte(`{}`)}}}
-	next <- encoded(t, strange)
+	next <- deltaResponse(t, strange)
 	says("refused=5.6")
 	jump := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 1 << 62, Number: 1}, Sum: odd.Sum} // it could never be left again
-	next <- encoded(t, jump)
+	next <- deltaResponse(t, jump)
 	says(fmt.Sprint("refused=", jump.To))
 	d := book.Next(resource.Version{Epoch: 6, Number: 0}, nil, []resource.Key{{Kind: resource.Contract, Name: "odd"}})
-	next <- encoded(t, &resource.Delta{From: odd.From, To: d.To, Sum: d.Sum, Gone: d.Gone})
-	await(t, f.taken, "the delta past what was refused")
+	next <- deltaResponse(t, &resource.Delta{From: odd.From, To: d.To, Sum: d.Sum, Gone: d.Gone})
+	await(t, f.applied, "the delta past what was refused")
 	if got := await(t, asked, "a call"); !strings.Contains(got, "since=6.0") || strings.Contains(got, "refused") {
 		t.Errorf("asked %s", got)
 	}
@@ -189,13 +189,13 @@
 		s.Version != d.To || s.Source != addr || !s.Refused.IsZero() || s.Calls != s.Answers+1+1 { // one was not JSON, and one is under way
 		t.Errorf("%+v", s)
 	}
-	if !f.set.Has(contract("d").Key) || f.set.Has(contract("odd").Key) {
+	if !f.set.Has(contractResource("d").Key) || f.set.Has(contractResource("odd").Key) {
 		t.Error("what is in force is not what was told")
 	}
 }
 
 // Where a source has less than we have, holds too many watches, says no or is not there, the next one is asked.
-func TestRunTurnsToAnother(t *testing.T) {
+func TestRunSwitchesSourceAfterFailure(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name, answer string
@@ -209,17 +209,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			first, next, _ := answerer(t)
-			second, next2, asked2 := answerer(t)
-			f := startFollowing(t, first, second)
+			first, next, _ := stubControl(t)
+			second, next2, asked2 := stubControl(t)
+			f := startFollower(t, first, second)
 			next <- c.answer
 			await(t, asked2, "a call to the second")
 			book := resource.NewSet(true)
-			if err := book.Apply(book.Next(resource.Version{Epoch: 5}, []resource.Resource{contract("a")}, nil)); err != nil {
+			if err := book.Apply(book.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
 				t.Fatal(err)
 			}
-			next2 <- encoded(t, book.Snapshot())
-			await(t, f.taken, "the snapshot")
+			next2 <- deltaResponse(t, book.Snapshot())
+			await(t, f.applied, "the snapshot")
 			f.stop()
 			if s := f.status.Read(); s.Failures[c.kind] < 1 || s.Source != second || s.Version != book.Version() {
 				t.Errorf("%+v", s)
@@ -229,21 +229,21 @@
 }
 
 // A caller that says that it took a change and did not is a fault that is told, not a loop without a rest.
-func TestRunNotTaken(t *testing.T) {
+func TestRunReportsChangeThatWasNotApplied(t *testing.T) {
 	t.Parallel()
-	addr, next, asked := answerer(t)
+	addr, next, asked := stubControl(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	over := make(chan error, 1)
 	go func() {
-		over <- Run(ctx, Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: resource.NewSet(false), Clock: eager{newTestClock()},
+		over <- Run(ctx, Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: resource.NewSet(false), Clock: instantClock{newTestClock()},
 			Take: func(*resource.Delta) error { return nil }})
 	}()
 	book := resource.NewSet(true)
-	if err := book.Apply(book.Next(resource.Version{Epoch: 5}, []resource.Resource{contract("a")}, nil)); err != nil {
+	if err := book.Apply(book.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
 		t.Fatal(err)
 	}
 	await(t, asked, "a call")
-	next <- encoded(t, book.Snapshot())
+	next <- deltaResponse(t, book.Snapshot())
 	if got := await(t, asked, "a call"); !strings.Contains(got, "refused=5.0") {
 		t.Errorf("asked %s", got)
 	}
--- a/internal/control/follow/herd_test.go
+++ b/internal/control/follow/slow_nodes_test.go
@@ -18,22 +18,22 @@
 )
 
 // wire is a network in a bubble's virtual time, with one server at a time: connections have no buffer, as one that is full.
-type wire struct {
+type pipeNetwork struct {
 	mu  sync.Mutex
 	srv *http.Server // nil: nobody is there
-	ln  *pipes
+	ln  *pipeListener
 }
 
 // up serves.
-func (w *wire) up(h http.Handler) {
+func (w *pipeNetwork) start(h http.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.srv, w.ln = &http.Server{Handler: h}, &pipes{conns: make(chan net.Conn), over: make(chan struct{})}
+	w.srv, w.ln = &http.Server{Handler: h}, &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	go w.srv.Serve(w.ln)
 }
 
 // down breaks all connections; new ones are refused.
-func (w *wire) down() {
+func (w *pipeNetwork) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.srv != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (w *wire) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (w *pipeNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	w.mu.Lock()
 	srv, ln := w.srv, w.ln
 	w.mu.Unlock()
@@ -53,7 +53,7 @@
 	select {
 	case ln.conns <- far:
 		return near, nil
-	case <-ln.over:
+	case <-ln.closed:
 		return nil, errors.New("refused")
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -61,43 +61,45 @@
 }
 
 // pipes is a listener.
-type pipes struct {
-	conns chan net.Conn
-	once  sync.Once
-	over  chan struct{}
+type pipeListener struct {
+	conns  chan net.Conn
+	once   sync.Once
+	closed chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
-	case <-p.over:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (p *pipes) Close() error   { p.once.Do(func() { close(p.over) }); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // sized tells an answer's length, as control processes do.
-type sized struct{ http.Handler }
+type withContentLength struct{ http.Handler }
 
-func (s sized) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.Handler.ServeHTTP(whole{w}, r) }
+func (s withContentLength) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.Handler.ServeHTTP(contentLengthWriter{w}, r)
+}
 
-type whole struct{ http.ResponseWriter }
+type contentLengthWriter struct{ http.ResponseWriter }
 
-func (w whole) Write(text []byte) (int, error) {
+func (w contentLengthWriter) Write(text []byte) (int, error) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	return w.ResponseWriter.Write(text)
 }
 
 // Control is gone for 15 s with its history, so that all nodes need the whole when it is back, and each needs 3 to 12 s to decode it, longer than
 // an answer may take to arrive. It is sent once to each, and all have it, and the change made meanwhile, within 18 s.
-func TestSlowNodesTakeTheWholeOnce(t *testing.T) {
+func TestSlowNodesReceiveSnapshotOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 60
 		var all []resource.Resource
 		for i := range 400 {
-			all = append(all, contract(fmt.Sprintf("contract-%04d-of-a-name-that-makes-it-long-enough-for-no-buffer", i)))
+			all = append(all, contractResource(fmt.Sprintf("contract-%04d-of-a-name-that-makes-it-long-enough-for-no-buffer", i)))
 		}
 		controls := [2]*standin.Control{}
 		for i, first := range [][]resource.Resource{all, nil} {
@@ -109,26 +111,26 @@
 			controls[i] = c
 		}
 		before, after := controls[0], controls[1]
-		network := &wire{}
-		network.up(sized{before})
+		network := &pipeNetwork{}
+		network.start(withContentLength{before})
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		defer func() {
 			cancel()
 			group.Wait()
-			network.down()
+			network.stop()
 		}()
 		var sets [nodes]*resource.Set
 		var status [nodes]Status
 		for i := range nodes {
 			sets[i] = resource.NewSet(false)
 			o := &Options{Name: fmt.Sprint("n", i), Role: "node", Sources: []string{"control:1"}, Set: sets[i], Status: &status[i], Take: sets[i].Apply}
-			o.fill()
+			o.setDefaults()
 			client := NewClient(o.Name, o.Role, o.Clock, o.Status)
 			client.http.Transport.(*http.Transport).DialContext = network.dial
 			slow := 3*time.Second + time.Duration(i)*9*time.Second/nodes
 			client.decode = func(r io.Reader) (*resource.Delta, error) {
-				return decode(newAmid(r, func() { time.Sleep(slow) }))
+				return decode(newHookReader(r, func() { time.Sleep(slow) }))
 			}
 			group.Go(func() { o.run(ctx, client) })
 		}
@@ -146,17 +148,17 @@
 		}
 		time.Sleep(18 * time.Second)
 		have(before)
-		network.down()
-		if _, err := before.Change([]resource.Resource{contract("missed")}); err != nil {
+		network.stop()
+		if _, err := before.Change([]resource.Resource{contractResource("missed")}); err != nil {
 			t.Fatal(err)
 		}
 		if err := after.Become(before); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(15 * time.Second)
-		network.up(sized{after})
+		network.start(withContentLength{after})
 		time.Sleep(6 * time.Second)
-		if _, err := after.Change([]resource.Resource{contract("amid")}); err != nil {
+		if _, err := after.Change([]resource.Resource{contractResource("amid")}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(12 * time.Second)
--- a/internal/control/follow/status.go
+++ b/internal/control/follow/status.go
@@ -14,8 +14,8 @@
 	snapshots, deltas, empty, resources atomic.Int64
 	failures                            [len(kinds)]atomic.Int64
 
-	mu     sync.Mutex
-	stands Stands
+	mu    sync.Mutex
+	state Stands
 }
 
 // Stands is how a follower stands.
@@ -52,22 +52,22 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.Stands = s.stands
+	f.Stands = s.state
 	return f
 }
 
 // change alters how it stands.
-func (s *Status) change(f func(*Stands)) {
+func (s *Status) update(f func(*Stands)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.stands)
+	f(&s.state)
 }
 
-func (s *Status) failed(kind Kind, why string) {
+func (s *Status) recordFailure(kind Kind, why string) {
 	for i, k := range kinds {
 		if k == kind {
 			s.failures[i].Add(1)
 		}
 	}
-	s.change(func(st *Stands) { st.LastError = why })
+	s.update(func(st *Stands) { st.LastError = why })
 }
--- a/internal/control/follow/blanks_test.go
+++ b/internal/control/follow/whitespace_test.go
@@ -10,7 +10,7 @@
 )
 
 // An answer with blanks without end is given up at the bound, wherever they stand and however it comes in; up to the bound it is read.
-func TestBlanksAreBounded(t *testing.T) {
+func TestWhitespaceRunsAreLimited(t *testing.T) {
 	const head, tail = `{"from":"0.0","to":"1.1","sum":`, `"0000000000000000"}`
 	for _, c := range []struct {
 		name, text string
@@ -23,9 +23,9 @@
 		{"behind the answer", head + tail + strings.Repeat(" ", resource.MaxAnswer), 2 * resource.MaxSpec, true},
 		{"several runs", head + strings.Repeat(" ", 60<<10) + tail[:len(tail)-1] + strings.Repeat(" \r", 30<<10) + "}", resource.MaxAnswer, false},
 	} {
-		text := &metered{r: strings.NewReader(c.text)}
+		text := &countingReader{r: strings.NewReader(c.text)}
 		_, err := decode(text)
-		if (err != nil) != c.bad || c.bad && !errors.Is(err, errBlanks) {
+		if (err != nil) != c.bad || c.bad && !errors.Is(err, errWhitespace) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if text.n > c.most {
@@ -35,12 +35,12 @@
 }
 
 // metered hands out 4 KB at a time, as a connection may.
-type metered struct {
+type countingReader struct {
 	r io.Reader
 	n int
 }
 
-func (c *metered) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p[:min(len(p), 4096)])
 	c.n += n
 	return n, err
--- a/internal/resource/catalog/catalog.go
+++ b/internal/resource/catalog/catalog.go
@@ -25,29 +25,29 @@
 // Catalog is what is in force, decoded. It has one owner, and is not safe for concurrent use; but Prepare, which changes nothing, may
 // run beside whoever uses what is in force.
 type Catalog struct {
-	o         Options
-	services  map[string]*service
-	contracts map[string]*entry
-	routes    map[string]via             // by host:port
-	tenants   map[string]struct{}        // those that are pinned
-	owners    owners                     // contracts by the callers that they are for
-	fallback  string                     // the contract for everybody else; empty: none
-	unsafe    map[string]int             // how many services state that a class is unsafe
-	sets      map[string]map[string]bool // of classes, shared by the contracts that name the same ones
-	commits   int
+	options      Options
+	services     map[string]*service
+	contracts    map[string]*contractEntry
+	routes       map[string]routeTarget     // by host:port
+	tenants      map[string]struct{}        // those that are pinned
+	matches      matchIndex                 // contracts by the callers that they are for
+	fallback     string                     // the contract for everybody else; empty: none
+	unsafeCounts map[string]int             // how many services state that a class is unsafe
+	classSets    map[string]map[string]bool // of classes, shared by the contracts that name the same ones
+	commits      int
 }
 
 // service is one in force, with those that name it.
 type service struct {
-	name      string // the one string of it
-	classes   map[string]bool
-	stated    []config.Class // those whose effect is stated
-	contracts map[string]struct{}
-	routes    map[string]struct{}
+	name       string // the one string of it
+	classes    map[string]bool
+	withEffect []config.Class // those whose effect is stated
+	contracts  map[string]struct{}
+	routes     map[string]struct{}
 }
 
 // entry is a contract in force.
-type entry struct {
+type contractEntry struct {
 	spec     json.RawMessage // compiled anew when a service changes
 	services []string
 	matches  []contract.Match // shared with the contracts' table
@@ -55,50 +55,50 @@
 }
 
 // owners are contracts by the callers that they are for. Most are for a tenant alone, which takes little room by itself.
-type owners struct {
-	tenants map[string]string
-	others  map[contract.Match]string
+type matchIndex struct {
+	byTenant map[string]string
+	byMatch  map[contract.Match]string
 }
 
-func newOwners(size int) owners {
-	return owners{make(map[string]string, size), map[contract.Match]string{}}
+func newMatchIndex(size int) matchIndex {
+	return matchIndex{make(map[string]string, size), map[contract.Match]string{}}
 }
 
-func (o *owners) get(m contract.Match) (name string, known bool) {
+func (o *matchIndex) get(m contract.Match) (name string, known bool) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		name, known = o.tenants[m.Tenant]
+		name, known = o.byTenant[m.Tenant]
 	} else {
-		name, known = o.others[m]
+		name, known = o.byMatch[m]
 	}
 	return name, known
 }
 
-func (o *owners) set(m contract.Match, name string) {
+func (o *matchIndex) set(m contract.Match, name string) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		o.tenants[m.Tenant] = name
+		o.byTenant[m.Tenant] = name
 	} else {
-		o.others[m] = name
+		o.byMatch[m] = name
 	}
 }
 
-func (o *owners) remove(m contract.Match) {
+func (o *matchIndex) remove(m contract.Match) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		delete(o.tenants, m.Tenant)
+		delete(o.byTenant, m.Tenant)
 	} else {
-		delete(o.others, m)
+		delete(o.byMatch, m)
 	}
 }
 
 // via is where a route leads.
-type via struct{ service, class string } // without a class: not opaque
+type routeTarget struct{ service, class string } // without a class: not opaque
 
 // setsMost bounds the sets that are kept to be shared: past it they are collected anew.
-const setsMost = 4096
+const maxClassSets = 4096
 
 // New makes one with nothing in it.
 func New(o Options) *Catalog {
-	return &Catalog{o: o, services: map[string]*service{}, contracts: map[string]*entry{}, routes: map[string]via{},
-		tenants: map[string]struct{}{}, owners: newOwners(0), unsafe: map[string]int{}, sets: map[string]map[string]bool{}}
+	return &Catalog{options: o, services: map[string]*service{}, contracts: map[string]*contractEntry{}, routes: map[string]routeTarget{},
+		tenants: map[string]struct{}{}, matches: newMatchIndex(0), unsafeCounts: map[string]int{}, classSets: map[string]map[string]bool{}}
 }
 
 // Len is the number of resources in force.
@@ -107,7 +107,7 @@
 }
 
 // SetEven says whether nodes hand out even parts of contracts, from the next change on.
-func (c *Catalog) SetEven(even bool) { c.o.Even = even }
+func (c *Catalog) SetEven(even bool) { c.options.Even = even }
 
 // Change is a delta that was checked, and what is to be changed for it.
 type Change struct {
@@ -115,18 +115,18 @@
 	Routes    tunnel.Change
 	Tenants   cell.Change
 
-	base      int  // commits before it
-	recheck   bool // it is of other settings:
-	effects   map[string]string
-	services  map[string]*service // nil: gone
-	contracts map[string]*entry   // nil: gone
-	moved     map[string]bool     // contracts that the delta itself names
-	routes    map[string]via      // without a service: gone
-	tenants   map[string]bool     // false: gone
-	owners    owners
-	fallback  string
-	unsafe    map[string]int
-	sets      map[string]map[string]bool
+	baseCommits  int  // commits before it
+	recheck      bool // it is of other settings:
+	effects      map[string]string
+	services     map[string]*service       // nil: gone
+	contracts    map[string]*contractEntry // nil: gone
+	inDelta      map[string]bool           // contracts that the delta itself names
+	routes       map[string]routeTarget    // without a service: gone
+	tenants      map[string]bool           // false: gone
+	matches      matchIndex
+	fallback     string
+	unsafeCounts map[string]int
+	classSets    map[string]map[string]bool
 }
 
 // Empty tells whether it changes nothing.
@@ -137,16 +137,16 @@
 // Commit notes that a change is in force. It is the one that was prepared last, and is committed once; a change that was prepared
 // before another's commit is a fault of the caller and panics.
 func (c *Catalog) Commit(ch *Change) {
-	if ch.base != c.commits {
+	if ch.baseCommits != c.commits {
 		panic("catalog: a change is committed twice, or after another one than it was prepared for")
 	}
 	c.commits++
 	if ch.recheck {
-		c.o.Effects = ch.effects
+		c.options.Effects = ch.effects
 	}
-	for name, n := range ch.unsafe {
-		if c.unsafe[name] += n; c.unsafe[name] == 0 {
-			delete(c.unsafe, name)
+	for name, n := range ch.unsafeCounts {
+		if c.unsafeCounts[name] += n; c.unsafeCounts[name] == 0 {
+			delete(c.unsafeCounts, name)
 		}
 	}
 	for name, s := range ch.services {
@@ -168,7 +168,7 @@
 				}
 			}
 			for _, m := range old.matches {
-				c.owners.remove(m)
+				c.matches.remove(m)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 			c.services[s].contracts[name] = struct{}{}
 		}
 		for _, m := range e.matches {
-			c.owners.set(m, name)
+			c.matches.set(m, name)
 		}
 	}
 	c.fallback = ch.fallback
@@ -206,36 +206,36 @@
 			delete(c.tenants, name)
 		}
 	}
-	if len(c.sets)+len(ch.sets) > setsMost {
-		clear(c.sets)
+	if len(c.classSets)+len(ch.classSets) > maxClassSets {
+		clear(c.classSets)
 	}
-	maps.Copy(c.sets, ch.sets)
+	maps.Copy(c.classSets, ch.classSets)
 }
 
 // Recheck checks what is in force against other effects of the node's classes (Options.Effects). The change is to be committed like one
 // of a delta. An error is a *resource.Refusal of the first resource, by kind and name, that does not fit them; the ones before stay.
 // It costs by what there is.
 func (c *Catalog) Recheck(effects map[string]string) (*Change, error) {
-	ch := c.change()
+	ch := c.newChange()
 	ch.recheck, ch.effects = true, effects
 	now := *c
-	now.o.Effects = ch.effects
-	for _, name := range sorted(c.contracts) {
+	now.options.Effects = ch.effects
+	for _, name := range sortedKeys(c.contracts) {
 		for class := range c.contracts[name].retries {
 			if now.isUnsafe(ch, class) {
 				return nil, refuse(resource.Key{Kind: resource.Contract, Name: name}, "retries", "allows retries of class %q, which is unsafe: it must never run twice", class)
 			}
 		}
 	}
-	for _, name := range sorted(c.routes) {
-		if err := now.classOf(name, c.routes[name]); err != nil {
+	for _, name := range sortedKeys(c.routes) {
+		if err := now.checkClass(name, c.routes[name]); err != nil {
 			return nil, err
 		}
 	}
-	for _, name := range sorted(c.services) {
-		s := config.Service{Name: name, Classes: c.services[name].stated}
+	for _, name := range sortedKeys(c.services) {
+		s := config.Service{Name: name, Classes: c.services[name].withEffect}
 		if err := s.Check("", ch.effects); err != nil {
-			return nil, refusal(resource.Key{Kind: resource.Service, Name: name}, err)
+			return nil, refusalOf(resource.Key{Kind: resource.Service, Name: name}, err)
 		}
 	}
 	return ch, nil
--- a/internal/resource/catalog/catalog_test.go
+++ b/internal/resource/catalog/catalog_test.go
@@ -23,38 +23,38 @@
 var effects = map[string]string{"view": "safe", "buy": "unsafe", "line": "keyed"}
 
 // put makes a resource of JSON text, and key a key; both of "kind name".
-func put(key, spec string) resource.Resource {
-	return resource.Resource{Key: keyOf(key), Spec: json.RawMessage(spec)}
+func newResource(key, spec string) resource.Resource {
+	return resource.Resource{Key: parseKey(key), Spec: json.RawMessage(spec)}
 }
 
-func keyOf(text string) resource.Key {
+func parseKey(text string) resource.Key {
 	kind, name, _ := strings.Cut(text, " ")
 	return resource.Key{Kind: resource.Kind(kind), Name: name}
 }
 
-func delta(what ...any) *resource.Delta {
+func newDelta(what ...any) *resource.Delta {
 	d := &resource.Delta{}
 	for _, w := range what {
 		switch w := w.(type) {
 		case resource.Resource:
 			d.Put = append(d.Put, w)
 		case string:
-			d.Gone = append(d.Gone, keyOf(w))
+			d.Gone = append(d.Gone, parseKey(w))
 		}
 	}
 	return d
 }
 
 // world is all that a change is put in force in.
-type world struct {
+type testState struct {
 	*Catalog
-	ledger *contract.Ledger
-	routes *tunnel.Table
-	placer *cell.Placer
-	held   time.Duration // how long the core's lock would have been, for all changes together
+	ledger   *contract.Ledger
+	routes   *tunnel.Table
+	placer   *cell.Placer
+	lockTime time.Duration // how long the core's lock would have been, for all changes together
 }
 
-func newWorld(t testing.TB, o Options) *world {
+func newTestState(t testing.TB, o Options) *testState {
 	tab, err := contract.NewTable(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -63,11 +63,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{New(o), contract.NewLedger(tab, 0, 1), routes, cell.NewPlacer(cell.Terms{Plan: cell.Plan{Size: 2}, Memory: 10}), 0}
+	return &testState{New(o), contract.NewLedger(tab, 0, 1), routes, cell.NewPlacer(cell.Terms{Plan: cell.Plan{Size: 2}, Memory: 10}), 0}
 }
 
 // take puts a delta in force, or says why not. What the catalog lets through fits whatever else it is for.
-func (w *world) take(t fataler, d *resource.Delta) error {
+func (w *testState) apply(t fataler, d *resource.Delta) error {
 	ch, err := w.Prepare(d)
 	if err != nil {
 		var r *resource.Refusal
@@ -86,7 +86,7 @@
 	w.ledger.Change(0, &ch.Contracts)
 	w.routes.Change(&ch.Routes)
 	w.placer.Apply(&ch.Tenants)
-	w.held += time.Since(at)
+	w.lockTime += time.Since(at)
 	w.Commit(ch)
 	return nil
 }
@@ -94,19 +94,19 @@
 type fataler interface{ Fatalf(string, ...any) }
 
 // dump is all that is in force, as text.
-func (w *world) dump() string {
+func (w *testState) dump() string {
 	var b strings.Builder
 	c := w.Catalog
-	for _, n := range sorted(c.services) {
+	for _, n := range sortedKeys(c.services) {
 		s := c.services[n]
-		fmt.Fprintf(&b, "service %s %s %v %v %v %v\n", n, s.name, s.classes, s.stated, s.contracts, s.routes)
+		fmt.Fprintf(&b, "service %s %s %v %v %v %v\n", n, s.name, s.classes, s.withEffect, s.contracts, s.routes)
 	}
-	for _, n := range sorted(c.contracts) {
+	for _, n := range sortedKeys(c.contracts) {
 		e := c.contracts[n]
 		i, _ := w.ledger.Table().Slot(n)
 		fmt.Fprintf(&b, "contract %s %s %v %v %v\n\t%+v\n", n, e.spec, e.services, e.matches, e.retries, *w.ledger.Table().Terms(i))
 	}
-	for _, n := range sorted(c.routes) {
+	for _, n := range sortedKeys(c.routes) {
 		host, port, _ := strings.Cut(n, ":")
 		var p uint16
 		fmt.Sscan(port, &p)
@@ -114,90 +114,90 @@
 		fmt.Fprintf(&b, "route %s %+v %+v\n", n, c.routes[n], r)
 	}
 	var owners []string
-	for m, n := range c.owners.others {
+	for m, n := range c.matches.byMatch {
 		owners = append(owners, fmt.Sprintf("%+v is for %s", m, n))
 	}
-	for m, n := range c.owners.tenants {
+	for m, n := range c.matches.byTenant {
 		owners = append(owners, fmt.Sprintf("%s is for %s", m, n))
 	}
 	slices.Sort(owners)
-	fmt.Fprintf(&b, "tenants %v %+v\nfallback %q\nunsafe %v\n%s\n%d contracts, %d routes", c.tenants, w.placer.Tenants(), c.fallback, c.unsafe,
+	fmt.Fprintf(&b, "tenants %v %+v\nfallback %q\nunsafe %v\n%s\n%d contracts, %d routes", c.tenants, w.placer.Tenants(), c.fallback, c.unsafeCounts,
 		strings.Join(owners, "\n"), w.ledger.Table().Count(), w.routes.Len())
 	return b.String()
 }
 
 // base is a world with some of each kind.
-func base(t testing.TB) *world {
-	w := newWorld(t, Options{Effects: effects, Cells: true})
-	if err := w.take(t, delta(
-		put("contract one", `{"name":"one","match":[{"tenant":"one"}],"services":["shop"],"rate":5,"retries":["view"]}`),
-		put("contract two", `{"name":"two","match":[{"tenant":"two"}]}`),
-		put("contract rest", `{"name":"rest"}`),
-		put("contract odd", `{"name":"odd","match":[{"tenant":"odd"}],"retries":["rare"]}`),
-		put("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy","effect":"unsafe"}]}`),
-		put("service lines", `{"name":"lines","classes":[{"name":"line"}]}`),
-		put("service idle", `{"name":"idle"}`),
-		put("route a.org:80", `{"host":"A.org.","port":80,"service":"shop"}`),
-		put("route b.org:7", `{"host":"b.org","port":7,"service":"lines","kind":"opaque","class":"line"}`),
-		put("tenant gulf", `{"tenant":"gulf","pods":[1,2]}`))); err != nil {
+func newFilledState(t testing.TB) *testState {
+	w := newTestState(t, Options{Effects: effects, Cells: true})
+	if err := w.apply(t, newDelta(
+		newResource("contract one", `{"name":"one","match":[{"tenant":"one"}],"services":["shop"],"rate":5,"retries":["view"]}`),
+		newResource("contract two", `{"name":"two","match":[{"tenant":"two"}]}`),
+		newResource("contract rest", `{"name":"rest"}`),
+		newResource("contract odd", `{"name":"odd","match":[{"tenant":"odd"}],"retries":["rare"]}`),
+		newResource("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy","effect":"unsafe"}]}`),
+		newResource("service lines", `{"name":"lines","classes":[{"name":"line"}]}`),
+		newResource("service idle", `{"name":"idle"}`),
+		newResource("route a.org:80", `{"host":"A.org.","port":80,"service":"shop"}`),
+		newResource("route b.org:7", `{"host":"b.org","port":7,"service":"lines","kind":"opaque","class":"line"}`),
+		newResource("tenant gulf", `{"tenant":"gulf","pods":[1,2]}`))); err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
 // What a delta does not fit for names resource and field, and nothing that is in force changes, whatever else the delta has that is good.
-func TestRefusals(t *testing.T) {
-	w := base(t)
+func TestInvalidDeltaIsRefusedAndChangesNothing(t *testing.T) {
+	w := newFilledState(t)
 	before := w.dump()
 	long := strings.Repeat("x", resource.MaxName+1)
 	for _, c := range []struct {
 		delta *resource.Delta
 		want  string
 	}{
-		{delta(put("widget a", `{}`)), `widget "a": is of a kind that is not known here`},
-		{delta("widget a"), `widget "a": is of a kind that is not known here`},
-		{delta(put("contract ", `{}`)), `contract "": name: missing`},
-		{delta(put("contract "+long, `{}`)), "name: is longer than 300 bytes"},
-		{delta(put("contract a", `{"name":"a","match":[{"tenant":"`+strings.Repeat("x", resource.MaxSpec)+`"}]}`)), `contract "a": takes 65`},
-		{delta("contract one", put("contract one", `{"name":"one"}`)), `contract "one": is in the delta twice`},
-		{delta(put("contract a", `{"name":"b"}`)), `contract "a": name: "b" is not the resource's`},
-		{delta(put("contract a", `null`)), `contract "a": name: "" is not the resource's`},
-		{delta(put("contract a", `{"name":"a","rats":1}`)), `contract "a": rats: is no field of a contract`},
-		{delta(put("service a", `{"name":"a","classes":[{"nam":"x"}]}`)), `service "a": nam: is no field of a service`},
-		{delta(put("contract a", `{"name":"a","rate":"fast"}`)), `contract "a": rate: is a string, want float64`},
-		{delta(put("contract a", `{"name":`)), `contract "a": `},
-		{delta(put("contract a", `{"name":"a","match":[{"tenant":"a"}]} {}`)), `contract "a": has something behind its spec`},
-		{delta(put("contract a", `{"name":"a","rate":-1}`)), `contract "a": rate: -1 is outside`},
-		{delta(put("contract a", `{"name":"a","match":[{"from":"here"}]}`)), `contract "a": match[0].from: "here" is neither`},
-		{delta(put("contract a", `{"name":"a","services":["none"],"match":[{"tenant":"a"}]}`)), `contract "a": services[0]: "none" is no service here`},
-		{delta(put("contract a", `{"name":"a","match":[{"tenant":"one"}]}`)), `contract "a": match[0]: contract "one" is for the same callers`},
-		{delta(put("contract a", `{"name":"a"}`)), `contract "a": match: contract "rest" is for everybody else already`},
-		{delta("contract rest", put("contract a", `{"name":"a"}`), put("contract b", `{"name":"b"}`)), `contract "b": match: contract "a" is for everybody else`},
-		{delta(put("contract a", `{"name":"a","match":[{"tenant":"a"}],"retries":["buy"]}`)), `contract "a": retries[0]: contract "a" allows retries of class "buy", which is unsafe`},
-		{delta(put("contract a", `{"name":"a","match":[{"tenant":"a"}],"services":["lines"],"retries":["view"]}`)), `contract "a": retries[0]: contract "a" allows retries of class "view", which none`},
-		{delta(put("service a", `{"name":"a","classes":[{"name":"view","effect":"unsafe"}]}`)), `service "a": classes[0].effect: unsafe, but the node's settings say`},
-		{delta(put("service a", `{"name":"a","classes":[{"name":"x","effect":"magic"}]}`)), `service "a": classes[0].effect: "magic" is none of`},
-		{delta(put("service a", `{"name":"a","classes":[{"name":"rare","effect":"unsafe"}]}`)), `service "a": classes: class "rare" becomes unsafe, and contract "odd" allows retries of it`},
-		{delta(put("service shop", `{"name":"shop","classes":[{"name":"buy"}]}`)), `service "shop": classes: contract "one": retries[0]: `},
-		{delta("service shop"), `service "shop": is gone, and contract "one" names it`},
-		{delta("service shop", "contract one"), `service "shop": is gone, and route "a.org:80" leads to it`},
-		{delta("service shop", "route a.org:80", put("contract one", `{"name":"one","match":[{"tenant":"one"}],"services":["shop"]}`)), `contract "one": services[0]: "shop" is no service`},
-		{delta("service lines", put("route b.org:7", `{"host":"b.org","port":7,"service":"lines"}`)), `route "b.org:7": service: "lines" is no service here`},
-		{delta(put("route c.org:1", `{"host":"c.org","port":1,"service":"none"}`)), `route "c.org:1": service: "none" is no service here`},
-		{delta(put("route c.org:1", `{"host":"c.org","port":2,"service":"shop"}`)), `route "c.org:1": host: "c.org:2" is not the resource's`},
-		{delta(put("route 10.0.0.1:1", `{"host":"10.0.0.1","port":1,"service":"shop"}`)), `route "10.0.0.1:1": host: "10.0.0.1" is an address`},
-		{delta(put("route c.org:1", `{"host":"c.org","port":1,"service":"shop","kind":"opaque","class":"none"}`)), `route "c.org:1": class: "none" is no class of the node's settings`},
-		{delta(put("route c.org:1", `{"host":"c.org","port":1,"service":"shop","idle_ns":5}`)), `route "c.org:1": idle: is for opaque routes only`},
-		{delta(put("route c.org:1", `{"host":"c.org","port":70000,"service":"shop"}`)), `route "c.org:1": port: is a number 70000, want uint16`},
-		{delta(put("tenant a", `{"tenant":"a"}`)), `tenant "a": pods: missing`},
-		{delta(put("tenant a", `{"tenant":"a","pods":[1],"moves":[{"to":[2]}]}`)), `tenant "a": moves[0].start: missing`},
-		{delta(put("tenant a", `{"tenant":"b","pods":[1]}`)), `tenant "a": tenant: "b" is not the resource's`},
+		{newDelta(newResource("widget a", `{}`)), `widget "a": is of a kind that is not known here`},
+		{newDelta("widget a"), `widget "a": is of a kind that is not known here`},
+		{newDelta(newResource("contract ", `{}`)), `contract "": name: missing`},
+		{newDelta(newResource("contract "+long, `{}`)), "name: is longer than 300 bytes"},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"`+strings.Repeat("x", resource.MaxSpec)+`"}]}`)), `contract "a": takes 65`},
+		{newDelta("contract one", newResource("contract one", `{"name":"one"}`)), `contract "one": is in the delta twice`},
+		{newDelta(newResource("contract a", `{"name":"b"}`)), `contract "a": name: "b" is not the resource's`},
+		{newDelta(newResource("contract a", `null`)), `contract "a": name: "" is not the resource's`},
+		{newDelta(newResource("contract a", `{"name":"a","rats":1}`)), `contract "a": rats: is no field of a contract`},
+		{newDelta(newResource("service a", `{"name":"a","classes":[{"nam":"x"}]}`)), `service "a": nam: is no field of a service`},
+		{newDelta(newResource("contract a", `{"name":"a","rate":"fast"}`)), `contract "a": rate: is a string, want float64`},
+		{newDelta(newResource("contract a", `{"name":`)), `contract "a": `},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]} {}`)), `contract "a": has something behind its spec`},
+		{newDelta(newResource("contract a", `{"name":"a","rate":-1}`)), `contract "a": rate: -1 is outside`},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"from":"here"}]}`)), `contract "a": match[0].from: "here" is neither`},
+		{newDelta(newResource("contract a", `{"name":"a","services":["none"],"match":[{"tenant":"a"}]}`)), `contract "a": services[0]: "none" is no service here`},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"one"}]}`)), `contract "a": match[0]: contract "one" is for the same callers`},
+		{newDelta(newResource("contract a", `{"name":"a"}`)), `contract "a": match: contract "rest" is for everybody else already`},
+		{newDelta("contract rest", newResource("contract a", `{"name":"a"}`), newResource("contract b", `{"name":"b"}`)), `contract "b": match: contract "a" is for everybody else`},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}],"retries":["buy"]}`)), `contract "a": retries[0]: contract "a" allows retries of class "buy", which is unsafe`},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}],"services":["lines"],"retries":["view"]}`)), `contract "a": retries[0]: contract "a" allows retries of class "view", which none`},
+		{newDelta(newResource("service a", `{"name":"a","classes":[{"name":"view","effect":"unsafe"}]}`)), `service "a": classes[0].effect: unsafe, but the node's settings say`},
+		{newDelta(newResource("service a", `{"name":"a","classes":[{"name":"x","effect":"magic"}]}`)), `service "a": classes[0].effect: "magic" is none of`},
+		{newDelta(newResource("service a", `{"name":"a","classes":[{"name":"rare","effect":"unsafe"}]}`)), `service "a": classes: class "rare" becomes unsafe, and contract "odd" allows retries of it`},
+		{newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"buy"}]}`)), `service "shop": classes: contract "one": retries[0]: `},
+		{newDelta("service shop"), `service "shop": is gone, and contract "one" names it`},
+		{newDelta("service shop", "contract one"), `service "shop": is gone, and route "a.org:80" leads to it`},
+		{newDelta("service shop", "route a.org:80", newResource("contract one", `{"name":"one","match":[{"tenant":"one"}],"services":["shop"]}`)), `contract "one": services[0]: "shop" is no service`},
+		{newDelta("service lines", newResource("route b.org:7", `{"host":"b.org","port":7,"service":"lines"}`)), `route "b.org:7": service: "lines" is no service here`},
+		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"none"}`)), `route "c.org:1": service: "none" is no service here`},
+		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":2,"service":"shop"}`)), `route "c.org:1": host: "c.org:2" is not the resource's`},
+		{newDelta(newResource("route 10.0.0.1:1", `{"host":"10.0.0.1","port":1,"service":"shop"}`)), `route "10.0.0.1:1": host: "10.0.0.1" is an address`},
+		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"shop","kind":"opaque","class":"none"}`)), `route "c.org:1": class: "none" is no class of the node's settings`},
+		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"shop","idle_ns":5}`)), `route "c.org:1": idle: is for opaque routes only`},
+		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":70000,"service":"shop"}`)), `route "c.org:1": port: is a number 70000, want uint16`},
+		{newDelta(newResource("tenant a", `{"tenant":"a"}`)), `tenant "a": pods: missing`},
+		{newDelta(newResource("tenant a", `{"tenant":"a","pods":[1],"moves":[{"to":[2]}]}`)), `tenant "a": moves[0].start: missing`},
+		{newDelta(newResource("tenant a", `{"tenant":"b","pods":[1]}`)), `tenant "a": tenant: "b" is not the resource's`},
 	} {
-		good := delta(put("contract good", `{"name":"good","match":[{"tenant":"good"}]}`), put("service good", `{"name":"good"}`),
-			put("tenant good", `{"tenant":"good","pods":[3]}`), put("route good.org:1", `{"host":"good.org","port":1,"service":"idle"}`), "contract two")
+		good := newDelta(newResource("contract good", `{"name":"good","match":[{"tenant":"good"}]}`), newResource("service good", `{"name":"good"}`),
+			newResource("tenant good", `{"tenant":"good","pods":[3]}`), newResource("route good.org:1", `{"host":"good.org","port":1,"service":"idle"}`), "contract two")
 		good.Put, good.Gone = append(good.Put, c.delta.Put...), append(good.Gone, c.delta.Gone...)
 		for _, d := range []*resource.Delta{c.delta, good} {
-			if err := w.take(t, d); err == nil || !strings.Contains(err.Error(), c.want) {
+			if err := w.apply(t, d); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("%+v: %v, want %q", d, err, c.want)
 			}
 		}
@@ -206,15 +206,15 @@
 		}
 	}
 	plain := New(Options{})
-	if _, err := plain.Prepare(delta(put("tenant a", `{"tenant":"a","pods":[1]}`))); err == nil || !strings.Contains(err.Error(), `tenant "a": is pinned to pods, and there are no cells`) {
+	if _, err := plain.Prepare(newDelta(newResource("tenant a", `{"tenant":"a","pods":[1]}`))); err == nil || !strings.Contains(err.Error(), `tenant "a": is pinned to pods, and there are no cells`) {
 		t.Errorf("without cells: %v", err)
 	}
-	if _, err := plain.Prepare(delta(put("service a", `{"name":"a"}`), put("route c.org:1", `{"host":"c.org","port":1,"service":"a","kind":"opaque","class":"any"}`))); err != nil {
+	if _, err := plain.Prepare(newDelta(newResource("service a", `{"name":"a"}`), newResource("route c.org:1", `{"host":"c.org","port":1,"service":"a","kind":"opaque","class":"any"}`))); err != nil {
 		t.Errorf("where no settings are known: %v", err)
 	}
 	many := &resource.Delta{Put: make([]resource.Resource, resource.MaxResources+1)}
 	for i := range many.Put {
-		many.Put[i] = put(fmt.Sprint("service s", i), `{}`)
+		many.Put[i] = newResource(fmt.Sprint("service s", i), `{}`)
 	}
 	if _, err := plain.Prepare(many); err == nil || !strings.Contains(err.Error(), "makes 100001 resources, at most 100000") {
 		t.Errorf("too many: %v", err)
@@ -222,32 +222,32 @@
 }
 
 // A service goes together with what names it; one that changes changes its contracts, and those alone.
-func TestServices(t *testing.T) {
-	w := base(t)
+func TestServiceChangeUpdatesDependentContracts(t *testing.T) {
+	w := newFilledState(t)
 	terms := func(name string) *contract.Terms {
 		i, _ := w.ledger.Table().Slot(name)
 		return w.ledger.Table().Terms(i)
 	}
-	ch, err := w.Prepare(delta(put("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy"},{"name":"look"}]}`)))
+	ch, err := w.Prepare(newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy"},{"name":"look"}]}`)))
 	if err != nil || len(ch.Contracts.Put) != 1 || ch.Contracts.Put[0].Name != "one" || !ch.Contracts.Put[0].Classes["look"] || len(ch.Routes.Put) != 0 {
 		t.Fatalf("%+v, %v", ch, err)
 	}
 	if terms("one").Classes["look"] {
 		t.Error("what is only prepared is in force")
 	}
-	if ch, err := w.Prepare(delta(put("service shop", `{"name":"shop","classes":[{"name":"buy"},{"name":"view","effect":"safe"}]}`))); err != nil || len(ch.Contracts.Put) != 0 {
+	if ch, err := w.Prepare(newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"buy"},{"name":"view","effect":"safe"}]}`))); err != nil || len(ch.Contracts.Put) != 0 {
 		t.Errorf("the same classes: %+v, %v", ch, err)
 	}
-	if err := w.take(t, delta(put("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy"},{"name":"look"}]}`))); err != nil || !terms("one").Classes["look"] {
+	if err := w.apply(t, newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy"},{"name":"look"}]}`))); err != nil || !terms("one").Classes["look"] {
 		t.Error(err, terms("one"))
 	}
 	// Contracts share what is alike, also with one from before their service was put with the same classes.
-	if err := w.take(t, delta(put("service shop", `{"name":"shop","classes":[{"name":"look"},{"name":"view"},{"name":"buy"}]}`))); err != nil {
+	if err := w.apply(t, newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"look"},{"name":"view"},{"name":"buy"}]}`))); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.take(t, delta(put("contract a", `{"name":"a","match":[{"tenant":"a"}],"services":["shop"],"retries":["view"]}`),
-		put("contract b", `{"name":"b","match":[{"tenant":"b"}],"services":["shop","lines"]}`),
-		put("contract c", `{"name":"c","match":[{"tenant":"c"}],"services":["lines","shop"]}`))); err != nil {
+	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}],"services":["shop"],"retries":["view"]}`),
+		newResource("contract b", `{"name":"b","match":[{"tenant":"b"}],"services":["shop","lines"]}`),
+		newResource("contract c", `{"name":"c","match":[{"tenant":"c"}],"services":["lines","shop"]}`))); err != nil {
 		t.Fatal(err)
 	}
 	same := func(a, b map[string]bool) bool { return reflect.ValueOf(a).Pointer() == reflect.ValueOf(b).Pointer() }
@@ -258,29 +258,29 @@
 		t.Errorf("%v %v", terms("a").Classes, terms("b").Classes)
 	}
 	// What names it goes with it, or names another one.
-	if err := w.take(t, delta("service shop", "contract one", "contract a", "contract b", put("contract c", `{"name":"c","match":[{"tenant":"c"}],"services":["lines"]}`),
-		put("route a.org:80", `{"host":"a.org","port":80,"service":"idle"}`))); err != nil {
+	if err := w.apply(t, newDelta("service shop", "contract one", "contract a", "contract b", newResource("contract c", `{"name":"c","match":[{"tenant":"c"}],"services":["lines"]}`),
+		newResource("route a.org:80", `{"host":"a.org","port":80,"service":"idle"}`))); err != nil {
 		t.Fatal(err)
 	}
 	if r, ok := w.routes.Find("a.org", 80); !ok || r.Service != "idle" {
 		t.Errorf("%+v", r)
 	}
-	if err := w.take(t, delta("contract c", "contract two", "contract rest", "contract odd", "service lines", "service idle", "route a.org:80", "route b.org:7", "tenant gulf", "tenant none")); err != nil || w.Len() != 0 {
+	if err := w.apply(t, newDelta("contract c", "contract two", "contract rest", "contract odd", "service lines", "service idle", "route a.org:80", "route b.org:7", "tenant gulf", "tenant none")); err != nil || w.Len() != 0 {
 		t.Fatal(err, w.dump())
 	}
-	if len(w.owners.tenants)+len(w.owners.others)+len(w.unsafe) != 0 || w.fallback != "" {
+	if len(w.matches.byTenant)+len(w.matches.byMatch)+len(w.unsafeCounts) != 0 || w.fallback != "" {
 		t.Errorf("all is gone: %s", w.dump())
 	}
 }
 
 // A change that is committed twice, or after another one, is a fault that is not passed over.
-func TestCommitOnce(t *testing.T) {
-	w := base(t)
-	first, err := w.Prepare(delta("tenant gulf"))
+func TestCommitPanicsWhenRepeatedOrOutdated(t *testing.T) {
+	w := newFilledState(t)
+	first, err := w.Prepare(newDelta("tenant gulf"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := w.Prepare(delta("contract two"))
+	second, err := w.Prepare(newDelta("contract two"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -298,8 +298,8 @@
 }
 
 // Other settings of the node: what is in force fits them, or one resource is named.
-func TestRecheck(t *testing.T) {
-	w := base(t)
+func TestRecheckAgainstChangedClassEffects(t *testing.T) {
+	w := newFilledState(t)
 	before := w.dump()
 	for _, c := range []struct {
 		effects map[string]string
@@ -315,25 +315,25 @@
 		}
 	}
 	ch, err := w.Recheck(map[string]string{"view": "keyed", "line": "safe"})
-	if err != nil || ch.Empty() || w.dump() != before || w.o.Effects["buy"] == "" {
+	if err != nil || ch.Empty() || w.dump() != before || w.options.Effects["buy"] == "" {
 		t.Fatal(ch, err)
 	}
 	w.Commit(ch)
-	if err := w.take(t, delta(put("route c.org:1", `{"host":"c.org","port":1,"service":"shop","kind":"opaque","class":"buy"}`))); err == nil {
+	if err := w.apply(t, newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"shop","kind":"opaque","class":"buy"}`))); err == nil {
 		t.Error("a class that the settings no longer have")
 	}
 	// The service still says that buy is unsafe, and the settings do not know it any more.
-	if err := w.take(t, delta(put("contract a", `{"name":"a","match":[{"tenant":"a"}],"retries":["buy"]}`))); err == nil {
+	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}],"retries":["buy"]}`))); err == nil {
 		t.Error("retries of a class that a service says is unsafe")
 	}
 	w.SetEven(true)
-	if err := w.take(t, delta(put("contract a", `{"name":"a","match":[{"tenant":"a"}]}`))); err != nil || !w.ledger.Table().EvenParts {
+	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]}`))); err != nil || !w.ledger.Table().EvenParts {
 		t.Error("even parts are not handed out", err)
 	}
 }
 
 // drawResource makes one that may be anything within a small world, also one that does not fit.
-func drawResource(t *rapid.T) resource.Resource {
+func randomResource(t *rapid.T) resource.Resource {
 	name := func(prefix string, n int) string { return fmt.Sprint(prefix, rapid.IntRange(0, n).Draw(t, prefix)) }
 	of := func(kind resource.Kind, name string, spec any) resource.Resource {
 		text, err := json.Marshal(spec)
@@ -377,15 +377,15 @@
 
 // However it came about, what is in force is what a catalog has that took all resources at once; and a delta is taken just where one
 // that begins anew would take what it leads to.
-func TestDeltasAsTheWhole(t *testing.T) {
+func TestDeltasEqualSnapshotOfSameContent(t *testing.T) {
 	taken, refused := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		o := Options{Effects: effects, Cells: true}
-		w, there := newWorld(t, o), map[resource.Key]resource.Resource{}
+		w, there := newTestState(t, o), map[resource.Key]resource.Resource{}
 		for range rapid.IntRange(1, 25).Draw(rt, "deltas") {
 			d, then, named := &resource.Delta{}, maps.Clone(there), map[resource.Key]bool{}
 			for range rapid.IntRange(1, 5).Draw(rt, "size") {
-				r := drawResource(rt)
+				r := randomResource(rt)
 				if named[r.Key] {
 					continue
 				}
@@ -398,13 +398,13 @@
 					then[r.Key] = r
 				}
 			}
-			anew, whole := newWorld(t, o), &resource.Delta{}
+			anew, whole := newTestState(t, o), &resource.Delta{}
 			for _, r := range then {
 				whole.Put = append(whole.Put, r)
 			}
 			slices.SortFunc(whole.Put, func(a, b resource.Resource) int { return strings.Compare(a.Key.String(), b.Key.String()) })
-			bad, before := anew.take(rt, whole), w.dump()
-			err := w.take(rt, d)
+			bad, before := anew.apply(rt, whole), w.dump()
+			err := w.apply(rt, d)
 			if (err == nil) != (bad == nil) {
 				rt.Fatalf("%+v: %v; all of it anew: %v", d, err, bad)
 			}
@@ -435,7 +435,7 @@
 	}
 }
 
-const file = `services:
+const productFile = `services:
 - {name: shop, classes: [{name: view, effect: safe}, {name: buy, effect: unsafe}]}
 - {name: lines, classes: [{name: line}]}
 contracts:
@@ -455,8 +455,8 @@
 `
 
 // What the product's file states is the same by the file and by resources, and by the parts of a folder.
-func TestAsTheFile(t *testing.T) {
-	f, err := config.Parse("p.yaml", []byte(file))
+func TestResourcesCompileLikeProductFile(t *testing.T) {
+	f, err := config.Parse("p.yaml", []byte(productFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -464,17 +464,17 @@
 	if err != nil || len(all) != 8 {
 		t.Fatal(len(all), err)
 	}
-	parts, lines, err := Parts("p.yaml", []byte(file))
+	parts, lines, err := Parts("p.yaml", []byte(productFile))
 	if err != nil || !reflect.DeepEqual(all, parts) {
 		t.Fatalf("%v, %v, want %v", err, parts, all)
 	}
 	for key, line := range map[string]int{"service shop": 2, "service lines": 3, "contract app": 5, "contract rest": 7, "route shop.example.org:80": 12, "tenant gulf": 17} {
-		if got := lines[keyOf(key)]; got != line {
+		if got := lines[parseKey(key)]; got != line {
 			t.Errorf("%s is at line %d, want %d", key, got, line)
 		}
 	}
-	w := newWorld(t, Options{Effects: effects, Cells: true, Even: true})
-	if err := w.take(t, &resource.Delta{Put: all}); err != nil {
+	w := newTestState(t, Options{Effects: effects, Cells: true, Even: true})
+	if err := w.apply(t, &resource.Delta{Put: all}); err != nil {
 		t.Fatal(err)
 	}
 	want, err := config.Compile(f, effects)
@@ -511,7 +511,7 @@
 }
 
 // A part of a file is read for what it is: what it names may stand elsewhere. What is wrong by itself names file and line.
-func TestParts(t *testing.T) {
+func TestParseFileChecksEachResourceAlone(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want int
--- a/internal/resource/catalog/prepare.go
+++ b/internal/resource/catalog/prepare.go
@@ -14,8 +14,8 @@
 // *resource.Refusal that names resource and field; of several faults it names one. What is prepared keeps the specs of contracts, which
 // are not to be changed after.
 func (c *Catalog) Prepare(d *resource.Delta) (*Change, error) {
-	ch := c.change()
-	if err := c.sort(ch, d); err != nil {
+	ch := c.newChange()
+	if err := c.checkForm(ch, d); err != nil {
 		return nil, err
 	}
 	for i := range d.Put {
@@ -30,7 +30,7 @@
 		case resource.Service:
 			if old := c.services[k.Name]; old != nil {
 				ch.services[k.Name] = nil
-				ch.state(old, -1)
+				ch.countUnsafe(old, -1)
 			}
 		case resource.Contract:
 			if c.contracts[k.Name] != nil {
@@ -39,7 +39,7 @@
 			}
 		case resource.Route:
 			if _, known := c.routes[k.Name]; known {
-				ch.routes[k.Name] = via{}
+				ch.routes[k.Name] = routeTarget{}
 				ch.Routes.Gone = append(ch.Routes.Gone, k.Name)
 			}
 		case resource.Tenant:
@@ -50,7 +50,7 @@
 		}
 	}
 	scope := c.scope(ch)
-	ch.Contracts.Put = make([]contract.Terms, 0, of(d, resource.Contract))
+	ch.Contracts.Put = make([]contract.Terms, 0, countKind(d, resource.Contract))
 	for i := range d.Put {
 		r, err := &d.Put[i], error(nil)
 		switch r.Kind {
@@ -65,23 +65,23 @@
 			return nil, err
 		}
 	}
-	if err := c.follow(ch, scope); err != nil {
+	if err := c.recompileDependents(ch, scope); err != nil {
 		return nil, err
 	}
 	return ch, nil
 }
 
 // change is one in which nothing is yet.
-func (c *Catalog) change() *Change {
-	return &Change{Contracts: contract.Change{Even: c.o.Even}, base: c.commits, services: map[string]*service{}, routes: map[string]via{},
-		tenants: map[string]bool{}, fallback: c.fallback, unsafe: map[string]int{}, sets: map[string]map[string]bool{}}
+func (c *Catalog) newChange() *Change {
+	return &Change{Contracts: contract.Change{Even: c.options.Even}, baseCommits: c.commits, services: map[string]*service{}, routes: map[string]routeTarget{},
+		tenants: map[string]bool{}, fallback: c.fallback, unsafeCounts: map[string]int{}, classSets: map[string]map[string]bool{}}
 }
 
 // sort checks the form of a delta, and notes the contracts that it names.
-func (c *Catalog) sort(ch *Change, d *resource.Delta) error {
-	contracts := of(d, resource.Contract)
-	ch.contracts, ch.moved = make(map[string]*entry, contracts), make(map[string]bool, contracts+len(d.Gone))
-	ch.owners = newOwners(contracts)
+func (c *Catalog) checkForm(ch *Change, d *resource.Delta) error {
+	contracts := countKind(d, resource.Contract)
+	ch.contracts, ch.inDelta = make(map[string]*contractEntry, contracts), make(map[string]bool, contracts+len(d.Gone))
+	ch.matches = newMatchIndex(contracts)
 	seen, total := make(map[resource.Key]bool, len(d.Put)+len(d.Gone)), c.Len()
 	key := func(k resource.Key) error {
 		switch k.Kind {
@@ -100,7 +100,7 @@
 		}
 		seen[k] = true
 		if k.Kind == resource.Contract {
-			if ch.moved[k.Name] = true; k.Name == ch.fallback {
+			if ch.inDelta[k.Name] = true; k.Name == ch.fallback {
 				ch.fallback = ""
 			}
 		}
@@ -133,7 +133,7 @@
 }
 
 // of is how many resources of a kind a delta puts.
-func of(d *resource.Delta, kind resource.Kind) (n int) {
+func countKind(d *resource.Delta, kind resource.Kind) (n int) {
 	for i := range d.Put {
 		if d.Put[i].Kind == kind {
 			n++
@@ -157,7 +157,7 @@
 }
 
 // service is one as it is once the change is in force; nil: none.
-func (c *Catalog) service(ch *Change, name string) *service {
+func (c *Catalog) serviceAfter(ch *Change, name string) *service {
 	if s, staged := ch.services[name]; staged {
 		return s
 	}
@@ -167,16 +167,16 @@
 // isUnsafe tells whether a class must never run twice once the change is in force: by the node's settings, and where they do not have
 // it if any service says so.
 func (c *Catalog) isUnsafe(ch *Change, class string) bool {
-	if e, known := c.o.Effects[class]; known {
+	if e, known := c.options.Effects[class]; known {
 		return e == "unsafe"
 	}
-	return c.unsafe[class]+ch.unsafe[class] > 0
+	return c.unsafeCounts[class]+ch.unsafeCounts[class] > 0
 }
 
 func (c *Catalog) scope(ch *Change) *config.Scope {
 	return &config.Scope{Where: "here",
 		Classes: func(name string) (map[string]bool, bool) {
-			if s := c.service(ch, name); s != nil {
+			if s := c.serviceAfter(ch, name); s != nil {
 				return s.classes, true
 			}
 			return nil, false
@@ -186,20 +186,20 @@
 }
 
 // follow compiles the contracts anew that name a service which changes, and checks those that a class becomes unsafe for.
-func (c *Catalog) follow(ch *Change, scope *config.Scope) error {
-	for _, name := range sorted(ch.services) {
+func (c *Catalog) recompileDependents(ch *Change, scope *config.Scope) error {
+	for _, name := range sortedKeys(ch.services) {
 		old, s := c.services[name], ch.services[name]
 		if old == nil {
 			continue
 		}
 		at := resource.Key{Kind: resource.Service, Name: name}
 		if s == nil {
-			for _, by := range sorted(old.contracts) {
-				if !ch.moved[by] {
+			for _, by := range sortedKeys(old.contracts) {
+				if !ch.inDelta[by] {
 					return refuse(at, "", "is gone, and contract %q names it", by)
 				}
 			}
-			for _, by := range sorted(old.routes) {
+			for _, by := range sortedKeys(old.routes) {
 				if _, moved := ch.routes[by]; !moved {
 					return refuse(at, "", "is gone, and route %q leads to it", by)
 				}
@@ -209,7 +209,7 @@
 		if maps.Equal(old.classes, s.classes) {
 			continue
 		}
-		for _, by := range sorted(old.contracts) {
+		for _, by := range sortedKeys(old.contracts) {
 			if _, done := ch.contracts[by]; done {
 				continue
 			}
@@ -221,14 +221,14 @@
 			ch.Contracts.Put = append(ch.Contracts.Put, t)
 		}
 	}
-	for _, class := range sorted(ch.unsafe) {
-		if _, known := c.o.Effects[class]; known || c.unsafe[class] > 0 || c.unsafe[class]+ch.unsafe[class] == 0 {
+	for _, class := range sortedKeys(ch.unsafeCounts) {
+		if _, known := c.options.Effects[class]; known || c.unsafeCounts[class] > 0 || c.unsafeCounts[class]+ch.unsafeCounts[class] == 0 {
 			continue
 		}
 		// A class that the node's settings do not know becomes unsafe: rare, and the one thing that goes through all contracts.
-		for _, by := range sorted(c.contracts) {
-			if c.contracts[by].retries[class] && !ch.moved[by] {
-				return refuse(c.sayer(ch, class), "classes", "class %q becomes unsafe, and contract %q allows retries of it", class, by)
+		for _, by := range sortedKeys(c.contracts) {
+			if c.contracts[by].retries[class] && !ch.inDelta[by] {
+				return refuse(c.serviceDeclaringUnsafe(ch, class), "classes", "class %q becomes unsafe, and contract %q allows retries of it", class, by)
 			}
 		}
 	}
@@ -236,9 +236,9 @@
 }
 
 // sayer is a service of the change that states that a class is unsafe.
-func (c *Catalog) sayer(ch *Change, class string) resource.Key {
-	for _, name := range sorted(ch.services) {
-		if s := ch.services[name]; s != nil && slices.Contains(s.stated, config.Class{Name: class, Effect: "unsafe"}) {
+func (c *Catalog) serviceDeclaringUnsafe(ch *Change, class string) resource.Key {
+	for _, name := range sortedKeys(ch.services) {
+		if s := ch.services[name]; s != nil && slices.Contains(s.withEffect, config.Class{Name: class, Effect: "unsafe"}) {
 			return resource.Key{Kind: resource.Service, Name: name}
 		}
 	}
--- a/internal/resource/catalog/put.go
+++ b/internal/resource/catalog/put.go
@@ -15,10 +15,10 @@
 // Here is what each kind of resource means to a change: decoded, checked against the other resources, and added to it.
 
 // state counts what a service states of its classes, or does not any more.
-func (ch *Change) state(s *service, n int) {
-	for _, class := range s.stated {
+func (ch *Change) countUnsafe(s *service, n int) {
+	for _, class := range s.withEffect {
 		if class.Effect == "unsafe" {
-			ch.unsafe[class.Name] += n
+			ch.unsafeCounts[class.Name] += n
 		}
 	}
 }
@@ -31,22 +31,22 @@
 	if spec.Name != r.Name {
 		return refuse(r.Key, "name", "%q is not the resource's", spec.Name)
 	}
-	if err := spec.Check("", c.o.Effects); err != nil {
-		return refusal(r.Key, err)
+	if err := spec.Check("", c.options.Effects); err != nil {
+		return refusalOf(r.Key, err)
 	}
 	s := &service{name: r.Name, classes: spec.Set()}
 	for _, class := range spec.Classes {
 		if class.Effect != "" {
-			s.stated = append(s.stated, class)
+			s.withEffect = append(s.withEffect, class)
 		}
 	}
 	if old := c.services[r.Name]; old != nil {
-		ch.state(old, -1)
+		ch.countUnsafe(old, -1)
 		if maps.Equal(old.classes, s.classes) {
 			s.classes = old.classes // its contracts share this one
 		}
 	}
-	ch.state(s, 1)
+	ch.countUnsafe(s, 1)
 	ch.services[r.Name] = s
 	return nil
 }
@@ -63,14 +63,14 @@
 		ch.fallback = t.Name
 	}
 	for k, m := range t.Matches {
-		o, dup := c.owners.get(m)
-		if dup = dup && !ch.moved[o]; !dup {
-			o, dup = ch.owners.get(m)
+		o, dup := c.matches.get(m)
+		if dup = dup && !ch.inDelta[o]; !dup {
+			o, dup = ch.matches.get(m)
 		}
 		if dup && o != t.Name {
 			return refuse(r.Key, fmt.Sprintf("match[%d]", k), "contract %q is for the same callers", o)
 		}
-		ch.owners.set(m, t.Name)
+		ch.matches.set(m, t.Name)
 	}
 	ch.contracts[t.Name] = e
 	ch.Contracts.Put = append(ch.Contracts.Put, t)
@@ -78,7 +78,7 @@
 }
 
 // compile makes a contract's terms. What they have in common with others they share.
-func (c *Catalog) compile(ch *Change, k resource.Key, text json.RawMessage, scope *config.Scope) (t contract.Terms, e *entry, err error) {
+func (c *Catalog) compile(ch *Change, k resource.Key, text json.RawMessage, scope *config.Scope) (t contract.Terms, e *contractEntry, err error) {
 	var spec config.Contract
 	if err := decode(&resource.Resource{Key: k, Spec: text}, &spec); err != nil {
 		return t, nil, err
@@ -87,7 +87,7 @@
 		return t, nil, refuse(k, "name", "%q is not the resource's", spec.Name)
 	}
 	if t, err = spec.Terms("", scope); err != nil {
-		return t, nil, refusal(k, err)
+		return t, nil, refusalOf(k, err)
 	}
 	t.Name = k.Name // one string for all that name it
 	for i := range t.Matches {
@@ -96,28 +96,28 @@
 		}
 	}
 	for i, name := range spec.Services {
-		spec.Services[i] = c.service(ch, name).name
+		spec.Services[i] = c.serviceAfter(ch, name).name
 	}
 	if len(spec.Services) > 1 {
-		t.Classes = c.share(ch, t.Classes)
+		t.Classes = c.sharedSet(ch, t.Classes)
 	}
-	t.Retries = c.share(ch, t.Retries)
-	return t, &entry{text, spec.Services, t.Matches, t.Retries}, nil
+	t.Retries = c.sharedSet(ch, t.Retries)
+	return t, &contractEntry{text, spec.Services, t.Matches, t.Retries}, nil
 }
 
 // share is the set of the same classes that is there already, or this one.
-func (c *Catalog) share(ch *Change, set map[string]bool) map[string]bool {
+func (c *Catalog) sharedSet(ch *Change, set map[string]bool) map[string]bool {
 	if set == nil {
 		return nil
 	}
 	key := strings.Join(slices.Sorted(maps.Keys(set)), "\x00")
-	if had, known := c.sets[key]; known {
+	if had, known := c.classSets[key]; known {
 		return had
 	}
-	if had, known := ch.sets[key]; known {
+	if had, known := ch.classSets[key]; known {
 		return had
 	}
-	ch.sets[key] = set
+	ch.classSets[key] = set
 	return set
 }
 
@@ -126,20 +126,20 @@
 	if err := decode(r, &spec); err != nil {
 		return err
 	}
-	ready, err := route(&spec, "")
+	ready, err := readyRoute(&spec, "")
 	if err != nil {
-		return refusal(r.Key, err)
+		return refusalOf(r.Key, err)
 	}
 	if name := ready.Name(); name != r.Name {
 		return refuse(r.Key, "host", "%q is not the resource's", name)
 	}
-	s := c.service(ch, spec.Service)
+	s := c.serviceAfter(ch, spec.Service)
 	if s == nil {
 		return refuse(r.Key, "service", "%q is no service here", spec.Service)
 	}
 	ready.Service = s.name
-	v := via{s.name, ready.Class}
-	if err := c.classOf(r.Name, v); err != nil {
+	v := routeTarget{s.name, ready.Class}
+	if err := c.checkClass(r.Name, v); err != nil {
 		return err
 	}
 	ch.routes[r.Name] = v
@@ -148,15 +148,15 @@
 }
 
 // classOf checks that an opaque route's class is one of the node's.
-func (c *Catalog) classOf(name string, v via) error {
-	if _, known := c.o.Effects[v.class]; v.class != "" && c.o.Effects != nil && !known {
+func (c *Catalog) checkClass(name string, v routeTarget) error {
+	if _, known := c.options.Effects[v.class]; v.class != "" && c.options.Effects != nil && !known {
 		return refuse(resource.Key{Kind: resource.Route, Name: name}, "class", "%q is no class of the node's settings", v.class)
 	}
 	return nil
 }
 
 func (c *Catalog) putTenant(ch *Change, r *resource.Resource) error {
-	if !c.o.Cells {
+	if !c.options.Cells {
 		return refuse(r.Key, "", "is pinned to pods, and there are no cells here")
 	}
 	var spec config.Pinned
@@ -168,7 +168,7 @@
 	}
 	t, err := spec.Ready("")
 	if err != nil {
-		return refusal(r.Key, err)
+		return refusalOf(r.Key, err)
 	}
 	ch.tenants[r.Name] = true
 	ch.Tenants.Put = append(ch.Tenants.Put, t)
--- a/internal/resource/catalog/refuse.go
+++ b/internal/resource/catalog/refuse.go
@@ -44,7 +44,7 @@
 }
 
 // refusal makes one of what is wrong by itself.
-func refusal(k resource.Key, err error) error {
+func refusalOf(k resource.Key, err error) error {
 	var bad *config.FieldError
 	if errors.As(err, &bad) {
 		return refuse(k, bad.Path, "%s", bad.Why)
@@ -52,4 +52,4 @@
 	return refuse(k, "", "%v", err)
 }
 
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/resource/catalog/size_test.go
+++ b/internal/resource/catalog/size_test.go
@@ -11,25 +11,25 @@
 )
 
 // sized are the resources of a fleet with so many contracts: 3,800 routes and 250 services for 17,000, and as many for each fewer.
-func sized(contracts int) []resource.Resource {
+func fleetResources(contracts int) []resource.Resource {
 	var all []resource.Resource
 	services, routes := contracts*250/17000, contracts*3800/17000
 	for i := range services {
-		all = append(all, put(fmt.Sprint("service service-", i), fmt.Sprintf(
+		all = append(all, newResource(fmt.Sprint("service service-", i), fmt.Sprintf(
 			`{"name":"service-%d","classes":[{"name":"read-%d"},{"name":"write-%d","effect":"keyed"},{"name":"list-%d"},{"name":"pay-%d","effect":"unsafe"}]}`, i, i, i, i, i)))
 	}
 	for i := range contracts {
-		all = append(all, sizedContract(i, i%services, 5))
+		all = append(all, fleetContract(i, i%services, 5))
 	}
 	for i := range routes {
-		all = append(all, put(fmt.Sprintf("route host-%d.services.example.org:443", i), fmt.Sprintf(
+		all = append(all, newResource(fmt.Sprintf("route host-%d.services.example.org:443", i), fmt.Sprintf(
 			`{"host":"host-%d.services.example.org","port":443,"service":"service-%d"}`, i, i%services)))
 	}
 	return all
 }
 
-func sizedContract(i, service int, rate float64) resource.Resource {
-	return put(fmt.Sprint("contract tenant-", i), fmt.Sprintf(`{"name":"tenant-%d","match":[{"tenant":"tenant-%d"}],"services":["service-%d"],"rate":%v,"burst":10,`+
+func fleetContract(i, service int, rate float64) resource.Resource {
+	return newResource(fmt.Sprint("contract tenant-", i), fmt.Sprintf(`{"name":"tenant-%d","match":[{"tenant":"tenant-%d"}],"services":["service-%d"],"rate":%v,"burst":10,`+
 		`"in_flight":20,"attempts":{"ratio":0.2},"retries":["read-%d","list-%d"],"work":{"limit":3}}`, i, i, service, rate, service, service))
 }
 
@@ -37,19 +37,19 @@
 // contracts that name it.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
-		w := newWorld(b, Options{Effects: map[string]string{}})
-		if err := w.take(b, &resource.Delta{Put: sized(n)}); err != nil {
+		w := newTestState(b, Options{Effects: map[string]string{}})
+		if err := w.apply(b, &resource.Delta{Put: fleetResources(n)}); err != nil {
 			b.Fatal(err)
 		}
 		services := n * 250 / 17000
 		lock := func(b *testing.B, before time.Duration) {
-			b.ReportMetric(float64((w.held-before).Nanoseconds())/float64(b.N), "ns-locked/op")
+			b.ReportMetric(float64((w.lockTime-before).Nanoseconds())/float64(b.N), "ns-locked/op")
 		}
 		b.Run(fmt.Sprintf("contract/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
-			before := w.held
+			before := w.lockTime
 			for i := 0; b.Loop(); i++ {
-				if err := w.take(b, &resource.Delta{Put: []resource.Resource{sizedContract(i%n, i%n%services, float64(5+i%7))}}); err != nil {
+				if err := w.apply(b, &resource.Delta{Put: []resource.Resource{fleetContract(i%n, i%n%services, float64(5+i%7))}}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -57,10 +57,10 @@
 		})
 		b.Run(fmt.Sprintf("service/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
-			before := w.held
+			before := w.lockTime
 			for i := 0; b.Loop(); i++ {
 				s := i % services
-				if err := w.take(b, &resource.Delta{Put: []resource.Resource{put(fmt.Sprint("service service-", s), fmt.Sprintf(
+				if err := w.apply(b, &resource.Delta{Put: []resource.Resource{newResource(fmt.Sprint("service service-", s), fmt.Sprintf(
 					`{"name":"service-%d","classes":[{"name":"read-%d"},{"name":"list-%d"},{"name":"more-%d"}]}`, s, s, s, i))}}); err != nil {
 					b.Fatal(err)
 				}
@@ -72,14 +72,14 @@
 
 // A delta of one contract costs what it changes, not what there is: as many allocations and bytes beside 6,800 contracts as beside 340,
 // from its check to its being in force, and in a node's set as well. (A walk over all that allocates nothing would not show: see BenchmarkDelta.)
-func TestADeltaCostsWhatItChanges(t *testing.T) {
+func TestDeltaCostIsIndependentOfCatalogSize(t *testing.T) {
 	const runs = 200
 	type cost struct{ allocations, bytes uint64 }
 	costs := map[int]cost{}
 	for _, n := range []int{340, 6800} {
-		w, set := newWorld(t, Options{Effects: map[string]string{}}), resource.NewSet(false)
-		all := sized(n)
-		if err := w.take(t, &resource.Delta{Put: all}); err != nil {
+		w, set := newTestState(t, Options{Effects: map[string]string{}}), resource.NewSet(false)
+		all := fleetResources(n)
+		if err := w.apply(t, &resource.Delta{Put: all}); err != nil {
 			t.Fatal(err)
 		}
 		if err := set.Apply(set.Next(resource.Version{Epoch: 1}, all, nil)); err != nil {
@@ -87,8 +87,8 @@
 		}
 		services := n * 250 / 17000
 		one := func(i int) {
-			put := []resource.Resource{sizedContract(7, 7%services, float64(5+i%7))}
-			if err := w.take(t, &resource.Delta{Put: put}); err != nil {
+			put := []resource.Resource{fleetContract(7, 7%services, float64(5+i%7))}
+			if err := w.apply(t, &resource.Delta{Put: put}); err != nil {
 				t.Fatal(err)
 			}
 			if err := set.Apply(set.Next(resource.Version{Epoch: 1, Number: uint64(i + 1)}, put, nil)); err != nil {
@@ -112,7 +112,7 @@
 }
 
 // heap is what lives after a collection.
-func heap() uint64 {
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -124,7 +124,7 @@
 // tables and ledger, and with each contract used once.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
-		text, err := json.Marshal(&resource.Delta{Put: sized(n)})
+		text, err := json.Marshal(&resource.Delta{Put: fleetResources(n)})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -133,24 +133,24 @@
 			var lives, used float64
 			took, locked := time.Duration(0), time.Duration(0)
 			for b.Loop() {
-				before := heap()
+				before := liveHeap()
 				at := time.Now()
-				w := newWorld(b, Options{Effects: map[string]string{}})
+				w := newTestState(b, Options{Effects: map[string]string{}})
 				var d resource.Delta
 				if err := json.Unmarshal(text, &d); err != nil {
 					b.Fatal(err)
 				}
-				if err := w.take(b, &d); err != nil {
+				if err := w.apply(b, &d); err != nil {
 					b.Fatal(err)
 				}
 				took += time.Since(at)
-				locked += w.held
+				locked += w.lockTime
 				d = resource.Delta{}
-				lives = float64(heap() - before)
+				lives = float64(liveHeap() - before)
 				for i := range n {
 					w.ledger.Admit(0, i, "read-0", 0.1, false)
 				}
-				used = float64(heap() - before)
+				used = float64(liveHeap() - before)
 				runtime.KeepAlive(w)
 			}
 			b.ReportMetric(float64(took.Milliseconds())/float64(b.N), "ms/start")
--- a/internal/resource/catalog/source.go
+++ b/internal/resource/catalog/source.go
@@ -21,7 +21,7 @@
 	}
 	var all []resource.Resource
 	lines := map[resource.Key]int{}
-	err = each(f, func(path, field string, key resource.Key, spec any, check error) error {
+	err = forEach(f, func(path, field string, key resource.Key, spec any, check error) error {
 		at := line(path)
 		_, dup := lines[key]
 		switch {
@@ -38,7 +38,7 @@
 			return fmt.Errorf("%s:%d: %w", name, at, check)
 		}
 		lines[key] = at
-		all, err = add(all, key, spec)
+		all, err = appendResource(all, key, spec)
 		return err
 	})
 	if err != nil {
@@ -50,16 +50,16 @@
 // Resources are those of a product's file that was read and checked (config.Parse).
 func Resources(f *config.File) ([]resource.Resource, error) {
 	var all []resource.Resource
-	err := each(f, func(_, _ string, key resource.Key, spec any, check error) (err error) {
+	err := forEach(f, func(_, _ string, key resource.Key, spec any, check error) (err error) {
 		if check == nil {
-			all, check = add(all, key, spec)
+			all, check = appendResource(all, key, spec)
 		}
 		return check
 	})
 	return all, err
 }
 
-func add(all []resource.Resource, key resource.Key, spec any) ([]resource.Resource, error) {
+func appendResource(all []resource.Resource, key resource.Key, spec any) ([]resource.Resource, error) {
 	text, err := json.Marshal(spec)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
@@ -68,7 +68,7 @@
 }
 
 // each goes through what a file carries, with the path of each, the field that names it and what is wrong with it by itself.
-func each(f *config.File, do func(path, field string, key resource.Key, spec any, check error) error) error {
+func forEach(f *config.File, do func(path, field string, key resource.Key, spec any, check error) error) error {
 	for i := range f.Services {
 		s, path := &f.Services[i], fmt.Sprintf("services[%d]", i)
 		if err := do(path, "name", resource.Key{Kind: resource.Service, Name: s.Name}, s, s.Check(path+".", nil)); err != nil {
@@ -77,7 +77,7 @@
 	}
 	for i := range f.Contracts {
 		c, path := &f.Contracts[i], fmt.Sprintf("contracts[%d]", i)
-		_, check := c.Terms(path+".", &alone)
+		_, check := c.Terms(path+".", &standaloneScope)
 		if err := do(path, "name", resource.Key{Kind: resource.Contract, Name: c.Name}, c, check); err != nil {
 			return err
 		}
@@ -85,7 +85,7 @@
 	if f.Tunnels != nil {
 		for i := range f.Tunnels.Routes {
 			r, path := &f.Tunnels.Routes[i], fmt.Sprintf("tunnels.routes[%d]", i)
-			ready, check := route(r, path+".")
+			ready, check := readyRoute(r, path+".")
 			if err := do(path, "host", resource.Key{Kind: resource.Route, Name: ready.Name()}, r, check); err != nil {
 				return err
 			}
@@ -104,13 +104,13 @@
 }
 
 // alone is what a contract is checked against by itself: all that it names is there.
-var alone = config.Scope{
+var standaloneScope = config.Scope{
 	Classes: func(string) (map[string]bool, bool) { return nil, true },
 	Unsafe:  func(string) bool { return false },
 }
 
 // route is a route ready for use and checked by itself. An error is a *config.FieldError.
-func route(r *config.Route, path string) (tunnel.Route, error) {
+func readyRoute(r *config.Route, path string) (tunnel.Route, error) {
 	ready, err := r.Ready(path)
 	if err != nil {
 		return ready, err
--- a/internal/resource/follower.go
+++ b/internal/resource/follower.go
@@ -23,23 +23,23 @@
 
 // Rests. Each is drawn between half of it and the whole.
 const (
-	restFirst   = 100 * time.Millisecond // after a failure; doubles with each round through all sources
-	restMost    = 4 * time.Second
-	restIdle    = 50 * time.Millisecond  // after an answer at once that brought nothing; doubles
-	restTaken   = 100 * time.Millisecond // after a change: a fleet doesn't call in one instant then, and many changes come as one
-	MaxRetry    = 30 * time.Second       // of a Retry-After
-	sumForget   = time.Minute            // a snapshot whose sum does not fit is refused for half of this or more
-	bodyLeast   = 2 * time.Second
-	bodyMost    = 30 * time.Second
-	bodyAtLeast = 64 << 10 // bytes a second
+	firstBackoff            = 100 * time.Millisecond // after a failure; doubles with each round through all sources
+	maxBackoff              = 4 * time.Second
+	emptyResponseBackoff    = 50 * time.Millisecond  // after an answer at once that brought nothing; doubles
+	delayAfterChange        = 100 * time.Millisecond // after a change: a fleet doesn't call in one instant then, and many changes come as one
+	MaxRetry                = 30 * time.Second       // of a Retry-After
+	checksumRefusalLifetime = time.Minute            // a snapshot whose sum does not fit is refused for half of this or more
+	minBodyTimeout          = 2 * time.Second
+	maxBodyTimeout          = 30 * time.Second
+	minBodyRate             = 64 << 10 // bytes a second
 )
 
 // BodyLimit is how long an answer's body may take after its head, by its length in bytes; below 0: not told.
 func BodyLimit(length int64) time.Duration {
 	if length < 0 {
-		return bodyMost
+		return maxBodyTimeout
 	}
-	return min(bodyLeast+time.Duration(float64(length)/bodyAtLeast*float64(time.Second)), bodyMost)
+	return min(minBodyTimeout+time.Duration(float64(length)/minBodyRate*float64(time.Second)), maxBodyTimeout)
 }
 
 // Call is what to do next: rest, then ask.
@@ -99,97 +99,97 @@
 // has nothing new, and only another one can tell. It moves to the source that has something newer, and home to the first one when that
 // is not behind.
 type Follower struct {
-	set     *Set
-	pace    Pace
-	sources int
-
-	at      int // followed
-	asked   int // by the call under way
-	looked  int // last looked at
-	look    time.Duration
-	busy    []time.Duration // by source: not before
-	due     time.Duration   // of the next call: not before
-	calm    bool            // the last call was a good one: wait for what is new
-	whole   bool            // the next delta wouldn't fit: ask for everything
-	wholes  int             // answers in a row whose sum or base didn't fit
-	spare   time.Duration   // not before: the next call for everything
-	fails   int             // in a row, but for looks
-	idles   int             // answers at once that brought nothing, in a row
-	called  time.Duration
-	wait    time.Duration // of the call under way
-	since   Version       // of the call under way
-	draw    float64
-	told    Version // by the answer that is to be taken
-	refused Version
-	why     string
-	forget  time.Duration // the refusal, at this time; 0: never
-	ahead   bool          // refused for its epoch only
-	status  Status
+	set      *Set
+	schedule Pace
+	sources  int
+
+	current         int // followed
+	called          int // by the call under way
+	lastChecked     int // last looked at
+	nextCheck       time.Duration
+	busyUntil       []time.Duration // by source: not before
+	nextCall        time.Duration   // of the next call: not before
+	mayWait         bool            // the last call was a good one: wait for what is new
+	needSnapshot    bool            // the next delta wouldn't fit: ask for everything
+	mismatches      int             // answers in a row whose sum or base didn't fit
+	nextSnapshot    time.Duration   // not before: the next call for everything
+	failures        int             // in a row, but for looks
+	emptyResponses  int             // answers at once that brought nothing, in a row
+	callStart       time.Duration
+	callWait        time.Duration // of the call under way
+	callSince       Version       // of the call under way
+	random          float64
+	pending         Version // by the answer that is to be taken
+	refused         Version
+	reason          string
+	refusalExpiry   time.Duration // the refusal, at this time; 0: never
+	refusedForEpoch bool          // refused for its epoch only
+	status          Status
 }
 
 // NewFollower follows sources, the nearest first, for a set; NodePace is its pace.
 func NewFollower(base *Set, sources int) *Follower {
-	return &Follower{set: base, sources: max(sources, 1), pace: NodePace, busy: make([]time.Duration, max(sources, 1)), draw: 0.5}
+	return &Follower{set: base, sources: max(sources, 1), schedule: NodePace, busyUntil: make([]time.Duration, max(sources, 1)), random: 0.5}
 }
 
 // SetPace is for before the first call.
-func (f *Follower) SetPace(p Pace) { f.pace = p }
+func (f *Follower) SetPace(p Pace) { f.schedule = p }
 
 // Status tells where it stands.
 func (f *Follower) Status() Status {
 	s := f.status
 	s.Version, s.Sum, s.Resources = f.set.Version(), f.set.Sum(), f.set.Len()
-	s.Source, s.Refused, s.Why, s.Failures = f.at, f.refused, f.why, f.fails
+	s.Source, s.Refused, s.Why, s.Failures = f.current, f.refused, f.reason, f.failures
 	return s
 }
 
 // between draws a time; each draw makes the next by a step of its own, so that one given draw serves several.
-func (f *Follower) between(least, most time.Duration) time.Duration {
-	d := least + time.Duration(f.draw*float64(most-least))
-	_, f.draw = math.Modf(f.draw*4093 + 0.618)
+func (f *Follower) randomBetween(least, most time.Duration) time.Duration {
+	d := least + time.Duration(f.random*float64(most-least))
+	_, f.random = math.Modf(f.random*4093 + 0.618)
 	return d
 }
 
 // Next says what to call now.
 func (f *Follower) Next(now time.Duration, draw float64) Call {
-	f.draw = draw
-	if !f.refused.IsZero() && (f.forget > 0 && now >= f.forget || f.ahead && !f.refused.TooFarAhead(now)) {
-		f.forgive()
+	f.random = draw
+	if !f.refused.IsZero() && (f.refusalExpiry > 0 && now >= f.refusalExpiry || f.refusedForEpoch && !f.refused.TooFarAhead(now)) {
+		f.clearRefusal()
 	}
-	c := Call{Rest: max(f.due-now, 0), Source: f.at, Limit: f.pace.Grace, Refused: f.refused, Why: f.why}
-	if f.whole {
-		c.Rest = max(c.Rest, f.spare-now)
+	c := Call{Rest: max(f.nextCall-now, 0), Source: f.current, Limit: f.schedule.Grace, Refused: f.refused, Why: f.reason}
+	if f.needSnapshot {
+		c.Rest = max(c.Rest, f.nextSnapshot-now)
 	} else {
 		c.Since, c.Sum = f.set.Version(), f.set.Sum()
 	}
 	begin := now + c.Rest
-	if f.look == 0 {
-		f.look = begin + f.between(f.pace.LookLeast, f.pace.LookMost)
+	if f.nextCheck == 0 {
+		f.nextCheck = begin + f.randomBetween(f.schedule.LookLeast, f.schedule.LookMost)
 	}
 	switch {
-	case c.Since.IsZero() && f.refused.IsZero() || !f.calm: // it answers at once, whatever it has
-	case f.lookAt(begin):
-		c.Source = f.looked
+	case c.Since.IsZero() && f.refused.IsZero() || !f.mayWait: // it answers at once, whatever it has
+	case f.checkDue(begin):
+		c.Source = f.lastChecked
 	default:
-		c.Wait = f.between(f.pace.WaitLeast, f.pace.WaitMost)
+		c.Wait = f.randomBetween(f.schedule.WaitLeast, f.schedule.WaitMost)
 		if f.sources > 1 {
-			c.Wait = min(c.Wait, f.look-begin)
+			c.Wait = min(c.Wait, f.nextCheck-begin)
 		}
-		c.Limit = c.Wait + f.pace.Grace
+		c.Limit = c.Wait + f.schedule.Grace
 	}
-	f.asked, f.called, f.wait, f.since = c.Source, begin, c.Wait, c.Since
+	f.called, f.callStart, f.callWait, f.callSince = c.Source, begin, c.Wait, c.Since
 	return c
 }
 
 // lookAt tells whether the next call is a look at another source, and takes the next one in turn for it.
-func (f *Follower) lookAt(begin time.Duration) bool {
-	if f.sources == 1 || begin+f.pace.Grace/4 < f.look {
+func (f *Follower) checkDue(begin time.Duration) bool {
+	if f.sources == 1 || begin+f.schedule.Grace/4 < f.nextCheck {
 		return false
 	}
-	f.look = begin + f.between(f.pace.LookLeast, f.pace.LookMost)
+	f.nextCheck = begin + f.randomBetween(f.schedule.LookLeast, f.schedule.LookMost)
 	for range f.sources {
-		f.looked = (f.looked + 1) % f.sources
-		if f.looked != f.at && f.busy[f.looked] <= begin {
+		f.lastChecked = (f.lastChecked + 1) % f.sources
+		if f.lastChecked != f.current && f.busyUntil[f.lastChecked] <= begin {
 			return true
 		}
 	}
@@ -197,76 +197,78 @@
 }
 
 // jitter draws a rest between half of it and the whole.
-func (f *Follower) jitter(d time.Duration) time.Duration { return f.between(d/2, d) }
+func (f *Follower) jitter(d time.Duration) time.Duration { return f.randomBetween(d/2, d) }
 
 // doubled is first, doubled n times and bounded.
-func doubled(first time.Duration, n int) time.Duration { return min(first<<min(n, 10), restMost) }
+func backoff(first time.Duration, n int) time.Duration { return min(first<<min(n, 10), maxBackoff) }
 
 // Failed tells that the call brought nothing to take.
 func (f *Follower) Failed(now time.Duration, how Failure, draw float64) {
-	f.draw = draw
+	f.random = draw
 	if how.Kind == Busy && how.RetryAfter > 0 {
 		after := min(how.RetryAfter, MaxRetry)
-		f.busy[f.asked] = now + f.between(after, after+after/2)
+		f.busyUntil[f.called] = now + f.randomBetween(after, after+after/2)
 	}
 	f.status.LastErr = how.Kind.String()
 	if how.Err != nil {
-		f.status.LastErr += ": " + cut(how.Err.Error(), MaxWhy)
+		f.status.LastErr += ": " + truncate(how.Err.Error(), MaxWhy)
 	}
-	f.fail(now)
+	f.recordFailure(now)
 }
 
 // fail rests and turns to the next source: soon to those not yet asked in this round, and after a rest that doubles with each round through
 // all of them. A look that failed costs nothing but a rest: what is followed is followed on.
-func (f *Follower) fail(now time.Duration) {
-	if f.asked != f.at {
-		f.due = now + f.jitter(restIdle)
+func (f *Follower) recordFailure(now time.Duration) {
+	if f.called != f.current {
+		f.nextCall = now + f.jitter(emptyResponseBackoff)
 		return
 	}
-	f.calm = false
-	f.fails++
-	rest := restFirst
-	if f.fails%f.sources == 0 {
-		rest = doubled(restFirst, f.fails/f.sources-1)
+	f.mayWait = false
+	f.failures++
+	rest := firstBackoff
+	if f.failures%f.sources == 0 {
+		rest = backoff(firstBackoff, f.failures/f.sources-1)
 	}
-	f.due = now + f.jitter(rest)
+	f.nextCall = now + f.jitter(rest)
 	// The next one that may be asked; where all are busy, the one that is free first.
-	best := f.at
+	best := f.current
 	for i := 1; i <= f.sources; i++ {
-		s := (f.at + i) % f.sources
-		if f.busy[s] <= f.due {
+		s := (f.current + i) % f.sources
+		if f.busyUntil[s] <= f.nextCall {
 			best = s
 			break
 		}
-		if i == 1 || f.busy[s] < f.busy[best] {
+		if i == 1 || f.busyUntil[s] < f.busyUntil[best] {
 			best = s
 		}
 	}
-	f.at = best
-	f.due = max(f.due, f.busy[best])
+	f.current = best
+	f.nextCall = max(f.nextCall, f.busyUntil[best])
 }
 
 // good counts an answer that could be taken or had nothing to take. What was looked at is followed from now on if move says so. Failures
 // are forgotten only where the answer moved forward or the source waited: one which drops each watch is not asked ever so fast.
-func (f *Follower) good(now time.Duration, move bool) {
+func (f *Follower) recordSuccess(now time.Duration, move bool) {
 	if move {
-		f.at = f.asked
+		f.current = f.called
 	}
-	if f.waited(now) {
-		f.fails, f.idles = 0, 0
+	if f.sourceWaited(now) {
+		f.failures, f.emptyResponses = 0, 0
 	}
-	f.calm, f.due = true, now
+	f.mayWait, f.nextCall = true, now
 	f.status.LastErr, f.status.LastAnswer = "", now
 }
 
 // waited tells whether the source kept the call for half its wait or more.
-func (f *Follower) waited(now time.Duration) bool { return f.wait > 0 && now-f.called >= f.wait/2 }
+func (f *Follower) sourceWaited(now time.Duration) bool {
+	return f.callWait > 0 && now-f.callStart >= f.callWait/2
+}
 
 // idle rests after an answer that brought nothing and was not waited for: hardly at first, longer each time in a row.
-func (f *Follower) idle(now time.Duration) {
-	if f.asked == f.at {
-		f.due = max(f.due, now+f.jitter(doubled(restIdle, f.idles)))
-		f.idles++
+func (f *Follower) delayAfterEmpty(now time.Duration) {
+	if f.called == f.current {
+		f.nextCall = max(f.nextCall, now+f.jitter(backoff(emptyResponseBackoff, f.emptyResponses)))
+		f.emptyResponses++
 	}
 }
 
@@ -275,89 +277,91 @@
 // What is not later than what is held is passed over without an error: a node never goes back.
 func (f *Follower) Told(now time.Duration, d *Delta) (take bool, err error) {
 	held := f.set.Version()
-	if d.From == d.To && len(d.Put)+len(d.Gone) == 0 && (d.To == held || d.To == f.since) {
+	if d.From == d.To && len(d.Put)+len(d.Gone) == 0 && (d.To == held || d.To == f.callSince) {
 		if d.To == held && d.Sum != f.set.Sum() {
 			err = fmt.Errorf("%v: sum %016x, told %016x: %w", held, uint64(f.set.Sum()), uint64(d.Sum), ErrSum)
-			f.failWhole(now, err)
+			f.requireSnapshot(now, err)
 			return false, err
 		}
-		waited := f.waited(now)
-		f.good(now, f.asked == 0)
+		waited := f.sourceWaited(now)
+		f.recordSuccess(now, f.called == 0)
 		if !waited {
-			f.idle(now)
+			f.delayAfterEmpty(now)
 		}
 		return false, nil
 	}
 	if d.To.TooFarAhead(now) {
 		r := &Refusal{Field: "to", Why: fmt.Sprintf("epoch of %v is over a day ahead of this clock, %d", d.To, now.Milliseconds())}
-		f.refuse(now, d.To, r)
-		f.ahead = true
+		f.recordRefusal(now, d.To, r)
+		f.refusedForEpoch = true
 		return false, r
 	}
 	err = f.set.Check(d)
 	var r *Refusal
 	switch {
 	case err == nil:
-		f.told = d.To
+		f.pending = d.To
 		return true, nil
 	case errors.Is(err, ErrStale):
-		f.whole = false
-		f.good(now, false)
-		f.idle(now)
+		f.needSnapshot = false
+		f.recordSuccess(now, false)
+		f.delayAfterEmpty(now)
 		return false, nil
 	case errors.As(err, &r):
-		f.refuse(now, d.To, r)
+		f.recordRefusal(now, d.To, r)
 		return false, r
 	case d.Whole(): // the sum of a snapshot: not ours to mend, and dear to ask for again
 		r = &Refusal{Field: "sum", Why: err.Error()}
-		f.refuse(now, d.To, r)
-		f.forget = now + f.between(sumForget/2, sumForget)
-		f.spareWhole(now)
+		f.recordRefusal(now, d.To, r)
+		f.refusalExpiry = now + f.randomBetween(checksumRefusalLifetime/2, checksumRefusalLifetime)
+		f.delaySnapshot(now)
 		f.status.LastErr = r.Why
 		return false, r
 	}
-	f.failWhole(now, err)
+	f.requireSnapshot(now, err)
 	return false, err
 }
 
 // failWhole counts an answer that doesn't fit what is held: everything is asked for, after a rest.
-func (f *Follower) failWhole(now time.Duration, err error) {
+func (f *Follower) requireSnapshot(now time.Duration, err error) {
 	f.status.LastErr = err.Error()
-	f.whole = true
-	f.spareWhole(now)
-	f.at = f.asked
-	f.fail(now)
+	f.needSnapshot = true
+	f.delaySnapshot(now)
+	f.current = f.called
+	f.recordFailure(now)
 }
 
 // spareWhole rests longer each time before everything is asked for: at full size it is some megabytes.
-func (f *Follower) spareWhole(now time.Duration) {
-	f.spare = now + f.jitter(min(restFirst<<min(f.wholes, 10), sumForget))
-	f.wholes++
+func (f *Follower) delaySnapshot(now time.Duration) {
+	f.nextSnapshot = now + f.jitter(min(firstBackoff<<min(f.mismatches, 10), checksumRefusalLifetime))
+	f.mismatches++
 }
 
 // refuse keeps what was refused, to be told, and rests: less than after a failure, more each time in a row.
-func (f *Follower) refuse(now time.Duration, v Version, err error) {
-	f.refused, f.why, f.forget, f.ahead = v, cut(err.Error(), MaxWhy), 0, false
-	f.good(now, f.asked == 0)
-	f.due = now + f.jitter(doubled(restIdle, f.idles))
-	f.idles++
+func (f *Follower) recordRefusal(now time.Duration, v Version, err error) {
+	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = v, truncate(err.Error(), MaxWhy), 0, false
+	f.recordSuccess(now, f.called == 0)
+	f.nextCall = now + f.jitter(backoff(emptyResponseBackoff, f.emptyResponses))
+	f.emptyResponses++
 }
 
-func (f *Follower) forgive() { f.refused, f.why, f.forget, f.ahead = Version{}, "", 0, false }
+func (f *Follower) clearRefusal() {
+	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = Version{}, "", 0, false
+}
 
 // Took tells what became of what Told said to take: nil where it is in force and in the set, or why it was refused.
 func (f *Follower) Took(now time.Duration, err error) {
 	if err != nil {
-		f.refuse(now, f.told, err)
+		f.recordRefusal(now, f.pending, err)
 		return
 	}
-	f.good(now, true)
-	if f.since.IsZero() && f.status.LastChange == 0 {
-		f.look = now // there was none before to hold against it: another source may have a later one
+	f.recordSuccess(now, true)
+	if f.callSince.IsZero() && f.status.LastChange == 0 {
+		f.nextCheck = now // there was none before to hold against it: another source may have a later one
 	}
-	f.whole, f.wholes, f.fails, f.idles = false, 0, 0, 0
-	f.status.LastChange, f.due = now, now+f.jitter(restTaken)
-	if f.set.Version().Compare(f.refused) >= 0 || f.ahead {
-		f.forgive()
+	f.needSnapshot, f.mismatches, f.failures, f.emptyResponses = false, 0, 0, 0
+	f.status.LastChange, f.nextCall = now, now+f.jitter(delayAfterChange)
+	if f.set.Version().Compare(f.refused) >= 0 || f.refusedForEpoch {
+		f.clearRefusal()
 	}
 }
--- a/internal/resource/history.go
+++ b/internal/resource/history.go
@@ -17,23 +17,23 @@
 
 // History is the deltas of a bounded time, each leading on from the one before. It is not safe for concurrent use.
 type History struct {
-	most   HistoryLimits
-	deltas []step // by version, without a gap
+	limits HistoryLimits
+	deltas []entry // by version, without a gap
 	bytes  int
 	last   *Delta             // added: its version and sum alone
 	merged map[Version]*Delta // by where from: many nodes ask for the same
 }
 
-type step struct {
+type entry struct {
 	*Delta
-	at     time.Duration
-	size   int
-	before Sum // of the content before it, if known
-	known  bool
+	at             time.Duration
+	size           int
+	checksumBefore Sum // of the content before it, if known
+	checksumKnown  bool
 }
 
 // mostMerged bounds the merged deltas that are kept to be told again.
-const mostMerged = 64
+const maxMerged = 64
 
 // NewHistory makes an empty one. A limit that is not above zero is that of DefaultHistory.
 func NewHistory(most HistoryLimits) *History {
@@ -47,7 +47,7 @@
 		most.Bytes = DefaultHistory.Bytes
 	}
 	most.Bytes = min(most.Bytes, MaxAnswer) // or a merged delta could be told to nobody
-	return &History{most: most, merged: map[Version]*Delta{}}
+	return &History{limits: most, merged: map[Version]*Delta{}}
 }
 
 // Add takes in the next delta. One that does not lead on from the last, or a snapshot, makes the history begin anew: nothing that is kept
@@ -62,9 +62,9 @@
 	if d.Whole() {
 		return
 	}
-	s := step{Delta: d, at: now, size: d.size()}
+	s := entry{Delta: d, at: now, size: d.size()}
 	if last != nil && last.To == d.From {
-		s.before, s.known = last.Sum, true
+		s.checksumBefore, s.checksumKnown = last.Sum, true
 	}
 	h.deltas = append(h.deltas, s)
 	h.bytes += s.size
@@ -74,7 +74,7 @@
 // Trim lets go what is past the limits.
 func (h *History) Trim(now time.Duration) {
 	n := 0
-	for n < len(h.deltas) && (len(h.deltas)-n > h.most.Deltas || h.bytes > h.most.Bytes || now-h.deltas[n].at > h.most.Age) {
+	for n < len(h.deltas) && (len(h.deltas)-n > h.limits.Deltas || h.bytes > h.limits.Bytes || now-h.deltas[n].at > h.limits.Age) {
 		h.bytes -= h.deltas[n].size
 		n++
 	}
@@ -90,7 +90,7 @@
 // index finds the delta that leads on from v. A process that fell behind took several changes as one delta: v may lie within it, as long as
 // it is of the epoch to which that leads, for the versions of one epoch are one line, and a delta names all that was touched on its way.
 func (h *History) index(v Version) (int, bool) {
-	i, ok := slices.BinarySearchFunc(h.deltas, v, func(s step, v Version) int { return s.From.Compare(v) })
+	i, ok := slices.BinarySearchFunc(h.deltas, v, func(s entry, v Version) int { return s.From.Compare(v) })
 	if !ok && i > 0 {
 		i--
 		ok = v.Epoch == h.deltas[i].To.Epoch && v.Compare(h.deltas[i].To) < 0
@@ -120,7 +120,7 @@
 		return d, true
 	}
 	d := merge(v, h.deltas[i:])
-	if len(h.merged) >= mostMerged {
+	if len(h.merged) >= maxMerged {
 		clear(h.merged)
 	}
 	h.merged[v] = d
@@ -131,7 +131,7 @@
 // changed since leads on from v.
 func (h *History) SinceSum(v Version, sum Sum) (*Delta, bool) {
 	for i, s := range h.deltas {
-		if s.known && s.before == sum && v.Compare(s.To) < 0 {
+		if s.checksumKnown && s.checksumBefore == sum && v.Compare(s.To) < 0 {
 			return merge(v, h.deltas[i:]), true
 		}
 	}
@@ -140,7 +140,7 @@
 
 // merge makes one delta from v of several that follow each other: the last put or gone of a key counts. What came and went between is named
 // as gone too, so that the delta leads on from each version on its way, and not from its first alone.
-func merge(v Version, steps []step) *Delta {
+func merge(v Version, steps []entry) *Delta {
 	last := map[Key]*Resource{} // nil: gone
 	for _, s := range steps {
 		for i := range s.Put {
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -28,17 +28,17 @@
 func kindIndex(k Kind) int { return slices.Index(kinds[:], k) }
 
 // envelope bounds what an answer's JSON has around its resources, in bytes.
-const envelope = 192
+const envelopeSize = 192
 
 // Set is all resources at a version: with their specs for a control process, by 64-bit hashes alone for a node, which has them
 // decoded in its catalog. It is not safe for concurrent use.
 type Set struct {
-	version Version
-	sum     Sum
-	count   int
-	size    int // bytes of the snapshot's JSON at most; with specs only
-	hashes  [len(kinds)]map[string]uint64
-	specs   *[len(kinds)]map[string]json.RawMessage // nil: hashes only
+	version  Version
+	checksum Sum
+	count    int
+	size     int // bytes of the snapshot's JSON at most; with specs only
+	hashes   [len(kinds)]map[string]uint64
+	specs    *[len(kinds)]map[string]json.RawMessage // nil: hashes only
 }
 
 // NewSet makes the empty set at the zero version. With specs it can make a Snapshot.
@@ -52,7 +52,7 @@
 }
 
 func (s *Set) clear() {
-	s.sum, s.count, s.size = 0, 0, envelope
+	s.checksum, s.count, s.size = 0, 0, envelopeSize
 	for i := range kinds {
 		s.hashes[i] = map[string]uint64{}
 		if s.specs != nil {
@@ -65,7 +65,7 @@
 func (s *Set) Version() Version { return s.version }
 
 // Sum is that of all resources that are held.
-func (s *Set) Sum() Sum { return s.sum }
+func (s *Set) Sum() Sum { return s.checksum }
 
 // Len is the number of resources.
 func (s *Set) Len() int { return s.count }
@@ -100,7 +100,7 @@
 
 // size bounds the delta's JSON, in bytes.
 func (d *Delta) size() int {
-	n := envelope
+	n := envelopeSize
 	for i := range d.Put {
 		n += d.Put[i].size()
 	}
@@ -115,13 +115,13 @@
 	why := ""
 	switch {
 	case kindIndex(k.Kind) < 0:
-		k.Kind, k.Name = Kind(cut(string(k.Kind), 40)), cut(k.Name, 40)
+		k.Kind, k.Name = Kind(truncate(string(k.Kind), 40)), truncate(k.Name, 40)
 		return &Refusal{Key: k, Field: "kind", Why: "not known: want contract, route, service or tenant"}
 	case k.Name == "":
 		why = "empty"
 	case len(k.Name) > MaxName:
 		why = fmt.Sprintf("%d bytes: at most %d", len(k.Name), MaxName)
-		k.Name = cut(k.Name, 40)
+		k.Name = truncate(k.Name, 40)
 	case !utf8.ValidString(k.Name):
 		why = "not UTF-8"
 	case strings.ContainsFunc(k.Name, unicode.IsControl):
@@ -154,7 +154,7 @@
 }
 
 // cut shortens s to n bytes at most, between characters.
-func cut(s string, n int) string {
+func truncate(s string, n int) string {
 	s = strings.ToValidUTF8(s, "?")
 	if len(s) <= n {
 		return s
@@ -192,9 +192,9 @@
 	if n := d.size(); n > MaxAnswer {
 		return nil, &Refusal{Why: fmt.Sprintf("%d bytes: at most %d", n, MaxAnswer)}
 	}
-	count, sum, after := s.count, uint64(s.sum), s.size
+	count, sum, after := s.count, uint64(s.checksum), s.size
 	if whole {
-		count, sum, after = 0, 0, envelope
+		count, sum, after = 0, 0, envelopeSize
 	}
 	hashes := make([]uint64, len(d.Put))
 	seen := make(map[Key]struct{}, len(d.Put)+len(d.Gone))
@@ -212,7 +212,7 @@
 		sum += hashes[i]
 		if old, ok := s.hash(r.Key); ok && !whole {
 			sum -= old
-			after -= s.sizeAt(r.Key)
+			after -= s.storedSize(r.Key)
 		} else {
 			count++
 		}
@@ -229,7 +229,7 @@
 		if old, ok := s.hash(k); ok { // what came and went on the delta's way need not be there
 			sum -= old
 			count--
-			after -= s.sizeAt(k)
+			after -= s.storedSize(k)
 		}
 	}
 	switch {
@@ -244,7 +244,7 @@
 }
 
 // sizeAt is the size of a resource that is held; 0 without specs.
-func (s *Set) sizeAt(k Key) int {
+func (s *Set) storedSize(k Key) int {
 	if s.specs == nil {
 		return 0
 	}
@@ -269,7 +269,7 @@
 		s.remove(r.Key)
 		kind := kindIndex(r.Kind)
 		s.hashes[kind][r.Name] = hashes[i]
-		s.sum += Sum(hashes[i])
+		s.checksum += Sum(hashes[i])
 		s.count++
 		if s.specs != nil {
 			s.specs[kind][r.Name] = r.Spec
@@ -287,11 +287,11 @@
 		return
 	}
 	kind := kindIndex(k.Kind)
-	s.sum -= Sum(h)
+	s.checksum -= Sum(h)
 	s.count--
 	delete(s.hashes[kind], k.Name)
 	if s.specs != nil {
-		s.size -= s.sizeAt(k)
+		s.size -= s.storedSize(k)
 		delete(s.specs[kind], k.Name)
 	}
 }
@@ -338,7 +338,7 @@
 	if s.specs == nil {
 		panic("resource: a snapshot of a set without specs")
 	}
-	d := &Delta{To: s.version, Sum: s.sum, Put: make([]Resource, 0, s.count)}
+	d := &Delta{To: s.version, Sum: s.checksum, Put: make([]Resource, 0, s.count)}
 	for i, kind := range kinds {
 		for name, spec := range s.specs[i] {
 			d.Put = append(d.Put, Resource{Key{kind, name}, spec})
@@ -352,7 +352,7 @@
 // are left out, so a delta without put and gone changes nothing. It checks nothing else: Apply does.
 func (s *Set) Next(to Version, put []Resource, gone []Key) *Delta {
 	d := &Delta{From: s.version, To: to}
-	sum := uint64(s.sum)
+	sum := uint64(s.checksum)
 	for i := range put {
 		h, old := hashOf(&put[i]), uint64(0)
 		if was, ok := s.hash(put[i].Key); ok {
--- a/internal/resource/set_test.go
+++ b/internal/resource/set_test.go
@@ -15,20 +15,20 @@
 	"pgregory.net/rapid"
 )
 
-func res(kind Kind, name, spec string) Resource {
+func newResource(kind Kind, name, spec string) Resource {
 	return Resource{Key{kind, name}, json.RawMessage(spec)}
 }
 
-func con(name string, rate int) Resource {
-	return res(Contract, name, fmt.Sprintf(`{"rate":%d}`, rate))
+func contract(name string, rate int) Resource {
+	return newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, rate))
 }
 
-func key(name string) Key { return Key{Contract, name} }
+func contractKey(name string) Key { return Key{Contract, name} }
 
-func ver(epoch, number uint64) Version { return Version{epoch, number} }
+func version(epoch, number uint64) Version { return Version{epoch, number} }
 
 // filled is a set with these at a version.
-func filled(t testing.TB, specs bool, v Version, all ...Resource) *Set {
+func setWith(t testing.TB, specs bool, v Version, all ...Resource) *Set {
 	t.Helper()
 	s := NewSet(specs)
 	if err := s.Apply(s.Next(v, all, nil)); err != nil {
@@ -38,19 +38,19 @@
 }
 
 // holds fails unless the set holds just these.
-func holds(t testing.TB, s *Set, v Version, all ...Resource) {
+func requireContent(t testing.TB, s *Set, v Version, all ...Resource) {
 	t.Helper()
-	want := filled(t, true, v, all...)
+	want := setWith(t, true, v, all...)
 	put, gone := s.Compare(all)
 	if s.Version() != v || s.Sum() != want.Sum() || s.Len() != len(all) || len(put)+len(gone) != 0 {
 		t.Fatalf("at %v with %d: differs by %v and %v; want %d at %v", s.Version(), s.Len(), put, gone, len(all), v)
 	}
 }
 
-func TestCheckSaysWhatIsWrongAndChangesNothing(t *testing.T) {
+func TestCheckReportsErrorsAndChangesNothing(t *testing.T) {
 	long := strings.Repeat("n", MaxName+1)
-	base := []Resource{con("a", 1), con("b", 1), res(Route, "a", "{}")}
-	from, to := ver(5, 1), ver(5, 2)
+	base := []Resource{contract("a", 1), contract("b", 1), newResource(Route, "a", "{}")}
+	from, to := version(5, 1), version(5, 2)
 	for _, c := range []struct {
 		name  string
 		d     Delta
@@ -60,43 +60,43 @@
 		why   string
 	}{
 		{name: "to is from", d: Delta{From: from, To: from}, field: "to", why: "5.1 is not later than from, 5.1"},
-		{name: "to before from", d: Delta{From: from, To: ver(4, 9)}, field: "to", why: "4.9 is not later than from, 5.1"},
+		{name: "to before from", d: Delta{From: from, To: version(4, 9)}, field: "to", why: "4.9 is not later than from, 5.1"},
 		{name: "snapshot to nothing", d: Delta{}, field: "to", why: "0.0 is not later than from, 0.0"},
-		{name: "snapshot with gone", d: Delta{To: to, Gone: []Key{key("a")}}, field: "gone", why: "a snapshot names nothing as gone"},
-		{name: "same version", d: Delta{From: ver(5, 0), To: from}, is: ErrStale},
-		{name: "older snapshot", d: Delta{To: ver(4, 7)}, is: ErrStale},
-		{name: "older epoch, greater number", d: Delta{From: ver(4, 7), To: ver(4, 8)}, is: ErrStale},
-		{name: "from before ours", d: Delta{From: ver(5, 0), To: to}, is: ErrBase},
-		{name: "a version jumped", d: Delta{From: ver(5, 2), To: ver(5, 3)}, is: ErrBase},
-		{name: "kind not known", d: Delta{From: from, To: to, Put: []Resource{res("cluster", "a", "{}")}}, key: Key{"cluster", "a"}, field: "kind",
+		{name: "snapshot with gone", d: Delta{To: to, Gone: []Key{contractKey("a")}}, field: "gone", why: "a snapshot names nothing as gone"},
+		{name: "same version", d: Delta{From: version(5, 0), To: from}, is: ErrStale},
+		{name: "older snapshot", d: Delta{To: version(4, 7)}, is: ErrStale},
+		{name: "older epoch, greater number", d: Delta{From: version(4, 7), To: version(4, 8)}, is: ErrStale},
+		{name: "from before ours", d: Delta{From: version(5, 0), To: to}, is: ErrBase},
+		{name: "a version jumped", d: Delta{From: version(5, 2), To: version(5, 3)}, is: ErrBase},
+		{name: "kind not known", d: Delta{From: from, To: to, Put: []Resource{newResource("cluster", "a", "{}")}}, key: Key{"cluster", "a"}, field: "kind",
 			why: "not known: want contract, route, service or tenant"},
 		{name: "kind not known, gone", d: Delta{From: from, To: to, Gone: []Key{{"", "a"}}}, key: Key{"", "a"}, field: "kind",
 			why: "not known: want contract, route, service or tenant"},
-		{name: "no name", d: Delta{From: from, To: to, Put: []Resource{con("", 1)}}, key: key(""), field: "name", why: "empty"},
-		{name: "long name", d: Delta{From: from, To: to, Put: []Resource{con(long, 1)}}, key: key(long[:40]), field: "name", why: "301 bytes: at most 300"},
-		{name: "name not UTF-8", d: Delta{From: from, To: to, Put: []Resource{con("a\xff", 1)}}, key: key("a\xff"), field: "name", why: "not UTF-8"},
-		{name: "name with a zero byte", d: Delta{From: from, To: to, Put: []Resource{con("a\x00b", 1)}}, key: key("a\x00b"), field: "name",
+		{name: "no name", d: Delta{From: from, To: to, Put: []Resource{contract("", 1)}}, key: contractKey(""), field: "name", why: "empty"},
+		{name: "long name", d: Delta{From: from, To: to, Put: []Resource{contract(long, 1)}}, key: contractKey(long[:40]), field: "name", why: "301 bytes: at most 300"},
+		{name: "name not UTF-8", d: Delta{From: from, To: to, Put: []Resource{contract("a\xff", 1)}}, key: contractKey("a\xff"), field: "name", why: "not UTF-8"},
+		{name: "name with a zero byte", d: Delta{From: from, To: to, Put: []Resource{contract("a\x00b", 1)}}, key: contractKey("a\x00b"), field: "name",
 			why: "has a control character"},
-		{name: "no spec", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", "")}}, key: key("a"), field: "spec", why: "not a JSON object"},
-		{name: "spec no object", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", "[]")}}, key: key("a"), field: "spec", why: "not a JSON object"},
-		{name: "spec broken", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", `{"rate":}`)}}, key: key("a"), field: "spec", why: "not valid JSON"},
-		{name: "spec with more behind", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", `{}{}`)}}, key: key("a"), field: "spec", why: "not valid JSON"},
-		{name: "spec not compact", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", `{"rate": 1}`)}}, key: key("a"), field: "spec", why: "not compact JSON"},
-		{name: "spec not UTF-8", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", "{\"x\":\"\xff\"}")}}, key: key("a"), field: "spec", why: "not UTF-8"},
-		{name: "spec too long", d: Delta{From: from, To: to, Put: []Resource{res(Contract, "a", `{"x":"`+strings.Repeat("x", MaxSpec)+`"}`)}}, key: key("a"), field: "spec",
+		{name: "no spec", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "")}}, key: contractKey("a"), field: "spec", why: "not a JSON object"},
+		{name: "spec no object", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "[]")}}, key: contractKey("a"), field: "spec", why: "not a JSON object"},
+		{name: "spec broken", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"rate":}`)}}, key: contractKey("a"), field: "spec", why: "not valid JSON"},
+		{name: "spec with more behind", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{}{}`)}}, key: contractKey("a"), field: "spec", why: "not valid JSON"},
+		{name: "spec not compact", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"rate": 1}`)}}, key: contractKey("a"), field: "spec", why: "not compact JSON"},
+		{name: "spec not UTF-8", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "{\"x\":\"\xff\"}")}}, key: contractKey("a"), field: "spec", why: "not UTF-8"},
+		{name: "spec too long", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"x":"`+strings.Repeat("x", MaxSpec)+`"}`)}}, key: contractKey("a"), field: "spec",
 			why: "65544 bytes: at most 65536"},
-		{name: "put twice", d: Delta{From: from, To: to, Put: []Resource{con("a", 2), con("a", 3)}}, key: key("a"), why: "put twice"},
-		{name: "gone twice", d: Delta{From: from, To: to, Gone: []Key{key("a"), key("a")}}, key: key("a"), why: "gone twice, or put and gone at once"},
-		{name: "put and gone", d: Delta{From: from, To: to, Put: []Resource{con("a", 2)}, Gone: []Key{key("a")}}, key: key("a"),
+		{name: "put twice", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2), contract("a", 3)}}, key: contractKey("a"), why: "put twice"},
+		{name: "gone twice", d: Delta{From: from, To: to, Gone: []Key{contractKey("a"), contractKey("a")}}, key: contractKey("a"), why: "gone twice, or put and gone at once"},
+		{name: "put and gone", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Gone: []Key{contractKey("a")}}, key: contractKey("a"),
 			why: "gone twice, or put and gone at once"},
-		{name: "gone and not there, another content", d: Delta{From: from, To: to, Gone: []Key{key("c")}, Sum: 1}, is: ErrSum},
+		{name: "gone and not there, another content", d: Delta{From: from, To: to, Gone: []Key{contractKey("c")}, Sum: 1}, is: ErrSum},
 		{name: "gone under another kind", d: Delta{From: from, To: to, Gone: []Key{{Route, "b"}}, Sum: 1}, is: ErrSum},
-		{name: "another sum", d: Delta{From: from, To: to, Put: []Resource{con("a", 2)}, Sum: 1}, is: ErrSum},
-		{name: "another sum of a snapshot", d: Delta{To: to, Put: []Resource{con("a", 2)}, Sum: 1}, is: ErrSum},
+		{name: "another sum", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
+		{name: "another sum of a snapshot", d: Delta{To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, specs := range []bool{true, false} {
-				s := filled(t, specs, from, base...)
+				s := setWith(t, specs, from, base...)
 				for _, err := range []error{s.Check(&c.d), s.Apply(&c.d)} {
 					var r *Refusal
 					switch {
@@ -108,38 +108,38 @@
 						t.Fatalf("%#v; want %#v", err, Refusal{c.key, c.field, c.why})
 					}
 				}
-				holds(t, s, from, base...)
+				requireContent(t, s, from, base...)
 			}
 		})
 	}
 }
 
-func TestTheNumberOfResourcesIsBounded(t *testing.T) {
+func TestResourceCountIsLimited(t *testing.T) {
 	t.Parallel()
 	many := make([]Resource, MaxResources+1)
 	for i := range many {
-		many[i] = res(Contract, fmt.Sprint(i), "{}")
+		many[i] = newResource(Contract, fmt.Sprint(i), "{}")
 	}
-	s := filled(t, false, ver(1, 1), res(Route, "a", "{}"))
+	s := setWith(t, false, version(1, 1), newResource(Route, "a", "{}"))
 	var r *Refusal
 	for n, want := range map[int]string{MaxResources + 1: "100001 resources: at most 100000", MaxResources: "100001 resources: at most 100000"} {
-		if err := s.Check(&Delta{From: ver(1, 1), To: ver(1, 2), Put: many[:n]}); !errors.As(err, &r) || r.Why != want {
+		if err := s.Check(&Delta{From: version(1, 1), To: version(1, 2), Put: many[:n]}); !errors.As(err, &r) || r.Why != want {
 			t.Fatal(n, err)
 		}
 	}
-	if err := s.Apply(s.Next(ver(1, 2), many[:MaxResources], []Key{{Route, "a"}})); err != nil || s.Len() != MaxResources {
+	if err := s.Apply(s.Next(version(1, 2), many[:MaxResources], []Key{{Route, "a"}})); err != nil || s.Len() != MaxResources {
 		t.Fatal(s.Len(), err)
 	}
 }
 
 // What would not fit into an answer is refused where it is put together, so that a control process never has what it can't tell.
-func TestASetWithSpecsIsBoundedByAnAnswer(t *testing.T) {
+func TestSetWithSpecsIsLimitedToResponseSize(t *testing.T) {
 	t.Parallel()
 	s := NewSet(true)
 	spec := `{"x":"` + strings.Repeat("x", MaxSpec-8) + `"}`
 	var r *Refusal
 	for i := 0; ; i++ {
-		d := s.Next(ver(1, uint64(i)+1), []Resource{res(Service, fmt.Sprint(i), spec)}, nil)
+		d := s.Next(version(1, uint64(i)+1), []Resource{newResource(Service, fmt.Sprint(i), spec)}, nil)
 		if i == 0 {
 			d.From = Version{}
 		}
@@ -156,24 +156,24 @@
 		t.Fatal(len(data), err)
 	}
 	// One for another fits in the full set; what takes less again fits, and a resource that goes frees its bytes.
-	if err := s.Apply(s.Next(ver(1, 1<<20), []Resource{res(Service, "n", spec)}, []Key{{Service, "2"}})); err != nil {
+	if err := s.Apply(s.Next(version(1, 1<<20), []Resource{newResource(Service, "n", spec)}, []Key{{Service, "2"}})); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Apply(s.Next(ver(2, 0), []Resource{res(Service, "0", "{}"), res(Service, "new", "{}")}, []Key{{Service, "1"}})); err != nil {
+	if err := s.Apply(s.Next(version(2, 0), []Resource{newResource(Service, "0", "{}"), newResource(Service, "new", "{}")}, []Key{{Service, "1"}})); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Apply(s.Next(ver(3, 0), []Resource{res(Service, "1", spec)}, nil)); err != nil {
+	if err := s.Apply(s.Next(version(3, 0), []Resource{newResource(Service, "1", spec)}, nil)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestADeltaAsLongAsAnAnswerIsRefused(t *testing.T) {
+func TestDeltaOverResponseSizeIsRefused(t *testing.T) {
 	var d Delta
 	spec := `{"x":"` + strings.Repeat("x", MaxSpec-8) + `"}`
 	for i := range MaxAnswer/MaxSpec + 1 {
-		d.Put = append(d.Put, res(Service, fmt.Sprint(i), spec))
+		d.Put = append(d.Put, newResource(Service, fmt.Sprint(i), spec))
 	}
-	d.To = ver(1, 0)
+	d.To = version(1, 0)
 	var r *Refusal
 	if err := NewSet(false).Check(&d); !errors.As(err, &r) || !strings.Contains(r.Why, "at most 16777216") {
 		t.Fatal(err)
@@ -181,12 +181,12 @@
 }
 
 // The size that is counted is never below that of the JSON, names with escapes included.
-func TestSizeBoundsTheJSON(t *testing.T) {
+func TestSizeIsUpperBoundOfJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &Delta{From: ver(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number")), To: ver(1<<64-1, 1<<64-1), Sum: 1<<64 - 1}
-		name := rapid.StringN(1, 20, MaxName).Filter(func(s string) bool { return checkKey(key(s)) == nil })
+		d := &Delta{From: version(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number")), To: version(1<<64-1, 1<<64-1), Sum: 1<<64 - 1}
+		name := rapid.StringN(1, 20, MaxName).Filter(func(s string) bool { return checkKey(contractKey(s)) == nil })
 		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "put") {
-			d.Put = append(d.Put, res(Contract, n, `{"a":"<&>"}`))
+			d.Put = append(d.Put, newResource(Contract, n, `{"a":"<&>"}`))
 		}
 		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "gone") {
 			d.Gone = append(d.Gone, Key{Tenant, n})
@@ -202,9 +202,9 @@
 	})
 }
 
-func TestSpecsKeepTheirBytes(t *testing.T) {
+func TestSpecBytesAreUnchangedByEncoding(t *testing.T) {
 	spec := "{\"match\":\"<a&b>\u2028\",\"n\":1e2}"
-	s := filled(t, true, ver(1, 1), res(Route, "a:1", spec))
+	s := setWith(t, true, version(1, 1), newResource(Route, "a:1", spec))
 	data, err := Encode(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestDecodeIsBounded(t *testing.T) {
+func TestDecodeRejectsOversizedAndTruncated(t *testing.T) {
 	if _, err := Decode(make([]byte, MaxAnswer+1)); err == nil || !strings.Contains(err.Error(), "at most 16777216") {
 		t.Fatal(err)
 	}
@@ -227,32 +227,32 @@
 	}
 }
 
-func TestTheSumIsThatOfTheContentNotOfTheWay(t *testing.T) {
-	all := []Resource{con("a", 1), con("b", 2), res(Route, "a", "{}")}
-	s := filled(t, false, ver(1, 0), con("b", 9), con("z", 1))
+func TestChecksumDependsOnContentOnly(t *testing.T) {
+	all := []Resource{contract("a", 1), contract("b", 2), newResource(Route, "a", "{}")}
+	s := setWith(t, false, version(1, 0), contract("b", 9), contract("z", 1))
 	put, gone := s.Compare(all)
-	if err := s.Apply(s.Next(ver(1, 1), put, gone)); err != nil {
+	if err := s.Apply(s.Next(version(1, 1), put, gone)); err != nil {
 		t.Fatal(err)
 	}
 	slices.Reverse(all)
-	if o := filled(t, true, ver(7, 7), all...); o.Sum() != s.Sum() {
+	if o := setWith(t, true, version(7, 7), all...); o.Sum() != s.Sum() {
 		t.Fatal(o.Sum(), s.Sum())
 	}
 	// A resource's parts don't run into each other.
-	if NewSet(false).Next(ver(1, 1), []Resource{res(Contract, "ab", "{}")}, nil).Sum == NewSet(false).Next(ver(1, 1), []Resource{res(Contract, "a", "b{}")}, nil).Sum {
+	if NewSet(false).Next(version(1, 1), []Resource{newResource(Contract, "ab", "{}")}, nil).Sum == NewSet(false).Next(version(1, 1), []Resource{newResource(Contract, "a", "b{}")}, nil).Sum {
 		t.Fatal("name and spec run together")
 	}
 }
 
-func TestDifferenceOfASnapshotIsWhatIsNew(t *testing.T) {
-	control := filled(t, true, ver(9, 3), con("a", 1), con("b", 2), con("new", 3))
-	node := filled(t, false, ver(8, 1), con("a", 1), con("b", 1), con("old", 1))
+func TestDifferenceOfSnapshotNamesChangesOnly(t *testing.T) {
+	control := setWith(t, true, version(9, 3), contract("a", 1), contract("b", 2), contract("new", 3))
+	node := setWith(t, false, version(8, 1), contract("a", 1), contract("b", 1), contract("old", 1))
 	snapshot := control.Snapshot()
 	if err := node.Check(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	d := node.Difference(snapshot)
-	want := &Delta{From: ver(8, 1), To: ver(9, 3), Sum: control.Sum(), Put: []Resource{con("b", 2), con("new", 3)}, Gone: []Key{key("old")}}
+	want := &Delta{From: version(8, 1), To: version(9, 3), Sum: control.Sum(), Put: []Resource{contract("b", 2), contract("new", 3)}, Gone: []Key{contractKey("old")}}
 	if !reflect.DeepEqual(d, want) {
 		t.Fatalf("%+v", d)
 	}
@@ -261,44 +261,44 @@
 	}
 	// A delta may name more than differs here: what came and went, or was put as it stands.
 	wide := *d
-	wide.Put, wide.Gone = append([]Resource{con("a", 1)}, d.Put...), append([]Key{key("never")}, d.Gone...)
+	wide.Put, wide.Gone = append([]Resource{contract("a", 1)}, d.Put...), append([]Key{contractKey("never")}, d.Gone...)
 	if got := node.Difference(&wide); node.Check(&wide) != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
 	}
 	if err := node.Apply(d); err != nil {
 		t.Fatal(err)
 	}
-	holds(t, node, ver(9, 3), con("a", 1), con("b", 2), con("new", 3))
+	requireContent(t, node, version(9, 3), contract("a", 1), contract("b", 2), contract("new", 3))
 	// The snapshot itself leads there as well.
-	other := filled(t, true, ver(8, 1), con("a", 1), con("old", 1))
+	other := setWith(t, true, version(8, 1), contract("a", 1), contract("old", 1))
 	if err := other.Apply(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	holds(t, other, ver(9, 3), con("a", 1), con("b", 2), con("new", 3))
+	requireContent(t, other, version(9, 3), contract("a", 1), contract("b", 2), contract("new", 3))
 	if empty := NewSet(false); !reflect.DeepEqual(empty.Difference(snapshot), snapshot) {
 		t.Fatal("an empty set's difference")
 	}
 }
 
-func TestNextLeavesOutWhatChangesNothing(t *testing.T) {
-	s := filled(t, true, ver(1, 1), con("a", 1), con("b", 1))
-	d := s.Next(ver(1, 2), []Resource{con("a", 1)}, []Key{key("c"), {"cluster", "x"}})
+func TestNewDeltaOmitsUnchangedResources(t *testing.T) {
+	s := setWith(t, true, version(1, 1), contract("a", 1), contract("b", 1))
+	d := s.Next(version(1, 2), []Resource{contract("a", 1)}, []Key{contractKey("c"), {"cluster", "x"}})
 	if len(d.Put)+len(d.Gone) != 0 || d.Sum != s.Sum() {
 		t.Fatalf("%+v", d)
 	}
-	d = s.Next(ver(1, 2), []Resource{con("d", 1), con("b", 2), con("a", 1)}, []Key{key("c"), key("a")})
-	if !reflect.DeepEqual(d.Put, []Resource{con("b", 2), con("d", 1)}) || !reflect.DeepEqual(d.Gone, []Key{key("a")}) {
+	d = s.Next(version(1, 2), []Resource{contract("d", 1), contract("b", 2), contract("a", 1)}, []Key{contractKey("c"), contractKey("a")})
+	if !reflect.DeepEqual(d.Put, []Resource{contract("b", 2), contract("d", 1)}) || !reflect.DeepEqual(d.Gone, []Key{contractKey("a")}) {
 		t.Fatalf("%+v", d)
 	}
 	if err := s.Apply(d); err != nil {
 		t.Fatal(err)
 	}
-	holds(t, s, ver(1, 2), con("b", 2), con("d", 1))
+	requireContent(t, s, version(1, 2), contract("b", 2), contract("d", 1))
 }
 
-func TestVersionsAndSumsAreReadAsWritten(t *testing.T) {
+func TestVersionsAndChecksumsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := ver(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number"))
+		v := version(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number"))
 		if back, err := ParseVersion(v.String()); err != nil || back != v {
 			t.Fatal(v, back, err)
 		}
@@ -313,28 +313,28 @@
 			t.Errorf("%q was read as %v", s, v)
 		}
 	}
-	if s := (&Refusal{key("a"), "match[0].from", "no"}).Error(); s != `contract "a": match[0].from: no` {
+	if s := (&Refusal{contractKey("a"), "match[0].from", "no"}).Error(); s != `contract "a": match[0].from: no` {
 		t.Error(s)
 	}
-	if ver(5, 9).Compare(ver(6, 0)) >= 0 || ver(6, 1).Compare(ver(6, 0)) <= 0 {
+	if version(5, 9).Compare(version(6, 0)) >= 0 || version(6, 1).Compare(version(6, 0)) <= 0 {
 		t.Error("order")
 	}
 	now := 100 * 24 * time.Hour
-	if most := uint64(now.Milliseconds()) + MaxEpochAhead; ver(most, 1).TooFarAhead(now) || !ver(most+1, 0).TooFarAhead(now) || !ver(1<<64-1, 0).TooFarAhead(now) {
+	if most := uint64(now.Milliseconds()) + MaxEpochAhead; version(most, 1).TooFarAhead(now) || !version(most+1, 0).TooFarAhead(now) || !version(1<<64-1, 0).TooFarAhead(now) {
 		t.Error("a day ahead")
 	}
 }
 
 // drawn changes a set at random and returns the delta.
-func drawn(t *rapid.T, s *Set, to Version) *Delta {
+func randomDelta(t *rapid.T, s *Set, to Version) *Delta {
 	names := rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID).Draw(t, "names")
 	var put []Resource
 	var gone []Key
 	for _, n := range names {
 		if name := fmt.Sprint(n); rapid.Bool().Draw(t, "gone") {
-			gone = append(gone, key(name))
+			gone = append(gone, contractKey(name))
 		} else {
-			put = append(put, con(name, rapid.IntRange(0, 2).Draw(t, "rate")))
+			put = append(put, contract(name, rapid.IntRange(0, 2).Draw(t, "rate")))
 		}
 	}
 	return s.Next(to, put, gone)
@@ -342,19 +342,19 @@
 
 // Since(v) applied to a set at v gives the set now, with and without specs, whatever is kept; also where it is told by a process that took
 // several changes as one, to a node at a version which that process never had.
-func TestMergedDeltasLeadFromEachVersionToTheLast(t *testing.T) {
+func TestMergedDeltasLeadFromEachVersionToLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
 		h := NewHistory(HistoryLimits{Deltas: rapid.IntRange(1, 12).Draw(t, "kept")})
 		s := NewSet(true)
-		first := s.Next(ver(1, 0), []Resource{con("0", 0), con("1", 1)}, nil)
+		first := s.Next(version(1, 0), []Resource{contract("0", 0), contract("1", 1)}, nil)
 		if err := s.Apply(first); err != nil {
 			t.Fatal(err)
 		}
 		type at struct{ all []Resource }
 		olds := map[Version]at{s.Version(): {s.Snapshot().Put}}
 		for n := range rapid.IntRange(1, 14).Draw(t, "changes") {
-			d := drawn(t, s, ver(1, uint64(n)+1))
+			d := randomDelta(t, s, version(1, uint64(n)+1))
 			h.Add(now, d)
 			if err := s.Apply(d); err != nil {
 				t.Fatal(err)
@@ -363,7 +363,7 @@
 		}
 		delete(olds, s.Version())
 		// The history of a process that follows, and takes what is merged now and then.
-		second, at2 := NewHistory(HistoryLimits{}), ver(1, uint64(rapid.IntRange(0, len(olds)-1).Draw(t, "from")))
+		second, at2 := NewHistory(HistoryLimits{}), version(1, uint64(rapid.IntRange(0, len(olds)-1).Draw(t, "from")))
 		if d, ok := h.Since(at2); ok {
 			second.Add(now, d)
 		}
@@ -403,12 +403,12 @@
 }
 
 // A snapshot's difference leads from any content to the snapshot's.
-func TestDifferencesLeadAnywhere(t *testing.T) {
+func TestDifferenceLeadsFromAnyContentToSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewSet(false), NewSet(true)
 		for i, s := range []*Set{a, b} {
 			for n := range 3 {
-				d := drawn(t, s, ver(uint64(i)+1, uint64(n)))
+				d := randomDelta(t, s, version(uint64(i)+1, uint64(n)))
 				if err := s.Apply(d); err != nil {
 					t.Fatal(err)
 				}
@@ -429,9 +429,9 @@
 
 // FuzzDelta: whatever is told, a set takes all of it or nothing, and its sum is always that of what it holds.
 func FuzzDelta(f *testing.F) {
-	base := []Resource{con("a", 1), con("b", 1), res(Route, "h:1", "{}")}
-	s := filled(f, true, ver(5, 1), base...)
-	for _, d := range []*Delta{s.Snapshot(), s.Next(ver(5, 2), []Resource{con("a", 2), con("c", 1)}, []Key{key("b")}), s.Next(ver(6, 0), nil, nil)} {
+	base := []Resource{contract("a", 1), contract("b", 1), newResource(Route, "h:1", "{}")}
+	s := setWith(f, true, version(5, 1), base...)
+	for _, d := range []*Delta{s.Snapshot(), s.Next(version(5, 2), []Resource{contract("a", 2), contract("c", 1)}, []Key{contractKey("b")}), s.Next(version(6, 0), nil, nil)} {
 		data, err := Encode(d)
 		if err != nil {
 			f.Fatal(err)
@@ -449,23 +449,23 @@
 			return
 		}
 		for _, specs := range []bool{true, false} {
-			s := filled(t, specs, ver(5, 1), base...)
+			s := setWith(t, specs, version(5, 1), base...)
 			checked := s.Check(d)
 			if err := s.Apply(d); (err == nil) != (checked == nil) {
 				t.Fatal(checked, err)
 			} else if err != nil {
-				holds(t, s, ver(5, 1), base...)
+				requireContent(t, s, version(5, 1), base...)
 				continue
 			}
 			want := d.Put
 			if !d.Whole() {
-				o := filled(t, true, ver(5, 1), base...)
+				o := setWith(t, true, version(5, 1), base...)
 				if err := o.Apply(d); err != nil {
 					t.Fatal(err)
 				}
 				want = o.Snapshot().Put
 			}
-			holds(t, s, d.To, want...)
+			requireContent(t, s, d.To, want...)
 			if s.Sum() != d.Sum {
 				t.Fatal(s.Sum(), d.Sum)
 			}
@@ -477,13 +477,13 @@
 }
 
 // sized is a set of the size of n tenants, as in two years' product: names and specs of the common lengths.
-func sized(n int) []Resource {
+func tenantResources(n int) []Resource {
 	all := make([]Resource, 0, n+n/4)
 	for i := range n {
 		name := fmt.Sprintf("tenant-%05d", i)
-		all = append(all, res(Contract, name, fmt.Sprintf(`{"name":%q,"match":[{"path":"/t/%05d/"}],"rate":5,"burst":10,"weight":1,"class":"standard"}`, name, i)))
+		all = append(all, newResource(Contract, name, fmt.Sprintf(`{"name":%q,"match":[{"path":"/t/%05d/"}],"rate":5,"burst":10,"weight":1,"class":"standard"}`, name, i)))
 		if i%17 < 4 {
-			all = append(all, res(Route, fmt.Sprintf("t%05d.example.org:443", i), fmt.Sprintf(`{"host":"t%05d.example.org","port":443,"service":"s%03d"}`, i, i%250)))
+			all = append(all, newResource(Route, fmt.Sprintf("t%05d.example.org:443", i), fmt.Sprintf(`{"host":"t%05d.example.org","port":443,"service":"s%03d"}`, i, i%250)))
 		}
 	}
 	return all
@@ -493,12 +493,12 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := filled(b, false, ver(1, 0), sized(n)...)
+			s := setWith(b, false, version(1, 0), tenantResources(n)...)
 			r := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for i := range b.N {
 				name := fmt.Sprintf("tenant-%05d", r.IntN(n))
-				if err := s.Apply(s.Next(ver(1, uint64(i)+1), []Resource{res(Contract, name, fmt.Sprintf(`{"rate":%d}`, i))}, nil)); err != nil {
+				if err := s.Apply(s.Next(version(1, uint64(i)+1), []Resource{newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, i))}, nil)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -510,16 +510,16 @@
 func BenchmarkHistory(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, h := filled(b, true, ver(1, 0), sized(n)...), NewHistory(HistoryLimits{Deltas: 1000})
+			s, h := setWith(b, true, version(1, 0), tenantResources(n)...), NewHistory(HistoryLimits{Deltas: 1000})
 			b.ReportAllocs()
 			for i := range b.N {
 				name := fmt.Sprintf("tenant-%05d", i%n)
-				d := s.Next(ver(1, uint64(i)+1), []Resource{res(Contract, name, fmt.Sprintf(`{"rate":%d}`, i+10))}, nil)
+				d := s.Next(version(1, uint64(i)+1), []Resource{newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, i+10))}, nil)
 				h.Add(0, d)
 				if err := s.Apply(d); err != nil {
 					b.Fatal(err)
 				}
-				if _, ok := h.Since(ver(1, uint64(max(0, i-99)))); !ok {
+				if _, ok := h.Since(version(1, uint64(max(0, i-99)))); !ok {
 					b.Fatal(i)
 				}
 			}
@@ -531,16 +531,16 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			data, err := Encode(filled(b, true, ver(2, 0), sized(n)...).Snapshot())
+			data, err := Encode(setWith(b, true, version(2, 0), tenantResources(n)...).Snapshot())
 			if err != nil {
 				b.Fatal(err)
 			}
-			old := sized(n)
+			old := tenantResources(n)
 			b.SetBytes(int64(len(data)))
 			b.ReportAllocs()
 			for range b.N {
 				b.StopTimer()
-				s := filled(b, false, ver(1, 0), old[1:]...)
+				s := setWith(b, false, version(1, 0), old[1:]...)
 				b.StartTimer()
 				d, err := Decode(data)
 				if err != nil {
@@ -561,7 +561,7 @@
 func BenchmarkSetMemory(b *testing.B) {
 	for _, specs := range []bool{false, true} {
 		b.Run(fmt.Sprintf("specs=%v", specs), func(b *testing.B) {
-			data, err := Encode(filled(b, true, ver(2, 0), sized(17000)...).Snapshot())
+			data, err := Encode(setWith(b, true, version(2, 0), tenantResources(17000)...).Snapshot())
 			if err != nil {
 				b.Fatal(err)
 			}
