--- a/internal/resource/follower.go
+++ b/internal/resource/follower.go
@@ -7,33 +7,50 @@
 	"time"
 )
 
-// Pace is how often a follower calls. A watch whose answer is lost is found out only at its limit, so the longest wait, the grace and one
-// call more have to stay within the time in which a change is to be in force.
+// PollSchedule holds the intervals at which a follower calls its sources. A lost response to a watch is detected only when
+// the call times out, so MaxWait, Grace and the time for one more call together must fit into the time within which a
+// change has to be in force.
 type Pace struct {
-	WaitLeast, WaitMost time.Duration // of a watch, drawn for each
-	Grace               time.Duration // past the wait; the limit of a call without one
-	LookLeast, LookMost time.Duration // between looks at another source
+	WaitLeast, WaitMost time.Duration // range of a watch's waiting time, selected at random for each watch
+	Grace               time.Duration // added to the waiting time to give a call's timeout; the whole timeout of a call without waiting
+	LookLeast, LookMost time.Duration // range of the interval between checks of another source
 }
 
-// NodePace is a node's: 450 of them make some 130 calls a second in all. ControlPace is for the few control processes that follow.
 var (
-	NodePace    = Pace{6 * time.Second, 10 * time.Second, 2 * time.Second, 4 * time.Second, 7 * time.Second}
+	// NodePace is the default schedule, for nodes: 450 nodes make about 130 calls a second in all.
+	NodePace = Pace{6 * time.Second, 10 * time.Second, 2 * time.Second, 4 * time.Second, 7 * time.Second}
+	// ControlPace is the schedule of control processes that follow another one. There are few of them.
 	ControlPace = Pace{2 * time.Second, 4 * time.Second, time.Second, time.Second, 2 * time.Second}
 )
 
-// Rests. Each is drawn between half of it and the whole.
+// Delays between calls and limits on responses. The delay that is used is random, between half the named value and the
+// whole value.
 const (
-	firstBackoff            = 100 * time.Millisecond // after a failure; doubles with each round through all sources
-	maxBackoff              = 4 * time.Second
-	emptyResponseBackoff    = 50 * time.Millisecond  // after an answer at once that brought nothing; doubles
-	delayAfterChange        = 100 * time.Millisecond // after a change: a fleet doesn't call in one instant then, and many changes come as one
-	MaxRetry                = 30 * time.Second       // of a Retry-After
-	checksumRefusalLifetime = time.Minute            // a snapshot whose sum does not fit is refused for half of this or more
-	minBodyTimeout          = 2 * time.Second
-	maxBodyTimeout          = 30 * time.Second
-	minBodyRate             = 64 << 10 // bytes a second
+	// firstBackoff is the delay after a failure. It doubles with each round through all sources.
+	firstBackoff = 100 * time.Millisecond
+	// maxBackoff bounds every delay that doubles, except those before a snapshot.
+	maxBackoff = 4 * time.Second
+	// emptyResponseBackoff is the delay after an immediate response without news. It doubles.
+	emptyResponseBackoff = 50 * time.Millisecond
+	// delayAfterChange is the delay after a change, so that a fleet doesn't call at the same instant and many changes arrive
+	// as one.
+	delayAfterChange = 100 * time.Millisecond
+	// MaxRetry bounds the delay taken from a Retry-After header.
+	MaxRetry = 30 * time.Second
+	// checksumRefusalLifetime is how long a snapshot with a wrong checksum is refused, selected between half of it and the
+	// whole.
+	checksumRefusalLifetime = time.Minute
+	// minBodyTimeout is the time for a response body, to which the time for its length is added.
+	minBodyTimeout = 2 * time.Second
+	// maxBodyTimeout bounds the time for a response body.
+	maxBodyTimeout = 30 * time.Second
+	// minBodyRate is the slowest acceptable transfer of a response body, in bytes a second.
+	minBodyRate = 64 << 10
 )
 
+// BodyTimeout returns how long a response body of a length in bytes may take after the response's head. A negative length
+// means that the length is not specified.
+
 // BodyLimit is how long an answer's body may take after its head, by its length in bytes; below 0: not told.
 func BodyLimit(length int64) time.Duration {
 	if length < 0 {
@@ -42,100 +59,101 @@
 	return min(minBodyTimeout+time.Duration(float64(length)/minBodyRate*float64(time.Second)), maxBodyTimeout)
 }
 
-// Call is what to do next: rest, then ask.
+// Call describes the next call: its delay, its source and its parameters.
 type Call struct {
-	Rest    time.Duration // before it
-	Source  int           // index of whom to ask
-	Since   Version       // zero: the whole
-	Sum     Sum           // of what is held at Since
-	Refused Version       // zero: none
+	Rest    time.Duration // before the call
+	Source  int           // index of the source to call
+	Since   Version       // the version held; zero: request a snapshot
+	Sum     Sum           // of the content held at Since
+	Refused Version       // the version last refused; zero: none
 	Why     string        // of the refusal
-	Wait    time.Duration // for something new, at the source; 0: it answers at once
-	Limit   time.Duration // from the call to the head of its answer; BodyLimit counts from there
+	Wait    time.Duration // how long the source may wait for a change; 0: it responds at once
+	Limit   time.Duration // from the call to the head of its response; BodyTimeout counts from there
 }
 
-// FailureKind is how a call failed.
+// FailureKind tells how a call failed.
 type FailureKind int
 
 // The kinds of failures.
 const (
-	Unreachable FailureKind = iota // no connection, or it broke off
-	Silent                         // past the limit
-	Busy                           // 503
-	Behind                         // 409: the source has an older version than we have
+	Unreachable FailureKind = iota // no connection, or the connection broke
+	Silent                         // timed out
+	Busy                           // status 503
+	Behind                         // status 409: the source has an older version than the caller
 	Rejected                       // another status
-	Invalid                        // an answer that can't be read or is over the bound
+	Invalid                        // the response is malformed or too large
 )
 
 func (k FailureKind) String() string {
 	return [...]string{"unreachable", "silent", "busy", "behind", "rejected", "invalid"}[k]
 }
 
-// Failure is a call that brought no answer to take.
+// Failure is a call without a usable response.
 type Failure struct {
 	Kind       FailureKind
-	RetryAfter time.Duration // Busy: as told; bounded by MaxRetry
-	Err        error         // for the status
+	RetryAfter time.Duration // of a Busy source, as received; bounded by MaxRetryAfter when it is applied
+	Err        error         // reported in Status
 }
 
-// Status is what operators see of a follower.
+// Status is the state of a follower as shown to operators.
 type Status struct {
 	Version    Version
 	Sum        Sum
 	Resources  int
-	Source     int // the one that is followed
-	Refused    Version
-	Why        string
-	Failures   int           // in a row
-	LastErr    string        // of the last call that failed; empty after a good one
-	LastAnswer time.Duration // Unix time of the last good answer; 0: none
-	LastChange time.Duration // of the last version taken
+	Source     int           // index of the source that is followed
+	Refused    Version       // the version last refused; zero: none
+	Why        string        // of the refusal
+	Failures   int           // consecutive failed calls to followed sources
+	LastErr    string        // of the last call if it failed; empty after a success
+	LastAnswer time.Duration // Unix time of the last valid response; 0: none
+	LastChange time.Duration // Unix time at which a version was last applied; 0: never
 }
 
-// Follower decides whom to ask for what and when, and which answers to take. Its caller makes the calls one at a time: Next, then
-// Failed or Told, and Took after a Told that said to take. Times are Unix time, draws are in [0, 1). It is not safe for concurrent use.
+// Follower decides which source to call when, with which request, and which responses to apply. Its caller makes one call
+// at a time: Next, then Failed or Received, then Applied if Received returned true. Times are Unix times, random numbers
+// are in [0, 1). It is not safe for concurrent use.
 //
-// It follows one source. Now and then it looks at another one for an instant, in turn: a source that is itself cut off answers well and
-// has nothing new, and only another one can tell. It moves to the source that has something newer, and home to the first one when that
-// is not behind.
+// It follows one source and checks another one at intervals, in turn, by a call without waiting: a source that is itself
+// cut off responds well but has no changes, which only another source can reveal. It moves to a source that has a later
+// version, and back to the first one as soon as that is not behind.
 type Follower struct {
 	set      *Set
 	schedule Pace
 	sources  int
 
-	current         int // followed
-	called          int // by the call under way
-	lastChecked     int // last looked at
-	nextCheck       time.Duration
-	busyUntil       []time.Duration // by source: not before
-	nextCall        time.Duration   // of the next call: not before
-	mayWait         bool            // the last call was a good one: wait for what is new
-	needSnapshot    bool            // the next delta wouldn't fit: ask for everything
-	mismatches      int             // answers in a row whose sum or base didn't fit
-	nextSnapshot    time.Duration   // not before: the next call for everything
-	failures        int             // in a row, but for looks
-	emptyResponses  int             // answers at once that brought nothing, in a row
-	callStart       time.Duration
-	callWait        time.Duration // of the call under way
-	callSince       Version       // of the call under way
-	random          float64
-	pending         Version // by the answer that is to be taken
-	refused         Version
-	reason          string
-	refusalExpiry   time.Duration // the refusal, at this time; 0: never
-	refusedForEpoch bool          // refused for its epoch only
-	status          Status
+	current         int             // index of the source that is followed
+	called          int             // index of the source of the current call
+	lastChecked     int             // index of the source that was last checked
+	nextCheck       time.Duration   // when to check another source; 0: not yet scheduled
+	busyUntil       []time.Duration // for each source, the earliest time of the next call to it
+	nextCall        time.Duration   // earliest time of the next call
+	mayWait         bool            // the last call succeeded: the next one may wait for a change
+	needSnapshot    bool            // a delta would not apply: request a snapshot
+	mismatches      int             // consecutive responses whose checksum or base did not match
+	nextSnapshot    time.Duration   // earliest time of the next request for a snapshot
+	failures        int             // consecutive, without those of checks
+	emptyResponses  int             // consecutive immediate responses without a change, and refusals
+	callStart       time.Duration   // of the current call
+	callWait        time.Duration   // of the current call
+	callSince       Version         // of the current call
+	random          float64         // the next random number
+	pending         Version         // of the delta that Received returned as one to apply
+	refused         Version         // zero: none
+	reason          string          // of the refusal
+	refusalExpiry   time.Duration   // when the refusal expires; 0: never
+	refusedForEpoch bool            // refused only for an epoch too far ahead
+	status          Status          // only its last error, response and change are stored here
 }
 
-// NewFollower follows sources, the nearest first, for a set; NodePace is its pace.
+// NewFollower returns a follower of a set that calls sources, the nearest first, on NodeSchedule.
 func NewFollower(base *Set, sources int) *Follower {
 	return &Follower{set: base, sources: max(sources, 1), schedule: NodePace, busyUntil: make([]time.Duration, max(sources, 1)), random: 0.5}
 }
 
-// SetPace is for before the first call.
-func (f *Follower) SetPace(p Pace) { f.schedule = p }
+// SetSchedule changes the schedule. It may be called only before the first call to Next.
+func (f *Follower) SetPace(schedule Pace) { f.schedule = schedule }
 
-// Status tells where it stands.
+// Status returns the current state.
 func (f *Follower) Status() Status {
 	s := f.status
 	s.Version, s.Sum, s.Resources = f.set.Version(), f.set.Sum(), f.set.Len()
@@ -143,16 +161,17 @@
 	return s
 }
 
-// between draws a time; each draw makes the next by a step of its own, so that one given draw serves several.
-func (f *Follower) randomBetween(least, most time.Duration) time.Duration {
-	d := least + time.Duration(f.random*float64(most-least))
+// randomBetween returns a random duration in a range. Each use derives the next random number from the current one, so that
+// one number from the caller serves several uses.
+func (f *Follower) randomBetween(shortest, longest time.Duration) time.Duration {
+	d := shortest + time.Duration(f.random*float64(longest-shortest))
 	_, f.random = math.Modf(f.random*4093 + 0.618)
 	return d
 }
 
-// Next says what to call now.
-func (f *Follower) Next(now time.Duration, draw float64) Call {
-	f.random = draw
+// Next returns the next call to make. It takes a random number in [0, 1).
+func (f *Follower) Next(now time.Duration, random float64) Call {
+	f.random = random
 	if !f.refused.IsZero() && (f.refusalExpiry > 0 && now >= f.refusalExpiry || f.refusedForEpoch && !f.refused.TooFarAhead(now)) {
 		f.clearRefusal()
 	}
@@ -167,7 +186,7 @@
 		f.nextCheck = begin + f.randomBetween(f.schedule.LookLeast, f.schedule.LookMost)
 	}
 	switch {
-	case c.Since.IsZero() && f.refused.IsZero() || !f.mayWait: // it answers at once, whatever it has
+	case c.Since.IsZero() && f.refused.IsZero() || !f.mayWait: // request an immediate response, whatever the source has
 	case f.checkDue(begin):
 		c.Source = f.lastChecked
 	default:
@@ -181,7 +200,7 @@
 	return c
 }
 
-// lookAt tells whether the next call is a look at another source, and takes the next one in turn for it.
+// checkDue reports whether the next call is a check of another source, and selects the next source in turn for it.
 func (f *Follower) checkDue(begin time.Duration) bool {
 	if f.sources == 1 || begin+f.schedule.Grace/4 < f.nextCheck {
 		return false
@@ -196,15 +215,15 @@
 	return false
 }
 
-// jitter draws a rest between half of it and the whole.
+// jitter returns a random delay between half of d and d.
 func (f *Follower) jitter(d time.Duration) time.Duration { return f.randomBetween(d/2, d) }
 
-// doubled is first, doubled n times and bounded.
+// backoff returns the first delay doubled n times, at most maxBackoff.
 func backoff(first time.Duration, n int) time.Duration { return min(first<<min(n, 10), maxBackoff) }
 
-// Failed tells that the call brought nothing to take.
-func (f *Follower) Failed(now time.Duration, how Failure, draw float64) {
-	f.random = draw
+// Failed records that the call brought no usable response. It takes a random number in [0, 1).
+func (f *Follower) Failed(now time.Duration, how Failure, random float64) {
+	f.random = random
 	if how.Kind == Busy && how.RetryAfter > 0 {
 		after := min(how.RetryAfter, MaxRetry)
 		f.busyUntil[f.called] = now + f.randomBetween(after, after+after/2)
@@ -216,8 +235,9 @@
 	f.recordFailure(now)
 }
 
-// fail rests and turns to the next source: soon to those not yet asked in this round, and after a rest that doubles with each round through
-// all of them. A look that failed costs nothing but a rest: what is followed is followed on.
+// recordFailure schedules the next call and switches to the next source: after a short delay within a round through the
+// sources, and after each full round with a delay that doubles. A failed check only delays the next call; the followed source
+// stays the same.
 func (f *Follower) recordFailure(now time.Duration) {
 	if f.called != f.current {
 		f.nextCall = now + f.jitter(emptyResponseBackoff)
@@ -225,12 +245,12 @@
 	}
 	f.mayWait = false
 	f.failures++
-	rest := firstBackoff
+	delay := firstBackoff
 	if f.failures%f.sources == 0 {
-		rest = backoff(firstBackoff, f.failures/f.sources-1)
+		delay = backoff(firstBackoff, f.failures/f.sources-1)
 	}
-	f.nextCall = now + f.jitter(rest)
-	// The next one that may be asked; where all are busy, the one that is free first.
+	f.nextCall = now + f.jitter(delay)
+	// Select the next source that may be called, or the one that is available first if all are busy.
 	best := f.current
 	for i := 1; i <= f.sources; i++ {
 		s := (f.current + i) % f.sources
@@ -246,8 +266,9 @@
 	f.nextCall = max(f.nextCall, f.busyUntil[best])
 }
 
-// good counts an answer that could be taken or had nothing to take. What was looked at is followed from now on if move says so. Failures
-// are forgotten only where the answer moved forward or the source waited: one which drops each watch is not asked ever so fast.
+// recordSuccess records a response that could be applied or had nothing to apply; with move, the source that was called is
+// followed from now on. The counts of failures are cleared only where the source waited (Applied clears them after a change):
+// otherwise a source that drops each watch would be called again and again with short delays.
 func (f *Follower) recordSuccess(now time.Duration, move bool) {
 	if move {
 		f.current = f.called
@@ -259,12 +280,12 @@
 	f.status.LastErr, f.status.LastAnswer = "", now
 }
 
-// waited tells whether the source kept the call for half its wait or more.
+// sourceWaited reports whether the source held the call for at least half of its waiting time.
 func (f *Follower) sourceWaited(now time.Duration) bool {
 	return f.callWait > 0 && now-f.callStart >= f.callWait/2
 }
 
-// idle rests after an answer that brought nothing and was not waited for: hardly at first, longer each time in a row.
+// delayAfterEmpty delays the next call after an immediate response without a change, briefly at first and doubling each time.
 func (f *Follower) delayAfterEmpty(now time.Duration) {
 	if f.called == f.current {
 		f.nextCall = max(f.nextCall, now+f.jitter(backoff(emptyResponseBackoff, f.emptyResponses)))
@@ -272,14 +293,15 @@
 	}
 }
 
-// Told tells what an answer says. True: the caller puts it in force, applies it to the set (a snapshot by Set.Difference, or whole) and
-// calls Took. An error: nothing is to be taken; a *Refusal is told to control by the calls that follow, what else it is has been counted.
-// What is not later than what is held is passed over without an error: a node never goes back.
-func (f *Follower) Told(now time.Duration, d *Delta) (take bool, err error) {
+// Received checks a response. If it returns true, the caller puts the delta in force, applies it to the set (a snapshot as
+// it is or reduced by Set.Difference) and calls Applied. If it returns an error, there is nothing to apply: a *Refusal is
+// reported to the control process by the next calls, any other error has been counted as a failure. A delta that is not
+// later than the held version is ignored without an error, so that a node's version never decreases.
+func (f *Follower) Told(now time.Duration, d *Delta) (apply bool, err error) {
 	held := f.set.Version()
 	if d.From == d.To && len(d.Put)+len(d.Gone) == 0 && (d.To == held || d.To == f.callSince) {
 		if d.To == held && d.Sum != f.set.Sum() {
-			err = fmt.Errorf("%v: sum %016x, told %016x: %w", held, uint64(f.set.Sum()), uint64(d.Sum), ErrSum)
+			err = fmt.Errorf("%v: checksum %016x, announced %016x: %w", held, uint64(f.set.Sum()), uint64(d.Sum), ErrSum)
 			f.requireSnapshot(now, err)
 			return false, err
 		}
@@ -310,7 +332,7 @@
 	case errors.As(err, &r):
 		f.recordRefusal(now, d.To, r)
 		return false, r
-	case d.Whole(): // the sum of a snapshot: not ours to mend, and dear to ask for again
+	case d.Whole(): // the source computed a wrong checksum, and another snapshot is expensive
 		r = &Refusal{Field: "sum", Why: err.Error()}
 		f.recordRefusal(now, d.To, r)
 		f.refusalExpiry = now + f.randomBetween(checksumRefusalLifetime/2, checksumRefusalLifetime)
@@ -322,7 +344,7 @@
 	return false, err
 }
 
-// failWhole counts an answer that doesn't fit what is held: everything is asked for, after a rest.
+// requireSnapshot records a response that does not match the held content: the next request is for a snapshot, after a delay.
 func (f *Follower) requireSnapshot(now time.Duration, err error) {
 	f.status.LastErr = err.Error()
 	f.needSnapshot = true
@@ -331,13 +353,14 @@
 	f.recordFailure(now)
 }
 
-// spareWhole rests longer each time before everything is asked for: at full size it is some megabytes.
+// delaySnapshot delays the next request for a snapshot, doubling each time: a snapshot of full size is several megabytes.
 func (f *Follower) delaySnapshot(now time.Duration) {
 	f.nextSnapshot = now + f.jitter(min(firstBackoff<<min(f.mismatches, 10), checksumRefusalLifetime))
 	f.mismatches++
 }
 
-// refuse keeps what was refused, to be told, and rests: less than after a failure, more each time in a row.
+// recordRefusal stores a refused version to be reported, and delays the next call: less than after a failure, doubling each
+// time.
 func (f *Follower) recordRefusal(now time.Duration, v Version, err error) {
 	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = v, truncate(err.Error(), MaxWhy), 0, false
 	f.recordSuccess(now, f.called == 0)
@@ -345,11 +368,13 @@
 	f.emptyResponses++
 }
 
+// clearRefusal removes the stored refusal.
 func (f *Follower) clearRefusal() {
 	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = Version{}, "", 0, false
 }
 
-// Took tells what became of what Told said to take: nil where it is in force and in the set, or why it was refused.
+// Applied reports the outcome of applying a delta that Received accepted: nil if it is in force and in the set, else the reason
+// for which it was refused.
 func (f *Follower) Took(now time.Duration, err error) {
 	if err != nil {
 		f.recordRefusal(now, f.pending, err)
@@ -357,7 +382,7 @@
 	}
 	f.recordSuccess(now, true)
 	if f.callSince.IsZero() && f.status.LastChange == 0 {
-		f.nextCheck = now // there was none before to hold against it: another source may have a later one
+		f.nextCheck = now // the first version has nothing to compare it with: check whether another source has a later one
 	}
 	f.needSnapshot, f.mismatches, f.failures, f.emptyResponses = false, 0, 0, 0
 	f.status.LastChange, f.nextCall = now, now+f.jitter(delayAfterChange)
--- a/internal/resource/follower_test.go
+++ b/internal/resource/follower_test.go
@@ -12,19 +12,22 @@
 	"pgregory.net/rapid"
 )
 
-// run drives a follower in virtual time against answers that the test makes up.
+// followerTest drives a follower in virtual time with responses that the test makes.
 type followerTest struct {
 	t        *testing.T
 	follower *Follower
 	set      *Set
 	now      time.Duration
 	random   *rand.Rand
-	err      error // of the last Told
-	calls    int   // calls
+	err      error // of the last response
+	calls    int   // calls made
 }
 
+// startTime is the virtual Unix time at which a test starts.
 const startTime = 1_764_640_000 * time.Second
 
+// newFollowerTest returns a follower of the given number of sources. Its set holds the given resources at version 5.1, if there
+// are any.
 func newFollowerTest(t *testing.T, sources int, all ...Resource) *followerTest {
 	r := &followerTest{t: t, set: NewSet(false), now: startTime, random: rand.New(rand.NewPCG(1, 2))}
 	if len(all) > 0 {
@@ -34,47 +37,48 @@
 	return r
 }
 
-// call makes the next call: it rests and returns what is asked. The clock stands at its beginning then.
+// nextCall returns the next call and advances the clock to its start.
 func (r *followerTest) nextCall() Call {
 	if r.calls++; r.calls > 10_000 {
-		r.t.Fatal("calls without end")
+		r.t.Fatal("the number of calls is unlimited")
 	}
 	c := r.follower.Next(r.now, r.random.Float64())
 	r.now += c.Rest
 	return c
 }
 
-// tell answers the call after a time, and puts in force what is to be taken.
+// respond responds to the call after a time and applies the delta if the follower accepts it.
 func (r *followerTest) respond(after time.Duration, d *Delta) bool {
 	r.now += after
-	var take bool
-	if take, r.err = r.follower.Told(r.now, d); take {
+	var apply bool
+	if apply, r.err = r.follower.Told(r.now, d); apply {
 		r.err = r.set.Apply(r.set.Difference(d))
 		r.follower.Took(r.now, r.err)
 	}
-	return take
+	return apply
 }
 
+// fail lets the call fail after a time.
 func (r *followerTest) fail(after time.Duration, k FailureKind) {
 	r.now += after
-	r.follower.Failed(r.now, Failure{Kind: k, Err: errors.New("made up")}, r.random.Float64())
+	r.follower.Failed(r.now, Failure{Kind: k, Err: errors.New("injected")}, r.random.Float64())
 }
 
-// nothing is the answer that nothing came.
+// emptyDelta returns a response without changes.
 func (r *followerTest) emptyDelta(c Call) *Delta {
 	return &Delta{From: c.Since, To: c.Since, Sum: c.Sum}
 }
 
-// next is the delta that leads on from what is held.
+// nextDelta returns the delta that leads on from the held version by putting the given resources.
 func (r *followerTest) nextDelta(all ...Resource) *Delta {
 	v := r.set.Version()
 	return r.set.Next(version(v.Epoch, v.Number+1), all, nil)
 }
 
-func requireWithin(t *testing.T, what string, d, least, most time.Duration) {
+func requireWithin(t *testing.T, what string, d, lower, upper time.Duration) {
 	t.Helper()
-	if d < least || d > most {
-		t.Fatalf("%s: %v, want %v to %v", what, d, least, most)
+	if d < lower || d > upper {
+		t.Fatalf("%s: %v, want %v to %v", what, d, lower, upper)
 	}
 }
 
@@ -89,9 +93,9 @@
 		t.Fatal(r.err)
 	}
 	c = r.nextCall()
-	requireWithin(t, "rest after a change", c.Rest, delayAfterChange/2, delayAfterChange)
+	requireWithin(t, "delay after a change", c.Rest, delayAfterChange/2, delayAfterChange)
 	if c.Since != version(5, 1) || c.Sum != s.Sum() || c.Source != 1 || c.Wait != 0 {
-		t.Fatalf("no look at another one behind the first version: %+v", c)
+		t.Fatalf("another source is not checked after the first version: %+v", c)
 	}
 	r.respond(0, r.emptyDelta(c))
 	if c = r.nextCall(); c.Since != version(5, 1) || c.Sum != s.Sum() || c.Source != 0 || c.Wait == 0 {
@@ -103,8 +107,8 @@
 	}
 }
 
-// From the moment at which a call begins, a lost answer is found out, and another call made, within 18 s: also by way of a control
-// process that lost one too.
+// A lost response is detected, and another call made, within 18 s from the start of the call, even through a control process
+// that also lost a response.
 func TestLostResponseIsDetectedWithin18Seconds(t *testing.T) {
 	for _, sources := range []int{1, 3} {
 		var waits []time.Duration
@@ -121,17 +125,17 @@
 			r.respond(c.Wait, r.emptyDelta(c))
 		}
 		slices.Sort(waits)
-		least, most := waits[0], waits[len(waits)-1]
-		requireWithin(t, "least wait", least, NodePace.Grace/4, NodePace.WaitLeast+time.Second/2)
-		requireWithin(t, "most wait", most, NodePace.LookMost-time.Second, NodePace.WaitMost)
-		if sources == 1 && (least < NodePace.WaitLeast || most < NodePace.WaitMost-time.Second/2) {
-			t.Fatal(least, most)
+		shortest, longest := waits[0], waits[len(waits)-1]
+		requireWithin(t, "shortest wait", shortest, NodePace.Grace/4, NodePace.WaitLeast+time.Second/2)
+		requireWithin(t, "longest wait", longest, NodePace.LookMost-time.Second, NodePace.WaitMost)
+		if sources == 1 && (shortest < NodePace.WaitLeast || longest < NodePace.WaitMost-time.Second/2) {
+			t.Fatal(shortest, longest)
 		}
-		t.Logf("%d sources: waits of %v to %v", sources, least, most)
+		t.Logf("%d sources: waits of %v to %v", sources, shortest, longest)
 	}
-	found := func(p Pace) time.Duration { return max(p.WaitMost, p.LookMost) + p.Grace + firstBackoff + p.Grace }
-	if all := found(NodePace) + found(ControlPace) - NodePace.Grace - ControlPace.Grace; all > 18*time.Second {
-		t.Fatal(all)
+	detection := func(p Pace) time.Duration { return max(p.WaitMost, p.LookMost) + p.Grace + firstBackoff + p.Grace }
+	if total := detection(NodePace) + detection(ControlPace) - NodePace.Grace - ControlPace.Grace; total > 18*time.Second {
+		t.Fatal(total)
 	}
 }
 
@@ -143,20 +147,20 @@
 		for range 9 {
 			r.fail(0, Unreachable)
 			c := r.nextCall()
-			requireWithin(t, "rest", c.Rest, want/2, want)
+			requireWithin(t, "delay", c.Rest, want/2, want)
 			if c.Wait != 0 || c.Limit != NodePace.Grace {
 				t.Fatalf("a call after a failure waits: %+v", c)
 			}
 			want = min(2*want, maxBackoff)
 		}
-		if st := r.follower.Status(); st.Failures != 9 || st.LastErr != "unreachable: made up" {
+		if st := r.follower.Status(); st.Failures != 9 || st.LastErr != "unreachable: injected" {
 			t.Fatalf("%+v", st)
 		}
-		if round == 0 { // something new
+		if round == 0 { // a change
 			if !r.respond(0, r.nextDelta(contract("b", 1))) {
 				t.Fatal(r.err)
 			}
-		} else { // a watch that is kept
+		} else { // a watch that the source holds
 			c := r.nextCall()
 			r.respond(0, r.emptyDelta(c))
 			c = r.nextCall()
@@ -168,9 +172,9 @@
 	}
 }
 
-// Rests are drawn: 450 that failed at one moment don't come back at one.
+// Nodes that failed at the same moment do not call again at the same moment.
 func TestBackoffIsSpreadRandomly(t *testing.T) {
-	var at [20]int
+	var counts [20]int
 	for i := range 4000 {
 		r := newFollowerTest(t, 1, contract("a", 1))
 		r.random = rand.New(rand.NewPCG(3, uint64(i)))
@@ -178,11 +182,11 @@
 		for range 7 {
 			r.fail(0, Unreachable)
 		}
-		at[int((r.nextCall().Rest-maxBackoff/2)*time.Duration(len(at))/(maxBackoff/2+1))]++
+		counts[int((r.nextCall().Rest-maxBackoff/2)*time.Duration(len(counts))/(maxBackoff/2+1))]++
 	}
-	for i, n := range at {
-		if n < 120 || n > 280 { // 200 by chance; six times the root beside it
-			t.Errorf("part %d of the rests: %d of 4000", i, n)
+	for i, n := range counts {
+		if n < 120 || n > 280 { // 200 expected, give or take six standard deviations
+			t.Errorf("interval %d of the delays has %d of 4000", i, n)
 		}
 	}
 }
@@ -190,13 +194,13 @@
 func TestFailureSwitchesToNextSource(t *testing.T) {
 	for _, k := range []FailureKind{Unreachable, Silent, Busy, Behind, Rejected, Invalid} {
 		r := newFollowerTest(t, 3, contract("a", 1))
-		var asked []int
+		var called []int
 		for range 5 {
-			asked = append(asked, r.nextCall().Source)
+			called = append(called, r.nextCall().Source)
 			r.fail(0, k)
 		}
-		if !slices.Equal(asked, []int{0, 1, 2, 0, 1}) {
-			t.Fatal(k, asked)
+		if !slices.Equal(called, []int{0, 1, 2, 0, 1}) {
+			t.Fatal(k, called)
 		}
 		if err := r.follower.Status().LastErr; !strings.HasPrefix(err, k.String()) {
 			t.Fatal(err)
@@ -204,19 +208,19 @@
 	}
 }
 
-// Three sources: a round through all takes no longer than one rest and the calls, also after many.
+// With three sources, a round through all of them takes no longer than one long delay and the calls, even after many failures.
 func TestBackoffDoublesOncePerRoundOfSources(t *testing.T) {
 	r := newFollowerTest(t, 3, contract("a", 1))
 	r.nextCall()
-	want := firstBackoff
+	longest := firstBackoff
 	for range 8 {
 		for range 2 {
 			r.fail(0, Unreachable)
-			requireWithin(t, "rest in a round", r.nextCall().Rest, firstBackoff/2, firstBackoff)
+			requireWithin(t, "delay within a round", r.nextCall().Rest, firstBackoff/2, firstBackoff)
 		}
 		r.fail(0, Unreachable)
-		requireWithin(t, "rest after a round", r.nextCall().Rest, want/2, want)
-		want = min(2*want, maxBackoff)
+		requireWithin(t, "delay after a round", r.nextCall().Rest, longest/2, longest)
+		longest = min(2*longest, maxBackoff)
 	}
 }
 
@@ -224,56 +228,56 @@
 	r := newFollowerTest(t, 2, contract("a", 1))
 	r.nextCall()
 	r.follower.Failed(r.now, Failure{Kind: Busy, RetryAfter: 10 * time.Second}, 0)
-	from := r.now
-	for r.now-from < 9*time.Second {
+	start := r.now
+	for r.now-start < 9*time.Second {
 		c := r.nextCall()
 		if c.Source != 1 {
-			t.Fatalf("%v after: %+v", r.now-from, c)
+			t.Fatalf("%v later: %+v", r.now-start, c)
 		}
 		r.respond(c.Wait, r.emptyDelta(c))
 	}
-	// Both are busy: the one that is free first, and at no earlier time; a day is not waited for.
+	// If all sources are busy, the one that is available first is called at its earliest time. A delay of a day is bounded.
 	for r.nextCall().Source != 1 {
 		r.fail(0, Unreachable)
 	}
 	r.follower.Failed(r.now, Failure{Kind: Busy, RetryAfter: 24 * time.Hour}, 0)
 	for r.nextCall().Source != 0 {
-		t.Fatal("asked the busy one")
+		t.Fatal("the busy source is called")
 	}
 	r.follower.Failed(r.now, Failure{Kind: Busy, RetryAfter: 24 * time.Hour}, 0.999)
-	from = r.now
+	start = r.now
 	c := r.nextCall()
 	if c.Source != 1 {
 		t.Fatal(c)
 	}
-	requireWithin(t, "rest", c.Rest, MaxRetry-5*time.Second, MaxRetry*3/2)
+	requireWithin(t, "delay", c.Rest, MaxRetry-5*time.Second, MaxRetry*3/2)
 }
 
-// The one that is followed answers well but is itself cut off. Another one is looked at soon, followed for what it has, and the first
-// one again as soon as it is not behind.
+// A followed source that responds well but is cut off itself would hide changes. Another source is checked soon and followed for
+// its later version, and the first one is followed again as soon as it is not behind.
 func TestIsolatedSourceIsReplacedAndReturnedTo(t *testing.T) {
 	for seed := range uint64(50) {
 		r := newFollowerTest(t, 3, contract("a", 1))
 		r.random = rand.New(rand.NewPCG(5, seed))
 		change := r.nextDelta(contract("b", 1))
-		from := r.now
+		start := r.now
 		for r.set.Version() != change.To {
 			switch c := r.nextCall(); c.Source {
 			case 0:
 				r.respond(c.Wait, r.emptyDelta(c))
 			case 1:
-				r.fail(c.Limit, Silent) // is gone
+				r.fail(c.Limit, Silent) // does not respond
 			case 2:
 				r.respond(0, change)
 			}
 		}
-		requireWithin(t, "found out", r.now-from, 0, 18*time.Second)
+		requireWithin(t, "detected after", r.now-start, 0, 18*time.Second)
 		if s := r.follower.Status().Source; s != 2 {
 			t.Fatal(s)
 		}
-		// The first one is behind, and stays it for a minute.
-		from = r.now
-		for r.now-from < time.Minute {
+		// The first source is behind for a minute.
+		start = r.now
+		for r.now-start < time.Minute {
 			switch c := r.nextCall(); c.Source {
 			case 0:
 				r.fail(0, Behind)
@@ -286,7 +290,7 @@
 				t.Fatalf("%+v", s)
 			}
 		}
-		from = r.now
+		start = r.now
 		for r.follower.Status().Source != 0 {
 			c := r.nextCall()
 			if c.Source == 1 {
@@ -295,12 +299,12 @@
 				r.respond(c.Wait, r.emptyDelta(c))
 			}
 		}
-		requireWithin(t, "came home", r.now-from, 0, 18*time.Second)
+		requireWithin(t, "returned after", r.now-start, 0, 18*time.Second)
 	}
 }
 
 func TestStaleDeltaIsIgnored(t *testing.T) {
-	for _, name := range []string{"doubled", "out of order", "older epoch"} {
+	for _, name := range []string{"repeated", "out of order", "older epoch"} {
 		t.Run(name, func(t *testing.T) {
 			r := newFollowerTest(t, 1, contract("a", 1))
 			first := r.nextDelta(contract("a", 2))
@@ -310,10 +314,10 @@
 			r.nextCall()
 			r.respond(0, second)
 			requireContent(t, r.set, second.To, contract("a", 3))
-			d := map[string]*Delta{"doubled": second, "out of order": first,
+			d := map[string]*Delta{"repeated": second, "out of order": first,
 				"older epoch": setWith(t, true, version(4, 99), contract("old", 1)).Snapshot()}[name]
-			from, calls := r.now, 0
-			for r.now-from < time.Minute {
+			start, calls := r.now, 0
+			for r.now-start < time.Minute {
 				c := r.nextCall()
 				calls++
 				if c.Since != second.To || c.Wait == 0 {
@@ -327,7 +331,7 @@
 			if calls > 40 {
 				t.Fatalf("%d calls in a minute", calls)
 			}
-			// A good one is taken all the same, and ends the rests.
+			// A later delta is applied nevertheless, and ends the delays.
 			r.nextCall()
 			if !r.respond(0, r.nextDelta(contract("b", 1))) || r.nextCall().Rest > delayAfterChange {
 				t.Fatal(r.err)
@@ -339,16 +343,16 @@
 func TestMismatchedDeltaCausesSnapshotRequest(t *testing.T) {
 	ahead := setWith(t, true, version(5, 3), contract("a", 9), contract("b", 1))
 	for name, d := range map[string]*Delta{
-		"a delta lost":        {From: version(5, 2), To: version(5, 3), Sum: ahead.Sum(), Put: resources(contract("b", 1))},
-		"another sum":         {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum() + 1, Put: resources(contract("a", 9), contract("b", 1))},
-		"gone and not there":  {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum(), Gone: []Key{contractKey("x")}},
-		"another sum, of now": {From: version(5, 1), To: version(5, 1), Sum: 7},
+		"a delta was lost":                     {From: version(5, 2), To: version(5, 3), Sum: ahead.Sum(), Put: resources(contract("b", 1))},
+		"another checksum":                     {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum() + 1, Put: resources(contract("a", 9), contract("b", 1))},
+		"removed resource is not held":         {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum(), Gone: []Key{contractKey("x")}},
+		"another checksum of the held version": {From: version(5, 1), To: version(5, 1), Sum: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFollowerTest(t, 1, contract("a", 1))
 			r.nextCall()
 			if r.respond(0, d) || r.err == nil {
-				t.Fatal("taken")
+				t.Fatal("the delta was accepted")
 			}
 			requireContent(t, r.set, version(5, 1), contract("a", 1))
 			c := r.nextCall()
@@ -366,36 +370,36 @@
 	}
 }
 
-// Control has a sum that fits nothing. What is told whole is megabytes: it is asked for a few times, then about once a minute.
+// A control process has a wrong checksum. Its snapshot may be megabytes: it is requested a few times, then about once a minute.
 func TestSnapshotWithWrongChecksumIsNotFetchedInLoop(t *testing.T) {
 	r := newFollowerTest(t, 3, contract("a", 1))
 	control := setWith(t, true, version(5, 2), contract("a", 2))
 	bad := control.Snapshot()
 	bad.Sum++
 	delta := &Delta{From: version(5, 1), To: version(5, 2), Sum: bad.Sum, Put: bad.Put}
-	from, wholes, calls, told := r.now, 0, 0, 0
-	for r.now-from < time.Hour {
+	start, snapshots, calls, reported := r.now, 0, 0, 0
+	for r.now-start < time.Hour {
 		c := r.nextCall()
 		calls++
 		if c.Refused == bad.To {
-			told++
+			reported++
 		}
 		switch {
-		case c.Refused == bad.To: // as a Book does: it waits for a later version
+		case c.Refused == bad.To: // as the control process does: it waits for a later version
 			r.respond(c.Wait, r.emptyDelta(c))
 		case c.Since.IsZero():
-			wholes++
+			snapshots++
 			r.respond(0, bad)
 		default:
 			r.respond(0, delta)
 		}
 	}
 	requireContent(t, r.set, version(5, 1), contract("a", 1))
-	if wholes < 30 || wholes > 130 || calls > 3600 || told == 0 {
-		t.Fatalf("%d times the whole, %d calls, %d told of it", wholes, calls, told)
+	if snapshots < 30 || snapshots > 130 || calls > 3600 || reported == 0 {
+		t.Fatalf("%d snapshots, %d calls, %d of them reported the refusal", snapshots, calls, reported)
 	}
-	t.Logf("in an hour: %d times the whole, %d calls", wholes, calls)
-	// It is mended under a later version.
+	t.Logf("in an hour: %d snapshots, %d calls", snapshots, calls)
+	// A later version has a correct checksum.
 	good := setWith(t, true, version(5, 3), contract("a", 3)).Snapshot()
 	for r.set.Version() != good.To {
 		if c := r.nextCall(); c.Since.IsZero() {
@@ -409,25 +413,25 @@
 	}
 }
 
-// Nor where each second brings a later version whose sum is wrong as well.
+// A new version every second, each with a wrong checksum, does not cause more requests for snapshots either.
 func TestWrongChecksumsOfSuccessiveVersionsAreNotFetchedInLoop(t *testing.T) {
 	r := newFollowerTest(t, 1, contract("a", 1))
-	from, wholes := r.now, 0
-	for r.now-from < time.Hour {
+	start, snapshots := r.now, 0
+	for r.now-start < time.Hour {
 		c := r.nextCall()
 		r.now += time.Second
-		bad := setWith(t, true, version(5, uint64((r.now-from)/time.Second)+2), contract("a", 2)).Snapshot()
+		bad := setWith(t, true, version(5, uint64((r.now-start)/time.Second)+2), contract("a", 2)).Snapshot()
 		bad.Sum++
 		if c.Since.IsZero() {
-			wholes++
+			snapshots++
 		} else {
 			bad.From = c.Since
 		}
 		r.respond(0, bad)
 	}
 	requireContent(t, r.set, version(5, 1), contract("a", 1))
-	if wholes < 30 || wholes > 130 {
-		t.Fatalf("%d times the whole", wholes)
+	if snapshots < 30 || snapshots > 130 {
+		t.Fatalf("%d snapshots", snapshots)
 	}
 }
 
@@ -436,20 +440,20 @@
 	bad := r.nextDelta(newResource("cluster", "x", "{}"))
 	r.nextCall()
 	if r.respond(0, bad) {
-		t.Fatal("taken")
+		t.Fatal("the delta was accepted")
 	}
-	var why *Refusal
-	if !errors.As(r.err, &why) || why.Key.Kind != "cluster" {
+	var refusal *Refusal
+	if !errors.As(r.err, &refusal) || refusal.Key.Kind != "cluster" {
 		t.Fatal(r.err)
 	}
 	for range 5 {
 		c := r.nextCall()
-		if c.Since != version(5, 1) || c.Refused != bad.To || c.Why != why.Error() || c.Wait == 0 {
+		if c.Since != version(5, 1) || c.Refused != bad.To || c.Why != refusal.Error() || c.Wait == 0 {
 			t.Fatalf("%+v", c)
 		}
 		r.respond(c.Wait, r.emptyDelta(c))
 	}
-	// The merged delta from the same base mends it.
+	// The merged delta from the same base has no such resource.
 	r.nextCall()
 	good := &Delta{From: version(5, 1), To: version(5, 3), Put: resources(contract("a", 2)), Sum: setWith(t, true, version(1, 1), contract("a", 2)).Sum()}
 	if !r.respond(0, good) {
@@ -460,19 +464,19 @@
 	}
 }
 
-// What the catalog refuses is told in the same way; the words are bounded.
+// A refusal by the caller, such as that of the catalog, is reported in the same way, with a bounded reason.
 func TestRefusalByCallerIsReported(t *testing.T) {
 	r := newFollowerTest(t, 1, contract("a", 1))
 	c := r.nextCall()
 	d := r.nextDelta(contract("a", 2))
-	if take, err := r.follower.Told(r.now, d); !take || err != nil {
-		t.Fatal(take, err)
+	if apply, err := r.follower.Told(r.now, d); !apply || err != nil {
+		t.Fatal(apply, err)
 	}
 	r.follower.Took(r.now, &Refusal{contractKey("a"), "rate", strings.Repeat("é", MaxWhy)})
 	if c = r.nextCall(); c.Since != version(5, 1) || c.Refused != d.To || len(c.Why) > MaxWhy || !strings.HasPrefix(c.Why, `contract "a": rate: é`) {
 		t.Fatalf("%+v", c)
 	}
-	// It stays through calls that fail and through answers without anything new.
+	// The refusal is still reported after failed calls and after responses without a change.
 	r.fail(0, Behind)
 	if c = r.nextCall(); c.Refused != d.To {
 		t.Fatalf("%+v", c)
@@ -483,12 +487,12 @@
 	}
 }
 
-// A source that sends what was refused again and again, at once, is not asked in a loop.
+// A source that sends a refused version again and again, without waiting, is not called in a loop.
 func TestRepeatedRefusedVersionBacksOff(t *testing.T) {
 	r := newFollowerTest(t, 1, contract("a", 1))
 	bad := r.nextDelta(newResource("cluster", "x", "{}"))
-	from, calls := r.now, 0
-	for r.now-from < time.Minute {
+	start, calls := r.now, 0
+	for r.now-start < time.Minute {
 		r.nextCall()
 		calls++
 		r.respond(0, bad)
@@ -500,22 +504,22 @@
 
 func TestImmediateEmptyResponsesBackOff(t *testing.T) {
 	r := newFollowerTest(t, 3, contract("a", 1))
-	from, calls := r.now, 0
-	for r.now-from < time.Minute {
+	start, calls := r.now, 0
+	for r.now-start < time.Minute {
 		c := r.nextCall()
 		calls++
 		r.respond(0, r.emptyDelta(c))
 	}
-	if calls > 80 { // looks at others, which are to answer at once, among them
+	if calls > 80 { // includes the checks of other sources, which are to respond at once
 		t.Fatal(calls)
 	}
 }
 
-// Calls that are to be answered at once are, and watches are dropped: the good calls between don't make the rests short.
+// A source responds to immediate calls but drops each watch. The successes in between do not reset the backoff.
 func TestSourceDroppingWatchesBacksOff(t *testing.T) {
 	r := newFollowerTest(t, 1, contract("a", 1))
-	from, calls := r.now, 0
-	for r.now-from < time.Minute {
+	start, calls := r.now, 0
+	for r.now-start < time.Minute {
 		c := r.nextCall()
 		calls++
 		if c.Wait > 0 {
@@ -534,27 +538,27 @@
 	day := uint64(startTime.Milliseconds()) + MaxEpochAhead
 	far := setWith(t, true, version(day+3_600_000, 0), contract("a", 2)).Snapshot()
 	r.nextCall()
-	var why *Refusal
-	if r.respond(0, far) || !errors.As(r.err, &why) || why.Field != "to" {
+	var refusal *Refusal
+	if r.respond(0, far) || !errors.As(r.err, &refusal) || refusal.Field != "to" {
 		t.Fatal(r.err)
 	}
 	if c := r.nextCall(); c.Refused != far.To || !strings.Contains(c.Why, "over a day ahead") {
 		t.Fatalf("%+v", c)
 	}
-	r.now += time.Hour + time.Second // the clock is put right, or time went on
+	r.now += time.Hour + time.Second // the clock is corrected, or time has passed
 	if c := r.nextCall(); !c.Refused.IsZero() {
 		t.Fatalf("%+v", c)
 	}
 	if !r.respond(0, far) {
 		t.Fatal(r.err)
 	}
-	// Just a day ahead is taken.
+	// An epoch of exactly a day ahead is accepted.
 	r = newFollowerTest(t, 1, contract("a", 1))
 	r.nextCall()
 	if !r.respond(0, setWith(t, true, version(day, 0), contract("a", 2)).Snapshot()) {
 		t.Fatal(r.err)
 	}
-	// What comes in force before goes with the refusal: a version that can't be left again is not waited for.
+	// A change that is applied meanwhile clears the refusal, as the refused version cannot be expected to be followed by a later one.
 	r = newFollowerTest(t, 1, contract("a", 1))
 	r.nextCall()
 	r.respond(0, far)
@@ -575,13 +579,13 @@
 	}
 }
 
-// Whatever is answered in whatever order: a node's version never falls, its set is the content of its version, calls stay within
-// their bounds, and there are never more of them than rests allow.
+// Whatever is received in whatever order, a node's version never decreases, its set has the content of its version, and calls
+// stay within their limits.
 func TestNodeVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Some versions that control had, in two epochs, and the deltas between any two of them.
+		// Some versions of a control process in two epochs, and the deltas between any two of them.
 		s, h := NewSet(true), NewHistory(HistoryLimits{})
-		sums, wholes := map[Version]Sum{}, map[Version]*Delta{}
+		checksums, snapshots := map[Version]Sum{}, map[Version]*Delta{}
 		var versions []Version
 		for i := range 6 {
 			to := version(5+uint64(i/3), uint64(i))
@@ -590,13 +594,13 @@
 			if err := s.Apply(d); err != nil {
 				t.Fatal(err)
 			}
-			versions, sums[to], wholes[to] = append(versions, to), s.Sum(), s.Snapshot()
+			versions, checksums[to], snapshots[to] = append(versions, to), s.Sum(), s.Snapshot()
 		}
 		node := NewSet(false)
 		f := NewFollower(node, 3)
 		now, calls := startTime, 0
-		for range rapid.IntRange(1, 60).Draw(t, "answers") {
-			c := f.Next(now, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
+		for range rapid.IntRange(1, 60).Draw(t, "responses") {
+			c := f.Next(now, rapid.Float64Range(0, 0.999).Draw(t, "random"))
 			now += c.Rest
 			calls++
 			if c.Source < 0 || c.Source > 2 || c.Rest < 0 || c.Rest > checksumRefusalLifetime || c.Wait < 0 || c.Wait > NodePace.WaitMost || c.Limit != c.Wait+NodePace.Grace {
@@ -605,29 +609,29 @@
 			before := node.Version()
 			d := &Delta{From: c.Since, To: c.Since, Sum: c.Sum}
 			v := rapid.SampledFrom(versions).Draw(t, "version")
-			switch rapid.IntRange(0, 4).Draw(t, "answer") {
+			switch rapid.IntRange(0, 4).Draw(t, "response") {
 			case 0:
 				f.Failed(now, Failure{Kind: FailureKind(rapid.IntRange(0, 5).Draw(t, "kind"))}, 0.3)
 				continue
 			case 1:
-				d = wholes[v]
+				d = snapshots[v]
 			case 2:
 				if since, ok := h.Since(v); ok {
 					d = since
 				}
 			case 3:
-				broken := *wholes[v]
-				broken.Sum++
-				d = &broken
+				damaged := *snapshots[v]
+				damaged.Sum++
+				d = &damaged
 			}
-			if take, _ := f.Told(now, d); take {
+			if apply, _ := f.Told(now, d); apply {
 				err := node.Apply(node.Difference(d))
 				f.Took(now, err)
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
-			if node.Version().Compare(before) < 0 || node.Sum() != sums[node.Version()] {
+			if node.Version().Compare(before) < 0 || node.Sum() != checksums[node.Version()] {
 				t.Fatal(before, node.Version())
 			}
 			now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.Wait}).Draw(t, "after")
--- a/internal/resource/history.go
+++ b/internal/resource/history.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// HistoryLimits bound what a history keeps. What is past one of them goes, the oldest first.
+// HistoryLimits bound what a history stores. Past one of them it deletes the oldest deltas.
 type HistoryLimits struct {
 	Age    time.Duration // since a delta was added
-	Deltas int
-	Bytes  int // of JSON, at most; a merged delta has no more
+	Deltas int           // number of deltas
+	Bytes  int           // upper bound of the deltas' JSON; a merged delta is not larger
 }
 
-// DefaultHistory keeps a day's 2,300 changes, or two hours of a hundred times that rate, and never more than half an answer.
+// DefaultHistory stores a day's 2,300 changes, or two hours of changes at a hundred times that rate, and at most half the size
+// of a response.
 var DefaultHistory = HistoryLimits{Age: 24 * time.Hour, Deltas: 20_000, Bytes: MaxAnswer / 2}
 
-// History is the deltas of a bounded time, each leading on from the one before. It is not safe for concurrent use.
+// History stores the deltas of a limited time, each leading on from the one before. It is not safe for concurrent use.
 type History struct {
 	limits HistoryLimits
-	deltas []entry // by version, without a gap
-	bytes  int
-	last   *Delta             // added: its version and sum alone
-	merged map[Version]*Delta // by where from: many nodes ask for the same
+	deltas []entry            // by version, without a gap
+	bytes  int                // the sum of their sizes
+	last   *Delta             // the last one added, with its version and checksum only
+	merged map[Version]*Delta // by the version that each leads from: many nodes request the same one
 }
 
+// entry is a delta in a history.
 type entry struct {
 	*Delta
-	at             time.Duration
-	size           int
-	checksumBefore Sum // of the content before it, if known
-	checksumKnown  bool
+	at             time.Duration // when it was added
+	size           int           // upper bound of its JSON in bytes
+	checksumBefore Sum           // of the content before the delta
+	checksumKnown  bool          // whether checksumBefore is known
 }
 
-// mostMerged bounds the merged deltas that are kept to be told again.
+// maxMerged bounds the merged deltas that are cached.
 const maxMerged = 64
 
-// NewHistory makes an empty one. A limit that is not above zero is that of DefaultHistory.
-func NewHistory(most HistoryLimits) *History {
-	if most.Age <= 0 {
-		most.Age = DefaultHistory.Age
+// NewHistory returns an empty history. A limit that is not above zero is replaced by that of DefaultHistory.
+func NewHistory(limits HistoryLimits) *History {
+	if limits.Age <= 0 {
+		limits.Age = DefaultHistory.Age
 	}
-	if most.Deltas <= 0 {
-		most.Deltas = DefaultHistory.Deltas
+	if limits.Deltas <= 0 {
+		limits.Deltas = DefaultHistory.Deltas
 	}
-	if most.Bytes <= 0 {
-		most.Bytes = DefaultHistory.Bytes
+	if limits.Bytes <= 0 {
+		limits.Bytes = DefaultHistory.Bytes
 	}
-	most.Bytes = min(most.Bytes, MaxAnswer) // or a merged delta could be told to nobody
-	return &History{limits: most, merged: map[Version]*Delta{}}
+	limits.Bytes = min(limits.Bytes, MaxAnswer) // else a merged delta might be too large for a response
+	return &History{limits: limits, merged: map[Version]*Delta{}}
 }
 
-// Add takes in the next delta. One that does not lead on from the last, or a snapshot, makes the history begin anew: nothing that is kept
-// leads to it.
+// Add appends the next delta. A snapshot, or a delta that does not lead on from the last one, clears the history first, as
+// no stored delta leads to it.
 func (h *History) Add(now time.Duration, d *Delta) {
 	clear(h.merged)
 	if n := len(h.deltas); d.Whole() || n > 0 && h.deltas[n-1].To != d.From {
@@ -62,16 +64,16 @@
 	if d.Whole() {
 		return
 	}
-	s := entry{Delta: d, at: now, size: d.size()}
+	e := entry{Delta: d, at: now, size: d.size()}
 	if last != nil && last.To == d.From {
-		s.checksumBefore, s.checksumKnown = last.Sum, true
+		e.checksumBefore, e.checksumKnown = last.Sum, true
 	}
-	h.deltas = append(h.deltas, s)
-	h.bytes += s.size
+	h.deltas = append(h.deltas, e)
+	h.bytes += e.size
 	h.Trim(now)
 }
 
-// Trim lets go what is past the limits.
+// Trim deletes the deltas that exceed the limits.
 func (h *History) Trim(now time.Duration) {
 	n := 0
 	for n < len(h.deltas) && (len(h.deltas)-n > h.limits.Deltas || h.bytes > h.limits.Bytes || now-h.deltas[n].at > h.limits.Age) {
@@ -84,13 +86,14 @@
 	}
 }
 
-// Len is the number of deltas that are kept.
+// Len returns the number of stored deltas.
 func (h *History) Len() int { return len(h.deltas) }
 
-// index finds the delta that leads on from v. A process that fell behind took several changes as one delta: v may lie within it, as long as
-// it is of the epoch to which that leads, for the versions of one epoch are one line, and a delta names all that was touched on its way.
+// index finds the delta that leads on from v. A control process that was behind has received several changes as one delta,
+// and v may lie within it. Such a v is accepted if it is of the epoch to which the delta leads: the versions of one epoch
+// follow each other in one line, and a delta names everything that was changed between its ends.
 func (h *History) index(v Version) (int, bool) {
-	i, ok := slices.BinarySearchFunc(h.deltas, v, func(s entry, v Version) int { return s.From.Compare(v) })
+	i, ok := slices.BinarySearchFunc(h.deltas, v, func(e entry, v Version) int { return e.From.Compare(v) })
 	if !ok && i > 0 {
 		i--
 		ok = v.Epoch == h.deltas[i].To.Epoch && v.Compare(h.deltas[i].To) < 0
@@ -98,7 +101,8 @@
 	return i, ok
 }
 
-// Left tells when what leads on from v was added: since when who has v is behind. False: not kept.
+// BehindSince returns when the delta that leads on from v was added: a caller at v has been behind since then. It returns
+// false if there is no such delta.
 func (h *History) Left(v Version) (time.Duration, bool) {
 	i, ok := h.index(v)
 	if !ok {
@@ -107,7 +111,7 @@
 	return h.deltas[i].at, true
 }
 
-// Since merges all deltas from v on; false where the way from v is not kept. What is told must not be changed.
+// Since returns the merged deltas from v on, or false if they are not all stored. The result must not be changed.
 func (h *History) Since(v Version) (*Delta, bool) {
 	i, ok := h.index(v)
 	if !ok {
@@ -127,30 +131,30 @@
 	return d, true
 }
 
-// SinceSum is for a version that is not kept, of an epoch before a restart say: where the content that is kept had this sum once, what was
-// changed since leads on from v.
-func (h *History) SinceSum(v Version, sum Sum) (*Delta, bool) {
-	for i, s := range h.deltas {
-		if s.checksumKnown && s.checksumBefore == sum && v.Compare(s.To) < 0 {
+// SinceChecksum is for a version that is not stored, such as one of an epoch before a restart. If the content had this checksum
+// at some point of the history, the changes since then lead on from v.
+func (h *History) SinceSum(v Version, checksum Sum) (*Delta, bool) {
+	for i, e := range h.deltas {
+		if e.checksumKnown && e.checksumBefore == checksum && v.Compare(e.To) < 0 {
 			return merge(v, h.deltas[i:]), true
 		}
 	}
 	return nil, false
 }
 
-// merge makes one delta from v of several that follow each other: the last put or gone of a key counts. What came and went between is named
-// as gone too, so that the delta leads on from each version on its way, and not from its first alone.
-func merge(v Version, steps []entry) *Delta {
-	last := map[Key]*Resource{} // nil: gone
-	for _, s := range steps {
-		for i := range s.Put {
-			last[s.Put[i].Key] = &s.Put[i]
+// merge combines consecutive deltas into one from v: the last change of each key counts. A resource that was added and removed
+// again in between is named as removed, so that the delta applies to each version on the way and not to the first alone.
+func merge(v Version, entries []entry) *Delta {
+	last := map[Key]*Resource{} // nil: removed
+	for _, e := range entries {
+		for i := range e.Put {
+			last[e.Put[i].Key] = &e.Put[i]
 		}
-		for _, k := range s.Gone {
+		for _, k := range e.Gone {
 			last[k] = nil
 		}
 	}
-	end := steps[len(steps)-1]
+	end := entries[len(entries)-1]
 	d := &Delta{From: v, To: end.To, Sum: end.Sum}
 	for k, r := range last {
 		if r != nil {
--- a/internal/resource/history_test.go
+++ b/internal/resource/history_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// chain is a set and its history, changed together.
+// versionedSet is a set with its history, which are changed together.
 type versionedSet struct {
 	t       *testing.T
 	now     time.Duration
@@ -14,8 +14,8 @@
 	history *History
 }
 
-func newVersionedSet(t *testing.T, most HistoryLimits, all ...Resource) *versionedSet {
-	c := &versionedSet{t: t, set: NewSet(true), history: NewHistory(most)}
+func newVersionedSet(t *testing.T, limits HistoryLimits, all ...Resource) *versionedSet {
+	c := &versionedSet{t: t, set: NewSet(true), history: NewHistory(limits)}
 	c.add(c.set.Next(version(1, 0), all, nil))
 	return c
 }
@@ -28,60 +28,61 @@
 	}
 }
 
-func (c *versionedSet) change(put []Resource, gone ...Key) {
+// change puts and removes resources in the next version.
+func (c *versionedSet) change(put []Resource, removed ...Key) {
 	c.t.Helper()
 	v := c.set.Version()
-	c.add(c.set.Next(version(v.Epoch, v.Number+1), put, gone))
+	c.add(c.set.Next(version(v.Epoch, v.Number+1), put, removed))
 }
 
 func resources(all ...Resource) []Resource { return all }
 
 func TestMergeKeepsLastChangeOfEachKey(t *testing.T) {
-	c := newVersionedSet(t, HistoryLimits{}, contract("kept", 1), contract("gone", 1), contract("back", 1), contract("changed", 1), contract("changed-gone", 1))
-	c.change(resources(contract("new", 1), contract("new-gone", 1), contract("changed", 2), contract("changed-gone", 2)), contractKey("gone"), contractKey("back"))
-	c.change(resources(contract("new", 2), contract("back", 3), contract("changed", 3), contract("late", 1)), contractKey("new-gone"), contractKey("changed-gone"))
-	c.change(resources(contract("new-gone", 5)), contractKey("late"))
-	c.change(nil, contractKey("new-gone"))
+	c := newVersionedSet(t, HistoryLimits{}, contract("kept", 1), contract("removed", 1), contract("added-again", 1), contract("changed", 1), contract("changed-removed", 1))
+	c.change(resources(contract("new", 1), contract("new-removed", 1), contract("changed", 2), contract("changed-removed", 2)), contractKey("removed"), contractKey("added-again"))
+	c.change(resources(contract("new", 2), contract("added-again", 3), contract("changed", 3), contract("late", 1)), contractKey("new-removed"), contractKey("changed-removed"))
+	c.change(resources(contract("new-removed", 5)), contractKey("late"))
+	c.change(nil, contractKey("new-removed"))
 	d, ok := c.history.Since(version(1, 0))
-	want := &Delta{From: version(1, 0), To: version(1, 4), Sum: c.set.Sum(), Put: resources(contract("back", 3), contract("changed", 3), contract("new", 2)),
-		Gone: []Key{contractKey("changed-gone"), contractKey("gone"), contractKey("late"), contractKey("new-gone")}}
+	want := &Delta{From: version(1, 0), To: version(1, 4), Sum: c.set.Sum(), Put: resources(contract("added-again", 3), contract("changed", 3), contract("new", 2)),
+		Gone: []Key{contractKey("changed-removed"), contractKey("late"), contractKey("new-removed"), contractKey("removed")}}
 	if !ok || !reflect.DeepEqual(d, want) {
 		t.Fatalf("%+v\nwant %+v", d, want)
 	}
 	if again, _ := c.history.Since(version(1, 0)); again != d {
-		t.Fatal("merged anew for each node")
+		t.Fatal("the deltas are merged again for each node")
 	}
-	if d, ok := c.history.Since(version(1, 3)); !ok || len(d.Put) != 0 || !reflect.DeepEqual(d.Gone, []Key{contractKey("new-gone")}) {
+	if d, ok := c.history.Since(version(1, 3)); !ok || len(d.Put) != 0 || !reflect.DeepEqual(d.Gone, []Key{contractKey("new-removed")}) {
 		t.Fatalf("%+v", d)
 	}
 	c.change(resources(contract("more", 1)))
 	if again, _ := c.history.Since(version(1, 0)); again.To != version(1, 5) {
-		t.Fatal("an old merged delta was told")
+		t.Fatal("an outdated merged delta was returned")
 	}
 }
 
 func TestHistoryIsLimitedByCountAgeAndBytes(t *testing.T) {
-	one := (&Delta{Put: resources(contract("a", 1))}).size()
-	for name, most := range map[string]HistoryLimits{
-		"number": {Deltas: 3},
-		"age":    {Age: 2 * time.Second},
-		"bytes":  {Bytes: 3 * one},
+	deltaSize := (&Delta{Put: resources(contract("a", 1))}).size()
+	for name, limits := range map[string]HistoryLimits{
+		"count": {Deltas: 3},
+		"age":   {Age: 2 * time.Second},
+		"bytes": {Bytes: 3 * deltaSize},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newVersionedSet(t, most)
+			c := newVersionedSet(t, limits)
 			for i := range 9 {
 				c.now = time.Duration(i) * time.Second
 				c.change(resources(contract("a", i)))
 			}
-			// Kept are those from 1.6, 1.7 and 1.8: the edge is exact.
+			// The deltas from 1.6, 1.7 and 1.8 are stored: the limit is exact.
 			if c.history.Len() != 3 {
 				t.Fatal(c.history.Len())
 			}
 			if d, ok := c.history.Since(version(1, 6)); !ok || d.To != version(1, 9) {
-				t.Fatal("at the edge", d, ok)
+				t.Fatal("oldest delta within the limits", d, ok)
 			}
 			if d, ok := c.history.Since(version(1, 5)); ok {
-				t.Fatal("before the edge", d)
+				t.Fatal("delta past the limits", d)
 			}
 			for _, v := range []Version{{}, version(1, 9), version(1, 10), version(0, 7), version(2, 7)} {
 				if d, ok := c.history.Since(v); ok {
@@ -92,7 +93,7 @@
 				t.Fatal(at, ok)
 			}
 			if _, ok := c.history.Left(version(1, 9)); ok {
-				t.Fatal("the last was left")
+				t.Fatal("the latest version is reported as behind")
 			}
 		})
 	}
@@ -101,7 +102,7 @@
 	c.history.Since(version(1, 0))
 	c.history.Trim(time.Second + 1)
 	if _, ok := c.history.Since(version(1, 0)); ok || c.history.Len() != 0 {
-		t.Fatal("too old and kept")
+		t.Fatal("a delta past its age is stored")
 	}
 	if h := NewHistory(HistoryLimits{Bytes: MaxAnswer + 1}); h.limits.Bytes != MaxAnswer || h.limits.Deltas != DefaultHistory.Deltas || h.limits.Age != DefaultHistory.Age {
 		t.Fatalf("%+v", h.limits)
@@ -112,9 +113,9 @@
 	c := newVersionedSet(t, HistoryLimits{})
 	c.change(resources(contract("a", 1)))
 	if _, ok := c.history.Since(version(1, 0)); !ok {
-		t.Fatal("not kept")
+		t.Fatal("the delta is not stored")
 	}
-	// A snapshot: nothing leads to it.
+	// A snapshot: no delta leads to it.
 	d := &Delta{To: version(2, 0), Sum: c.set.Sum(), Put: resources(contract("a", 1))}
 	c.add(d)
 	if c.history.Len() != 0 {
@@ -122,34 +123,34 @@
 	}
 	c.change(resources(contract("a", 2)))
 	c.change(resources(contract("a", 3)))
-	// A delta from elsewhere.
+	// A delta that does not lead on from the last one.
 	c.history.Add(0, &Delta{From: version(2, 9), To: version(2, 10)})
 	if _, ok := c.history.Since(version(2, 0)); ok || c.history.Len() != 1 {
-		t.Fatal("a gap was merged over")
+		t.Fatal("deltas with a gap between them were merged")
 	}
 }
 
-// A process that follows was cut off and takes what it missed as one delta. A node that took the changes one by one elsewhere and turns
-// to it gets a delta all the same, also where something came and went, and through a new epoch; not from an epoch that it may have left
-// on another way.
+// A control process that follows another one was cut off and received the missed changes as one delta. A node that has received
+// them one by one elsewhere, and now calls this process, still gets a delta: also where a resource was added and removed again,
+// and across a new epoch. It gets none from an epoch whose later versions may have been other ones.
 func TestMergedDeltaAppliesFromIntermediateVersions(t *testing.T) {
 	c := newVersionedSet(t, HistoryLimits{}, contract("a", 1))
 	node := setWith(t, false, version(1, 0), contract("a", 1))
-	c.change(resources(contract("came", 1), contract("b", 1)))
+	c.change(resources(contract("temporary", 1), contract("b", 1)))
 	c.change(resources(contract("b", 2)))
 	d, _ := c.history.Since(version(1, 1))
 	if err := node.Apply(c.set.Snapshot()); err != nil || d == nil {
 		t.Fatal(err)
 	}
-	c.change(nil, contractKey("came"))
+	c.change(nil, contractKey("temporary"))
 	follower := NewHistory(HistoryLimits{})
 	d, _ = c.history.Since(version(1, 0))
 	follower.Add(0, d)
-	told, ok := follower.Since(version(1, 2))
-	if !ok || told.From != version(1, 2) {
-		t.Fatal(told, ok)
+	delta, ok := follower.Since(version(1, 2))
+	if !ok || delta.From != version(1, 2) {
+		t.Fatal(delta, ok)
 	}
-	if err := node.Apply(told); err != nil {
+	if err := node.Apply(delta); err != nil {
 		t.Fatal(err)
 	}
 	requireContent(t, node, version(1, 3), contract("a", 1), contract("b", 2))
@@ -165,7 +166,7 @@
 	follower.Add(0, d)
 	for v, want := range map[Version]bool{version(1, 1): false, version(1, 2): true, version(1, 3): false, version(8, 0): false, version(9, 0): true, version(9, 1): true, version(9, 2): false} {
 		if _, ok := follower.Since(v); ok != want {
-			t.Errorf("%v is kept: %v", v, ok)
+			t.Errorf("%v is stored: %v", v, ok)
 		}
 	}
 	node = setWith(t, false, version(9, 1), contract("a", 1), contract("b", 2), contract("c", 1))
@@ -176,7 +177,7 @@
 	requireContent(t, node, version(9, 2), contract("a", 1), contract("b", 2))
 }
 
-// A new epoch's first delta leads on from the old one's last version: who has that takes deltas.
+// The first delta of a new epoch leads on from the last version of the old one, so a caller at that version gets deltas.
 func TestHistorySpansNewEpoch(t *testing.T) {
 	c := newVersionedSet(t, HistoryLimits{}, contract("a", 1))
 	c.change(resources(contract("a", 2)))
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,6 +1,7 @@
-// Package resource is configuration as resources with versions: sets of them, the deltas that lead from one version to a later
-// one, the history that a control process keeps, and the follower that decides whom to ask for what and which answers to take. It
-// is pure: no I/O, no clock, no dice. What a resource means is the business of resource/catalog.
+// Package resource implements configuration as versioned resources: sets of them, the deltas that lead from one version to a
+// later one, the history that a control process stores, and the follower that decides which source to call for what and
+// which responses to apply. It is pure: no I/O, no clock, no random numbers of its own. The meaning of resources is defined in
+// resource/catalog.
 package resource
 
 import (
@@ -11,10 +12,10 @@
 	"strings"
 )
 
-// Kind is what a resource is.
+// Kind is the type of a resource.
 type Kind string
 
-// The kinds that are known. A resource of another one is refused with the delta that has it.
+// The known kinds. A resource of another kind causes the refusal of the whole delta.
 const (
 	Service  Kind = "service"  // spec: config.Service
 	Route    Kind = "route"    // spec: config.Route; named host:port
@@ -22,53 +23,57 @@
 	Tenant   Kind = "tenant"   // spec: config.Pinned
 )
 
-// Bounds. What passes one is refused whole, by an error that names it.
+// Limits. Whatever exceeds one is refused as a whole, with an error that names the limit.
 const (
-	MaxResources  = 100_000  // of a set
-	MaxSpec       = 64 << 10 // bytes of one spec
-	MaxName       = 300      // bytes of a name
-	MaxAnswer     = 16 << 20 // bytes of an answer's JSON, before it is compressed
-	MaxWhy        = 1 << 10  // bytes of what is told of a refusal
-	MaxEpochAhead = 24 * 3600 * 1000
+	MaxResources  = 100_000          // resources of a set
+	MaxSpec       = 64 << 10         // bytes of one spec
+	MaxName       = 300              // bytes of a name
+	MaxAnswer     = 16 << 20         // bytes of a response's JSON, before compression
+	MaxWhy        = 1 << 10          // bytes of the reason of a refusal as it is reported
+	MaxEpochAhead = 24 * 3600 * 1000 // milliseconds that an epoch may be ahead of the clock
 )
 
-// Key names a resource.
+// Key identifies a resource.
 type Key struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
+// String returns the kind and the quoted name.
 func (k Key) String() string { return string(k.Kind) + " " + strconv.Quote(k.Name) }
 
-// Resource is one resource. Its spec is compact JSON whose fields are in the order of its Go type, so that two that say the same are
-// the same bytes.
+// Resource is one resource. Its spec is compact JSON with the fields in the order of its Go type, so that equal resources have
+// equal bytes.
 type Resource struct {
 	Key
 	Spec json.RawMessage `json:"spec"`
 }
 
-// Version is one version of the whole configuration. The zero one is before all others.
+// Version is a version of the whole configuration. The epoch is in milliseconds of Unix time. The zero version is before all
+// others.
 type Version struct{ Epoch, Number uint64 }
 
-// Compare orders versions: by the epoch, then by the number.
+// Compare orders versions by epoch, then by number.
 func (v Version) Compare(o Version) int {
 	return cmp.Or(cmp.Compare(v.Epoch, o.Epoch), cmp.Compare(v.Number, o.Number))
 }
 
-// IsZero tells whether it is the version before all others.
+// IsZero reports whether v is the version before all others.
 func (v Version) IsZero() bool { return v == Version{} }
 
+// String returns the version as epoch.number.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Number) }
 
-// MarshalText and UnmarshalText write and read it as epoch.number.
+// MarshalText writes the version as epoch.number.
 func (v Version) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
+// UnmarshalText reads a version that MarshalText wrote.
 func (v *Version) UnmarshalText(text []byte) (err error) {
 	*v, err = ParseVersion(string(text))
 	return err
 }
 
-// ParseVersion reads epoch.number.
+// ParseVersion reads a version written as epoch.number.
 func ParseVersion(s string) (v Version, err error) {
 	epoch, number, ok := strings.Cut(s, ".")
 	if ok {
@@ -82,11 +87,13 @@
 	return v, nil
 }
 
-// Sum is the order-free sum of a set's resources. It is written as 16 hex digits.
+// Checksum is the sum of the hashes of a set's resources, independent of their order. It is written as 16 hex digits.
 type Sum uint64
 
+// MarshalText writes the checksum as 16 hex digits.
 func (s Sum) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%016x", uint64(s)), nil }
 
+// UnmarshalText reads a checksum that MarshalText wrote.
 func (s *Sum) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil || len(text) != 16 {
@@ -96,7 +103,8 @@
 	return nil
 }
 
-// Delta leads from one version to a later one. From the zero version it is a snapshot: what it does not name is gone.
+// Delta leads from one version to a later one. A delta from the zero version is a snapshot: resources that it does not name are
+// removed.
 type Delta struct {
 	From Version    `json:"from"`
 	To   Version    `json:"to"`
@@ -105,16 +113,18 @@
 	Gone []Key      `json:"gone,omitempty"`
 }
 
-// Whole tells whether it is a snapshot.
+// IsSnapshot reports whether the delta is a snapshot.
 func (d *Delta) Whole() bool { return d.From.IsZero() }
 
-// Refusal is why a delta is not taken: the resource and field at fault. A node tells it to control (NACK).
+// Refusal is the error for a delta that is refused, with the resource and field at fault. A node reports it to the control
+// process (NACK).
 type Refusal struct {
 	Key   Key    // zero: the delta as a whole
 	Field string // as in match[0].from; empty: the resource as a whole
 	Why   string
 }
 
+// Error returns the resource, the field and the reason.
 func (r *Refusal) Error() string {
 	s := ""
 	if r.Key != (Key{}) {
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -15,33 +15,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What a delta may be besides refused. They come wrapped: use errors.Is.
+// Errors of a delta that is not refused but cannot be applied. They are returned wrapped: use errors.Is.
 var (
-	ErrStale = errors.New("not later than the version that is held")
-	ErrBase  = errors.New("made for another version")
-	ErrSum   = errors.New("the sum does not fit: made for another content")
+	// ErrStale is the error for a delta that is not later than the held version.
+	ErrStale = errors.New("not later than the held version")
+	// ErrBase is the error for a delta that leads on from another version.
+	ErrBase = errors.New("made for another version")
+	// ErrSum is the error for a delta whose checksum is not that of the resulting content.
+	ErrSum = errors.New("the sum does not fit: computed over different content")
 )
 
-// kinds are those that are known; a set keeps a map for each.
+// kinds are the known kinds. A set has one map for each.
 var kinds = [...]Kind{Contract, Route, Service, Tenant}
 
 func kindIndex(k Kind) int { return slices.Index(kinds[:], k) }
 
-// envelope bounds what an answer's JSON has around its resources, in bytes.
+// envelopeSize bounds the JSON of a delta without its resources, in bytes.
 const envelopeSize = 192
 
-// Set is all resources at a version: with their specs for a control process, by 64-bit hashes alone for a node, which has them
-// decoded in its catalog. It is not safe for concurrent use.
+// Set is a set of resources at a version. A control process stores them with their specs, a node only with their 64-bit hashes,
+// as its catalog has the decoded specs. It is not safe for concurrent use.
 type Set struct {
 	version  Version
 	checksum Sum
 	count    int
-	size     int // bytes of the snapshot's JSON at most; with specs only
+	size     int // upper bound of the snapshot's JSON in bytes; only with specs
 	hashes   [len(kinds)]map[string]uint64
 	specs    *[len(kinds)]map[string]json.RawMessage // nil: hashes only
 }
 
-// NewSet makes the empty set at the zero version. With specs it can make a Snapshot.
+// NewSet returns an empty set at the zero version. Only a set with specs can make a Snapshot.
 func NewSet(specs bool) *Set {
 	s := &Set{}
 	if specs {
@@ -51,6 +54,8 @@
 	return s
 }
 
+// clear removes all resources and leaves the version.
+
 func (s *Set) clear() {
 	s.checksum, s.count, s.size = 0, 0, envelopeSize
 	for i := range kinds {
@@ -61,16 +66,16 @@
 	}
 }
 
-// Version is the one that is held; zero before the first.
+// Version returns the version that is held; zero before the first one.
 func (s *Set) Version() Version { return s.version }
 
-// Sum is that of all resources that are held.
+// Checksum returns the checksum of all held resources.
 func (s *Set) Sum() Sum { return s.checksum }
 
-// Len is the number of resources.
+// Len returns the number of resources.
 func (s *Set) Len() int { return s.count }
 
-// Has tells whether a resource of this key is held.
+// Has reports whether the set holds a resource of this key.
 func (s *Set) Has(k Key) bool { _, ok := s.hash(k); return ok }
 
 func (s *Set) hash(k Key) (uint64, bool) {
@@ -82,7 +87,7 @@
 	return h, ok
 }
 
-// hashOf is a resource's part of the sum: xxhash64 of kind, name and spec, with a zero byte between them.
+// hashOf returns the hash of a resource that is added into the checksum: xxhash64 of kind, name and spec, separated by zero bytes.
 func hashOf(r *Resource) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -94,7 +99,7 @@
 	return d.Sum64()
 }
 
-// size bounds the JSON of a key or resource in an answer; escapes at most double a valid name.
+// size bounds the JSON of a key or resource in a response. Escapes at most double the length of a valid name.
 func (k Key) size() int       { return len(`{"kind":"","name":""},`) + len(k.Kind) + 2*len(k.Name) }
 func (r *Resource) size() int { return r.Key.size() + len(`,"spec":`) + len(r.Spec) }
 
@@ -110,7 +115,7 @@
 	return n
 }
 
-// checkKey says what is wrong with a key by itself.
+// checkKey checks a key by itself.
 func checkKey(k Key) *Refusal {
 	why := ""
 	switch {
@@ -132,7 +137,7 @@
 	return &Refusal{Key: k, Field: "name", Why: why}
 }
 
-// checkSpec says what is wrong with a spec as JSON: what it means is the catalog's business. The buffer is scratch.
+// checkSpec checks that a spec is valid, compact JSON. Its meaning is checked by the catalog. The buffer is scratch space.
 func checkSpec(r *Resource, buf *bytes.Buffer) *Refusal {
 	why := ""
 	buf.Reset()
@@ -153,7 +158,7 @@
 	return &Refusal{Key: r.Key, Field: "spec", Why: why}
 }
 
-// cut shortens s to n bytes at most, between characters.
+// truncate shortens s to at most n bytes, between characters.
 func truncate(s string, n int) string {
 	s = strings.ToValidUTF8(s, "?")
 	if len(s) <= n {
@@ -165,25 +170,26 @@
 	return s[:n]
 }
 
-// Check verifies a whole delta against what is held and changes nothing; its cost goes with the delta, not with the set. What is wrong
-// is a *Refusal; ErrStale where it is not later than what is held; ErrBase where it leads from another version; ErrSum where the sum
-// behind it would be another than it says. What is to go need not be there: that all is as it should be is the sum's to tell.
+// Check verifies a complete delta against the held content and changes nothing. Its cost depends on the size of the delta, not on
+// that of the set. It returns a *Refusal for an invalid delta, ErrStale for one that is not later than the held version, ErrBase
+// for one that leads on from another version, and ErrChecksum if the resulting content has another checksum than the delta. A
+// resource to be removed need not be held: the checksum shows whether the result is right.
 func (s *Set) Check(d *Delta) error {
 	_, err := s.check(d)
 	return err
 }
 
-// check returns the hashes of what is put.
+// check does the work of Check and returns the hashes of the resources that are put.
 func (s *Set) check(d *Delta) ([]uint64, error) {
-	whole := d.Whole()
+	snapshot := d.Whole()
 	switch {
 	case d.To.Compare(d.From) <= 0:
 		return nil, &Refusal{Field: "to", Why: fmt.Sprintf("%v is not later than from, %v", d.To, d.From)}
-	case whole && len(d.Gone) > 0:
-		return nil, &Refusal{Field: "gone", Why: "a snapshot names nothing as gone"}
+	case snapshot && len(d.Gone) > 0:
+		return nil, &Refusal{Field: "gone", Why: "a snapshot cannot name removed resources"}
 	case d.To.Compare(s.version) <= 0:
 		return nil, fmt.Errorf("%v: %w, %v", d.To, ErrStale, s.version)
-	case !whole && d.From != s.version:
+	case !snapshot && d.From != s.version:
 		return nil, fmt.Errorf("delta from %v to %v: %w than %v", d.From, d.To, ErrBase, s.version)
 	}
 	if n := len(d.Put); n > MaxResources {
@@ -193,7 +199,7 @@
 		return nil, &Refusal{Why: fmt.Sprintf("%d bytes: at most %d", n, MaxAnswer)}
 	}
 	count, sum, after := s.count, uint64(s.checksum), s.size
-	if whole {
+	if snapshot {
 		count, sum, after = 0, 0, envelopeSize
 	}
 	hashes := make([]uint64, len(d.Put))
@@ -210,7 +216,7 @@
 		}
 		hashes[i] = hashOf(r)
 		sum += hashes[i]
-		if old, ok := s.hash(r.Key); ok && !whole {
+		if old, ok := s.hash(r.Key); ok && !snapshot {
 			sum -= old
 			after -= s.storedSize(r.Key)
 		} else {
@@ -226,7 +232,7 @@
 		if len(seen) != len(d.Put)+i+1 {
 			return nil, &Refusal{Key: k, Why: "gone twice, or put and gone at once"}
 		}
-		if old, ok := s.hash(k); ok { // what came and went on the delta's way need not be there
+		if old, ok := s.hash(k); ok { // a resource that was added and removed between From and To need not be there
 			sum -= old
 			count--
 			after -= s.storedSize(k)
@@ -238,12 +244,12 @@
 	case s.specs != nil && after > MaxAnswer:
 		return nil, &Refusal{Why: fmt.Sprintf("%d bytes of all resources: at most %d", after, MaxAnswer)}
 	case Sum(sum) != d.Sum:
-		return nil, fmt.Errorf("%v: sum %016x, told %016x: %w", d.To, sum, uint64(d.Sum), ErrSum)
+		return nil, fmt.Errorf("%v: checksum %016x, announced %016x: %w", d.To, sum, uint64(d.Sum), ErrSum)
 	}
 	return hashes, nil
 }
 
-// sizeAt is the size of a resource that is held; 0 without specs.
+// storedSize returns the size of a held resource; 0 without specs.
 func (s *Set) storedSize(k Key) int {
 	if s.specs == nil {
 		return 0
@@ -252,7 +258,8 @@
 	return r.size()
 }
 
-// Apply checks a delta and puts all of it in, or nothing where Check has an error. The delta's names and specs are kept, not copied.
+// Apply checks a delta and applies all of it, or nothing if Check returns an error. It stores the delta's names and specs without
+// copying them.
 func (s *Set) Apply(d *Delta) error {
 	hashes, err := s.check(d)
 	if err != nil {
@@ -280,7 +287,7 @@
 	return nil
 }
 
-// remove takes out a resource, if it is held.
+// remove removes a resource if it is held.
 func (s *Set) remove(k Key) {
 	h, ok := s.hash(k)
 	if !ok {
@@ -296,9 +303,9 @@
 	}
 }
 
-// Compare tells what leads from what is held to just these resources: those that are new or differ in order of kind and name, and the
-// keys that are to go, sorted too. Of a key named twice the last counts.
-func (s *Set) Compare(all []Resource) (put []Resource, gone []Key) {
+// Compare returns the changes that lead from the held content to exactly the given resources: those that are new or differ, and
+// the keys to be removed, each sorted by kind and name. Of a key that is given twice the last one counts.
+func (s *Set) Compare(all []Resource) (put []Resource, removed []Key) {
 	seen := make(map[Key]int, len(all))
 	for i := range all {
 		seen[all[i].Key] = i
@@ -313,30 +320,30 @@
 	for i, kind := range kinds {
 		for name := range s.hashes[i] {
 			if _, ok := seen[Key{kind, name}]; !ok {
-				gone = append(gone, Key{kind, name})
+				removed = append(removed, Key{kind, name})
 			}
 		}
 	}
-	sortDelta(put, gone)
-	return put, gone
+	sortDelta(put, removed)
+	return put, removed
 }
 
-// Difference makes of what Check let pass the delta from what is held that names only what differs: what is put is new or has another
-// spec, what is gone is there. It goes with the delta's cost, or with a snapshot's.
+// Difference reduces a delta that Check accepted to what differs from the held content: a resource that is put is new or has
+// another spec, a resource that is removed is held. Its cost depends on the size of the delta or snapshot.
 func (s *Set) Difference(d *Delta) *Delta {
 	if !d.Whole() {
 		exact := s.Next(d.To, d.Put, d.Gone)
 		exact.Sum = d.Sum
 		return exact
 	}
-	put, gone := s.Compare(d.Put)
-	return &Delta{From: s.version, To: d.To, Sum: d.Sum, Put: put, Gone: gone}
+	put, removed := s.Compare(d.Put)
+	return &Delta{From: s.version, To: d.To, Sum: d.Sum, Put: put, Gone: removed}
 }
 
-// Snapshot is all that is held, sorted by kind and name. It needs a set with specs.
+// Snapshot returns all held resources, sorted by kind and name. It panics for a set without specs.
 func (s *Set) Snapshot() *Delta {
 	if s.specs == nil {
-		panic("resource: a snapshot of a set without specs")
+		panic("resource: snapshot of a set without specs")
 	}
 	d := &Delta{To: s.version, Sum: s.checksum, Put: make([]Resource, 0, s.count)}
 	for i, kind := range kinds {
@@ -348,9 +355,10 @@
 	return d
 }
 
-// Next makes the delta from what is held to a version, with its sum. What is put as it stands already and what is to go and is not there
-// are left out, so a delta without put and gone changes nothing. It checks nothing else: Apply does.
-func (s *Set) Next(to Version, put []Resource, gone []Key) *Delta {
+// NewDelta returns the delta from the held version to another one, with its checksum. It leaves out resources to put that are
+// held unchanged and keys to remove that are not held, so a delta without either changes nothing. It checks nothing else, as Apply
+// does.
+func (s *Set) Next(to Version, put []Resource, removed []Key) *Delta {
 	d := &Delta{From: s.version, To: to}
 	sum := uint64(s.checksum)
 	for i := range put {
@@ -364,7 +372,7 @@
 		sum += h - old
 		d.Put = append(d.Put, put[i])
 	}
-	for _, k := range gone {
+	for _, k := range removed {
 		if old, ok := s.hash(k); ok {
 			sum -= old
 			d.Gone = append(d.Gone, k)
@@ -375,17 +383,18 @@
 	return d
 }
 
-// compare orders keys by kind and name.
+// compare orders keys by kind, then by name.
 func (k Key) compare(o Key) int {
 	return cmp.Or(cmp.Compare(k.Kind, o.Kind), cmp.Compare(k.Name, o.Name))
 }
 
-func sortDelta(put []Resource, gone []Key) {
+func sortDelta(put []Resource, removed []Key) {
 	slices.SortStableFunc(put, func(a, b Resource) int { return a.Key.compare(b.Key) })
-	slices.SortFunc(gone, Key.compare)
+	slices.SortFunc(removed, Key.compare)
 }
 
-// TooFarAhead tells whether a version's epoch is more than MaxEpochAhead past now (Unix time): it could never be left again.
+// TooFarAhead reports whether the version's epoch is more than MaxEpochAhead after now (Unix time). No later version could ever
+// replace such a version.
 func (v Version) TooFarAhead(now time.Duration) bool {
 	return v.Epoch > uint64(max(now.Milliseconds(), 0))+MaxEpochAhead
 }
--- a/internal/resource/set_test.go
+++ b/internal/resource/set_test.go
@@ -27,7 +27,7 @@
 
 func version(epoch, number uint64) Version { return Version{epoch, number} }
 
-// filled is a set with these at a version.
+// setWith returns a set that holds the given resources at a version.
 func setWith(t testing.TB, specs bool, v Version, all ...Resource) *Set {
 	t.Helper()
 	s := NewSet(specs)
@@ -37,13 +37,13 @@
 	return s
 }
 
-// holds fails unless the set holds just these.
+// requireContent fails the test unless the set holds exactly the given resources at a version.
 func requireContent(t testing.TB, s *Set, v Version, all ...Resource) {
 	t.Helper()
 	want := setWith(t, true, v, all...)
-	put, gone := s.Compare(all)
-	if s.Version() != v || s.Sum() != want.Sum() || s.Len() != len(all) || len(put)+len(gone) != 0 {
-		t.Fatalf("at %v with %d: differs by %v and %v; want %d at %v", s.Version(), s.Len(), put, gone, len(all), v)
+	put, removed := s.Compare(all)
+	if s.Version() != v || s.Sum() != want.Sum() || s.Len() != len(all) || len(put)+len(removed) != 0 {
+		t.Fatalf("at %v with %d: differs by %v and %v; want %d at %v", s.Version(), s.Len(), put, removed, len(all), v)
 	}
 }
 
@@ -54,45 +54,45 @@
 	for _, c := range []struct {
 		name  string
 		d     Delta
-		is    error // or a *Refusal with these:
+		is    error // else a *Refusal with these values:
 		key   Key
 		field string
 		why   string
 	}{
-		{name: "to is from", d: Delta{From: from, To: from}, field: "to", why: "5.1 is not later than from, 5.1"},
+		{name: "to equals from", d: Delta{From: from, To: from}, field: "to", why: "5.1 is not later than from, 5.1"},
 		{name: "to before from", d: Delta{From: from, To: version(4, 9)}, field: "to", why: "4.9 is not later than from, 5.1"},
-		{name: "snapshot to nothing", d: Delta{}, field: "to", why: "0.0 is not later than from, 0.0"},
-		{name: "snapshot with gone", d: Delta{To: to, Gone: []Key{contractKey("a")}}, field: "gone", why: "a snapshot names nothing as gone"},
+		{name: "snapshot to the zero version", d: Delta{}, field: "to", why: "0.0 is not later than from, 0.0"},
+		{name: "snapshot with removed resources", d: Delta{To: to, Gone: []Key{contractKey("a")}}, field: "gone", why: "a snapshot cannot name removed resources"},
 		{name: "same version", d: Delta{From: version(5, 0), To: from}, is: ErrStale},
 		{name: "older snapshot", d: Delta{To: version(4, 7)}, is: ErrStale},
 		{name: "older epoch, greater number", d: Delta{From: version(4, 7), To: version(4, 8)}, is: ErrStale},
-		{name: "from before ours", d: Delta{From: version(5, 0), To: to}, is: ErrBase},
-		{name: "a version jumped", d: Delta{From: version(5, 2), To: version(5, 3)}, is: ErrBase},
-		{name: "kind not known", d: Delta{From: from, To: to, Put: []Resource{newResource("cluster", "a", "{}")}}, key: Key{"cluster", "a"}, field: "kind",
+		{name: "from before the held version", d: Delta{From: version(5, 0), To: to}, is: ErrBase},
+		{name: "from after the held version", d: Delta{From: version(5, 2), To: version(5, 3)}, is: ErrBase},
+		{name: "unknown kind", d: Delta{From: from, To: to, Put: []Resource{newResource("cluster", "a", "{}")}}, key: Key{"cluster", "a"}, field: "kind",
 			why: "not known: want contract, route, service or tenant"},
-		{name: "kind not known, gone", d: Delta{From: from, To: to, Gone: []Key{{"", "a"}}}, key: Key{"", "a"}, field: "kind",
+		{name: "unknown kind of a removed resource", d: Delta{From: from, To: to, Gone: []Key{{"", "a"}}}, key: Key{"", "a"}, field: "kind",
 			why: "not known: want contract, route, service or tenant"},
-		{name: "no name", d: Delta{From: from, To: to, Put: []Resource{contract("", 1)}}, key: contractKey(""), field: "name", why: "empty"},
+		{name: "empty name", d: Delta{From: from, To: to, Put: []Resource{contract("", 1)}}, key: contractKey(""), field: "name", why: "empty"},
 		{name: "long name", d: Delta{From: from, To: to, Put: []Resource{contract(long, 1)}}, key: contractKey(long[:40]), field: "name", why: "301 bytes: at most 300"},
 		{name: "name not UTF-8", d: Delta{From: from, To: to, Put: []Resource{contract("a\xff", 1)}}, key: contractKey("a\xff"), field: "name", why: "not UTF-8"},
 		{name: "name with a zero byte", d: Delta{From: from, To: to, Put: []Resource{contract("a\x00b", 1)}}, key: contractKey("a\x00b"), field: "name",
 			why: "has a control character"},
 		{name: "no spec", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "")}}, key: contractKey("a"), field: "spec", why: "not a JSON object"},
-		{name: "spec no object", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "[]")}}, key: contractKey("a"), field: "spec", why: "not a JSON object"},
-		{name: "spec broken", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"rate":}`)}}, key: contractKey("a"), field: "spec", why: "not valid JSON"},
-		{name: "spec with more behind", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{}{}`)}}, key: contractKey("a"), field: "spec", why: "not valid JSON"},
+		{name: "spec is not an object", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "[]")}}, key: contractKey("a"), field: "spec", why: "not a JSON object"},
+		{name: "invalid spec", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"rate":}`)}}, key: contractKey("a"), field: "spec", why: "not valid JSON"},
+		{name: "trailing data after the spec", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{}{}`)}}, key: contractKey("a"), field: "spec", why: "not valid JSON"},
 		{name: "spec not compact", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"rate": 1}`)}}, key: contractKey("a"), field: "spec", why: "not compact JSON"},
 		{name: "spec not UTF-8", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", "{\"x\":\"\xff\"}")}}, key: contractKey("a"), field: "spec", why: "not UTF-8"},
 		{name: "spec too long", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"x":"`+strings.Repeat("x", MaxSpec)+`"}`)}}, key: contractKey("a"), field: "spec",
 			why: "65544 bytes: at most 65536"},
 		{name: "put twice", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2), contract("a", 3)}}, key: contractKey("a"), why: "put twice"},
-		{name: "gone twice", d: Delta{From: from, To: to, Gone: []Key{contractKey("a"), contractKey("a")}}, key: contractKey("a"), why: "gone twice, or put and gone at once"},
-		{name: "put and gone", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Gone: []Key{contractKey("a")}}, key: contractKey("a"),
+		{name: "removed twice", d: Delta{From: from, To: to, Gone: []Key{contractKey("a"), contractKey("a")}}, key: contractKey("a"), why: "gone twice, or put and gone at once"},
+		{name: "put and removed", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Gone: []Key{contractKey("a")}}, key: contractKey("a"),
 			why: "gone twice, or put and gone at once"},
-		{name: "gone and not there, another content", d: Delta{From: from, To: to, Gone: []Key{contractKey("c")}, Sum: 1}, is: ErrSum},
-		{name: "gone under another kind", d: Delta{From: from, To: to, Gone: []Key{{Route, "b"}}, Sum: 1}, is: ErrSum},
-		{name: "another sum", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
-		{name: "another sum of a snapshot", d: Delta{To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
+		{name: "removed resource not held, other content", d: Delta{From: from, To: to, Gone: []Key{contractKey("c")}, Sum: 1}, is: ErrSum},
+		{name: "removed under another kind", d: Delta{From: from, To: to, Gone: []Key{{Route, "b"}}, Sum: 1}, is: ErrSum},
+		{name: "wrong checksum", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
+		{name: "wrong checksum of a snapshot", d: Delta{To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, specs := range []bool{true, false} {
@@ -132,7 +132,8 @@
 	}
 }
 
-// What would not fit into an answer is refused where it is put together, so that a control process never has what it can't tell.
+// A set that does not fit into a response is refused when it is built, so that a control process never holds one that it cannot
+// send.
 func TestSetWithSpecsIsLimitedToResponseSize(t *testing.T) {
 	t.Parallel()
 	s := NewSet(true)
@@ -155,7 +156,7 @@
 	if data, err := Encode(s.Snapshot()); err != nil || len(data) < MaxAnswer-MaxSpec-MaxName-200 {
 		t.Fatal(len(data), err)
 	}
-	// One for another fits in the full set; what takes less again fits, and a resource that goes frees its bytes.
+	// In the full set, replacing a resource by another of its size works. A smaller resource frees bytes, and so does a removal.
 	if err := s.Apply(s.Next(version(1, 1<<20), []Resource{newResource(Service, "n", spec)}, []Key{{Service, "2"}})); err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +181,7 @@
 	}
 }
 
-// The size that is counted is never below that of the JSON, names with escapes included.
+// The computed size is never below the size of the JSON, including names with escapes.
 func TestSizeIsUpperBoundOfJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &Delta{From: version(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number")), To: version(1<<64-1, 1<<64-1), Sum: 1<<64 - 1}
@@ -188,16 +189,16 @@
 		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "put") {
 			d.Put = append(d.Put, newResource(Contract, n, `{"a":"<&>"}`))
 		}
-		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "gone") {
+		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "removed") {
 			d.Gone = append(d.Gone, Key{Tenant, n})
 		}
 		data, err := Encode(d)
 		if err != nil || len(data) > d.size() {
-			t.Fatalf("%d bytes counted as %d: %s %v", len(data), d.size(), data, err)
+			t.Fatalf("%d bytes of JSON, computed size %d: %s %v", len(data), d.size(), data, err)
 		}
-		back, err := Decode(data)
-		if err != nil || !reflect.DeepEqual(d, back) {
-			t.Fatalf("%+v became %+v: %v", d, back, err)
+		decoded, err := Decode(data)
+		if err != nil || !reflect.DeepEqual(d, decoded) {
+			t.Fatalf("%+v decoded as %+v: %v", d, decoded, err)
 		}
 	})
 }
@@ -223,24 +224,24 @@
 		t.Fatal(err)
 	}
 	if _, err := Decode([]byte(`{"from":"0.0","to":"1.1","sum":"0000000000000000"`)); err == nil {
-		t.Fatal("half an answer was read")
+		t.Fatal("a truncated delta was decoded")
 	}
 }
 
 func TestChecksumDependsOnContentOnly(t *testing.T) {
 	all := []Resource{contract("a", 1), contract("b", 2), newResource(Route, "a", "{}")}
 	s := setWith(t, false, version(1, 0), contract("b", 9), contract("z", 1))
-	put, gone := s.Compare(all)
-	if err := s.Apply(s.Next(version(1, 1), put, gone)); err != nil {
+	put, removed := s.Compare(all)
+	if err := s.Apply(s.Next(version(1, 1), put, removed)); err != nil {
 		t.Fatal(err)
 	}
 	slices.Reverse(all)
 	if o := setWith(t, true, version(7, 7), all...); o.Sum() != s.Sum() {
 		t.Fatal(o.Sum(), s.Sum())
 	}
-	// A resource's parts don't run into each other.
+	// The boundary between name and spec counts.
 	if NewSet(false).Next(version(1, 1), []Resource{newResource(Contract, "ab", "{}")}, nil).Sum == NewSet(false).Next(version(1, 1), []Resource{newResource(Contract, "a", "b{}")}, nil).Sum {
-		t.Fatal("name and spec run together")
+		t.Fatal("moving bytes from the name to the spec does not change the checksum")
 	}
 }
 
@@ -257,26 +258,26 @@
 		t.Fatalf("%+v", d)
 	}
 	if !reflect.DeepEqual(node.Difference(d), d) {
-		t.Fatal("a delta is not its own difference")
+		t.Fatal("the difference of an exact delta is another delta")
 	}
-	// A delta may name more than differs here: what came and went, or was put as it stands.
-	wide := *d
-	wide.Put, wide.Gone = append([]Resource{contract("a", 1)}, d.Put...), append([]Key{contractKey("never")}, d.Gone...)
-	if got := node.Difference(&wide); node.Check(&wide) != nil || !reflect.DeepEqual(got, want) {
+	// A delta may name more than what differs here: resources added and removed in between, or put unchanged.
+	inexact := *d
+	inexact.Put, inexact.Gone = append([]Resource{contract("a", 1)}, d.Put...), append([]Key{contractKey("temporary")}, d.Gone...)
+	if got := node.Difference(&inexact); node.Check(&inexact) != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
 	}
 	if err := node.Apply(d); err != nil {
 		t.Fatal(err)
 	}
 	requireContent(t, node, version(9, 3), contract("a", 1), contract("b", 2), contract("new", 3))
-	// The snapshot itself leads there as well.
+	// Applying the snapshot itself has the same result.
 	other := setWith(t, true, version(8, 1), contract("a", 1), contract("old", 1))
 	if err := other.Apply(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	requireContent(t, other, version(9, 3), contract("a", 1), contract("b", 2), contract("new", 3))
 	if empty := NewSet(false); !reflect.DeepEqual(empty.Difference(snapshot), snapshot) {
-		t.Fatal("an empty set's difference")
+		t.Fatal("the difference to an empty set is not the snapshot")
 	}
 }
 
@@ -299,90 +300,90 @@
 func TestVersionsAndChecksumsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := version(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number"))
-		if back, err := ParseVersion(v.String()); err != nil || back != v {
-			t.Fatal(v, back, err)
+		if parsed, err := ParseVersion(v.String()); err != nil || parsed != v {
+			t.Fatal(v, parsed, err)
 		}
-		s, back := Sum(rapid.Uint64().Draw(t, "sum")), Sum(0)
+		s, parsed := Sum(rapid.Uint64().Draw(t, "checksum")), Sum(0)
 		text, _ := s.MarshalText()
-		if err := back.UnmarshalText(text); err != nil || back != s {
-			t.Fatal(s, back, err)
+		if err := parsed.UnmarshalText(text); err != nil || parsed != s {
+			t.Fatal(s, parsed, err)
 		}
 	})
 	for _, s := range []string{"", "1", "1.", ".1", "1.2.3", "-1.2", "1.18446744073709551616", " 1.2"} {
 		if v, err := ParseVersion(s); err == nil {
-			t.Errorf("%q was read as %v", s, v)
+			t.Errorf("%q was parsed as %v", s, v)
 		}
 	}
 	if s := (&Refusal{contractKey("a"), "match[0].from", "no"}).Error(); s != `contract "a": match[0].from: no` {
 		t.Error(s)
 	}
 	if version(5, 9).Compare(version(6, 0)) >= 0 || version(6, 1).Compare(version(6, 0)) <= 0 {
-		t.Error("order")
+		t.Error("versions are not ordered by epoch, then number")
 	}
 	now := 100 * 24 * time.Hour
-	if most := uint64(now.Milliseconds()) + MaxEpochAhead; version(most, 1).TooFarAhead(now) || !version(most+1, 0).TooFarAhead(now) || !version(1<<64-1, 0).TooFarAhead(now) {
-		t.Error("a day ahead")
+	if latest := uint64(now.Milliseconds()) + MaxEpochAhead; version(latest, 1).TooFarAhead(now) || !version(latest+1, 0).TooFarAhead(now) || !version(1<<64-1, 0).TooFarAhead(now) {
+		t.Error("the limit of a day ahead of the clock is wrong")
 	}
 }
 
-// drawn changes a set at random and returns the delta.
+// randomDelta returns a random delta that leads on from the content of a set.
 func randomDelta(t *rapid.T, s *Set, to Version) *Delta {
 	names := rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID).Draw(t, "names")
 	var put []Resource
-	var gone []Key
+	var removed []Key
 	for _, n := range names {
-		if name := fmt.Sprint(n); rapid.Bool().Draw(t, "gone") {
-			gone = append(gone, contractKey(name))
+		if name := fmt.Sprint(n); rapid.Bool().Draw(t, "removed") {
+			removed = append(removed, contractKey(name))
 		} else {
 			put = append(put, contract(name, rapid.IntRange(0, 2).Draw(t, "rate")))
 		}
 	}
-	return s.Next(to, put, gone)
+	return s.Next(to, put, removed)
 }
 
-// Since(v) applied to a set at v gives the set now, with and without specs, whatever is kept; also where it is told by a process that took
-// several changes as one, to a node at a version which that process never had.
+// Since(v), applied to a set at v, results in the current set, with and without specs and for any limits of the history. It also
+// does so if it comes from a process that received several changes as one delta, and v is a version that this process never had.
 func TestMergedDeltasLeadFromEachVersionToLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
-		h := NewHistory(HistoryLimits{Deltas: rapid.IntRange(1, 12).Draw(t, "kept")})
+		h := NewHistory(HistoryLimits{Deltas: rapid.IntRange(1, 12).Draw(t, "limit")})
 		s := NewSet(true)
 		first := s.Next(version(1, 0), []Resource{contract("0", 0), contract("1", 1)}, nil)
 		if err := s.Apply(first); err != nil {
 			t.Fatal(err)
 		}
-		type at struct{ all []Resource }
-		olds := map[Version]at{s.Version(): {s.Snapshot().Put}}
+		type content struct{ all []Resource }
+		contents := map[Version]content{s.Version(): {s.Snapshot().Put}}
 		for n := range rapid.IntRange(1, 14).Draw(t, "changes") {
 			d := randomDelta(t, s, version(1, uint64(n)+1))
 			h.Add(now, d)
 			if err := s.Apply(d); err != nil {
 				t.Fatal(err)
 			}
-			olds[s.Version()] = at{s.Snapshot().Put}
+			contents[s.Version()] = content{s.Snapshot().Put}
 		}
-		delete(olds, s.Version())
-		// The history of a process that follows, and takes what is merged now and then.
-		second, at2 := NewHistory(HistoryLimits{}), version(1, uint64(rapid.IntRange(0, len(olds)-1).Draw(t, "from")))
-		if d, ok := h.Since(at2); ok {
-			second.Add(now, d)
+		delete(contents, s.Version())
+		// The history of a process that follows and has received some of the changes merged.
+		follower, followerFrom := NewHistory(HistoryLimits{}), version(1, uint64(rapid.IntRange(0, len(contents)-1).Draw(t, "follower from")))
+		if d, ok := h.Since(followerFrom); ok {
+			follower.Add(now, d)
 		}
-		kept := 0
-		for v, old := range olds {
+		stored := 0
+		for v, before := range contents {
 			d, ok := h.Since(v)
-			if d2, ok2 := second.Since(v); ok2 != (second.Len() > 0 && v.Compare(at2) >= 0) {
-				t.Fatal(v, at2, ok2)
-			} else if ok2 {
-				d = d2
+			if fromFollower, found := follower.Since(v); found != (follower.Len() > 0 && v.Compare(followerFrom) >= 0) {
+				t.Fatal(v, followerFrom, found)
+			} else if found {
+				d = fromFollower
 			}
 			if ok {
-				kept++
+				stored++
 			} else {
 				continue
 			}
 			for _, specs := range []bool{true, false} {
 				node := NewSet(specs)
-				if err := node.Apply(node.Next(v, old.all, nil)); err != nil {
+				if err := node.Apply(node.Next(v, before.all, nil)); err != nil {
 					t.Fatal(err)
 				}
 				if rapid.Bool().Draw(t, "exact") {
@@ -391,18 +392,18 @@
 				if err := node.Apply(d); err != nil {
 					t.Fatal(v, err)
 				}
-				if put, gone := node.Compare(s.Snapshot().Put); len(put)+len(gone) != 0 || node.Sum() != s.Sum() || node.Version() != s.Version() || node.Len() != s.Len() {
-					t.Fatal(v, put, gone)
+				if put, removed := node.Compare(s.Snapshot().Put); len(put)+len(removed) != 0 || node.Sum() != s.Sum() || node.Version() != s.Version() || node.Len() != s.Len() {
+					t.Fatal(v, put, removed)
 				}
 			}
 		}
-		if kept != h.Len() {
-			t.Fatalf("%d ways are kept of %d deltas", kept, h.Len())
+		if stored != h.Len() {
+			t.Fatalf("%d versions have deltas, with %d deltas stored", stored, h.Len())
 		}
 	})
 }
 
-// A snapshot's difference leads from any content to the snapshot's.
+// The difference of a snapshot leads from any content to that of the snapshot.
 func TestDifferenceLeadsFromAnyContentToSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewSet(false), NewSet(true)
@@ -427,7 +428,8 @@
 	})
 }
 
-// FuzzDelta: whatever is told, a set takes all of it or nothing, and its sum is always that of what it holds.
+// FuzzDelta checks that a set applies any received delta completely or not at all, and that its checksum is always that of its
+// content.
 func FuzzDelta(f *testing.F) {
 	base := []Resource{contract("a", 1), contract("b", 1), newResource(Route, "h:1", "{}")}
 	s := setWith(f, true, version(5, 1), base...)
@@ -476,7 +478,7 @@
 	})
 }
 
-// sized is a set of the size of n tenants, as in two years' product: names and specs of the common lengths.
+// tenantResources returns the resources of n tenants, with names and specs of typical length.
 func tenantResources(n int) []Resource {
 	all := make([]Resource, 0, n+n/4)
 	for i := range n {
@@ -489,7 +491,8 @@
 	return all
 }
 
-// BenchmarkDelta is one changed contract, checked and applied, beside sets of two sizes: alike.
+// BenchmarkDelta measures checking and applying one changed contract with sets of two sizes. Its cost does not depend on the
+// size.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -506,7 +509,7 @@
 	}
 }
 
-// BenchmarkHistory is one change taken in by a full history, and told to who is 100 changes behind.
+// BenchmarkHistory measures adding one change to a full history and merging the deltas for a caller that is 100 changes behind.
 func BenchmarkHistory(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -527,7 +530,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the whole: read, checked, compared with what is held, and applied.
+// BenchmarkSnapshot measures decoding, checking, comparing and applying a snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -557,7 +560,7 @@
 	}
 }
 
-// BenchmarkSetMemory reports the bytes of heap that a node's set takes for each resource, its names included.
+// BenchmarkSetMemory reports the heap bytes of a set per resource, names included.
 func BenchmarkSetMemory(b *testing.B) {
 	for _, specs := range []bool{false, true} {
 		b.Run(fmt.Sprintf("specs=%v", specs), func(b *testing.B) {
--- a/internal/resource/wire.go
+++ b/internal/resource/wire.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Encode writes a delta as JSON. Specs stay the bytes they are (json.Marshal would escape <, > and & in them, and their hashes
-// would not fit any more).
+// Encode writes a delta as JSON. Specs keep their bytes: json.Marshal would escape <, > and & in them, and their hashes would
+// no longer match.
 func Encode(d *Delta) ([]byte, error) {
 	var buf bytes.Buffer
 	e := json.NewEncoder(&buf)
@@ -21,7 +21,7 @@
 	return buf.Bytes(), nil
 }
 
-// Decode reads a delta that Encode wrote; fields that are not known are passed over. What it says is for Set.Check to verify.
+// Decode reads a delta that Encode wrote and ignores unknown fields. The content is checked by Set.Check.
 func Decode(data []byte) (*Delta, error) {
 	if len(data) > MaxAnswer {
 		return nil, fmt.Errorf("delta: %d bytes: at most %d", len(data), MaxAnswer)
