--- a/internal/resource/catalog/catalog.go
+++ b/internal/resource/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog is what resources mean: it decodes them, checks a delta whole against what is in force, and tells what the delta
-// changes in the contracts, the routes and the tenants that are pinned. It costs by what a delta touches: its own resources, and the
-// contracts that name a service which it changes. It is pure: no I/O, no clock. What a resource states is compiled by the code that
-// the product's file goes through (package config).
+// Package catalog implements the meaning of resources: it decodes them, checks a complete delta against what is in force, and
+// returns what the delta changes in the contracts, the routes and the pinned tenants. The cost of a delta depends on what it
+// touches: its own resources, and the contracts that name a service it changes. The package is pure: no I/O, no clock. Specs are
+// compiled by the same code as the product's file (package config).
 package catalog
 
 import (
@@ -15,130 +15,134 @@
 	"portstall/internal/resource"
 )
 
-// Options are what a node has of its own, which resources must fit.
+// Options are the node's own settings, which resources must fit.
 type Options struct {
-	Effects map[string]string // of the classes of the node's settings, by name: safe, keyed or unsafe; nil: they are not known, and not asked for
-	Cells   bool              // there are cells, to which tenants can be pinned
-	Even    bool              // nodes hand out even parts of contracts
+	// Effects has the effects of the classes in the node's settings, by name: safe, keyed or unsafe. If it is nil, they are
+	// unknown and not checked.
+	Effects map[string]string
+	Cells   bool // there are cells, to which tenants can be pinned
+	Even    bool // each node gets an even share of contracts
 }
 
-// Catalog is what is in force, decoded. It has one owner, and is not safe for concurrent use; but Prepare, which changes nothing, may
-// run beside whoever uses what is in force.
+// Catalog holds the decoded resources that are in force. It has one owner and is not safe for concurrent use, except that
+// Prepare, which changes nothing, may run concurrently with readers.
 type Catalog struct {
 	options      Options
 	services     map[string]*service
 	contracts    map[string]*contractEntry
 	routes       map[string]routeTarget     // by host:port
-	tenants      map[string]struct{}        // those that are pinned
-	matches      matchIndex                 // contracts by the callers that they are for
-	fallback     string                     // the contract for everybody else; empty: none
-	unsafeCounts map[string]int             // how many services state that a class is unsafe
-	classSets    map[string]map[string]bool // of classes, shared by the contracts that name the same ones
-	commits      int
+	tenants      map[string]struct{}        // the pinned ones
+	matches      matchIndex                 // contracts by the callers they apply to
+	fallback     string                     // the contract for all other callers; empty: none
+	unsafeCounts map[string]int             // how many services declare a class unsafe, by class
+	classSets    map[string]map[string]bool // sets of classes, shared by the contracts that name the same ones
+	commits      int                        // changes committed so far
 }
 
-// service is one in force, with those that name it.
+// service is a service in force or prepared, with the resources that name it.
 type service struct {
-	name       string // the one string of it
+	name       string // the one copy of the string, shared with the contracts and routes that name the service
 	classes    map[string]bool
-	withEffect []config.Class // those whose effect is stated
+	withEffect []config.Class // the classes whose effect is declared
 	contracts  map[string]struct{}
 	routes     map[string]struct{}
 }
 
-// entry is a contract in force.
+// contractEntry is a contract in force or prepared.
 type contractEntry struct {
-	spec     json.RawMessage // compiled anew when a service changes
+	spec     json.RawMessage // compiled again when a service changes
 	services []string
 	matches  []contract.Match // shared with the contracts' table
-	retries  map[string]bool  // the same
+	retries  map[string]bool  // shared with the contracts' table
 }
 
-// owners are contracts by the callers that they are for. Most are for a tenant alone, which takes little room by itself.
+// matchIndex indexes contracts by the callers they apply to. Most contracts are for one tenant alone, and have a map of their
+// own that needs little memory.
 type matchIndex struct {
 	byTenant map[string]string
 	byMatch  map[contract.Match]string
 }
 
+// newMatchIndex returns an empty index with capacity for contracts of one tenant.
 func newMatchIndex(size int) matchIndex {
 	return matchIndex{make(map[string]string, size), map[contract.Match]string{}}
 }
 
-func (o *matchIndex) get(m contract.Match) (name string, known bool) {
+func (i *matchIndex) get(m contract.Match) (name string, known bool) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		name, known = o.byTenant[m.Tenant]
+		name, known = i.byTenant[m.Tenant]
 	} else {
-		name, known = o.byMatch[m]
+		name, known = i.byMatch[m]
 	}
 	return name, known
 }
 
-func (o *matchIndex) set(m contract.Match, name string) {
+func (i *matchIndex) set(m contract.Match, name string) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		o.byTenant[m.Tenant] = name
+		i.byTenant[m.Tenant] = name
 	} else {
-		o.byMatch[m] = name
+		i.byMatch[m] = name
 	}
 }
 
-func (o *matchIndex) remove(m contract.Match) {
+func (i *matchIndex) remove(m contract.Match) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		delete(o.byTenant, m.Tenant)
+		delete(i.byTenant, m.Tenant)
 	} else {
-		delete(o.byMatch, m)
+		delete(i.byMatch, m)
 	}
 }
 
-// via is where a route leads.
-type routeTarget struct{ service, class string } // without a class: not opaque
+// routeTarget is the destination of a route. Only an opaque route has a class.
+type routeTarget struct{ service, class string }
 
-// setsMost bounds the sets that are kept to be shared: past it they are collected anew.
+// maxClassSets bounds the shared sets of classes. Past it the sets are discarded and collected again.
 const maxClassSets = 4096
 
-// New makes one with nothing in it.
+// New returns an empty catalog.
 func New(o Options) *Catalog {
 	return &Catalog{options: o, services: map[string]*service{}, contracts: map[string]*contractEntry{}, routes: map[string]routeTarget{},
 		tenants: map[string]struct{}{}, matches: newMatchIndex(0), unsafeCounts: map[string]int{}, classSets: map[string]map[string]bool{}}
 }
 
-// Len is the number of resources in force.
+// Len returns the number of resources in force.
 func (c *Catalog) Len() int {
 	return len(c.services) + len(c.contracts) + len(c.routes) + len(c.tenants)
 }
 
-// SetEven says whether nodes hand out even parts of contracts, from the next change on.
+// SetEvenShares sets whether each node gets an even share of contracts, from the next change on.
 func (c *Catalog) SetEven(even bool) { c.options.Even = even }
 
-// Change is a delta that was checked, and what is to be changed for it.
+// Change is a checked delta and the changes it causes. It is valid until another change is committed.
 type Change struct {
 	Contracts contract.Change
 	Routes    tunnel.Change
 	Tenants   cell.Change
 
-	baseCommits  int  // commits before it
-	recheck      bool // it is of other settings:
-	effects      map[string]string
-	services     map[string]*service       // nil: gone
-	contracts    map[string]*contractEntry // nil: gone
+	baseCommits  int                       // commits of the catalog when the change was prepared
+	recheck      bool                      // a check against other effects
+	effects      map[string]string         // the other effects, for a recheck
+	services     map[string]*service       // nil: removed
+	contracts    map[string]*contractEntry // nil: removed
 	inDelta      map[string]bool           // contracts that the delta itself names
-	routes       map[string]routeTarget    // without a service: gone
-	tenants      map[string]bool           // false: gone
+	routes       map[string]routeTarget    // without a service: removed
+	tenants      map[string]bool           // false: removed
 	matches      matchIndex
 	fallback     string
 	unsafeCounts map[string]int
 	classSets    map[string]map[string]bool
 }
 
-// Empty tells whether it changes nothing.
+// Empty reports whether the change changes nothing.
 func (ch *Change) Empty() bool {
 	return len(ch.services)+len(ch.contracts)+len(ch.routes)+len(ch.tenants) == 0 && !ch.recheck
 }
 
-// Commit notes that a change is in force. It is the one that was prepared last, and is committed once; a change that was prepared
-// before another's commit is a fault of the caller and panics.
+// Commit records that a change is in force. It must be the last one that was prepared, and may be committed once. A change that
+// was prepared before another one was committed is a programming error and causes a panic.
 func (c *Catalog) Commit(ch *Change) {
 	if ch.baseCommits != c.commits {
-		panic("catalog: a change is committed twice, or after another one than it was prepared for")
+		panic("catalog: a change is committed twice, or was prepared before another commit")
 	}
 	c.commits++
 	if ch.recheck {
@@ -212,23 +216,23 @@
 	maps.Copy(c.classSets, ch.classSets)
 }
 
-// Recheck checks what is in force against other effects of the node's classes (Options.Effects). The change is to be committed like one
-// of a delta. An error is a *resource.Refusal of the first resource, by kind and name, that does not fit them; the ones before stay.
-// It costs by what there is.
+// Recheck checks what is in force against other effects of the node's classes (Options.Effects). The returned change is to be
+// committed like that of a delta. An error is a *resource.Refusal of the first resource, by kind and name, that does not fit, and
+// then the old effects stay in force. The cost depends on the number of resources.
 func (c *Catalog) Recheck(effects map[string]string) (*Change, error) {
 	ch := c.newChange()
 	ch.recheck, ch.effects = true, effects
-	now := *c
-	now.options.Effects = ch.effects
+	candidate := *c
+	candidate.options.Effects = ch.effects
 	for _, name := range sortedKeys(c.contracts) {
 		for class := range c.contracts[name].retries {
-			if now.isUnsafe(ch, class) {
+			if candidate.isUnsafe(ch, class) {
 				return nil, refuse(resource.Key{Kind: resource.Contract, Name: name}, "retries", "allows retries of class %q, which is unsafe: it must never run twice", class)
 			}
 		}
 	}
 	for _, name := range sortedKeys(c.routes) {
-		if err := now.checkClass(name, c.routes[name]); err != nil {
+		if err := candidate.checkClass(name, c.routes[name]); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/resource/catalog/catalog_test.go
+++ b/internal/resource/catalog/catalog_test.go
@@ -22,16 +22,18 @@
 
 var effects = map[string]string{"view": "safe", "buy": "unsafe", "line": "keyed"}
 
-// put makes a resource of JSON text, and key a key; both of "kind name".
+// newResource returns a resource of a key, written as "kind name", and its spec as JSON.
 func newResource(key, spec string) resource.Resource {
 	return resource.Resource{Key: parseKey(key), Spec: json.RawMessage(spec)}
 }
 
+// parseKey returns the key that is written as "kind name".
 func parseKey(text string) resource.Key {
 	kind, name, _ := strings.Cut(text, " ")
 	return resource.Key{Kind: resource.Kind(kind), Name: name}
 }
 
+// newDelta returns a delta that puts the given resources and removes the keys that are given as "kind name".
 func newDelta(what ...any) *resource.Delta {
 	d := &resource.Delta{}
 	for _, w := range what {
@@ -45,13 +47,13 @@
 	return d
 }
 
-// world is all that a change is put in force in.
+// testState is a catalog with everything that a change is applied to.
 type testState struct {
 	*Catalog
 	ledger   *contract.Ledger
 	routes   *tunnel.Table
 	placer   *cell.Placer
-	lockTime time.Duration // how long the core's lock would have been, for all changes together
+	lockTime time.Duration // how long the core's lock would have been held for all changes together
 }
 
 func newTestState(t testing.TB, o Options) *testState {
@@ -66,21 +68,21 @@
 	return &testState{New(o), contract.NewLedger(tab, 0, 1), routes, cell.NewPlacer(cell.Terms{Plan: cell.Plan{Size: 2}, Memory: 10}), 0}
 }
 
-// take puts a delta in force, or says why not. What the catalog lets through fits whatever else it is for.
+// apply applies a delta or returns why it is refused. A change that the catalog accepts must also be valid for the tables.
 func (w *testState) apply(t fataler, d *resource.Delta) error {
 	ch, err := w.Prepare(d)
 	if err != nil {
 		var r *resource.Refusal
 		if !errors.As(err, &r) {
-			t.Fatalf("%v is no refusal", err)
+			t.Fatalf("%v is not a refusal", err)
 		}
 		return err
 	}
 	if err := w.ledger.Table().Check(&ch.Contracts); err != nil {
-		t.Fatalf("%+v: the contracts' table says %v", d, err)
+		t.Fatalf("%+v: the contracts' table refuses it: %v", d, err)
 	}
 	if err := w.routes.Check(&ch.Routes); err != nil {
-		t.Fatalf("%+v: the routes' table says %v", d, err)
+		t.Fatalf("%+v: the routes' table refuses it: %v", d, err)
 	}
 	at := time.Now()
 	w.ledger.Change(0, &ch.Contracts)
@@ -91,9 +93,10 @@
 	return nil
 }
 
+// fataler is the part of testing.T and rapid.T that apply needs.
 type fataler interface{ Fatalf(string, ...any) }
 
-// dump is all that is in force, as text.
+// dump returns everything that is in force as text.
 func (w *testState) dump() string {
 	var b strings.Builder
 	c := w.Catalog
@@ -126,7 +129,7 @@
 	return b.String()
 }
 
-// base is a world with some of each kind.
+// newFilledState returns a testState with some resources of each kind.
 func newFilledState(t testing.TB) *testState {
 	w := newTestState(t, Options{Effects: effects, Cells: true})
 	if err := w.apply(t, newDelta(
@@ -145,7 +148,7 @@
 	return w
 }
 
-// What a delta does not fit for names resource and field, and nothing that is in force changes, whatever else the delta has that is good.
+// A refused delta names the resource and field at fault and changes nothing that is in force, even if the rest of it is valid.
 func TestInvalidDeltaIsRefusedAndChangesNothing(t *testing.T) {
 	w := newFilledState(t)
 	before := w.dump()
@@ -154,19 +157,19 @@
 		delta *resource.Delta
 		want  string
 	}{
-		{newDelta(newResource("widget a", `{}`)), `widget "a": is of a kind that is not known here`},
-		{newDelta("widget a"), `widget "a": is of a kind that is not known here`},
+		{newDelta(newResource("widget a", `{}`)), `widget "a": has an unknown kind`},
+		{newDelta("widget a"), `widget "a": has an unknown kind`},
 		{newDelta(newResource("contract ", `{}`)), `contract "": name: missing`},
 		{newDelta(newResource("contract "+long, `{}`)), "name: is longer than 300 bytes"},
 		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"`+strings.Repeat("x", resource.MaxSpec)+`"}]}`)), `contract "a": takes 65`},
-		{newDelta("contract one", newResource("contract one", `{"name":"one"}`)), `contract "one": is in the delta twice`},
-		{newDelta(newResource("contract a", `{"name":"b"}`)), `contract "a": name: "b" is not the resource's`},
-		{newDelta(newResource("contract a", `null`)), `contract "a": name: "" is not the resource's`},
-		{newDelta(newResource("contract a", `{"name":"a","rats":1}`)), `contract "a": rats: is no field of a contract`},
-		{newDelta(newResource("service a", `{"name":"a","classes":[{"nam":"x"}]}`)), `service "a": nam: is no field of a service`},
+		{newDelta("contract one", newResource("contract one", `{"name":"one"}`)), `contract "one": occurs twice in the delta`},
+		{newDelta(newResource("contract a", `{"name":"b"}`)), `contract "a": name: "b" is not the name of the resource`},
+		{newDelta(newResource("contract a", `null`)), `contract "a": name: "" is not the name of the resource`},
+		{newDelta(newResource("contract a", `{"name":"a","rats":1}`)), `contract "a": rats: is not a field of a contract`},
+		{newDelta(newResource("service a", `{"name":"a","classes":[{"nam":"x"}]}`)), `service "a": nam: is not a field of a service`},
 		{newDelta(newResource("contract a", `{"name":"a","rate":"fast"}`)), `contract "a": rate: is a string, want float64`},
 		{newDelta(newResource("contract a", `{"name":`)), `contract "a": `},
-		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]} {}`)), `contract "a": has something behind its spec`},
+		{newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]} {}`)), `contract "a": has trailing data after its spec`},
 		{newDelta(newResource("contract a", `{"name":"a","rate":-1}`)), `contract "a": rate: -1 is outside`},
 		{newDelta(newResource("contract a", `{"name":"a","match":[{"from":"here"}]}`)), `contract "a": match[0].from: "here" is neither`},
 		{newDelta(newResource("contract a", `{"name":"a","services":["none"],"match":[{"tenant":"a"}]}`)), `contract "a": services[0]: "none" is no service here`},
@@ -179,19 +182,19 @@
 		{newDelta(newResource("service a", `{"name":"a","classes":[{"name":"x","effect":"magic"}]}`)), `service "a": classes[0].effect: "magic" is none of`},
 		{newDelta(newResource("service a", `{"name":"a","classes":[{"name":"rare","effect":"unsafe"}]}`)), `service "a": classes: class "rare" becomes unsafe, and contract "odd" allows retries of it`},
 		{newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"buy"}]}`)), `service "shop": classes: contract "one": retries[0]: `},
-		{newDelta("service shop"), `service "shop": is gone, and contract "one" names it`},
-		{newDelta("service shop", "contract one"), `service "shop": is gone, and route "a.org:80" leads to it`},
+		{newDelta("service shop"), `service "shop": is removed, but contract "one" names it`},
+		{newDelta("service shop", "contract one"), `service "shop": is removed, but route "a.org:80" leads to it`},
 		{newDelta("service shop", "route a.org:80", newResource("contract one", `{"name":"one","match":[{"tenant":"one"}],"services":["shop"]}`)), `contract "one": services[0]: "shop" is no service`},
 		{newDelta("service lines", newResource("route b.org:7", `{"host":"b.org","port":7,"service":"lines"}`)), `route "b.org:7": service: "lines" is no service here`},
 		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"none"}`)), `route "c.org:1": service: "none" is no service here`},
-		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":2,"service":"shop"}`)), `route "c.org:1": host: "c.org:2" is not the resource's`},
+		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":2,"service":"shop"}`)), `route "c.org:1": host: "c.org:2" is not the name of the resource`},
 		{newDelta(newResource("route 10.0.0.1:1", `{"host":"10.0.0.1","port":1,"service":"shop"}`)), `route "10.0.0.1:1": host: "10.0.0.1" is an address`},
 		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"shop","kind":"opaque","class":"none"}`)), `route "c.org:1": class: "none" is no class of the node's settings`},
 		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"shop","idle_ns":5}`)), `route "c.org:1": idle: is for opaque routes only`},
 		{newDelta(newResource("route c.org:1", `{"host":"c.org","port":70000,"service":"shop"}`)), `route "c.org:1": port: is a number 70000, want uint16`},
 		{newDelta(newResource("tenant a", `{"tenant":"a"}`)), `tenant "a": pods: missing`},
 		{newDelta(newResource("tenant a", `{"tenant":"a","pods":[1],"moves":[{"to":[2]}]}`)), `tenant "a": moves[0].start: missing`},
-		{newDelta(newResource("tenant a", `{"tenant":"b","pods":[1]}`)), `tenant "a": tenant: "b" is not the resource's`},
+		{newDelta(newResource("tenant a", `{"tenant":"b","pods":[1]}`)), `tenant "a": tenant: "b" is not the name of the resource`},
 	} {
 		good := newDelta(newResource("contract good", `{"name":"good","match":[{"tenant":"good"}]}`), newResource("service good", `{"name":"good"}`),
 			newResource("tenant good", `{"tenant":"good","pods":[3]}`), newResource("route good.org:1", `{"host":"good.org","port":1,"service":"idle"}`), "contract two")
@@ -202,26 +205,26 @@
 			}
 		}
 		if after := w.dump(); after != before {
-			t.Fatalf("%q: what is refused changed\n%s\nto\n%s", c.want, before, after)
+			t.Fatalf("%q: the refused delta changed\n%s\nto\n%s", c.want, before, after)
 		}
 	}
 	plain := New(Options{})
-	if _, err := plain.Prepare(newDelta(newResource("tenant a", `{"tenant":"a","pods":[1]}`))); err == nil || !strings.Contains(err.Error(), `tenant "a": is pinned to pods, and there are no cells`) {
+	if _, err := plain.Prepare(newDelta(newResource("tenant a", `{"tenant":"a","pods":[1]}`))); err == nil || !strings.Contains(err.Error(), `tenant "a": is pinned to pods, but there are no cells`) {
 		t.Errorf("without cells: %v", err)
 	}
 	if _, err := plain.Prepare(newDelta(newResource("service a", `{"name":"a"}`), newResource("route c.org:1", `{"host":"c.org","port":1,"service":"a","kind":"opaque","class":"any"}`))); err != nil {
-		t.Errorf("where no settings are known: %v", err)
+		t.Errorf("without the node's settings: %v", err)
 	}
 	many := &resource.Delta{Put: make([]resource.Resource, resource.MaxResources+1)}
 	for i := range many.Put {
 		many.Put[i] = newResource(fmt.Sprint("service s", i), `{}`)
 	}
 	if _, err := plain.Prepare(many); err == nil || !strings.Contains(err.Error(), "makes 100001 resources, at most 100000") {
-		t.Errorf("too many: %v", err)
+		t.Errorf("too many resources: %v", err)
 	}
 }
 
-// A service goes together with what names it; one that changes changes its contracts, and those alone.
+// A service can only be removed together with the resources that name it. A changed service changes its contracts and no others.
 func TestServiceChangeUpdatesDependentContracts(t *testing.T) {
 	w := newFilledState(t)
 	terms := func(name string) *contract.Terms {
@@ -233,7 +236,7 @@
 		t.Fatalf("%+v, %v", ch, err)
 	}
 	if terms("one").Classes["look"] {
-		t.Error("what is only prepared is in force")
+		t.Error("a change that is only prepared is in force")
 	}
 	if ch, err := w.Prepare(newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"buy"},{"name":"view","effect":"safe"}]}`))); err != nil || len(ch.Contracts.Put) != 0 {
 		t.Errorf("the same classes: %+v, %v", ch, err)
@@ -241,7 +244,7 @@
 	if err := w.apply(t, newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"view"},{"name":"buy"},{"name":"look"}]}`))); err != nil || !terms("one").Classes["look"] {
 		t.Error(err, terms("one"))
 	}
-	// Contracts share what is alike, also with one from before their service was put with the same classes.
+	// Contracts share equal sets, also with a contract from before their service was put again with the same classes.
 	if err := w.apply(t, newDelta(newResource("service shop", `{"name":"shop","classes":[{"name":"look"},{"name":"view"},{"name":"buy"}]}`))); err != nil {
 		t.Fatal(err)
 	}
@@ -252,12 +255,12 @@
 	}
 	same := func(a, b map[string]bool) bool { return reflect.ValueOf(a).Pointer() == reflect.ValueOf(b).Pointer() }
 	if !same(terms("one").Classes, terms("a").Classes) || !same(terms("one").Retries, terms("a").Retries) || !same(terms("b").Classes, terms("c").Classes) {
-		t.Error("contracts that name the same do not share it")
+		t.Error("contracts that name the same classes do not share the set")
 	}
 	if len(terms("a").Classes) != 3 || len(terms("b").Classes) != 4 {
 		t.Errorf("%v %v", terms("a").Classes, terms("b").Classes)
 	}
-	// What names it goes with it, or names another one.
+	// The resources that name the service are removed with it, or name another one.
 	if err := w.apply(t, newDelta("service shop", "contract one", "contract a", "contract b", newResource("contract c", `{"name":"c","match":[{"tenant":"c"}],"services":["lines"]}`),
 		newResource("route a.org:80", `{"host":"a.org","port":80,"service":"idle"}`))); err != nil {
 		t.Fatal(err)
@@ -269,11 +272,11 @@
 		t.Fatal(err, w.dump())
 	}
 	if len(w.matches.byTenant)+len(w.matches.byMatch)+len(w.unsafeCounts) != 0 || w.fallback != "" {
-		t.Errorf("all is gone: %s", w.dump())
+		t.Errorf("entries are left after everything was removed: %s", w.dump())
 	}
 }
 
-// A change that is committed twice, or after another one, is a fault that is not passed over.
+// Committing a change twice, or one that was prepared before another commit, panics.
 func TestCommitPanicsWhenRepeatedOrOutdated(t *testing.T) {
 	w := newFilledState(t)
 	first, err := w.Prepare(newDelta("tenant gulf"))
@@ -289,7 +292,7 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Error("it is committed")
+					t.Error("the commit did not panic")
 				}
 			}()
 			w.Commit(ch)
@@ -297,7 +300,7 @@
 	}
 }
 
-// Other settings of the node: what is in force fits them, or one resource is named.
+// If the settings of the node change, what is in force is checked against them, and the first resource that does not fit is named.
 func TestRecheckAgainstChangedClassEffects(t *testing.T) {
 	w := newFilledState(t)
 	before := w.dump()
@@ -320,19 +323,19 @@
 	}
 	w.Commit(ch)
 	if err := w.apply(t, newDelta(newResource("route c.org:1", `{"host":"c.org","port":1,"service":"shop","kind":"opaque","class":"buy"}`))); err == nil {
-		t.Error("a class that the settings no longer have")
+		t.Error("a route of a class that the settings no longer have is accepted")
 	}
-	// The service still says that buy is unsafe, and the settings do not know it any more.
+	// The service still declares buy unsafe, and the settings no longer have the class.
 	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}],"retries":["buy"]}`))); err == nil {
-		t.Error("retries of a class that a service says is unsafe")
+		t.Error("retries of a class that a service declares unsafe are accepted")
 	}
 	w.SetEven(true)
 	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]}`))); err != nil || !w.ledger.Table().EvenParts {
-		t.Error("even parts are not handed out", err)
+		t.Error("shares are not even", err)
 	}
 }
 
-// drawResource makes one that may be anything within a small world, also one that does not fit.
+// randomResource returns a resource from a small set of names, valid or not.
 func randomResource(t *rapid.T) resource.Resource {
 	name := func(prefix string, n int) string { return fmt.Sprint(prefix, rapid.IntRange(0, n).Draw(t, prefix)) }
 	of := func(kind resource.Kind, name string, spec any) resource.Resource {
@@ -375,63 +378,63 @@
 	return of(resource.Tenant, p.Tenant, p)
 }
 
-// However it came about, what is in force is what a catalog has that took all resources at once; and a delta is taken just where one
-// that begins anew would take what it leads to.
+// What is in force after a sequence of deltas is the same as in a new catalog that received all resources at once. A delta is accepted
+// exactly if a new catalog would accept the content it leads to.
 func TestDeltasEqualSnapshotOfSameContent(t *testing.T) {
-	taken, refused := 0, 0
+	accepted, refused := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		o := Options{Effects: effects, Cells: true}
-		w, there := newTestState(t, o), map[resource.Key]resource.Resource{}
+		w, content := newTestState(t, o), map[resource.Key]resource.Resource{}
 		for range rapid.IntRange(1, 25).Draw(rt, "deltas") {
-			d, then, named := &resource.Delta{}, maps.Clone(there), map[resource.Key]bool{}
+			d, after, named := &resource.Delta{}, maps.Clone(content), map[resource.Key]bool{}
 			for range rapid.IntRange(1, 5).Draw(rt, "size") {
 				r := randomResource(rt)
 				if named[r.Key] {
 					continue
 				}
 				named[r.Key] = true
-				if rapid.IntRange(0, 2).Draw(rt, "gone") == 0 {
+				if rapid.IntRange(0, 2).Draw(rt, "removed") == 0 {
 					d.Gone = append(d.Gone, r.Key)
-					delete(then, r.Key)
+					delete(after, r.Key)
 				} else {
 					d.Put = append(d.Put, r)
-					then[r.Key] = r
+					after[r.Key] = r
 				}
 			}
-			anew, whole := newTestState(t, o), &resource.Delta{}
-			for _, r := range then {
-				whole.Put = append(whole.Put, r)
+			fresh, snapshot := newTestState(t, o), &resource.Delta{}
+			for _, r := range after {
+				snapshot.Put = append(snapshot.Put, r)
 			}
-			slices.SortFunc(whole.Put, func(a, b resource.Resource) int { return strings.Compare(a.Key.String(), b.Key.String()) })
-			bad, before := anew.apply(rt, whole), w.dump()
+			slices.SortFunc(snapshot.Put, func(a, b resource.Resource) int { return strings.Compare(a.Key.String(), b.Key.String()) })
+			freshErr, before := fresh.apply(rt, snapshot), w.dump()
 			err := w.apply(rt, d)
-			if (err == nil) != (bad == nil) {
-				rt.Fatalf("%+v: %v; all of it anew: %v", d, err, bad)
+			if (err == nil) != (freshErr == nil) {
+				rt.Fatalf("%+v: %v; in a new catalog: %v", d, err, freshErr)
 			}
 			if err != nil {
 				refused++
 				if after := w.dump(); after != before {
-					rt.Fatalf("a refusal changed\n%s\nto\n%s", before, after)
+					rt.Fatalf("a refused delta changed\n%s\nto\n%s", before, after)
 				}
 				continue
 			}
-			taken++
-			there = then
-			if got, want := w.dump(), anew.dump(); got != want {
-				rt.Fatalf("in force is\n%s\nanew\n%s", got, want)
+			accepted++
+			content = after
+			if got, want := w.dump(), fresh.dump(); got != want {
+				rt.Fatalf("in force is\n%s\nin a new catalog\n%s", got, want)
 			}
 			for i := range 7 {
 				caller := contract.Caller{Tenant: fmt.Sprint("t", i)}
-				a, b := w.ledger.Table(), anew.ledger.Table()
+				a, b := w.ledger.Table(), fresh.ledger.Table()
 				x, y := a.Find(&caller), b.Find(&caller)
 				if (x < 0) != (y < 0) || x >= 0 && a.Terms(x).Name != b.Terms(y).Name {
-					rt.Fatalf("%s falls under %d, anew under %d", caller.Tenant, x, y)
+					rt.Fatalf("%s is under contract %d, in a new catalog under %d", caller.Tenant, x, y)
 				}
 			}
 		}
 	})
-	if taken < 100 || refused < 100 {
-		t.Errorf("%d deltas were taken and %d refused: the test shows nothing", taken, refused)
+	if accepted < 100 || refused < 100 {
+		t.Errorf("%d deltas were accepted and %d refused: too few for a meaningful test", accepted, refused)
 	}
 }
 
@@ -454,7 +457,7 @@
   - {tenant: gulf, pods: [1, 2], moves: [{to: [3], start: 2026-12-01T13:00:00Z, both: 30s, keys: [0, 0.5]}]}
 `
 
-// What the product's file states is the same by the file and by resources, and by the parts of a folder.
+// The product's file has the same result whether it is compiled directly, converted to resources, or read as a file of resources.
 func TestResourcesCompileLikeProductFile(t *testing.T) {
 	f, err := config.Parse("p.yaml", []byte(productFile))
 	if err != nil {
@@ -464,9 +467,9 @@
 	if err != nil || len(all) != 8 {
 		t.Fatal(len(all), err)
 	}
-	parts, lines, err := Parts("p.yaml", []byte(productFile))
-	if err != nil || !reflect.DeepEqual(all, parts) {
-		t.Fatalf("%v, %v, want %v", err, parts, all)
+	parsed, lines, err := Parts("p.yaml", []byte(productFile))
+	if err != nil || !reflect.DeepEqual(all, parsed) {
+		t.Fatalf("%v, %v, want %v", err, parsed, all)
 	}
 	for key, line := range map[string]int{"service shop": 2, "service lines": 3, "contract app": 5, "contract rest": 7, "route shop.example.org:80": 12, "tenant gulf": 17} {
 		if got := lines[parseKey(key)]; got != line {
@@ -485,7 +488,7 @@
 	for i := range want.Len() {
 		k, _ := tab.Slot(want.Terms(i).Name)
 		if got := tab.Terms(k); !reflect.DeepEqual(got, want.Terms(i)) {
-			t.Errorf("%+v, by the file %+v", got, want.Terms(i))
+			t.Errorf("%+v, from the file %+v", got, want.Terms(i))
 		}
 	}
 	if tab.Count() != want.Count() || tab.EvenParts != want.EvenParts {
@@ -498,19 +501,19 @@
 	for host, port := range map[string]uint16{"shop.example.org": 80, "lines.example.org": 7} {
 		got, _ := w.routes.Find(host, port)
 		if r, ok := routes.Find(host, port); !ok || r != got {
-			t.Errorf("%+v, by the file %+v", got, r)
+			t.Errorf("%+v, from the file %+v", got, r)
 		}
 	}
 	cells, err := f.Cells.Terms()
 	if err != nil || !reflect.DeepEqual(w.placer.Tenants(), cells.Tenants) {
-		t.Errorf("%+v, by the file %+v, %v", w.placer.Tenants(), cells.Tenants, err)
+		t.Errorf("%+v, from the file %+v, %v", w.placer.Tenants(), cells.Tenants, err)
 	}
 	if got := w.placer.Tenants(); got[0].Moves[0].Prepare != 10*time.Second {
 		t.Errorf("%+v", got)
 	}
 }
 
-// A part of a file is read for what it is: what it names may stand elsewhere. What is wrong by itself names file and line.
+// A file of resources is checked by itself: what it names may be in another file. An error names file and line.
 func TestParseFileChecksEachResourceAlone(t *testing.T) {
 	for _, c := range []struct {
 		text string
--- a/internal/resource/catalog/prepare.go
+++ b/internal/resource/catalog/prepare.go
@@ -9,10 +9,10 @@
 	"portstall/internal/resource"
 )
 
-// Prepare checks a delta whole against what is in force, and tells what it changes. It looks at Put and Gone alone: whoever has a
-// snapshot hands in what differs. What is gone and was not there is of no interest. Prepare changes nothing. An error is a
-// *resource.Refusal that names resource and field; of several faults it names one. What is prepared keeps the specs of contracts, which
-// are not to be changed after.
+// Prepare checks a complete delta against what is in force and returns what it changes. It reads Put and Removed only, so the
+// caller reduces a snapshot to its differences first. A resource to be removed need not be there. Prepare changes nothing. An
+// error is a *resource.Refusal that names the resource and field of one fault. The change stores the specs of contracts, which must
+// not be modified afterwards.
 func (c *Catalog) Prepare(d *resource.Delta) (*Change, error) {
 	ch := c.newChange()
 	if err := c.checkForm(ch, d); err != nil {
@@ -71,23 +71,23 @@
 	return ch, nil
 }
 
-// change is one in which nothing is yet.
+// newChange returns a change without content.
 func (c *Catalog) newChange() *Change {
 	return &Change{Contracts: contract.Change{Even: c.options.Even}, baseCommits: c.commits, services: map[string]*service{}, routes: map[string]routeTarget{},
 		tenants: map[string]bool{}, fallback: c.fallback, unsafeCounts: map[string]int{}, classSets: map[string]map[string]bool{}}
 }
 
-// sort checks the form of a delta, and notes the contracts that it names.
+// checkForm checks the form of a delta and records the contracts that it names.
 func (c *Catalog) checkForm(ch *Change, d *resource.Delta) error {
 	contracts := countKind(d, resource.Contract)
 	ch.contracts, ch.inDelta = make(map[string]*contractEntry, contracts), make(map[string]bool, contracts+len(d.Gone))
 	ch.matches = newMatchIndex(contracts)
 	seen, total := make(map[resource.Key]bool, len(d.Put)+len(d.Gone)), c.Len()
-	key := func(k resource.Key) error {
+	checkKey := func(k resource.Key) error {
 		switch k.Kind {
 		case resource.Service, resource.Contract, resource.Route, resource.Tenant:
 		default:
-			return refuse(k, "", "is of a kind that is not known here")
+			return refuse(k, "", "has an unknown kind")
 		}
 		switch {
 		case k.Name == "":
@@ -96,7 +96,7 @@
 			k.Name = k.Name[:64]
 			return refuse(k, "name", "is longer than %d bytes", resource.MaxName)
 		case seen[k]:
-			return refuse(k, "", "is in the delta twice")
+			return refuse(k, "", "occurs twice in the delta")
 		}
 		seen[k] = true
 		if k.Kind == resource.Contract {
@@ -108,7 +108,7 @@
 	}
 	for i := range d.Put {
 		r := &d.Put[i]
-		if err := key(r.Key); err != nil {
+		if err := checkKey(r.Key); err != nil {
 			return err
 		}
 		if len(r.Spec) > resource.MaxSpec {
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, k := range d.Gone {
-		if err := key(k); err != nil {
+		if err := checkKey(k); err != nil {
 			return err
 		}
 		if c.has(k) {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// of is how many resources of a kind a delta puts.
+// countKind returns how many resources of a kind a delta puts.
 func countKind(d *resource.Delta, kind resource.Kind) (n int) {
 	for i := range d.Put {
 		if d.Put[i].Kind == kind {
@@ -142,6 +142,7 @@
 	return n
 }
 
+// has reports whether a resource is in force.
 func (c *Catalog) has(k resource.Key) (has bool) {
 	switch k.Kind {
 	case resource.Service:
@@ -156,7 +157,7 @@
 	return has
 }
 
-// service is one as it is once the change is in force; nil: none.
+// serviceAfter returns a service as it is after the change; nil: none.
 func (c *Catalog) serviceAfter(ch *Change, name string) *service {
 	if s, staged := ch.services[name]; staged {
 		return s
@@ -164,8 +165,8 @@
 	return c.services[name]
 }
 
-// isUnsafe tells whether a class must never run twice once the change is in force: by the node's settings, and where they do not have
-// it if any service says so.
+// isUnsafe reports whether a class must never run twice after the change. The node's settings decide; for a class that they do
+// not have, it is unsafe if any service declares it so.
 func (c *Catalog) isUnsafe(ch *Change, class string) bool {
 	if e, known := c.options.Effects[class]; known {
 		return e == "unsafe"
@@ -173,6 +174,7 @@
 	return c.unsafeCounts[class]+ch.unsafeCounts[class] > 0
 }
 
+// scope returns what contracts are compiled against: the services and classes after the change.
 func (c *Catalog) scope(ch *Change) *config.Scope {
 	return &config.Scope{Where: "here",
 		Classes: func(name string) (map[string]bool, bool) {
@@ -185,23 +187,24 @@
 	}
 }
 
-// follow compiles the contracts anew that name a service which changes, and checks those that a class becomes unsafe for.
+// recompileDependents compiles the contracts that name a changed service, and checks those with retries of a class that becomes
+// unsafe.
 func (c *Catalog) recompileDependents(ch *Change, scope *config.Scope) error {
 	for _, name := range sortedKeys(ch.services) {
 		old, s := c.services[name], ch.services[name]
 		if old == nil {
 			continue
 		}
-		at := resource.Key{Kind: resource.Service, Name: name}
+		key := resource.Key{Kind: resource.Service, Name: name}
 		if s == nil {
 			for _, by := range sortedKeys(old.contracts) {
 				if !ch.inDelta[by] {
-					return refuse(at, "", "is gone, and contract %q names it", by)
+					return refuse(key, "", "is removed, but contract %q names it", by)
 				}
 			}
 			for _, by := range sortedKeys(old.routes) {
-				if _, moved := ch.routes[by]; !moved {
-					return refuse(at, "", "is gone, and route %q leads to it", by)
+				if _, inDelta := ch.routes[by]; !inDelta {
+					return refuse(key, "", "is removed, but route %q leads to it", by)
 				}
 			}
 			continue
@@ -215,7 +218,7 @@
 			}
 			t, e, err := c.compile(ch, resource.Key{Kind: resource.Contract, Name: by}, c.contracts[by].spec, scope)
 			if err != nil {
-				return refuse(at, "classes", "%s", err)
+				return refuse(key, "classes", "%s", err)
 			}
 			ch.contracts[by] = e
 			ch.Contracts.Put = append(ch.Contracts.Put, t)
@@ -225,7 +228,7 @@
 		if _, known := c.options.Effects[class]; known || c.unsafeCounts[class] > 0 || c.unsafeCounts[class]+ch.unsafeCounts[class] == 0 {
 			continue
 		}
-		// A class that the node's settings do not know becomes unsafe: rare, and the one thing that goes through all contracts.
+		// A class that is not in the node's settings becomes unsafe. This is rare, and the only case that visits all contracts.
 		for _, by := range sortedKeys(c.contracts) {
 			if c.contracts[by].retries[class] && !ch.inDelta[by] {
 				return refuse(c.serviceDeclaringUnsafe(ch, class), "classes", "class %q becomes unsafe, and contract %q allows retries of it", class, by)
@@ -235,7 +238,7 @@
 	return nil
 }
 
-// sayer is a service of the change that states that a class is unsafe.
+// serviceDeclaringUnsafe returns a service of the change that declares a class unsafe.
 func (c *Catalog) serviceDeclaringUnsafe(ch *Change, class string) resource.Key {
 	for _, name := range sortedKeys(ch.services) {
 		if s := ch.services[name]; s != nil && slices.Contains(s.withEffect, config.Class{Name: class, Effect: "unsafe"}) {
--- a/internal/resource/catalog/put.go
+++ b/internal/resource/catalog/put.go
@@ -12,9 +12,9 @@
 	"portstall/internal/resource"
 )
 
-// Here is what each kind of resource means to a change: decoded, checked against the other resources, and added to it.
+// This file has the meaning of each kind of resource: it is decoded, checked against the other resources, and added to a change.
 
-// state counts what a service states of its classes, or does not any more.
+// countUnsafe adds n for each class that a service declares unsafe.
 func (ch *Change) countUnsafe(s *service, n int) {
 	for _, class := range s.withEffect {
 		if class.Effect == "unsafe" {
@@ -29,7 +29,7 @@
 		return err
 	}
 	if spec.Name != r.Name {
-		return refuse(r.Key, "name", "%q is not the resource's", spec.Name)
+		return refuse(r.Key, "name", "%q is not the name of the resource", spec.Name)
 	}
 	if err := spec.Check("", c.options.Effects); err != nil {
 		return refusalOf(r.Key, err)
@@ -43,7 +43,7 @@
 	if old := c.services[r.Name]; old != nil {
 		ch.countUnsafe(old, -1)
 		if maps.Equal(old.classes, s.classes) {
-			s.classes = old.classes // its contracts share this one
+			s.classes = old.classes // the set shared by its contracts
 		}
 	}
 	ch.countUnsafe(s, 1)
@@ -63,12 +63,12 @@
 		ch.fallback = t.Name
 	}
 	for k, m := range t.Matches {
-		o, dup := c.matches.get(m)
-		if dup = dup && !ch.inDelta[o]; !dup {
-			o, dup = ch.matches.get(m)
+		other, dup := c.matches.get(m)
+		if dup = dup && !ch.inDelta[other]; !dup {
+			other, dup = ch.matches.get(m)
 		}
-		if dup && o != t.Name {
-			return refuse(r.Key, fmt.Sprintf("match[%d]", k), "contract %q is for the same callers", o)
+		if dup && other != t.Name {
+			return refuse(r.Key, fmt.Sprintf("match[%d]", k), "contract %q is for the same callers", other)
 		}
 		ch.matches.set(m, t.Name)
 	}
@@ -77,19 +77,19 @@
 	return nil
 }
 
-// compile makes a contract's terms. What they have in common with others they share.
+// compile makes the terms of a contract. They share strings and sets of classes with those of other contracts.
 func (c *Catalog) compile(ch *Change, k resource.Key, text json.RawMessage, scope *config.Scope) (t contract.Terms, e *contractEntry, err error) {
 	var spec config.Contract
 	if err := decode(&resource.Resource{Key: k, Spec: text}, &spec); err != nil {
 		return t, nil, err
 	}
 	if spec.Name != k.Name {
-		return t, nil, refuse(k, "name", "%q is not the resource's", spec.Name)
+		return t, nil, refuse(k, "name", "%q is not the name of the resource", spec.Name)
 	}
 	if t, err = spec.Terms("", scope); err != nil {
 		return t, nil, refusalOf(k, err)
 	}
-	t.Name = k.Name // one string for all that name it
+	t.Name = k.Name // share one string among all that name the contract
 	for i := range t.Matches {
 		if t.Matches[i].Tenant == t.Name {
 			t.Matches[i].Tenant = t.Name
@@ -105,17 +105,17 @@
 	return t, &contractEntry{text, spec.Services, t.Matches, t.Retries}, nil
 }
 
-// share is the set of the same classes that is there already, or this one.
+// sharedSet returns the stored set of the same classes, or else stores this one.
 func (c *Catalog) sharedSet(ch *Change, set map[string]bool) map[string]bool {
 	if set == nil {
 		return nil
 	}
 	key := strings.Join(slices.Sorted(maps.Keys(set)), "\x00")
-	if had, known := c.classSets[key]; known {
-		return had
+	if stored, known := c.classSets[key]; known {
+		return stored
 	}
-	if had, known := ch.classSets[key]; known {
-		return had
+	if stored, known := ch.classSets[key]; known {
+		return stored
 	}
 	ch.classSets[key] = set
 	return set
@@ -131,7 +131,7 @@
 		return refusalOf(r.Key, err)
 	}
 	if name := ready.Name(); name != r.Name {
-		return refuse(r.Key, "host", "%q is not the resource's", name)
+		return refuse(r.Key, "host", "%q is not the name of the resource", name)
 	}
 	s := c.serviceAfter(ch, spec.Service)
 	if s == nil {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// classOf checks that an opaque route's class is one of the node's.
+// checkClass checks that an opaque route's class is one of the node's classes.
 func (c *Catalog) checkClass(name string, v routeTarget) error {
 	if _, known := c.options.Effects[v.class]; v.class != "" && c.options.Effects != nil && !known {
 		return refuse(resource.Key{Kind: resource.Route, Name: name}, "class", "%q is no class of the node's settings", v.class)
@@ -157,14 +157,14 @@
 
 func (c *Catalog) putTenant(ch *Change, r *resource.Resource) error {
 	if !c.options.Cells {
-		return refuse(r.Key, "", "is pinned to pods, and there are no cells here")
+		return refuse(r.Key, "", "is pinned to pods, but there are no cells here")
 	}
 	var spec config.Pinned
 	if err := decode(r, &spec); err != nil {
 		return err
 	}
 	if spec.Tenant != r.Name {
-		return refuse(r.Key, "tenant", "%q is not the resource's", spec.Tenant)
+		return refuse(r.Key, "tenant", "%q is not the name of the resource", spec.Tenant)
 	}
 	t, err := spec.Ready("")
 	if err != nil {
--- a/internal/resource/catalog/refuse.go
+++ b/internal/resource/catalog/refuse.go
@@ -14,36 +14,36 @@
 	"portstall/internal/resource"
 )
 
-// decode reads a spec strictly.
+// decode decodes a spec strictly: unknown fields and trailing data are refused.
 func decode(r *resource.Resource, into any) error {
 	d := json.NewDecoder(bytes.NewReader(r.Spec))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
 	if err == nil {
 		if len(bytes.TrimSpace(r.Spec[d.InputOffset():])) > 0 {
-			return refuse(r.Key, "", "has something behind its spec")
+			return refuse(r.Key, "", "has trailing data after its spec")
 		}
 		return nil
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-		if plain, e := strconv.Unquote(name); e == nil {
-			name = plain
+		if unquoted, e := strconv.Unquote(name); e == nil {
+			name = unquoted
 		}
-		return refuse(r.Key, name, "is no field of a %s", r.Kind)
+		return refuse(r.Key, name, "is not a field of a %s", r.Kind)
 	}
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return refuse(r.Key, wrong.Field, "is a %s, want %s", wrong.Value, wrong.Type)
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) {
+		return refuse(r.Key, mismatch.Field, "is a %s, want %s", mismatch.Value, mismatch.Type)
 	}
 	return refuse(r.Key, "", "%v", err)
 }
 
-// refuse makes a refusal.
+// refuse returns a *resource.Refusal as an error.
 func refuse(k resource.Key, field, why string, args ...any) error {
 	return &resource.Refusal{Key: k, Field: field, Why: fmt.Sprintf(why, args...)}
 }
 
-// refusal makes one of what is wrong by itself.
+// refusalOf returns the refusal of a resource that is invalid by itself, with the path of a *config.FieldError.
 func refusalOf(k resource.Key, err error) error {
 	var bad *config.FieldError
 	if errors.As(err, &bad) {
@@ -52,4 +52,5 @@
 	return refuse(k, "", "%v", err)
 }
 
+// sortedKeys returns the keys of a map in order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/resource/catalog/size_test.go
+++ b/internal/resource/catalog/size_test.go
@@ -10,7 +10,7 @@
 	"portstall/internal/resource"
 )
 
-// sized are the resources of a fleet with so many contracts: 3,800 routes and 250 services for 17,000, and as many for each fewer.
+// fleetResources returns the resources of a fleet: for 17,000 contracts 3,800 routes and 250 services, in proportion for other numbers.
 func fleetResources(contracts int) []resource.Resource {
 	var all []resource.Resource
 	services, routes := contracts*250/17000, contracts*3800/17000
@@ -29,12 +29,13 @@
 }
 
 func fleetContract(i, service int, rate float64) resource.Resource {
+// fleetContract returns the contract of tenant i for a service.
 	return newResource(fmt.Sprint("contract tenant-", i), fmt.Sprintf(`{"name":"tenant-%d","match":[{"tenant":"tenant-%d"}],"services":["service-%d"],"rate":%v,"burst":10,`+
 		`"in_flight":20,"attempts":{"ratio":0.2},"retries":["read-%d","list-%d"],"work":{"limit":3}}`, i, i, service, rate, service, service))
 }
 
-// BenchmarkDelta is a delta of one contract, decoded, checked and put in force, beside so many; and one of a service, with the 68
-// contracts that name it.
+// BenchmarkDelta measures decoding, checking and applying a delta of one contract, for two sizes of the fleet, and one of a service
+// together with the 68 contracts that name it.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		w := newTestState(b, Options{Effects: map[string]string{}})
@@ -42,7 +43,7 @@
 			b.Fatal(err)
 		}
 		services := n * 250 / 17000
-		lock := func(b *testing.B, before time.Duration) {
+		reportLockTime := func(b *testing.B, before time.Duration) {
 			b.ReportMetric(float64((w.lockTime-before).Nanoseconds())/float64(b.N), "ns-locked/op")
 		}
 		b.Run(fmt.Sprintf("contract/%d", n), func(b *testing.B) {
@@ -53,7 +54,7 @@
 					b.Fatal(err)
 				}
 			}
-			lock(b, before)
+			reportLockTime(b, before)
 		})
 		b.Run(fmt.Sprintf("service/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -65,13 +66,14 @@
 					b.Fatal(err)
 				}
 			}
-			lock(b, before)
+			reportLockTime(b, before)
 		})
 	}
 }
 
-// A delta of one contract costs what it changes, not what there is: as many allocations and bytes beside 6,800 contracts as beside 340,
-// from its check to its being in force, and in a node's set as well. (A walk over all that allocates nothing would not show: see BenchmarkDelta.)
+// The cost of a delta of one contract depends on what it changes, not on the number of contracts: from its check until it is in
+// force, and in a node's set, it takes as many allocations and bytes with 6,800 contracts as with 340. (A walk over all contracts
+// without allocations would not be noticed here; BenchmarkDelta would show it.)
 func TestDeltaCostIsIndependentOfCatalogSize(t *testing.T) {
 	const runs = 200
 	type cost struct{ allocations, bytes uint64 }
@@ -86,7 +88,7 @@
 			t.Fatal(err)
 		}
 		services := n * 250 / 17000
-		one := func(i int) {
+		applyOne := func(i int) {
 			put := []resource.Resource{fleetContract(7, 7%services, float64(5+i%7))}
 			if err := w.apply(t, &resource.Delta{Put: put}); err != nil {
 				t.Fatal(err)
@@ -95,23 +97,23 @@
 				t.Fatal(err)
 			}
 		}
-		one(0)
+		applyOne(0)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for i := range runs {
-			one(i + 1)
+			applyOne(i + 1)
 		}
 		runtime.ReadMemStats(&after)
 		costs[n] = cost{(after.Mallocs - before.Mallocs) / runs, (after.TotalAlloc - before.TotalAlloc) / runs}
 	}
 	few, many := costs[340], costs[6800]
-	t.Logf("a delta of one contract: %d allocations and %d bytes beside 340, %d and %d beside 6,800", few.allocations, few.bytes, many.allocations, many.bytes)
+	t.Logf("a delta of one contract: %d allocations and %d bytes with 340 contracts, %d and %d with 6,800", few.allocations, few.bytes, many.allocations, many.bytes)
 	if many.allocations > few.allocations*3/2 || many.bytes > few.bytes*3/2 {
-		t.Error("the cost goes with the size")
+		t.Error("the cost depends on the number of contracts")
 	}
 }
 
-// heap is what lives after a collection.
+// liveHeap returns the bytes of heap that are in use after a collection.
 func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -120,8 +122,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSnapshot is a node's start: an answer of JSON with the whole, read and put in force. Heap is what then lives of catalog,
-// tables and ledger, and with each contract used once.
+// BenchmarkSnapshot measures the start of a node: a snapshot in JSON is decoded and put in force. MB-heap is what is then in use by
+// the catalog, the tables and the ledger; MB-heap-used is that after each contract was used once.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		text, err := json.Marshal(&resource.Delta{Put: fleetResources(n)})
--- a/internal/resource/catalog/source.go
+++ b/internal/resource/catalog/source.go
@@ -10,10 +10,11 @@
 	"portstall/internal/resource"
 )
 
-// Parts reads a file of resources. Its keys are those of the product's file: services, contracts, tunnels.routes and cells.tenants
-// become resources; the product's other keys (parts, health, members, state, the rest of tunnels and cells) are a node's own, are
-// allowed so that one file can serve both, and are not carried. Each value is checked by itself, none against another: what a contract
-// names may stand in another file. Lines are where the resources begin. An error names file, line and field.
+// ParseFile reads a file of resources. Its keys are those of the product's file: services, contracts, tunnels.routes and
+// cells.tenants become resources. The product's other keys (parts, health, members, state, the rest of tunnels and cells) belong to
+// a node itself; they are allowed so that one file can serve both, and are ignored. Each value is checked by itself and not against
+// others: what a contract names may be in another file. The result has the line on which each resource begins. An error names file,
+// line and field.
 func Parts(name string, text []byte) ([]resource.Resource, map[resource.Key]int, error) {
 	f, line, err := config.ParsePart(name, text)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return all, lines, nil
 }
 
-// Resources are those of a product's file that was read and checked (config.Parse).
+// Resources returns the resources of a product's file that was read and checked (config.Parse).
 func Resources(f *config.File) ([]resource.Resource, error) {
 	var all []resource.Resource
 	err := forEach(f, func(_, _ string, key resource.Key, spec any, check error) (err error) {
@@ -59,6 +60,7 @@
 	return all, err
 }
 
+// appendResource appends a resource with the spec as JSON.
 func appendResource(all []resource.Resource, key resource.Key, spec any) ([]resource.Resource, error) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -67,7 +69,7 @@
 	return append(all, resource.Resource{Key: key, Spec: text}), nil
 }
 
-// each goes through what a file carries, with the path of each, the field that names it and what is wrong with it by itself.
+// forEach calls do for each resource of a file, with its path, the field that holds its name, and the error in it by itself.
 func forEach(f *config.File, do func(path, field string, key resource.Key, spec any, check error) error) error {
 	for i := range f.Services {
 		s, path := &f.Services[i], fmt.Sprintf("services[%d]", i)
@@ -103,13 +105,13 @@
 	return nil
 }
 
-// alone is what a contract is checked against by itself: all that it names is there.
+// standaloneScope is the scope in which a contract is checked by itself: everything that it names exists.
 var standaloneScope = config.Scope{
 	Classes: func(string) (map[string]bool, bool) { return nil, true },
 	Unsafe:  func(string) bool { return false },
 }
 
-// route is a route ready for use and checked by itself. An error is a *config.FieldError.
+// readyRoute returns a route ready for use, checked by itself. An error is a *config.FieldError.
 func readyRoute(r *config.Route, path string) (tunnel.Route, error) {
 	ready, err := r.Ready(path)
 	if err != nil {
