--- a/internal/control/follow/body.go
+++ b/internal/control/follow/body.go
@@ -8,61 +8,63 @@
 	"portstall/internal/resource"
 )
 
-// Bytes of a body's parts: a delta has some hundred bytes, the whole some hundred thousand.
+// Sizes in bytes of the chunks of a body: a delta has some hundred bytes, a snapshot some hundred thousand.
 const (
 	minChunk = 512
 	maxChunk = 64 << 10
 )
 
-var errTooLong = fmt.Errorf("the answer is over %d bytes", resource.MaxAnswer)
+var errTooLong = fmt.Errorf("the response is over %d bytes", resource.MaxAnswer)
 
-// received is a body that has arrived, as it came over the network. It is read once, and what has been read is let go. For one goroutine.
+// bufferedBody is a received body as it was sent over the network. It is read once, and chunks that were read are freed. It is not
+// safe for concurrent use.
 type bufferedBody struct {
-	ctx    context.Context // the caller's: its end ends the reading
+	ctx    context.Context // of the caller: reading fails once it is done
 	chunks [][]byte
 }
 
-// receive takes in a body to its end. It does nothing but wait and copy, so that the time it takes is the source's and the network's, and not
-// that of a decoder which is short of processor time. It holds resource.MaxAnswer bytes at most, and past them returns errTooLong; other
-// errors are the connection's.
+// readBody reads a body to its end. It only waits and copies, so that the time it takes is that of the source and the network, and
+// not that of decoding on a busy processor. It buffers at most resource.MaxResponse bytes and returns errTooLong beyond them;
+// other errors are those of the connection.
 func readBody(ctx context.Context, body io.Reader) (*bufferedBody, error) {
-	r, from := &bufferedBody{ctx: ctx}, &limitedReader{body, resource.MaxAnswer}
+	b, limited := &bufferedBody{ctx: ctx}, &limitedReader{body, resource.MaxAnswer}
 	for size := minChunk; ; size = min(2*size, maxChunk) {
-		part := make([]byte, 0, size)
-		for len(part) < size {
-			n, err := from.Read(part[len(part):size])
-			part = part[:len(part)+n]
+		chunk := make([]byte, 0, size)
+		for len(chunk) < size {
+			n, err := limited.Read(chunk[len(chunk):size])
+			chunk = chunk[:len(chunk)+n]
 			switch {
 			case err == io.EOF:
-				r.chunks = append(r.chunks, part)
-				return r, nil
+				b.chunks = append(b.chunks, chunk)
+				return b, nil
 			case err != nil:
 				return nil, err
 			}
 		}
-		r.chunks = append(r.chunks, part)
+		b.chunks = append(b.chunks, chunk)
 	}
 }
 
-func (r *bufferedBody) Read(p []byte) (n int, err error) {
-	if err := r.ctx.Err(); err != nil {
+// Read implements io.Reader.
+func (b *bufferedBody) Read(p []byte) (n int, err error) {
+	if err := b.ctx.Err(); err != nil {
 		return 0, err
 	}
-	for len(r.chunks) > 0 && len(r.chunks[0]) == 0 {
-		r.chunks[0], r.chunks = nil, r.chunks[1:]
+	for len(b.chunks) > 0 && len(b.chunks[0]) == 0 {
+		b.chunks[0], b.chunks = nil, b.chunks[1:]
 	}
-	if len(r.chunks) == 0 {
+	if len(b.chunks) == 0 {
 		return 0, io.EOF
 	}
-	n = copy(p, r.chunks[0])
-	r.chunks[0] = r.chunks[0][n:]
+	n = copy(p, b.chunks[0])
+	b.chunks[0] = b.chunks[0][n:]
 	return n, nil
 }
 
-// bounded reads no more than so many bytes, and then says that it is too long. io.LimitReader would say that it ends.
+// limitedReader fails with errTooLong beyond its limit, where an io.LimitedReader would end without an error.
 type limitedReader struct {
 	r         io.Reader
-	remaining int
+	remaining int // bytes that may still be read
 }
 
 func (b *limitedReader) Read(p []byte) (int, error) {
--- a/internal/control/follow/body_test.go
+++ b/internal/control/follow/body_test.go
@@ -16,7 +16,7 @@
 	"portstall/internal/resource"
 )
 
-// large is a delta's text of some 200 KB, more than buffers on its way hold.
+// largeDelta returns the JSON of a delta of some 200 KB, more than the buffers on its way hold.
 func largeDelta() string {
 	var b strings.Builder
 	b.WriteString(`{"from":"5.1","to":"5.2","sum":"00000000000000ab","put":[`)
@@ -30,40 +30,40 @@
 	return b.String()
 }
 
-// amid lets something happen once its first kilobyte was read, and reads on then. A change has less.
+// hookReader calls a function once after its first kilobyte was read. The JSON of a small change is shorter than that.
 type hookReader struct {
 	r         io.Reader
 	remaining int
 	hook      func()
 }
 
-func newHookReader(r io.Reader, does func()) *hookReader { return &hookReader{r, 1 << 10, does} }
+func newHookReader(r io.Reader, hook func()) *hookReader { return &hookReader{r, 1 << 10, hook} }
 
-func (a *hookReader) Read(p []byte) (int, error) {
-	if a.remaining == 0 {
-		return a.r.Read(p)
+func (h *hookReader) Read(p []byte) (int, error) {
+	if h.remaining == 0 {
+		return h.r.Read(p)
 	}
-	n, err := a.r.Read(p[:min(len(p), a.remaining)])
-	if a.remaining -= n; a.remaining == 0 {
-		a.hook()
+	n, err := h.r.Read(p[:min(len(p), h.remaining)])
+	if h.remaining -= n; h.remaining == 0 {
+		h.hook()
 	}
 	return n, err
 }
 
-// An answer that has arrived in time is taken, however long its decoding takes: that is this process's own time, and the source is not
-// asked again.
+// A response that was received in time is used however long decoding takes, as that is this process's own time, and the source is not
+// called again.
 func TestGetDecodesReceivedBodyWithoutDeadline(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ name, answer string }{
+	for _, c := range []struct{ name, response string }{
 		{"plain", okResponse(largeDelta())},
 		{"gzip", okResponse(gzipped(largeDelta()), "Content-Encoding: gzip")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var asked atomic.Int32
+			var calls atomic.Int32
 			addr := serveRaw(t, func(conn net.Conn, _ *http.Request) {
-				asked.Add(1)
-				io.WriteString(conn, c.answer)
+				calls.Add(1)
+				io.WriteString(conn, c.response)
 				untilClosed(conn)
 			})
 			clock := newTestClock()
@@ -77,14 +77,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(d.Put) != 3000 || asked.Load() != 1 || decodes != 1 || status.Read().Answers != 1 {
-				t.Errorf("%d resources of %d calls, decoded %d times; %+v", len(d.Put), asked.Load(), decodes, status.Read())
+			if len(d.Put) != 3000 || calls.Load() != 1 || decodes != 1 || status.Read().Answers != 1 {
+				t.Errorf("%d resources of %d calls, decoded %d times; %+v", len(d.Put), calls.Load(), decodes, status.Read())
 			}
 		})
 	}
 }
 
-// Who no longer wants the answer does not wait for its decoding.
+// A caller whose context has ended does not wait until the response is decoded.
 func TestGetStopsDecodingWhenContextIsCanceled(t *testing.T) {
 	t.Parallel()
 	addr := serveRaw(t, func(conn net.Conn, _ *http.Request) { io.WriteString(conn, okResponse(largeDelta())) })
@@ -93,11 +93,12 @@
 	defer cancel()
 	client.decode = func(r io.Reader) (*resource.Delta, error) { return decode(newHookReader(r, cancel)) }
 	if d, err := client.Get(ctx, addr, &query); d != nil || !errors.Is(err, context.Canceled) {
-		t.Errorf("it is decoded to its end: %v, %v", d != nil, err)
+		t.Errorf("the response was decoded to its end: %v, %v", d != nil, err)
 	}
 }
 
-// What is received is what came, at each size; what has been read is let go, and no more is held than came.
+// The body read is the body sent, at sizes around those of chunks and the limit. Chunks are freed once they were read, and the memory
+// is in proportion to the size.
 func TestReadBodyReturnsAllBytesAndFreesChunks(t *testing.T) {
 	t.Parallel()
 	broken := errors.New("broken")
@@ -107,30 +108,30 @@
 		if err != nil {
 			t.Fatalf("%d bytes: %v", size, err)
 		}
-		held := 0
-		for _, part := range body.chunks {
-			held += cap(part)
+		buffered := 0
+		for _, chunk := range body.chunks {
+			buffered += cap(chunk)
 		}
-		if held > 2*size+maxChunk {
-			t.Errorf("%d bytes are held for %d", held, size)
+		if buffered > 2*size+maxChunk {
+			t.Errorf("%d bytes are allocated for %d", buffered, size)
 		}
 		got, err := io.ReadAll(body)
 		if err != nil || !bytes.Equal(got, text) {
 			t.Errorf("%d bytes: read %d: %v", size, len(got), err)
 		}
 		if len(body.chunks) > 1 {
-			t.Errorf("%d bytes: %d parts are held once they were read", size, len(body.chunks))
+			t.Errorf("%d bytes: %d chunks are left after they were read", size, len(body.chunks))
 		}
 		if _, err := readBody(t.Context(), io.MultiReader(bytes.NewReader(text), iotest.ErrReader(broken))); !errors.Is(err, broken) {
 			t.Errorf("%d bytes, then an error: %v", size, err)
 		}
 	}
 	if _, err := readBody(t.Context(), &endlessReader{t, resource.MaxAnswer + 1}); !errors.Is(err, errTooLong) {
-		t.Errorf("what never ends: %v", err)
+		t.Errorf("endless body: %v", err)
 	}
 }
 
-// endless has no end, and fails the test where more is read of it than may be.
+// endlessReader never ends, and fails the test if more is read than a response may have.
 type endlessReader struct {
 	t         *testing.T
 	remaining int
@@ -138,7 +139,7 @@
 
 func (e *endlessReader) Read(p []byte) (int, error) {
 	if e.remaining -= len(p); e.remaining < 0 {
-		e.t.Fatal("more is read than an answer may have")
+		e.t.Fatal("more was read than a response may have")
 	}
 	return len(p), nil
 }
--- a/internal/control/follow/client.go
+++ b/internal/control/follow/client.go
@@ -20,67 +20,74 @@
 )
 
 const (
-	dialTimeout = time.Second     // an address where no connection comes up is as good as one that refuses
-	headTimeout = 2 * time.Second // for an answer's head, from its first byte on; its body has resource.BodyLimit behind that, to arrive
-	idleTimeout = time.Minute     // a connection on which nothing is asked is closed
+	// dialTimeout limits connecting: an address that does not respond within it counts as unreachable.
+	dialTimeout = time.Second
+	// headTimeout limits a response's head, from its first byte. After the head, resource.BodyTimeout limits receiving the body.
+	headTimeout = 2 * time.Second
+	// idleTimeout is the time after which an idle connection is closed.
+	idleTimeout = time.Minute
 
-	maxHead      = 16 << 10 // bytes of an answer's head
-	maxErrorText = 256      // bytes of an error's text that are read
+	maxHead      = 16 << 10 // bytes of a response's head
+	maxErrorText = 256      // bytes of an error response's body that are read
 )
 
-// Kind is how a call failed.
+// FailureKind tells how a call failed.
 type Kind string
 
+// The kinds of failures.
 const (
-	Unreachable Kind = "unreachable" // no connection, or it broke before an answer began
-	Silent      Kind = "silent"      // no answer within the call's limit
-	Broken      Kind = "broken"      // an answer ended early, or did not end within its time
-	TooLong     Kind = "too_long"    // its JSON is over the bound
-	Malformed   Kind = "malformed"   // it is not what an answer looks like
-	Behind      Kind = "behind"      // 409: the control process has not what the caller has
-	Full        Kind = "full"        // 503: it holds as many watches as it may, has nothing itself, or ends
+	Unreachable Kind = "unreachable" // no connection, or it broke before a response began
+	Silent      Kind = "silent"      // no response within the call's timeout
+	Broken      Kind = "broken"      // a response ended early, or did not end within its time
+	TooLong     Kind = "too_long"    // the response's JSON is too long
+	Malformed   Kind = "malformed"   // the response is malformed
+	Behind      Kind = "behind"      // status 409: the control process does not have the caller's version
+	Full        Kind = "full"        // status 503: the process has too many watches, no configuration of its own, or is shutting down
 	OtherStatus Kind = "status"      // another status than these
-	Unfit       Kind = "unfit"       // the answer can be read, and does not fit what is in force
+	Unfit       Kind = "unfit"       // a well-formed response that does not match the content in force
 	Refused     Kind = "refused"     // the change was checked and refused
 )
 
-// kinds are all of them, for counting.
+// kinds are all kinds of failures, in the order in which they are counted.
 var kinds = [...]Kind{Unreachable, Silent, Broken, TooLong, Malformed, Behind, Full, OtherStatus, Unfit, Refused}
 
-// CallError is a call that failed.
+// CallError is the error of a failed call.
 type CallError struct {
 	Kind   Kind
 	Source string // host:port
 	Err    error
 
-	RetryAfter time.Duration // of Full, as told; 0: it was not
+	RetryAfter time.Duration // of Full, as received; 0: not specified
 }
 
+// Error returns the source, the kind and the cause.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("control at %s: %s: %v", e.Source, e.Kind, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Query is what is asked of a control process.
+// Query holds the parameters of a call to a control process.
 type Query struct {
-	Process     string           // a mark of the caller, by which control tells processes of one name apart; empty: none
-	Since       resource.Version // zero: the whole is asked for
-	Sum         resource.Sum
-	Refused     resource.Version // zero: none
-	Why         string
-	Wait, Limit time.Duration // how long the answer may be held back, and by when it must have begun
+	Process     string           // a mark by which control tells processes of one name apart; empty: none
+	Since       resource.Version // the version held; zero: request a snapshot
+	Sum         resource.Sum     // of the content held at Since
+	Refused     resource.Version // the version last refused; zero: none
+	Why         string           // of the refusal
+	Wait, Limit time.Duration    // how long the response may be held back, and by when it must have begun
 }
 
-// url is the call that asks it.
+// url returns the URL of the call.
 func (q *Query) url(source, name, role string) string {
 	v := url.Values{"name": {name}, "role": {role}}
 	if q.Process != "" {
 		v.Set("process", q.Process)
 	}
 	if !q.Since.IsZero() {
-		sum, _ := q.Sum.MarshalText()
+		checksum, _ := q.Sum.MarshalText()
 		v.Set("since", q.Since.String())
-		v.Set("sum", string(sum))
+		v.Set("sum", string(checksum))
 	}
 	if q.Wait > 0 {
 		v.Set("timeout_ms", strconv.FormatInt(q.Wait.Milliseconds(), 10))
@@ -92,23 +99,23 @@
 	return (&url.URL{Scheme: "http", Host: source, Path: "/v1/resources", RawQuery: v.Encode()}).String()
 }
 
-// Client asks control processes. It holds two connections at most, and one that rests to each of them. One call at a time.
+// Client calls control processes, one call at a time. It has at most two connections: the one in use and an idle one.
 type Client struct {
 	name, role string
 	clock      Clock
 	status     *Status
 	http       *http.Client
-	decode     func(io.Reader) (*resource.Delta, error) // of an answer's JSON
+	decode     func(io.Reader) (*resource.Delta, error) // decodes a response's JSON
 }
 
-// NewClient makes one for a caller of a name, which control shows, and a role: node or control.
-func NewClient(name, role string, clock Clock, count *Status) *Client {
+// NewClient returns a client for a caller with a name, which control shows, and a role: node or control. It counts in status.
+func NewClient(name, role string, clock Clock, status *Status) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &Client{name: name, role: role, clock: clock, status: count, decode: decode, http: &http.Client{
+	return &Client{name: name, role: role, clock: clock, status: status, decode: decode, http: &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{
-			DisableCompression:     true, // it would not bound what comes out
-			MaxIdleConns:           1,    // and the one in use
+			DisableCompression:     true, // transparent decompression would not limit the result
+			MaxIdleConns:           1,    // besides the one in use
 			MaxIdleConnsPerHost:    1,
 			MaxConnsPerHost:        1,
 			IdleConnTimeout:        idleTimeout,
@@ -118,16 +125,16 @@
 				if err != nil {
 					return nil, err
 				}
-				return Counted(c, &count.bytesIn, &count.bytesOut), nil
+				return Counted(c, &status.bytesIn, &status.bytesOut), nil
 			},
 		}}}
 }
 
-// Close closes the connections that rest.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get makes one call to host:port. Its limits bound how long the source and the network may take: an answer that has arrived is decoded,
-// however long that takes here, unless ctx ends. An error is a *CallError; after one for Silent or Broken the connection is closed.
+// Get makes one call to host:port. The timeouts limit the source and the network: a response that has been received is decoded
+// however long that takes here, unless ctx ends. An error is a *CallError; after Silent or Broken the connection is closed.
 func (c *Client) Get(ctx context.Context, source string, q *Query) (*resource.Delta, error) {
 	c.status.calls.Add(1)
 	d, err := c.get(ctx, source, q)
@@ -138,9 +145,10 @@
 	return d, nil
 }
 
+// get does the work of Get and does not count.
 func (c *Client) get(ctx context.Context, source string, q *Query) (*resource.Delta, error) {
-	// The call's context ends with the caller's and with a failure, but not with an answer: the transport closes the connection where it
-	// sees a context's end before it has noted that the body is read.
+	// The call's context ends with the caller's and with a failure, but not with a complete response: the transport closes the
+	// connection if the context ends before it has noticed that the body was read.
 	parent := ctx
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	defer context.AfterFunc(parent, cancel)()
@@ -149,8 +157,8 @@
 	end.set(q.Limit, Silent)
 	fail := func(kind Kind, err error) *CallError {
 		cancel()
-		if late := end.expiredKind(); late != "" {
-			kind = late
+		if expired := end.expiredKind(); expired != "" {
+			kind = expired
 		}
 		return &CallError{Kind: kind, Source: source, Err: err}
 	}
@@ -165,9 +173,9 @@
 	if err != nil {
 		kind := Unreachable
 		if end.hasStarted() {
-			kind = Malformed // of an answer: its head is over the bound, or none
+			kind = Malformed // the response's head is too long or is not HTTP
 		}
-		return nil, fail(kind, errors.Unwrap(err)) // without the address, which is long
+		return nil, fail(kind, errors.Unwrap(err)) // without the URL, which is long
 	}
 	defer resp.Body.Close()
 	end.set(resource.BodyLimit(resp.ContentLength), Broken)
@@ -189,7 +197,7 @@
 	}
 	coding := resp.Header.Get("Content-Encoding")
 	if coding != "" && coding != "gzip" {
-		return nil, fail(Malformed, fmt.Errorf("Content-Encoding: %q was not asked for", coding))
+		return nil, fail(Malformed, fmt.Errorf("Content-Encoding: %q was not requested", coding))
 	}
 	body, err := readBody(parent, resp.Body)
 	switch {
@@ -198,7 +206,7 @@
 	case err != nil:
 		return nil, fail(Broken, err)
 	}
-	end.disarm() // it has arrived: what is left to do is ours, however long it takes
+	end.disarm() // received: the timeouts don't apply to decoding it
 	d, err := c.read(body, coding)
 	switch {
 	case errors.Is(err, errTooLong):
@@ -209,7 +217,7 @@
 	return d, nil
 }
 
-// read makes a delta of a body that has arrived.
+// read decodes a received body.
 func (c *Client) read(body io.Reader, coding string) (*resource.Delta, error) {
 	if coding != "gzip" {
 		return c.decode(body)
@@ -221,85 +229,89 @@
 	return c.decode(&limitedReader{z, resource.MaxAnswer})
 }
 
-// deadline gives a call up. It counts on a clock whose timers can't be stopped.
+// deadline cancels a call when its time is over. It works with a clock whose timers can't be stopped.
 type deadline struct {
 	clock  Clock
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
-	generation int
-	expired    Kind // what is passed; empty: nothing yet
-	started    bool // the answer has begun
+	generation int  // of the timer that is in effect
+	expired    Kind // of the deadline that passed; empty: none yet
+	started    bool // the response has begun
 }
 
-// begin is for the first byte of an answer.
+// responseStarted sets the deadline of the response's head at its first byte.
 func (d *deadline) responseStarted() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.started { // else there was an interim head before
+	if !d.started { // not after an interim response
 		d.started = true
 		d.setLocked(headTimeout, Broken)
 	}
 }
 
-// set puts a deadline in the place of the one before.
+// set replaces the deadline.
 func (d *deadline) set(in time.Duration, kind Kind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.setLocked(in, kind)
 }
 
+// setLocked is set with the lock held.
 func (d *deadline) setLocked(in time.Duration, kind Kind) {
 	if d.expired != "" {
 		return
 	}
 	d.generation++
-	turn := d.generation
+	generation := d.generation
 	d.clock.AfterFunc(in, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.generation == turn {
+		if d.generation == generation {
 			d.expired = kind
 			d.cancel()
 		}
 	})
 }
 
-// over lets the deadline pass without a word.
+// disarm removes the deadline.
 func (d *deadline) disarm() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
 }
 
-// passed is how the call failed by its deadline; empty: it did not.
+// expiredKind returns the kind of the deadline that passed; empty: none.
 func (d *deadline) expiredKind() Kind {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.expired
 }
 
-// begun tells whether a first byte of an answer came.
+// hasStarted reports whether a first byte of the response was received.
 func (d *deadline) hasStarted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.started
 }
 
-// Counted is a connection whose bytes are added to what is given for them.
+// NewCountingConn returns a connection that adds the bytes read and written to the given counters.
 func Counted(c net.Conn, in, out *atomic.Int64) net.Conn { return &countingConn{c, in, out} }
 
+// countingConn is a connection that counts its bytes.
 type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
 }
 
+// Read implements io.Reader.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in.Add(int64(n))
 	return n, err
 }
 
+// Write implements io.Writer.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out.Add(int64(n))
--- a/internal/control/follow/client_test.go
+++ b/internal/control/follow/client_test.go
@@ -26,7 +26,7 @@
 
 const testTimeout = 30 * time.Second
 
-// testClock runs only when it is told to. What is set on it is told on added.
+// testClock advances only by advance. The duration of each timer that is set is sent on added.
 type testClock struct {
 	mu     sync.Mutex
 	now    time.Duration
@@ -34,6 +34,7 @@
 	added  chan time.Duration
 }
 
+// testTimer is a timer of a testClock.
 type testTimer struct {
 	at time.Duration
 	f  func()
@@ -56,27 +57,27 @@
 	c.added <- d
 }
 
-// advance lets time pass, and fires what is due.
+// advance advances the time and fires the timers that are due.
 func (c *testClock) advance(d time.Duration) {
 	c.mu.Lock()
 	c.now += d
 	var due []func()
-	keep := c.timers[:0]
+	pending := c.timers[:0]
 	for _, t := range c.timers {
 		if t.at <= c.now {
 			due = append(due, t.f)
 		} else {
-			keep = append(keep, t)
+			pending = append(pending, t)
 		}
 	}
-	c.timers = keep
+	c.timers = pending
 	c.mu.Unlock()
 	for _, f := range due {
 		f()
 	}
 }
 
-// await returns once a timer for just so long is set.
+// awaitTimer returns once a timer of exactly this duration is set.
 func (c *testClock) awaitTimer(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := time.After(testTimeout); ; {
@@ -91,7 +92,8 @@
 	}
 }
 
-// raw answers each connection's first call with what write writes, and closes the connection once that returns.
+// serveRaw responds to the first request of each connection with what write writes, and closes the connection after that. It returns
+// the address.
 func serveRaw(t *testing.T, write func(c net.Conn, r *http.Request)) string {
 	t.Helper()
 	ln, err := standin.Listen()
@@ -124,7 +126,7 @@
 	return ln.Addr().String()
 }
 
-// untilClosed returns once the other side has closed the connection.
+// untilClosed returns once the peer has closed the connection.
 func untilClosed(c net.Conn) { io.Copy(io.Discard, c) }
 
 func gzipped(text string) string {
@@ -135,14 +137,16 @@
 	return b.String()
 }
 
-// ok is an answer with a body of its length.
+// okResponse returns a response with a body and its length.
 func okResponse(body string, headers ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), strings.Join(append(headers, ""), "\r\n"), body)
 }
 
+// deltaJSON is a delta with an unknown field.
 const deltaJSON = `{"from":"5.1","to":"5.2","sum":"00000000000000ab","later":{"x":[1]},"put":[{"kind":"contract","name":"a","spec":{"rate":1}}],` +
 	`"gone":[{"kind":"route","name":"h:1"}]}`
 
+// newClient returns a client and its status.
 func newClient(t *testing.T, clock Clock) (*Client, *Status) {
 	t.Helper()
 	s := &Status{}
@@ -153,21 +157,21 @@
 
 var query = Query{Since: resource.Version{Epoch: 5, Number: 1}, Sum: 0xff, Wait: 12 * time.Second, Limit: 14 * time.Second}
 
-// What is asked, and what is read of an answer, plain and compressed; bytes are counted as they are on the wire.
+// A call sends its query and decodes the response, plain or compressed. Bytes are counted as they are on the wire.
 func TestGetSendsQueryAndDecodesResponse(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ name, answer string }{
+	for _, c := range []struct{ name, response string }{
 		{"plain", okResponse(deltaJSON)},
 		{"gzip", okResponse(gzipped(deltaJSON), "Content-Encoding: gzip")},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(deltaJSON), deltaJSON)},
-		{"interim head", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse(deltaJSON)},
+		{"interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse(deltaJSON)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			asked := make(chan *http.Request, 1)
+			requests := make(chan *http.Request, 1)
 			addr := serveRaw(t, func(conn net.Conn, r *http.Request) {
-				asked <- r
-				io.WriteString(conn, c.answer)
+				requests <- r
+				io.WriteString(conn, c.response)
 			})
 			client, status := newClient(t, newTestClock())
 			q := query
@@ -180,108 +184,108 @@
 				Put:  []resource.Resource{{Key: resource.Key{Kind: resource.Contract, Name: "a"}, Spec: json.RawMessage(`{"rate":1}`)}},
 				Gone: []resource.Key{{Kind: resource.Route, Name: "h:1"}}}
 			if got, want := fmt.Sprintf("%+v", *d), fmt.Sprintf("%+v", want); got != want {
-				t.Errorf("read %s, want %s", got, want)
+				t.Errorf("decoded %s, want %s", got, want)
 			}
-			r := await(t, asked, "the call")
+			r := await(t, requests, "the call")
 			v := r.URL.Query()
 			for name, want := range map[string]string{"since": "5.1", "sum": "00000000000000ff", "timeout_ms": "12000", "name": "n0", "role": "node", "refused": "5.2"} {
 				if v.Get(name) != want {
-					t.Errorf("asked with %s=%q, want %q", name, v.Get(name), want)
+					t.Errorf("called with %s=%q, want %q", name, v.Get(name), want)
 				}
 			}
-			if why := v.Get("why"); len(why) > resource.MaxWhy || !strings.HasPrefix(why, `contract "a": rate: é`) || strings.ContainsRune(why, '\uFFFD') {
-				t.Errorf("asked with why=%q", why)
+			if reason := v.Get("why"); len(reason) > resource.MaxWhy || !strings.HasPrefix(reason, `contract "a": rate: é`) || strings.ContainsRune(reason, '\uFFFD') {
+				t.Errorf("called with why=%q", reason)
 			}
 			if r.Method != "GET" || r.URL.Path != "/v1/resources" || r.Header.Get("Accept-Encoding") != "gzip" {
-				t.Errorf("asked %s %s %v", r.Method, r.URL.Path, r.Header)
+				t.Errorf("called %s %s %v", r.Method, r.URL.Path, r.Header)
 			}
 			f := status.Read()
-			if f.Calls != 1 || f.Answers != 1 || f.BytesIn != int64(len(c.answer)) || f.BytesOut < 100 {
-				t.Errorf("counted %+v, the answer has %d bytes", f, len(c.answer))
+			if f.Calls != 1 || f.Answers != 1 || f.BytesIn != int64(len(c.response)) || f.BytesOut < 100 {
+				t.Errorf("counted %+v, the response has %d bytes", f, len(c.response))
 			}
 		})
 	}
 }
 
-// A first call names no version.
+// The first call names no version, which requests a snapshot.
 func TestFirstGetNamesNoVersion(t *testing.T) {
 	t.Parallel()
-	asked := make(chan string, 1)
+	queries := make(chan string, 1)
 	addr := serveRaw(t, func(conn net.Conn, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		io.WriteString(conn, okResponse(deltaJSON))
 	})
 	client, _ := newClient(t, newTestClock())
 	if _, err := client.Get(t.Context(), addr, &Query{Limit: time.Second}); err != nil {
 		t.Fatal(err)
 	}
-	if got := await(t, asked, "the call"); got != "name=n0&role=node" {
-		t.Errorf("asked %q", got)
+	if got := await(t, queries, "the call"); got != "name=n0&role=node" {
+		t.Errorf("called with %q", got)
 	}
 }
 
-// Whatever comes in an answer's place ends the call with its kind. Each of these is over at once: nothing waits for a deadline.
+// Each kind of invalid response ends the call with its kind of failure. All of these end at once, without waiting for a deadline.
 func TestGetReportsFailureKind(t *testing.T) {
 	t.Parallel()
 	long := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","put":[{"kind":"contract","name":"` + strings.Repeat("a", resource.MaxAnswer) + `"}]}`
 	many := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","gone":[` + strings.Repeat("{},", resource.MaxResources) + `{}]}`
 	for _, c := range []struct {
-		name, answer string
-		kind         Kind
-		says         string
+		name, response string
+		kind           Kind
+		text           string
 	}{
-		{"closed before a word", "", Unreachable, "EOF"},
+		{"closed without a response", "", Unreachable, "EOF"},
 		{"behind", "HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\n5.0\r\n", Behind, "409 Conflict: 5.0"},
 		{"full", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", Full, "503"},
-		{"bad call", "HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nname", OtherStatus, "400 Bad Request: name"},
-		{"sent elsewhere", "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", OtherStatus, "302"},
-		{"no HTTP", "hello\r\n\r\n", Malformed, "malformed"},
-		{"a head over the bound", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", 2*maxHead) + "\r\n\r\n", Malformed, "exceeded"},
-		{"cut off in the middle", okResponse(deltaJSON)[:len(okResponse(deltaJSON))-20], Broken, "unexpected EOF"},
+		{"bad request", "HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nname", OtherStatus, "400 Bad Request: name"},
+		{"redirected", "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", OtherStatus, "302"},
+		{"not HTTP", "hello\r\n\r\n", Malformed, "malformed"},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", 2*maxHead) + "\r\n\r\n", Malformed, "exceeded"},
+		{"cut off in the body", okResponse(deltaJSON)[:len(okResponse(deltaJSON))-20], Broken, "unexpected EOF"},
 		{"cut off in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n" + deltaJSON[:50], Broken, "unexpected EOF"},
-		{"cut off behind its JSON", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(deltaJSON)+1, deltaJSON), Broken, "unexpected EOF"},
+		{"cut off after the JSON", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(deltaJSON)+1, deltaJSON), Broken, "unexpected EOF"},
 		{"JSON that ends early", okResponse(deltaJSON[:len(deltaJSON)-30]), Malformed, "unexpected"},
 		{"JSON that ends between tokens", okResponse(`{"from":"5.1"`), Malformed, "unexpected EOF"},
-		{"no JSON", okResponse("<html>"), Malformed, "invalid character"},
-		{"nothing", okResponse(""), Malformed, "EOF"},
-		{"null", okResponse("null"), Malformed, `where "{" is due`},
-		{"a list", okResponse("[]"), Malformed, `where "{" is due`},
+		{"not JSON", okResponse("<html>"), Malformed, "invalid character"},
+		{"empty body", okResponse(""), Malformed, "EOF"},
+		{"null", okResponse("null"), Malformed, `, want "{"`},
+		{"a list", okResponse("[]"), Malformed, `, want "{"`},
 		{"no from", okResponse(`{"to":"5.2","sum":"0000000000000000"}`), Malformed, "from: missing"},
 		{"no to", okResponse(`{"from":"5.2","sum":"0000000000000000"}`), Malformed, "to: missing"},
 		{"no sum", okResponse(`{"from":"5.1","to":"5.2"}`), Malformed, "sum: missing"},
-		{"a field twice", okResponse(`{"from":"5.1","from":"0.0","to":"5.2","sum":"0000000000000000"}`), Malformed, "from: twice"},
-		{"a version that is none", okResponse(`{"from":"5","to":"5.2","sum":"0000000000000000"}`), Malformed, `from: "5" is no version`},
+		{"a field twice", okResponse(`{"from":"5.1","from":"0.0","to":"5.2","sum":"0000000000000000"}`), Malformed, "from: occurs twice"},
+		{"an invalid version", okResponse(`{"from":"5","to":"5.2","sum":"0000000000000000"}`), Malformed, `from: "5" is no version`},
 		{"a put of another type", okResponse(`{"from":"5.1","to":"5.2","sum":"0000000000000000","put":{}}`), Malformed, "put: "},
 		{"an element of another type", okResponse(`{"from":"5.1","to":"5.2","sum":"0000000000000000","put":[{"kind":1}]}`), Malformed, "put: [0]: "},
-		{"more behind it", okResponse(deltaJSON + "{}"), Malformed, "something follows"},
-		{"too many", okResponse(many), Malformed, "gone: over 100000 elements"},
+		{"trailing data", okResponse(deltaJSON + "{}"), Malformed, "trailing data after the response"},
+		{"too many resources", okResponse(many), Malformed, "gone: over 100000 elements"},
 		{"too long", okResponse(long), TooLong, "over 16777216 bytes"},
-		{"too long once it is out of gzip", okResponse(gzipped(long), "Content-Encoding: gzip"), TooLong, "over 16777216 bytes"},
-		{"no gzip", okResponse(deltaJSON, "Content-Encoding: gzip"), Malformed, "gzip"},
+		{"too long after decompression", okResponse(gzipped(long), "Content-Encoding: gzip"), TooLong, "over 16777216 bytes"},
+		{"not gzip", okResponse(deltaJSON, "Content-Encoding: gzip"), Malformed, "gzip"},
 		{"gzip that ends early", okResponse(gzipped(deltaJSON)[:60], "Content-Encoding: gzip"), Malformed, "unexpected EOF"},
-		{"gzip that ends early behind its JSON", okResponse(gzipped(deltaJSON)[:len(gzipped(deltaJSON))-4], "Content-Encoding: gzip"), Malformed, "EOF"},
-		{"gzip with a wrong sum", okResponse(gzipped(deltaJSON)[:len(gzipped(deltaJSON))-8]+"12345678", "Content-Encoding: gzip"), Malformed, "checksum"},
-		{"gzip and more", okResponse(gzipped(deltaJSON)+"x", "Content-Encoding: gzip"), Malformed, "EOF"},
-		{"another coding", okResponse(deltaJSON, "Content-Encoding: br"), Malformed, `"br" was not asked for`},
+		{"gzip that ends early after the JSON", okResponse(gzipped(deltaJSON)[:len(gzipped(deltaJSON))-4], "Content-Encoding: gzip"), Malformed, "EOF"},
+		{"gzip with a wrong checksum", okResponse(gzipped(deltaJSON)[:len(gzipped(deltaJSON))-8]+"12345678", "Content-Encoding: gzip"), Malformed, "checksum"},
+		{"gzip with trailing data", okResponse(gzipped(deltaJSON)+"x", "Content-Encoding: gzip"), Malformed, "EOF"},
+		{"another encoding", okResponse(deltaJSON, "Content-Encoding: br"), Malformed, `"br" was not requested`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			addr := serveRaw(t, func(conn net.Conn, _ *http.Request) { io.WriteString(conn, c.answer) })
+			addr := serveRaw(t, func(conn net.Conn, _ *http.Request) { io.WriteString(conn, c.response) })
 			client, status := newClient(t, newTestClock())
 			d, err := client.Get(t.Context(), addr, &query)
 			var call *CallError
 			if d != nil || !errors.As(err, &call) {
 				t.Fatalf("%v, %v", d, err)
 			}
-			if call.Kind != c.kind || !strings.Contains(err.Error(), c.says) || call.Source != addr || len(err.Error()) > 600 {
-				t.Errorf("%v: %v, want %s: %s", call.Kind, err, c.kind, c.says)
+			if call.Kind != c.kind || !strings.Contains(err.Error(), c.text) || call.Source != addr || len(err.Error()) > 600 {
+				t.Errorf("%v: %v, want %s: %s", call.Kind, err, c.kind, c.text)
 			}
 			if f := status.Read(); f.Calls != 1 || f.Answers != 0 {
 				t.Errorf("counted %+v", f)
 			}
 		})
 	}
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("no listener", func(t *testing.T) {
 		addr, err := standin.FreeAddr()
 		if err != nil {
 			t.Fatal(err)
@@ -295,30 +299,30 @@
 	})
 }
 
-// An answer that does not begin is given up at the call's limit, and one that does not end so long after its first byte; the
+// A response that does not begin is given up after the call's timeout, and one that does not end at a time after its first byte. The
 // connection is closed then.
 func TestGetTimesOut(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		begin string
-		limit time.Duration // the timer that ends it
-		kind  Kind
+		name    string
+		start   string
+		timeout time.Duration // the timer that ends it
+		kind    Kind
 	}{
 		{"silent", "", query.Limit, Silent},
 		{"a head that does not end", "HTTP/1.1 200 OK\r\nX: ", headTimeout, Broken},
-		{"an interim head and no more", "HTTP/1.1 103 Early Hints\r\n\r\n", headTimeout, Broken},
+		{"an interim response only", "HTTP/1.1 103 Early Hints\r\n\r\n", headTimeout, Broken},
 		{"a body that does not end", okResponse(deltaJSON)[:200], resource.BodyLimit(int64(len(deltaJSON))), Broken},
 		{"chunks that do not end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n", resource.BodyLimit(-1), Broken},
-		{"an error's text that does not end", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 100\r\n\r\nso", resource.BodyLimit(100), Broken},
+		{"an error's body that does not end", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 100\r\n\r\nso", resource.BodyLimit(100), Broken},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			asked, closed := make(chan struct{}), make(chan struct{})
+			called, closed := make(chan struct{}), make(chan struct{})
 			addr := serveRaw(t, func(conn net.Conn, _ *http.Request) {
 				defer close(closed)
-				close(asked)
-				io.WriteString(conn, c.begin)
+				close(called)
+				io.WriteString(conn, c.start)
 				untilClosed(conn)
 			})
 			clock := newTestClock()
@@ -328,12 +332,12 @@
 				_, err := client.Get(t.Context(), addr, &query)
 				got <- err
 			}()
-			await(t, asked, "the call")
-			clock.awaitTimer(t, c.limit)
-			clock.advance(c.limit - 1)
+			await(t, called, "the call")
+			clock.awaitTimer(t, c.timeout)
+			clock.advance(c.timeout - 1)
 			select {
 			case err := <-got:
-				t.Fatalf("given up early: %v", err)
+				t.Fatalf("gave up early: %v", err)
 			default:
 			}
 			clock.advance(1)
@@ -346,7 +350,7 @@
 	}
 }
 
-// Bytes that trickle do not put the end off: it is counted from the first one.
+// A body that arrives slowly does not extend the timeout, which counts from the head.
 func TestGetTimesOutOnSlowBody(t *testing.T) {
 	t.Parallel()
 	clock := newTestClock()
@@ -369,14 +373,14 @@
 	}
 }
 
-// Calls share a connection, and the end of the caller's context ends a call.
+// Calls share a connection. A call ends with the caller's context.
 func TestGetReusesConnectionAndStopsWithContext(t *testing.T) {
 	t.Parallel()
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var conns sync.Map
+	var connections sync.Map
 	held := make(chan struct{}, 1)
 	srv := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -387,7 +391,7 @@
 			}
 			io.WriteString(w, deltaJSON)
 		}),
-		ConnState: func(c net.Conn, s http.ConnState) { conns.Store(c.RemoteAddr().String(), true) },
+		ConnState: func(c net.Conn, s http.ConnState) { connections.Store(c.RemoteAddr().String(), true) },
 	}
 	go srv.Serve(ln)
 	defer srv.Close()
@@ -398,7 +402,7 @@
 		}
 	}
 	n := 0
-	conns.Range(func(any, any) bool { n++; return true })
+	connections.Range(func(any, any) bool { n++; return true })
 	if n != 1 {
 		t.Errorf("%d connections for 20 calls", n)
 	}
@@ -413,7 +417,7 @@
 	t.Logf("%d bytes in and %d out a call", status.Read().BytesIn/20, status.Read().BytesOut/21)
 }
 
-// BenchmarkGet is a call whose answer is there.
+// BenchmarkGet measures a call with an immediate response.
 func BenchmarkGet(b *testing.B) {
 	ln, err := standin.Listen()
 	if err != nil {
--- a/internal/control/follow/decode.go
+++ b/internal/control/follow/decode.go
@@ -9,8 +9,8 @@
 	"portstall/internal/resource"
 )
 
-// decode reads a delta resource by resource, so that a snapshot's text is never held whole. What is not known is passed over;
-// from, to and sum must be there, as a delta without them would read as a snapshot of nothing.
+// decode reads a delta resource by resource, so that the text of a snapshot is never in memory as a whole. Unknown fields are
+// ignored. The fields from, to and sum are required, as a delta without them would be a snapshot without resources.
 func decode(r io.Reader) (*resource.Delta, error) {
 	d := &resource.Delta{}
 	dec := json.NewDecoder(&whitespaceLimiter{r: r})
@@ -19,13 +19,13 @@
 	}
 	seen := map[string]bool{}
 	for dec.More() {
-		t, err := dec.Token()
+		token, err := dec.Token()
 		if err != nil {
 			return nil, unexpectedEOF(err)
 		}
-		field, _ := t.(string)
+		field, _ := token.(string)
 		if seen[field] {
-			return nil, fmt.Errorf("%s: twice", field)
+			return nil, fmt.Errorf("%s: occurs twice", field)
 		}
 		known := true
 		switch field {
@@ -70,14 +70,14 @@
 	}
 	switch _, err := dec.Token(); {
 	case err == nil:
-		return nil, errors.New("something follows behind the answer")
+		return nil, errors.New("trailing data after the response")
 	case err != io.EOF:
 		return nil, err
 	}
 	return d, nil
 }
 
-// list reads the elements of a list, as many as a set may have.
+// decodeList reads the elements of a list, at most as many as a set may have.
 func decodeList(dec *json.Decoder, element func() error) error {
 	if err := expectDelim(dec, '['); err != nil {
 		return err
@@ -93,18 +93,19 @@
 	return expectDelim(dec, ']')
 }
 
+// expectDelim reads a delimiter and fails if another token comes.
 func expectDelim(dec *json.Decoder, want json.Delim) error {
-	t, err := dec.Token()
+	token, err := dec.Token()
 	if err != nil {
 		return unexpectedEOF(err)
 	}
-	if t != want {
-		return fmt.Errorf("%v where %q is due", t, want)
+	if token != want {
+		return fmt.Errorf("unexpected %v, want %q", token, want)
 	}
 	return nil
 }
 
-// early makes the end of the text, where something is due, an error like others.
+// unexpectedEOF replaces the end of the text, where a token is missing, by io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/control/follow/run.go
+++ b/internal/control/follow/run.go
@@ -1,5 +1,6 @@
-// Package follow keeps a configuration up to date from control processes: the loop around resource.Follower, which decides, with
-// its calls, its clock and its dice. Nodes and the control processes that follow another one use it alike.
+// Package follow keeps a configuration up to date from control processes. It is the loop around resource.Follower, which decides
+// what to call, and provides its calls, its clock and its random numbers. It is used by nodes and by control processes that follow
+// another one.
 package follow
 
 import (
@@ -12,41 +13,44 @@
 	"portstall/internal/resource"
 )
 
-// Clock tells the time and wakes. Real ones tell Unix time that runs on evenly when the system's clock is set.
+// Clock is a source of time and timers. The real one reports Unix time that runs evenly when the system's clock is set.
 type Clock interface {
 	Now() time.Duration
 	AfterFunc(d time.Duration, f func())
 }
 
-// SystemClock tells Unix time that runs on evenly when the system's clock is set, from the moment in which it is made.
+// SystemClock returns a clock that reports Unix time. From its creation on it runs evenly when the system's clock is set.
 func SystemClock() Clock { return systemClock{time.Now()} }
 
+// systemClock reports the time since its start, added to the Unix time of the start.
 type systemClock struct{ start time.Time }
 
+// Now returns the Unix time.
 func (c systemClock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
+// AfterFunc calls f after a time.
 func (c systemClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// Options say whom to follow, and what becomes of a change.
+// Options configure which sources to follow and how to apply a change.
 type Options struct {
-	Name    string        // control shows it; it is not empty
-	Process string        // a mark by which control tells processes of one name apart; empty: it is the only one
+	Name    string        // shown by control; must not be empty
+	Process string        // a mark by which control tells processes of one name apart; empty: this is the only one
 	Role    string        // node or control
-	Sources []string      // host:port of control processes, the nearest first; one at least
-	Set     *resource.Set // what is in force, and belongs to Run until it returns: only Take changes it
-	// Take puts a delta in force and applies it to the set, or returns a *resource.Refusal and changes nothing. It is called by
-	// Run's own goroutine, one call at a time.
+	Sources []string      // host:port of control processes, the nearest first; at least one
+	Set     *resource.Set // the content in force; owned by Run until it returns, and changed by Apply alone
+	// Apply puts a delta in force and applies it to the set, or returns a *resource.Refusal and changes nothing. Run calls it on its
+	// own goroutine, one call at a time.
 	Take func(*resource.Delta) error
 
-	Log    *slog.Logger
-	Status *Status        // counts; nil: nobody reads it
+	Log    *slog.Logger   // nil: discard
+	Status *Status        // counters; nil: not needed
 	Clock  Clock          // nil: the system's
-	Draw   func() float64 // from 0 to below 1; nil: random
+	Draw   func() float64 // returns random numbers in [0, 1); nil: math/rand
 }
 
-// fill puts in what was not given.
+// setDefaults sets the fields that are nil.
 func (o *Options) setDefaults() {
 	if o.Status == nil {
 		o.Status = &Status{}
@@ -62,29 +66,29 @@
 	}
 }
 
-// sleep returns once the time is over, or ctx has ended.
+// sleep returns after a time or when ctx ends.
 func sleep(ctx context.Context, c Clock, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	over := make(chan struct{})
-	c.AfterFunc(d, func() { close(over) })
+	elapsed := make(chan struct{})
+	c.AfterFunc(d, func() { close(elapsed) })
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-ctx.Done():
 	}
 }
 
-// Run follows until ctx ends, and returns nil then.
+// Run follows the sources until ctx ends, and then returns nil.
 func Run(ctx context.Context, o Options) error {
 	if len(o.Sources) == 0 || o.Name == "" || o.Set == nil || o.Take == nil {
-		return errors.New("follow: a name, sources, a set and what takes a change are needed")
+		return errors.New("follow: a name, sources, a set and an Apply function are required")
 	}
 	o.setDefaults()
 	return o.run(ctx, NewClient(o.Name, o.Role, o.Clock, o.Status))
 }
 
-// run follows by a client, and closes it.
+// run follows the sources with a client, and closes the client.
 func (o *Options) run(ctx context.Context, client *Client) error {
 	defer client.Close()
 	f := resource.NewFollower(o.Set, len(o.Sources))
@@ -111,75 +115,75 @@
 	}
 }
 
-// run is one that follows.
+// runner is the state of a running follower.
 type runner struct {
 	Options
 	follower      *resource.Follower
-	failureLogged bool // that calls fail has been logged
+	failureLogged bool // a failure was logged, and no call has succeeded since
 }
 
-// failures tells the follower's kinds by ours.
+// failureKinds maps the kinds of failures of calls to those of resource.Follower.
 var failureKinds = map[Kind]resource.FailureKind{Unreachable: resource.Unreachable, Silent: resource.Silent, Broken: resource.Unreachable,
 	TooLong: resource.Invalid, Malformed: resource.Invalid, Behind: resource.Behind, Full: resource.Busy, OtherStatus: resource.Rejected}
 
-// failed takes in that a call brought nothing. Failures that follow each other are logged once.
+// handleFailure records a failed call. Of consecutive failures the first one is logged as a warning, the others for debugging.
 func (r *runner) handleFailure(err error) {
-	how := resource.Failure{Err: err}
+	failure := resource.Failure{Err: err}
 	var call *CallError
 	if errors.As(err, &call) {
-		how.Kind, how.RetryAfter = failureKinds[call.Kind], call.RetryAfter
+		failure.Kind, failure.RetryAfter = failureKinds[call.Kind], call.RetryAfter
 		r.Status.recordFailure(call.Kind, err.Error())
 	}
-	r.follower.Failed(r.Clock.Now(), how, r.Draw())
+	r.follower.Failed(r.Clock.Now(), failure, r.Draw())
 	level := slog.LevelDebug
 	if !r.failureLogged {
 		level = slog.LevelWarn
 	}
 	r.failureLogged = true
-	r.Log.Log(context.Background(), level, "asking control failed", "err", err)
+	r.Log.Log(context.Background(), level, "call to control failed", "err", err)
 }
 
-// told takes in an answer.
+// handleResponse processes a response and applies its change, if there is one.
 func (r *runner) handleResponse(source string, d *resource.Delta) {
 	now := r.Clock.Now()
 	before := r.Set.Version()
-	take, err := r.follower.Told(now, d)
-	if take {
+	apply, err := r.follower.Told(now, d)
+	if apply {
 		if err = r.Take(d); err == nil && r.Set.Version() != d.To {
-			err = errors.New("it was not put in force") // a fault of the caller: to go on would ask for it for ever
+			err = errors.New("the change was not applied") // an error of the caller; without it the change would be requested for ever
 		}
 		now = r.Clock.Now()
 		r.follower.Took(now, err)
 	}
 	kind := Unfit
-	if refusal := (*resource.Refusal)(nil); take || errors.As(err, &refusal) {
+	if refusal := (*resource.Refusal)(nil); apply || errors.As(err, &refusal) {
 		kind = Refused
 	}
 	st := r.follower.Status()
 	r.Status.update(func(s *Stands) {
 		s.Version, s.Refused, s.Why, s.LastError, s.Source, s.Heard = st.Version, st.Refused, st.Why, "", source, now
-		if take && err == nil {
+		if apply && err == nil {
 			s.Changed = now
 		}
 	})
 	switch {
 	case err != nil:
 		r.Status.recordFailure(kind, err.Error())
-		r.Log.Error("a change is not taken", "from", source, "version", d.To, "in force", before, "err", err)
+		r.Log.Error("configuration change not taken", "from", source, "version", d.To, "in_force", before, "err", err)
 		return
-	case !take:
+	case !apply:
 		r.Status.empty.Add(1)
 	case d.Whole():
 		r.Status.snapshots.Add(1)
 	default:
 		r.Status.deltas.Add(1)
 	}
-	if take {
+	if apply {
 		r.Status.resources.Add(int64(len(d.Put) + len(d.Gone)))
-		r.Log.Info("a change is in force", "from", source, "version", d.To, "before", before, "put", len(d.Put), "gone", len(d.Gone))
+		r.Log.Info("configuration change applied", "from", source, "version", d.To, "before", before, "put", len(d.Put), "gone", len(d.Gone))
 	}
 	if r.failureLogged {
 		r.failureLogged = false
-		r.Log.Info("control answers again", "from", source)
+		r.Log.Info("control responds again", "from", source)
 	}
 }
--- a/internal/control/follow/run_test.go
+++ b/internal/control/follow/run_test.go
@@ -13,35 +13,36 @@
 	"portstall/internal/resource"
 )
 
-// answerer is a control process that answers its calls one after the other with what the test puts in, each on a connection of its own.
-func stubControl(t *testing.T) (addr string, next chan<- string, asked <-chan string) {
-	answers, calls := make(chan string, 100), make(chan string, 100)
+// stubControl starts a control process that responds to its calls one after the other with what the test sends on responses. Each
+// call has a connection of its own. The queries of the calls arrive on calls.
+func stubControl(t *testing.T) (addr string, responses chan<- string, calls <-chan string) {
+	queued, queries := make(chan string, 100), make(chan string, 100)
 	done := make(chan struct{})
 	addr = serveRaw(t, func(c net.Conn, r *http.Request) {
 		select {
-		case calls <- r.URL.RawQuery:
+		case queries <- r.URL.RawQuery:
 		case <-done:
 			return
 		}
-		gone := make(chan struct{})
+		closed := make(chan struct{})
 		go func() {
-			defer close(gone)
+			defer close(closed)
 			untilClosed(c)
 		}()
 		select {
-		case a := <-answers:
-			io.WriteString(c, a)
-		case <-gone:
+		case response := <-queued:
+			io.WriteString(c, response)
+		case <-closed:
 			return
 		}
 		c.(*net.TCPConn).CloseWrite()
-		<-gone
+		<-closed
 	})
 	t.Cleanup(func() { close(done) })
-	return addr, answers, calls
+	return addr, queued, queries
 }
 
-// encoded is an answer of a delta.
+// deltaResponse returns the response with a delta.
 func deltaResponse(t *testing.T, d *resource.Delta) string {
 	t.Helper()
 	text, err := resource.Encode(d)
@@ -55,19 +56,19 @@
 	return resource.Resource{Key: resource.Key{Kind: resource.Contract, Name: name}, Spec: []byte(`{"name":"` + name + `"}`)}
 }
 
-// following is a follower whose sleeps pass as soon as they begin.
+// testFollower is a running follower whose delays pass at once.
 type testFollower struct {
 	set     *resource.Set
 	status  Status
-	applied chan *resource.Delta
+	applied chan *resource.Delta // every applied delta
 	stop    func()
 }
 
-// eager is a clock on which sleeps take no time, and deadlines never come.
+// instantClock is a clock on which delays take no time and timeouts never come.
 type instantClock struct{ *testClock }
 
 func (c instantClock) AfterFunc(d time.Duration, f func()) {
-	if d < 2*time.Second { // a rest; calls have longer
+	if d < 2*time.Second { // a delay; timeouts are longer
 		c.mu.Lock()
 		c.now += d
 		c.mu.Unlock()
@@ -75,12 +76,13 @@
 	}
 }
 
+// startFollower runs a follower of the given sources until the end of the test. It refuses resources named odd.
 func startFollower(t *testing.T, sources ...string) *testFollower {
 	f := &testFollower{set: resource.NewSet(false), applied: make(chan *resource.Delta, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
+	finished := make(chan error, 1)
 	go func() {
-		over <- Run(ctx, Options{Name: "n0", Role: "node", Sources: sources, Set: f.set, Status: &f.status, Clock: instantClock{newTestClock()},
+		finished <- Run(ctx, Options{Name: "n0", Role: "node", Sources: sources, Set: f.set, Status: &f.status, Clock: instantClock{newTestClock()},
 			Draw: func() float64 { return 0.5 }, Take: func(d *resource.Delta) error {
 				for _, r := range d.Put {
 					if r.Name == "odd" {
@@ -101,7 +103,7 @@
 		}
 		stopped = true
 		cancel()
-		if err := await(t, over, "the end"); err != nil {
+		if err := await(t, finished, "the end"); err != nil {
 			t.Error(err)
 		}
 	}
@@ -109,149 +111,151 @@
 	return f
 }
 
+// await returns the next value of a channel.
 func await[T any](t *testing.T, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("%s does not come", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("")
 	}
 }
 
-// From nothing to a snapshot, a delta, one that is lost, one that is doubled, one against another version, a refused one and a version past
-// it: what is in force is what was told, and each is counted as what it was.
+// The follower receives a snapshot, a delta, the same delta again, an incomplete one, one for another version, three that are refused,
+// and one past those. The content in force is that of the applied ones, and each response is counted as what it was.
 func TestRunAppliesChangesAndCountsFailures(t *testing.T) {
 	t.Parallel()
-	addr, next, asked := stubControl(t)
+	addr, responses, calls := stubControl(t)
 	f := startFollower(t, addr)
-	book := resource.NewSet(true)
+	control := resource.NewSet(true)
 	change := func(put ...resource.Resource) *resource.Delta {
-		v := book.Version()
-		d := book.Next(resource.Version{Epoch: 5, Number: v.Number + 1}, put, nil)
-		if err := book.Apply(d); err != nil {
+		v := control.Version()
+		d := control.Next(resource.Version{Epoch: 5, Number: v.Number + 1}, put, nil)
+		if err := control.Apply(d); err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
-	says := func(want string) {
+	requireCall := func(want string) {
 		t.Helper()
-		if got := await(t, asked, "a call"); !strings.Contains(got, want) {
-			t.Fatalf("asked %s, want %s", got, want)
+		if got := await(t, calls, "a call"); !strings.Contains(got, want) {
+			t.Fatalf("called with %s, want %s", got, want)
 		}
 	}
 	change(contractResource("a"))
-	says("name=n0&role=node")
-	next <- deltaResponse(t, book.Snapshot())
+	requireCall("name=n0&role=node")
+	responses <- deltaResponse(t, control.Snapshot())
 	await(t, f.applied, "the snapshot")
-	says("since=5.1")
+	requireCall("since=5.1")
 	d2 := change(contractResource("b"))
-	next <- deltaResponse(t, d2)
+	responses <- deltaResponse(t, d2)
 	await(t, f.applied, "a delta")
-	says("since=5.2")
-	next <- deltaResponse(t, d2) // doubled: passed over
-	says("since=5.2")
-	next <- okResponse(`{"from":"5.2","to":"5.3","sum":`, "Connection: close") // lost in the middle
-	says("since=5.2")
+	requireCall("since=5.2")
+	responses <- deltaResponse(t, d2) // repeated: ignored
+	requireCall("since=5.2")
+	responses <- okResponse(`{"from":"5.2","to":"5.3","sum":`, "Connection: close") // incomplete
+	requireCall("since=5.2")
 	change(contractResource("c"))
 	d4 := change(contractResource("d"))
-	next <- deltaResponse(t, d4) // against a version that is not ours: the whole is asked for
-	if got := await(t, asked, "a call"); strings.Contains(got, "since") {
-		t.Fatalf("asked %s", got)
+	responses <- deltaResponse(t, d4) // made for another version: a snapshot is requested
+	if got := await(t, calls, "a call"); strings.Contains(got, "since") {
+		t.Fatalf("called with %s", got)
 	}
-	next <- deltaResponse(t, book.Snapshot())
+	responses <- deltaResponse(t, control.Snapshot())
 	await(t, f.applied, "the snapshot")
-	says("since=5.4")
+	requireCall("since=5.4")
 	odd := change(contractResource("odd"))
-	next <- deltaResponse(t, odd)
-	got := await(t, asked, "a call")
+	responses <- deltaResponse(t, odd)
+	got := await(t, calls, "a call")
 	if !strings.Contains(got, "refused=5.5") || !strings.Contains(got, "since=5.4") || !strings.Contains(got, "why=contract+%22odd%22%3A+rate%3A+too+odd") {
-		t.Fatalf("asked %s", got)
+		t.Fatalf("called with %s", got)
 	}
-	// A kind that is not known is refused as well, before it is taken; then a version past both puts it right.
-	strange := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 5, Number: 6}, Sum: odd.Sum,
+	// A resource of an unknown kind is refused as well, before Apply is called. A later version past both is applied.
+	unknownKind := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 5, Number: 6}, Sum: odd.Sum,
 		Put: []resource.Resource{{Key: resource.Key{Kind: "widget", Name: "w"}, Spec: []byte(`{}`)}}}
-	next <- deltaResponse(t, strange)
-	says("refused=5.6")
-	jump := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 1 << 62, Number: 1}, Sum: odd.Sum} // it could never be left again
-	next <- deltaResponse(t, jump)
-	says(fmt.Sprint("refused=", jump.To))
-	d := book.Next(resource.Version{Epoch: 6, Number: 0}, nil, []resource.Key{{Kind: resource.Contract, Name: "odd"}})
-	next <- deltaResponse(t, &resource.Delta{From: odd.From, To: d.To, Sum: d.Sum, Gone: d.Gone})
-	await(t, f.applied, "the delta past what was refused")
-	if got := await(t, asked, "a call"); !strings.Contains(got, "since=6.0") || strings.Contains(got, "refused") {
-		t.Errorf("asked %s", got)
+	responses <- deltaResponse(t, unknownKind)
+	requireCall("refused=5.6")
+	farAhead := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 1 << 62, Number: 1}, Sum: odd.Sum} // no later version could ever replace it
+	responses <- deltaResponse(t, farAhead)
+	requireCall(fmt.Sprint("refused=", farAhead.To))
+	d := control.Next(resource.Version{Epoch: 6, Number: 0}, nil, []resource.Key{{Kind: resource.Contract, Name: "odd"}})
+	responses <- deltaResponse(t, &resource.Delta{From: odd.From, To: d.To, Sum: d.Sum, Gone: d.Gone})
+	await(t, f.applied, "the delta past the refused ones")
+	if got := await(t, calls, "a call"); !strings.Contains(got, "since=6.0") || strings.Contains(got, "refused") {
+		t.Errorf("called with %s", got)
 	}
 	f.stop()
 	s := f.status.Read()
 	if s.Snapshots != 2 || s.Deltas != 2 || s.Empty != 1 || s.Failures[Malformed] != 1 || s.Failures[Unfit] != 1 || s.Failures[Refused] != 3 ||
-		s.Version != d.To || s.Source != addr || !s.Refused.IsZero() || s.Calls != s.Answers+1+1 { // one was not JSON, and one is under way
+		s.Version != d.To || s.Source != addr || !s.Refused.IsZero() || s.Calls != s.Answers+1+1 { // one was not valid JSON, and one is in progress
 		t.Errorf("%+v", s)
 	}
 	if !f.set.Has(contractResource("d").Key) || f.set.Has(contractResource("odd").Key) {
-		t.Error("what is in force is not what was told")
+		t.Error("the content in force is not that of the applied deltas")
 	}
 }
 
-// Where a source has less than we have, holds too many watches, says no or is not there, the next one is asked.
+// If a source is behind, has too many watches, responds with an error or is not reachable, the next one is called.
 func TestRunSwitchesSourceAfterFailure(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name, answer string
-		kind         Kind
+		name, response string
+		kind           Kind
 	}{
 		{"behind", "HTTP/1.1 409 Conflict\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Behind},
 		{"full", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Full},
-		{"says no", "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", OtherStatus},
+		{"another status", "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", OtherStatus},
 		{"closed", "", Unreachable},
 		{"cut off", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{", Broken},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			first, next, _ := stubControl(t)
-			second, next2, asked2 := stubControl(t)
+			first, firstResponses, _ := stubControl(t)
+			second, secondResponses, secondCalls := stubControl(t)
 			f := startFollower(t, first, second)
-			next <- c.answer
-			await(t, asked2, "a call to the second")
-			book := resource.NewSet(true)
-			if err := book.Apply(book.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
+			firstResponses <- c.response
+			await(t, secondCalls, "a call to the second source")
+			control := resource.NewSet(true)
+			if err := control.Apply(control.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
 				t.Fatal(err)
 			}
-			next2 <- deltaResponse(t, book.Snapshot())
+			secondResponses <- deltaResponse(t, control.Snapshot())
 			await(t, f.applied, "the snapshot")
 			f.stop()
-			if s := f.status.Read(); s.Failures[c.kind] < 1 || s.Source != second || s.Version != book.Version() {
+			if s := f.status.Read(); s.Failures[c.kind] < 1 || s.Source != second || s.Version != control.Version() {
 				t.Errorf("%+v", s)
 			}
 		})
 	}
 }
 
-// A caller that says that it took a change and did not is a fault that is told, not a loop without a rest.
+// If Apply returns no error but has not applied the change, this is reported as a refusal, and the follower does not loop without a
+// delay.
 func TestRunReportsChangeThatWasNotApplied(t *testing.T) {
 	t.Parallel()
-	addr, next, asked := stubControl(t)
+	addr, responses, calls := stubControl(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan error, 1)
+	finished := make(chan error, 1)
 	go func() {
-		over <- Run(ctx, Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: resource.NewSet(false), Clock: instantClock{newTestClock()},
+		finished <- Run(ctx, Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: resource.NewSet(false), Clock: instantClock{newTestClock()},
 			Take: func(*resource.Delta) error { return nil }})
 	}()
-	book := resource.NewSet(true)
-	if err := book.Apply(book.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
+	control := resource.NewSet(true)
+	if err := control.Apply(control.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, asked, "a call")
-	next <- deltaResponse(t, book.Snapshot())
-	if got := await(t, asked, "a call"); !strings.Contains(got, "refused=5.0") {
-		t.Errorf("asked %s", got)
+	await(t, calls, "a call")
+	responses <- deltaResponse(t, control.Snapshot())
+	if got := await(t, calls, "a call"); !strings.Contains(got, "refused=5.0") {
+		t.Errorf("called with %s", got)
 	}
 	cancel()
-	if err := await(t, over, "the end"); err != nil {
+	if err := await(t, finished, "the end"); err != nil {
 		t.Error(err)
 	}
 	if err := Run(t.Context(), Options{Name: "n0"}); err == nil {
-		t.Error("it follows nobody")
+		t.Error("Run without sources does not fail")
 	}
 }
--- a/internal/control/follow/slow_nodes_test.go
+++ b/internal/control/follow/slow_nodes_test.go
@@ -17,14 +17,15 @@
 	"portstall/internal/resource"
 )
 
-// wire is a network in a bubble's virtual time, with one server at a time: connections have no buffer, as one that is full.
+// pipeNetwork is a network in the virtual time of a synctest bubble, with one server at a time. Its connections have no buffer, like
+// connections with a full one.
 type pipeNetwork struct {
 	mu  sync.Mutex
-	srv *http.Server // nil: nobody is there
+	srv *http.Server // nil: not listening
 	ln  *pipeListener
 }
 
-// up serves.
+// start serves new connections.
 func (w *pipeNetwork) start(h http.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -32,7 +33,7 @@
 	go w.srv.Serve(w.ln)
 }
 
-// down breaks all connections; new ones are refused.
+// stop closes all connections. New ones are refused.
 func (w *pipeNetwork) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,6 +43,7 @@
 	}
 }
 
+// dial connects to the server.
 func (w *pipeNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	w.mu.Lock()
 	srv, ln := w.srv, w.ln
@@ -49,10 +51,10 @@
 	if srv == nil {
 		return nil, errors.New("refused")
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case ln.conns <- far:
-		return near, nil
+	case ln.conns <- server:
+		return client, nil
 	case <-ln.closed:
 		return nil, errors.New("refused")
 	case <-ctx.Done():
@@ -60,7 +62,7 @@
 	}
 }
 
-// pipes is a listener.
+// pipeListener is a net.Listener for the server ends of pipes.
 type pipeListener struct {
 	conns  chan net.Conn
 	once   sync.Once
@@ -78,13 +80,14 @@
 func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// sized tells an answer's length, as control processes do.
+// withContentLength sends the length of a response, as control processes do.
 type withContentLength struct{ http.Handler }
 
 func (s withContentLength) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.Handler.ServeHTTP(contentLengthWriter{w}, r)
 }
 
+// contentLengthWriter sets the length of a body that is written in one call.
 type contentLengthWriter struct{ http.ResponseWriter }
 
 func (w contentLengthWriter) Write(text []byte) (int, error) {
@@ -92,8 +95,9 @@
 	return w.ResponseWriter.Write(text)
 }
 
-// Control is gone for 15 s with its history, so that all nodes need the whole when it is back, and each needs 3 to 12 s to decode it, longer than
-// an answer may take to arrive. It is sent once to each, and all have it, and the change made meanwhile, within 18 s.
+// Control is unavailable for 15 s and loses its history, so that all nodes need a snapshot afterwards. Each needs 3 to 12 s to decode
+// it, longer than a response may take to arrive. The snapshot is sent once to each node, and all have it and the change made meanwhile
+// within 18 s.
 func TestSlowNodesReceiveSnapshotOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 60
@@ -107,7 +111,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Stop() // it is reached by the bubble's network alone
+			c.Stop() // it is reached over the bubble's network only
 			controls[i] = c
 		}
 		before, after := controls[0], controls[1]
@@ -134,20 +138,20 @@
 			}
 			group.Go(func() { o.run(ctx, client) })
 		}
-		have := func(c *standin.Control) {
+		requireVersion := func(c *standin.Control) {
 			t.Helper()
 			synctest.Wait()
 			for i := range nodes {
 				if f := status[i].Read(); f.Version != c.Version() {
-					t.Fatalf("n%d has %v, control %v: %+v", i, f.Version, c.Version(), f)
+					t.Fatalf("n%d has %v, control has %v: %+v", i, f.Version, c.Version(), f)
 				}
 			}
-			if wholes, _ := c.Counts(); wholes != nodes {
-				t.Errorf("the whole was sent %d times to %d nodes", wholes, nodes)
+			if snapshots, _ := c.Counts(); snapshots != nodes {
+				t.Errorf("%d snapshots were sent to %d nodes", snapshots, nodes)
 			}
 		}
 		time.Sleep(18 * time.Second)
-		have(before)
+		requireVersion(before)
 		network.stop()
 		if _, err := before.Change([]resource.Resource{contractResource("missed")}); err != nil {
 			t.Fatal(err)
@@ -158,10 +162,10 @@
 		time.Sleep(15 * time.Second)
 		network.start(withContentLength{after})
 		time.Sleep(6 * time.Second)
-		if _, err := after.Change([]resource.Resource{contractResource("amid")}); err != nil {
+		if _, err := after.Change([]resource.Resource{contractResource("meanwhile")}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(12 * time.Second)
-		have(after)
+		requireVersion(after)
 	})
 }
--- a/internal/control/follow/whitespace.go
+++ b/internal/control/follow/whitespace.go
@@ -7,14 +7,15 @@
 	"portstall/internal/resource"
 )
 
-// errBlanks is an answer with more blanks in a row than any spec has bytes. The decoder looks at a run of them anew with each part
-// that comes, so that its time goes with their number squared: 16 MB of blanks, little once compressed, took half a minute.
-var errWhitespace = errors.New("more blanks in a row than a spec may have bytes")
+// errWhitespace is the error for a response with more consecutive whitespace than any spec has bytes. The JSON decoder scans such
+// a run again with each read, so its time grows with the square of the length: 16 MB of whitespace, which are little when
+// compressed, took half a minute.
+var errWhitespace = errors.New("more consecutive whitespace than a spec may have bytes")
 
-// blanks passes a text on, and ends it with errBlanks where too many blanks stand in a row.
+// whitespaceLimiter passes a text on, and ends it with errWhitespace at too long a run of whitespace.
 type whitespaceLimiter struct {
 	r   io.Reader
-	run int // bytes of blank behind each other up to here
+	run int // bytes of whitespace in a row so far
 }
 
 func (b *whitespaceLimiter) Read(p []byte) (int, error) {
