--- a/internal/control/follow/body.go
+++ b/internal/control/follow/body.go
@@ -67,6 +67,7 @@
 	remaining int // bytes that may still be read
 }
 
+// Read implements io.Reader.
 func (b *limitedReader) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p[:min(len(p), b.remaining+1)])
 	if b.remaining -= n; b.remaining < 0 {
--- a/internal/control/follow/client.go
+++ b/internal/control/follow/client.go
@@ -31,7 +31,7 @@
 	maxErrorText = 256      // bytes of an error response's body that are read
 )
 
-// FailureKind tells how a call failed.
+// FailureKind is the way in which a call failed.
 type Kind string
 
 // The kinds of failures.
--- a/internal/control/follow/run_test.go
+++ b/internal/control/follow/run_test.go
@@ -52,6 +52,7 @@
 	return okResponse(string(text), "Connection: close")
 }
 
+// contractResource returns a contract without limits.
 func contractResource(name string) resource.Resource {
 	return resource.Resource{Key: resource.Key{Kind: resource.Contract, Name: name}, Spec: []byte(`{"name":"` + name + `"}`)}
 }
--- a/internal/control/follow/whitespace.go
+++ b/internal/control/follow/whitespace.go
@@ -18,6 +18,7 @@
 	run int // bytes of whitespace in a row so far
 }
 
+// Read implements io.Reader.
 func (b *whitespaceLimiter) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
 	for i, c := range p[:n] {
--- a/internal/resource/catalog/catalog.go
+++ b/internal/resource/catalog/catalog.go
@@ -68,6 +68,7 @@
 	return matchIndex{make(map[string]string, size), map[contract.Match]string{}}
 }
 
+// get returns the contract of a match.
 func (i *matchIndex) get(m contract.Match) (name string, known bool) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
 		name, known = i.byTenant[m.Tenant]
@@ -77,6 +78,7 @@
 	return name, known
 }
 
+// set sets the contract of a match.
 func (i *matchIndex) set(m contract.Match, name string) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
 		i.byTenant[m.Tenant] = name
@@ -85,6 +87,7 @@
 	}
 }
 
+// remove removes a match.
 func (i *matchIndex) remove(m contract.Match) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
 		delete(i.byTenant, m.Tenant)
--- a/internal/resource/catalog/put.go
+++ b/internal/resource/catalog/put.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// putService adds a service to a change.
 func (c *Catalog) putService(ch *Change, r *resource.Resource) error {
 	var spec config.Service
 	if err := decode(r, &spec); err != nil {
@@ -51,6 +52,7 @@
 	return nil
 }
 
+// putContract adds a contract to a change.
 func (c *Catalog) putContract(ch *Change, r *resource.Resource, scope *config.Scope) error {
 	t, e, err := c.compile(ch, r.Key, r.Spec, scope)
 	if err != nil {
@@ -121,6 +123,7 @@
 	return set
 }
 
+// putRoute adds a route to a change.
 func (c *Catalog) putRoute(ch *Change, r *resource.Resource) error {
 	var spec config.Route
 	if err := decode(r, &spec); err != nil {
@@ -155,6 +158,7 @@
 	return nil
 }
 
+// putTenant adds a pinned tenant to a change.
 func (c *Catalog) putTenant(ch *Change, r *resource.Resource) error {
 	if !c.options.Cells {
 		return refuse(r.Key, "", "is pinned to pods, but there are no cells here")
--- a/internal/resource/catalog/refuse.go
+++ b/internal/resource/catalog/refuse.go
@@ -39,8 +39,8 @@
 }
 
 // refuse returns a *resource.Refusal as an error.
-func refuse(k resource.Key, field, why string, args ...any) error {
-	return &resource.Refusal{Key: k, Field: field, Why: fmt.Sprintf(why, args...)}
+func refuse(k resource.Key, field, reason string, args ...any) error {
+	return &resource.Refusal{Key: k, Field: field, Why: fmt.Sprintf(reason, args...)}
 }
 
 // refusalOf returns the refusal of a resource that is invalid by itself, with the path of a *config.FieldError.
--- a/internal/resource/catalog/size_test.go
+++ b/internal/resource/catalog/size_test.go
@@ -28,8 +28,8 @@
 	return all
 }
 
+// fleetContract returns the contract of tenant i for a service.
 func fleetContract(i, service int, rate float64) resource.Resource {
-	// fleetContract returns the contract of tenant i for a service.
 	return newResource(fmt.Sprint("contract tenant-", i), fmt.Sprintf(`{"name":"tenant-%d","match":[{"tenant":"tenant-%d"}],"services":["service-%d"],"rate":%v,"burst":10,`+
 		`"in_flight":20,"attempts":{"ratio":0.2},"retries":["read-%d","list-%d"],"work":{"limit":3}}`, i, i, service, rate, service, service))
 }
--- a/internal/resource/catalog/source.go
+++ b/internal/resource/catalog/source.go
@@ -117,8 +117,8 @@
 	if err != nil {
 		return ready, err
 	}
-	if field, why := ready.Check(); field != "" {
-		return ready, &config.FieldError{Path: path + field, Why: why}
+	if field, reason := ready.Check(); field != "" {
+		return ready, &config.FieldError{Path: path + field, Why: reason}
 	}
 	return ready, nil
 }
--- a/internal/resource/follower.go
+++ b/internal/resource/follower.go
@@ -12,7 +12,7 @@
 // change has to be in force.
 type Pace struct {
 	WaitLeast, WaitMost time.Duration // range of a watch's waiting time, selected at random for each watch
-	Grace               time.Duration // added to the waiting time to give a call's timeout; the whole timeout of a call without waiting
+	Grace               time.Duration // added to the waiting time to give a call's timeout; alone the timeout of a call without waiting
 	LookLeast, LookMost time.Duration // range of the interval between checks of another source
 }
 
@@ -38,7 +38,7 @@
 	// MaxRetry bounds the delay taken from a Retry-After header.
 	MaxRetry = 30 * time.Second
 	// checksumRefusalLifetime is how long a snapshot with a wrong checksum is refused, selected between half of it and the
-	// whole.
+	// whole. It also bounds the delay before a snapshot is requested.
 	checksumRefusalLifetime = time.Minute
 	// minBodyTimeout is the time for a response body, to which the time for its length is added.
 	minBodyTimeout = 2 * time.Second
@@ -50,8 +50,6 @@
 
 // BodyTimeout returns how long a response body of a length in bytes may take after the response's head. A negative length
 // means that the length is not specified.
-
-// BodyLimit is how long an answer's body may take after its head, by its length in bytes; below 0: not told.
 func BodyLimit(length int64) time.Duration {
 	if length < 0 {
 		return maxBodyTimeout
@@ -71,7 +69,7 @@
 	Limit   time.Duration // from the call to the head of its response; BodyTimeout counts from there
 }
 
-// FailureKind tells how a call failed.
+// FailureKind is the way in which a call failed.
 type FailureKind int
 
 // The kinds of failures.
@@ -169,7 +167,7 @@
 	return d
 }
 
-// Next returns the next call to make. It takes a random number in [0, 1).
+// Next returns the next call to make; random is in [0, 1).
 func (f *Follower) Next(now time.Duration, random float64) Call {
 	f.random = random
 	if !f.refused.IsZero() && (f.refusalExpiry > 0 && now >= f.refusalExpiry || f.refusedForEpoch && !f.refused.TooFarAhead(now)) {
@@ -221,16 +219,16 @@
 // backoff returns the first delay doubled n times, at most maxBackoff.
 func backoff(first time.Duration, n int) time.Duration { return min(first<<min(n, 10), maxBackoff) }
 
-// Failed records that the call brought no usable response. It takes a random number in [0, 1).
-func (f *Follower) Failed(now time.Duration, how Failure, random float64) {
+// Failed records that the call brought no usable response; random is in [0, 1).
+func (f *Follower) Failed(now time.Duration, failure Failure, random float64) {
 	f.random = random
-	if how.Kind == Busy && how.RetryAfter > 0 {
-		after := min(how.RetryAfter, MaxRetry)
+	if failure.Kind == Busy && failure.RetryAfter > 0 {
+		after := min(failure.RetryAfter, MaxRetry)
 		f.busyUntil[f.called] = now + f.randomBetween(after, after+after/2)
 	}
-	f.status.LastErr = how.Kind.String()
-	if how.Err != nil {
-		f.status.LastErr += ": " + truncate(how.Err.Error(), MaxWhy)
+	f.status.LastErr = failure.Kind.String()
+	if failure.Err != nil {
+		f.status.LastErr += ": " + truncate(failure.Err.Error(), MaxWhy)
 	}
 	f.recordFailure(now)
 }
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -28,6 +28,7 @@
 // kinds are the known kinds. A set has one map for each.
 var kinds = [...]Kind{Contract, Route, Service, Tenant}
 
+// kindIndex returns the index of a kind in kinds, or -1.
 func kindIndex(k Kind) int { return slices.Index(kinds[:], k) }
 
 // envelopeSize bounds the JSON of a delta without its resources, in bytes.
@@ -55,7 +56,6 @@
 }
 
 // clear removes all resources and leaves the version.
-
 func (s *Set) clear() {
 	s.checksum, s.count, s.size = 0, 0, envelopeSize
 	for i := range kinds {
@@ -78,6 +78,7 @@
 // Has reports whether the set holds a resource of this key.
 func (s *Set) Has(k Key) bool { _, ok := s.hash(k); return ok }
 
+// hash returns the hash of a held resource.
 func (s *Set) hash(k Key) (uint64, bool) {
 	i := kindIndex(k.Kind)
 	if i < 0 {
@@ -117,45 +118,45 @@
 
 // checkKey checks a key by itself.
 func checkKey(k Key) *Refusal {
-	why := ""
+	reason := ""
 	switch {
 	case kindIndex(k.Kind) < 0:
 		k.Kind, k.Name = Kind(truncate(string(k.Kind), 40)), truncate(k.Name, 40)
 		return &Refusal{Key: k, Field: "kind", Why: "not known: want contract, route, service or tenant"}
 	case k.Name == "":
-		why = "empty"
+		reason = "empty"
 	case len(k.Name) > MaxName:
-		why = fmt.Sprintf("%d bytes: at most %d", len(k.Name), MaxName)
+		reason = fmt.Sprintf("%d bytes: at most %d", len(k.Name), MaxName)
 		k.Name = truncate(k.Name, 40)
 	case !utf8.ValidString(k.Name):
-		why = "not UTF-8"
+		reason = "not UTF-8"
 	case strings.ContainsFunc(k.Name, unicode.IsControl):
-		why = "has a control character"
+		reason = "has a control character"
 	default:
 		return nil
 	}
-	return &Refusal{Key: k, Field: "name", Why: why}
+	return &Refusal{Key: k, Field: "name", Why: reason}
 }
 
 // checkSpec checks that a spec is valid, compact JSON. Its meaning is checked by the catalog. The buffer is scratch space.
 func checkSpec(r *Resource, buf *bytes.Buffer) *Refusal {
-	why := ""
+	reason := ""
 	buf.Reset()
 	switch {
 	case len(r.Spec) > MaxSpec:
-		why = fmt.Sprintf("%d bytes: at most %d", len(r.Spec), MaxSpec)
+		reason = fmt.Sprintf("%d bytes: at most %d", len(r.Spec), MaxSpec)
 	case len(r.Spec) == 0 || r.Spec[0] != '{':
-		why = "not a JSON object"
+		reason = "not a JSON object"
 	case json.Compact(buf, r.Spec) != nil:
-		why = "not valid JSON"
+		reason = "not valid JSON"
 	case !bytes.Equal(buf.Bytes(), r.Spec):
-		why = "not compact JSON"
+		reason = "not compact JSON"
 	case !utf8.Valid(r.Spec):
-		why = "not UTF-8"
+		reason = "not UTF-8"
 	default:
 		return nil
 	}
-	return &Refusal{Key: r.Key, Field: "spec", Why: why}
+	return &Refusal{Key: r.Key, Field: "spec", Why: reason}
 }
 
 // truncate shortens s to at most n bytes, between characters.
@@ -207,8 +208,8 @@
 	var buf bytes.Buffer
 	for i := range d.Put {
 		r := &d.Put[i]
-		if why := cmp.Or(checkKey(r.Key), checkSpec(r, &buf)); why != nil {
-			return nil, why
+		if refusal := cmp.Or(checkKey(r.Key), checkSpec(r, &buf)); refusal != nil {
+			return nil, refusal
 		}
 		seen[r.Key] = struct{}{}
 		if len(seen) != i+1 {
@@ -225,8 +226,8 @@
 		after += r.size()
 	}
 	for i, k := range d.Gone {
-		if why := checkKey(k); why != nil {
-			return nil, why
+		if refusal := checkKey(k); refusal != nil {
+			return nil, refusal
 		}
 		seen[k] = struct{}{}
 		if len(seen) != len(d.Put)+i+1 {
@@ -388,6 +389,7 @@
 	return cmp.Or(cmp.Compare(k.Kind, o.Kind), cmp.Compare(k.Name, o.Name))
 }
 
+// sortDelta sorts resources and keys by kind and name.
 func sortDelta(put []Resource, removed []Key) {
 	slices.SortStableFunc(put, func(a, b Resource) int { return a.Key.compare(b.Key) })
 	slices.SortFunc(removed, Key.compare)
