--- a/internal/resource/follower.go
+++ b/internal/resource/follower.go
@@ -17,9 +17,9 @@
 }
 
 var (
-	// NodePace is the default schedule, for nodes: 450 nodes make about 130 calls a second in all.
+	// NodeSchedule is the default schedule, for nodes: 450 nodes make about 130 calls a second in all.
 	NodePace = Pace{6 * time.Second, 10 * time.Second, 2 * time.Second, 4 * time.Second, 7 * time.Second}
-	// ControlPace is the schedule of control processes that follow another one. There are few of them.
+	// ControlSchedule is the schedule of control processes that follow another one. There are few of them.
 	ControlPace = Pace{2 * time.Second, 4 * time.Second, time.Second, time.Second, 2 * time.Second}
 )
 
@@ -35,7 +35,7 @@
 	// delayAfterChange is the delay after a change, so that a fleet doesn't call at the same instant and many changes arrive
 	// as one.
 	delayAfterChange = 100 * time.Millisecond
-	// MaxRetry bounds the delay taken from a Retry-After header.
+	// MaxRetryAfter bounds the delay taken from a Retry-After header.
 	MaxRetry = 30 * time.Second
 	// checksumRefusalLifetime is how long a snapshot with a wrong checksum is refused, selected between half of it and the
 	// whole. It also bounds the delay before a snapshot is requested.
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -21,7 +21,7 @@
 	ErrStale = errors.New("not later than the held version")
 	// ErrBase is the error for a delta that leads on from another version.
 	ErrBase = errors.New("made for another version")
-	// ErrSum is the error for a delta whose checksum is not that of the resulting content.
+	// ErrChecksum is the error for a delta whose checksum is not that of the resulting content.
 	ErrSum = errors.New("the sum does not fit: computed over different content")
 )
 
