--- a/internal/control/follow/decode.go
+++ b/internal/control/follow/decode.go
@@ -9,23 +9,23 @@
 	"portstall/internal/resource"
 )
 
-// decode reads a delta resource by resource, so that a snapshot's text is never held whole. What is not known is passed over;
-// from, to and sum must be there, as a delta without them would read as a snapshot of nothing.
+// decode reads a delta resource by resource, so that the text of a snapshot is never in memory as a whole. Unknown fields are
+// ignored. The fields from, to and sum are required, as a delta without them would be a snapshot without resources.
 func decode(r io.Reader) (*resource.Delta, error) {
 	d := &resource.Delta{}
-	dec := json.NewDecoder(&blanks{r: r})
-	if err := delim(dec, '{'); err != nil {
+	dec := json.NewDecoder(&whitespaceLimiter{r: r})
+	if err := expectDelim(dec, '{'); err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
 	for dec.More() {
-		t, err := dec.Token()
+		token, err := dec.Token()
 		if err != nil {
-			return nil, early(err)
+			return nil, unexpectedEOF(err)
 		}
-		field, _ := t.(string)
+		field, _ := token.(string)
 		if seen[field] {
-			return nil, fmt.Errorf("%s: twice", field)
+			return nil, fmt.Errorf("%s: occurs twice", field)
 		}
 		known := true
 		switch field {
@@ -36,14 +36,14 @@
 		case "sum":
 			err = dec.Decode(&d.Sum)
 		case "put":
-			err = list(dec, func() error {
+			err = decodeList(dec, func() error {
 				var r resource.Resource
 				err := dec.Decode(&r)
 				d.Put = append(d.Put, r)
 				return err
 			})
 		case "gone":
-			err = list(dec, func() error {
+			err = decodeList(dec, func() error {
 				var k resource.Key
 				err := dec.Decode(&k)
 				d.Gone = append(d.Gone, k)
@@ -54,13 +54,13 @@
 			err, known = dec.Decode(&skip), false
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", field, early(err))
+			return nil, fmt.Errorf("%s: %w", field, unexpectedEOF(err))
 		}
 		if known {
 			seen[field] = true
 		}
 	}
-	if err := delim(dec, '}'); err != nil {
+	if err := expectDelim(dec, '}'); err != nil {
 		return nil, err
 	}
 	for _, field := range []string{"from", "to", "sum"} {
@@ -70,16 +70,16 @@
 	}
 	switch _, err := dec.Token(); {
 	case err == nil:
-		return nil, errors.New("something follows behind the answer")
+		return nil, errors.New("trailing data after the response")
 	case err != io.EOF:
 		return nil, err
 	}
 	return d, nil
 }
 
-// list reads the elements of a list, as many as a set may have.
-func list(dec *json.Decoder, element func() error) error {
-	if err := delim(dec, '['); err != nil {
+// decodeList reads the elements of a list, at most as many as a set may have.
+func decodeList(dec *json.Decoder, element func() error) error {
+	if err := expectDelim(dec, '['); err != nil {
 		return err
 	}
 	for n := 0; dec.More(); n++ {
@@ -90,22 +90,23 @@
 			return fmt.Errorf("[%d]: %w", n, err)
 		}
 	}
-	return delim(dec, ']')
+	return expectDelim(dec, ']')
 }
 
-func delim(dec *json.Decoder, want json.Delim) error {
-	t, err := dec.Token()
+// expectDelim reads a delimiter and fails if another token comes.
+func expectDelim(dec *json.Decoder, want json.Delim) error {
+	token, err := dec.Token()
 	if err != nil {
-		return early(err)
+		return unexpectedEOF(err)
 	}
-	if t != want {
-		return fmt.Errorf("%v where %q is due", t, want)
+	if token != want {
+		return fmt.Errorf("unexpected %v, want %q", token, want)
 	}
 	return nil
 }
 
-// early makes the end of the text, where something is due, an error like others.
-func early(err error) error {
+// unexpectedEOF replaces the end of the text, where a token is missing, by io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/resource/catalog/catalog.go
+++ b/internal/resource/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog is what resources mean: it decodes them, checks a delta whole against what is in force, and tells what the delta
-// changes in the contracts, the routes and the tenants that are pinned. It costs by what a delta touches: its own resources, and the
-// contracts that name a service which it changes. It is pure: no I/O, no clock. What a resource states is compiled by the code that
-// the product's file goes through (package config).
+// Package catalog implements the meaning of resources: it decodes them, checks a complete delta against what is in force, and
+// returns what the delta changes in the contracts, the routes and the pinned tenants. The cost of a delta depends on what it
+// touches: its own resources, and the contracts that name a service it changes. The package is pure: no I/O, no clock. Specs are
+// compiled by the same code as the product's file (package config).
 package catalog
 
 import (
@@ -15,138 +15,145 @@
 	"portstall/internal/resource"
 )
 
-// Options are what a node has of its own, which resources must fit.
+// Options are the node's own settings, which resources must fit.
 type Options struct {
-	Effects map[string]string // of the classes of the node's settings, by name: safe, keyed or unsafe; nil: they are not known, and not asked for
-	Cells   bool              // there are cells, to which tenants can be pinned
-	Even    bool              // nodes hand out even parts of contracts
+	// Effects has the effects of the classes in the node's settings, by name: safe, keyed or unsafe. If it is nil, they are
+	// unknown and not checked.
+	Effects map[string]string
+	Cells   bool // there are cells, to which tenants can be pinned
+	Even    bool // each node gets an even share of contracts
 }
 
-// Catalog is what is in force, decoded. It has one owner, and is not safe for concurrent use; but Prepare, which changes nothing, may
-// run beside whoever uses what is in force.
+// Catalog holds the decoded resources that are in force. It has one owner and is not safe for concurrent use, except that
+// Prepare, which changes nothing, may run concurrently with readers.
 type Catalog struct {
-	o         Options
-	services  map[string]*service
-	contracts map[string]*entry
-	routes    map[string]via             // by host:port
-	tenants   map[string]struct{}        // those that are pinned
-	owners    owners                     // contracts by the callers that they are for
-	fallback  string                     // the contract for everybody else; empty: none
-	unsafe    map[string]int             // how many services state that a class is unsafe
-	sets      map[string]map[string]bool // of classes, shared by the contracts that name the same ones
-	commits   int
+	options      Options
+	services     map[string]*service
+	contracts    map[string]*contractEntry
+	routes       map[string]routeTarget     // by host:port
+	tenants      map[string]struct{}        // the pinned ones
+	matches      matchIndex                 // contracts by the callers they apply to
+	fallback     string                     // the contract for all other callers; empty: none
+	unsafeCounts map[string]int             // how many services declare a class unsafe, by class
+	classSets    map[string]map[string]bool // sets of classes, shared by the contracts that name the same ones
+	commits      int                        // changes committed so far
 }
 
-// service is one in force, with those that name it.
+// service is a service in force or prepared, with the resources that name it.
 type service struct {
-	name      string // the one string of it
-	classes   map[string]bool
-	stated    []config.Class // those whose effect is stated
-	contracts map[string]struct{}
-	routes    map[string]struct{}
+	name       string // the one copy of the string, shared with the contracts and routes that name the service
+	classes    map[string]bool
+	withEffect []config.Class // the classes whose effect is declared
+	contracts  map[string]struct{}
+	routes     map[string]struct{}
 }
 
-// entry is a contract in force.
-type entry struct {
-	spec     json.RawMessage // compiled anew when a service changes
+// contractEntry is a contract in force or prepared.
+type contractEntry struct {
+	spec     json.RawMessage // compiled again when a service changes
 	services []string
 	matches  []contract.Match // shared with the contracts' table
-	retries  map[string]bool  // the same
+	retries  map[string]bool  // shared with the contracts' table
 }
 
-// owners are contracts by the callers that they are for. Most are for a tenant alone, which takes little room by itself.
-type owners struct {
-	tenants map[string]string
-	others  map[contract.Match]string
+// matchIndex indexes contracts by the callers they apply to. Most contracts are for one tenant alone, and have a map of their
+// own that needs little memory.
+type matchIndex struct {
+	byTenant map[string]string
+	byMatch  map[contract.Match]string
 }
 
-func newOwners(size int) owners {
-	return owners{make(map[string]string, size), map[contract.Match]string{}}
+// newMatchIndex returns an empty index with capacity for contracts of one tenant.
+func newMatchIndex(size int) matchIndex {
+	return matchIndex{make(map[string]string, size), map[contract.Match]string{}}
 }
 
-func (o *owners) get(m contract.Match) (name string, known bool) {
+// get returns the contract of a match.
+func (i *matchIndex) get(m contract.Match) (name string, known bool) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		name, known = o.tenants[m.Tenant]
+		name, known = i.byTenant[m.Tenant]
 	} else {
-		name, known = o.others[m]
+		name, known = i.byMatch[m]
 	}
 	return name, known
 }
 
-func (o *owners) set(m contract.Match, name string) {
+// set sets the contract of a match.
+func (i *matchIndex) set(m contract.Match, name string) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		o.tenants[m.Tenant] = name
+		i.byTenant[m.Tenant] = name
 	} else {
-		o.others[m] = name
+		i.byMatch[m] = name
 	}
 }
 
-func (o *owners) remove(m contract.Match) {
+// remove removes a match.
+func (i *matchIndex) remove(m contract.Match) {
 	if m == (contract.Match{Tenant: m.Tenant}) {
-		delete(o.tenants, m.Tenant)
+		delete(i.byTenant, m.Tenant)
 	} else {
-		delete(o.others, m)
+		delete(i.byMatch, m)
 	}
 }
 
-// via is where a route leads.
-type via struct{ service, class string } // without a class: not opaque
+// routeTarget is the destination of a route. Only an opaque route has a class.
+type routeTarget struct{ service, class string }
 
-// setsMost bounds the sets that are kept to be shared: past it they are collected anew.
-const setsMost = 4096
+// maxClassSets bounds the shared sets of classes. Past it the sets are discarded and collected again.
+const maxClassSets = 4096
 
-// New makes one with nothing in it.
+// New returns an empty catalog.
 func New(o Options) *Catalog {
-	return &Catalog{o: o, services: map[string]*service{}, contracts: map[string]*entry{}, routes: map[string]via{},
-		tenants: map[string]struct{}{}, owners: newOwners(0), unsafe: map[string]int{}, sets: map[string]map[string]bool{}}
+	return &Catalog{options: o, services: map[string]*service{}, contracts: map[string]*contractEntry{}, routes: map[string]routeTarget{},
+		tenants: map[string]struct{}{}, matches: newMatchIndex(0), unsafeCounts: map[string]int{}, classSets: map[string]map[string]bool{}}
 }
 
-// Len is the number of resources in force.
+// Len returns the number of resources in force.
 func (c *Catalog) Len() int {
 	return len(c.services) + len(c.contracts) + len(c.routes) + len(c.tenants)
 }
 
-// SetEven says whether nodes hand out even parts of contracts, from the next change on.
-func (c *Catalog) SetEven(even bool) { c.o.Even = even }
+// SetEvenShares sets whether each node gets an even share of contracts, from the next change on.
+func (c *Catalog) SetEven(even bool) { c.options.Even = even }
 
-// Change is a delta that was checked, and what is to be changed for it.
+// Change is a checked delta and the changes it causes. It is valid until another change is committed.
 type Change struct {
 	Contracts contract.Change
 	Routes    tunnel.Change
 	Tenants   cell.Change
 
-	base      int  // commits before it
-	recheck   bool // it is of other settings:
-	effects   map[string]string
-	services  map[string]*service // nil: gone
-	contracts map[string]*entry   // nil: gone
-	moved     map[string]bool     // contracts that the delta itself names
-	routes    map[string]via      // without a service: gone
-	tenants   map[string]bool     // false: gone
-	owners    owners
-	fallback  string
-	unsafe    map[string]int
-	sets      map[string]map[string]bool
+	baseCommits  int                       // commits of the catalog when the change was prepared
+	recheck      bool                      // a check against other effects
+	effects      map[string]string         // the other effects, for a recheck
+	services     map[string]*service       // nil: removed
+	contracts    map[string]*contractEntry // nil: removed
+	inDelta      map[string]bool           // contracts that the delta itself names
+	routes       map[string]routeTarget    // without a service: removed
+	tenants      map[string]bool           // false: removed
+	matches      matchIndex
+	fallback     string
+	unsafeCounts map[string]int
+	classSets    map[string]map[string]bool
 }
 
-// Empty tells whether it changes nothing.
+// Empty reports whether the change changes nothing.
 func (ch *Change) Empty() bool {
 	return len(ch.services)+len(ch.contracts)+len(ch.routes)+len(ch.tenants) == 0 && !ch.recheck
 }
 
-// Commit notes that a change is in force. It is the one that was prepared last, and is committed once; a change that was prepared
-// before another's commit is a fault of the caller and panics.
+// Commit records that a change is in force. It must be the last one that was prepared, and may be committed once. A change that
+// was prepared before another one was committed is a programming error and causes a panic.
 func (c *Catalog) Commit(ch *Change) {
-	if ch.base != c.commits {
-		panic("catalog: a change is committed twice, or after another one than it was prepared for")
+	if ch.baseCommits != c.commits {
+		panic("catalog: a change is committed twice, or was prepared before another commit")
 	}
 	c.commits++
 	if ch.recheck {
-		c.o.Effects = ch.effects
+		c.options.Effects = ch.effects
 	}
-	for name, n := range ch.unsafe {
-		if c.unsafe[name] += n; c.unsafe[name] == 0 {
-			delete(c.unsafe, name)
+	for name, n := range ch.unsafeCounts {
+		if c.unsafeCounts[name] += n; c.unsafeCounts[name] == 0 {
+			delete(c.unsafeCounts, name)
 		}
 	}
 	for name, s := range ch.services {
@@ -168,7 +175,7 @@
 				}
 			}
 			for _, m := range old.matches {
-				c.owners.remove(m)
+				c.matches.remove(m)
 			}
 		}
 	}
@@ -182,7 +189,7 @@
 			c.services[s].contracts[name] = struct{}{}
 		}
 		for _, m := range e.matches {
-			c.owners.set(m, name)
+			c.matches.set(m, name)
 		}
 	}
 	c.fallback = ch.fallback
@@ -206,36 +213,36 @@
 			delete(c.tenants, name)
 		}
 	}
-	if len(c.sets)+len(ch.sets) > setsMost {
-		clear(c.sets)
+	if len(c.classSets)+len(ch.classSets) > maxClassSets {
+		clear(c.classSets)
 	}
-	maps.Copy(c.sets, ch.sets)
+	maps.Copy(c.classSets, ch.classSets)
 }
 
-// Recheck checks what is in force against other effects of the node's classes (Options.Effects). The change is to be committed like one
-// of a delta. An error is a *resource.Refusal of the first resource, by kind and name, that does not fit them; the ones before stay.
-// It costs by what there is.
+// Recheck checks what is in force against other effects of the node's classes (Options.Effects). The returned change is to be
+// committed like that of a delta. An error is a *resource.Refusal of the first resource, by kind and name, that does not fit, and
+// then the old effects stay in force. The cost depends on the number of resources.
 func (c *Catalog) Recheck(effects map[string]string) (*Change, error) {
-	ch := c.change()
+	ch := c.newChange()
 	ch.recheck, ch.effects = true, effects
-	now := *c
-	now.o.Effects = ch.effects
-	for _, name := range sorted(c.contracts) {
+	candidate := *c
+	candidate.options.Effects = ch.effects
+	for _, name := range sortedKeys(c.contracts) {
 		for class := range c.contracts[name].retries {
-			if now.isUnsafe(ch, class) {
+			if candidate.isUnsafe(ch, class) {
 				return nil, refuse(resource.Key{Kind: resource.Contract, Name: name}, "retries", "allows retries of class %q, which is unsafe: it must never run twice", class)
 			}
 		}
 	}
-	for _, name := range sorted(c.routes) {
-		if err := now.classOf(name, c.routes[name]); err != nil {
+	for _, name := range sortedKeys(c.routes) {
+		if err := candidate.checkClass(name, c.routes[name]); err != nil {
 			return nil, err
 		}
 	}
-	for _, name := range sorted(c.services) {
-		s := config.Service{Name: name, Classes: c.services[name].stated}
+	for _, name := range sortedKeys(c.services) {
+		s := config.Service{Name: name, Classes: c.services[name].withEffect}
 		if err := s.Check("", ch.effects); err != nil {
-			return nil, refusal(resource.Key{Kind: resource.Service, Name: name}, err)
+			return nil, refusalOf(resource.Key{Kind: resource.Service, Name: name}, err)
 		}
 	}
 	return ch, nil
--- a/internal/resource/catalog/put.go
+++ b/internal/resource/catalog/put.go
@@ -12,45 +12,47 @@
 	"portstall/internal/resource"
 )
 
-// Here is what each kind of resource means to a change: decoded, checked against the other resources, and added to it.
+// This file has the meaning of each kind of resource: it is decoded, checked against the other resources, and added to a change.
 
-// state counts what a service states of its classes, or does not any more.
-func (ch *Change) state(s *service, n int) {
-	for _, class := range s.stated {
+// countUnsafe adds n for each class that a service declares unsafe.
+func (ch *Change) countUnsafe(s *service, n int) {
+	for _, class := range s.withEffect {
 		if class.Effect == "unsafe" {
-			ch.unsafe[class.Name] += n
+			ch.unsafeCounts[class.Name] += n
 		}
 	}
 }
 
+// putService adds a service to a change.
 func (c *Catalog) putService(ch *Change, r *resource.Resource) error {
 	var spec config.Service
 	if err := decode(r, &spec); err != nil {
 		return err
 	}
 	if spec.Name != r.Name {
-		return refuse(r.Key, "name", "%q is not the resource's", spec.Name)
+		return refuse(r.Key, "name", "%q is not the name of the resource", spec.Name)
 	}
-	if err := spec.Check("", c.o.Effects); err != nil {
-		return refusal(r.Key, err)
+	if err := spec.Check("", c.options.Effects); err != nil {
+		return refusalOf(r.Key, err)
 	}
 	s := &service{name: r.Name, classes: spec.Set()}
 	for _, class := range spec.Classes {
 		if class.Effect != "" {
-			s.stated = append(s.stated, class)
+			s.withEffect = append(s.withEffect, class)
 		}
 	}
 	if old := c.services[r.Name]; old != nil {
-		ch.state(old, -1)
+		ch.countUnsafe(old, -1)
 		if maps.Equal(old.classes, s.classes) {
-			s.classes = old.classes // its contracts share this one
+			s.classes = old.classes // the set shared by its contracts
 		}
 	}
-	ch.state(s, 1)
+	ch.countUnsafe(s, 1)
 	ch.services[r.Name] = s
 	return nil
 }
 
+// putContract adds a contract to a change.
 func (c *Catalog) putContract(ch *Change, r *resource.Resource, scope *config.Scope) error {
 	t, e, err := c.compile(ch, r.Key, r.Spec, scope)
 	if err != nil {
@@ -63,83 +65,84 @@
 		ch.fallback = t.Name
 	}
 	for k, m := range t.Matches {
-		o, dup := c.owners.get(m)
-		if dup = dup && !ch.moved[o]; !dup {
-			o, dup = ch.owners.get(m)
+		other, dup := c.matches.get(m)
+		if dup = dup && !ch.inDelta[other]; !dup {
+			other, dup = ch.matches.get(m)
 		}
-		if dup && o != t.Name {
-			return refuse(r.Key, fmt.Sprintf("match[%d]", k), "contract %q is for the same callers", o)
+		if dup && other != t.Name {
+			return refuse(r.Key, fmt.Sprintf("match[%d]", k), "contract %q is for the same callers", other)
 		}
-		ch.owners.set(m, t.Name)
+		ch.matches.set(m, t.Name)
 	}
 	ch.contracts[t.Name] = e
 	ch.Contracts.Put = append(ch.Contracts.Put, t)
 	return nil
 }
 
-// compile makes a contract's terms. What they have in common with others they share.
-func (c *Catalog) compile(ch *Change, k resource.Key, text json.RawMessage, scope *config.Scope) (t contract.Terms, e *entry, err error) {
+// compile makes the terms of a contract. They share strings and sets of classes with those of other contracts.
+func (c *Catalog) compile(ch *Change, k resource.Key, text json.RawMessage, scope *config.Scope) (t contract.Terms, e *contractEntry, err error) {
 	var spec config.Contract
 	if err := decode(&resource.Resource{Key: k, Spec: text}, &spec); err != nil {
 		return t, nil, err
 	}
 	if spec.Name != k.Name {
-		return t, nil, refuse(k, "name", "%q is not the resource's", spec.Name)
+		return t, nil, refuse(k, "name", "%q is not the name of the resource", spec.Name)
 	}
 	if t, err = spec.Terms("", scope); err != nil {
-		return t, nil, refusal(k, err)
+		return t, nil, refusalOf(k, err)
 	}
-	t.Name = k.Name // one string for all that name it
+	t.Name = k.Name // share one string among all that name the contract
 	for i := range t.Matches {
 		if t.Matches[i].Tenant == t.Name {
 			t.Matches[i].Tenant = t.Name
 		}
 	}
 	for i, name := range spec.Services {
-		spec.Services[i] = c.service(ch, name).name
+		spec.Services[i] = c.serviceAfter(ch, name).name
 	}
 	if len(spec.Services) > 1 {
-		t.Classes = c.share(ch, t.Classes)
+		t.Classes = c.sharedSet(ch, t.Classes)
 	}
-	t.Retries = c.share(ch, t.Retries)
-	return t, &entry{text, spec.Services, t.Matches, t.Retries}, nil
+	t.Retries = c.sharedSet(ch, t.Retries)
+	return t, &contractEntry{text, spec.Services, t.Matches, t.Retries}, nil
 }
 
-// share is the set of the same classes that is there already, or this one.
-func (c *Catalog) share(ch *Change, set map[string]bool) map[string]bool {
+// sharedSet returns the stored set of the same classes, or else stores this one.
+func (c *Catalog) sharedSet(ch *Change, set map[string]bool) map[string]bool {
 	if set == nil {
 		return nil
 	}
 	key := strings.Join(slices.Sorted(maps.Keys(set)), "\x00")
-	if had, known := c.sets[key]; known {
-		return had
+	if stored, known := c.classSets[key]; known {
+		return stored
 	}
-	if had, known := ch.sets[key]; known {
-		return had
+	if stored, known := ch.classSets[key]; known {
+		return stored
 	}
-	ch.sets[key] = set
+	ch.classSets[key] = set
 	return set
 }
 
+// putRoute adds a route to a change.
 func (c *Catalog) putRoute(ch *Change, r *resource.Resource) error {
 	var spec config.Route
 	if err := decode(r, &spec); err != nil {
 		return err
 	}
-	ready, err := route(&spec, "")
+	ready, err := readyRoute(&spec, "")
 	if err != nil {
-		return refusal(r.Key, err)
+		return refusalOf(r.Key, err)
 	}
 	if name := ready.Name(); name != r.Name {
-		return refuse(r.Key, "host", "%q is not the resource's", name)
+		return refuse(r.Key, "host", "%q is not the name of the resource", name)
 	}
-	s := c.service(ch, spec.Service)
+	s := c.serviceAfter(ch, spec.Service)
 	if s == nil {
 		return refuse(r.Key, "service", "%q is no service here", spec.Service)
 	}
 	ready.Service = s.name
-	v := via{s.name, ready.Class}
-	if err := c.classOf(r.Name, v); err != nil {
+	v := routeTarget{s.name, ready.Class}
+	if err := c.checkClass(r.Name, v); err != nil {
 		return err
 	}
 	ch.routes[r.Name] = v
@@ -147,28 +150,29 @@
 	return nil
 }
 
-// classOf checks that an opaque route's class is one of the node's.
-func (c *Catalog) classOf(name string, v via) error {
-	if _, known := c.o.Effects[v.class]; v.class != "" && c.o.Effects != nil && !known {
+// checkClass checks that an opaque route's class is one of the node's classes.
+func (c *Catalog) checkClass(name string, v routeTarget) error {
+	if _, known := c.options.Effects[v.class]; v.class != "" && c.options.Effects != nil && !known {
 		return refuse(resource.Key{Kind: resource.Route, Name: name}, "class", "%q is no class of the node's settings", v.class)
 	}
 	return nil
 }
 
+// putTenant adds a pinned tenant to a change.
 func (c *Catalog) putTenant(ch *Change, r *resource.Resource) error {
-	if !c.o.Cells {
-		return refuse(r.Key, "", "is pinned to pods, and there are no cells here")
+	if !c.options.Cells {
+		return refuse(r.Key, "", "is pinned to pods, but there are no cells here")
 	}
 	var spec config.Pinned
 	if err := decode(r, &spec); err != nil {
 		return err
 	}
 	if spec.Tenant != r.Name {
-		return refuse(r.Key, "tenant", "%q is not the resource's", spec.Tenant)
+		return refuse(r.Key, "tenant", "%q is not the name of the resource", spec.Tenant)
 	}
 	t, err := spec.Ready("")
 	if err != nil {
-		return refusal(r.Key, err)
+		return refusalOf(r.Key, err)
 	}
 	ch.tenants[r.Name] = true
 	ch.Tenants.Put = append(ch.Tenants.Put, t)
--- a/internal/resource/catalog/source.go
+++ b/internal/resource/catalog/source.go
@@ -10,10 +10,11 @@
 	"portstall/internal/resource"
 )
 
-// Parts reads a file of resources. Its keys are those of the product's file: services, contracts, tunnels.routes and cells.tenants
-// become resources; the product's other keys (parts, health, members, state, the rest of tunnels and cells) are a node's own, are
-// allowed so that one file can serve both, and are not carried. Each value is checked by itself, none against another: what a contract
-// names may stand in another file. Lines are where the resources begin. An error names file, line and field.
+// ParseFile reads a file of resources. Its keys are those of the product's file: services, contracts, tunnels.routes and
+// cells.tenants become resources. The product's other keys (parts, health, members, state, the rest of tunnels and cells) belong to
+// a node itself; they are allowed so that one file can serve both, and are ignored. Each value is checked by itself and not against
+// others: what a contract names may be in another file. The result has the line on which each resource begins. An error names file,
+// line and field.
 func Parts(name string, text []byte) ([]resource.Resource, map[resource.Key]int, error) {
 	f, line, err := config.ParsePart(name, text)
 	if err != nil {
@@ -21,7 +22,7 @@
 	}
 	var all []resource.Resource
 	lines := map[resource.Key]int{}
-	err = each(f, func(path, field string, key resource.Key, spec any, check error) error {
+	err = forEach(f, func(path, field string, key resource.Key, spec any, check error) error {
 		at := line(path)
 		_, dup := lines[key]
 		switch {
@@ -38,7 +39,7 @@
 			return fmt.Errorf("%s:%d: %w", name, at, check)
 		}
 		lines[key] = at
-		all, err = add(all, key, spec)
+		all, err = appendResource(all, key, spec)
 		return err
 	})
 	if err != nil {
@@ -47,19 +48,20 @@
 	return all, lines, nil
 }
 
-// Resources are those of a product's file that was read and checked (config.Parse).
+// Resources returns the resources of a product's file that was read and checked (config.Parse).
 func Resources(f *config.File) ([]resource.Resource, error) {
 	var all []resource.Resource
-	err := each(f, func(_, _ string, key resource.Key, spec any, check error) (err error) {
+	err := forEach(f, func(_, _ string, key resource.Key, spec any, check error) (err error) {
 		if check == nil {
-			all, check = add(all, key, spec)
+			all, check = appendResource(all, key, spec)
 		}
 		return check
 	})
 	return all, err
 }
 
-func add(all []resource.Resource, key resource.Key, spec any) ([]resource.Resource, error) {
+// appendResource appends a resource with the spec as JSON.
+func appendResource(all []resource.Resource, key resource.Key, spec any) ([]resource.Resource, error) {
 	text, err := json.Marshal(spec)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
@@ -67,8 +69,8 @@
 	return append(all, resource.Resource{Key: key, Spec: text}), nil
 }
 
-// each goes through what a file carries, with the path of each, the field that names it and what is wrong with it by itself.
-func each(f *config.File, do func(path, field string, key resource.Key, spec any, check error) error) error {
+// forEach calls do for each resource of a file, with its path, the field that holds its name, and the error in it by itself.
+func forEach(f *config.File, do func(path, field string, key resource.Key, spec any, check error) error) error {
 	for i := range f.Services {
 		s, path := &f.Services[i], fmt.Sprintf("services[%d]", i)
 		if err := do(path, "name", resource.Key{Kind: resource.Service, Name: s.Name}, s, s.Check(path+".", nil)); err != nil {
@@ -77,7 +79,7 @@
 	}
 	for i := range f.Contracts {
 		c, path := &f.Contracts[i], fmt.Sprintf("contracts[%d]", i)
-		_, check := c.Terms(path+".", &alone)
+		_, check := c.Terms(path+".", &standaloneScope)
 		if err := do(path, "name", resource.Key{Kind: resource.Contract, Name: c.Name}, c, check); err != nil {
 			return err
 		}
@@ -85,7 +87,7 @@
 	if f.Tunnels != nil {
 		for i := range f.Tunnels.Routes {
 			r, path := &f.Tunnels.Routes[i], fmt.Sprintf("tunnels.routes[%d]", i)
-			ready, check := route(r, path+".")
+			ready, check := readyRoute(r, path+".")
 			if err := do(path, "host", resource.Key{Kind: resource.Route, Name: ready.Name()}, r, check); err != nil {
 				return err
 			}
@@ -103,20 +105,20 @@
 	return nil
 }
 
-// alone is what a contract is checked against by itself: all that it names is there.
-var alone = config.Scope{
+// standaloneScope is the scope in which a contract is checked by itself: everything that it names exists.
+var standaloneScope = config.Scope{
 	Classes: func(string) (map[string]bool, bool) { return nil, true },
 	Unsafe:  func(string) bool { return false },
 }
 
-// route is a route ready for use and checked by itself. An error is a *config.FieldError.
-func route(r *config.Route, path string) (tunnel.Route, error) {
+// readyRoute returns a route ready for use, checked by itself. An error is a *config.FieldError.
+func readyRoute(r *config.Route, path string) (tunnel.Route, error) {
 	ready, err := r.Ready(path)
 	if err != nil {
 		return ready, err
 	}
-	if field, why := ready.Check(); field != "" {
-		return ready, &config.FieldError{Path: path + field, Why: why}
+	if field, reason := ready.Check(); field != "" {
+		return ready, &config.FieldError{Path: path + field, Why: reason}
 	}
 	return ready, nil
 }
--- a/internal/resource/follower_test.go
+++ b/internal/resource/follower_test.go
@@ -12,514 +12,520 @@
 	"pgregory.net/rapid"
 )
 
-// run drives a follower in virtual time against answers that the test makes up.
-type run struct {
-	t    *testing.T
-	f    *Follower
-	set  *Set
-	now  time.Duration
-	dice *rand.Rand
-	err  error // of the last Told
-	made int   // calls
+// followerTest drives a follower in virtual time with responses that the test makes.
+type followerTest struct {
+	t        *testing.T
+	follower *Follower
+	set      *Set
+	now      time.Duration
+	random   *rand.Rand
+	err      error // of the last response
+	calls    int   // calls made
 }
 
-const begin = 1_764_640_000 * time.Second
+// startTime is the virtual Unix time at which a test starts.
+const startTime = 1_764_640_000 * time.Second
 
-func newRun(t *testing.T, sources int, all ...Resource) *run {
-	r := &run{t: t, set: NewSet(false), now: begin, dice: rand.New(rand.NewPCG(1, 2))}
+// newFollowerTest returns a follower of the given number of sources. Its set holds the given resources at version 5.1, if there
+// are any.
+func newFollowerTest(t *testing.T, sources int, all ...Resource) *followerTest {
+	r := &followerTest{t: t, set: NewSet(false), now: startTime, random: rand.New(rand.NewPCG(1, 2))}
 	if len(all) > 0 {
-		r.set = filled(t, false, ver(5, 1), all...)
+		r.set = setWith(t, false, version(5, 1), all...)
 	}
-	r.f = NewFollower(r.set, sources)
+	r.follower = NewFollower(r.set, sources)
 	return r
 }
 
-// call makes the next call: it rests and returns what is asked. The clock stands at its beginning then.
-func (r *run) call() Call {
-	if r.made++; r.made > 10_000 {
-		r.t.Fatal("calls without end")
+// nextCall returns the next call and advances the clock to its start.
+func (r *followerTest) nextCall() Call {
+	if r.calls++; r.calls > 10_000 {
+		r.t.Fatal("the number of calls is unlimited")
 	}
-	c := r.f.Next(r.now, r.dice.Float64())
+	c := r.follower.Next(r.now, r.random.Float64())
 	r.now += c.Rest
 	return c
 }
 
-// tell answers the call after a time, and puts in force what is to be taken.
-func (r *run) tell(after time.Duration, d *Delta) bool {
+// respond responds to the call after a time and applies the delta if the follower accepts it.
+func (r *followerTest) respond(after time.Duration, d *Delta) bool {
 	r.now += after
-	var take bool
-	if take, r.err = r.f.Told(r.now, d); take {
+	var apply bool
+	if apply, r.err = r.follower.Told(r.now, d); apply {
 		r.err = r.set.Apply(r.set.Difference(d))
-		r.f.Took(r.now, r.err)
+		r.follower.Took(r.now, r.err)
 	}
-	return take
+	return apply
 }
 
-func (r *run) fail(after time.Duration, k FailureKind) {
+// fail lets the call fail after a time.
+func (r *followerTest) fail(after time.Duration, k FailureKind) {
 	r.now += after
-	r.f.Failed(r.now, Failure{Kind: k, Err: errors.New("made up")}, r.dice.Float64())
+	r.follower.Failed(r.now, Failure{Kind: k, Err: errors.New("injected")}, r.random.Float64())
 }
 
-// nothing is the answer that nothing came.
-func (r *run) nothing(c Call) *Delta { return &Delta{From: c.Since, To: c.Since, Sum: c.Sum} }
+// emptyDelta returns a response without changes.
+func (r *followerTest) emptyDelta(c Call) *Delta {
+	return &Delta{From: c.Since, To: c.Since, Sum: c.Sum}
+}
 
-// next is the delta that leads on from what is held.
-func (r *run) next(all ...Resource) *Delta {
+// nextDelta returns the delta that leads on from the held version by putting the given resources.
+func (r *followerTest) nextDelta(all ...Resource) *Delta {
 	v := r.set.Version()
-	return r.set.Next(ver(v.Epoch, v.Number+1), all, nil)
+	return r.set.Next(version(v.Epoch, v.Number+1), all, nil)
 }
 
-func within(t *testing.T, what string, d, least, most time.Duration) {
+func requireWithin(t *testing.T, what string, d, lower, upper time.Duration) {
 	t.Helper()
-	if d < least || d > most {
-		t.Fatalf("%s: %v, want %v to %v", what, d, least, most)
+	if d < lower || d > upper {
+		t.Fatalf("%s: %v, want %v to %v", what, d, lower, upper)
 	}
 }
 
-func TestTheFirstCallAsksForEverythingAndWaitsForNothing(t *testing.T) {
-	r := newRun(t, 3)
-	c := r.call()
+func TestFirstCallRequestsSnapshotWithoutWaiting(t *testing.T) {
+	r := newFollowerTest(t, 3)
+	c := r.nextCall()
 	if c != (Call{Limit: NodePace.Grace}) {
 		t.Fatalf("%+v", c)
 	}
-	s := filled(t, true, ver(5, 1), con("a", 1))
-	if !r.tell(time.Second, s.Snapshot()) {
+	s := setWith(t, true, version(5, 1), contract("a", 1))
+	if !r.respond(time.Second, s.Snapshot()) {
 		t.Fatal(r.err)
 	}
-	c = r.call()
-	within(t, "rest after a change", c.Rest, restTaken/2, restTaken)
-	if c.Since != ver(5, 1) || c.Sum != s.Sum() || c.Source != 1 || c.Wait != 0 {
-		t.Fatalf("no look at another one behind the first version: %+v", c)
+	c = r.nextCall()
+	requireWithin(t, "delay after a change", c.Rest, delayAfterChange/2, delayAfterChange)
+	if c.Since != version(5, 1) || c.Sum != s.Sum() || c.Source != 1 || c.Wait != 0 {
+		t.Fatalf("another source is not checked after the first version: %+v", c)
 	}
-	r.tell(0, r.nothing(c))
-	if c = r.call(); c.Since != ver(5, 1) || c.Sum != s.Sum() || c.Source != 0 || c.Wait == 0 {
+	r.respond(0, r.emptyDelta(c))
+	if c = r.nextCall(); c.Since != version(5, 1) || c.Sum != s.Sum() || c.Source != 0 || c.Wait == 0 {
 		t.Fatalf("%+v", c)
 	}
-	st := r.f.Status()
-	if st.Version != ver(5, 1) || st.Resources != 1 || st.LastAnswer != r.now-c.Rest || st.LastChange != begin+time.Second || st.LastErr != "" {
+	st := r.follower.Status()
+	if st.Version != version(5, 1) || st.Resources != 1 || st.LastAnswer != r.now-c.Rest || st.LastChange != startTime+time.Second || st.LastErr != "" {
 		t.Fatalf("%+v", st)
 	}
 }
 
-// From the moment at which a call begins, a lost answer is found out, and another call made, within 18 s: also by way of a control
-// process that lost one too.
-func TestWaitsAndLimitsFindALostAnswerInTime(t *testing.T) {
+// A lost response is detected, and another call made, within 18 s from the start of the call, even through a control process
+// that also lost a response.
+func TestLostResponseIsDetectedWithin18Seconds(t *testing.T) {
 	for _, sources := range []int{1, 3} {
 		var waits []time.Duration
-		r := newRun(t, sources, con("a", 1))
-		r.tell(0, r.nothing(r.call()))
+		r := newFollowerTest(t, sources, contract("a", 1))
+		r.respond(0, r.emptyDelta(r.nextCall()))
 		for range 2000 {
-			c := r.call()
+			c := r.nextCall()
 			if c.Limit != c.Wait+NodePace.Grace {
 				t.Fatalf("%+v", c)
 			}
-			if c.Source == r.f.at && c.Wait > 0 {
+			if c.Source == r.follower.current && c.Wait > 0 {
 				waits = append(waits, c.Wait)
 			}
-			r.tell(c.Wait, r.nothing(c))
+			r.respond(c.Wait, r.emptyDelta(c))
 		}
 		slices.Sort(waits)
-		least, most := waits[0], waits[len(waits)-1]
-		within(t, "least wait", least, NodePace.Grace/4, NodePace.WaitLeast+time.Second/2)
-		within(t, "most wait", most, NodePace.LookMost-time.Second, NodePace.WaitMost)
-		if sources == 1 && (least < NodePace.WaitLeast || most < NodePace.WaitMost-time.Second/2) {
-			t.Fatal(least, most)
+		shortest, longest := waits[0], waits[len(waits)-1]
+		requireWithin(t, "shortest wait", shortest, NodePace.Grace/4, NodePace.WaitLeast+time.Second/2)
+		requireWithin(t, "longest wait", longest, NodePace.LookMost-time.Second, NodePace.WaitMost)
+		if sources == 1 && (shortest < NodePace.WaitLeast || longest < NodePace.WaitMost-time.Second/2) {
+			t.Fatal(shortest, longest)
 		}
-		t.Logf("%d sources: waits of %v to %v", sources, least, most)
+		t.Logf("%d sources: waits of %v to %v", sources, shortest, longest)
 	}
-	found := func(p Pace) time.Duration { return max(p.WaitMost, p.LookMost) + p.Grace + restFirst + p.Grace }
-	if all := found(NodePace) + found(ControlPace) - NodePace.Grace - ControlPace.Grace; all > 18*time.Second {
-		t.Fatal(all)
+	detection := func(p Pace) time.Duration { return max(p.WaitMost, p.LookMost) + p.Grace + firstBackoff + p.Grace }
+	if total := detection(NodePace) + detection(ControlPace) - NodePace.Grace - ControlPace.Grace; total > 18*time.Second {
+		t.Fatal(total)
 	}
 }
 
-func TestRestsDoubleToTheirMostAndAreForgottenByAGoodAnswer(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
+func TestBackoffDoublesToMaximumAndResetsAfterSuccess(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
 	for round := range 2 {
-		r.call()
-		want := restFirst
+		r.nextCall()
+		want := firstBackoff
 		for range 9 {
 			r.fail(0, Unreachable)
-			c := r.call()
-			within(t, "rest", c.Rest, want/2, want)
+			c := r.nextCall()
+			requireWithin(t, "delay", c.Rest, want/2, want)
 			if c.Wait != 0 || c.Limit != NodePace.Grace {
 				t.Fatalf("a call after a failure waits: %+v", c)
 			}
-			want = min(2*want, restMost)
+			want = min(2*want, maxBackoff)
 		}
-		if st := r.f.Status(); st.Failures != 9 || st.LastErr != "unreachable: made up" {
+		if st := r.follower.Status(); st.Failures != 9 || st.LastErr != "unreachable: injected" {
 			t.Fatalf("%+v", st)
 		}
-		if round == 0 { // something new
-			if !r.tell(0, r.next(con("b", 1))) {
+		if round == 0 { // a change
+			if !r.respond(0, r.nextDelta(contract("b", 1))) {
 				t.Fatal(r.err)
 			}
-		} else { // a watch that is kept
-			c := r.call()
-			r.tell(0, r.nothing(c))
-			c = r.call()
-			r.tell(c.Wait, r.nothing(c))
+		} else { // a watch that the source holds
+			c := r.nextCall()
+			r.respond(0, r.emptyDelta(c))
+			c = r.nextCall()
+			r.respond(c.Wait, r.emptyDelta(c))
 		}
-		if st := r.f.Status(); st.Failures != 0 || st.LastErr != "" {
+		if st := r.follower.Status(); st.Failures != 0 || st.LastErr != "" {
 			t.Fatalf("%+v", st)
 		}
 	}
 }
 
-// Rests are drawn: 450 that failed at one moment don't come back at one.
-func TestRestsAreSpread(t *testing.T) {
-	var at [20]int
+// Nodes that failed at the same moment do not call again at the same moment.
+func TestBackoffIsSpreadRandomly(t *testing.T) {
+	var counts [20]int
 	for i := range 4000 {
-		r := newRun(t, 1, con("a", 1))
-		r.dice = rand.New(rand.NewPCG(3, uint64(i)))
-		r.call()
+		r := newFollowerTest(t, 1, contract("a", 1))
+		r.random = rand.New(rand.NewPCG(3, uint64(i)))
+		r.nextCall()
 		for range 7 {
 			r.fail(0, Unreachable)
 		}
-		at[int((r.call().Rest-restMost/2)*time.Duration(len(at))/(restMost/2+1))]++
+		counts[int((r.nextCall().Rest-maxBackoff/2)*time.Duration(len(counts))/(maxBackoff/2+1))]++
 	}
-	for i, n := range at {
-		if n < 120 || n > 280 { // 200 by chance; six times the root beside it
-			t.Errorf("part %d of the rests: %d of 4000", i, n)
+	for i, n := range counts {
+		if n < 120 || n > 280 { // 200 expected, give or take six standard deviations
+			t.Errorf("interval %d of the delays has %d of 4000", i, n)
 		}
 	}
 }
 
-func TestAFailureTurnsToTheNextSource(t *testing.T) {
+func TestFailureSwitchesToNextSource(t *testing.T) {
 	for _, k := range []FailureKind{Unreachable, Silent, Busy, Behind, Rejected, Invalid} {
-		r := newRun(t, 3, con("a", 1))
-		var asked []int
+		r := newFollowerTest(t, 3, contract("a", 1))
+		var called []int
 		for range 5 {
-			asked = append(asked, r.call().Source)
+			called = append(called, r.nextCall().Source)
 			r.fail(0, k)
 		}
-		if !slices.Equal(asked, []int{0, 1, 2, 0, 1}) {
-			t.Fatal(k, asked)
+		if !slices.Equal(called, []int{0, 1, 2, 0, 1}) {
+			t.Fatal(k, called)
 		}
-		if err := r.f.Status().LastErr; !strings.HasPrefix(err, k.String()) {
+		if err := r.follower.Status().LastErr; !strings.HasPrefix(err, k.String()) {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Three sources: a round through all takes no longer than one rest and the calls, also after many.
-func TestRestsDoubleWithEachRound(t *testing.T) {
-	r := newRun(t, 3, con("a", 1))
-	r.call()
-	want := restFirst
+// With three sources, a round through all of them takes no longer than one long delay and the calls, even after many failures.
+func TestBackoffDoublesOncePerRoundOfSources(t *testing.T) {
+	r := newFollowerTest(t, 3, contract("a", 1))
+	r.nextCall()
+	longest := firstBackoff
 	for range 8 {
 		for range 2 {
 			r.fail(0, Unreachable)
-			within(t, "rest in a round", r.call().Rest, restFirst/2, restFirst)
+			requireWithin(t, "delay within a round", r.nextCall().Rest, firstBackoff/2, firstBackoff)
 		}
 		r.fail(0, Unreachable)
-		within(t, "rest after a round", r.call().Rest, want/2, want)
-		want = min(2*want, restMost)
+		requireWithin(t, "delay after a round", r.nextCall().Rest, longest/2, longest)
+		longest = min(2*longest, maxBackoff)
 	}
 }
 
-func TestABusySourceIsLeftAloneForAsLongAsItSays(t *testing.T) {
-	r := newRun(t, 2, con("a", 1))
-	r.call()
-	r.f.Failed(r.now, Failure{Kind: Busy, RetryAfter: 10 * time.Second}, 0)
-	from := r.now
-	for r.now-from < 9*time.Second {
-		c := r.call()
+func TestBusySourceIsNotCalledBeforeRetryAfter(t *testing.T) {
+	r := newFollowerTest(t, 2, contract("a", 1))
+	r.nextCall()
+	r.follower.Failed(r.now, Failure{Kind: Busy, RetryAfter: 10 * time.Second}, 0)
+	start := r.now
+	for r.now-start < 9*time.Second {
+		c := r.nextCall()
 		if c.Source != 1 {
-			t.Fatalf("%v after: %+v", r.now-from, c)
+			t.Fatalf("%v later: %+v", r.now-start, c)
 		}
-		r.tell(c.Wait, r.nothing(c))
+		r.respond(c.Wait, r.emptyDelta(c))
 	}
-	// Both are busy: the one that is free first, and at no earlier time; a day is not waited for.
-	for r.call().Source != 1 {
+	// If all sources are busy, the one that is available first is called at its earliest time. A delay of a day is bounded.
+	for r.nextCall().Source != 1 {
 		r.fail(0, Unreachable)
 	}
-	r.f.Failed(r.now, Failure{Kind: Busy, RetryAfter: 24 * time.Hour}, 0)
-	for r.call().Source != 0 {
-		t.Fatal("asked the busy one")
+	r.follower.Failed(r.now, Failure{Kind: Busy, RetryAfter: 24 * time.Hour}, 0)
+	for r.nextCall().Source != 0 {
+		t.Fatal("the busy source is called")
 	}
-	r.f.Failed(r.now, Failure{Kind: Busy, RetryAfter: 24 * time.Hour}, 0.999)
-	from = r.now
-	c := r.call()
+	r.follower.Failed(r.now, Failure{Kind: Busy, RetryAfter: 24 * time.Hour}, 0.999)
+	start = r.now
+	c := r.nextCall()
 	if c.Source != 1 {
 		t.Fatal(c)
 	}
-	within(t, "rest", c.Rest, MaxRetry-5*time.Second, MaxRetry*3/2)
+	requireWithin(t, "delay", c.Rest, MaxRetry-5*time.Second, MaxRetry*3/2)
 }
 
-// The one that is followed answers well but is itself cut off. Another one is looked at soon, followed for what it has, and the first
-// one again as soon as it is not behind.
-func TestASourceThatIsCutOffIsFoundOutAndComeBackTo(t *testing.T) {
+// A followed source that responds well but is cut off itself would hide changes. Another source is checked soon and followed for
+// its later version, and the first one is followed again as soon as it is not behind.
+func TestIsolatedSourceIsReplacedAndReturnedTo(t *testing.T) {
 	for seed := range uint64(50) {
-		r := newRun(t, 3, con("a", 1))
-		r.dice = rand.New(rand.NewPCG(5, seed))
-		change := r.next(con("b", 1))
-		from := r.now
+		r := newFollowerTest(t, 3, contract("a", 1))
+		r.random = rand.New(rand.NewPCG(5, seed))
+		change := r.nextDelta(contract("b", 1))
+		start := r.now
 		for r.set.Version() != change.To {
-			switch c := r.call(); c.Source {
+			switch c := r.nextCall(); c.Source {
 			case 0:
-				r.tell(c.Wait, r.nothing(c))
+				r.respond(c.Wait, r.emptyDelta(c))
 			case 1:
-				r.fail(c.Limit, Silent) // is gone
+				r.fail(c.Limit, Silent) // does not respond
 			case 2:
-				r.tell(0, change)
+				r.respond(0, change)
 			}
 		}
-		within(t, "found out", r.now-from, 0, 18*time.Second)
-		if s := r.f.Status().Source; s != 2 {
+		requireWithin(t, "detected after", r.now-start, 0, 18*time.Second)
+		if s := r.follower.Status().Source; s != 2 {
 			t.Fatal(s)
 		}
-		// The first one is behind, and stays it for a minute.
-		from = r.now
-		for r.now-from < time.Minute {
-			switch c := r.call(); c.Source {
+		// The first source is behind for a minute.
+		start = r.now
+		for r.now-start < time.Minute {
+			switch c := r.nextCall(); c.Source {
 			case 0:
 				r.fail(0, Behind)
 			case 1:
 				r.fail(c.Limit, Silent)
 			case 2:
-				r.tell(c.Wait, r.nothing(c))
+				r.respond(c.Wait, r.emptyDelta(c))
 			}
-			if s := r.f.Status(); s.Source != 2 || s.Failures != 0 {
+			if s := r.follower.Status(); s.Source != 2 || s.Failures != 0 {
 				t.Fatalf("%+v", s)
 			}
 		}
-		from = r.now
-		for r.f.Status().Source != 0 {
-			c := r.call()
+		start = r.now
+		for r.follower.Status().Source != 0 {
+			c := r.nextCall()
 			if c.Source == 1 {
 				r.fail(c.Limit, Silent)
 			} else {
-				r.tell(c.Wait, r.nothing(c))
+				r.respond(c.Wait, r.emptyDelta(c))
 			}
 		}
-		within(t, "came home", r.now-from, 0, 18*time.Second)
+		requireWithin(t, "returned after", r.now-start, 0, 18*time.Second)
 	}
 }
 
-func TestADeltaThatIsNotLaterIsPassedOver(t *testing.T) {
-	for _, name := range []string{"doubled", "out of order", "older epoch"} {
+func TestStaleDeltaIsIgnored(t *testing.T) {
+	for _, name := range []string{"repeated", "out of order", "older epoch"} {
 		t.Run(name, func(t *testing.T) {
-			r := newRun(t, 1, con("a", 1))
-			first := r.next(con("a", 2))
-			r.call()
-			r.tell(0, first)
-			second := r.next(con("a", 3))
-			r.call()
-			r.tell(0, second)
-			holds(t, r.set, second.To, con("a", 3))
-			d := map[string]*Delta{"doubled": second, "out of order": first,
-				"older epoch": filled(t, true, ver(4, 99), con("old", 1)).Snapshot()}[name]
-			from, calls := r.now, 0
-			for r.now-from < time.Minute {
-				c := r.call()
+			r := newFollowerTest(t, 1, contract("a", 1))
+			first := r.nextDelta(contract("a", 2))
+			r.nextCall()
+			r.respond(0, first)
+			second := r.nextDelta(contract("a", 3))
+			r.nextCall()
+			r.respond(0, second)
+			requireContent(t, r.set, second.To, contract("a", 3))
+			d := map[string]*Delta{"repeated": second, "out of order": first,
+				"older epoch": setWith(t, true, version(4, 99), contract("old", 1)).Snapshot()}[name]
+			start, calls := r.now, 0
+			for r.now-start < time.Minute {
+				c := r.nextCall()
 				calls++
 				if c.Since != second.To || c.Wait == 0 {
 					t.Fatalf("%+v", c)
 				}
-				if r.tell(0, d) || r.err != nil {
+				if r.respond(0, d) || r.err != nil {
 					t.Fatal(r.err)
 				}
 			}
-			holds(t, r.set, second.To, con("a", 3))
+			requireContent(t, r.set, second.To, contract("a", 3))
 			if calls > 40 {
 				t.Fatalf("%d calls in a minute", calls)
 			}
-			// A good one is taken all the same, and ends the rests.
-			r.call()
-			if !r.tell(0, r.next(con("b", 1))) || r.call().Rest > restTaken {
+			// A later delta is applied nevertheless, and ends the delays.
+			r.nextCall()
+			if !r.respond(0, r.nextDelta(contract("b", 1))) || r.nextCall().Rest > delayAfterChange {
 				t.Fatal(r.err)
 			}
 		})
 	}
 }
 
-func TestADeltaForAnotherVersionOrContentMakesItAskForEverything(t *testing.T) {
-	ahead := filled(t, true, ver(5, 3), con("a", 9), con("b", 1))
+func TestMismatchedDeltaCausesSnapshotRequest(t *testing.T) {
+	ahead := setWith(t, true, version(5, 3), contract("a", 9), contract("b", 1))
 	for name, d := range map[string]*Delta{
-		"a delta lost":        {From: ver(5, 2), To: ver(5, 3), Sum: ahead.Sum(), Put: put(con("b", 1))},
-		"another sum":         {From: ver(5, 1), To: ver(5, 3), Sum: ahead.Sum() + 1, Put: put(con("a", 9), con("b", 1))},
-		"gone and not there":  {From: ver(5, 1), To: ver(5, 3), Sum: ahead.Sum(), Gone: []Key{key("x")}},
-		"another sum, of now": {From: ver(5, 1), To: ver(5, 1), Sum: 7},
+		"a delta was lost":                     {From: version(5, 2), To: version(5, 3), Sum: ahead.Sum(), Put: resources(contract("b", 1))},
+		"another checksum":                     {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum() + 1, Put: resources(contract("a", 9), contract("b", 1))},
+		"removed resource is not held":         {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum(), Gone: []Key{contractKey("x")}},
+		"another checksum of the held version": {From: version(5, 1), To: version(5, 1), Sum: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRun(t, 1, con("a", 1))
-			r.call()
-			if r.tell(0, d) || r.err == nil {
-				t.Fatal("taken")
+			r := newFollowerTest(t, 1, contract("a", 1))
+			r.nextCall()
+			if r.respond(0, d) || r.err == nil {
+				t.Fatal("the delta was accepted")
 			}
-			holds(t, r.set, ver(5, 1), con("a", 1))
-			c := r.call()
-			if !c.Since.IsZero() || c.Sum != 0 || !c.Refused.IsZero() || c.Rest < restFirst/2 {
+			requireContent(t, r.set, version(5, 1), contract("a", 1))
+			c := r.nextCall()
+			if !c.Since.IsZero() || c.Sum != 0 || !c.Refused.IsZero() || c.Rest < firstBackoff/2 {
 				t.Fatalf("%+v", c)
 			}
-			if !r.tell(0, ahead.Snapshot()) {
+			if !r.respond(0, ahead.Snapshot()) {
 				t.Fatal(r.err)
 			}
-			holds(t, r.set, ver(5, 3), con("a", 9), con("b", 1))
-			if c = r.call(); c.Since != ver(5, 3) {
+			requireContent(t, r.set, version(5, 3), contract("a", 9), contract("b", 1))
+			if c = r.nextCall(); c.Since != version(5, 3) {
 				t.Fatalf("%+v", c)
 			}
 		})
 	}
 }
 
-// Control has a sum that fits nothing. What is told whole is megabytes: it is asked for a few times, then about once a minute.
-func TestAWrongSumAtControlIsNotFetchedInALoop(t *testing.T) {
-	r := newRun(t, 3, con("a", 1))
-	control := filled(t, true, ver(5, 2), con("a", 2))
+// A control process has a wrong checksum. Its snapshot may be megabytes: it is requested a few times, then about once a minute.
+func TestSnapshotWithWrongChecksumIsNotFetchedInLoop(t *testing.T) {
+	r := newFollowerTest(t, 3, contract("a", 1))
+	control := setWith(t, true, version(5, 2), contract("a", 2))
 	bad := control.Snapshot()
 	bad.Sum++
-	delta := &Delta{From: ver(5, 1), To: ver(5, 2), Sum: bad.Sum, Put: bad.Put}
-	from, wholes, calls, told := r.now, 0, 0, 0
-	for r.now-from < time.Hour {
-		c := r.call()
+	delta := &Delta{From: version(5, 1), To: version(5, 2), Sum: bad.Sum, Put: bad.Put}
+	start, snapshots, calls, reported := r.now, 0, 0, 0
+	for r.now-start < time.Hour {
+		c := r.nextCall()
 		calls++
 		if c.Refused == bad.To {
-			told++
+			reported++
 		}
 		switch {
-		case c.Refused == bad.To: // as a Book does: it waits for a later version
-			r.tell(c.Wait, r.nothing(c))
+		case c.Refused == bad.To: // as the control process does: it waits for a later version
+			r.respond(c.Wait, r.emptyDelta(c))
 		case c.Since.IsZero():
-			wholes++
-			r.tell(0, bad)
+			snapshots++
+			r.respond(0, bad)
 		default:
-			r.tell(0, delta)
+			r.respond(0, delta)
 		}
 	}
-	holds(t, r.set, ver(5, 1), con("a", 1))
-	if wholes < 30 || wholes > 130 || calls > 3600 || told == 0 {
-		t.Fatalf("%d times the whole, %d calls, %d told of it", wholes, calls, told)
+	requireContent(t, r.set, version(5, 1), contract("a", 1))
+	if snapshots < 30 || snapshots > 130 || calls > 3600 || reported == 0 {
+		t.Fatalf("%d snapshots, %d calls, %d of them reported the refusal", snapshots, calls, reported)
 	}
-	t.Logf("in an hour: %d times the whole, %d calls", wholes, calls)
-	// It is mended under a later version.
-	good := filled(t, true, ver(5, 3), con("a", 3)).Snapshot()
+	t.Logf("in an hour: %d snapshots, %d calls", snapshots, calls)
+	// A later version has a correct checksum.
+	good := setWith(t, true, version(5, 3), contract("a", 3)).Snapshot()
 	for r.set.Version() != good.To {
-		if c := r.call(); c.Since.IsZero() {
-			r.tell(0, good)
+		if c := r.nextCall(); c.Since.IsZero() {
+			r.respond(0, good)
 		} else {
-			r.tell(0, &Delta{From: ver(5, 1), To: ver(5, 3), Sum: good.Sum, Put: good.Put})
+			r.respond(0, &Delta{From: version(5, 1), To: version(5, 3), Sum: good.Sum, Put: good.Put})
 		}
 	}
-	if c := r.call(); !c.Refused.IsZero() {
+	if c := r.nextCall(); !c.Refused.IsZero() {
 		t.Fatalf("%+v", c)
 	}
 }
 
-// Nor where each second brings a later version whose sum is wrong as well.
-func TestWrongSumsOfMoreAndMoreVersionsAreNotFetchedInALoop(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
-	from, wholes := r.now, 0
-	for r.now-from < time.Hour {
-		c := r.call()
+// A new version every second, each with a wrong checksum, does not cause more requests for snapshots either.
+func TestWrongChecksumsOfSuccessiveVersionsAreNotFetchedInLoop(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
+	start, snapshots := r.now, 0
+	for r.now-start < time.Hour {
+		c := r.nextCall()
 		r.now += time.Second
-		bad := filled(t, true, ver(5, uint64((r.now-from)/time.Second)+2), con("a", 2)).Snapshot()
+		bad := setWith(t, true, version(5, uint64((r.now-start)/time.Second)+2), contract("a", 2)).Snapshot()
 		bad.Sum++
 		if c.Since.IsZero() {
-			wholes++
+			snapshots++
 		} else {
 			bad.From = c.Since
 		}
-		r.tell(0, bad)
+		r.respond(0, bad)
 	}
-	holds(t, r.set, ver(5, 1), con("a", 1))
-	if wholes < 30 || wholes > 130 {
-		t.Fatalf("%d times the whole", wholes)
+	requireContent(t, r.set, version(5, 1), contract("a", 1))
+	if snapshots < 30 || snapshots > 130 {
+		t.Fatalf("%d snapshots", snapshots)
 	}
 }
 
-func TestARefusalIsToldUntilALaterVersionIsInForce(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
-	bad := r.next(res("cluster", "x", "{}"))
-	r.call()
-	if r.tell(0, bad) {
-		t.Fatal("taken")
-	}
-	var why *Refusal
-	if !errors.As(r.err, &why) || why.Key.Kind != "cluster" {
+func TestRefusalIsReportedUntilLaterVersionIsApplied(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
+	bad := r.nextDelta(newResource("cluster", "x", "{}"))
+	r.nextCall()
+	if r.respond(0, bad) {
+		t.Fatal("the delta was accepted")
+	}
+	var refusal *Refusal
+	if !errors.As(r.err, &refusal) || refusal.Key.Kind != "cluster" {
 		t.Fatal(r.err)
 	}
 	for range 5 {
-		c := r.call()
-		if c.Since != ver(5, 1) || c.Refused != bad.To || c.Why != why.Error() || c.Wait == 0 {
+		c := r.nextCall()
+		if c.Since != version(5, 1) || c.Refused != bad.To || c.Why != refusal.Error() || c.Wait == 0 {
 			t.Fatalf("%+v", c)
 		}
-		r.tell(c.Wait, r.nothing(c))
+		r.respond(c.Wait, r.emptyDelta(c))
 	}
-	// The merged delta from the same base mends it.
-	r.call()
-	good := &Delta{From: ver(5, 1), To: ver(5, 3), Put: put(con("a", 2)), Sum: filled(t, true, ver(1, 1), con("a", 2)).Sum()}
-	if !r.tell(0, good) {
+	// The merged delta from the same base has no such resource.
+	r.nextCall()
+	good := &Delta{From: version(5, 1), To: version(5, 3), Put: resources(contract("a", 2)), Sum: setWith(t, true, version(1, 1), contract("a", 2)).Sum()}
+	if !r.respond(0, good) {
 		t.Fatal(r.err)
 	}
-	if c := r.call(); !c.Refused.IsZero() || c.Why != "" || c.Since != ver(5, 3) {
+	if c := r.nextCall(); !c.Refused.IsZero() || c.Why != "" || c.Since != version(5, 3) {
 		t.Fatalf("%+v", c)
 	}
 }
 
-// What the catalog refuses is told in the same way; the words are bounded.
-func TestWhatItsCallerRefusesIsToldToo(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
-	c := r.call()
-	d := r.next(con("a", 2))
-	if take, err := r.f.Told(r.now, d); !take || err != nil {
-		t.Fatal(take, err)
-	}
-	r.f.Took(r.now, &Refusal{key("a"), "rate", strings.Repeat("é", MaxWhy)})
-	if c = r.call(); c.Since != ver(5, 1) || c.Refused != d.To || len(c.Why) > MaxWhy || !strings.HasPrefix(c.Why, `contract "a": rate: é`) {
+// A refusal by the caller, such as that of the catalog, is reported in the same way, with a bounded reason.
+func TestRefusalByCallerIsReported(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
+	c := r.nextCall()
+	d := r.nextDelta(contract("a", 2))
+	if apply, err := r.follower.Told(r.now, d); !apply || err != nil {
+		t.Fatal(apply, err)
+	}
+	r.follower.Took(r.now, &Refusal{contractKey("a"), "rate", strings.Repeat("é", MaxWhy)})
+	if c = r.nextCall(); c.Since != version(5, 1) || c.Refused != d.To || len(c.Why) > MaxWhy || !strings.HasPrefix(c.Why, `contract "a": rate: é`) {
 		t.Fatalf("%+v", c)
 	}
-	// It stays through calls that fail and through answers without anything new.
+	// The refusal is still reported after failed calls and after responses without a change.
 	r.fail(0, Behind)
-	if c = r.call(); c.Refused != d.To {
+	if c = r.nextCall(); c.Refused != d.To {
 		t.Fatalf("%+v", c)
 	}
-	r.tell(0, r.nothing(c))
-	if c = r.call(); c.Refused != d.To {
+	r.respond(0, r.emptyDelta(c))
+	if c = r.nextCall(); c.Refused != d.To {
 		t.Fatalf("%+v", c)
 	}
 }
 
-// A source that sends what was refused again and again, at once, is not asked in a loop.
-func TestARefusedVersionSentAgainIsNotALoop(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
-	bad := r.next(res("cluster", "x", "{}"))
-	from, calls := r.now, 0
-	for r.now-from < time.Minute {
-		r.call()
+// A source that sends a refused version again and again, without waiting, is not called in a loop.
+func TestRepeatedRefusedVersionBacksOff(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
+	bad := r.nextDelta(newResource("cluster", "x", "{}"))
+	start, calls := r.now, 0
+	for r.now-start < time.Minute {
+		r.nextCall()
 		calls++
-		r.tell(0, bad)
+		r.respond(0, bad)
 	}
 	if calls > 40 {
 		t.Fatal(calls)
 	}
 }
 
-func TestAnEmptyAnswerAtOnceIsNotALoop(t *testing.T) {
-	r := newRun(t, 3, con("a", 1))
-	from, calls := r.now, 0
-	for r.now-from < time.Minute {
-		c := r.call()
+func TestImmediateEmptyResponsesBackOff(t *testing.T) {
+	r := newFollowerTest(t, 3, contract("a", 1))
+	start, calls := r.now, 0
+	for r.now-start < time.Minute {
+		c := r.nextCall()
 		calls++
-		r.tell(0, r.nothing(c))
+		r.respond(0, r.emptyDelta(c))
 	}
-	if calls > 80 { // looks at others, which are to answer at once, among them
+	if calls > 80 { // includes the checks of other sources, which are to respond at once
 		t.Fatal(calls)
 	}
 }
 
-// Calls that are to be answered at once are, and watches are dropped: the good calls between don't make the rests short.
-func TestASourceThatDropsEachWatchIsNotALoop(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
-	from, calls := r.now, 0
-	for r.now-from < time.Minute {
-		c := r.call()
+// A source responds to immediate calls but drops each watch. The successes in between do not reset the backoff.
+func TestSourceDroppingWatchesBacksOff(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
+	start, calls := r.now, 0
+	for r.now-start < time.Minute {
+		c := r.nextCall()
 		calls++
 		if c.Wait > 0 {
 			r.fail(0, Unreachable)
 		} else {
-			r.tell(0, r.nothing(c))
+			r.respond(0, r.emptyDelta(c))
 		}
 	}
 	if calls > 60 {
@@ -527,105 +533,105 @@
 	}
 }
 
-func TestAnEpochTooFarAheadIsRefusedUntilTheClockSaysOtherwise(t *testing.T) {
-	r := newRun(t, 1, con("a", 1))
-	day := uint64(begin.Milliseconds()) + MaxEpochAhead
-	far := filled(t, true, ver(day+3_600_000, 0), con("a", 2)).Snapshot()
-	r.call()
-	var why *Refusal
-	if r.tell(0, far) || !errors.As(r.err, &why) || why.Field != "to" {
+func TestEpochTooFarAheadIsRefusedUntilClockCatchesUp(t *testing.T) {
+	r := newFollowerTest(t, 1, contract("a", 1))
+	day := uint64(startTime.Milliseconds()) + MaxEpochAhead
+	far := setWith(t, true, version(day+3_600_000, 0), contract("a", 2)).Snapshot()
+	r.nextCall()
+	var refusal *Refusal
+	if r.respond(0, far) || !errors.As(r.err, &refusal) || refusal.Field != "to" {
 		t.Fatal(r.err)
 	}
-	if c := r.call(); c.Refused != far.To || !strings.Contains(c.Why, "over a day ahead") {
+	if c := r.nextCall(); c.Refused != far.To || !strings.Contains(c.Why, "over a day ahead") {
 		t.Fatalf("%+v", c)
 	}
-	r.now += time.Hour + time.Second // the clock is put right, or time went on
-	if c := r.call(); !c.Refused.IsZero() {
+	r.now += time.Hour + time.Second // the clock is corrected, or time has passed
+	if c := r.nextCall(); !c.Refused.IsZero() {
 		t.Fatalf("%+v", c)
 	}
-	if !r.tell(0, far) {
+	if !r.respond(0, far) {
 		t.Fatal(r.err)
 	}
-	// Just a day ahead is taken.
-	r = newRun(t, 1, con("a", 1))
-	r.call()
-	if !r.tell(0, filled(t, true, ver(day, 0), con("a", 2)).Snapshot()) {
+	// An epoch of exactly a day ahead is accepted.
+	r = newFollowerTest(t, 1, contract("a", 1))
+	r.nextCall()
+	if !r.respond(0, setWith(t, true, version(day, 0), contract("a", 2)).Snapshot()) {
 		t.Fatal(r.err)
 	}
-	// What comes in force before goes with the refusal: a version that can't be left again is not waited for.
-	r = newRun(t, 1, con("a", 1))
-	r.call()
-	r.tell(0, far)
-	r.call()
-	if !r.tell(0, r.next(con("a", 3))) {
+	// A change that is applied meanwhile clears the refusal, as the refused version cannot be expected to be followed by a later one.
+	r = newFollowerTest(t, 1, contract("a", 1))
+	r.nextCall()
+	r.respond(0, far)
+	r.nextCall()
+	if !r.respond(0, r.nextDelta(contract("a", 3))) {
 		t.Fatal(r.err)
 	}
-	if c := r.call(); !c.Refused.IsZero() {
+	if c := r.nextCall(); !c.Refused.IsZero() {
 		t.Fatalf("%+v", c)
 	}
 }
 
-func TestBodyLimits(t *testing.T) {
-	for length, want := range map[int64]time.Duration{-1: bodyMost, 0: bodyLeast, 64 << 10: bodyLeast + time.Second, 1 << 40: bodyMost} {
+func TestBodyTimeoutDependsOnLength(t *testing.T) {
+	for length, want := range map[int64]time.Duration{-1: maxBodyTimeout, 0: minBodyTimeout, 64 << 10: minBodyTimeout + time.Second, 1 << 40: maxBodyTimeout} {
 		if d := BodyLimit(length); d != want {
 			t.Errorf("%d bytes: %v, want %v", length, d, want)
 		}
 	}
 }
 
-// Whatever is answered in whatever order: a node's version never falls, its set is the content of its version, calls stay within
-// their bounds, and there are never more of them than rests allow.
-func TestANodeNeverGoesBack(t *testing.T) {
+// Whatever is received in whatever order, a node's version never decreases, its set has the content of its version, and calls
+// stay within their limits.
+func TestNodeVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Some versions that control had, in two epochs, and the deltas between any two of them.
+		// Some versions of a control process in two epochs, and the deltas between any two of them.
 		s, h := NewSet(true), NewHistory(HistoryLimits{})
-		sums, wholes := map[Version]Sum{}, map[Version]*Delta{}
+		checksums, snapshots := map[Version]Sum{}, map[Version]*Delta{}
 		var versions []Version
 		for i := range 6 {
-			to := ver(5+uint64(i/3), uint64(i))
-			d := s.Next(to, put(con(fmt.Sprint(i%4), i)), nil)
+			to := version(5+uint64(i/3), uint64(i))
+			d := s.Next(to, resources(contract(fmt.Sprint(i%4), i)), nil)
 			h.Add(0, d)
 			if err := s.Apply(d); err != nil {
 				t.Fatal(err)
 			}
-			versions, sums[to], wholes[to] = append(versions, to), s.Sum(), s.Snapshot()
+			versions, checksums[to], snapshots[to] = append(versions, to), s.Sum(), s.Snapshot()
 		}
 		node := NewSet(false)
 		f := NewFollower(node, 3)
-		now, calls := begin, 0
-		for range rapid.IntRange(1, 60).Draw(t, "answers") {
-			c := f.Next(now, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
+		now, calls := startTime, 0
+		for range rapid.IntRange(1, 60).Draw(t, "responses") {
+			c := f.Next(now, rapid.Float64Range(0, 0.999).Draw(t, "random"))
 			now += c.Rest
 			calls++
-			if c.Source < 0 || c.Source > 2 || c.Rest < 0 || c.Rest > sumForget || c.Wait < 0 || c.Wait > NodePace.WaitMost || c.Limit != c.Wait+NodePace.Grace {
+			if c.Source < 0 || c.Source > 2 || c.Rest < 0 || c.Rest > checksumRefusalLifetime || c.Wait < 0 || c.Wait > NodePace.WaitMost || c.Limit != c.Wait+NodePace.Grace {
 				t.Fatalf("%+v", c)
 			}
 			before := node.Version()
 			d := &Delta{From: c.Since, To: c.Since, Sum: c.Sum}
 			v := rapid.SampledFrom(versions).Draw(t, "version")
-			switch rapid.IntRange(0, 4).Draw(t, "answer") {
+			switch rapid.IntRange(0, 4).Draw(t, "response") {
 			case 0:
 				f.Failed(now, Failure{Kind: FailureKind(rapid.IntRange(0, 5).Draw(t, "kind"))}, 0.3)
 				continue
 			case 1:
-				d = wholes[v]
+				d = snapshots[v]
 			case 2:
 				if since, ok := h.Since(v); ok {
 					d = since
 				}
 			case 3:
-				broken := *wholes[v]
-				broken.Sum++
-				d = &broken
+				damaged := *snapshots[v]
+				damaged.Sum++
+				d = &damaged
 			}
-			if take, _ := f.Told(now, d); take {
+			if apply, _ := f.Told(now, d); apply {
 				err := node.Apply(node.Difference(d))
 				f.Took(now, err)
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
-			if node.Version().Compare(before) < 0 || node.Sum() != sums[node.Version()] {
+			if node.Version().Compare(before) < 0 || node.Sum() != checksums[node.Version()] {
 				t.Fatal(before, node.Version())
 			}
 			now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.Wait}).Draw(t, "after")
