--- a/internal/control/counts.go
+++ b/internal/control/counters.go
@@ -9,13 +9,13 @@
 )
 
 // counts are what a server did since its start.
-type counts struct {
+type counters struct {
 	bytesIn, bytesOut              atomic.Int64
 	versions, reloads, badReloads  atomic.Int64
 	ok, bad, behind, full, refused atomic.Int64 // answers to calls for resources; refused: connections past the bound
 }
 
-func (c *counts) answered(status int) {
+func (c *counters) countResponse(status int) {
 	switch status {
 	case http.StatusOK:
 		c.ok.Add(1)
@@ -31,7 +31,7 @@
 // countingListener counts the bytes on its connections.
 type countingListener struct {
 	net.Listener
-	counts *counts
+	counters *counters
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -39,5 +39,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return follow.Counted(c, &l.counts.bytesIn, &l.counts.bytesOut), nil
+	return follow.Counted(c, &l.counters.bytesIn, &l.counters.bytesOut), nil
 }
--- a/internal/control/source_test.go
+++ b/internal/control/loader_test.go
@@ -16,17 +16,17 @@
 )
 
 // folder is a folder of files with this text each, last changed long ago.
-func folder(t testing.TB, files map[string]string) string {
+func writeFolder(t testing.TB, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range files {
-		put(t, filepath.Join(dir, name), text)
+		writeFile(t, filepath.Join(dir, name), text)
 	}
 	return dir
 }
 
 // put writes a file in one step, as an editor does, and makes it old, so that its time alone tells that it did not change.
-func put(t testing.TB, path, text string) {
+func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	tmp := path + ".new"
 	if err := os.WriteFile(tmp, []byte(text), 0o600); err != nil {
@@ -50,7 +50,7 @@
 	return b.String()
 }
 
-func names(all []resource.Resource) string {
+func resourceNames(all []resource.Resource) string {
 	var out []string
 	for _, r := range all {
 		out = append(out, string(r.Kind)+" "+r.Name)
@@ -58,20 +58,20 @@
 	return strings.Join(out, ", ")
 }
 
-func read(t testing.TB, s *Source, want string) {
+func loadAndAccept(t testing.TB, s *Loader, want string) {
 	t.Helper()
 	r, err := s.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Accept(r)
-	if got := names(s.All()); got != want {
+	if got := resourceNames(s.All()); got != want {
 		t.Fatalf("read %s, want %s", got, want)
 	}
 }
 
 // Only what changed is read: one file of many, none where none did, and what is gone goes without a reading.
-func TestReadsWhatChanged(t *testing.T) {
+func TestLoaderReadsOnlyChangedFiles(t *testing.T) {
 	t.Parallel()
 	files := map[string]string{".hidden.yaml": "no: yaml: at: all", "note.txt": "x", "y.yaml~": "x"}
 	want := []string{}
@@ -79,52 +79,52 @@
 		files[fmt.Sprintf("%02d.yaml", i)] = contractText(fmt.Sprintf("c%02d", i))
 		want = append(want, fmt.Sprintf("contract c%02d", i))
 	}
-	dir := folder(t, files)
+	dir := writeFolder(t, files)
 	if err := os.MkdirAll(filepath.Join(dir, "deeper.yaml.d"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	put(t, filepath.Join(dir, "deeper.yaml.d", "z.yaml"), contractText("deep"))
+	writeFile(t, filepath.Join(dir, "deeper.yaml.d", "z.yaml"), contractText("deep"))
 	s := NewSource(dir)
-	read(t, s, strings.Join(want, ", "))
+	loadAndAccept(t, s, strings.Join(want, ", "))
 	if s.Reads() != 50 {
 		t.Fatalf("%d files read of 50", s.Reads())
 	}
-	read(t, s, strings.Join(want, ", "))
+	loadAndAccept(t, s, strings.Join(want, ", "))
 	if s.Reads() != 50 {
 		t.Errorf("%d files read where none changed", s.Reads()-50)
 	}
-	put(t, filepath.Join(dir, "07.yaml"), contractText("c07", "new"))
+	writeFile(t, filepath.Join(dir, "07.yaml"), contractText("c07", "new"))
 	want[7] = "contract c07, contract new"
-	read(t, s, strings.Join(want, ", "))
+	loadAndAccept(t, s, strings.Join(want, ", "))
 	if s.Reads() != 51 {
 		t.Errorf("%d files read for one that changed", s.Reads()-50)
 	}
-	if at, want := s.Where(resource.Key{Kind: resource.Contract, Name: "new"}), filepath.Join(dir, "07.yaml")+":5"; at != want {
+	if at, want := s.Location(resource.Key{Kind: resource.Contract, Name: "new"}), filepath.Join(dir, "07.yaml")+":5"; at != want {
 		t.Errorf("it stands at %s, want %s", at, want)
 	}
 	if err := os.Remove(filepath.Join(dir, "03.yaml")); err != nil {
 		t.Fatal(err)
 	}
-	read(t, s, strings.Join(append(want[:3:3], want[4:]...), ", "))
+	loadAndAccept(t, s, strings.Join(append(want[:3:3], want[4:]...), ", "))
 	if s.Reads() != 51 {
 		t.Errorf("%d files read for one that is gone", s.Reads()-51)
 	}
 }
 
 // A file that changed a moment ago may change once more without another time or size: its text is read, and what it says is not read anew.
-func TestReadsYoungFileAgain(t *testing.T) {
+func TestRecentlyModifiedFileIsReadAgain(t *testing.T) {
 	t.Parallel()
-	dir := folder(t, map[string]string{"a.yaml": contractText("old")})
+	dir := writeFolder(t, map[string]string{"a.yaml": contractText("old")})
 	path := filepath.Join(dir, "a.yaml")
 	s := NewSource(dir)
-	read(t, s, "contract old")
+	loadAndAccept(t, s, "contract old")
 	// The same inode, size and time: only the text tells.
 	info, err := os.Stat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := s.files[path]
-	f.at = info.ModTime()
+	f.readAt = info.ModTime()
 	text := contractText("new")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -137,11 +137,11 @@
 		t.Fatal(err)
 	}
 	f.stamp = stampOf(info)
-	read(t, s, "contract new")
+	loadAndAccept(t, s, "contract new")
 }
 
 // What is wrong names the file and the line, and the next reading reads no more than that file.
-func TestReadErrors(t *testing.T) {
+func TestLoadErrorsNameFileAndLine(t *testing.T) {
 	t.Parallel()
 	good := contractText("good")
 	for _, c := range []struct{ name, before, text, want string }{
@@ -156,18 +156,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			dir := folder(t, map[string]string{"a.yaml": good, "c.yaml": contractText("c")})
+			dir := writeFolder(t, map[string]string{"a.yaml": good, "c.yaml": contractText("c")})
 			path := filepath.Join(dir, "b.yaml")
 			s := NewSource(dir)
 			if c.before != "" {
-				put(t, path, c.before)
+				writeFile(t, path, c.before)
 				r, err := s.Read()
 				if err != nil {
 					t.Fatal(err)
 				}
 				s.Accept(r)
 			}
-			put(t, path, c.text)
+			writeFile(t, path, c.text)
 			for range 2 {
 				if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), c.want) {
 					t.Fatalf("%v, want %s", err, c.want)
@@ -179,8 +179,8 @@
 				}
 			}
 			before := s.Reads()
-			put(t, path, contractText("mended")+"...\n")
-			read(t, s, "contract good, contract mended, contract c")
+			writeFile(t, path, contractText("mended")+"...\n")
+			loadAndAccept(t, s, "contract good, contract mended, contract c")
 			if n := s.Reads() - before; n != 1 {
 				t.Errorf("%d files read where one was mended", n)
 			}
@@ -189,20 +189,20 @@
 }
 
 // Bounds, and a place where nothing is.
-func TestReadBounds(t *testing.T) {
+func TestLoadLimits(t *testing.T) {
 	t.Parallel()
 	empty := t.TempDir()
 	big := filepath.Join(t.TempDir(), "big.yaml")
 	if err := os.WriteFile(big, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Truncate(big, MaxFile+1); err != nil {
+	if err := os.Truncate(big, MaxFileBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ path, want string }{
 		{empty, "no file *.yaml is in it"},
 		{filepath.Join(empty, "none"), "no such file"},
-		{big, fmt.Sprintf("%d bytes: at most %d", MaxFile+1, MaxFile)},
+		{big, fmt.Sprintf("%d bytes: at most %d", MaxFileBytes+1, MaxFileBytes)},
 		{os.DevNull, "is no file"},
 	} {
 		if _, err := NewSource(c.path).Read(); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -221,9 +221,9 @@
 }
 
 // A file that is written, or replaced, while it is read is read again; one that does so for ever is an error.
-func TestReadsWhatIsWritten(t *testing.T) {
+func TestFileThatChangesWhileItIsRead(t *testing.T) {
 	t.Parallel()
-	dir := folder(t, map[string]string{"a.yaml": contractText("one")})
+	dir := writeFolder(t, map[string]string{"a.yaml": contractText("one")})
 	path := filepath.Join(dir, "a.yaml")
 	s := NewSource(dir)
 	times := 0
@@ -240,15 +240,15 @@
 				t.Error(err)
 			}
 		case 2: // another file takes its name
-			put(t, path, contractText("three", "four"))
+			writeFile(t, path, contractText("three", "four"))
 		}
 	}
-	read(t, s, "contract three, contract four")
+	loadAndAccept(t, s, "contract three, contract four")
 	if s.Reads() != 3 {
 		t.Errorf("%d readings", s.Reads())
 	}
-	s.onRead = func(string) { put(t, path, contractText("three", "four")+strings.Repeat("#\n", times)); times++ }
-	put(t, path, contractText("five"))
+	s.onRead = func(string) { writeFile(t, path, contractText("three", "four")+strings.Repeat("#\n", times)); times++ }
+	writeFile(t, path, contractText("five"))
 	if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), "it is being written") {
 		t.Errorf("%v", err)
 	}
@@ -259,10 +259,10 @@
 	t.Parallel()
 	services := "services:\n  - name: shop\n    classes: [{name: view}]\n"
 	uses := "contracts:\n  - name: a\n    match: [{tenant: a}]\n    services: [shop]\n"
-	if n, err := CheckFiles(folder(t, map[string]string{"a.yaml": uses, "b.yaml": services})); n != 2 || err != nil {
+	if n, err := CheckFiles(writeFolder(t, map[string]string{"a.yaml": uses, "b.yaml": services})); n != 2 || err != nil {
 		t.Errorf("%d, %v", n, err)
 	}
-	dir := folder(t, map[string]string{"a.yaml": uses})
+	dir := writeFolder(t, map[string]string{"a.yaml": uses})
 	want := filepath.Join(dir, "a.yaml") + `:2: contract "a": services[0]: "shop" is no service here`
 	if _, err := CheckFiles(dir); err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
@@ -271,9 +271,9 @@
 
 // What a reading tells is what differs from what was accepted, whatever was read and not accepted meanwhile: resources that move between files,
 // files that take another name, a reading that was refused.
-func TestReadingIsWhatDiffers(t *testing.T) {
+func TestLoadReturnsDifferenceFromAccepted(t *testing.T) {
 	t.Parallel()
-	dir := folder(t, map[string]string{"a.yaml": contractText("a", "b"), "c.yaml": contractText("c")})
+	dir := writeFolder(t, map[string]string{"a.yaml": contractText("a", "b"), "c.yaml": contractText("c")})
 	s := NewSource(dir)
 	want := func(put, gone string, accept bool) {
 		t.Helper()
@@ -285,8 +285,8 @@
 		for _, k := range r.Gone {
 			keys = append(keys, resource.Resource{Key: k})
 		}
-		if names(r.Put) != put || names(keys) != gone {
-			t.Fatalf("put %s, gone %s; want %s and %s", names(r.Put), names(keys), put, gone)
+		if resourceNames(r.Put) != put || resourceNames(keys) != gone {
+			t.Fatalf("put %s, gone %s; want %s and %s", resourceNames(r.Put), resourceNames(keys), put, gone)
 		}
 		if accept {
 			s.Accept(r)
@@ -296,39 +296,39 @@
 	want("contract a, contract b, contract c", "", true)
 	want("", "", true)
 	// b moves to another file, and c.yaml takes another name: nothing differs.
-	put(t, filepath.Join(dir, "a.yaml"), contractText("a"))
-	put(t, filepath.Join(dir, "b.yaml"), contractText("b"))
+	writeFile(t, filepath.Join(dir, "a.yaml"), contractText("a"))
+	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("b"))
 	if err := os.Rename(filepath.Join(dir, "c.yaml"), filepath.Join(dir, "d.yaml")); err != nil {
 		t.Fatal(err)
 	}
 	want("", "", true)
 	// A change that is refused is told again with the next one, and not once it is taken back.
-	put(t, filepath.Join(dir, "d.yaml"), strings.Replace(contractText("c"), "5", "6", 1))
+	writeFile(t, filepath.Join(dir, "d.yaml"), strings.Replace(contractText("c"), "5", "6", 1))
 	want("contract c", "", false)
-	put(t, filepath.Join(dir, "b.yaml"), contractText("x"))
+	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("x"))
 	want("contract x, contract c", "contract b", false)
-	put(t, filepath.Join(dir, "d.yaml"), contractText("c"))
+	writeFile(t, filepath.Join(dir, "d.yaml"), contractText("c"))
 	want("contract x", "contract b", true)
-	if got := names(s.All()); got != "contract a, contract x, contract c" {
+	if got := resourceNames(s.All()); got != "contract a, contract x, contract c" {
 		t.Errorf("all: %s", got)
 	}
 	// Twice, in a file that changed and in one that did not, and in two that changed.
-	put(t, filepath.Join(dir, "b.yaml"), contractText("a"))
+	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a"))
 	if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:2: contract "a" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
 		t.Error(err)
 	}
-	put(t, filepath.Join(dir, "a.yaml"), contractText("y"))
-	put(t, filepath.Join(dir, "b.yaml"), contractText("a", "y"))
+	writeFile(t, filepath.Join(dir, "a.yaml"), contractText("y"))
+	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a", "y"))
 	if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:5: contract "y" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
 		t.Error(err)
 	}
-	put(t, filepath.Join(dir, "b.yaml"), contractText("a"))
+	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a"))
 	want("contract y", "contract x", true)
 }
 
 // Whatever is written, moved and taken away, and whether or not it is accepted: what a reading tells leads from what was accepted to just what
 // the files say, and a resource in two files is always found.
-func TestReadingLeadsToTheFiles(t *testing.T) {
+func TestAcceptedDiffsLeadToFileContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "source")
 		if err != nil {
@@ -393,13 +393,13 @@
 				}
 			}
 			if len(r.Put) != differs || len(r.Gone) != gone {
-				t.Fatalf("put %s, gone %v; in force %v, files %v", names(r.Put), r.Gone, in, all)
+				t.Fatalf("put %s, gone %v; in force %v, files %v", resourceNames(r.Put), r.Gone, in, all)
 			}
 			if rapid.Bool().Draw(t, "accept") {
 				s.Accept(r)
 				in = all
 				if len(s.All()) != len(all) {
-					t.Fatalf("all: %s, files %v", names(s.All()), all)
+					t.Fatalf("all: %s, files %v", resourceNames(s.All()), all)
 				}
 			}
 		}
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	mostWait   = time.Minute      // that a watch is held; one that asks for longer is answered then
-	headTime   = 2 * time.Second  // a caller may take over its call's head
-	restTime   = time.Minute      // a connection on which nothing is asked is closed
-	answerTime = 10 * time.Second // a caller may take to read an answer that is no watch's
-	endTime    = 1500 * time.Millisecond
-	maxHead    = 8 << 10
-	spareConns = 256 // connections beyond those that hold watches
-	mostReload = 8   // calls for a reload at a time: each waits for those before it
+	maxWatchWait         = time.Minute      // that a watch is held; one that asks for longer is answered then
+	headerTimeout        = 2 * time.Second  // a caller may take over its call's head
+	idleTimeout          = time.Minute      // a connection on which nothing is asked is closed
+	responseTimeout      = 10 * time.Second // a caller may take to read an answer that is no watch's
+	shutdownTimeout      = 1500 * time.Millisecond
+	maxHeaderBytes       = 8 << 10
+	spareConnections     = 256 // connections beyond those that hold watches
+	maxConcurrentReloads = 8   // calls for a reload at a time: each waits for those before it
 )
 
 // ServeOptions say what a control process is. Files makes it the writer, From a follower: one of them.
@@ -46,24 +46,24 @@
 // server is a control process.
 type server struct {
 	ServeOptions
-	writer   *writer // nil: a follower
-	answers  *answers
-	follow   follow.Status
-	counts   counts
-	begun    time.Duration
-	ending   chan struct{} // closed once watches are to end
-	ahead    chan struct{} // holds one: a caller has a version past ours
-	reloads  atomic.Int32  // calls under way
-	conns    conns
-	handler  http.Handler
-	again    time.Duration                 // between two epochs, at least
-	sendTime func(bytes int) time.Duration // a caller may take to read an answer
-	onHold   func()                        // in tests: a call is held, once more with each version that is not for it
-	onSent   func(error)                   // in tests: an answer is written, or can't be
-	mu       sync.Mutex                    // guards the rest
-	book     *Book
-	changed  chan struct{}            // closed and replaced with each version
-	replaced map[uint64]chan struct{} // by held watch: closed where a later call took its place
+	writer          *writer // nil: a follower
+	responses       *responseCache
+	followStatus    follow.Status
+	counters        counters
+	startedAt       time.Duration
+	shuttingDown    chan struct{} // closed once watches are to end
+	newEpochWanted  chan struct{} // holds one: a caller has a version past ours
+	activeReloads   atomic.Int32  // calls under way
+	connections     connectionLimiter
+	handler         http.Handler
+	epochInterval   time.Duration                 // between two epochs, at least
+	writeTimeout    func(bytes int) time.Duration // a caller may take to read an answer
+	onHold          func()                        // in tests: a call is held, once more with each version that is not for it
+	onSent          func(error)                   // in tests: an answer is written, or can't be
+	mu              sync.Mutex                    // guards the rest
+	store           *VersionStore
+	changed         chan struct{}            // closed and replaced with each version
+	replacedWatches map[uint64]chan struct{} // by held watch: closed where a later call took its place
 }
 
 // FilesError is what is wrong with a writer's files at its start: file, line, resource and field.
@@ -87,18 +87,18 @@
 	defer stop()
 	srv := &http.Server{
 		Handler:           s.handler,
-		ReadHeaderTimeout: headTime,
-		WriteTimeout:      mostWait + answerTime, // narrower for each answer
-		IdleTimeout:       restTime,
-		MaxHeaderBytes:    maxHead,
-		ConnState:         s.conns.track,
+		ReadHeaderTimeout: headerTimeout,
+		WriteTimeout:      maxWatchWait + responseTimeout, // narrower for each answer
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.connections.track,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 2)
 	var group sync.WaitGroup
-	group.Go(func() { failed <- srv.Serve(&countingListener{s.Listener, &s.counts}) })
+	group.Go(func() { failed <- srv.Serve(&countingListener{s.Listener, &s.counters}) })
 	group.Go(func() {
-		if err := s.keep(ctx); err != nil {
+		if err := s.runUpdates(ctx); err != nil {
 			failed <- err
 		}
 	})
@@ -107,8 +107,8 @@
 	case err = <-failed:
 	}
 	stop()
-	s.end()
-	down, cancel := context.WithTimeout(context.Background(), endTime)
+	s.endWatches()
+	down, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if srv.Shutdown(down) != nil {
 		srv.Close()
@@ -128,10 +128,10 @@
 		o.Clock = follow.SystemClock()
 	}
 	o.Limits.Watches = cmp.Or(max(o.Limits.Watches, 0), DefaultLimits.Watches)
-	s := &server{ServeOptions: o, answers: newAnswers(), ending: make(chan struct{}), ahead: make(chan struct{}, 1), book: NewBook(o.Limits),
-		begun: o.Clock.Now(), changed: make(chan struct{}), replaced: map[uint64]chan struct{}{}}
-	s.conns.most, s.again = o.Limits.Watches+spareConns, againLeast
-	s.sendTime = func(bytes int) time.Duration { return max(answerTime, resource.BodyLimit(int64(bytes))) }
+	s := &server{ServeOptions: o, responses: newResponseCache(), shuttingDown: make(chan struct{}), newEpochWanted: make(chan struct{}, 1), store: NewVersionStore(o.Limits),
+		startedAt: o.Clock.Now(), changed: make(chan struct{}), replacedWatches: map[uint64]chan struct{}{}}
+	s.connections.maxOpen, s.epochInterval = o.Limits.Watches+spareConnections, minEpochInterval
+	s.writeTimeout = func(bytes int) time.Duration { return max(responseTimeout, resource.BodyLimit(int64(bytes))) }
 	if o.Files != "" {
 		s.writer = newWriter(o.Files)
 	}
@@ -140,14 +140,14 @@
 }
 
 // keep keeps the book up to date until ctx ends.
-func (s *server) keep(ctx context.Context) error {
+func (s *server) runUpdates(ctx context.Context) error {
 	if s.writer != nil {
-		return s.write(ctx)
+		return s.runWriter(ctx)
 	}
 	set := resource.NewSet(false) // the follower's; the book's own is under the lock
-	return follow.Run(ctx, follow.Options{Name: s.Name, Role: "control", Sources: s.From, Set: set, Log: s.Log, Status: &s.follow, Clock: s.Clock,
+	return follow.Run(ctx, follow.Options{Name: s.Name, Role: "control", Sources: s.From, Set: set, Log: s.Log, Status: &s.followStatus, Clock: s.Clock,
 		Take: func(d *resource.Delta) error {
-			if err := s.publish(func(now time.Duration) error { return s.book.Take(now, d) }); err != nil {
+			if err := s.publish(func(now time.Duration) error { return s.store.Apply(now, d) }); err != nil {
 				return err
 			}
 			return set.Apply(d)
@@ -158,64 +158,64 @@
 func (s *server) publish(change func(now time.Duration) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.book.Set().Version()
+	before := s.store.Set().Version()
 	if err := change(s.Clock.Now()); err != nil {
 		return err
 	}
-	if s.book.Set().Version() == before {
+	if s.store.Set().Version() == before {
 		return nil
 	}
-	s.answers.clear()
-	s.counts.versions.Add(1)
+	s.responses.clear()
+	s.counters.versions.Add(1)
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return nil
 }
 
 // end answers all watches.
-func (s *server) end() {
+func (s *server) endWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.ending)
+	close(s.shuttingDown)
 }
 
 // routes are what can be called. Unknown paths and methods are answered with 404 and 405 by the mux.
 func (s *server) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/resources", s.watch)
+	mux.HandleFunc("GET /v1/resources", s.handleWatch)
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		text, err := json.MarshalIndent(s.status(), "", "  ")
 		if err != nil {
-			s.say(w, http.StatusInternalServerError, err.Error())
+			s.respondText(w, http.StatusInternalServerError, err.Error())
 			return
 		}
-		s.send(w, http.StatusOK, "application/json", append(text, '\n'))
+		s.respond(w, http.StatusOK, "application/json", append(text, '\n'))
 	})
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
-		version := s.book.Set().Version()
+		version := s.store.Set().Version()
 		s.mu.Unlock()
 		if version.IsZero() {
-			s.say(w, http.StatusServiceUnavailable, errNothing.Error())
+			s.respondText(w, http.StatusServiceUnavailable, errNoConfiguration.Error())
 			return
 		}
-		s.say(w, http.StatusOK, "ok")
+		s.respondText(w, http.StatusOK, "ok")
 	})
 	mux.Handle("GET /metrics", s.metrics())
-	mux.HandleFunc("POST /v1/reload", s.reload)
+	mux.HandleFunc("POST /v1/reload", s.handleReload)
 	return mux
 }
 
-var errNothing = errors.New("no configuration here yet")
+var errNoConfiguration = errors.New("no configuration here yet")
 
 // say answers with one line of text.
-func (s *server) say(w http.ResponseWriter, status int, line string) {
-	s.send(w, status, "text/plain; charset=utf-8", []byte(line+"\n"))
+func (s *server) respondText(w http.ResponseWriter, status int, line string) {
+	s.respond(w, status, "text/plain; charset=utf-8", []byte(line+"\n"))
 }
 
 // send answers; a caller that does not read it in time is cut off.
-func (s *server) send(w http.ResponseWriter, status int, kind string, body []byte) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.sendTime(len(body))))
+func (s *server) respond(w http.ResponseWriter, status int, kind string, body []byte) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.writeTimeout(len(body))))
 	w.Header().Set("Content-Type", kind)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
@@ -226,135 +226,135 @@
 }
 
 // reload reads the files and answers once what they say is in force, or why it is not.
-func (s *server) reload(w http.ResponseWriter, r *http.Request) {
+func (s *server) handleReload(w http.ResponseWriter, r *http.Request) {
 	if s.writer == nil {
-		s.say(w, http.StatusConflict, "this control process follows another one: changes are made at the writer")
+		s.respondText(w, http.StatusConflict, "this control process follows another one: changes are made at the writer")
 		return
 	}
-	defer s.reloads.Add(-1)
-	if s.reloads.Add(1) > mostReload {
+	defer s.activeReloads.Add(-1)
+	if s.activeReloads.Add(1) > maxConcurrentReloads {
 		w.Header().Set("Retry-After", "1")
-		s.say(w, http.StatusServiceUnavailable, "the files are being read for others already")
+		s.respondText(w, http.StatusServiceUnavailable, "the files are being read for others already")
 		return
 	}
-	d, err := s.reread()
+	d, err := s.reloadFiles()
 	switch {
-	case errors.Is(err, errNothing):
-		s.say(w, http.StatusServiceUnavailable, err.Error())
+	case errors.Is(err, errNoConfiguration):
+		s.respondText(w, http.StatusServiceUnavailable, err.Error())
 	case err != nil:
-		s.say(w, http.StatusUnprocessableEntity, err.Error())
+		s.respondText(w, http.StatusUnprocessableEntity, err.Error())
 	default:
 		text, _ := json.Marshal(d)
-		s.send(w, http.StatusOK, "application/json", append(text, '\n'))
+		s.respond(w, http.StatusOK, "application/json", append(text, '\n'))
 	}
 }
 
 // watch answers a call for resources: at once, or when something is new, its wait is over, or this process ends.
-func (s *server) watch(w http.ResponseWriter, r *http.Request) {
+func (s *server) handleWatch(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r.URL.RawQuery)
 	if err != nil {
-		s.counts.answered(http.StatusBadRequest)
-		s.say(w, http.StatusBadRequest, err.Error())
+		s.counters.countResponse(http.StatusBadRequest)
+		s.respondText(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	reply, gone := s.hold(r.Context(), q)
+	reply, gone := s.holdCall(r.Context(), q)
 	if gone {
 		return
 	}
-	s.counts.answered(reply.Status)
+	s.counters.countResponse(reply.Status)
 	if reply.Status != http.StatusOK {
 		if reply.RetryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(int(max(reply.RetryAfter.Round(time.Second), time.Second)/time.Second)))
 		}
-		if reply.Err == errEnding {
+		if reply.Err == errShuttingDown {
 			w.Header().Set("Connection", "close")
 		}
-		s.say(w, reply.Status, reply.Err.Error())
+		s.respondText(w, reply.Status, reply.Err.Error())
 		return
 	}
-	body, zipped, err := s.answers.of(reply.Delta, acceptsGzip(r))
+	body, zipped, err := s.responses.body(reply.Delta, acceptsGzip(r))
 	if err != nil {
 		s.Log.Error("an answer can't be made", "err", err)
-		s.say(w, http.StatusInternalServerError, err.Error())
+		s.respondText(w, http.StatusInternalServerError, err.Error())
 		return
 	}
 	if zipped {
 		w.Header().Set("Content-Encoding", "gzip")
 	}
 	w.Header().Set("Vary", "Accept-Encoding")
-	s.send(w, http.StatusOK, "application/json", body)
+	s.respond(w, http.StatusOK, "application/json", body)
 }
 
-var errEnding = errors.New("this control process ends")
+var errShuttingDown = errors.New("this control process ends")
 
 // hold asks the book, and again with each version, until there is an answer. Gone: nobody waits for it any more.
-func (s *server) hold(ctx context.Context, q Query) (reply Reply, gone bool) {
+func (s *server) holdCall(ctx context.Context, q Query) (reply Reply, gone bool) {
 	var over <-chan time.Time
-	if q.Wait > 0 {
-		t := time.NewTimer(q.Wait)
+	if q.MaxWait > 0 {
+		t := time.NewTimer(q.MaxWait)
 		defer t.Stop()
 		over = t.C
 	}
 	for {
-		reply, changed, replaced := s.ask(q)
-		if !reply.Wait {
+		reply, changed, replaced := s.queryStore(q)
+		if !reply.Hold {
 			return reply, false
 		}
-		q.Watch = reply.Watch
+		q.WatchID = reply.WatchID
 		if s.onHold != nil {
 			s.onHold()
 		}
 		left, ended := q, q
-		left.Left, ended.Gone = true, true
+		left.WaitOver, ended.CallerGone = true, true
 		select {
 		case <-changed:
 		case <-replaced:
 			return reply, false // it has been let go already
 		case <-over:
-			s.ask(left)
+			s.queryStore(left)
 			return reply, false
 		case <-ctx.Done():
-			s.ask(ended)
+			s.queryStore(ended)
 			return reply, true
-		case <-s.ending:
-			s.ask(left)
-			return Reply{Status: http.StatusServiceUnavailable, Err: errEnding, RetryAfter: time.Second}, false
+		case <-s.shuttingDown:
+			s.queryStore(left)
+			return Reply{Status: http.StatusServiceUnavailable, Err: errShuttingDown, RetryAfter: time.Second}, false
 		}
 	}
 }
 
 // ask asks the book once. The channels are for a call that is to be held.
-func (s *server) ask(q Query) (reply Reply, changed, replaced <-chan struct{}) {
+func (s *server) queryStore(q Query) (reply Reply, changed, replaced <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.ending:
-		if q.Watch == 0 {
-			return Reply{Status: http.StatusServiceUnavailable, Err: errEnding, RetryAfter: time.Second}, nil, nil
+	case <-s.shuttingDown:
+		if q.WatchID == 0 {
+			return Reply{Status: http.StatusServiceUnavailable, Err: errShuttingDown, RetryAfter: time.Second}, nil, nil
 		}
 	default:
 	}
-	reply = s.book.Watch(s.Clock.Now(), q)
-	if c := s.replaced[reply.Replaced]; c != nil {
+	reply = s.store.Watch(s.Clock.Now(), q)
+	if c := s.replacedWatches[reply.ReplacedWatch]; c != nil {
 		close(c)
-		delete(s.replaced, reply.Replaced)
+		delete(s.replacedWatches, reply.ReplacedWatch)
 	}
-	if !reply.Wait {
-		if q.Watch != 0 {
-			delete(s.replaced, q.Watch)
+	if !reply.Hold {
+		if q.WatchID != 0 {
+			delete(s.replacedWatches, q.WatchID)
 		}
-		if s.writer != nil && !s.book.Ahead().IsZero() {
+		if s.writer != nil && !s.store.Ahead().IsZero() {
 			select {
-			case s.ahead <- struct{}{}:
+			case s.newEpochWanted <- struct{}{}:
 			default:
 			}
 		}
 		return reply, nil, nil
 	}
-	c := s.replaced[reply.Watch]
+	c := s.replacedWatches[reply.WatchID]
 	if c == nil {
 		c = make(chan struct{})
-		s.replaced[reply.Watch] = c
+		s.replacedWatches[reply.WatchID] = c
 	}
 	return reply, s.changed, c
 }
@@ -381,7 +381,7 @@
 		if err != nil || ms < 0 {
 			return q, fmt.Errorf("timeout_ms: %.40q is no number of milliseconds", text)
 		}
-		q.Wait = time.Duration(min(ms, mostWait.Milliseconds())) * time.Millisecond
+		q.MaxWait = time.Duration(min(ms, maxWatchWait.Milliseconds())) * time.Millisecond
 	}
 	return q, nil
 }
--- a/internal/control/size_test.go
+++ b/internal/control/size_test.go
@@ -18,17 +18,17 @@
 )
 
 // sized writes 17,000 contracts, 3,800 routes and 250 services, or fewer alike, into so many files of a folder.
-func sized(t testing.TB, contracts, files int) string {
+func writeFleetFiles(t testing.TB, contracts, files int) string {
 	t.Helper()
 	dir := t.TempDir()
 	services, routes := contracts*250/17000, contracts*3800/17000
 	for f := range files {
-		put(t, filepath.Join(dir, fmt.Sprintf("%04d.yaml", f)), sizedText(f, files, contracts, services, routes, 5))
+		writeFile(t, filepath.Join(dir, fmt.Sprintf("%04d.yaml", f)), fleetFileText(f, files, contracts, services, routes, 5))
 	}
 	return dir
 }
 
-func sizedText(f, files, contracts, services, routes int, rate float64) string {
+func fleetFileText(f, files, contracts, services, routes int, rate float64) string {
 	var b strings.Builder
 	part := func(n int) (from, to int) { return n * f / files, n * (f + 1) / files }
 	if from, to := part(services); from < to {
@@ -55,7 +55,7 @@
 }
 
 // cpu is the processor time of this process.
-func cpu() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -65,10 +65,10 @@
 
 // One change wakes 450 followers' watches, on a connection each, and reaches all; none needs the whole again. The log says what it cost,
 // of control and of the 450 together, as they are one process here.
-func TestOneChangeWakesAll(t *testing.T) {
+func TestOneChangeReachesAllWatches(t *testing.T) {
 	const nodes = 450
-	p := begin(t, "", ServeOptions{Files: folder(t, map[string]string{"a.yaml": contractText(many("c", 500)...)})})
-	p.version(t, resource.Version{})
+	p := startProcess(t, "", ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText(numberedNames("c", 500)...)})})
+	p.waitForVersion(t, resource.Version{})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	taken := make(chan *resource.Delta, 10*nodes)
@@ -90,25 +90,25 @@
 				if d.From != from {
 					t.Fatalf("%v to %v, want from %v", d.From, d.To, from)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("some node gets no change")
 			}
 		}
 	}
 	all(resource.Version{})
 	for range nodes {
-		p.holds(t)
+		p.waitForHeldCall(t)
 	}
-	v := p.version(t, resource.Version{})
-	in, out, used, at := p.counts.bytesIn.Load(), p.counts.bytesOut.Load(), cpu(), time.Now()
-	p.edit(t, "b.yaml", contractText("new"))
+	v := p.waitForVersion(t, resource.Version{})
+	in, out, used, at := p.counters.bytesIn.Load(), p.counters.bytesOut.Load(), processCPUTime(), time.Now()
+	p.editAndReload(t, "b.yaml", contractText("new"))
 	all(v)
-	took, used := time.Since(at), cpu()-used
+	took, used := time.Since(at), processCPUTime()-used
 	for range nodes {
-		p.holds(t)
+		p.waitForHeldCall(t)
 	}
 	t.Logf("a change at %d followers after %v, %v of processor time of them and control together; control read %d bytes and wrote %d a follower, with the next call",
-		nodes, took, used, (p.counts.bytesIn.Load()-in)/nodes, (p.counts.bytesOut.Load()-out)/nodes)
+		nodes, took, used, (p.counters.bytesIn.Load()-in)/nodes, (p.counters.bytesOut.Load()-out)/nodes)
 	cancel()
 	group.Wait()
 	for i := range nodes {
@@ -119,19 +119,19 @@
 }
 
 // watchers hold calls on raw connections that only count what comes, so that what is measured is control's.
-type watchers struct {
-	t     testing.TB
-	conns []net.Conn
-	p     *process
+type rawWatchers struct {
+	t           testing.TB
+	connections []net.Conn
+	process     *testProcess
 }
 
-func (w *watchers) ask(v resource.Version, sum resource.Sum) {
+func (w *rawWatchers) call(v resource.Version, sum resource.Sum) {
 	s, _ := sum.MarshalText()
-	for i, c := range w.conns {
+	for i, c := range w.connections {
 		fmt.Fprintf(c, "GET /v1/resources?name=n%d&role=node&since=%v&sum=%s&timeout_ms=60000 HTTP/1.1\r\nHost: x\r\nAccept-Encoding: gzip\r\n\r\n", i, v, s)
 	}
-	for range w.conns {
-		w.p.holds(w.t)
+	for range w.connections {
+		w.process.waitForHeldCall(w.t)
 	}
 }
 
@@ -141,44 +141,44 @@
 	const nodes = 450
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			dir := sized(b, n, 200)
-			p := begin(b, "", ServeOptions{Files: dir})
-			p.version(b, resource.Version{})
-			w := &watchers{t: b, p: p}
+			dir := writeFleetFiles(b, n, 200)
+			p := startProcess(b, "", ServeOptions{Files: dir})
+			p.waitForVersion(b, resource.Version{})
+			w := &rawWatchers{t: b, process: p}
 			for range nodes {
 				c, err := net.Dial("tcp", p.addr)
 				if err != nil {
 					b.Fatal(err)
 				}
 				defer c.Close()
-				w.conns = append(w.conns, c)
+				w.connections = append(w.connections, c)
 			}
 			buf := make([]byte, 64<<10)
 			version := func() (resource.Version, resource.Sum) {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				return p.book.Set().Version(), p.book.Set().Sum()
+				return p.store.Set().Version(), p.store.Set().Sum()
 			}
-			w.ask(version())
-			out, used, reads, i := p.counts.bytesOut.Load(), cpu(), p.writer.source.Reads(), 0
+			w.call(version())
+			out, used, reads, i := p.counters.bytesOut.Load(), processCPUTime(), p.writer.loader.Reads(), 0
 			b.ResetTimer()
 			for b.Loop() {
 				i++
-				put(b, filepath.Join(dir, "0007.yaml"), sizedText(7, 200, n, n*250/17000, n*3800/17000, float64(5+i%7)))
-				if _, err := p.reread(); err != nil {
+				writeFile(b, filepath.Join(dir, "0007.yaml"), fleetFileText(7, 200, n, n*250/17000, n*3800/17000, float64(5+i%7)))
+				if _, err := p.reloadFiles(); err != nil {
 					b.Fatal(err)
 				}
-				for _, c := range w.conns {
+				for _, c := range w.connections {
 					if _, err := io.ReadAtLeast(c, buf, 1); err != nil {
 						b.Fatal(err)
 					}
 				}
-				w.ask(version())
+				w.call(version())
 			}
 			b.StopTimer()
-			b.ReportMetric(float64((cpu()-used).Microseconds())/1000/float64(i), "cpu-ms/op")
-			b.ReportMetric(float64(p.counts.bytesOut.Load()-out)/float64(i)/nodes, "B/watch")
-			b.ReportMetric(float64(p.writer.source.Reads()-reads)/float64(i), "files/op")
+			b.ReportMetric(float64((processCPUTime()-used).Microseconds())/1000/float64(i), "cpu-ms/op")
+			b.ReportMetric(float64(p.counters.bytesOut.Load()-out)/float64(i)/nodes, "B/watch")
+			b.ReportMetric(float64(p.writer.loader.Reads()-reads)/float64(i), "files/op")
 			p.stop()
 		})
 	}
@@ -187,18 +187,18 @@
 // BenchmarkRead is a folder's reading as at a start, and of one file of it that changed. What lives behind it is reported as heap.
 func BenchmarkRead(b *testing.B) {
 	for _, files := range []int{1, 200} {
-		dir := sized(b, 17000, files)
+		dir := writeFleetFiles(b, 17000, files)
 		b.Run(fmt.Sprint("start/", files), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := newWriter(dir).load(); err != nil {
+				if err := newWriter(dir).loadInitial(); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.StopTimer()
 			before := liveHeap()
 			w := newWriter(dir)
-			if err := w.load(); err != nil {
+			if err := w.loadInitial(); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(liveHeap()-before)/(1<<20), "heap-MB")
@@ -211,7 +211,7 @@
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				put(b, filepath.Join(dir, "0000.yaml"), sizedText(0, files, 17000, 250, 3800, float64(5+i%7)))
+				writeFile(b, filepath.Join(dir, "0000.yaml"), fleetFileText(0, files, 17000, 250, 3800, float64(5+i%7)))
 				if _, err := s.Read(); err != nil {
 					b.Fatal(err)
 				}
@@ -230,12 +230,12 @@
 
 // BenchmarkSnapshotText is the text of the whole at size, plain and compressed.
 func BenchmarkSnapshotText(b *testing.B) {
-	w := newWriter(sized(b, 17000, 200))
-	if err := w.load(); err != nil {
+	w := newWriter(writeFleetFiles(b, 17000, 200))
+	if err := w.loadInitial(); err != nil {
 		b.Fatal(err)
 	}
-	book := NewBook(Limits{})
-	if _, err := book.Begin(start, nil, w.source.All()); err != nil {
+	book := NewVersionStore(Limits{})
+	if _, err := book.BeginEpoch(startTime, nil, w.loader.All()); err != nil {
 		b.Fatal(err)
 	}
 	d := book.Set().Snapshot()
@@ -244,7 +244,7 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				text, _, err := newAnswers().of(d, zip)
+				text, _, err := newResponseCache().body(d, zip)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/control/book.go
+++ b/internal/control/versions.go
@@ -14,84 +14,84 @@
 
 // Limits bound a Book. One that is not above zero is that of DefaultLimits.
 type Limits struct {
-	History resource.HistoryLimits
-	Watches int           // held at once
-	Nodes   int           // processes that are known; past it the one unheard of for the longest goes
-	Forget  time.Duration // a node unheard of for so long goes
-	Late    time.Duration // a node that is behind for longer is named
+	History     resource.HistoryLimits
+	Watches     int           // held at once
+	MaxCallers  int           // processes that are known; past it the one unheard of for the longest goes
+	ForgetAfter time.Duration // a node unheard of for so long goes
+	BehindAfter time.Duration // a node that is behind for longer is named
 }
 
 // DefaultLimits bear 450 nodes with room for four times as many.
 var DefaultLimits = Limits{resource.DefaultHistory, 2000, 10_000, 10 * time.Minute, 18 * time.Second}
 
 // mostMark is how long a process's mark may be, in bytes.
-const mostMark = 64
+const maxProcessMark = 64
 
 // retryAfter is told with a 503.
 const retryAfter = 2 * time.Second
 
 // Query is one call for a watch, or what became of it.
 type Query struct {
-	Since   resource.Version // in force at who asks; zero: none
-	Sum     resource.Sum
-	Name    string
-	Process string           // a mark of who asks, by which processes of one name are told apart; may be empty
-	Role    string           // node or control
-	Refused resource.Version // not taken; zero: none
-	Why     string
-	Wait    time.Duration // for something new; 0: answer at once
-	Watch   uint64        // of a call that is held: Reply.Watch
-	Left    bool          // the held call ended: its wait is over
-	Gone    bool          // or who asked ended it
+	Since      resource.Version // in force at who asks; zero: none
+	Sum        resource.Sum
+	Name       string
+	Process    string           // a mark of who asks, by which processes of one name are told apart; may be empty
+	Role       string           // node or control
+	Refused    resource.Version // not taken; zero: none
+	Why        string
+	MaxWait    time.Duration // for something new; 0: answer at once
+	WatchID    uint64        // of a call that is held: Reply.Watch
+	WaitOver   bool          // the held call ended: its wait is over
+	CallerGone bool          // or who asked ended it
 }
 
 // Reply is the answer to a Query.
 type Reply struct {
-	Status     int             // of HTTP: 200, 400, 409 or 503
-	Delta      *resource.Delta // with 200. It is shared: must not be changed
-	Wait       bool            // hold the call; ask again with Watch after each change; tell Delta (an empty one) when its wait ends
-	Watch      uint64          // of a call to be held
-	Replaced   uint64          // a held call of this name and process that is to end now, with what its Delta said; 0: none
-	RetryAfter time.Duration   // with 503
-	Err        error           // with all but 200
+	Status        int             // of HTTP: 200, 400, 409 or 503
+	Delta         *resource.Delta // with 200. It is shared: must not be changed
+	Hold          bool            // hold the call; ask again with Watch after each change; tell Delta (an empty one) when its wait ends
+	WatchID       uint64          // of a call to be held
+	ReplacedWatch uint64          // a held call of this name and process that is to end now, with what its Delta said; 0: none
+	RetryAfter    time.Duration   // with 503
+	Err           error           // with all but 200
 }
 
 // Book is a control process's state: the resources at a version, the deltas behind it, and who asked. It is not safe for concurrent use.
-type Book struct {
-	most      Limits
-	set       *resource.Set
-	history   *resource.History
-	at        time.Duration      // of the version
-	whole     *resource.Delta    // the snapshot, once asked for
-	nodes     map[string][]*node // by name, at most mostProcesses each
-	known     int                // of them, all together
-	watches   int
-	last      uint64 // watch
-	snapshots int    // told
-	ahead     resource.Version
-	swept     time.Duration
+type VersionStore struct {
+	limits        Limits
+	set           *resource.Set
+	history       *resource.History
+	appliedAt     time.Duration        // of the version
+	snapshot      *resource.Delta      // the snapshot, once asked for
+	callers       map[string][]*caller // by name, at most mostProcesses each
+	callerCount   int                  // of them, all together
+	watchCount    int
+	lastWatchID   uint64 // watch
+	snapshotsSent int    // told
+	ahead         resource.Version
+	lastSweep     time.Duration
 }
 
 // NewBook makes one without a configuration: Begin or Take gives it the first.
-func NewBook(l Limits) *Book {
+func NewVersionStore(l Limits) *VersionStore {
 	l.Watches = cmp.Or(max(l.Watches, 0), DefaultLimits.Watches)
-	l.Nodes = cmp.Or(max(l.Nodes, 0), DefaultLimits.Nodes)
-	l.Forget = cmp.Or(max(l.Forget, 0), DefaultLimits.Forget)
-	l.Late = cmp.Or(max(l.Late, 0), DefaultLimits.Late)
-	return &Book{most: l, set: resource.NewSet(true), history: resource.NewHistory(l.History), nodes: map[string][]*node{}}
+	l.MaxCallers = cmp.Or(max(l.MaxCallers, 0), DefaultLimits.MaxCallers)
+	l.ForgetAfter = cmp.Or(max(l.ForgetAfter, 0), DefaultLimits.ForgetAfter)
+	l.BehindAfter = cmp.Or(max(l.BehindAfter, 0), DefaultLimits.BehindAfter)
+	return &VersionStore{limits: l, set: resource.NewSet(true), history: resource.NewHistory(l.History), callers: map[string][]*caller{}}
 }
 
 // Ahead is the latest version that a caller has and we don't: a writer that sees one begins again, past it. Zero: none.
-func (b *Book) Ahead() resource.Version { return b.ahead }
+func (b *VersionStore) Ahead() resource.Version { return b.ahead }
 
 // Set is what is held. It is the Book's: only Begin, Change and Take change it.
-func (b *Book) Set() *resource.Set { return b.set }
+func (b *VersionStore) Set() *resource.Set { return b.set }
 
 // Begin makes a writer's first version, of all resources, in an epoch of its own: Unix time in milliseconds, or one past the highest that is
 // known, whichever is greater. known are the snapshots of the other control processes, as far as they answered; the latest is the base, and
 // the delta from it is the first that is kept, empty where nothing differs. It may be called again, to begin an epoch past one that nodes were
 // seen to have (Status.Ahead). The delta that it returns leads from the base to the new version.
-func (b *Book) Begin(now time.Duration, known []*resource.Delta, all []resource.Resource) (*resource.Delta, error) {
+func (b *VersionStore) BeginEpoch(now time.Duration, known []*resource.Delta, all []resource.Resource) (*resource.Delta, error) {
 	base, high := (*resource.Delta)(nil), max(b.set.Version().Epoch, b.ahead.Epoch)
 	for _, d := range known {
 		switch {
@@ -132,17 +132,17 @@
 		return nil, err
 	}
 	if base != nil && !b.set.Version().IsZero() {
-		if err := b.Take(now, base); err != nil {
+		if err := b.Apply(now, base); err != nil {
 			return nil, err
 		}
 	} else if base != nil {
 		b.set = trial
 	}
-	return d, b.put(now, d)
+	return d, b.commit(now, d)
 }
 
 // put takes in a delta that was made for the set.
-func (b *Book) put(now time.Duration, d *resource.Delta) error {
+func (b *VersionStore) commit(now time.Duration, d *resource.Delta) error {
 	if err := b.set.Check(d); err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	if err := b.set.Apply(d); err != nil {
 		return err
 	}
-	b.at, b.whole = now, nil
+	b.appliedAt, b.snapshot = now, nil
 	if b.ahead.Compare(d.To) <= 0 {
 		b.ahead = resource.Version{}
 	}
@@ -159,7 +159,7 @@
 
 // Change numbers a writer's change of the resources and takes it in. It returns nil where nothing would change: there is no version then. What
 // is wrong with it (a *resource.Refusal) leaves everything as it is; what resources mean was checked before.
-func (b *Book) Change(now time.Duration, put []resource.Resource, gone []resource.Key) (*resource.Delta, error) {
+func (b *VersionStore) Change(now time.Duration, put []resource.Resource, gone []resource.Key) (*resource.Delta, error) {
 	v := b.set.Version()
 	if v.IsZero() {
 		return nil, errors.New("no configuration yet to change: begin")
@@ -168,7 +168,7 @@
 	if len(d.Put)+len(d.Gone) == 0 {
 		return nil, nil
 	}
-	if err := b.put(now, d); err != nil {
+	if err := b.commit(now, d); err != nil {
 		return nil, err
 	}
 	return d, nil
@@ -176,44 +176,44 @@
 
 // Take takes in what a follower was told: a delta from its version, or a snapshot, of which the difference is kept, so that who has the
 // version before takes deltas also through a new epoch. Errors are those of resource.Set.Check; they leave everything as it is.
-func (b *Book) Take(now time.Duration, d *resource.Delta) error {
+func (b *VersionStore) Apply(now time.Duration, d *resource.Delta) error {
 	if d.Whole() {
 		if err := b.set.Check(d); err != nil {
 			return err
 		}
 		d = b.set.Difference(d)
 	}
-	return b.put(now, d)
+	return b.commit(now, d)
 }
 
 // Watch answers a call, at once or by holding it. After each change and at the end of its wait the caller asks again for each held call, with
 // its Watch, or says Left; so the Book knows how many are held.
-func (b *Book) Watch(now time.Duration, q Query) Reply {
-	b.sweep(now)
-	if q.Watch != 0 {
-		n := b.find(&q)
+func (b *VersionStore) Watch(now time.Duration, q Query) Reply {
+	b.forgetSilent(now)
+	if q.WatchID != 0 {
+		n := b.findCaller(&q)
 		switch {
-		case n == nil || n.watch != q.Watch: // replaced by a later call of this process, or forgotten
-			return Reply{Status: 200, Delta: b.empty(&q)}
-		case q.Gone:
-			b.left(q.Name, n)
-		case q.Left:
-			b.release(n)
+		case n == nil || n.watchID != q.WatchID: // replaced by a later call of this process, or forgotten
+			return Reply{Status: 200, Delta: b.emptyDelta(&q)}
+		case q.CallerGone:
+			b.callerDisconnected(q.Name, n)
+		case q.WaitOver:
+			b.releaseWatch(n)
 		}
 	}
-	if q.Left || q.Gone {
-		return Reply{Status: 200, Delta: b.empty(&q)}
+	if q.WaitOver || q.CallerGone {
+		return Reply{Status: 200, Delta: b.emptyDelta(&q)}
 	}
 	if err := checkQuery(&q); err != nil {
 		return Reply{Status: 400, Err: err}
 	}
-	n, version := b.know(now, &q), b.set.Version()
+	n, version := b.recordCaller(now, &q), b.set.Version()
 	replaced := uint64(0)
-	if n.watch != q.Watch {
-		replaced = n.watch
+	if n.watchID != q.WatchID {
+		replaced = n.watchID
 	}
-	b.release(n)
-	r := Reply{Status: 200, Replaced: replaced}
+	b.releaseWatch(n)
+	r := Reply{Status: 200, ReplacedWatch: replaced}
 	switch order := q.Since.Compare(version); {
 	case version.IsZero():
 		r.Status, r.RetryAfter, r.Err = 503, retryAfter, errors.New("no configuration here yet")
@@ -225,33 +225,33 @@
 	case order == 0 && q.Sum != b.set.Sum():
 		r.Status, r.Err = 409, fmt.Errorf("another content under %v here: sum %016x", version, uint64(b.set.Sum()))
 	case order == 0 || q.Refused == version:
-		r.Delta = b.empty(&q)
+		r.Delta = b.emptyDelta(&q)
 		switch {
-		case q.Wait <= 0:
-		case b.watches >= b.most.Watches:
-			r = Reply{Status: 503, RetryAfter: retryAfter, Replaced: replaced,
-				Err: fmt.Errorf("%d watches are held: no more", b.watches)}
+		case q.MaxWait <= 0:
+		case b.watchCount >= b.limits.Watches:
+			r = Reply{Status: 503, RetryAfter: retryAfter, ReplacedWatch: replaced,
+				Err: fmt.Errorf("%d watches are held: no more", b.watchCount)}
 		default:
-			b.watches++
-			if n.watch = q.Watch; n.watch == 0 {
-				b.last++
-				n.watch = b.last
+			b.watchCount++
+			if n.watchID = q.WatchID; n.watchID == 0 {
+				b.lastWatchID++
+				n.watchID = b.lastWatchID
 			}
-			r.Wait, r.Watch = true, n.watch
+			r.Hold, r.WatchID = true, n.watchID
 		}
 	default:
-		r.Delta = b.newer(now, &q)
+		r.Delta = b.deltaSince(now, &q)
 	}
 	return r
 }
 
 // empty says that nothing is newer.
-func (b *Book) empty(q *Query) *resource.Delta {
+func (b *VersionStore) emptyDelta(q *Query) *resource.Delta {
 	return &resource.Delta{From: q.Since, To: q.Since, Sum: q.Sum}
 }
 
 // newer is what leads from an older version to ours.
-func (b *Book) newer(now time.Duration, q *Query) *resource.Delta {
+func (b *VersionStore) deltaSince(now time.Duration, q *Query) *resource.Delta {
 	if !q.Since.IsZero() {
 		b.history.Trim(now)
 		if d, ok := b.history.Since(q.Since); ok {
@@ -264,24 +264,24 @@
 	if d, ok := b.history.SinceSum(q.Since, q.Sum); ok && !q.Since.IsZero() {
 		return d
 	}
-	b.snapshots++
-	if b.whole == nil {
-		b.whole = b.set.Snapshot()
+	b.snapshotsSent++
+	if b.snapshot == nil {
+		b.snapshot = b.set.Snapshot()
 	}
-	return b.whole
+	return b.snapshot
 }
 
 func checkQuery(q *Query) error {
 	switch {
 	case q.Name == "" || len(q.Name) > resource.MaxName:
 		return fmt.Errorf("name: want 1 to %d bytes", resource.MaxName)
-	case len(q.Process) > mostMark:
-		return fmt.Errorf("process: at most %d bytes", mostMark)
+	case len(q.Process) > maxProcessMark:
+		return fmt.Errorf("process: at most %d bytes", maxProcessMark)
 	case q.Role != "node" && q.Role != "control":
 		return fmt.Errorf("role %.40q: want node or control", q.Role)
 	case len(q.Why) > resource.MaxWhy:
 		return fmt.Errorf("why: %d bytes: at most %d", len(q.Why), resource.MaxWhy)
-	case q.Wait < 0:
+	case q.MaxWait < 0:
 		return errors.New("timeout_ms: below 0")
 	}
 	return nil
