--- a/internal/control/callers.go
+++ b/internal/control/callers.go
@@ -9,106 +9,115 @@
 	"portstall/internal/resource"
 )
 
-// Bounds of a status.
+// Limits of a Status.
 const (
-	MaxVersionCounts = 20  // versions
-	MaxRefusals      = 100 // nodes that refuse
-	MaxLateCallers   = 100 // nodes that are behind
+	MaxVersionCounts = 20  // versions that are listed with their number of callers
+	MaxRefusals      = 100 // callers listed because they refuse a version
+	MaxLateCallers   = 100 // callers listed because they are behind
 )
 
 const (
-	maxProcessesPerName = 3                // of one name: a node has two amid a hand-over, and one more that is about to go
-	silentAfter         = 30 * time.Second // without a call: a process has gone then, where another one of its name calls
+	// maxProcessesPerName is the number of processes remembered under one name: a node has two during a hand-over, and
+	// one more may be about to exit.
+	maxProcessesPerName = 3
+	// silentAfter is how long a process without a held call may be silent until it counts as exited, once another process
+	// of its name calls.
+	silentAfter = 30 * time.Second
 )
 
-// node is what a Book knows of one that asks: a process, by its name and its own mark. Two processes of one node, amid a hand-over, bear
-// one name.
+// caller is what a VersionStore knows of a process that calls it, identified by its name and Query.Process. During a
+// hand-over two processes of one node have the same name.
 type caller struct {
 	process        string
 	role           string
-	version        resource.Version
-	refusedVersion resource.Version
-	why            string
-	lastCall       time.Duration
-	watchID        uint64 // held; 0: none
-	disconnected   bool   // it left a call that was held, and made none since
+	version        resource.Version // in force at the caller, by its latest call
+	refusedVersion resource.Version // zero: none
+	why            string           // reason of the refusal
+	lastCall       time.Duration    // Unix time of its latest call
+	watchID        uint64           // of its held call; 0: none
+	disconnected   bool             // it ended its held call and has made none since
 }
 
-// find is the process that made a call; nil: it is not known.
-func (b *VersionStore) findCaller(q *Query) *caller {
-	for _, n := range b.callers[q.Name] {
-		if n.process == q.Process {
-			return n
+// findCaller returns the process that made a call, or nil where it is not known.
+func (vs *VersionStore) findCaller(q *Query) *caller {
+	for _, c := range vs.callers[q.Name] {
+		if c.process == q.Process {
+			return c
 		}
 	}
 	return nil
 }
 
-// know keeps what a call says of who made it.
-func (b *VersionStore) recordCaller(now time.Duration, q *Query) *caller {
-	n := b.findCaller(q)
-	for _, o := range slices.Clone(b.callers[q.Name]) {
-		if o != n && o.watchID == 0 && (o.disconnected || now-o.lastCall > silentAfter) {
-			b.forget(q.Name, o)
+// recordCaller stores what a call says about the process that made it, and forgets exited processes of its name.
+func (vs *VersionStore) recordCaller(now time.Duration, q *Query) *caller {
+	c := vs.findCaller(q)
+	for _, o := range slices.Clone(vs.callers[q.Name]) {
+		if o != c && o.watchID == 0 && (o.disconnected || now-o.lastCall > silentAfter) {
+			vs.forget(q.Name, o)
 		}
 	}
-	if n == nil {
-		if all := b.callers[q.Name]; len(all) >= maxProcessesPerName {
-			b.forget(q.Name, slices.MinFunc(all, forgetOrder))
-		} else if b.callerCount >= b.limits.MaxCallers {
-			b.forget(b.firstToForget())
+	if c == nil {
+		if all := vs.callers[q.Name]; len(all) >= maxProcessesPerName {
+			vs.forget(q.Name, slices.MinFunc(all, forgetOrder))
+		} else if vs.callerCount >= vs.limits.MaxCallers {
+			vs.forget(vs.firstToForget())
 		}
-		n = &caller{process: q.Process}
-		b.callers[q.Name] = append(b.callers[q.Name], n)
-		b.callerCount++
+		c = &caller{process: q.Process}
+		vs.callers[q.Name] = append(vs.callers[q.Name], c)
+		vs.callerCount++
 	}
-	n.role, n.lastCall, n.refusedVersion, n.why, n.disconnected = q.Role, now, q.Refused, q.Why, false
-	if n.version = q.Since; n.refusedVersion.IsZero() {
-		n.why = ""
+	c.role, c.lastCall, c.refusedVersion, c.why, c.disconnected = q.Role, now, q.Refused, q.Why, false
+	if c.version = q.Since; c.refusedVersion.IsZero() {
+		c.why = ""
 	}
-	return n
+	return c
 }
 
-func (b *VersionStore) releaseWatch(n *caller) {
-	if n.watchID != 0 {
-		n.watchID = 0
-		b.watchCount--
+// releaseWatch notes that a caller's held call has ended.
+func (vs *VersionStore) releaseWatch(c *caller) {
+	if c.watchID != 0 {
+		c.watchID = 0
+		vs.watchCount--
 	}
 }
 
-// left notes that a process ended its held call itself. Where another one of its name is there it is forgotten: it has ended.
-func (b *VersionStore) callerDisconnected(name string, n *caller) {
-	b.releaseWatch(n)
-	if n.disconnected = true; len(b.callers[name]) > 1 {
-		b.forget(name, n)
+// callerDisconnected notes that a process ended its held call itself. Where another process of its name is known, the
+// process is taken to have exited and is forgotten.
+func (vs *VersionStore) callerDisconnected(name string, c *caller) {
+	vs.releaseWatch(c)
+	if c.disconnected = true; len(vs.callers[name]) > 1 {
+		vs.forget(name, c)
 	}
 }
 
-func (b *VersionStore) forget(name string, n *caller) {
-	b.releaseWatch(n)
-	b.callerCount--
-	if b.callers[name] = slices.DeleteFunc(b.callers[name], func(o *caller) bool { return o == n }); len(b.callers[name]) == 0 {
-		delete(b.callers, name)
+// forget removes one process.
+func (vs *VersionStore) forget(name string, c *caller) {
+	vs.releaseWatch(c)
+	vs.callerCount--
+	if vs.callers[name] = slices.DeleteFunc(vs.callers[name], func(o *caller) bool { return o == c }); len(vs.callers[name]) == 0 {
+		delete(vs.callers, name)
 	}
 }
 
-// order is by which they are forgotten: who was not heard of for the longest first, and who has a held call last.
-func forgetOrder(n, o *caller) int {
-	return cmp.Or(compareBool(n.watchID != 0, o.watchID != 0), cmp.Compare(n.lastCall, o.lastCall))
+// forgetOrder compares callers in the order in which they are forgotten: the longest silent first, those with a held
+// call last.
+func forgetOrder(c, o *caller) int {
+	return cmp.Or(compareBool(c.watchID != 0, o.watchID != 0), cmp.Compare(c.lastCall, o.lastCall))
 }
 
-// oldest is the one that is forgotten first.
-func (b *VersionStore) firstToForget() (name string, least *caller) {
-	for s, all := range b.callers {
-		for _, n := range all {
-			if least == nil || cmp.Or(forgetOrder(n, least), cmp.Compare(s, name)) < 0 {
-				name, least = s, n
+// firstToForget returns the caller that comes first by forgetOrder, and its name.
+func (vs *VersionStore) firstToForget() (name string, first *caller) {
+	for s, all := range vs.callers {
+		for _, c := range all {
+			if first == nil || cmp.Or(forgetOrder(c, first), cmp.Compare(s, name)) < 0 {
+				name, first = s, c
 			}
 		}
 	}
-	return name, least
+	return name, first
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -119,83 +128,85 @@
 	return 1
 }
 
-// sweep forgets nodes that were not heard of, now and then.
-func (b *VersionStore) forgetSilent(now time.Duration) {
-	if now-b.lastSweep < b.limits.ForgetAfter/10 {
+// forgetSilent removes callers that have been silent for longer than Limits.ForgetAfter. It runs at most once in a
+// tenth of that time.
+func (vs *VersionStore) forgetSilent(now time.Duration) {
+	if now-vs.lastSweep < vs.limits.ForgetAfter/10 {
 		return
 	}
-	b.lastSweep = now
-	for name, all := range b.callers {
-		for _, n := range slices.Clone(all) {
-			if n.watchID == 0 && now-n.lastCall > b.limits.ForgetAfter {
-				b.forget(name, n)
+	vs.lastSweep = now
+	for name, all := range vs.callers {
+		for _, c := range slices.Clone(all) {
+			if c.watchID == 0 && now-c.lastCall > vs.limits.ForgetAfter {
+				vs.forget(name, c)
 			}
 		}
 	}
 }
 
-// Status is what operators see of a Book.
+// Status is a summary of a VersionStore for operators.
 type Status struct {
 	Version         resource.Version
 	Sum             resource.Sum
-	AppliedAt       time.Duration // Unix time at which the version was taken
-	Resources       int
-	Deltas          int              // kept
-	Watches         int              // held
-	SnapshotsSent   int              // told
-	Ahead           resource.Version // the latest that a caller has and we don't; zero: none
-	Callers         int              // processes that are known, of nodes and of control
-	Versions        []VersionCount   // the latest first; at most MostRows
-	AtOtherVersions int              // nodes at versions that are not in Versions
-	Refusals        []CallerStatus   // by name; at most MostRefusals
-	Refusing        int              // nodes that refuse a version
-	Late            []CallerStatus   // behind for longer than Limits.Late, by name; at most MostLate
-	Behind          int              // nodes behind for longer than that
+	AppliedAt       time.Duration    // Unix time at which the version was applied
+	Resources       int              // resources in force
+	Deltas          int              // deltas that are retained
+	Watches         int              // calls that are held
+	SnapshotsSent   int              // replies with a snapshot since the start
+	Ahead           resource.Version // latest version that a caller has and this store lacks; zero: none
+	Callers         int              // known processes, of nodes and of control
+	Versions        []VersionCount   // latest version first; at most MaxVersionCounts
+	AtOtherVersions int              // callers at versions that are not in Versions
+	Refusals        []CallerStatus   // sorted by name; at most MaxRefusals
+	Refusing        int              // callers that refuse a version
+	Late            []CallerStatus   // behind for longer than Limits.BehindAfter, sorted by name; at most MaxLateCallers
+	Behind          int              // callers behind for longer than Limits.BehindAfter
 }
 
-// Row is how many nodes have a version.
+// VersionCount is the number of callers that have a version in force.
 type VersionCount struct {
 	Version resource.Version
 	Callers int
 }
 
-// Node is what is known of one process that asked.
+// CallerStatus is what is known of one process that called.
 type CallerStatus struct {
 	Name      string
-	Process   string // its own mark; empty: it has none
+	Process   string // tells processes of one name apart; may be empty
 	Role      string
-	Version   resource.Version
-	Refused   resource.Version
-	Why       string
-	HeardAgo  time.Duration // ago
-	BehindFor time.Duration // for how long, at least; 0: not
+	Version   resource.Version // in force at the caller
+	Refused   resource.Version // zero: none
+	Why       string           // reason of the refusal
+	HeardAgo  time.Duration    // since its latest call
+	BehindFor time.Duration    // time for which it has been behind, at least; 0: it is not behind
 }
 
-// Status tells where everybody stands.
-func (b *VersionStore) Status(now time.Duration) Status {
-	b.forgetSilent(now)
-	s := Status{Version: b.set.Version(), Sum: b.set.Sum(), AppliedAt: b.appliedAt, Resources: b.set.Len(), Deltas: b.history.Len(), Watches: b.watchCount, SnapshotsSent: b.snapshotsSent,
-		Ahead: b.ahead, Callers: b.callerCount}
-	rows := map[resource.Version]int{}
-	for _, name := range slices.Sorted(maps.Keys(b.callers)) {
-		for _, n := range b.callers[name] {
-			rows[n.version]++
-			view := CallerStatus{Name: name, Process: n.process, Role: n.role, Version: n.version, Refused: n.refusedVersion, Why: n.why, HeardAgo: now - n.lastCall,
-				BehindFor: b.behindFor(now, n)}
-			if !n.refusedVersion.IsZero() {
+// Status summarizes the store and its callers.
+func (vs *VersionStore) Status(now time.Duration) Status {
+	vs.forgetSilent(now)
+	s := Status{Version: vs.set.Version(), Sum: vs.set.Sum(), AppliedAt: vs.appliedAt,
+		Resources: vs.set.Len(), Deltas: vs.history.Len(), Watches: vs.watchCount, SnapshotsSent: vs.snapshotsSent,
+		Ahead: vs.ahead, Callers: vs.callerCount}
+	counts := map[resource.Version]int{}
+	for _, name := range slices.Sorted(maps.Keys(vs.callers)) {
+		for _, c := range vs.callers[name] {
+			counts[c.version]++
+			status := CallerStatus{Name: name, Process: c.process, Role: c.role, Version: c.version, Refused: c.refusedVersion,
+				Why: c.why, HeardAgo: now - c.lastCall, BehindFor: vs.behindFor(now, c)}
+			if !c.refusedVersion.IsZero() {
 				if s.Refusing++; len(s.Refusals) < MaxRefusals {
-					s.Refusals = append(s.Refusals, view)
+					s.Refusals = append(s.Refusals, status)
 				}
 			}
-			if view.BehindFor > b.limits.BehindAfter {
+			if status.BehindFor > vs.limits.BehindAfter {
 				if s.Behind++; len(s.Late) < MaxLateCallers {
-					s.Late = append(s.Late, view)
+					s.Late = append(s.Late, status)
 				}
 			}
 		}
 	}
-	for v, n := range rows {
-		s.Versions = append(s.Versions, VersionCount{v, n})
+	for version, count := range counts {
+		s.Versions = append(s.Versions, VersionCount{version, count})
 	}
 	slices.SortFunc(s.Versions, func(a, b VersionCount) int { return b.Version.Compare(a.Version) })
 	if len(s.Versions) > MaxVersionCounts {
@@ -207,13 +218,14 @@
 	return s
 }
 
-// behind tells for how long a node was behind: since the version after its own came, or ours where that is not kept.
-func (b *VersionStore) behindFor(now time.Duration, n *caller) time.Duration {
-	if n.version.Compare(b.set.Version()) >= 0 {
+// behindFor returns how long a caller has been behind: since the version after its own was added, or since the current
+// version was applied where the history no longer has that one.
+func (vs *VersionStore) behindFor(now time.Duration, c *caller) time.Duration {
+	if c.version.Compare(vs.set.Version()) >= 0 {
 		return 0
 	}
-	since := b.appliedAt
-	if at, ok := b.history.Left(n.version); ok {
+	since := vs.appliedAt
+	if at, ok := vs.history.Left(c.version); ok {
 		since = at
 	}
 	return max(now-since, 1)
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -8,20 +8,21 @@
 	"sync"
 )
 
-// conns keeps the number of connections bounded. Past the bound the one makes room on which no call has been under way for the longest;
-// where there is none, the new one is closed.
+// connectionLimiter bounds the number of open connections. Past the bound the connection that has been idle for the
+// longest, without a call under way, is closed; where no other is idle, the new one is closed. The zero value with
+// maxOpen set is ready for use, and it is safe for concurrent use.
 type connectionLimiter struct {
 	maxOpen int
 
 	mu           sync.Mutex
 	open         int
-	idle         list.List // net.Conn, without a call under way; the longest first
+	idle         list.List // net.Conn without a call under way; the longest idle first
 	idleElements map[net.Conn]*list.Element
-	closing      map[net.Conn]bool // closed for the bound, and not counted as open any more; their end is still to be told
-	closedCount  int64             // for the bound
+	closing      map[net.Conn]bool // closed by the limiter and no longer counted as open; StateClosed is still to come
+	closedCount  int64             // connections that the limiter closed
 }
 
-// track is for http.Server.ConnState.
+// track is the callback for http.Server.ConnState.
 func (c *connectionLimiter) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +34,7 @@
 	case http.StateNew:
 		c.idleElements[conn] = c.idle.PushBack(conn)
 		if c.open++; c.open > c.maxOpen {
-			oldest := c.idle.Front().Value.(net.Conn) // the new one, where there is no other
+			oldest := c.idle.Front().Value.(net.Conn) // the new one, where no other is idle
 			c.removeIdle(oldest)
 			c.closing[oldest] = true
 			c.open--
@@ -53,7 +54,7 @@
 	}
 }
 
-// leave takes a connection out of those that rest.
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (c *connectionLimiter) removeIdle(conn net.Conn) {
 	if e := c.idleElements[conn]; e != nil {
 		c.idle.Remove(e)
@@ -61,17 +62,19 @@
 	}
 }
 
+// stats returns the number of open connections and how many the limiter has closed.
 func (c *connectionLimiter) stats() (open int, closed int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open, c.closedCount
 }
 
-// acceptsGzip tells whether a caller takes gzip. One that says q=0 is not worth the reading.
+// acceptsGzip reports whether a caller accepts gzip. Of quality values only q=0, written so, is recognized.
 func acceptsGzip(r *http.Request) bool {
 	for _, v := range r.Header.Values("Accept-Encoding") {
 		for coding := range strings.SplitSeq(v, ",") {
-			if name, weight, _ := strings.Cut(strings.TrimSpace(coding), ";"); strings.TrimSpace(name) == "gzip" && strings.TrimSpace(weight) != "q=0" {
+			if name, weight, _ := strings.Cut(strings.TrimSpace(coding), ";"); strings.TrimSpace(name) == "gzip" &&
+				strings.TrimSpace(weight) != "q=0" {
 				return true
 			}
 		}
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -8,13 +8,14 @@
 	"portstall/internal/control/follow"
 )
 
-// counts are what a server did since its start.
+// counters count what a server has done since its start.
 type counters struct {
 	bytesIn, bytesOut              atomic.Int64
 	versions, reloads, badReloads  atomic.Int64
-	ok, bad, behind, full, refused atomic.Int64 // answers to calls for resources; refused: connections past the bound
+	ok, bad, behind, full, refused atomic.Int64 // responses to calls for resources; refused: connections past the limit
 }
 
+// countResponse counts a response to a call for resources by its HTTP status.
 func (c *counters) countResponse(status int) {
 	switch status {
 	case http.StatusOK:
@@ -28,12 +29,13 @@
 	}
 }
 
-// countingListener counts the bytes on its connections.
+// countingListener counts the bytes on the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	counters *counters
 }
 
+// Accept implements net.Listener.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/control/loader.go
+++ b/internal/control/loader.go
@@ -20,57 +20,62 @@
 	"portstall/internal/resource/catalog"
 )
 
-// Bounds of a source. What passes one is an error that names it, and the version before stays in force.
+// Limits of a Loader. Exceeding one is an error that names it, and the version before stays in force.
 const (
-	MaxFiles     = 10_000
-	MaxFileBytes = 64 << 20 // bytes
+	MaxFiles     = 10_000   // files in a folder
+	MaxFileBytes = 64 << 20 // bytes of a file
 
-	maxErrors       = 10 // of files that are told at once
-	maxReadAttempts = 5  // of a file that changes while it is read
-	// racy is how long after its last change a file may change again without another time: the clocks of file systems tick.
+	// maxErrors is the number of files with errors after which a load stops and reports them.
+	maxErrors = 10
+	// maxReadAttempts is how often a file that changes while it is read is read again, in one load.
+	maxReadAttempts = 5
+	// timestampGranularity is how long after a change a file may change again without a new modification time, since file
+	// systems update their clocks in steps.
 	timestampGranularity = 2 * time.Second
 )
 
-// Source is the configuration in a file, or in a folder's files *.yaml: those whose names do not begin with a dot, sorted, none of
-// folders in it. It remembers what it read, reads again only the files that have changed, and tells what differs from what was accepted, for
-// the cost of the changed files and a look at each of the others. It is not safe for concurrent use.
+// Loader reads the configuration from a file, or from the files of a folder that match *.yaml and do not begin with a
+// dot, sorted by name, without subfolders. It remembers what it has read, reads only files that have changed, and
+// returns the difference from what was accepted last, at the cost of the changed files and a stat call for each other
+// file. It is not safe for concurrent use.
 type Loader struct {
 	path      string
-	files     map[string]*loadedFile  // as they were last read, good ones only
-	accepted  map[string]*loadedFile  // as they are in force
-	owner     map[resource.Key]string // file of each resource in force
-	filesRead int                     // files read so far
+	files     map[string]*loadedFile  // valid files by path, as they were last read
+	accepted  map[string]*loadedFile  // files by path, as they are in force
+	owner     map[resource.Key]string // path of the file of each resource in force
+	filesRead int                     // reads of files so far
 
-	onRead func(path string) // in tests: while a file is read
+	onRead func(path string) // for tests: called while a file is read
 }
 
-// Reading is what the files say now, beside what was accepted last.
+// FileDiff is the difference between the files' content and what was accepted last.
 type FileDiff struct {
-	Put  []resource.Resource // new, or with another spec
-	Gone []resource.Key
+	Put  []resource.Resource // resources that are new or have another spec
+	Gone []resource.Key      // resources that were removed
 
-	files        map[string]*loadedFile
-	changedPaths []string // files that are new, other ones or gone
+	files        map[string]*loadedFile // by path, all files of the load
+	changedPaths []string               // files that are new, changed or removed
 }
 
-// file is one that was read.
+// loadedFile is a file as it was read. It is not changed once Loader.files has it.
 type loadedFile struct {
 	stamp                fileStamp
-	readAt               time.Time // before it was read
-	hash                 uint64
-	endsWithNewline      bool // its text ends with the end of a line
-	endsWithDocumentMark bool // and with YAML's mark for the end of a document
+	readAt               time.Time // just before it was read
+	hash                 uint64    // of its bytes
+	endsWithNewline      bool
+	endsWithDocumentMark bool // the last line is "...", YAML's end of a document
 	resources            []resource.Resource
-	lines                map[resource.Key]int
+	lines                map[resource.Key]int // line where each resource begins
 }
 
-// stamp tells one state of a file from another without its content.
+// fileStamp distinguishes the states of a file without reading it.
 type fileStamp struct {
 	size                int64
-	modTime, changeTime int64 // Unix time in ns: of the content, and of anything
+	modTime, changeTime int64 // Unix time in ns: of the latest change of the content, and of anything about the file
 	device, inode       uint64
 }
 
+// stampOf returns the stamp of a file.
 func stampOf(i os.FileInfo) fileStamp {
 	s := fileStamp{size: i.Size(), modTime: i.ModTime().UnixNano()}
 	if st, ok := i.Sys().(*syscall.Stat_t); ok {
@@ -79,62 +84,63 @@
 	return s
 }
 
-// NewSource is for a file or a folder.
+// NewLoader returns a Loader for a file or a folder.
 func NewSource(path string) *Loader {
-	return &Loader{path: path, files: map[string]*loadedFile{}, accepted: map[string]*loadedFile{}, owner: map[resource.Key]string{}}
+	return &Loader{path: path, files: map[string]*loadedFile{}, accepted: map[string]*loadedFile{},
+		owner: map[resource.Key]string{}}
 }
 
-// Reads is how many files were read so far, whether or not they were good.
-func (s *Loader) Reads() int { return s.filesRead }
+// FilesRead returns how often a file has been read so far, valid or not.
+func (l *Loader) Reads() int { return l.filesRead }
 
-// Read tells what differs from what was accepted. Each resource is checked by itself; what they are to each other is the catalog's
-// business. An error names file and line. After one the next Read begins where this one stopped: what was good is not read again.
-func (s *Loader) Read() (*FileDiff, error) {
-	paths, err := s.listFiles()
+// Load returns the difference from what was accepted last. Each resource is checked by itself; the catalog checks how
+// resources fit each other. An error names file and line. The next Load after an error does not read valid files again.
+func (l *Loader) Read() (*FileDiff, error) {
+	paths, err := l.listFiles()
 	if err != nil {
 		return nil, err
 	}
-	r := &FileDiff{files: make(map[string]*loadedFile, len(paths))}
+	diff := &FileDiff{files: make(map[string]*loadedFile, len(paths))}
 	var errs []error
 	for _, p := range paths {
-		f, err := s.currentFile(p)
+		f, err := l.currentFile(p)
 		if err != nil {
 			if errs = append(errs, err); len(errs) == maxErrors {
-				break // enough to mend
+				break // enough to correct at once
 			}
 			continue
 		}
-		s.files[p], r.files[p] = f, f
-		if f != s.accepted[p] {
-			r.changedPaths = append(r.changedPaths, p)
+		l.files[p], diff.files[p] = f, f
+		if f != l.accepted[p] {
+			diff.changedPaths = append(diff.changedPaths, p)
 		}
 	}
 	if len(errs) > 0 {
 		return nil, errors.Join(errs...)
 	}
-	for p := range s.accepted {
-		if r.files[p] == nil {
-			r.changedPaths = append(r.changedPaths, p)
+	for p := range l.accepted {
+		if diff.files[p] == nil {
+			diff.changedPaths = append(diff.changedPaths, p)
 		}
 	}
-	slices.Sort(r.changedPaths)
-	maps.DeleteFunc(s.files, func(p string, _ *loadedFile) bool { return r.files[p] == nil })
-	return r, s.diffResources(r)
+	slices.Sort(diff.changedPaths)
+	maps.DeleteFunc(l.files, func(p string, _ *loadedFile) bool { return diff.files[p] == nil })
+	return diff, l.diffResources(diff)
 }
 
-// compare says what the changed files make of the resources.
-func (s *Loader) diffResources(r *FileDiff) error {
-	before := map[resource.Key]json.RawMessage{} // of the changed files
-	for _, p := range r.changedPaths {
-		if f := s.accepted[p]; f != nil {
+// diffResources sets the diff's Put and Gone from the changed files, and checks that no resource is in two files.
+func (l *Loader) diffResources(diff *FileDiff) error {
+	before := map[resource.Key]json.RawMessage{} // specs in force, of the changed files
+	for _, p := range diff.changedPaths {
+		if f := l.accepted[p]; f != nil {
 			for i := range f.resources {
 				before[f.resources[i].Key] = f.resources[i].Spec
 			}
 		}
 	}
-	now := map[resource.Key]string{} // the same, and the file of each
-	for _, p := range r.changedPaths {
-		f := r.files[p]
+	now := map[resource.Key]string{} // path of the file of each resource that is now in the changed files
+	for _, p := range diff.changedPaths {
+		f := diff.files[p]
 		if f == nil {
 			continue
 		}
@@ -142,62 +148,62 @@
 			k := f.resources[i].Key
 			other, twice := now[k]
 			if _, ours := before[k]; !twice && !ours {
-				other, twice = s.owner[k]
+				other, twice = l.owner[k]
 			}
 			if twice {
-				return fmt.Errorf("%s:%d: %s is in %s:%d already", p, f.lines[k], k, other, r.files[other].lines[k])
+				return fmt.Errorf("%s:%d: %s is in %s:%d already", p, f.lines[k], k, other, diff.files[other].lines[k])
 			}
 			now[k] = p
 			if spec, was := before[k]; !was || !bytes.Equal(spec, f.resources[i].Spec) {
-				r.Put = append(r.Put, f.resources[i])
+				diff.Put = append(diff.Put, f.resources[i])
 			}
 		}
 	}
 	for k := range before {
 		if now[k] == "" {
-			r.Gone = append(r.Gone, k)
+			diff.Gone = append(diff.Gone, k)
 		}
 	}
-	if n := len(s.owner) - len(before) + len(now); n > resource.MaxResources {
-		return fmt.Errorf("%s: %d resources: at most %d", s.path, n, resource.MaxResources)
+	if n := len(l.owner) - len(before) + len(now); n > resource.MaxResources {
+		return fmt.Errorf("%s: %d resources: at most %d", l.path, n, resource.MaxResources)
 	}
 	return nil
 }
 
-// Accept notes that what the latest Read told is in force.
-func (s *Loader) Accept(r *FileDiff) {
-	for _, p := range r.changedPaths {
-		if f := s.accepted[p]; f != nil {
+// Accept records that the latest Load's result is in force.
+func (l *Loader) Accept(diff *FileDiff) {
+	for _, p := range diff.changedPaths {
+		if f := l.accepted[p]; f != nil {
 			for i := range f.resources {
-				delete(s.owner, f.resources[i].Key)
+				delete(l.owner, f.resources[i].Key)
 			}
 		}
 	}
-	for _, p := range r.changedPaths {
-		f := r.files[p]
+	for _, p := range diff.changedPaths {
+		f := diff.files[p]
 		if f == nil {
-			delete(s.accepted, p)
+			delete(l.accepted, p)
 			continue
 		}
-		s.accepted[p] = f
+		l.accepted[p] = f
 		for i := range f.resources {
-			s.owner[f.resources[i].Key] = p
+			l.owner[f.resources[i].Key] = p
 		}
 	}
 }
 
-// All is what was accepted, in order of the files and of what stands in them.
-func (s *Loader) All() []resource.Resource {
-	all := make([]resource.Resource, 0, len(s.owner))
-	for _, p := range slices.Sorted(maps.Keys(s.accepted)) {
-		all = append(all, s.accepted[p].resources...)
+// All returns the accepted resources, in the order of the files and within each.
+func (l *Loader) All() []resource.Resource {
+	all := make([]resource.Resource, 0, len(l.owner))
+	for _, p := range slices.Sorted(maps.Keys(l.accepted)) {
+		all = append(all, l.accepted[p].resources...)
 	}
 	return all
 }
 
-// Where is the file and line where a resource begins, as in a.yaml:7; empty where there is none.
-func (s *Loader) Location(k resource.Key) string {
-	for p, f := range s.files {
+// Location returns the file and line where a resource begins, as in a.yaml:7, or "" where it is in no file.
+func (l *Loader) Location(k resource.Key) string {
+	for p, f := range l.files {
 		if line, ok := f.lines[k]; ok {
 			return fmt.Sprintf("%s:%d", p, line)
 		}
@@ -205,49 +211,51 @@
 	return ""
 }
 
-// place puts file and line before a refusal, where its resource stands in a file.
-func (s *Loader) withLocation(err error) error {
+// withLocation prefixes a *resource.Refusal with file and line of its resource, or with the loader's path where it is
+// in no file.
+func (l *Loader) withLocation(err error) error {
 	var r *resource.Refusal
 	if errors.As(err, &r) {
-		if at := s.Location(r.Key); at != "" {
+		if at := l.Location(r.Key); at != "" {
 			return fmt.Errorf("%s: %w", at, err)
 		}
-		return fmt.Errorf("%s: %w", s.path, err)
+		return fmt.Errorf("%s: %w", l.path, err)
 	}
 	return err
 }
 
-// list is the files that count now, sorted.
-func (s *Loader) listFiles() ([]string, error) {
-	info, err := os.Stat(s.path)
+// listFiles returns the paths of the configuration's files, sorted.
+func (l *Loader) listFiles() ([]string, error) {
+	info, err := os.Stat(l.path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return []string{s.path}, nil
+		return []string{l.path}, nil
 	}
-	entries, err := os.ReadDir(s.path) // sorted by name
+	entries, err := os.ReadDir(l.path) // sorted by name
 	if err != nil {
 		return nil, err
 	}
 	var paths []string
 	for _, e := range entries {
 		if name := e.Name(); strings.HasSuffix(name, ".yaml") && !strings.HasPrefix(name, ".") {
-			paths = append(paths, filepath.Join(s.path, name))
+			paths = append(paths, filepath.Join(l.path, name))
 		}
 	}
 	switch {
 	case len(paths) == 0:
-		return nil, fmt.Errorf("%s: no file *.yaml is in it", s.path) // a folder that is not there yet must not take all away
+		// A folder that is not filled yet must not remove all resources.
+		return nil, fmt.Errorf("%s: no *.yaml files found", l.path)
 	case len(paths) > MaxFiles:
-		return nil, fmt.Errorf("%s: %d files: at most %d", s.path, len(paths), MaxFiles)
+		return nil, fmt.Errorf("%s: %d files: at most %d", l.path, len(paths), MaxFiles)
 	}
 	return paths, nil
 }
 
-// read returns a file as it is now: as it was remembered where it has not changed.
-func (s *Loader) currentFile(path string) (*loadedFile, error) {
-	old := s.files[path]
+// currentFile returns a file's present state: the remembered one where it has not changed.
+func (l *Loader) currentFile(path string) (*loadedFile, error) {
+	old := l.files[path]
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -255,12 +263,13 @@
 	if old != nil && old.stamp == stampOf(info) && old.readAt.Sub(info.ModTime()) > timestampGranularity {
 		return old, nil
 	}
-	f, text, err := s.readStable(path)
+	f, text, err := l.readStable(path)
 	if err != nil {
 		return nil, err
 	}
 	if old != nil && old.hash == f.hash && old.stamp.size == f.stamp.size {
-		f.endsWithNewline, f.endsWithDocumentMark, f.resources, f.lines = old.endsWithNewline, old.endsWithDocumentMark, old.resources, old.lines
+		f.endsWithNewline, f.endsWithDocumentMark, f.resources, f.lines = old.endsWithNewline,
+			old.endsWithDocumentMark, old.resources, old.lines
 		return f, nil
 	}
 	f.endsWithNewline = bytes.HasSuffix(text, []byte("\n"))
@@ -268,33 +277,34 @@
 	if f.resources, f.lines, err = catalog.Parts(path, text); err != nil {
 		return nil, err
 	}
-	// A part of a YAML file is often a file as well: one that is being written, or was cut off, must not take resources away.
+	// The beginning of a YAML file is often valid YAML: a file that is partly written or truncated must not remove
+	// resources.
 	switch {
 	case old == nil:
 	case len(old.resources) > 0 && len(f.resources) == 0:
-		return nil, fmt.Errorf("%s: nothing is in it; to take away what was in it remove the file", path)
+		return nil, fmt.Errorf("%s: the file has no resources any more; to remove its resources remove the file", path)
 	case old.endsWithNewline && !f.endsWithNewline:
-		return nil, fmt.Errorf("%s: its last line has no end: it is not whole", path)
+		return nil, fmt.Errorf("%s: the last line has no newline: the file is truncated", path)
 	case old.endsWithDocumentMark && !f.endsWithDocumentMark:
-		return nil, fmt.Errorf("%s: it does not end with the line \"...\", as it did: it is not whole", path)
+		return nil, fmt.Errorf("%s: the last line is not \"...\", as it was before: the file is truncated", path)
 	}
 	return f, nil
 }
 
-// load reads a file's text, and again where it changed meanwhile.
-func (s *Loader) readStable(path string) (*loadedFile, []byte, error) {
+// readStable reads a file's content, and again where it changed meanwhile, maxReadAttempts times at most.
+func (l *Loader) readStable(path string) (*loadedFile, []byte, error) {
 	for range maxReadAttempts {
-		f, text, err := s.readOnce(path)
+		f, text, err := l.readOnce(path)
 		if f != nil || err != nil {
 			return f, text, err
 		}
 	}
-	return nil, nil, fmt.Errorf("%s: it is being written: it changed each of %d times it was read", path, maxReadAttempts)
+	return nil, nil, fmt.Errorf("%s: it is being written: it changed during each of %d attempts to read it", path, maxReadAttempts)
 }
 
-// once reads a file's text; no file where it changed meanwhile.
-func (s *Loader) readOnce(path string) (*loadedFile, []byte, error) {
-	s.filesRead++
+// readOnce reads a file's content. It returns a nil file where the file changed meanwhile.
+func (l *Loader) readOnce(path string) (*loadedFile, []byte, error) {
+	l.filesRead++
 	fd, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
@@ -306,7 +316,7 @@
 		return nil, nil, err
 	}
 	if !before.Mode().IsRegular() {
-		return nil, nil, fmt.Errorf("%s: is no file", path)
+		return nil, nil, fmt.Errorf("%s: not a regular file", path)
 	}
 	if before.Size() > MaxFileBytes {
 		return nil, nil, fmt.Errorf("%s: %d bytes: at most %d", path, before.Size(), MaxFileBytes)
@@ -316,10 +326,10 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if s.onRead != nil {
-		s.onRead(path)
+	if l.onRead != nil {
+		l.onRead(path)
 	}
-	after, err := os.Stat(path) // by its name: another may have taken its place
+	after, err := os.Stat(path) // by path: another file may have been renamed to it
 	if err != nil {
 		return nil, nil, err
 	}
@@ -331,7 +341,7 @@
 	return f, text, nil
 }
 
-// readAll appends what r has.
+// readAll appends the content of r to text. Unlike io.ReadAll it uses text's capacity.
 func readAll(text []byte, r io.Reader) ([]byte, error) {
 	for {
 		n, err := r.Read(text[len(text):cap(text)])
@@ -348,23 +358,23 @@
 	}
 }
 
-// CheckFiles reads a file or a folder as a writer does, and checks it whole. It returns how many resources there are. An error names
-// file, line, resource and field.
+// CheckFiles reads a file or a folder as a writer does and makes all of a writer's checks. It returns the number of
+// resources. An error names file, line, resource and field.
 func CheckFiles(path string) (int, error) {
-	s := NewSource(path)
-	r, err := s.Read()
+	l := NewSource(path)
+	diff, err := l.Read()
 	if err != nil {
 		return 0, err
 	}
-	all := r.Put
+	all := diff.Put
 	if _, err := newCatalog().Prepare(&resource.Delta{Put: all}); err != nil {
-		return 0, s.withLocation(err)
+		return 0, l.withLocation(err)
 	}
 	if err := resource.NewSet(true).Check(resource.NewSet(true).Next(resource.Version{Epoch: 1}, all, nil)); err != nil {
-		return 0, s.withLocation(err)
+		return 0, l.withLocation(err)
 	}
 	return len(all), nil
 }
 
-// newCatalog is one that knows no node's settings: what it lets through a node may still refuse.
+// newCatalog returns a catalog without the settings of any node: a node may still refuse what it accepts.
 func newCatalog() *catalog.Catalog { return catalog.New(catalog.Options{Cells: true}) }
--- a/internal/control/loader_test.go
+++ b/internal/control/loader_test.go
@@ -15,7 +15,7 @@
 	"portstall/internal/resource"
 )
 
-// folder is a folder of files with this text each, last changed long ago.
+// writeFolder makes a folder of files with the given texts, last modified an hour ago.
 func writeFolder(t testing.TB, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -25,7 +25,8 @@
 	return dir
 }
 
-// put writes a file in one step, as an editor does, and makes it old, so that its time alone tells that it did not change.
+// writeFile replaces a file in one step, as an editor does, with a modification time an hour ago, so that the loader
+// does not read it again for its recent change.
 func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	tmp := path + ".new"
@@ -41,6 +42,7 @@
 	}
 }
 
+// contractText returns a file's text that defines contracts of these names.
 func contractText(names ...string) string {
 	var b strings.Builder
 	b.WriteString("contracts:\n")
@@ -50,6 +52,7 @@
 	return b.String()
 }
 
+// resourceNames lists resources as "kind name", separated by commas.
 func resourceNames(all []resource.Resource) string {
 	var out []string
 	for _, r := range all {
@@ -58,19 +61,21 @@
 	return strings.Join(out, ", ")
 }
 
-func loadAndAccept(t testing.TB, s *Loader, want string) {
+// loadAndAccept loads the files, accepts the result, and compares all accepted resources with want.
+func loadAndAccept(t testing.TB, loader *Loader, want string) {
 	t.Helper()
-	r, err := s.Read()
+	r, err := loader.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Accept(r)
-	if got := resourceNames(s.All()); got != want {
-		t.Fatalf("read %s, want %s", got, want)
+	loader.Accept(r)
+	if got := resourceNames(loader.All()); got != want {
+		t.Fatalf("loaded %s, want %s", got, want)
 	}
 }
 
-// Only what changed is read: one file of many, none where none did, and what is gone goes without a reading.
+// Only changed files are read: one file of many, none where none changed, and none where one was removed. Hidden files,
+// files of other names and subfolders are ignored.
 func TestLoaderReadsOnlyChangedFiles(t *testing.T) {
 	t.Parallel()
 	files := map[string]string{".hidden.yaml": "no: yaml: at: all", "note.txt": "x", "y.yaml~": "x"}
@@ -84,46 +89,47 @@
 		t.Fatal(err)
 	}
 	writeFile(t, filepath.Join(dir, "deeper.yaml.d", "z.yaml"), contractText("deep"))
-	s := NewSource(dir)
-	loadAndAccept(t, s, strings.Join(want, ", "))
-	if s.Reads() != 50 {
-		t.Fatalf("%d files read of 50", s.Reads())
+	loader := NewSource(dir)
+	loadAndAccept(t, loader, strings.Join(want, ", "))
+	if loader.Reads() != 50 {
+		t.Fatalf("%d files were read, want 50", loader.Reads())
 	}
-	loadAndAccept(t, s, strings.Join(want, ", "))
-	if s.Reads() != 50 {
-		t.Errorf("%d files read where none changed", s.Reads()-50)
+	loadAndAccept(t, loader, strings.Join(want, ", "))
+	if loader.Reads() != 50 {
+		t.Errorf("%d files were read where none had changed", loader.Reads()-50)
 	}
 	writeFile(t, filepath.Join(dir, "07.yaml"), contractText("c07", "new"))
 	want[7] = "contract c07, contract new"
-	loadAndAccept(t, s, strings.Join(want, ", "))
-	if s.Reads() != 51 {
-		t.Errorf("%d files read for one that changed", s.Reads()-50)
+	loadAndAccept(t, loader, strings.Join(want, ", "))
+	if loader.Reads() != 51 {
+		t.Errorf("%d files were read where one had changed", loader.Reads()-50)
 	}
-	if at, want := s.Location(resource.Key{Kind: resource.Contract, Name: "new"}), filepath.Join(dir, "07.yaml")+":5"; at != want {
-		t.Errorf("it stands at %s, want %s", at, want)
+	if at, want := loader.Location(resource.Key{Kind: resource.Contract, Name: "new"}), filepath.Join(dir, "07.yaml")+":5"; at != want {
+		t.Errorf("the resource begins at %s, want %s", at, want)
 	}
 	if err := os.Remove(filepath.Join(dir, "03.yaml")); err != nil {
 		t.Fatal(err)
 	}
-	loadAndAccept(t, s, strings.Join(append(want[:3:3], want[4:]...), ", "))
-	if s.Reads() != 51 {
-		t.Errorf("%d files read for one that is gone", s.Reads()-51)
+	loadAndAccept(t, loader, strings.Join(append(want[:3:3], want[4:]...), ", "))
+	if loader.Reads() != 51 {
+		t.Errorf("%d files were read where one was removed", loader.Reads()-51)
 	}
 }
 
-// A file that changed a moment ago may change once more without another time or size: its text is read, and what it says is not read anew.
+// A file that was modified just before it was read may be modified again without a new time or size: it is read again,
+// and not only its stamp is compared.
 func TestRecentlyModifiedFileIsReadAgain(t *testing.T) {
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("old")})
 	path := filepath.Join(dir, "a.yaml")
-	s := NewSource(dir)
-	loadAndAccept(t, s, "contract old")
-	// The same inode, size and time: only the text tells.
+	loader := NewSource(dir)
+	loadAndAccept(t, loader, "contract old")
+	// The same inode, size and time: only the content differs.
 	info, err := os.Stat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := s.files[path]
+	f := loader.files[path]
 	f.readAt = info.ModTime()
 	text := contractText("new")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -137,58 +143,58 @@
 		t.Fatal(err)
 	}
 	f.stamp = stampOf(info)
-	loadAndAccept(t, s, "contract new")
+	loadAndAccept(t, loader, "contract new")
 }
 
-// What is wrong names the file and the line, and the next reading reads no more than that file.
+// An error names file and line, and the next load reads only the file that was invalid.
 func TestLoadErrorsNameFileAndLine(t *testing.T) {
 	t.Parallel()
 	good := contractText("good")
 	for _, c := range []struct{ name, before, text, want string }{
-		{"a field that is not known", "", "contracts:\n  - name: a\n    rates: 5\n", `b.yaml:3: unknown field "rates"`},
-		{"a figure outside its bounds", "", "contracts:\n  - name: a\n    match: [{tenant: a}]\n    rate: -1\n", "b.yaml:4: contracts[0].rate: -1 is outside"},
+		{"unknown field", "", "contracts:\n  - name: a\n    rates: 5\n", `b.yaml:3: unknown field "rates"`},
+		{"number out of range", "", "contracts:\n  - name: a\n    match: [{tenant: a}]\n    rate: -1\n", "b.yaml:4: contracts[0].rate: -1 is outside"},
 		{"not YAML", "", "contracts: [", "b.yaml:1: "},
-		{"twice in a file", "", contractText("a", "a"), `b.yaml:5: contracts[1].name: contract "a" is at line 2 already`},
-		{"twice in two files", "", contractText("a", "good"), `b.yaml:5: contract "good" is in `},
-		{"emptied", contractText("a"), "", "b.yaml: nothing is in it"},
-		{"cut off in a line", contractText("a", "b"), strings.TrimSuffix(contractText("a"), "\n"), "b.yaml: its last line has no end"},
-		{"cut off at a line", contractText("a", "b") + "...\n", contractText("a"), `b.yaml: it does not end with the line "..."`},
+		{"defined twice in a file", "", contractText("a", "a"), `b.yaml:5: contracts[1].name: contract "a" is at line 2 already`},
+		{"defined in two files", "", contractText("a", "good"), `b.yaml:5: contract "good" is in `},
+		{"emptied", contractText("a"), "", "b.yaml: the file has no resources any more"},
+		{"truncated within a line", contractText("a", "b"), strings.TrimSuffix(contractText("a"), "\n"), "b.yaml: the last line has no newline"},
+		{"truncated at the end of a line", contractText("a", "b") + "...\n", contractText("a"), `b.yaml: the last line is not "..."`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			dir := writeFolder(t, map[string]string{"a.yaml": good, "c.yaml": contractText("c")})
 			path := filepath.Join(dir, "b.yaml")
-			s := NewSource(dir)
+			loader := NewSource(dir)
 			if c.before != "" {
 				writeFile(t, path, c.before)
-				r, err := s.Read()
+				r, err := loader.Read()
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Accept(r)
+				loader.Accept(r)
 			}
 			writeFile(t, path, c.text)
 			for range 2 {
-				if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), c.want) {
-					t.Fatalf("%v, want %s", err, c.want)
+				if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), c.want) {
+					t.Fatalf("error %v, want %s", err, c.want)
 				}
 			}
 			if strings.Contains(c.want, `"good" is in `) {
-				if _, err := s.Read(); !strings.Contains(err.Error(), filepath.Join(dir, "a.yaml")+":2 already") {
-					t.Errorf("%v does not name both files", err)
+				if _, err := loader.Read(); !strings.Contains(err.Error(), filepath.Join(dir, "a.yaml")+":2 already") {
+					t.Errorf("error %v does not name both files", err)
 				}
 			}
-			before := s.Reads()
-			writeFile(t, path, contractText("mended")+"...\n")
-			loadAndAccept(t, s, "contract good, contract mended, contract c")
-			if n := s.Reads() - before; n != 1 {
-				t.Errorf("%d files read where one was mended", n)
+			before := loader.Reads()
+			writeFile(t, path, contractText("fixed")+"...\n")
+			loadAndAccept(t, loader, "contract good, contract fixed, contract c")
+			if n := loader.Reads() - before; n != 1 {
+				t.Errorf("%d files were read where one was corrected", n)
 			}
 		})
 	}
 }
 
-// Bounds, and a place where nothing is.
+// Exceeding a limit, an empty folder, a missing path and a path that is not a regular file are errors.
 func TestLoadLimits(t *testing.T) {
 	t.Parallel()
 	empty := t.TempDir()
@@ -200,13 +206,13 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ path, want string }{
-		{empty, "no file *.yaml is in it"},
+		{empty, "no *.yaml files found"},
 		{filepath.Join(empty, "none"), "no such file"},
 		{big, fmt.Sprintf("%d bytes: at most %d", MaxFileBytes+1, MaxFileBytes)},
-		{os.DevNull, "is no file"},
+		{os.DevNull, "not a regular file"},
 	} {
 		if _, err := NewSource(c.path).Read(); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.path, err, c.want)
+			t.Errorf("%s: error %v, want %s", c.path, err, c.want)
 		}
 	}
 	many := t.TempDir()
@@ -220,14 +226,14 @@
 	}
 }
 
-// A file that is written, or replaced, while it is read is read again; one that does so for ever is an error.
+// A file that is modified or replaced while it is read is read again. If that happens at each attempt the load fails.
 func TestFileThatChangesWhileItIsRead(t *testing.T) {
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("one")})
 	path := filepath.Join(dir, "a.yaml")
-	s := NewSource(dir)
+	loader := NewSource(dir)
 	times := 0
-	s.onRead = func(p string) {
+	loader.onRead = func(p string) {
 		switch times++; times {
 		case 1: // appended to, in place
 			f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
@@ -243,41 +249,41 @@
 			writeFile(t, path, contractText("three", "four"))
 		}
 	}
-	loadAndAccept(t, s, "contract three, contract four")
-	if s.Reads() != 3 {
-		t.Errorf("%d readings", s.Reads())
+	loadAndAccept(t, loader, "contract three, contract four")
+	if loader.Reads() != 3 {
+		t.Errorf("the file was read %d times, want 3", loader.Reads())
 	}
-	s.onRead = func(string) { writeFile(t, path, contractText("three", "four")+strings.Repeat("#\n", times)); times++ }
+	loader.onRead = func(string) { writeFile(t, path, contractText("three", "four")+strings.Repeat("#\n", times)); times++ }
 	writeFile(t, path, contractText("five"))
-	if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), "it is being written") {
+	if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), "it is being written") {
 		t.Errorf("%v", err)
 	}
 }
 
-// What the resources are to each other is checked too, for the whole folder.
+// CheckFiles also checks how the resources of a folder fit each other.
 func TestCheckFiles(t *testing.T) {
 	t.Parallel()
 	services := "services:\n  - name: shop\n    classes: [{name: view}]\n"
 	uses := "contracts:\n  - name: a\n    match: [{tenant: a}]\n    services: [shop]\n"
 	if n, err := CheckFiles(writeFolder(t, map[string]string{"a.yaml": uses, "b.yaml": services})); n != 2 || err != nil {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("%d resources, error %v; want 2, nil", n, err)
 	}
 	dir := writeFolder(t, map[string]string{"a.yaml": uses})
 	want := filepath.Join(dir, "a.yaml") + `:2: contract "a": services[0]: "shop" is no service here`
 	if _, err := CheckFiles(dir); err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
 
-// What a reading tells is what differs from what was accepted, whatever was read and not accepted meanwhile: resources that move between files,
-// files that take another name, a reading that was refused.
+// Load returns the difference from what was accepted, whatever was loaded without being accepted meanwhile: resources
+// that move between files, files that are renamed, a load that was rejected.
 func TestLoadReturnsDifferenceFromAccepted(t *testing.T) {
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("a", "b"), "c.yaml": contractText("c")})
-	s := NewSource(dir)
+	loader := NewSource(dir)
 	want := func(put, gone string, accept bool) {
 		t.Helper()
-		r, err := s.Read()
+		r, err := loader.Read()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -286,48 +292,48 @@
 			keys = append(keys, resource.Resource{Key: k})
 		}
 		if resourceNames(r.Put) != put || resourceNames(keys) != gone {
-			t.Fatalf("put %s, gone %s; want %s and %s", resourceNames(r.Put), resourceNames(keys), put, gone)
+			t.Fatalf("put %s, removed %s; want %s and %s", resourceNames(r.Put), resourceNames(keys), put, gone)
 		}
 		if accept {
-			s.Accept(r)
+			loader.Accept(r)
 		}
 	}
 	want("contract a, contract b, contract c", "", false)
 	want("contract a, contract b, contract c", "", true)
 	want("", "", true)
-	// b moves to another file, and c.yaml takes another name: nothing differs.
+	// Contract b moves to another file, and c.yaml is renamed: nothing differs.
 	writeFile(t, filepath.Join(dir, "a.yaml"), contractText("a"))
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("b"))
 	if err := os.Rename(filepath.Join(dir, "c.yaml"), filepath.Join(dir, "d.yaml")); err != nil {
 		t.Fatal(err)
 	}
 	want("", "", true)
-	// A change that is refused is told again with the next one, and not once it is taken back.
+	// A change that was not accepted is returned again with the next one, and no more once it is undone.
 	writeFile(t, filepath.Join(dir, "d.yaml"), strings.Replace(contractText("c"), "5", "6", 1))
 	want("contract c", "", false)
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("x"))
 	want("contract x, contract c", "contract b", false)
 	writeFile(t, filepath.Join(dir, "d.yaml"), contractText("c"))
 	want("contract x", "contract b", true)
-	if got := resourceNames(s.All()); got != "contract a, contract x, contract c" {
-		t.Errorf("all: %s", got)
+	if got := resourceNames(loader.All()); got != "contract a, contract x, contract c" {
+		t.Errorf("accepted resources: %s", got)
 	}
-	// Twice, in a file that changed and in one that did not, and in two that changed.
+	// A resource in two files, of which one has changed, and of which both have changed.
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a"))
-	if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:2: contract "a" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
+	if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:2: contract "a" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
 		t.Error(err)
 	}
 	writeFile(t, filepath.Join(dir, "a.yaml"), contractText("y"))
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a", "y"))
-	if _, err := s.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:5: contract "y" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
+	if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:5: contract "y" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
 		t.Error(err)
 	}
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a"))
 	want("contract y", "contract x", true)
 }
 
-// Whatever is written, moved and taken away, and whether or not it is accepted: what a reading tells leads from what was accepted to just what
-// the files say, and a resource in two files is always found.
+// For random edits, moves and removals of files, accepted or not: the difference leads from what was accepted to
+// exactly the files' content, and a resource in two files is always an error.
 func TestAcceptedDiffsLeadToFileContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "source")
@@ -335,8 +341,8 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		s := NewSource(dir)
-		files, in := map[string]map[string]int{}, map[string]int{} // contracts and their rates: by file, and as accepted
+		loader := NewSource(dir)
+		files, accepted := map[string]map[string]int{}, map[string]int{} // rates of contracts: by file, and as accepted
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			for range rapid.IntRange(1, 3).Draw(t, "edits") {
 				name := rapid.SampledFrom([]string{"a.yaml", "b.yaml", "c.yaml"}).Draw(t, "file")
@@ -363,43 +369,43 @@
 					all[c], twice = rate, twice || dup
 				}
 			}
-			r, err := s.Read()
+			r, err := loader.Read()
 			if wrong := twice || len(files) == 0; wrong || err != nil {
 				if !wrong || err == nil {
-					t.Fatalf("%v of %v", err, files)
+					t.Fatalf("unexpected error %v for files %v", err, files)
 				}
 				continue
 			}
 			for _, put := range r.Put {
-				if in[put.Name] == all[put.Name] || !strings.Contains(string(put.Spec), fmt.Sprintf(`"rate":%d`, all[put.Name])) {
-					t.Fatalf("put %s %s; in force %v, files %v", put.Name, put.Spec, in, all)
+				if accepted[put.Name] == all[put.Name] || !strings.Contains(string(put.Spec), fmt.Sprintf(`"rate":%d`, all[put.Name])) {
+					t.Fatalf("put %s %s; accepted %v, files %v", put.Name, put.Spec, accepted, all)
 				}
 			}
 			differs := 0
 			for c := range all {
-				if in[c] != all[c] {
+				if accepted[c] != all[c] {
 					differs++
 				}
 			}
 			for _, k := range r.Gone {
-				if all[k.Name] != 0 || in[k.Name] == 0 {
-					t.Fatalf("gone %s; in force %v, files %v", k.Name, in, all)
+				if all[k.Name] != 0 || accepted[k.Name] == 0 {
+					t.Fatalf("removed %s; accepted %v, files %v", k.Name, accepted, all)
 				}
 			}
 			gone := 0
-			for c := range in {
+			for c := range accepted {
 				if all[c] == 0 {
 					gone++
 				}
 			}
 			if len(r.Put) != differs || len(r.Gone) != gone {
-				t.Fatalf("put %s, gone %v; in force %v, files %v", resourceNames(r.Put), r.Gone, in, all)
+				t.Fatalf("put %s, removed %v; accepted %v, files %v", resourceNames(r.Put), r.Gone, accepted, all)
 			}
 			if rapid.Bool().Draw(t, "accept") {
-				s.Accept(r)
-				in = all
-				if len(s.All()) != len(all) {
-					t.Fatalf("all: %s, files %v", resourceNames(s.All()), all)
+				loader.Accept(r)
+				accepted = all
+				if len(loader.All()) != len(all) {
+					t.Fatalf("accepted resources %s, files %v", resourceNames(loader.All()), all)
 				}
 			}
 		}
--- a/internal/control/responses.go
+++ b/internal/control/responses.go
@@ -9,38 +9,44 @@
 )
 
 const (
-	minCompressBytes       = 1 << 10  // bytes of JSON below which an answer is not worth compressing
-	maxCachedBytes         = 64 << 20 // bytes of answers that are kept to be told again
-	maxConcurrentEncodings = 2        // large answers that are made at a time
+	// minCompressBytes is the size of a JSON body below which compression is not worth its cost.
+	minCompressBytes = 1 << 10
+	// maxCachedBytes bounds the encoded bodies that are cached.
+	maxCachedBytes = 64 << 20
+	// maxConcurrentEncodings is the number of large bodies that are encoded at a time.
+	maxConcurrentEncodings = 2
 )
 
-// answers are what was told of the version in force, as bytes, so that all who wait at one version share one text. It is safe for
-// concurrent use.
+// responseCache holds the encoded bodies of deltas to the version in force, so that all callers waiting at one version
+// share one body. It is safe for concurrent use.
 type responseCache struct {
-	encodingSlots chan struct{} // holds one for each large answer that is being made
+	encodingSlots chan struct{} // holds an element for each large body that is being encoded
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	responses    map[*resource.Delta]*cachedResponse
-	bytes        int
-	encodedCount int64 // texts so far, plain and compressed
+	bytes        int   // size of the bodies in responses
+	encodedCount int64 // bodies encoded since the start, plain and compressed
 }
 
-// answer is one delta's text, made when it is first asked for.
+// cachedResponse holds the bodies of one delta; each is encoded when it is first needed.
 type cachedResponse struct {
 	plain, gzipped encodedBody
 }
 
+// encodedBody is a body that is encoded once; bytes and err are set by then.
 type encodedBody struct {
 	once  sync.Once
 	bytes []byte
 	err   error
 }
 
+// newResponseCache returns an empty cache.
 func newResponseCache() *responseCache {
-	return &responseCache{encodingSlots: make(chan struct{}, maxConcurrentEncodings), responses: map[*resource.Delta]*cachedResponse{}}
+	return &responseCache{encodingSlots: make(chan struct{}, maxConcurrentEncodings),
+		responses: map[*resource.Delta]*cachedResponse{}}
 }
 
-// clear forgets all: another version is in force.
+// clear empties the cache, since another version is in force.
 func (a *responseCache) clear() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,10 +54,10 @@
 	a.bytes = 0
 }
 
-// of returns a delta's text, compressed where that is wanted and worth it. The text is shared: it must not be changed. Who asks while
-// it is made waits for it.
+// body returns a delta's encoded body, compressed where that is accepted and worth its cost. The body is shared and
+// must not be changed. A call during the encoding of the same body waits for it.
 func (a *responseCache) body(d *resource.Delta, zip bool) (body []byte, zipped bool, err error) {
-	if len(d.Put)+len(d.Gone) == 0 { // each its own, and small
+	if len(d.Put)+len(d.Gone) == 0 { // empty deltas differ from caller to caller and are small
 		body, err = resource.Encode(d)
 		return body, false, err
 	}
@@ -85,7 +91,7 @@
 	return t.bytes, zip, t.err
 }
 
-// weight is about how long a delta's text is.
+// approximateSize returns about how many bytes of JSON a delta makes. It stops counting past minCompressBytes.
 func approximateSize(d *resource.Delta) (n int) {
 	for i := range d.Put {
 		if n += 40 + len(d.Put[i].Name) + len(d.Put[i].Spec); n > minCompressBytes {
@@ -95,11 +101,13 @@
 	return n + 40*len(d.Gone)
 }
 
+// gzipWriters holds writers for reuse: each has large buffers.
 var gzipWriters = sync.Pool{New: func() any {
-	w, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // the level is a good one
+	w, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // the error is for an invalid level alone
 	return w
 }}
 
+// compress returns the gzip form of a body.
 func compress(plain []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzipWriters.Get().(*gzip.Writer)
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -20,59 +20,72 @@
 )
 
 const (
-	maxWatchWait         = time.Minute      // that a watch is held; one that asks for longer is answered then
-	headerTimeout        = 2 * time.Second  // a caller may take over its call's head
-	idleTimeout          = time.Minute      // a connection on which nothing is asked is closed
-	responseTimeout      = 10 * time.Second // a caller may take to read an answer that is no watch's
-	shutdownTimeout      = 1500 * time.Millisecond
-	maxHeaderBytes       = 8 << 10
-	spareConnections     = 256 // connections beyond those that hold watches
-	maxConcurrentReloads = 8   // calls for a reload at a time: each waits for those before it
+	// maxWatchWait is how long a watch is held at most; a call that asks for longer gets its empty response then.
+	maxWatchWait = time.Minute
+	// headerTimeout is how long a caller may take to send a request's header.
+	headerTimeout = 2 * time.Second
+	// idleTimeout is how long a connection may be without a call before it is closed.
+	idleTimeout = time.Minute
+	// responseTimeout is how long a caller may take to read a short response; server.writeTimeout allows more for long
+	// ones.
+	responseTimeout = 10 * time.Second
+	// shutdownTimeout is how long Serve waits for open calls after it has ended the watches.
+	shutdownTimeout = 1500 * time.Millisecond
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 8 << 10
+	// spareConnections is the number of connections that may be open beyond one for each held watch.
+	spareConnections = 256
+	// maxConcurrentReloads is the number of POST /v1/reload calls that are accepted at a time: each waits for those
+	// before it.
+	maxConcurrentReloads = 8
 )
 
-// ServeOptions say what a control process is. Files makes it the writer, From a follower: one of them.
+// ServeOptions configure a control process. Exactly one of Files and Upstreams is set: with Files the process is the
+// writer, with Upstreams a follower.
 type ServeOptions struct {
-	Listener net.Listener // Serve closes it
-	Name     string       // shown by the control processes that it asks
-	Limits   Limits
-	Files    string          // writer: a file, or a folder of them
-	Peers    []string        // writer: host:port of the other control processes, whose versions it goes on from
-	Reload   <-chan struct{} // writer: read the files again
-	From     []string        // follower: host:port, the nearest first
+	Listener net.Listener    // closed by Serve
+	Name     string          // shown by the control processes that this one calls
+	Limits   Limits          // of the VersionStore
+	Files    string          // writer: path of a file, or of a folder of *.yaml files
+	Peers    []string        // writer: host:port of the other control processes, whose versions the first epoch follows
+	Reload   <-chan struct{} // writer: each element asks for the files to be read again
+	From     []string        // follower: host:port of the control processes to follow, the nearest first
 	Log      *slog.Logger    // nil: nothing is logged
-	Clock    follow.Clock    // nil: the system's
+	Clock    follow.Clock    // nil: the system's clock
 }
 
-// server is a control process.
+// server is a running control process, a writer or a follower. mu guards the fields below it; it is not held during I/O.
 type server struct {
 	ServeOptions
-	writer          *writer // nil: a follower
-	responses       *responseCache
-	followStatus    follow.Status
-	counters        counters
-	startedAt       time.Duration
-	shuttingDown    chan struct{} // closed once watches are to end
-	newEpochWanted  chan struct{} // holds one: a caller has a version past ours
-	activeReloads   atomic.Int32  // calls under way
-	connections     connectionLimiter
-	handler         http.Handler
-	epochInterval   time.Duration                 // between two epochs, at least
-	writeTimeout    func(bytes int) time.Duration // a caller may take to read an answer
-	onHold          func()                        // in tests: a call is held, once more with each version that is not for it
-	onSent          func(error)                   // in tests: an answer is written, or can't be
-	mu              sync.Mutex                    // guards the rest
+	writer         *writer // nil: a follower
+	responses      *responseCache
+	followStatus   follow.Status
+	counters       counters
+	startedAt      time.Duration // Unix time
+	shuttingDown   chan struct{} // closed when watches are to end
+	newEpochWanted chan struct{} // has capacity 1; an element: a caller has a later version than the writer
+	activeReloads  atomic.Int32  // POST /v1/reload calls in progress
+	connections    connectionLimiter
+	handler        http.Handler
+	epochInterval  time.Duration                 // least time between two epochs
+	writeTimeout   func(bytes int) time.Duration // how long a caller may take to read a response of this length
+	onHold         func()                        // for tests: called each time that a call is held, also after a version that is not for it
+	onSent         func(error)                   // for tests: called when a response has been written, or has failed
+
+	mu              sync.Mutex
 	store           *VersionStore
 	changed         chan struct{}            // closed and replaced with each version
-	replacedWatches map[uint64]chan struct{} // by held watch: closed where a later call took its place
+	replacedWatches map[uint64]chan struct{} // by held watch: closed when a later call replaces it
 }
 
-// FilesError is what is wrong with a writer's files at its start: file, line, resource and field.
+// FilesError is an error in a writer's files at its start. It names file, line, resource and field.
 type FilesError struct{ error }
 
+// Unwrap returns the error of the file.
 func (e *FilesError) Unwrap() error { return e.error }
 
-// Serve runs a control process until ctx ends: it then answers all watches, and returns within 2 s. An error is a
-// *FilesError at the start, or of the listener or the first epoch; then it has not begun or has ended.
+// Serve runs a control process until ctx ends: it then responds to all watches and returns within 2 s. An error is a
+// *FilesError at the start, or comes from the listener or the first epoch; the process is not running then.
 func Serve(ctx context.Context, o ServeOptions) error {
 	s, err := newServer(o)
 	if err != nil {
@@ -82,13 +95,14 @@
 	return s.run(ctx)
 }
 
+// run is Serve after the checks of the options.
 func (s *server) run(ctx context.Context) (err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	srv := &http.Server{
 		Handler:           s.handler,
 		ReadHeaderTimeout: headerTimeout,
-		WriteTimeout:      maxWatchWait + responseTimeout, // narrower for each answer
+		WriteTimeout:      maxWatchWait + responseTimeout, // upper bound; respond sets a shorter one for each response
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.connections.track,
@@ -117,9 +131,10 @@
 	return err
 }
 
+// newServer checks the options and returns a server that is not running yet.
 func newServer(o ServeOptions) (*server, error) {
 	if (o.Files == "") == (len(o.From) == 0) {
-		return nil, errors.New("a control process has files, or others that it follows")
+		return nil, errors.New("a control process needs either files or other control processes to follow")
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -128,8 +143,8 @@
 		o.Clock = follow.SystemClock()
 	}
 	o.Limits.Watches = cmp.Or(max(o.Limits.Watches, 0), DefaultLimits.Watches)
-	s := &server{ServeOptions: o, responses: newResponseCache(), shuttingDown: make(chan struct{}), newEpochWanted: make(chan struct{}, 1), store: NewVersionStore(o.Limits),
-		startedAt: o.Clock.Now(), changed: make(chan struct{}), replacedWatches: map[uint64]chan struct{}{}}
+	s := &server{ServeOptions: o, responses: newResponseCache(), shuttingDown: make(chan struct{}), newEpochWanted: make(chan struct{}, 1),
+		store: NewVersionStore(o.Limits), startedAt: o.Clock.Now(), changed: make(chan struct{}), replacedWatches: map[uint64]chan struct{}{}}
 	s.connections.maxOpen, s.epochInterval = o.Limits.Watches+spareConnections, minEpochInterval
 	s.writeTimeout = func(bytes int) time.Duration { return max(responseTimeout, resource.BodyLimit(int64(bytes))) }
 	if o.Files != "" {
@@ -139,13 +154,14 @@
 	return s, nil
 }
 
-// keep keeps the book up to date until ctx ends.
+// runUpdates keeps the store up to date, as a writer or as a follower, until ctx ends.
 func (s *server) runUpdates(ctx context.Context) error {
 	if s.writer != nil {
 		return s.runWriter(ctx)
 	}
-	set := resource.NewSet(false) // the follower's; the book's own is under the lock
-	return follow.Run(ctx, follow.Options{Name: s.Name, Role: "control", Sources: s.From, Set: set, Log: s.Log, Status: &s.followStatus, Clock: s.Clock,
+	set := resource.NewSet(false) // for the follow loop, which reads it without server.mu; the store has a set of its own
+	return follow.Run(ctx, follow.Options{Name: s.Name, Role: "control", Sources: s.From, Set: set,
+		Log: s.Log, Status: &s.followStatus, Clock: s.Clock,
 		Take: func(d *resource.Delta) error {
 			if err := s.publish(func(now time.Duration) error { return s.store.Apply(now, d) }); err != nil {
 				return err
@@ -154,7 +170,7 @@
 		}})
 }
 
-// publish changes the book and wakes all watches, unless the change fails.
+// publish changes the store and wakes all watches, unless the change fails or makes no version.
 func (s *server) publish(change func(now time.Duration) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,14 +188,14 @@
 	return nil
 }
 
-// end answers all watches.
+// endWatches makes all held calls respond that the process is shutting down.
 func (s *server) endWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.shuttingDown)
 }
 
-// routes are what can be called. Unknown paths and methods are answered with 404 and 405 by the mux.
+// routes returns the HTTP handler. The mux responds 404 to unknown paths and 405 to other methods.
 func (s *server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/resources", s.handleWatch)
@@ -206,14 +222,15 @@
 	return mux
 }
 
+// errNoConfiguration is the response of a process without a first version.
 var errNoConfiguration = errors.New("no configuration here yet")
 
-// say answers with one line of text.
+// respondText sends a response of one line of text.
 func (s *server) respondText(w http.ResponseWriter, status int, line string) {
 	s.respond(w, status, "text/plain; charset=utf-8", []byte(line+"\n"))
 }
 
-// send answers; a caller that does not read it in time is cut off.
+// respond sends a response; a caller that does not read it in time is disconnected.
 func (s *server) respond(w http.ResponseWriter, status int, kind string, body []byte) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.writeTimeout(len(body))))
 	w.Header().Set("Content-Type", kind)
@@ -225,16 +242,16 @@
 	}
 }
 
-// reload reads the files and answers once what they say is in force, or why it is not.
+// handleReload reads the files and responds when their content is in force, or with the reason why it is not.
 func (s *server) handleReload(w http.ResponseWriter, r *http.Request) {
 	if s.writer == nil {
-		s.respondText(w, http.StatusConflict, "this control process follows another one: changes are made at the writer")
+		s.respondText(w, http.StatusConflict, "this control process is a follower: reload the files at the writer")
 		return
 	}
 	defer s.activeReloads.Add(-1)
 	if s.activeReloads.Add(1) > maxConcurrentReloads {
 		w.Header().Set("Retry-After", "1")
-		s.respondText(w, http.StatusServiceUnavailable, "the files are being read for others already")
+		s.respondText(w, http.StatusServiceUnavailable, "too many reloads in progress: the files are being read for others")
 		return
 	}
 	d, err := s.reloadFiles()
@@ -249,7 +266,8 @@
 	}
 }
 
-// watch answers a call for resources: at once, or when something is new, its wait is over, or this process ends.
+// handleWatch responds to GET /v1/resources: at once, or when there is a new version, the wait is over, or the process
+// shuts down.
 func (s *server) handleWatch(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r.URL.RawQuery)
 	if err != nil {
@@ -274,7 +292,7 @@
 	}
 	body, zipped, err := s.responses.body(reply.Delta, acceptsGzip(r))
 	if err != nil {
-		s.Log.Error("an answer can't be made", "err", err)
+		s.Log.Error("encoding a response failed", "err", err)
 		s.respondText(w, http.StatusInternalServerError, err.Error())
 		return
 	}
@@ -285,15 +303,17 @@
 	s.respond(w, http.StatusOK, "application/json", body)
 }
 
-var errShuttingDown = errors.New("this control process ends")
+// errShuttingDown is the response to watches at the end of the process.
+var errShuttingDown = errors.New("this control process is shutting down")
 
-// hold asks the book, and again with each version, until there is an answer. Gone: nobody waits for it any more.
+// holdCall queries the store, and again with each version, until there is a response. gone reports that the caller has
+// disconnected.
 func (s *server) holdCall(ctx context.Context, q Query) (reply Reply, gone bool) {
-	var over <-chan time.Time
+	var timeout <-chan time.Time
 	if q.MaxWait > 0 {
 		t := time.NewTimer(q.MaxWait)
 		defer t.Stop()
-		over = t.C
+		timeout = t.C
 	}
 	for {
 		reply, changed, replaced := s.queryStore(q)
@@ -304,26 +324,27 @@
 		if s.onHold != nil {
 			s.onHold()
 		}
-		left, ended := q, q
-		left.WaitOver, ended.CallerGone = true, true
+		waitOver, callerGone := q, q
+		waitOver.WaitOver, callerGone.CallerGone = true, true
 		select {
 		case <-changed:
 		case <-replaced:
-			return reply, false // it has been let go already
-		case <-over:
-			s.queryStore(left)
+			return reply, false // the store has released it already
+		case <-timeout:
+			s.queryStore(waitOver)
 			return reply, false
 		case <-ctx.Done():
-			s.queryStore(ended)
+			s.queryStore(callerGone)
 			return reply, true
 		case <-s.shuttingDown:
-			s.queryStore(left)
+			s.queryStore(waitOver)
 			return Reply{Status: http.StatusServiceUnavailable, Err: errShuttingDown, RetryAfter: time.Second}, false
 		}
 	}
 }
 
-// ask asks the book once. The channels are for a call that is to be held.
+// queryStore queries the store once. The channels are for a call that is to be held: one is closed with the next
+// version, the other when a later call replaces this one.
 func (s *server) queryStore(q Query) (reply Reply, changed, replaced <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -359,7 +380,7 @@
 	return reply, s.changed, c
 }
 
-// parseQuery reads a call. What it does not check the book does.
+// parseQuery reads the query string of GET /v1/resources. VersionStore.Watch checks the values.
 func parseQuery(raw string) (q Query, err error) {
 	v, err := url.ParseQuery(raw)
 	if err != nil {
@@ -379,7 +400,7 @@
 	if text := v.Get("timeout_ms"); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 0 {
-			return q, fmt.Errorf("timeout_ms: %.40q is no number of milliseconds", text)
+			return q, fmt.Errorf("timeout_ms: %.40q is not a number of milliseconds", text)
 		}
 		q.MaxWait = time.Duration(min(ms, maxWatchWait.Milliseconds())) * time.Millisecond
 	}
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -15,36 +15,40 @@
 	"portstall/internal/resource"
 )
 
-// world is three Books, a writer and two that follow it, and nodes that follow them, in virtual time: all of the deciding code is the
-// real one, the network and the clock are made up, and everything is drawn from one seed. An oracle sees each version and its sum.
+// simulation runs three control processes, a writer and two that follow it, and nodes that follow them, in virtual
+// time. The decisions are made by the real VersionStore and resource.Follower; network and clock are simulated, and all
+// random values come from one seed. Each version and its checksum is recorded at the writer and checked wherever it is
+// applied.
 type simulation struct {
 	t       *testing.T
-	now     time.Duration
+	now     time.Duration // Unix time
 	events  events
-	lastSeq int
+	lastSeq int // of the latest event
 	random  *rand.Rand
 
-	processes       [3]*simControl // one a region; the first is the writer's
+	processes       [3]*simControl // one in each region; the first is the writer
 	nodes           []*simFollower
-	files           map[resource.Key]resource.Resource // what the operators want; the writer reads it when it starts
+	files           map[resource.Key]resource.Resource // content of the writer's files
 	partitioned     [3][3]bool                         // between regions
-	lossRate        float64                            // the part of all answers that are lost without a word
+	lossRate        float64                            // share of all responses that are lost without a failure
 	writerClockSkew time.Duration                      // of the writer's clock when it begins an epoch
-	newEpochPending bool                               // the writer is to begin past a version that it heard of
+	newEpochPending bool                               // the writer is to begin an epoch past a caller's version
 
-	checksums      map[resource.Version]resource.Sum
-	versions       []numberedVersion
-	reachableSince [3]time.Duration // by region: since when there is a way from the writer to its nodes; below 0: none
-	applyDelays    []time.Duration  // for each node and version: from the change, the heal or the node's start until it was in force
+	checksums      map[resource.Version]resource.Sum // by version, as numbered by the writer
+	versions       []numberedVersion                 // in the order in which they were numbered
+	reachableSince [3]time.Duration                  // by region: since when the writer can reach its nodes; below 0: it can't
+	applyDelays    []time.Duration                   // for each node and version: see checkApplied
 	lostResponses  int
-	snapshotsSent  int // snapshots told
+	snapshotsSent  int // snapshots that have arrived at callers
 }
 
+// numberedVersion is a version that the writer has made.
 type numberedVersion struct {
 	version resource.Version
 	madeAt  time.Duration
 }
 
+// event is a function that runs at a time; events of one time run in the order of seq.
 type event struct {
 	at  time.Duration
 	seq int
@@ -65,160 +69,166 @@
 	return last
 }
 
-// proc is a control process.
+// simControl is a simulated control process.
 type simControl struct {
 	region             int
-	incarnation        int // up: odd
+	incarnation        int // odd while the process runs
 	store              *VersionStore
 	held               map[uint64]*heldCall
-	follower           *simFollower    // not the writer's
-	callTimes          []time.Duration // all calls
-	immediateCallTimes []time.Duration // those that were to be answered at once
-	responseCounts     map[int]int     // answers by status
+	follower           *simFollower    // nil at the writer
+	callTimes          []time.Duration // of all calls
+	immediateCallTimes []time.Duration // of the calls that ask for an immediate response
+	responseCounts     map[int]int     // by status
 }
 
+// up reports whether the process runs.
 func (p *simControl) up() bool { return p.incarnation%2 == 1 }
 
+// heldCall is a call that has arrived at a control process.
 type heldCall struct {
 	caller *simFollower
-	call   int
+	call   int // simFollower.currentCall when it was made
 	query  Query
 }
 
-// caller is who follows: a node, or a control process.
+// simFollower is a caller of control processes: a node, or a control process that follows.
 type simFollower struct {
 	name          string
-	process       string // its mark
+	process       string // Query.Process
 	role          string
 	region        int
-	sources       []int // procs
+	sources       []int // indices of simulation.processes
 	decider       *resource.Follower
 	set           *resource.Set
 	incarnation   *int                          // of its control process; nil: a node
-	apply         func(d *resource.Delta) error // puts it in force
-	reject        func(d *resource.Delta) error // a node's own mind
-	currentCall   int                           // a later number makes an answer too late
+	apply         func(d *resource.Delta) error // puts a delta in force
+	reject        func(d *resource.Delta) error // a node's reason to refuse a delta; nil function: it refuses none
+	currentCall   int                           // number of the latest call; responses to earlier ones are ignored
 	startedAt     time.Duration
-	versionsSeen  int // of made: those before are in force, or later ones
+	versionsSeen  int // simulation.versions before this index are in force, or later ones are
 	version       resource.Version
-	decodeTime    time.Duration // it takes to decode the whole
-	decodeTimeout time.Duration // after which it gives that up, as if the answer had not come; 0: never
+	decodeTime    time.Duration // of a snapshot
+	decodeTimeout time.Duration // after which decoding fails as if the response had not arrived; 0: never
 }
 
-func newWorld(t *testing.T, seed uint64, nodes int, all []resource.Resource) *simulation {
-	w := &simulation{t: t, now: startTime, random: rand.New(rand.NewPCG(seed, 31)), files: map[resource.Key]resource.Resource{},
+// newSimulation starts the control processes, with the writer's files, and nodes that are spread over the regions.
+func newSimulation(t *testing.T, seed uint64, nodes int, all []resource.Resource) *simulation {
+	sim := &simulation{t: t, now: startTime, random: rand.New(rand.NewPCG(seed, 31)), files: map[resource.Key]resource.Resource{},
 		checksums: map[resource.Version]resource.Sum{}}
 	for _, r := range all {
-		w.files[r.Key] = r
+		sim.files[r.Key] = r
 	}
-	for i := range w.processes {
-		w.processes[i] = &simControl{region: i, responseCounts: map[int]int{}}
+	for i := range sim.processes {
+		sim.processes[i] = &simControl{region: i, responseCounts: map[int]int{}}
 	}
-	for i := range w.processes {
-		w.startControl(i)
+	for i := range sim.processes {
+		sim.startControl(i)
 	}
 	for i := range nodes {
 		c := &simFollower{name: fmt.Sprintf("n%d", i), role: "node", region: i % 3, sources: []int{i % 3, (i + 1) % 3, (i + 2) % 3}}
-		w.nodes = append(w.nodes, c)
-		w.startNode(c)
+		sim.nodes = append(sim.nodes, c)
+		sim.startNode(c)
 	}
-	return w
+	return sim
 }
 
-// reborn starts a node, or starts it again with nothing.
-func (w *simulation) startNode(c *simFollower) {
+// startNode starts a node, or restarts it without any resources.
+func (sim *simulation) startNode(c *simFollower) {
 	c.currentCall++
 	c.set = resource.NewSet(false)
 	c.decider = resource.NewFollower(c.set, len(c.sources))
-	c.startedAt, c.version, c.versionsSeen = w.now, resource.Version{}, len(w.versions)
+	c.startedAt, c.version, c.versionsSeen = sim.now, resource.Version{}, len(sim.versions)
 	c.apply = func(d *resource.Delta) error { return c.set.Apply(c.set.Difference(d)) }
-	// Nodes don't start at one instant.
-	w.after(time.Duration(w.random.Int64N(int64(2*time.Second))), c.nextCallIfCurrent(w, c.currentCall))
+	// Nodes do not all start at the same time.
+	sim.after(time.Duration(sim.random.Int64N(int64(2*time.Second))), c.nextCallIfCurrent(sim, c.currentCall))
 }
 
-func (c *simFollower) nextCallIfCurrent(w *simulation, call int) func() {
+// nextCallIfCurrent returns a function that makes the next call, unless another call was made since the given one.
+func (c *simFollower) nextCallIfCurrent(sim *simulation, call int) func() {
 	return func() {
 		if c.currentCall == call {
-			w.nextCall(c)
+			sim.nextCall(c)
 		}
 	}
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.lastSeq++
-	heap.Push(&w.events, event{w.now + d, w.lastSeq, do})
+// after runs a function after a time.
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.lastSeq++
+	heap.Push(&sim.events, event{sim.now + d, sim.lastSeq, do})
 }
 
-// run lets time go on.
-func (w *simulation) run(d time.Duration) {
-	end := w.now + d
-	for len(w.events) > 0 && w.events[0].at <= end {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+// run advances the time by d and runs the events of that time.
+func (sim *simulation) run(d time.Duration) {
+	end := sim.now + d
+	for len(sim.events) > 0 && sim.events[0].at <= end {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
 		e.do()
 	}
-	w.now = end
+	sim.now = end
 }
 
-// delay is one way between regions.
-func (w *simulation) delay(a, b int) time.Duration {
+// delay returns a random one-way network delay between two regions.
+func (sim *simulation) delay(a, b int) time.Duration {
 	if a == b {
-		return 100*time.Microsecond + time.Duration(w.random.Int64N(int64(time.Millisecond)))
+		return 100*time.Microsecond + time.Duration(sim.random.Int64N(int64(time.Millisecond)))
 	}
-	return 10*time.Millisecond + time.Duration(w.random.Int64N(int64(50*time.Millisecond)))
+	return 10*time.Millisecond + time.Duration(sim.random.Int64N(int64(50*time.Millisecond)))
 }
 
-// next makes a caller's next call.
-func (w *simulation) nextCall(c *simFollower) {
+// nextCall makes a caller's next call.
+func (sim *simulation) nextCall(c *simFollower) {
 	c.currentCall++
 	call := c.currentCall
-	ask := c.decider.Next(w.now, w.random.Float64())
-	w.after(ask.Rest, func() {
+	ask := c.decider.Next(sim.now, sim.random.Float64())
+	sim.after(ask.Rest, func() {
 		if c.currentCall != call || c.incarnation != nil && *c.incarnation%2 == 0 {
 			return
 		}
-		w.after(ask.Limit, func() { w.callFailed(c, call, resource.Failure{Kind: resource.Silent}) })
-		p := w.processes[c.sources[ask.Source]]
+		sim.after(ask.Limit, func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Silent}) })
+		p := sim.processes[c.sources[ask.Source]]
 		q := Query{Since: ask.Since, Sum: ask.Sum, Name: c.name, Process: c.process, Role: c.role, Refused: ask.Refused, Why: ask.Why, MaxWait: ask.Wait}
-		w.after(w.delay(c.region, p.region), func() {
+		sim.after(sim.delay(c.region, p.region), func() {
 			switch {
-			case w.partitioned[c.region][p.region]:
+			case sim.partitioned[c.region][p.region]:
 			case !p.up():
-				w.after(w.delay(c.region, p.region), func() { w.callFailed(c, call, resource.Failure{Kind: resource.Unreachable}) })
+				sim.after(sim.delay(c.region, p.region), func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Unreachable}) })
 			default:
-				p.callTimes = append(p.callTimes, w.now)
+				p.callTimes = append(p.callTimes, sim.now)
 				if ask.Wait == 0 {
-					p.immediateCallTimes = append(p.immediateCallTimes, w.now)
+					p.immediateCallTimes = append(p.immediateCallTimes, sim.now)
 				}
-				w.serve(p, &heldCall{c, call, q})
+				sim.serve(p, &heldCall{c, call, q})
 			}
 		})
 	})
 }
 
-func (w *simulation) callFailed(c *simFollower, call int, how resource.Failure) {
+// callFailed reports a failed call to its caller, which makes the next one.
+func (sim *simulation) callFailed(c *simFollower, call int, how resource.Failure) {
 	if c.currentCall == call {
-		c.decider.Failed(w.now, how, w.random.Float64())
-		w.nextCall(c)
+		c.decider.Failed(sim.now, how, sim.random.Float64())
+		sim.nextCall(c)
 	}
 }
 
-// serve is what a control process does with a call, at its arrival and after each change.
-func (w *simulation) serve(p *simControl, h *heldCall) {
-	id, life := h.query.WatchID, p.incarnation
-	r := p.store.Watch(w.now, h.query)
-	if p == w.processes[0] && !w.newEpochPending && !p.store.Ahead().IsZero() {
-		w.newEpochPending = true
-		w.after(minEpochInterval, func() {
-			if w.newEpochPending = false; p.incarnation == life {
-				w.beginEpoch()
+// serve does what a control process does with a call, at its arrival and after each change.
+func (sim *simulation) serve(p *simControl, h *heldCall) {
+	id, incarnation := h.query.WatchID, p.incarnation
+	r := p.store.Watch(sim.now, h.query)
+	if p == sim.processes[0] && !sim.newEpochPending && !p.store.Ahead().IsZero() {
+		sim.newEpochPending = true
+		sim.after(minEpochInterval, func() {
+			if sim.newEpochPending = false; p.incarnation == incarnation {
+				sim.beginEpoch()
 			}
 		})
 	}
 	delete(p.held, r.ReplacedWatch)
 	if !r.Hold {
 		delete(p.held, id)
-		w.sendResponse(p, h, r)
+		sim.sendResponse(p, h, r)
 		return
 	}
 	if id != 0 {
@@ -226,81 +236,85 @@
 	}
 	h.query.WatchID = r.WatchID
 	p.held[r.WatchID] = h
-	w.after(h.query.MaxWait, func() {
-		if p.incarnation == life && p.held[r.WatchID] == h {
+	sim.after(h.query.MaxWait, func() {
+		if p.incarnation == incarnation && p.held[r.WatchID] == h {
 			delete(p.held, r.WatchID)
 			q := h.query
 			q.WaitOver = true
-			p.store.Watch(w.now, q)
-			w.sendResponse(p, h, r)
+			p.store.Watch(sim.now, q)
+			sim.sendResponse(p, h, r)
 		}
 	})
 }
 
-func (w *simulation) wakeHeldCalls(p *simControl) {
+// wakeHeldCalls serves all held calls again, after a change.
+func (sim *simulation) wakeHeldCalls(p *simControl) {
 	for _, id := range slices.Sorted(maps.Keys(p.held)) {
 		if h := p.held[id]; h != nil {
-			w.serve(p, h)
+			sim.serve(p, h)
 		}
 	}
 }
 
-// answer brings an answer on its way. It may be lost without a word; a process that is killed meanwhile loses half of them with the connection.
-func (w *simulation) sendResponse(p *simControl, h *heldCall, r Reply) {
+// sendResponse sends a response, which may be lost without the caller noticing. Of the responses under way when a
+// process is killed, half are lost with their connections.
+func (sim *simulation) sendResponse(p *simControl, h *heldCall, r Reply) {
 	p.responseCounts[r.Status]++
-	if w.random.Float64() < w.lossRate {
-		w.lostResponses++
+	if sim.random.Float64() < sim.lossRate {
+		sim.lostResponses++
 		return
 	}
-	life := p.incarnation
-	w.after(w.delay(p.region, h.caller.region), func() {
+	incarnation := p.incarnation
+	sim.after(sim.delay(p.region, h.caller.region), func() {
 		switch {
-		case h.caller.currentCall != h.call || w.partitioned[p.region][h.caller.region]:
-		case p.incarnation != life && w.random.IntN(2) == 0:
-			w.callFailed(h.caller, h.call, resource.Failure{Kind: resource.Unreachable})
+		case h.caller.currentCall != h.call || sim.partitioned[p.region][h.caller.region]:
+		case p.incarnation != incarnation && sim.random.IntN(2) == 0:
+			sim.callFailed(h.caller, h.call, resource.Failure{Kind: resource.Unreachable})
 		default:
-			w.receiveResponse(h.caller, h.call, r)
+			sim.receiveResponse(h.caller, h.call, r)
 		}
 	})
 }
 
-func (w *simulation) receiveResponse(c *simFollower, call int, r Reply) {
+// receiveResponse brings a response to its caller.
+func (sim *simulation) receiveResponse(c *simFollower, call int, r Reply) {
 	kind := map[int]resource.FailureKind{409: resource.Behind, 503: resource.Busy}
 	if k, ok := kind[r.Status]; ok {
-		w.callFailed(c, call, resource.Failure{Kind: k, RetryAfter: r.RetryAfter, Err: r.Err})
+		sim.callFailed(c, call, resource.Failure{Kind: k, RetryAfter: r.RetryAfter, Err: r.Err})
 		return
 	}
 	if r.Status != 200 {
-		w.t.Fatalf("%s was told %d: %v", c.name, r.Status, r.Err)
+		sim.t.Fatalf("%s got status %d: %v", c.name, r.Status, r.Err)
 	}
 	if r.Delta.Whole() {
-		w.snapshotsSent++
+		sim.snapshotsSent++
 		if c.decodeTime > 0 {
-			w.decodeSnapshot(c, r)
+			sim.decodeSnapshot(c, r)
 			return
 		}
 	}
-	w.applyResponse(c, r)
+	sim.applyResponse(c, r)
 }
 
-// decode lets a node take its time over the whole, which has arrived: no limit of the call counts any more.
-func (w *simulation) decodeSnapshot(c *simFollower, r Reply) {
+// decodeSnapshot delays a node by its decoding of a snapshot. The snapshot has arrived, so the call's time limits no
+// longer apply.
+func (sim *simulation) decodeSnapshot(c *simFollower, r Reply) {
 	c.currentCall++
 	call := c.currentCall
 	if c.decodeTimeout > 0 && c.decodeTimeout < c.decodeTime {
-		w.after(c.decodeTimeout, func() { w.callFailed(c, call, resource.Failure{Kind: resource.Unreachable}) })
+		sim.after(c.decodeTimeout, func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Unreachable}) })
 		return
 	}
-	w.after(c.decodeTime, func() {
+	sim.after(c.decodeTime, func() {
 		if c.currentCall == call {
-			w.applyResponse(c, r)
+			sim.applyResponse(c, r)
 		}
 	})
 }
 
-// take puts in force what an answer brought, and goes on.
-func (w *simulation) applyResponse(c *simFollower, r Reply) {
-	take, err := c.decider.Told(w.now, r.Delta)
+// applyResponse applies a response's delta, if the follower accepts it, and makes the next call.
+func (sim *simulation) applyResponse(c *simFollower, r Reply) {
+	take, err := c.decider.Told(sim.now, r.Delta)
 	if take {
 		if c.reject != nil {
 			err = c.reject(r.Delta)
@@ -308,138 +322,143 @@
 		if err == nil {
 			err = c.apply(r.Delta)
 		}
-		c.decider.Took(w.now, err)
+		c.decider.Took(sim.now, err)
 		if err == nil {
-			w.checkApplied(c)
+			sim.checkApplied(c)
 		}
 	}
-	w.nextCall(c)
+	sim.nextCall(c)
 }
 
-// inForce is the oracle's look at a set that changed.
-func (w *simulation) checkApplied(c *simFollower) {
+// checkApplied fails unless a caller has applied a later version, with the checksum that the writer gave it. For each
+// version that is now in force at a node it records the delay since the change, the end of the outage or the node's
+// start, whichever is latest.
+func (sim *simulation) checkApplied(c *simFollower) {
 	v := c.set.Version()
 	if v.Compare(c.version) <= 0 {
-		w.t.Fatalf("%s went from %v to %v", c.name, c.version, v)
+		sim.t.Fatalf("%s went from version %v to %v", c.name, c.version, v)
 	}
 	c.version = v
-	if sum, ok := w.checksums[v]; !ok || sum != c.set.Sum() {
-		w.t.Fatalf("%s has %v with the sum %x: the writer had %x", c.name, v, c.set.Sum(), sum)
+	if sum, ok := sim.checksums[v]; !ok || sum != c.set.Sum() {
+		sim.t.Fatalf("%s has version %v with the checksum %x, want the writer's %x", c.name, v, c.set.Sum(), sum)
 	}
 	if c.role != "node" {
 		return
 	}
-	for ; c.versionsSeen < len(w.versions) && w.versions[c.versionsSeen].version.Compare(v) <= 0; c.versionsSeen++ {
-		if since := w.reachableSince[c.region]; since >= 0 {
-			w.applyDelays = append(w.applyDelays, w.now-max(w.versions[c.versionsSeen].madeAt, since, c.startedAt))
+	for ; c.versionsSeen < len(sim.versions) && sim.versions[c.versionsSeen].version.Compare(v) <= 0; c.versionsSeen++ {
+		if since := sim.reachableSince[c.region]; since >= 0 {
+			sim.applyDelays = append(sim.applyDelays, sim.now-max(sim.versions[c.versionsSeen].madeAt, since, c.startedAt))
 		}
 	}
 }
 
-// make is the oracle's look at the writer.
-func (w *simulation) recordVersion(d *resource.Delta) {
-	if _, ok := w.checksums[d.To]; ok {
-		w.t.Fatalf("%v was made twice", d.To)
+// recordVersion records a version that the writer has made; it fails where the version exists already.
+func (sim *simulation) recordVersion(d *resource.Delta) {
+	if _, ok := sim.checksums[d.To]; ok {
+		sim.t.Fatalf("version %v was made twice", d.To)
 	}
-	w.checksums[d.To] = d.Sum
-	w.versions = append(w.versions, numberedVersion{d.To, w.now})
-	for _, c := range w.nodes {
-		if len(w.versions) == 1 {
+	sim.checksums[d.To] = d.Sum
+	sim.versions = append(sim.versions, numberedVersion{d.To, sim.now})
+	for _, c := range sim.nodes {
+		if len(sim.versions) == 1 {
 			c.versionsSeen = 0
 		}
 	}
-	w.wakeHeldCalls(w.processes[0])
+	sim.wakeHeldCalls(sim.processes[0])
 }
 
-// change is an operator's: of the files always, and by the writer where it is up.
-func (w *simulation) change(put []resource.Resource, gone ...resource.Key) {
+// change makes an operator's change: in the files always, and at the writer if it runs.
+func (sim *simulation) change(put []resource.Resource, gone ...resource.Key) {
 	for _, r := range put {
-		w.files[r.Key] = r
+		sim.files[r.Key] = r
 	}
 	for _, k := range gone {
-		delete(w.files, k)
+		delete(sim.files, k)
 	}
-	if p := w.processes[0]; p.up() {
-		d, err := p.store.Change(w.now, put, gone)
+	if p := sim.processes[0]; p.up() {
+		d, err := p.store.Change(sim.now, put, gone)
 		if err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
 		if d != nil {
-			w.recordVersion(d)
+			sim.recordVersion(d)
 		}
 	}
 }
 
-// changes lets the operators change one or two resources, so many times a day on average.
-func (w *simulation) scheduleChanges(aDay int, until time.Duration) {
-	mean := float64(24*time.Hour) / float64(aDay)
-	w.after(time.Duration(w.random.ExpFloat64()*mean), func() {
-		if w.now >= until {
+// scheduleChanges makes random changes of one or two resources until a time, at random intervals; on average there are
+// perDay a day.
+func (sim *simulation) scheduleChanges(perDay int, until time.Duration) {
+	meanInterval := float64(24*time.Hour) / float64(perDay)
+	sim.after(time.Duration(sim.random.ExpFloat64()*meanInterval), func() {
+		if sim.now >= until {
 			return
 		}
-		name := fmt.Sprintf("c%04d", w.random.IntN(300))
-		switch w.random.IntN(4) {
+		name := fmt.Sprintf("c%04d", sim.random.IntN(300))
+		switch sim.random.IntN(4) {
 		case 0:
-			w.change(nil, resource.Key{Kind: resource.Contract, Name: name})
+			sim.change(nil, resource.Key{Kind: resource.Contract, Name: name})
 		case 1:
-			w.change([]resource.Resource{contract(name, w.random.IntN(100)), contract(name+"+", w.random.IntN(100))})
+			sim.change([]resource.Resource{contract(name, sim.random.IntN(100)), contract(name+"+", sim.random.IntN(100))})
 		default:
-			w.change([]resource.Resource{contract(name, w.random.IntN(100))})
+			sim.change([]resource.Resource{contract(name, sim.random.IntN(100))})
 		}
-		w.scheduleChanges(aDay, until)
+		sim.scheduleChanges(perDay, until)
 	})
 }
 
-// begin begins an epoch at the writer, of the files and what the others have that it can reach.
-func (w *simulation) beginEpoch() {
+// beginEpoch begins an epoch at the writer, with the files' content and the snapshots of the control processes that it
+// can reach.
+func (sim *simulation) beginEpoch() {
 	var known []*resource.Delta
-	for _, o := range w.processes[1:] {
-		if o.up() && o.store != nil && !w.partitioned[0][o.region] && !o.store.Set().Version().IsZero() {
+	for _, o := range sim.processes[1:] {
+		if o.up() && o.store != nil && !sim.partitioned[0][o.region] && !o.store.Set().Version().IsZero() {
 			known = append(known, o.store.Set().Snapshot())
 		}
 	}
-	all := slices.SortedFunc(maps.Values(w.files), func(a, b resource.Resource) int { return cmp.Compare(a.Name, b.Name) })
-	d, err := w.processes[0].store.BeginEpoch(w.now+w.writerClockSkew, known, all)
+	all := slices.SortedFunc(maps.Values(sim.files), func(a, b resource.Resource) int { return cmp.Compare(a.Name, b.Name) })
+	d, err := sim.processes[0].store.BeginEpoch(sim.now+sim.writerClockSkew, known, all)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	w.recordVersion(d)
+	sim.recordVersion(d)
 }
 
-// raise starts a control process with nothing but, at the writer's, the files and what the others have that it can reach.
-func (w *simulation) startControl(i int) {
-	p := w.processes[i]
+// startControl starts a control process without any stored state. The writer has the files and the snapshots of the
+// control processes that it can reach.
+func (sim *simulation) startControl(i int) {
+	p := sim.processes[i]
 	p.incarnation++
 	p.store, p.held = NewVersionStore(Limits{}), map[uint64]*heldCall{}
 	if i == 0 {
-		w.beginEpoch()
+		sim.beginEpoch()
 	} else {
-		c := &simFollower{name: fmt.Sprintf("control-%d", i), role: "control", region: p.region, sources: []int{0, 3 - i}, incarnation: new(int), set: p.store.Set(), startedAt: w.now}
+		c := &simFollower{name: fmt.Sprintf("control-%d", i), role: "control", region: p.region, sources: []int{0, 3 - i}, incarnation: new(int), set: p.store.Set(), startedAt: sim.now}
 		*c.incarnation = 1
 		c.decider = resource.NewFollower(c.set, 2)
 		c.decider.SetPace(resource.ControlPace)
 		c.apply = func(d *resource.Delta) error {
-			if err := p.store.Apply(w.now, d); err != nil {
+			if err := p.store.Apply(sim.now, d); err != nil {
 				return err
 			}
-			w.wakeHeldCalls(p)
+			sim.wakeHeldCalls(p)
 			return nil
 		}
 		p.follower = c
-		w.after(0, c.nextCallIfCurrent(w, 0))
+		sim.after(0, c.nextCallIfCurrent(sim, 0))
 	}
-	w.updateReachability()
+	sim.updateReachability()
 }
 
-// kill ends a control process: what it held is gone, and who asked sees the connection break.
-func (w *simulation) killControl(i int) {
-	p := w.processes[i]
+// killControl ends a control process: its state is lost, and callers with held calls see their connections break.
+func (sim *simulation) killControl(i int) {
+	p := sim.processes[i]
 	p.incarnation++
 	for _, id := range slices.Sorted(maps.Keys(p.held)) {
 		h := p.held[id]
-		w.after(w.delay(p.region, h.caller.region), func() {
-			if !w.partitioned[p.region][h.caller.region] {
-				w.callFailed(h.caller, h.call, resource.Failure{Kind: resource.Unreachable})
+		sim.after(sim.delay(p.region, h.caller.region), func() {
+			if !sim.partitioned[p.region][h.caller.region] {
+				sim.callFailed(h.caller, h.call, resource.Failure{Kind: resource.Unreachable})
 			}
 		})
 	}
@@ -448,429 +467,441 @@
 		*p.follower.incarnation = 0
 		p.follower.currentCall++
 	}
-	w.updateReachability()
+	sim.updateReachability()
 }
 
-// cut parts two regions, or heals them.
-func (w *simulation) setPartition(a, b int, is bool) {
-	w.partitioned[a][b], w.partitioned[b][a] = is, is
-	w.updateReachability()
+// setPartition cuts the network between two regions, or restores it.
+func (sim *simulation) setPartition(a, b int, is bool) {
+	sim.partitioned[a][b], sim.partitioned[b][a] = is, is
+	sim.updateReachability()
 }
 
-// look keeps since when there is a way from the writer to each region's nodes.
-func (w *simulation) updateReachability() {
-	in := [3]bool{w.processes[0].up()}
-	for range w.processes {
-		for i, p := range w.processes {
-			for j, o := range w.processes {
-				in[i] = in[i] || p.up() && in[j] && !w.partitioned[p.region][o.region]
+// updateReachability updates since when the writer can reach the nodes of each region, directly or through other
+// control processes.
+func (sim *simulation) updateReachability() {
+	connected := [3]bool{sim.processes[0].up()}
+	for range sim.processes {
+		for i, p := range sim.processes {
+			for j, o := range sim.processes {
+				connected[i] = connected[i] || p.up() && connected[j] && !sim.partitioned[p.region][o.region]
 			}
 		}
 	}
-	for r := range w.reachableSince {
-		way := false
-		for i, p := range w.processes {
-			way = way || in[i] && !w.partitioned[r][p.region]
+	for r := range sim.reachableSince {
+		reachable := false
+		for i, p := range sim.processes {
+			reachable = reachable || connected[i] && !sim.partitioned[r][p.region]
 		}
 		switch {
-		case !way:
-			w.reachableSince[r] = -1
-		case w.reachableSince[r] <= 0:
-			w.reachableSince[r] = w.now
+		case !reachable:
+			sim.reachableSince[r] = -1
+		case sim.reachableSince[r] <= 0:
+			sim.reachableSince[r] = sim.now
 		}
 	}
 }
 
-// end heals everything and fails unless all come to the writer's content in time.
-func (w *simulation) healAndCheck(within time.Duration) {
-	w.t.Helper()
-	w.lossRate = 0
+// healAndCheck ends all faults and fails unless all callers have the writer's content in time.
+func (sim *simulation) healAndCheck(within time.Duration) {
+	sim.t.Helper()
+	sim.lossRate = 0
 	for a := range 3 {
 		for b := range a {
-			w.setPartition(a, b, false)
+			sim.setPartition(a, b, false)
 		}
-		if !w.processes[a].up() {
-			w.startControl(a)
+		if !sim.processes[a].up() {
+			sim.startControl(a)
 		}
 	}
-	w.run(within)
-	w.checkConverged()
+	sim.run(within)
+	sim.checkConverged()
 }
 
-// agree fails unless all nodes and control processes have the writer's content, and the writer that of the files.
-func (w *simulation) checkConverged() {
-	w.t.Helper()
-	set := w.processes[0].store.Set()
-	put, gone := set.Compare(slices.Collect(maps.Values(w.files)))
+// checkConverged fails unless all nodes and control processes have the writer's content, and the writer has that of the
+// files.
+func (sim *simulation) checkConverged() {
+	sim.t.Helper()
+	set := sim.processes[0].store.Set()
+	put, gone := set.Compare(slices.Collect(maps.Values(sim.files)))
 	if len(put)+len(gone) != 0 {
-		w.t.Fatalf("the writer differs from the files: %v %v", put, gone)
+		sim.t.Fatalf("the writer differs from its files: put %v, removed %v", put, gone)
 	}
-	for _, c := range append(slices.Clone(w.nodes), w.processes[1].follower, w.processes[2].follower) {
+	for _, c := range append(slices.Clone(sim.nodes), sim.processes[1].follower, sim.processes[2].follower) {
 		if c.set.Version() != set.Version() || c.set.Sum() != set.Sum() || c.set.Len() != set.Len() {
-			w.t.Fatalf("%s has %v with %d, the writer %v with %d: %+v", c.name, c.set.Version(), c.set.Len(), set.Version(), set.Len(), c.decider.Status())
+			sim.t.Fatalf("%s has version %v with %d resources, the writer has %v with %d; follower: %+v", c.name, c.set.Version(), c.set.Len(), set.Version(), set.Len(), c.decider.Status())
 		}
 	}
 }
 
-// times reports how long changes took to be in force, and fails where one took longer than 18 s.
-func (w *simulation) checkDelays(what string) {
-	w.t.Helper()
-	slices.Sort(w.applyDelays)
-	n := len(w.applyDelays)
+// checkDelays logs how long changes took to be in force at the nodes, and fails where one took longer than 18 s.
+func (sim *simulation) checkDelays(what string) {
+	sim.t.Helper()
+	slices.Sort(sim.applyDelays)
+	n := len(sim.applyDelays)
 	if n == 0 {
-		w.t.Fatal("nothing was taken")
+		sim.t.Fatal("no version was applied")
 	}
-	worst := w.applyDelays[n-1]
-	w.t.Logf("%s: %d versions, %d taken, %d snapshots told, %d answers lost: p50 %v, p99 %v, worst %v", what, len(w.versions), n, w.snapshotsSent, w.lostResponses,
-		w.applyDelays[n/2].Round(time.Millisecond), w.applyDelays[n*99/100].Round(time.Millisecond), worst.Round(time.Millisecond))
+	worst := sim.applyDelays[n-1]
+	sim.t.Logf("%s: %d versions, applied %d times; %d snapshots sent, %d responses lost; delay: p50 %v, p99 %v, maximum %v", what, len(sim.versions), n, sim.snapshotsSent, sim.lostResponses,
+		sim.applyDelays[n/2].Round(time.Millisecond), sim.applyDelays[n*99/100].Round(time.Millisecond), worst.Round(time.Millisecond))
 	if worst > 18*time.Second {
-		w.t.Errorf("a change took %v", worst)
+		sim.t.Errorf("a change took %v, want at most 18 s", worst)
 	}
 }
 
-// seeds is more than two for a measurement by hand.
-var seedCount = flag.Int("seeds", 2, "of the runs with faults")
+// seedCount is the number of random seeds of the fault tests; more than two take long.
+var seedCount = flag.Int("seeds", 2, "number of random seeds of the fault tests")
 
+// Size of the simulated fleet and its usual rate of changes.
 const (
-	fleetSize             = 450
-	ordinaryChangesPerDay = 2300 // changes a day
+	fleetSize             = 450 // nodes
+	ordinaryChangesPerDay = 2300
 )
 
+// Without faults all nodes have each change in time, at the usual rate of changes and at a hundred times that.
 func TestChangesReachAllNodes(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		aDay  int
-		lasts time.Duration
-	}{{"ordinary", ordinaryChangesPerDay, 5 * time.Minute}, {"a hundred times", 100 * ordinaryChangesPerDay, 20 * time.Second}} {
+		name     string
+		perDay   int
+		duration time.Duration
+	}{{"usual rate", ordinaryChangesPerDay, 5 * time.Minute}, {"a hundred times the usual rate", 100 * ordinaryChangesPerDay, 20 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 1, fleetSize, contracts(50))
-			w.run(5 * time.Second)
-			w.applyDelays = nil
-			for _, p := range w.processes {
+			sim := newSimulation(t, 1, fleetSize, contracts(50))
+			sim.run(5 * time.Second)
+			sim.applyDelays = nil
+			for _, p := range sim.processes {
 				p.callTimes = nil
 			}
-			w.scheduleChanges(c.aDay, w.now+c.lasts)
-			w.run(c.lasts + 2*time.Second)
-			w.checkConverged()
-			w.checkDelays(c.name)
+			sim.scheduleChanges(c.perDay, sim.now+c.duration)
+			sim.run(c.duration + 2*time.Second)
+			sim.checkConverged()
+			sim.checkDelays(c.name)
 			calls := 0
-			for _, p := range w.processes {
+			for _, p := range sim.processes {
 				calls += len(p.callTimes)
 			}
-			t.Logf("%.2f calls a second of a node", float64(calls)/fleetSize/(c.lasts+2*time.Second).Seconds())
-			if p99 := w.applyDelays[len(w.applyDelays)*99/100]; p99 > 2*time.Second {
-				t.Errorf("p99 %v", p99)
+			t.Logf("%.2f calls a second per node", float64(calls)/fleetSize/(c.duration+2*time.Second).Seconds())
+			if p99 := sim.applyDelays[len(sim.applyDelays)*99/100]; p99 > 2*time.Second {
+				t.Errorf("p99 of the delays is %v, want at most 2 s", p99)
 			}
 		})
 	}
 }
 
-// Everything at once: answers are lost, regions cut for minutes, control processes killed and returned, nodes restarted, at both rates.
+// With lost responses, partitions, control processes that are killed and restarted, and restarted nodes at once, all
+// nodes have each change in time; at both rates of changes.
 func TestChangesReachAllNodesThroughFaults(t *testing.T) {
 	for seed := range uint64(*seedCount) {
-		aDay, lasts := ordinaryChangesPerDay, 5*time.Minute
+		perDay, duration := ordinaryChangesPerDay, 5*time.Minute
 		if seed%2 == 1 {
-			aDay, lasts = 100*ordinaryChangesPerDay, 40*time.Second
+			perDay, duration = 100*ordinaryChangesPerDay, 40*time.Second
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 100+seed, fleetSize, contracts(50))
-			w.lossRate = 0.002
-			w.run(5 * time.Second)
-			until := w.now + lasts
-			w.scheduleChanges(aDay, until)
-			w.scheduleFaults(until, lasts/12)
-			w.run(lasts)
-			w.healAndCheck(18 * time.Second)
-			w.checkDelays(fmt.Sprintf("faults, seed %d, %d changes a day", seed, aDay))
+			sim := newSimulation(t, 100+seed, fleetSize, contracts(50))
+			sim.lossRate = 0.002
+			sim.run(5 * time.Second)
+			until := sim.now + duration
+			sim.scheduleChanges(perDay, until)
+			sim.scheduleFaults(until, duration/12)
+			sim.run(duration)
+			sim.healAndCheck(18 * time.Second)
+			sim.checkDelays(fmt.Sprintf("faults, seed %d, %d changes a day", seed, perDay))
 		})
 	}
 }
 
-// faults makes them at random moments, about one in each mean time.
-func (w *simulation) scheduleFaults(until, mean time.Duration) {
-	w.after(time.Duration(w.random.ExpFloat64()*float64(mean)), func() {
-		if w.now >= until {
+// scheduleFaults makes random faults until a time, at random intervals with the given mean.
+func (sim *simulation) scheduleFaults(until, meanInterval time.Duration) {
+	sim.after(time.Duration(sim.random.ExpFloat64()*float64(meanInterval)), func() {
+		if sim.now >= until {
 			return
 		}
-		lasts := time.Duration((0.2 + w.random.ExpFloat64()) * float64(mean))
-		switch i := w.random.IntN(3); w.random.IntN(3) {
+		duration := time.Duration((0.2 + sim.random.ExpFloat64()) * float64(meanInterval))
+		switch i := sim.random.IntN(3); sim.random.IntN(3) {
 		case 0:
-			if w.processes[i].up() {
-				w.killControl(i)
-				w.after(lasts, func() {
-					if !w.processes[i].up() {
-						w.startControl(i)
+			if sim.processes[i].up() {
+				sim.killControl(i)
+				sim.after(duration, func() {
+					if !sim.processes[i].up() {
+						sim.startControl(i)
 					}
 				})
 			}
 		case 1:
 			a, b := i, (i+1)%3
-			if !w.partitioned[a][b] {
-				w.setPartition(a, b, true)
-				w.after(lasts, func() { w.setPartition(a, b, false) })
+			if !sim.partitioned[a][b] {
+				sim.setPartition(a, b, true)
+				sim.after(duration, func() { sim.setPartition(a, b, false) })
 			}
 		case 2:
-			for n := i; n < len(w.nodes); n += 10 {
-				w.startNode(w.nodes[n])
+			for n := i; n < len(sim.nodes); n += 10 {
+				sim.startNode(sim.nodes[n])
 			}
 		}
-		w.scheduleFaults(until, mean)
+		sim.scheduleFaults(until, meanInterval)
 	})
 }
 
-// The writer is killed between taking a change and telling it: some nodes are told its number, others not. It starts again with the
-// change, or with it taken back.
+// The writer is killed while it announces a change: some nodes receive the version, others do not. It restarts with the
+// change in its files or with the change undone. All nodes must have the files' content, and no version may have two
+// contents.
 func TestWriterKilledWhileAnnouncingAChange(t *testing.T) {
 	partly := 0
 	for seed := range uint64(12) {
-		for _, back := range []bool{false, true} {
-			w := newWorld(t, 200+seed, 60, contracts(50))
-			w.run(5 * time.Second)
-			old := w.files[contract("c0007", 0).Key]
-			w.change([]resource.Resource{contract("c0007", 77)})
-			told := w.versions[len(w.versions)-1].version
-			w.run(time.Duration(seed%4) * 3 * time.Millisecond) // answers are on their way: those to other regions take 10 ms or more
+		for _, undone := range []bool{false, true} {
+			sim := newSimulation(t, 200+seed, 60, contracts(50))
+			sim.run(5 * time.Second)
+			old := sim.files[contract("c0007", 0).Key]
+			sim.change([]resource.Resource{contract("c0007", 77)})
+			announced := sim.versions[len(sim.versions)-1].version
+			sim.run(time.Duration(seed%4) * 3 * time.Millisecond) // responses are under way: those to other regions take 10 ms or more
 			if seed == 5 {
-				// And one that nobody is told of at all
-				w.run(time.Second)
-				w.change([]resource.Resource{contract("c0007", 78)})
+				// A second change, which is announced to nobody.
+				sim.run(time.Second)
+				sim.change([]resource.Resource{contract("c0007", 78)})
 			}
-			w.killControl(0)
-			if back {
-				w.files[old.Key] = old
+			sim.killControl(0)
+			if undone {
+				sim.files[old.Key] = old
 			}
-			w.run(time.Duration(1+seed) * time.Second)
-			had := 0
-			for _, c := range w.nodes {
-				if c.version == told {
-					had++
+			sim.run(time.Duration(1+seed) * time.Second)
+			nodesWithChange := 0
+			for _, c := range sim.nodes {
+				if c.version == announced {
+					nodesWithChange++
 				}
 			}
-			if had > 0 && had < len(w.nodes) {
+			if nodesWithChange > 0 && nodesWithChange < len(sim.nodes) {
 				partly++
 			}
-			w.startControl(0)
-			w.run(10 * time.Second)
-			w.checkConverged()
-			w.checkDelays(fmt.Sprintf("seed %d, taken back %v: %d of 60 nodes had it", seed, back, had))
+			sim.startControl(0)
+			sim.run(10 * time.Second)
+			sim.checkConverged()
+			sim.checkDelays(fmt.Sprintf("seed %d, undone %v: %d of 60 nodes had the change", seed, undone, nodesWithChange))
 		}
 	}
 	if partly < 4 {
-		t.Errorf("the change was told to some nodes only in %d runs", partly)
+		t.Errorf("the change reached some nodes but not all in %d runs, want at least 4", partly)
 	}
 }
 
+// Regions are partitioned for two minutes of changes. Afterwards all nodes catch up in time, by the deltas that they
+// missed and not by snapshots.
 func TestPartitionedRegionsCatchUpByDeltas(t *testing.T) {
 	for name, cut := range map[string][][2]int{
-		"one from the writer":  {{0, 1}},
-		"one from both":        {{0, 1}, {1, 2}},
-		"the writer from both": {{0, 1}, {0, 2}},
-		"those that follow":    {{1, 2}},
-		"each from each":       {{0, 1}, {1, 2}, {0, 2}},
+		"one region from the writer's":           {{0, 1}},
+		"one region from both others":            {{0, 1}, {1, 2}},
+		"the writer's region from both others":   {{0, 1}, {0, 2}},
+		"the followers' regions from each other": {{1, 2}},
+		"all regions from each other":            {{0, 1}, {1, 2}, {0, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 7, fleetSize/3, contracts(100))
-			w.run(5 * time.Second)
-			wholes := w.snapshotsSent
+			sim := newSimulation(t, 7, fleetSize/3, contracts(100))
+			sim.run(5 * time.Second)
+			snapshots := sim.snapshotsSent
 			for _, c := range cut {
-				w.setPartition(c[0], c[1], true)
+				sim.setPartition(c[0], c[1], true)
 			}
-			w.scheduleChanges(10*ordinaryChangesPerDay, w.now+2*time.Minute)
-			w.run(2 * time.Minute)
+			sim.scheduleChanges(10*ordinaryChangesPerDay, sim.now+2*time.Minute)
+			sim.run(2 * time.Minute)
 			for _, c := range cut {
-				w.setPartition(c[0], c[1], false)
+				sim.setPartition(c[0], c[1], false)
 			}
-			w.run(18 * time.Second)
-			w.checkConverged()
-			w.checkDelays(name)
-			// They took the deltas that they had missed, not the whole.
-			if w.snapshotsSent != wholes {
-				t.Errorf("%d times the whole", w.snapshotsSent-wholes)
+			sim.run(18 * time.Second)
+			sim.checkConverged()
+			sim.checkDelays(name)
+			if sim.snapshotsSent != snapshots {
+				t.Errorf("%d snapshots were sent, want none", sim.snapshotsSent-snapshots)
 			}
 		})
 	}
 }
 
-// All control processes are gone for a minute, and 450 nodes ask on.
+// All control processes are down or unreachable for a minute while 450 nodes keep calling. When they return, the nodes'
+// calls must be spread out and not come at one time.
 func TestNodesReturnSpreadOutAfterAnOutage(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		w := newWorld(t, 11, fleetSize, contracts(20))
-		w.run(15 * time.Second)
-		for i := range w.processes {
-			if silent {
-				for j := range w.processes {
-					w.setPartition(i, j, true)
+	for _, unreachable := range []bool{false, true} {
+		sim := newSimulation(t, 11, fleetSize, contracts(20))
+		sim.run(15 * time.Second)
+		for i := range sim.processes {
+			if unreachable {
+				for j := range sim.processes {
+					sim.setPartition(i, j, true)
 				}
 			} else {
-				w.killControl(i)
+				sim.killControl(i)
 			}
 		}
-		w.run(time.Minute)
-		for i, p := range w.processes {
+		sim.run(time.Minute)
+		for i, p := range sim.processes {
 			p.callTimes, p.immediateCallTimes = nil, nil
-			if silent {
-				for j := range w.processes {
-					w.setPartition(i, j, false)
+			if unreachable {
+				for j := range sim.processes {
+					sim.setPartition(i, j, false)
 				}
 			}
 		}
-		if !silent {
-			for i := range w.processes {
-				w.startControl(i)
+		if !unreachable {
+			for i := range sim.processes {
+				sim.startControl(i)
 			}
 		}
-		w.change([]resource.Resource{contract("c0001", 50)})
-		w.run(18 * time.Second)
-		w.checkConverged()
-		asked, all := 0, 0
-		for _, p := range w.processes {
-			asked, all = max(asked, maxInWindow(p.immediateCallTimes, 100*time.Millisecond)), max(all, maxInWindow(p.callTimes, 100*time.Millisecond))
+		sim.change([]resource.Resource{contract("c0001", 50)})
+		sim.run(18 * time.Second)
+		sim.checkConverged()
+		immediate, all := 0, 0
+		for _, p := range sim.processes {
+			immediate, all = max(immediate, maxInWindow(p.immediateCallTimes, 100*time.Millisecond)), max(all, maxInWindow(p.callTimes, 100*time.Millisecond))
 		}
-		w.checkDelays(fmt.Sprintf("silent %v: at most %d calls of those that come back in 100 ms at one control process, %d with the watches behind a change",
-			silent, asked, all))
-		// They come back over 2 s or more: at the mean, 450 of them make 22 in 100 ms, were all at one process.
-		if asked > 40 || all > 150 {
-			t.Errorf("%d calls in 100 ms, %d in all", asked, all)
+		sim.checkDelays(fmt.Sprintf("unreachable %v: at most %d immediate calls in 100 ms at one control process, %d calls with the watches after a change",
+			unreachable, immediate, all))
+		// The nodes return over 2 s or more: if all 450 called one process, that would be 22 calls in 100 ms on average.
+		if immediate > 40 || all > 150 {
+			t.Errorf("%d immediate calls and %d calls in 100 ms, want at most 40 and 150", immediate, all)
 		}
 	}
 }
 
-// mostIn is the greatest number of moments within any such span.
-func maxInWindow(at []time.Duration, span time.Duration) (most int) {
+// maxInWindow returns the greatest number of the sorted times that lie within any window of a length.
+func maxInWindow(at []time.Duration, span time.Duration) (greatest int) {
 	for i, from := range at {
 		n, _ := slices.BinarySearch(at, from+span)
-		most = max(most, n-i)
+		greatest = max(greatest, n-i)
 	}
-	return most
+	return greatest
 }
 
-// Both processes of each node have a change as soon as one alone would, and ask no more often.
+// With two processes for each node name, as during a hand-over, both have a change as soon as a single process would,
+// and they make no more calls than two nodes.
 func TestTwoProcessesPerNode(t *testing.T) {
 	var calls [2]int
-	for i, name := range []string{"one process a node", "two processes a node"} {
-		w := newWorld(t, 19, 30, contracts(50))
-		for k, c := range w.nodes {
+	for i, name := range []string{"one process per node", "two processes per node"} {
+		sim := newSimulation(t, 19, 30, contracts(50))
+		for k, c := range sim.nodes {
 			c.region, c.sources = 0, []int{0, 1, 2}
 			if i == 1 {
 				c.name, c.process = fmt.Sprint("n", k/2), fmt.Sprint(k%2)
 			}
 		}
-		w.run(10 * time.Second)
-		w.applyDelays = nil
-		for _, p := range w.processes {
+		sim.run(10 * time.Second)
+		sim.applyDelays = nil
+		for _, p := range sim.processes {
 			p.callTimes = nil
 		}
 		for k := range 30 {
-			w.change([]resource.Resource{contract("c0001", 100+k)})
-			w.run(10 * time.Second)
+			sim.change([]resource.Resource{contract("c0001", 100+k)})
+			sim.run(10 * time.Second)
 		}
-		w.checkDelays(name)
-		for _, p := range w.processes {
+		sim.checkDelays(name)
+		for _, p := range sim.processes {
 			calls[i] += len(p.callTimes)
 		}
-		if worst := w.applyDelays[len(w.applyDelays)-1]; worst > 2*time.Second {
-			t.Errorf("%s: a change took %v", name, worst)
+		if worst := sim.applyDelays[len(sim.applyDelays)-1]; worst > 2*time.Second {
+			t.Errorf("%s: a change took %v, want at most 2 s", name, worst)
 		}
-		if n := w.processes[0].store.Status(w.now).Versions[0].Callers; n != 32 {
-			t.Errorf("%s: %d callers are shown at the latest version, want 30 and two control processes", name, n)
+		if n := sim.processes[0].store.Status(sim.now).Versions[0].Callers; n != 32 {
+			t.Errorf("%s: %d callers are reported at the latest version, want 30 and two control processes", name, n)
 		}
 	}
 	if t.Log(calls, "calls"); calls[1] > calls[0]*11/10 {
-		t.Errorf("calls: %d of one process a node each, %d where two bear one name", calls[0], calls[1])
+		t.Errorf("%d calls with one process per node, %d where two processes have one name", calls[0], calls[1])
 	}
 }
 
-// All control processes go at once, with all that they kept, and come back with a writer whose clock was set back: its first epoch is older
-// than what nodes have. No node goes back, nor waits for longer than it may: the writer hears of it, and begins past it. A node that starts
-// in between takes the older one, as it has none, and the later one as the others do.
+// All control processes are killed and lose their state. They restart with a writer whose clock was set back, so that
+// its first epoch is older than what the nodes have. No node may go back to it, and none may wait too long: the writer
+// learns of the nodes' version and begins an epoch past it. A node that starts in between applies the older epoch,
+// since it has none, and the later one as the others do.
 func TestAllRestartWithWriterClockSetBack(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newWorld(t, 300+seed, fleetSize/3, contracts(50))
-		w.run(5 * time.Second)
-		w.change([]resource.Resource{contract("c0001", 50)})
-		w.run(5 * time.Second)
-		before := w.versions[len(w.versions)-1].version
-		for i := range w.processes {
-			w.killControl(i)
+		sim := newSimulation(t, 300+seed, fleetSize/3, contracts(50))
+		sim.run(5 * time.Second)
+		sim.change([]resource.Resource{contract("c0001", 50)})
+		sim.run(5 * time.Second)
+		before := sim.versions[len(sim.versions)-1].version
+		for i := range sim.processes {
+			sim.killControl(i)
 		}
-		w.change([]resource.Resource{contract("c0002", 60)}) // of the files: nobody is there to read it
-		w.run(time.Minute)
-		w.writerClockSkew, w.applyDelays = -time.Hour, nil
-		for i := range w.processes {
-			w.startControl(i)
+		sim.change([]resource.Resource{contract("c0002", 60)}) // in the files only: no writer runs
+		sim.run(time.Minute)
+		sim.writerClockSkew, sim.applyDelays = -time.Hour, nil
+		for i := range sim.processes {
+			sim.startControl(i)
 		}
-		if v := w.versions[len(w.versions)-1].version; v.Compare(before) >= 0 {
-			t.Fatalf("the clock was set back, and the epoch %v is later than %v", v, before)
+		if v := sim.versions[len(sim.versions)-1].version; v.Compare(before) >= 0 {
+			t.Fatalf("the clock was set back, but version %v is not before %v", v, before)
 		}
-		w.startNode(w.nodes[3])
-		w.run(18 * time.Second)
-		if v := w.versions[len(w.versions)-1].version; v.Compare(before) <= 0 {
-			t.Fatalf("the writer stays behind: %v, nodes have %v", v, before)
+		sim.startNode(sim.nodes[3])
+		sim.run(18 * time.Second)
+		if v := sim.versions[len(sim.versions)-1].version; v.Compare(before) <= 0 {
+			t.Fatalf("the writer has version %v, not later than the nodes' %v", v, before)
 		}
-		w.checkConverged()
-		w.checkDelays(fmt.Sprintf("all restart, seed %d", seed))
+		sim.checkConverged()
+		sim.checkDelays(fmt.Sprintf("all restart, seed %d", seed))
 	}
 }
 
-// A control process answers well and is itself cut off. Nodes that start again in its region are told its older version; they take it, as
-// they have none, and find the later one elsewhere in time. None goes back to the older one.
+// A control process serves its callers but is itself cut off from the writer. Nodes that restart in its region receive
+// its older version and apply it, since they have none; they must find the later version at another control process
+// within a second.
 func TestRestartedNodeLeavesOlderVersionQuickly(t *testing.T) {
-	w := newWorld(t, 17, 60, contracts(50))
-	w.run(5 * time.Second)
-	old := w.versions[len(w.versions)-1].version
-	lags := w.processes[1].follower
-	lags.currentCall++ // it hears of nothing more
-	w.change([]resource.Resource{contract("c0001", 50)})
-	w.run(18 * time.Second)
-	for _, c := range w.nodes {
+	sim := newSimulation(t, 17, 60, contracts(50))
+	sim.run(5 * time.Second)
+	old := sim.versions[len(sim.versions)-1].version
+	isolated := sim.processes[1].follower
+	isolated.currentCall++ // its follower makes no more calls
+	sim.change([]resource.Resource{contract("c0001", 50)})
+	sim.run(18 * time.Second)
+	for _, c := range sim.nodes {
 		if c.version.Compare(old) <= 0 {
-			t.Fatalf("%s has %v still", c.name, c.version)
+			t.Fatalf("%s still has version %v", c.name, c.version)
 		}
 	}
-	w.applyDelays = nil
-	told, worst := 0, time.Duration(0)
-	for _, c := range w.nodes {
+	sim.applyDelays = nil
+	received, worst := 0, time.Duration(0)
+	for _, c := range sim.nodes {
 		if c.region != 1 {
 			continue
 		}
-		w.startNode(c)
-		c.versionsSeen-- // the latest is to be in force from its start on
+		sim.startNode(c)
+		c.versionsSeen-- // the delay of the latest version counts from the node's start
 		take, at := c.apply, time.Duration(0)
 		c.apply = func(d *resource.Delta) error {
 			switch {
 			case d.To == old:
-				told, at = told+1, w.now
+				received, at = received+1, sim.now
 			case at > 0:
-				worst, at = max(worst, w.now-at), 0
+				worst, at = max(worst, sim.now-at), 0
 			}
 			return take(d)
 		}
 	}
-	w.run(18 * time.Second)
-	for _, c := range w.nodes {
+	sim.run(18 * time.Second)
+	for _, c := range sim.nodes {
 		if c.version.Compare(old) <= 0 {
-			t.Fatalf("%s has %v still", c.name, c.version)
+			t.Fatalf("%s still has version %v", c.name, c.version)
 		}
 	}
-	if told == 0 {
-		t.Error("no node was told the older version")
+	if received == 0 {
+		t.Error("no node received the older version")
 	}
-	w.checkDelays(fmt.Sprintf("%d nodes were told an older version at their start, and had it for %v at most", told, worst))
+	sim.checkDelays(fmt.Sprintf("%d nodes received an older version at their start, and had it for %v at most", received, worst))
 	if worst > time.Second {
-		t.Errorf("one had the older version for %v", worst)
+		t.Errorf("a node had the older version for %v, want at most 1 s", worst)
 	}
-	w.after(0, lags.nextCallIfCurrent(w, lags.currentCall))
-	w.run(18 * time.Second)
-	w.checkConverged()
+	sim.after(0, isolated.nextCallIfCurrent(sim, isolated.currentCall))
+	sim.run(18 * time.Second)
+	sim.checkConverged()
 }
 
-// Half the nodes refuse a change, then one mends it.
+// Half of the nodes refuse a change until another change corrects it. They stay at the version before, are reported,
+// and do not call in a loop.
 func TestHalfOfTheNodesRefuseAChange(t *testing.T) {
-	w := newWorld(t, 13, 100, contracts(50))
-	for i, c := range w.nodes {
+	sim := newSimulation(t, 13, 100, contracts(50))
+	for i, c := range sim.nodes {
 		if i%2 == 1 {
 			c.reject = func(d *resource.Delta) error {
 				for _, r := range d.Put {
@@ -882,42 +913,42 @@
 			}
 		}
 	}
-	w.run(10 * time.Second)
-	before := w.versions[len(w.versions)-1].version
+	sim.run(10 * time.Second)
+	before := sim.versions[len(sim.versions)-1].version
 	calls := func() (n int) {
-		for _, p := range w.processes {
+		for _, p := range sim.processes {
 			n += len(p.callTimes)
 		}
 		return n
 	}
-	w.change([]resource.Resource{contract("c0001", 66)})
-	bad := w.versions[len(w.versions)-1].version
+	sim.change([]resource.Resource{contract("c0001", 66)})
+	bad := sim.versions[len(sim.versions)-1].version
 	was := calls()
-	w.run(30 * time.Second)
-	if n := calls() - was; n > 100*30 { // far from a loop: it is told once and waited
-		t.Errorf("%d calls in 30 s", n)
+	sim.run(30 * time.Second)
+	if n := calls() - was; n > 100*30 { // far from a loop: the refusal is reported once, and the calls wait
+		t.Errorf("%d calls in 30 s, want at most one a second per node", n)
 	}
-	w.change([]resource.Resource{contract("c0002", 5)}) // merged with the bad one, and refused as well
-	w.run(30 * time.Second)
-	for i, c := range w.nodes {
-		if want := map[bool]resource.Version{true: before, false: w.versions[len(w.versions)-1].version}[i%2 == 1]; c.version != want {
-			t.Fatalf("%s has %v, want %v", c.name, c.version, want)
+	sim.change([]resource.Resource{contract("c0002", 5)}) // its delta includes the refused change, and is refused as well
+	sim.run(30 * time.Second)
+	for i, c := range sim.nodes {
+		if want := map[bool]resource.Version{true: before, false: sim.versions[len(sim.versions)-1].version}[i%2 == 1]; c.version != want {
+			t.Fatalf("%s has version %v, want %v", c.name, c.version, want)
 		}
 	}
-	for _, p := range w.processes {
-		s := p.store.Status(w.now)
+	for _, p := range sim.processes {
+		s := p.store.Status(sim.now)
 		if s.Refusing != 50 || len(s.Refusals) != 50 || s.Behind != 50 {
-			t.Fatalf("region %d: %d refuse, %d are behind", p.region, s.Refusing, s.Behind)
+			t.Fatalf("region %d: %d callers refuse, %d are behind, want 50 and 50", p.region, s.Refusing, s.Behind)
 		}
 		if n := s.Refusals[0]; n.Refused.Compare(bad) <= 0 || n.Why != `contract "c0001": rate: not here` || n.Version != before {
 			t.Fatalf("%+v", n)
 		}
 	}
-	w.change([]resource.Resource{contract("c0001", 7)})
-	w.run(2 * time.Second)
-	w.checkConverged()
-	w.run(20 * time.Second)
-	if s := w.processes[0].store.Status(w.now); s.Refusing != 0 || s.Behind != 0 || len(s.Versions) != 1 {
+	sim.change([]resource.Resource{contract("c0001", 7)})
+	sim.run(2 * time.Second)
+	sim.checkConverged()
+	sim.run(20 * time.Second)
+	if s := sim.processes[0].store.Status(sim.now); s.Refusing != 0 || s.Behind != 0 || len(s.Versions) != 1 {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/control/size_test.go
+++ b/internal/control/size_test.go
@@ -17,7 +17,8 @@
 	"portstall/internal/resource"
 )
 
-// sized writes 17,000 contracts, 3,800 routes and 250 services, or fewer alike, into so many files of a folder.
+// writeFleetFiles writes a configuration for a number of contracts into so many files of a folder: 17,000 contracts
+// with 3,800 routes and 250 services, or fewer in the same proportion.
 func writeFleetFiles(t testing.TB, contracts, files int) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,16 +29,17 @@
 	return dir
 }
 
+// fleetFileText returns the text of file f of so many, with its share of the resources.
 func fleetFileText(f, files, contracts, services, routes int, rate float64) string {
 	var b strings.Builder
-	part := func(n int) (from, to int) { return n * f / files, n * (f + 1) / files }
-	if from, to := part(services); from < to {
+	share := func(n int) (from, to int) { return n * f / files, n * (f + 1) / files }
+	if from, to := share(services); from < to {
 		b.WriteString("services:\n")
 		for i := from; i < to; i++ {
 			fmt.Fprintf(&b, "  - name: service-%d\n    classes: [{name: read-%d}, {name: write-%d, effect: keyed}, {name: list-%d}, {name: pay-%d, effect: unsafe}]\n", i, i, i, i, i)
 		}
 	}
-	if from, to := part(contracts); from < to {
+	if from, to := share(contracts); from < to {
 		b.WriteString("contracts:\n")
 		for i := from; i < to; i++ {
 			s := i % services
@@ -45,7 +47,7 @@
 				"    attempts: {ratio: 0.2}\n    retries: [read-%d, list-%d]\n    work: {limit: 3}\n", i, i, s, rate, s, s)
 		}
 	}
-	if from, to := part(routes); from < to {
+	if from, to := share(routes); from < to {
 		b.WriteString("tunnels:\n  routes:\n")
 		for i := from; i < to; i++ {
 			fmt.Fprintf(&b, "    - {host: host-%d.services.example.org, port: 443, service: service-%d}\n", i, i%services)
@@ -54,7 +56,7 @@
 	return b.String()
 }
 
-// cpu is the processor time of this process.
+// processCPUTime returns the CPU time that this process has used.
 func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -63,21 +65,21 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// One change wakes 450 followers' watches, on a connection each, and reaches all; none needs the whole again. The log says what it cost,
-// of control and of the 450 together, as they are one process here.
+// One change ends the watches of 450 followers, on a connection each, and reaches all; none needs a second snapshot.
+// The log reports the cost of control and the 450 followers together, since they run in one process here.
 func TestOneChangeReachesAllWatches(t *testing.T) {
 	const nodes = 450
 	p := startProcess(t, "", ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText(numberedNames("c", 500)...)})})
 	p.waitForVersion(t, resource.Version{})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
-	taken := make(chan *resource.Delta, 10*nodes)
+	applied := make(chan *resource.Delta, 10*nodes)
 	var status [nodes]follow.Status
 	for i := range nodes {
 		group.Go(func() {
 			set := resource.NewSet(false)
 			follow.Run(ctx, follow.Options{Name: fmt.Sprint("n", i), Role: "node", Sources: []string{p.addr}, Set: set, Status: &status[i], Take: func(d *resource.Delta) error {
-				defer func() { taken <- d }()
+				defer func() { applied <- d }()
 				return set.Apply(d)
 			}})
 		})
@@ -86,12 +88,12 @@
 		t.Helper()
 		for range nodes {
 			select {
-			case d := <-taken:
+			case d := <-applied:
 				if d.From != from {
-					t.Fatalf("%v to %v, want from %v", d.From, d.To, from)
+					t.Fatalf("a node received a delta from %v to %v, want from %v", d.From, d.To, from)
 				}
 			case <-time.After(testTimeout):
-				t.Fatal("some node gets no change")
+				t.Fatal("a node did not receive the change in time")
 			}
 		}
 	}
@@ -107,36 +109,37 @@
 	for range nodes {
 		p.waitForHeldCall(t)
 	}
-	t.Logf("a change at %d followers after %v, %v of processor time of them and control together; control read %d bytes and wrote %d a follower, with the next call",
+	t.Logf("a change was at %d followers after %v; it took %v of CPU time of them and control together; control read %d bytes and wrote %d for each follower, with the next call",
 		nodes, took, used, (p.counters.bytesIn.Load()-in)/nodes, (p.counters.bytesOut.Load()-out)/nodes)
 	cancel()
 	group.Wait()
 	for i := range nodes {
 		if f := status[i].Read(); f.Snapshots != 1 || f.Deltas != 1 {
-			t.Fatalf("%+v", f)
+			t.Fatalf("a follower received other than one snapshot and one delta: %+v", f)
 		}
 	}
 }
 
-// watchers hold calls on raw connections that only count what comes, so that what is measured is control's.
+// rawWatchers hold calls on raw connections without decoding the responses, so that the measured cost is that of control.
 type rawWatchers struct {
 	t           testing.TB
 	connections []net.Conn
 	process     *testProcess
 }
 
-func (w *rawWatchers) call(v resource.Version, sum resource.Sum) {
+func (watchers *rawWatchers) call(v resource.Version, sum resource.Sum) {
 	s, _ := sum.MarshalText()
-	for i, c := range w.connections {
+	for i, c := range watchers.connections {
 		fmt.Fprintf(c, "GET /v1/resources?name=n%d&role=node&since=%v&sum=%s&timeout_ms=60000 HTTP/1.1\r\nHost: x\r\nAccept-Encoding: gzip\r\n\r\n", i, v, s)
 	}
-	for range w.connections {
-		w.process.waitForHeldCall(w.t)
+	for range watchers.connections {
+		watchers.process.waitForHeldCall(watchers.t)
 	}
 }
 
-// BenchmarkChange is one change told to 450 watches that wait, and their next calls; with the reading of one file of 85 contracts of
-// 200, at 17,000 contracts, 3,800 routes and 250 services. Its callers only write and count, in this process too.
+// BenchmarkChange measures a change that 450 held watches receive, with their next calls and the reload of one file of
+// 200; at 17,000 contracts, 3,800 routes and 250 services a file has 85 contracts. The callers, in this process too,
+// only write calls and read bytes.
 func BenchmarkChange(b *testing.B) {
 	const nodes = 450
 	for _, n := range []int{1700, 17000} {
@@ -144,14 +147,14 @@
 			dir := writeFleetFiles(b, n, 200)
 			p := startProcess(b, "", ServeOptions{Files: dir})
 			p.waitForVersion(b, resource.Version{})
-			w := &rawWatchers{t: b, process: p}
+			watchers := &rawWatchers{t: b, process: p}
 			for range nodes {
 				c, err := net.Dial("tcp", p.addr)
 				if err != nil {
 					b.Fatal(err)
 				}
 				defer c.Close()
-				w.connections = append(w.connections, c)
+				watchers.connections = append(watchers.connections, c)
 			}
 			buf := make([]byte, 64<<10)
 			version := func() (resource.Version, resource.Sum) {
@@ -159,7 +162,7 @@
 				defer p.mu.Unlock()
 				return p.store.Set().Version(), p.store.Set().Sum()
 			}
-			w.call(version())
+			watchers.call(version())
 			out, used, reads, i := p.counters.bytesOut.Load(), processCPUTime(), p.writer.loader.Reads(), 0
 			b.ResetTimer()
 			for b.Loop() {
@@ -168,12 +171,12 @@
 				if _, err := p.reloadFiles(); err != nil {
 					b.Fatal(err)
 				}
-				for _, c := range w.connections {
+				for _, c := range watchers.connections {
 					if _, err := io.ReadAtLeast(c, buf, 1); err != nil {
 						b.Fatal(err)
 					}
 				}
-				w.call(version())
+				watchers.call(version())
 			}
 			b.StopTimer()
 			b.ReportMetric(float64((processCPUTime()-used).Microseconds())/1000/float64(i), "cpu-ms/op")
@@ -184,7 +187,7 @@
 	}
 }
 
-// BenchmarkRead is a folder's reading as at a start, and of one file of it that changed. What lives behind it is reported as heap.
+// BenchmarkRead measures the first load of a folder, with the live heap after it, and a load where one file has changed.
 func BenchmarkRead(b *testing.B) {
 	for _, files := range []int{1, 200} {
 		dir := writeFleetFiles(b, 17000, files)
@@ -220,6 +223,7 @@
 	}
 }
 
+// liveHeap returns the bytes of the heap that are in use after a garbage collection.
 func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -228,17 +232,17 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSnapshotText is the text of the whole at size, plain and compressed.
+// BenchmarkSnapshotText measures the encoding of a snapshot of 17,000 contracts, plain and compressed.
 func BenchmarkSnapshotText(b *testing.B) {
 	w := newWriter(writeFleetFiles(b, 17000, 200))
 	if err := w.loadInitial(); err != nil {
 		b.Fatal(err)
 	}
-	book := NewVersionStore(Limits{})
-	if _, err := book.BeginEpoch(startTime, nil, w.loader.All()); err != nil {
+	store := NewVersionStore(Limits{})
+	if _, err := store.BeginEpoch(startTime, nil, w.loader.All()); err != nil {
 		b.Fatal(err)
 	}
-	d := book.Set().Snapshot()
+	d := store.Set().Snapshot()
 	for _, zip := range []bool{false, true} {
 		b.Run(fmt.Sprint("zip/", zip), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -11,19 +11,19 @@
 	"portstall/internal/resource"
 )
 
-// view is what GET /v1/status tells.
+// statusReport is the body of GET /v1/status.
 type statusReport struct {
-	Role        string           `json:"role"` // writer or follower
+	Role        string           `json:"role"` // "writer" or "follower"
 	Version     resource.Version `json:"version"`
 	Sum         resource.Sum     `json:"sum"`
-	InForceS    float64          `json:"in_force_s"` // for how long
+	InForceS    float64          `json:"in_force_s"` // since the version was applied
 	Resources   int              `json:"resources"`
 	Deltas      int              `json:"deltas_kept"`
 	Watches     int              `json:"watches"`
 	MostWatches int              `json:"most_watches"`
 	Connections int              `json:"connections"`
 	Snapshots   int              `json:"snapshots_told"`
-	Ahead       resource.Version `json:"ahead"` // a caller has it, and we don't; 0.0: none
+	Ahead       resource.Version `json:"ahead"` // latest version that a caller has and this process lacks; 0.0: none
 	Nodes       int              `json:"callers"`
 	Versions    []versionReport  `json:"callers_by_version"`
 	Others      int              `json:"callers_at_other_versions"`
@@ -31,77 +31,83 @@
 	Refusals    []callerReport   `json:"refusals"`
 	Behind      int              `json:"behind"`
 	Late        []callerReport   `json:"late"`
-	Files       *filesReport     `json:"files,omitempty"`   // of a writer
-	Follows     *follow.Figures  `json:"follows,omitempty"` // of a follower
+	Files       *filesReport     `json:"files,omitempty"`   // writer only
+	Follows     *follow.Figures  `json:"follows,omitempty"` // follower only
 }
 
+// versionReport is the number of callers that have a version in force.
 type versionReport struct {
 	Version resource.Version `json:"version"`
 	Callers int              `json:"callers"`
 }
 
-// nodeView is one caller.
+// callerReport describes one caller.
 type callerReport struct {
 	Name    string           `json:"name"`
 	Process string           `json:"process,omitempty"`
 	Role    string           `json:"role"`
 	Version resource.Version `json:"version"`
-	Refused resource.Version `json:"refused"` // 0.0: none
+	Refused resource.Version `json:"refused"` // version that it refuses; 0.0: none
 	Why     string           `json:"why,omitempty"`
 	HeardS  float64          `json:"heard_s_ago"`
 	BehindS float64          `json:"behind_s"`
 }
 
-// filesView is how a writer's files stand.
+// filesReport describes the latest reload of a writer's files.
 type filesReport struct {
 	Path    string  `json:"path"`
-	Error   string  `json:"error,omitempty"` // of the latest reading, which changed nothing
-	ReadS   float64 `json:"read_s_ago"`      // 0: not since the start
+	Error   string  `json:"error,omitempty"` // of the latest reload, if it failed; it changed nothing then
+	ReadS   float64 `json:"read_s_ago"`      // 0: no reload since the start
 	TookS   float64 `json:"took_s"`
 	Reloads int64   `json:"reloads"`
 	Bad     int64   `json:"bad_reloads"`
 }
 
+// status collects the report of GET /v1/status and of the metrics.
 func (s *server) status() statusReport {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	st := s.store.Status(now)
 	s.mu.Unlock()
-	v := statusReport{Role: "follower", Version: st.Version, Sum: st.Sum, Resources: st.Resources, Deltas: st.Deltas, Watches: st.Watches, MostWatches: s.Limits.Watches,
-		Snapshots: st.SnapshotsSent, Ahead: st.Ahead, Nodes: st.Callers, Others: st.AtOtherVersions, Refused: st.Refusing, Behind: st.Behind,
+	report := statusReport{Role: "follower", Version: st.Version, Sum: st.Sum, Resources: st.Resources, Deltas: st.Deltas, Watches: st.Watches,
+		MostWatches: s.Limits.Watches,
+		Snapshots:   st.SnapshotsSent, Ahead: st.Ahead, Nodes: st.Callers, Others: st.AtOtherVersions, Refused: st.Refusing, Behind: st.Behind,
 		Refusals: callerReports(st.Refusals), Late: callerReports(st.Late), Versions: []versionReport{}}
-	v.Connections, _ = s.connections.stats()
+	report.Connections, _ = s.connections.stats()
 	if !st.Version.IsZero() {
-		v.InForceS = (now - st.AppliedAt).Seconds()
+		report.InForceS = (now - st.AppliedAt).Seconds()
 	}
 	for _, r := range st.Versions {
-		v.Versions = append(v.Versions, versionReport{r.Version, r.Callers})
+		report.Versions = append(report.Versions, versionReport{r.Version, r.Callers})
 	}
 	if s.writer == nil {
 		f := s.followStatus.Read()
-		v.Follows = &f
-		return v
+		report.Follows = &f
+		return report
 	}
-	v.Role = "writer"
+	report.Role = "writer"
 	w := s.writer
 	w.statusMu.Lock()
 	defer w.statusMu.Unlock()
-	v.Files = &filesReport{Path: s.Files, Error: w.lastError, TookS: w.readDuration.Seconds(), Reloads: s.counters.reloads.Load(), Bad: s.counters.badReloads.Load()}
+	report.Files = &filesReport{Path: s.Files, Error: w.lastError, TookS: w.readDuration.Seconds(),
+		Reloads: s.counters.reloads.Load(), Bad: s.counters.badReloads.Load()}
 	if w.readAt > 0 {
-		v.Files.ReadS = (now - w.readAt).Seconds()
+		report.Files.ReadS = (now - w.readAt).Seconds()
 	}
-	return v
+	return report
 }
 
+// callerReports converts the store's caller statuses; the result is not nil, so that JSON has an empty list.
 func callerReports(nodes []CallerStatus) []callerReport {
 	out := []callerReport{}
 	for _, n := range nodes {
-		out = append(out, callerReport{n.Name, n.Process, n.Role, n.Version, n.Refused, n.Why, n.HeardAgo.Seconds(), n.BehindFor.Seconds()})
+		out = append(out, callerReport{n.Name, n.Process, n.Role, n.Version, n.Refused, n.Why,
+			n.HeardAgo.Seconds(), n.BehindFor.Seconds()})
 	}
 	return out
 }
 
-// metrics are for Prometheus.
+// metrics returns the handler of GET /metrics, in Prometheus's text format.
 func (s *server) metrics() http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{s})
@@ -112,88 +118,90 @@
 	})
 }
 
-// collector reads when it is asked, so that counting costs calls nothing.
+// collector is a prometheus.Collector that reads the server's state when it is scraped, so that calls pay nothing for it.
 type collector struct{ *server }
 
+// describe returns the description of one of control's metrics.
 func describe(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("portstall_control_"+name, help, labels, nil)
 }
 
 var (
-	epochDesc              = describe("version_epoch", "Epoch of the version in force, in ms of Unix time; 0: none yet.")
+	epochDesc              = describe("version_epoch", "Epoch of the version in force, in ms of Unix time; 0: no version yet.")
 	numberDesc             = describe("version_number", "Number of the version in force within its epoch.")
-	versionAgeDesc         = describe("version_age_seconds", "For how long the version has been in force.")
+	versionAgeDesc         = describe("version_age_seconds", "Time since the version in force was applied.")
 	resourcesDesc          = describe("resources", "Resources in force.")
-	deltasDesc             = describe("deltas_kept", "Deltas that are kept for who falls behind.")
-	watchesDesc            = describe("watches", "Calls that are held.")
-	callersDesc            = describe("callers", "Nodes and control processes heard of lately.")
-	behindDesc             = describe("callers_behind", "Callers that are behind for longer than the bound.")
+	deltasDesc             = describe("deltas_kept", "Deltas retained for callers that fall behind.")
+	watchesDesc            = describe("watches", "Calls that are held until a new version.")
+	callersDesc            = describe("callers", "Nodes and control processes that called recently.")
+	behindDesc             = describe("callers_behind", "Callers that have been behind for longer than the limit.")
 	refusingDesc           = describe("callers_refusing", "Callers that refuse a version.")
 	connectionsDesc        = describe("connections", "Open connections.")
-	connectionsRefusedDesc = describe("connections_refused_total", "Connections closed for the bound on them.")
-	versionsDesc           = describe("versions_total", "Versions taken since the start.")
-	responsesDesc          = describe("answers_total", "Answers to calls for resources, by their status.", "status")
-	snapshotsDesc          = describe("snapshots_total", "Snapshots told.")
-	encodedDesc            = describe("texts_total", "Texts of answers made; all who ask for one share it.")
-	bytesDesc              = describe("bytes_total", "Bytes on connections of callers.", "way")
-	reloadsDesc            = describe("reloads_total", "Readings of the writer's files.", "result")
-	filesBadDesc           = describe("files_bad", "1 where the latest reading of the files was refused.")
-	callsDesc              = describe("follow_calls_total", "Calls that a follower made.")
-	failuresDesc           = describe("follow_failures_total", "Calls that failed, by how.", "kind")
-	heardAgeDesc           = describe("follow_heard_age_seconds", "Since when nothing has been heard of those that are followed.")
+	connectionsRefusedDesc = describe("connections_refused_total", "Connections closed because of the limit on open connections.")
+	versionsDesc           = describe("versions_total", "Versions applied since the start.")
+	responsesDesc          = describe("answers_total", "Responses to calls for resources, by HTTP status.", "status")
+	snapshotsDesc          = describe("snapshots_total", "Responses with a snapshot.")
+	encodedDesc            = describe("texts_total", "Response bodies encoded; callers of one version share a body.")
+	bytesDesc              = describe("bytes_total", "Bytes on connections of callers, by direction.", "way")
+	reloadsDesc            = describe("reloads_total", "Reloads of the writer's files, by result.", "result")
+	filesBadDesc           = describe("files_bad", "1 if the latest reload of the files was rejected.")
+	callsDesc              = describe("follow_calls_total", "Calls that this follower made.")
+	failuresDesc           = describe("follow_failures_total", "Calls of this follower that failed, by kind of failure.", "kind")
+	heardAgeDesc           = describe("follow_heard_age_seconds", "Time since the latest response from a control process that is followed.")
 )
 
-// Describe and Collect make it a prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (c *collector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, ch) }
 
+// Collect implements prometheus.Collector.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
-	v := c.status()
-	tell := func(desc *prometheus.Desc, kind prometheus.ValueType, value float64, labels ...string) {
+	report := c.status()
+	emit := func(desc *prometheus.Desc, kind prometheus.ValueType, value float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(desc, kind, value, labels...)
 	}
 	const gauge, counter = prometheus.GaugeValue, prometheus.CounterValue
 	_, closed := c.connections.stats()
 	c.responses.mu.Lock()
-	made := c.responses.encodedCount
+	encoded := c.responses.encodedCount
 	c.responses.mu.Unlock()
-	tell(epochDesc, gauge, float64(v.Version.Epoch))
-	tell(numberDesc, gauge, float64(v.Version.Number))
-	tell(versionAgeDesc, gauge, v.InForceS)
-	tell(resourcesDesc, gauge, float64(v.Resources))
-	tell(deltasDesc, gauge, float64(v.Deltas))
-	tell(watchesDesc, gauge, float64(v.Watches))
-	tell(callersDesc, gauge, float64(v.Nodes))
-	tell(behindDesc, gauge, float64(v.Behind))
-	tell(refusingDesc, gauge, float64(v.Refused))
-	tell(connectionsDesc, gauge, float64(v.Connections))
-	tell(connectionsRefusedDesc, counter, float64(closed))
-	tell(versionsDesc, counter, float64(c.counters.versions.Load()))
-	tell(responsesDesc, counter, float64(c.counters.ok.Load()), "200")
-	tell(responsesDesc, counter, float64(c.counters.behind.Load()), "409")
-	tell(responsesDesc, counter, float64(c.counters.full.Load()), "503")
-	tell(responsesDesc, counter, float64(c.counters.bad.Load()), "400")
-	tell(snapshotsDesc, counter, float64(v.Snapshots))
-	tell(encodedDesc, counter, float64(made))
-	tell(bytesDesc, counter, float64(c.counters.bytesIn.Load()), "in")
-	tell(bytesDesc, counter, float64(c.counters.bytesOut.Load()), "out")
-	if f := v.Files; f != nil {
+	emit(epochDesc, gauge, float64(report.Version.Epoch))
+	emit(numberDesc, gauge, float64(report.Version.Number))
+	emit(versionAgeDesc, gauge, report.InForceS)
+	emit(resourcesDesc, gauge, float64(report.Resources))
+	emit(deltasDesc, gauge, float64(report.Deltas))
+	emit(watchesDesc, gauge, float64(report.Watches))
+	emit(callersDesc, gauge, float64(report.Nodes))
+	emit(behindDesc, gauge, float64(report.Behind))
+	emit(refusingDesc, gauge, float64(report.Refused))
+	emit(connectionsDesc, gauge, float64(report.Connections))
+	emit(connectionsRefusedDesc, counter, float64(closed))
+	emit(versionsDesc, counter, float64(c.counters.versions.Load()))
+	emit(responsesDesc, counter, float64(c.counters.ok.Load()), "200")
+	emit(responsesDesc, counter, float64(c.counters.behind.Load()), "409")
+	emit(responsesDesc, counter, float64(c.counters.full.Load()), "503")
+	emit(responsesDesc, counter, float64(c.counters.bad.Load()), "400")
+	emit(snapshotsDesc, counter, float64(report.Snapshots))
+	emit(encodedDesc, counter, float64(encoded))
+	emit(bytesDesc, counter, float64(c.counters.bytesIn.Load()), "in")
+	emit(bytesDesc, counter, float64(c.counters.bytesOut.Load()), "out")
+	if f := report.Files; f != nil {
 		bad := 0.0
 		if f.Error != "" {
 			bad = 1
 		}
-		tell(filesBadDesc, gauge, bad)
-		tell(reloadsDesc, counter, float64(f.Reloads-f.Bad), "good")
-		tell(reloadsDesc, counter, float64(f.Bad), "bad")
+		emit(filesBadDesc, gauge, bad)
+		emit(reloadsDesc, counter, float64(f.Reloads-f.Bad), "good")
+		emit(reloadsDesc, counter, float64(f.Bad), "bad")
 	}
-	if f := v.Follows; f != nil {
-		tell(callsDesc, counter, float64(f.Calls))
+	if f := report.Follows; f != nil {
+		emit(callsDesc, counter, float64(f.Calls))
 		for kind, n := range f.Failures {
-			tell(failuresDesc, counter, float64(n), string(kind))
+			emit(failuresDesc, counter, float64(n), string(kind))
 		}
 		since := f.Heard
 		if since == 0 {
 			since = c.startedAt
 		}
-		tell(heardAgeDesc, gauge, (c.Clock.Now() - since).Seconds())
+		emit(heardAgeDesc, gauge, (c.Clock.Now() - since).Seconds())
 	}
 }
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -1,5 +1,6 @@
-// Package control is what a control process does: it numbers changes of the configuration, keeps the deltas of a bounded time, and
-// serves watches to nodes and to the control processes that follow. Book decides; it is pure: no I/O, no clock.
+// Package control implements a control process: it numbers changes of the configuration, retains the deltas of a limited
+// time, and serves watches (held HTTP calls) to nodes and to the control processes that follow it. VersionStore makes the
+// decisions and is pure: it does no I/O and reads no clock. Loader reads a writer's files; Serve runs the process.
 package control
 
 import (
@@ -12,97 +13,116 @@
 	"portstall/internal/resource"
 )
 
-// Limits bound a Book. One that is not above zero is that of DefaultLimits.
+// Limits bound a VersionStore. A value that is not above zero is replaced by that of DefaultLimits.
 type Limits struct {
-	History     resource.HistoryLimits
-	Watches     int           // held at once
-	MaxCallers  int           // processes that are known; past it the one unheard of for the longest goes
-	ForgetAfter time.Duration // a node unheard of for so long goes
-	BehindAfter time.Duration // a node that is behind for longer is named
+	// History bounds the deltas that are retained.
+	History resource.HistoryLimits
+	// MaxWatches is the number of calls that may be held at a time.
+	Watches int
+	// MaxCallers is the number of processes that are remembered. Past it the one that has been silent for the longest is
+	// forgotten.
+	MaxCallers int
+	// ForgetAfter is how long a caller may be silent before it is forgotten.
+	ForgetAfter time.Duration
+	// BehindAfter is how long a caller may be behind before the status lists it by name.
+	BehindAfter time.Duration
 }
 
-// DefaultLimits bear 450 nodes with room for four times as many.
+// DefaultLimits serve 450 nodes, with capacity for four times as many.
 var DefaultLimits = Limits{resource.DefaultHistory, 2000, 10_000, 10 * time.Minute, 18 * time.Second}
 
-// mostMark is how long a process's mark may be, in bytes.
+// maxProcessMark is the greatest length of Query.Process, in bytes.
 const maxProcessMark = 64
 
-// retryAfter is told with a 503.
+// retryAfter is the pause that a 503 reply asks for.
 const retryAfter = 2 * time.Second
 
-// Query is one call for a watch, or what became of it.
+// Query is one call for a watch, or a later event of a held call: a change to check for, or its end.
 type Query struct {
-	Since      resource.Version // in force at who asks; zero: none
-	Sum        resource.Sum
-	Name       string
-	Process    string           // a mark of who asks, by which processes of one name are told apart; may be empty
-	Role       string           // node or control
-	Refused    resource.Version // not taken; zero: none
-	Why        string
-	MaxWait    time.Duration // for something new; 0: answer at once
-	WatchID    uint64        // of a call that is held: Reply.Watch
-	WaitOver   bool          // the held call ended: its wait is over
-	CallerGone bool          // or who asked ended it
+	Since      resource.Version // version in force at the caller; zero: none
+	Sum        resource.Sum     // checksum of the caller's content at Since
+	Name       string           // caller's name: a node's or a control process's
+	Process    string           // tells processes of one name apart; may be empty
+	Role       string           // "node" or "control"
+	Refused    resource.Version // version that the caller refused; zero: none
+	Why        string           // reason of the refusal
+	MaxWait    time.Duration    // how long the call may be held until something is new; 0: reply at once
+	WatchID    uint64           // Reply.WatchID of a call that is held; 0: a new call
+	WaitOver   bool             // the held call has waited for MaxWait
+	CallerGone bool             // the caller ended the held call
 }
 
-// Reply is the answer to a Query.
+// Reply is the store's reply to a Query.
 type Reply struct {
-	Status        int             // of HTTP: 200, 400, 409 or 503
-	Delta         *resource.Delta // with 200. It is shared: must not be changed
-	Hold          bool            // hold the call; ask again with Watch after each change; tell Delta (an empty one) when its wait ends
-	WatchID       uint64          // of a call to be held
-	ReplacedWatch uint64          // a held call of this name and process that is to end now, with what its Delta said; 0: none
-	RetryAfter    time.Duration   // with 503
-	Err           error           // with all but 200
+	// Status is an HTTP status: 200, 400, 409 or 503.
+	Status int
+	// Delta is set with status 200. It is shared and must not be changed.
+	Delta *resource.Delta
+	// Hold asks for the call to be held: query again with WatchID after each change, and send Delta, which is empty, when
+	// its wait ends.
+	Hold bool
+	// WatchID identifies the call that is to be held.
+	WatchID uint64
+	// ReplacedWatch is a held call of this name and process that is to end now with the Delta it was given; 0: none.
+	ReplacedWatch uint64
+	// RetryAfter is set with status 503.
+	RetryAfter time.Duration
+	// Err is set with every status but 200.
+	Err error
 }
 
-// Book is a control process's state: the resources at a version, the deltas behind it, and who asked. It is not safe for concurrent use.
+// VersionStore is the state of a control process: the resources at the current version, the deltas that lead to it, and
+// the callers. It is not safe for concurrent use: its owner, the server, guards it with a lock.
 type VersionStore struct {
 	limits        Limits
 	set           *resource.Set
 	history       *resource.History
-	appliedAt     time.Duration        // of the version
-	snapshot      *resource.Delta      // the snapshot, once asked for
-	callers       map[string][]*caller // by name, at most mostProcesses each
-	callerCount   int                  // of them, all together
-	watchCount    int
-	lastWatchID   uint64 // watch
-	snapshotsSent int    // told
-	ahead         resource.Version
-	lastSweep     time.Duration
+	appliedAt     time.Duration        // Unix time at which the current version was applied
+	snapshot      *resource.Delta      // of the current version; nil until it is first needed
+	callers       map[string][]*caller // by name, at most maxProcessesPerName each
+	callerCount   int                  // processes in callers, over all names
+	watchCount    int                  // calls that are held
+	lastWatchID   uint64
+	snapshotsSent int
+	ahead         resource.Version // latest version that a caller has and this store lacks; zero: none
+	lastSweep     time.Duration    // Unix time of the latest forgetSilent
 }
 
-// NewBook makes one without a configuration: Begin or Take gives it the first.
+// NewVersionStore returns a store without a configuration; BeginEpoch or Apply gives it the first version.
 func NewVersionStore(l Limits) *VersionStore {
 	l.Watches = cmp.Or(max(l.Watches, 0), DefaultLimits.Watches)
 	l.MaxCallers = cmp.Or(max(l.MaxCallers, 0), DefaultLimits.MaxCallers)
 	l.ForgetAfter = cmp.Or(max(l.ForgetAfter, 0), DefaultLimits.ForgetAfter)
 	l.BehindAfter = cmp.Or(max(l.BehindAfter, 0), DefaultLimits.BehindAfter)
-	return &VersionStore{limits: l, set: resource.NewSet(true), history: resource.NewHistory(l.History), callers: map[string][]*caller{}}
+	return &VersionStore{limits: l, set: resource.NewSet(true), history: resource.NewHistory(l.History),
+		callers: map[string][]*caller{}}
 }
 
-// Ahead is the latest version that a caller has and we don't: a writer that sees one begins again, past it. Zero: none.
-func (b *VersionStore) Ahead() resource.Version { return b.ahead }
+// Ahead returns the latest version that a caller has and this store lacks, or the zero version. A writer that sees one
+// begins a new epoch past it.
+func (vs *VersionStore) Ahead() resource.Version { return vs.ahead }
 
-// Set is what is held. It is the Book's: only Begin, Change and Take change it.
-func (b *VersionStore) Set() *resource.Set { return b.set }
+// Set returns the current resources. The store owns the set: only BeginEpoch, Change and Apply change it.
+func (vs *VersionStore) Set() *resource.Set { return vs.set }
 
-// Begin makes a writer's first version, of all resources, in an epoch of its own: Unix time in milliseconds, or one past the highest that is
-// known, whichever is greater. known are the snapshots of the other control processes, as far as they answered; the latest is the base, and
-// the delta from it is the first that is kept, empty where nothing differs. It may be called again, to begin an epoch past one that nodes were
-// seen to have (Status.Ahead). The delta that it returns leads from the base to the new version.
-func (b *VersionStore) BeginEpoch(now time.Duration, known []*resource.Delta, all []resource.Resource) (*resource.Delta, error) {
-	base, high := (*resource.Delta)(nil), max(b.set.Version().Epoch, b.ahead.Epoch)
-	for _, d := range known {
+// BeginEpoch makes a writer's first version, of all resources, in a new epoch: Unix time in milliseconds, or one past
+// the highest epoch that is known, whichever is greater. peerSnapshots are those of the other control processes that
+// replied. The latest of them is the base, and the delta from it is the first one retained; it is empty where nothing
+// differs. BeginEpoch may be called again, to pass an epoch that callers were seen to have (Status.Ahead). It returns
+// the delta from the base to the new version.
+func (vs *VersionStore) BeginEpoch(now time.Duration, peerSnapshots []*resource.Delta, all []resource.Resource) (*resource.Delta, error) {
+	base, high := (*resource.Delta)(nil), max(vs.set.Version().Epoch, vs.ahead.Epoch)
+	for _, d := range peerSnapshots {
 		switch {
 		case d == nil || d.To.IsZero():
 			continue
 		case !d.Whole():
-			return nil, fmt.Errorf("known %v: no snapshot", d.To)
+			return nil, fmt.Errorf("peer version %v: not a snapshot", d.To)
 		case d.To.Epoch == math.MaxUint64 || (resource.Version{Epoch: d.To.Epoch + 1}).TooFarAhead(now):
-			return nil, fmt.Errorf("known %v: its epoch is over a day ahead of this clock, %d: no node takes one past it", d.To, now.Milliseconds())
+			return nil, fmt.Errorf("peer version %v: its epoch is over a day ahead of this clock, %d: no node accepts a later one",
+				d.To, now.Milliseconds())
 		}
-		if d.To.Compare(b.set.Version()) > 0 && (base == nil || d.To.Compare(base.To) > 0) {
+		if d.To.Compare(vs.set.Version()) > 0 && (base == nil || d.To.Compare(base.To) > 0) {
 			base = d
 		}
 		high = max(high, d.To.Epoch)
@@ -110,20 +130,21 @@
 	seen := make(map[resource.Key]bool, len(all))
 	for i := range all {
 		if k := all[i].Key; seen[k] {
-			return nil, &resource.Refusal{Key: k, Why: "named twice"}
+			return nil, &resource.Refusal{Key: k, Why: "defined twice"}
 		}
 		seen[all[i].Key] = true
 	}
 	to := resource.Version{Epoch: max(uint64(max(now.Milliseconds(), 1)), high+1)}
 	if to.TooFarAhead(now) {
-		return nil, fmt.Errorf("epoch %d is over a day ahead of this clock, %d: no node takes it", to.Epoch, now.Milliseconds())
+		return nil, fmt.Errorf("epoch %d is over a day ahead of this clock, %d: no node accepts it",
+			to.Epoch, now.Milliseconds())
 	}
-	// On a copy first: what is wrong with the new content must not leave us with half of it.
-	trial := b.set
+	// Checked on a copy first: an error in the new content must not leave half of it applied.
+	trial := vs.set
 	if base != nil {
 		trial = resource.NewSet(true)
 		if err := trial.Apply(base); err != nil {
-			return nil, fmt.Errorf("known %v: %w", base.To, err)
+			return nil, fmt.Errorf("peer version %v: %w", base.To, err)
 		}
 	}
 	put, gone := trial.Compare(all)
@@ -131,146 +152,151 @@
 	if err := trial.Check(d); err != nil {
 		return nil, err
 	}
-	if base != nil && !b.set.Version().IsZero() {
-		if err := b.Apply(now, base); err != nil {
+	if base != nil && !vs.set.Version().IsZero() {
+		if err := vs.Apply(now, base); err != nil {
 			return nil, err
 		}
 	} else if base != nil {
-		b.set = trial
+		vs.set = trial
 	}
-	return d, b.commit(now, d)
+	return d, vs.commit(now, d)
 }
 
-// put takes in a delta that was made for the set.
-func (b *VersionStore) commit(now time.Duration, d *resource.Delta) error {
-	if err := b.set.Check(d); err != nil {
+// commit applies a delta from the current version and adds it to the history.
+func (vs *VersionStore) commit(now time.Duration, d *resource.Delta) error {
+	if err := vs.set.Check(d); err != nil {
 		return err
 	}
-	b.history.Add(now, d)
-	if err := b.set.Apply(d); err != nil {
+	vs.history.Add(now, d)
+	if err := vs.set.Apply(d); err != nil {
 		return err
 	}
-	b.appliedAt, b.snapshot = now, nil
-	if b.ahead.Compare(d.To) <= 0 {
-		b.ahead = resource.Version{}
+	vs.appliedAt, vs.snapshot = now, nil
+	if vs.ahead.Compare(d.To) <= 0 {
+		vs.ahead = resource.Version{}
 	}
 	return nil
 }
 
-// Change numbers a writer's change of the resources and takes it in. It returns nil where nothing would change: there is no version then. What
-// is wrong with it (a *resource.Refusal) leaves everything as it is; what resources mean was checked before.
-func (b *VersionStore) Change(now time.Duration, put []resource.Resource, gone []resource.Key) (*resource.Delta, error) {
-	v := b.set.Version()
+// Change numbers a writer's change of the resources and applies it. It returns nil where nothing would change: no
+// version is made then. An error (a *resource.Refusal) leaves the store unchanged. The caller has checked the meaning
+// of the resources.
+func (vs *VersionStore) Change(now time.Duration, put []resource.Resource, gone []resource.Key) (*resource.Delta, error) {
+	v := vs.set.Version()
 	if v.IsZero() {
-		return nil, errors.New("no configuration yet to change: begin")
+		return nil, errors.New("no configuration to change yet: no epoch has begun")
 	}
-	d := b.set.Next(resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, put, gone)
+	d := vs.set.Next(resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, put, gone)
 	if len(d.Put)+len(d.Gone) == 0 {
 		return nil, nil
 	}
-	if err := b.commit(now, d); err != nil {
+	if err := vs.commit(now, d); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// Take takes in what a follower was told: a delta from its version, or a snapshot, of which the difference is kept, so that who has the
-// version before takes deltas also through a new epoch. Errors are those of resource.Set.Check; they leave everything as it is.
-func (b *VersionStore) Apply(now time.Duration, d *resource.Delta) error {
+// Apply applies what a follower received: a delta from the current version, or a snapshot. Of a snapshot the difference
+// is retained, so that callers at the version before can follow by deltas into a new epoch. Errors are those of
+// resource.Set.Check; they leave the store unchanged.
+func (vs *VersionStore) Apply(now time.Duration, d *resource.Delta) error {
 	if d.Whole() {
-		if err := b.set.Check(d); err != nil {
+		if err := vs.set.Check(d); err != nil {
 			return err
 		}
-		d = b.set.Difference(d)
+		d = vs.set.Difference(d)
 	}
-	return b.commit(now, d)
+	return vs.commit(now, d)
 }
 
-// Watch answers a call, at once or by holding it. After each change and at the end of its wait the caller asks again for each held call, with
-// its Watch, or says Left; so the Book knows how many are held.
-func (b *VersionStore) Watch(now time.Duration, q Query) Reply {
-	b.forgetSilent(now)
+// Watch replies to a call or asks for it to be held. The server queries again for each held call, with its WatchID,
+// after each change, and with WaitOver or CallerGone at its end, so that the store knows how many calls are held.
+func (vs *VersionStore) Watch(now time.Duration, q Query) Reply {
+	vs.forgetSilent(now)
 	if q.WatchID != 0 {
-		n := b.findCaller(&q)
+		c := vs.findCaller(&q)
 		switch {
-		case n == nil || n.watchID != q.WatchID: // replaced by a later call of this process, or forgotten
-			return Reply{Status: 200, Delta: b.emptyDelta(&q)}
+		case c == nil || c.watchID != q.WatchID: // replaced by a later call of the same process, or forgotten
+			return Reply{Status: 200, Delta: vs.emptyDelta(&q)}
 		case q.CallerGone:
-			b.callerDisconnected(q.Name, n)
+			vs.callerDisconnected(q.Name, c)
 		case q.WaitOver:
-			b.releaseWatch(n)
+			vs.releaseWatch(c)
 		}
 	}
 	if q.WaitOver || q.CallerGone {
-		return Reply{Status: 200, Delta: b.emptyDelta(&q)}
+		return Reply{Status: 200, Delta: vs.emptyDelta(&q)}
 	}
 	if err := checkQuery(&q); err != nil {
 		return Reply{Status: 400, Err: err}
 	}
-	n, version := b.recordCaller(now, &q), b.set.Version()
+	c, version := vs.recordCaller(now, &q), vs.set.Version()
 	replaced := uint64(0)
-	if n.watchID != q.WatchID {
-		replaced = n.watchID
+	if c.watchID != q.WatchID {
+		replaced = c.watchID
 	}
-	b.releaseWatch(n)
+	vs.releaseWatch(c)
 	r := Reply{Status: 200, ReplacedWatch: replaced}
 	switch order := q.Since.Compare(version); {
 	case version.IsZero():
 		r.Status, r.RetryAfter, r.Err = 503, retryAfter, errors.New("no configuration here yet")
 	case order > 0:
-		r.Status, r.Err = 409, fmt.Errorf("behind: %v here", version)
-		if q.Since.Compare(b.ahead) > 0 && !q.Since.TooFarAhead(now) {
-			b.ahead = q.Since
+		r.Status, r.Err = 409, fmt.Errorf("behind: this control process has %v", version)
+		if q.Since.Compare(vs.ahead) > 0 && !q.Since.TooFarAhead(now) {
+			vs.ahead = q.Since
 		}
-	case order == 0 && q.Sum != b.set.Sum():
-		r.Status, r.Err = 409, fmt.Errorf("another content under %v here: sum %016x", version, uint64(b.set.Sum()))
+	case order == 0 && q.Sum != vs.set.Sum():
+		r.Status, r.Err = 409, fmt.Errorf("different content under version %v here: checksum %016x",
+			version, uint64(vs.set.Sum()))
 	case order == 0 || q.Refused == version:
-		r.Delta = b.emptyDelta(&q)
+		r.Delta = vs.emptyDelta(&q)
 		switch {
 		case q.MaxWait <= 0:
-		case b.watchCount >= b.limits.Watches:
+		case vs.watchCount >= vs.limits.Watches:
 			r = Reply{Status: 503, RetryAfter: retryAfter, ReplacedWatch: replaced,
-				Err: fmt.Errorf("%d watches are held: no more", b.watchCount)}
+				Err: fmt.Errorf("%d watches are held, the maximum", vs.watchCount)}
 		default:
-			b.watchCount++
-			if n.watchID = q.WatchID; n.watchID == 0 {
-				b.lastWatchID++
-				n.watchID = b.lastWatchID
+			vs.watchCount++
+			if c.watchID = q.WatchID; c.watchID == 0 {
+				vs.lastWatchID++
+				c.watchID = vs.lastWatchID
 			}
-			r.Hold, r.WatchID = true, n.watchID
+			r.Hold, r.WatchID = true, c.watchID
 		}
 	default:
-		r.Delta = b.deltaSince(now, &q)
+		r.Delta = vs.deltaSince(now, &q)
 	}
 	return r
 }
 
-// empty says that nothing is newer.
-func (b *VersionStore) emptyDelta(q *Query) *resource.Delta {
+// emptyDelta returns the reply that nothing is newer.
+func (vs *VersionStore) emptyDelta(q *Query) *resource.Delta {
 	return &resource.Delta{From: q.Since, To: q.Since, Sum: q.Sum}
 }
 
-// newer is what leads from an older version to ours.
-func (b *VersionStore) deltaSince(now time.Duration, q *Query) *resource.Delta {
+// deltaSince returns a delta from the caller's older version to the current one, or a snapshot where the history has
+// none.
+func (vs *VersionStore) deltaSince(now time.Duration, q *Query) *resource.Delta {
 	if !q.Since.IsZero() {
-		b.history.Trim(now)
-		if d, ok := b.history.Since(q.Since); ok {
+		vs.history.Trim(now)
+		if d, ok := vs.history.Since(q.Since); ok {
 			return d
 		}
-		if q.Sum == b.set.Sum() {
-			return &resource.Delta{From: q.Since, To: b.set.Version(), Sum: q.Sum}
+		if q.Sum == vs.set.Sum() {
+			return &resource.Delta{From: q.Since, To: vs.set.Version(), Sum: q.Sum}
 		}
 	}
-	if d, ok := b.history.SinceSum(q.Since, q.Sum); ok && !q.Since.IsZero() {
+	if d, ok := vs.history.SinceSum(q.Since, q.Sum); ok && !q.Since.IsZero() {
 		return d
 	}
-	b.snapshotsSent++
-	if b.snapshot == nil {
-		b.snapshot = b.set.Snapshot()
+	vs.snapshotsSent++
+	if vs.snapshot == nil {
+		vs.snapshot = vs.set.Snapshot()
 	}
-	return b.snapshot
+	return vs.snapshot
 }
 
+// checkQuery validates the fields of a query.
 func checkQuery(q *Query) error {
 	switch {
 	case q.Name == "" || len(q.Name) > resource.MaxName:
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -12,43 +12,47 @@
 )
 
 const (
-	peersTimeout     = 2 * time.Second // for the other control processes' snapshots
-	minEpochInterval = 5 * time.Second // between two epochs that are begun because a caller had a later version
+	// peersTimeout is how long the writer waits for the snapshots of the other control processes.
+	peersTimeout = 2 * time.Second
+	// minEpochInterval is the least time between two epochs that begin because a caller had a later version.
+	minEpochInterval = 5 * time.Second
 )
 
-// writer is what a control process has that reads files.
+// writer is the part of a control process that reads the configuration's files. mu is held for the whole of a reload and
+// guards loader and catalog; statusMu guards the fields below it, so that a status does not wait for a reload.
 type writer struct {
-	mu      sync.Mutex // of a reading, whole
+	mu      sync.Mutex
 	loader  *Loader
-	catalog *catalog.Catalog // what is in force, decoded
+	catalog *catalog.Catalog // decoded form of the resources in force
 
-	statusMu     sync.Mutex // guards the rest, which a reading does not hold for long
-	lastError    string
-	failedAt     time.Duration // Unix time; 0: the latest reading was good
-	readAt       time.Duration
-	readDuration time.Duration // by the latest reading and its check
+	statusMu     sync.Mutex
+	lastError    string        // of the latest reload; empty: it succeeded
+	failedAt     time.Duration // Unix time of the latest reload, if it failed; else 0
+	readAt       time.Duration // Unix time of the latest reload; 0: none yet
+	readDuration time.Duration // of the latest reload, with its checks
 }
 
+// newWriter returns a writer for the files at a path; it has read nothing yet.
 func newWriter(path string) *writer { return &writer{loader: NewSource(path), catalog: newCatalog()} }
 
-// load reads the files a first time. An error is a *FilesError.
+// loadInitial reads the files for the first time. An error is a *FilesError.
 func (w *writer) loadInitial() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r, err := w.loader.Read()
+	diff, err := w.loader.Read()
 	if err != nil {
 		return &FilesError{err}
 	}
-	change, err := w.catalog.Prepare(&resource.Delta{Put: r.Put})
+	change, err := w.catalog.Prepare(&resource.Delta{Put: diff.Put})
 	if err != nil {
 		return &FilesError{w.loader.withLocation(err)}
 	}
 	w.catalog.Commit(change)
-	w.loader.Accept(r)
+	w.loader.Accept(diff)
 	return nil
 }
 
-// write reads the files, begins an epoch, and then takes changes until ctx ends.
+// runWriter reads the files, begins an epoch, and then applies changes until ctx ends.
 func (s *server) runWriter(ctx context.Context) error {
 	if err := s.writer.loadInitial(); err != nil {
 		return err
@@ -58,11 +62,11 @@
 	}
 	last := s.Clock.Now()
 	var ahead <-chan struct{} = s.newEpochWanted
-	var later <-chan time.Time
-	var rest *time.Timer
+	var epochDue <-chan time.Time
+	var delay *time.Timer
 	defer func() {
-		if rest != nil {
-			rest.Stop()
+		if delay != nil {
+			delay.Stop()
 		}
 	}()
 	for {
@@ -71,22 +75,23 @@
 			return nil
 		case <-s.Reload:
 			if _, err := s.reloadFiles(); err != nil {
-				continue // logged
+				continue // reloadFiles has logged it
 			}
 		case <-ahead:
-			rest = time.NewTimer(max(last+s.epochInterval-s.Clock.Now(), 0))
-			ahead, later = nil, rest.C
-		case <-later:
-			ahead, later = s.newEpochWanted, nil
+			delay = time.NewTimer(max(last+s.epochInterval-s.Clock.Now(), 0))
+			ahead, epochDue = nil, delay.C
+		case <-epochDue:
+			ahead, epochDue = s.newEpochWanted, nil
 			if err := s.beginEpoch(ctx); err != nil && ctx.Err() == nil {
-				s.Log.Error("no epoch past the one that a caller has", "err", err)
+				s.Log.Error("beginning an epoch past a caller's version failed", "err", err)
 			}
 			last = s.Clock.Now()
 		}
 	}
 }
 
-// begin asks the others what they have and begins an epoch past it, of what the files said last. It returns nil too where ctx has ended.
+// beginEpoch asks the peers for their versions and begins an epoch past them, with the files' content as it was last
+// accepted. It also returns nil where ctx has ended.
 func (s *server) beginEpoch(ctx context.Context) error {
 	known := s.peerSnapshots(ctx)
 	if ctx.Err() != nil {
@@ -103,11 +108,13 @@
 	if err != nil {
 		return s.writer.loader.withLocation(err)
 	}
-	s.Log.Info("an epoch begins", "version", d.To, "base", d.From, "put", len(d.Put), "gone", len(d.Gone), "peers that answered", len(known))
+	s.Log.Info("new epoch", "version", d.To, "base", d.From, "put", len(d.Put), "gone", len(d.Gone),
+		"peers_replied", len(known))
 	return nil
 }
 
-// peers asks the other control processes for what they have, for a bounded time. Those that have nothing, or do not answer, are passed over.
+// peerSnapshots asks the other control processes for their snapshots, for peersTimeout at most. Those that have none,
+// or do not reply, are skipped.
 func (s *server) peerSnapshots(ctx context.Context) (known []*resource.Delta) {
 	ctx, cancel := context.WithTimeout(ctx, peersTimeout)
 	defer cancel()
@@ -118,7 +125,7 @@
 			defer c.Close()
 			d, err := c.Get(ctx, p, &follow.Query{Limit: peersTimeout})
 			if err != nil {
-				s.Log.Warn("a peer tells nothing", "peer", p, "err", err)
+				s.Log.Warn("no snapshot from a peer", "peer", p, "err", err)
 				d = nil
 			}
 			got <- d
@@ -129,9 +136,9 @@
 		if d == nil {
 			continue
 		}
-		// One that lies must not keep the writer from beginning.
+		// An invalid snapshot from a peer must not keep the writer from beginning its epoch.
 		if err := resource.NewSet(false).Check(d); err != nil || !d.Whole() {
-			s.Log.Warn("a peer's snapshot is passed over", "version", d.To, "err", err)
+			s.Log.Warn("skipping an invalid snapshot from a peer", "version", d.To, "err", err)
 			continue
 		}
 		known = append(known, d)
@@ -139,20 +146,21 @@
 	return known
 }
 
-// Reloaded is what a reading of the files came to.
+// ReloadResult is the result of a successful reload, the body of POST /v1/reload's response.
 type Reloaded struct {
-	Version resource.Version `json:"version"` // in force
-	Put     int              `json:"put"`     // resources that are new or other ones
-	Gone    int              `json:"gone"`
-	Changed bool             `json:"changed"` // a version was numbered
+	Version resource.Version `json:"version"` // version in force now
+	Put     int              `json:"put"`     // resources that are new or have another spec
+	Gone    int              `json:"gone"`    // resources that were removed
+	Changed bool             `json:"changed"` // whether there is a new version
 }
 
-// reread reads the files, checks all that they say, and numbers a version where it is another one. After an error all stays as it is.
+// reloadFiles reads the files, checks their content, and makes a version where it has changed. After an error the
+// version before stays in force. It records the outcome for the log and the status.
 func (s *server) reloadFiles() (*Reloaded, error) {
 	w := s.writer
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	begun := s.Clock.Now()
+	started := s.Clock.Now()
 	r, err := s.applyFiles()
 	if errors.Is(err, errNoConfiguration) {
 		return nil, err
@@ -160,21 +168,22 @@
 	now := s.Clock.Now()
 	s.counters.reloads.Add(1)
 	w.statusMu.Lock()
-	w.lastError, w.failedAt, w.readAt, w.readDuration = "", 0, now, now-begun
+	w.lastError, w.failedAt, w.readAt, w.readDuration = "", 0, now, now-started
 	if err != nil {
 		w.lastError, w.failedAt = err.Error(), now
 	}
 	w.statusMu.Unlock()
 	if err != nil {
 		s.counters.badReloads.Add(1)
-		s.Log.Error("the files are bad; the version before stays in force", "err", err)
+		s.Log.Error("reload failed; the version before stays in force", "err", err)
 		return nil, err
 	}
-	s.Log.Info("the files were read", "version", r.Version, "changed", r.Changed, "put", r.Put, "gone", r.Gone, "took", (now - begun).String())
+	s.Log.Info("files reloaded", "version", r.Version, "changed", r.Changed,
+		"put", r.Put, "gone", r.Gone, "took", (now - started).String())
 	return r, nil
 }
 
-// take is reread without its account. The writer's lock is held, so that the book does not change but here.
+// applyFiles does the work of reloadFiles. The caller holds writer.mu, so that nothing else changes the store meanwhile.
 func (s *server) applyFiles() (*Reloaded, error) {
 	w := s.writer
 	s.mu.Lock()
@@ -183,29 +192,29 @@
 	if version.IsZero() {
 		return nil, errNoConfiguration
 	}
-	r, err := w.loader.Read()
+	diff, err := w.loader.Read()
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Put)+len(r.Gone) == 0 {
-		w.loader.Accept(r)
+	if len(diff.Put)+len(diff.Gone) == 0 {
+		w.loader.Accept(diff)
 		return &Reloaded{Version: version}, nil
 	}
-	change, err := w.catalog.Prepare(&resource.Delta{Put: r.Put, Gone: r.Gone})
+	change, err := w.catalog.Prepare(&resource.Delta{Put: diff.Put, Gone: diff.Gone})
 	if err != nil {
 		return nil, w.loader.withLocation(err)
 	}
 	var d *resource.Delta
 	if err := s.publish(func(now time.Duration) (err error) {
-		d, err = s.store.Change(now, r.Put, r.Gone)
+		d, err = s.store.Change(now, diff.Put, diff.Gone)
 		return err
 	}); err != nil {
 		return nil, w.loader.withLocation(err)
 	}
 	w.catalog.Commit(change)
-	w.loader.Accept(r)
-	if d == nil { // the book's content is the source's, so that it has changed too
-		return nil, errors.New("a change that changes nothing")
+	w.loader.Accept(diff)
+	if d == nil { // can't happen: the store's content is the loader's, so that what differs from one differs from the other
+		return nil, errors.New("internal error: the files differ from those accepted but not from the version store")
 	}
 	return &Reloaded{Version: d.To, Put: len(d.Put), Gone: len(d.Gone), Changed: true}, nil
 }
