--- a/internal/control/loader_test.go
+++ b/internal/control/loader_test.go
@@ -392,13 +392,13 @@
 					t.Fatalf("removed %s; accepted %v, files %v", k.Name, accepted, all)
 				}
 			}
-			gone := 0
+			removed := 0
 			for c := range accepted {
 				if all[c] == 0 {
-					gone++
+					removed++
 				}
 			}
-			if len(r.Put) != differs || len(r.Gone) != gone {
+			if len(r.Put) != differs || len(r.Gone) != removed {
 				t.Fatalf("put %s, removed %v; accepted %v, files %v", resourceNames(r.Put), r.Gone, accepted, all)
 			}
 			if rapid.Bool().Draw(t, "accept") {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -275,8 +275,8 @@
 		s.respondText(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	reply, gone := s.holdCall(r.Context(), q)
-	if gone {
+	reply, disconnected := s.holdCall(r.Context(), q)
+	if disconnected {
 		return
 	}
 	s.counters.countResponse(reply.Status)
@@ -306,9 +306,9 @@
 // errShuttingDown is the response to watches at the end of the process.
 var errShuttingDown = errors.New("this control process is shutting down")
 
-// holdCall queries the store, and again with each version, until there is a response. gone reports that the caller has
-// disconnected.
-func (s *server) holdCall(ctx context.Context, q Query) (reply Reply, gone bool) {
+// holdCall queries the store, and again with each version, until there is a response. disconnected reports that the
+// caller has disconnected.
+func (s *server) holdCall(ctx context.Context, q Query) (reply Reply, disconnected bool) {
 	var timeout <-chan time.Time
 	if q.MaxWait > 0 {
 		t := time.NewTimer(q.MaxWait)
--- a/internal/control/serve_test.go
+++ b/internal/control/serve_test.go
@@ -814,19 +814,19 @@
 		ln.Close()
 	}()
 	set := resource.NewSet(false)
-	taken := make(chan *resource.Delta, 1)
+	applied := make(chan *resource.Delta, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	over := make(chan error, 1)
 	var status follow.Status
 	go func() {
 		over <- follow.Run(ctx, follow.Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: set, Status: &status, Take: func(d *resource.Delta) error {
-			taken <- d
+			applied <- d
 			return set.Apply(d)
 		}})
 	}()
 	receive(t, "the first call", cut)
 	startProcess(t, addr, ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText("a")})})
-	d := receive(t, "the change", taken)
+	d := receive(t, "the change", applied)
 	cancel()
 	if err := receive(t, "the end of the follow loop", over); err != nil || resourceNames(d.Put) != "contract a" || status.Read().Failures[follow.Broken] != 1 {
 		t.Errorf("error %v, delta %+v, follow status %+v", err, d, status.Read())
@@ -885,7 +885,7 @@
 			t.Fatal("the caller was not disconnected in time")
 		}
 	}
-	t.Error("a response was written in whole to a caller that does not read")
+	t.Error("the whole response was written to a caller that does not read")
 }
 
 // Past the limit on connections the longest idle ones are closed, so that new calls are still served.
--- a/internal/control/versions_test.go
+++ b/internal/control/versions_test.go
@@ -271,7 +271,7 @@
 	}
 }
 
-// Past Limits.MaxWatches a call is not held but told when to retry.
+// Past Limits.MaxWatches a call is not held but gets 503 with a retry time.
 func TestWatchLimit(t *testing.T) {
 	store := newStartedStore(t, Limits{Watches: 2}, contracts(3))
 	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Sum())
