--- a/internal/control/loader.go
+++ b/internal/control/loader.go
@@ -128,7 +128,7 @@
 	return diff, l.diffResources(diff)
 }
 
-// diffResources sets the diff's Put and Gone from the changed files, and checks that no resource is in two files.
+// diffResources sets the diff's Put and Removed from the changed files, and checks that no resource is in two files.
 func (l *Loader) diffResources(diff *FileDiff) error {
 	before := map[resource.Key]json.RawMessage{} // specs in force, of the changed files
 	for _, p := range diff.changedPaths {
