--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -24,7 +24,7 @@
 		if m.Start.IsZero() {
 			return out, &FieldError{fmt.Sprintf("%smoves[%d].start", path, k), "missing"}
 		}
-		move := cell.Move{To: m.To, Start: unix(m.Start), Prepare: m.Prepare, Both: m.Both, Stop: unix(m.Stop), Back: unix(m.Back)}
+		move := cell.Move{To: m.To, Start: unixTime(m.Start), Prepare: m.Prepare, Both: m.Both, Stop: unixTime(m.Stop), Back: unixTime(m.Back)}
 		if move.Prepare == 0 {
 			move.Prepare = cell.LeastPrepare
 		}
@@ -43,7 +43,7 @@
 }
 
 // unix is a time as the nodes' clocks tell it; 0 for none.
-func unix(t time.Time) time.Duration {
+func unixTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
@@ -196,8 +196,8 @@
 	if c.Weight != nil {
 		t.Weight = *c.Weight
 	}
-	if c.Lends != nil {
-		t.Lends = *c.Lends
+	if c.LendableShare != nil {
+		t.Lends = *c.LendableShare
 	}
 	if c.Criticality != "" {
 		rank, ok := contract.Criticalities[c.Criticality]
@@ -262,8 +262,8 @@
 			}
 			out.From = prefix.Masked()
 		}
-		if m.Token != "" {
-			d, err := hex.DecodeString(m.Token)
+		if m.TokenSHA256 != "" {
+			d, err := hex.DecodeString(m.TokenSHA256)
 			if err != nil || len(d) != len(out.Token) {
 				return bad(p+".token_sha256", "not the 64 hex digits of a SHA-256")
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	State     *State     `yaml:"state"`
 	Control   *Control   `yaml:"control"` // whence services, contracts, routes and pinned tenants come in place of this file
 
-	lined, marked bool // its text ends with the end of a line, and with YAML's mark for the end of a document
+	endsWithNewline, endsWithMarker bool // its text ends with the end of a line, and with YAML's mark for the end of a document
 }
 
 // Replaces tells whether the file can take the place of one in force. A part of a YAML file is often a file as well, of which
@@ -44,12 +44,12 @@
 	switch {
 	case parts(f) == [9]bool{} && parts(old) != [9]bool{}:
 		return errors.New("nothing is in it")
-	case old.lined && !f.lined:
+	case old.endsWithNewline && !f.endsWithNewline:
 		return errors.New("its last line has no end: it is not whole")
-	case old.marked && !f.marked:
+	case old.endsWithMarker && !f.endsWithMarker:
 		return errors.New("it does not end with the line \"...\", as the one in force does: it is not whole")
 	}
-	return f.Control.replaces(old.Control)
+	return f.Control.checkReplacement(old.Control)
 }
 
 // Cells give each tenant a subset of the web servers of its own, spread over zones and pods.
@@ -140,8 +140,8 @@
 
 // User may open tunnels. A contract is for it by a match on the header Proxy-User.
 type User struct {
-	Name     string `yaml:"name"`
-	Password string `yaml:"password_sha256"`
+	Name           string `yaml:"name"`
+	PasswordSHA256 string `yaml:"password_sha256"`
 }
 
 // Route is a name and port that clients may ask for, and the service that answers there.
@@ -168,7 +168,7 @@
 func (t *Tunnels) Ways() ([]Way, error) {
 	var ways []Way
 	for i := range t.Proxies {
-		w, err := t.Proxies[i].way(fmt.Sprintf("tunnels.proxies[%d].", i))
+		w, err := t.Proxies[i].compile(fmt.Sprintf("tunnels.proxies[%d].", i))
 		if err != nil {
 			return nil, err
 		}
@@ -177,7 +177,7 @@
 	return ways, nil
 }
 
-func (p *Proxy) way(path string) (Way, error) {
+func (p *Proxy) compile(path string) (Way, error) {
 	way := backtunnel.Proxy{Kind: backtunnel.SOCKS5, Addr: p.SOCKS5, User: p.User, Password: p.Password}
 	field := "socks5"
 	if p.Connect != "" {
@@ -208,7 +208,7 @@
 	var users map[string][sha256.Size]byte
 	for i, u := range t.Users {
 		p := fmt.Sprintf("tunnels.users[%d].", i)
-		d, err := hex.DecodeString(u.Password)
+		d, err := hex.DecodeString(u.PasswordSHA256)
 		if _, dup := users[u.Name]; u.Name == "" || dup {
 			return nil, &FieldError{p + "name", fmt.Sprintf("%q is missing or used twice", u.Name)}
 		}
@@ -254,27 +254,27 @@
 // Contract says who may call what, at what rate, and within what budget. Figures are for all nodes together; nought or
 // nothing means no bound, but for work.guaranteed.
 type Contract struct {
-	Name        string    `yaml:"name" json:"name,omitzero"`
-	Match       []Match   `yaml:"match" json:"match,omitzero"`       // any of them; none: for whoever no other contract is for
-	Services    []string  `yaml:"services" json:"services,omitzero"` // none: all classes
-	Rate        float64   `yaml:"rate" json:"rate,omitzero"`         // requests a second
-	Burst       float64   `yaml:"burst" json:"burst,omitzero"`       // and how many at once; a second's rate where it is not given
-	InFlight    int       `yaml:"in_flight" json:"in_flight,omitzero"`
-	Bandwidth   float64   `yaml:"bandwidth" json:"bandwidth,omitzero"` // bytes a second through opaque tunnels, both ways together
-	Attempts    *Attempts `yaml:"attempts" json:"attempts,omitzero"`
-	Retries     []string  `yaml:"retries" json:"retries,omitzero"` // classes that may be sent more than once; not given: as each class allows
-	Work        Work      `yaml:"work" json:"work,omitzero"`
-	Criticality string    `yaml:"criticality" json:"criticality,omitzero"` // critical, high, normal or sheddable
-	Weight      *float64  `yaml:"weight" json:"weight,omitzero"`           // of its part in what others leave unused; 1
-	Lends       *float64  `yaml:"lends" json:"lends,omitzero"`             // part of its unused guarantee that others may have; 1
+	Name          string    `yaml:"name" json:"name,omitzero"`
+	Match         []Match   `yaml:"match" json:"match,omitzero"`       // any of them; none: for whoever no other contract is for
+	Services      []string  `yaml:"services" json:"services,omitzero"` // none: all classes
+	Rate          float64   `yaml:"rate" json:"rate,omitzero"`         // requests a second
+	Burst         float64   `yaml:"burst" json:"burst,omitzero"`       // and how many at once; a second's rate where it is not given
+	InFlight      int       `yaml:"in_flight" json:"in_flight,omitzero"`
+	Bandwidth     float64   `yaml:"bandwidth" json:"bandwidth,omitzero"` // bytes a second through opaque tunnels, both ways together
+	Attempts      *Attempts `yaml:"attempts" json:"attempts,omitzero"`
+	Retries       []string  `yaml:"retries" json:"retries,omitzero"` // classes that may be sent more than once; not given: as each class allows
+	Work          Work      `yaml:"work" json:"work,omitzero"`
+	Criticality   string    `yaml:"criticality" json:"criticality,omitzero"` // critical, high, normal or sheddable
+	Weight        *float64  `yaml:"weight" json:"weight,omitzero"`           // of its part in what others leave unused; 1
+	LendableShare *float64  `yaml:"lends" json:"lends,omitzero"`             // part of its unused guarantee that others may have; 1
 }
 
 // Match is one way to be known. All that is given must hold.
 type Match struct {
-	Tenant string `yaml:"tenant" json:"tenant,omitzero"`
-	Header string `yaml:"header" json:"header,omitzero"` // Name: value
-	From   string `yaml:"from" json:"from,omitzero"`     // address or CIDR range
-	Token  string `yaml:"token_sha256" json:"token_sha256,omitzero"`
+	Tenant      string `yaml:"tenant" json:"tenant,omitzero"`
+	Header      string `yaml:"header" json:"header,omitzero"` // Name: value
+	From        string `yaml:"from" json:"from,omitzero"`     // address or CIDR range
+	TokenSHA256 string `yaml:"token_sha256" json:"token_sha256,omitzero"`
 }
 
 // Attempts bounds further attempts and clients' marked repeats together.
@@ -305,8 +305,8 @@
 	if err := Decode(name, text, f, f.check); err != nil {
 		return nil, err
 	}
-	f.lined = strings.HasSuffix(string(text), "\n")
-	f.marked = strings.HasSuffix(strings.TrimRight(string(text), "\r\n"), "\n...")
+	f.endsWithNewline = strings.HasSuffix(string(text), "\n")
+	f.endsWithMarker = strings.HasSuffix(strings.TrimRight(string(text), "\r\n"), "\n...")
 	return f, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"portstall/internal/contract"
 )
 
-const good = `services:
+const validFile = `services:
   - name: placement
     classes: [{name: search, effect: safe}, {name: place-accept, effect: keyed}, {name: pay, effect: unsafe}]
 contracts:
@@ -30,7 +30,7 @@
 `
 
 func TestGood(t *testing.T) {
-	f, err := Parse("p.yaml", []byte(good))
+	f, err := Parse("p.yaml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		t.Errorf("no contracts: %v %v", tab, err)
 	}
 	path := filepath.Join(t.TempDir(), "p.yaml")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err != nil {
@@ -150,7 +150,7 @@
 
 // Whatever the text, the loader answers; it never panics.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte("contracts: [{name: a, match: [{from: ::/0}]}]"))
 	f.Add([]byte("contracts: {}\nservices: 3"))
 	f.Add([]byte("\xff&a [*a"))
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -50,7 +50,7 @@
 
 // replaces tells whether control can take the place of what was named before; nil is none. Which of the two has the
 // resources is settled at the start: a node that changed over would be without them for a while, or have them twice.
-func (c *Control) replaces(old *Control) error {
+func (c *Control) checkReplacement(old *Control) error {
 	switch {
 	case c == nil && old != nil:
 		return &FieldError{"control", "can't be taken out by a reload"}
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -26,14 +26,14 @@
 
 // Checks is how web servers are probed. Not given is as told here.
 type Checks struct {
-	Interval  time.Duration `yaml:"interval"`   // of a server of which nothing is known; 2 s
-	Timeout   time.Duration `yaml:"timeout"`    // of a probe; 1 s
-	Rise      int           `yaml:"rise"`       // good words in a row that bring a server back; 2
-	Fall      int           `yaml:"fall"`       // failed checks in a row that take it out; 3
-	Calm      float64       `yaml:"calm"`       // intervals between probes where real requests speak; 4
-	PerServer float64       `yaml:"per_server"` // probes a second that a server gets of all nodes together at most; 2
-	Rate      float64       `yaml:"rate"`       // probes a second that this node makes at most; 200
-	Panic     float64       `yaml:"panic"`      // part of the fleet above which those who say that it is bad are suspected; 0.5
+	Interval         time.Duration `yaml:"interval"`   // of a server of which nothing is known; 2 s
+	Timeout          time.Duration `yaml:"timeout"`    // of a probe; 1 s
+	Rise             int           `yaml:"rise"`       // good words in a row that bring a server back; 2
+	Fall             int           `yaml:"fall"`       // failed checks in a row that take it out; 3
+	TrafficFactor    float64       `yaml:"calm"`       // intervals between probes where real requests speak; 4
+	MaxRatePerServer float64       `yaml:"per_server"` // probes a second that a server gets of all nodes together at most; 2
+	MaxRate          float64       `yaml:"rate"`       // probes a second that this node makes at most; 200
+	PanicThreshold   float64       `yaml:"panic"`      // part of the fleet above which those who say that it is bad are suspected; 0.5
 
 	Agent *AgentCheck `yaml:"agent"`
 	HTTP  *HTTPCheck  `yaml:"http"`
@@ -115,7 +115,7 @@
 		field              *float64
 		name               string
 		usual, least, most float64
-	}{{&out.Calm, "calm", 4, 1, 1000}, {&out.PerServer, "per_server", 2, 0.001, 1000}, {&out.Rate, "rate", 200, 0.1, 100000}, {&out.Panic, "panic", 0.5, 0.01, 1}} {
+	}{{&out.TrafficFactor, "calm", 4, 1, 1000}, {&out.MaxRatePerServer, "per_server", 2, 0.001, 1000}, {&out.MaxRate, "rate", 200, 0.1, 100000}, {&out.PanicThreshold, "panic", 0.5, 0.01, 1}} {
 		if *v.field == 0 {
 			*v.field = v.usual
 		}
@@ -160,7 +160,7 @@
 		case !strings.HasPrefix(page.Path, "/"):
 			return out, &FieldError{"health.checks.http.path", fmt.Sprintf("%q does not begin with /", page.Path)}
 		}
-		if _, err := statuses(page.Status); err != nil {
+		if _, err := parseStatuses(page.Status); err != nil {
 			return out, &FieldError{"health.checks.http.status", err.Error()}
 		}
 		out.HTTP = &page
@@ -177,7 +177,7 @@
 }
 
 // statuses reads ranges such as 200-299,404.
-func statuses(text string) ([]probe.Range, error) {
+func parseStatuses(text string) ([]probe.Range, error) {
 	var all []probe.Range
 	for part := range strings.SplitSeq(text, ",") {
 		from, to, ranged := strings.Cut(strings.TrimSpace(part), "-")
@@ -198,9 +198,9 @@
 // checks are ready.
 func (c *Checks) Weighing(nodes int) (health.Pace, health.Rules) {
 	share := float64(len(c.Probers())) // they share the budget
-	pace := health.Pace{Interval: c.Interval, Calm: c.Calm, PerServer: c.PerServer / share, Rate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
+	pace := health.Pace{Interval: c.Interval, Calm: c.TrafficFactor, PerServer: c.MaxRatePerServer / share, Rate: c.MaxRate / share, Nodes: nodes, Jitter: 0.1}
 	rules := health.Usual(pace.Slowest())
-	rules.Panic, rules.Rise, rules.Fall = c.Panic, c.Rise, c.Fall
+	rules.Panic, rules.Rise, rules.Fall = c.PanicThreshold, c.Rise, c.Fall
 	return pace, rules
 }
 
@@ -211,7 +211,7 @@
 		all["agent"] = &probe.AgentCheck{Port: a.Port, Send: a.Send}
 	}
 	if h := c.HTTP; h != nil {
-		ranges, _ := statuses(h.Status) // it was checked
+		ranges, _ := parseStatuses(h.Status) // it was checked
 		all["http"] = &probe.HTTP{Port: h.Port, Method: h.Method, Path: h.Path, Host: h.Host, Statuses: ranges, Body: h.Body}
 	}
 	if t := c.TCP; t != nil {
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const inForce = `services:
+const currentFile = `services:
 - {name: reading, classes: [{name: view}]}
 contracts:
 - {name: app, match: [{tenant: app}], rate: 5, burst: 20}
@@ -18,28 +18,28 @@
 
 // A file that is cut off at any byte is not one that can take another's place, though most of its lines by themselves could.
 func TestReplacesNoPart(t *testing.T) {
-	old, err := Parse("p.yaml", []byte(inForce))
+	old, err := Parse("p.yaml", []byte(currentFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sound := 0
-	for i := range inForce {
-		f, err := Parse("p.yaml", []byte(inForce[:i]))
+	for i := range currentFile {
+		f, err := Parse("p.yaml", []byte(currentFile[:i]))
 		if err != nil {
 			continue
 		}
 		sound++
 		if f.Replaces(old) == nil {
-			t.Errorf("the first %d bytes replace the whole: %q", i, inForce[max(0, i-20):i])
+			t.Errorf("the first %d bytes replace the whole: %q", i, currentFile[max(0, i-20):i])
 		}
 	}
 	if sound < 20 {
 		t.Errorf("%d parts are files of their own: the test shows nothing", sound)
 	}
 	for name, text := range map[string]string{
-		"itself":           inForce,
+		"itself":           currentFile,
 		"other contracts":  "contracts:\n- {name: all}\n...\n",
-		"with empty lines": strings.TrimSuffix(inForce, "\n") + "\n\n",
+		"with empty lines": strings.TrimSuffix(currentFile, "\n") + "\n\n",
 	} {
 		f, err := Parse("p.yaml", []byte(text))
 		if err != nil || f.Replaces(old) != nil {
--- a/internal/config/yaml.go
+++ b/internal/config/yaml.go
@@ -15,7 +15,7 @@
 // check is placed by the text.
 func Decode(name string, text []byte, v any, check func() error) error {
 	if err := yaml.UnmarshalWithOptions(text, v, yaml.Strict(), yaml.DisallowUnknownField()); err != nil {
-		return placed(name, text, err)
+		return withPosition(name, text, err)
 	}
 	err := check()
 	var field *FieldError
@@ -30,11 +30,11 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-var badDuration = regexp.MustCompile(`duration "?([^"]+)"?`)
+var invalidDuration = regexp.MustCompile(`duration "?([^"]+)"?`)
 
 // durationAt finds the line of a duration that can't be read, which the library's error does not tell.
 func durationAt(text []byte, err error) string {
-	m := badDuration.FindStringSubmatch(err.Error())
+	m := invalidDuration.FindStringSubmatch(err.Error())
 	if m == nil {
 		return ""
 	}
@@ -79,13 +79,13 @@
 		err = yaml.NodeToValue(file.Docs[0].Body, f, yaml.Strict(), yaml.DisallowUnknownField())
 	}
 	if err != nil {
-		return nil, nil, placed(name, text, err)
+		return nil, nil, withPosition(name, text, err)
 	}
 	return f, at, nil
 }
 
 // placed is an error of the library with file and line.
-func placed(name string, text []byte, err error) error {
+func withPosition(name string, text []byte, err error) error {
 	var at yaml.Error
 	if errors.As(err, &at) && at.GetToken() != nil {
 		return fmt.Errorf("%s:%d: %s", name, at.GetToken().Position.Line, at.GetMessage())
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -14,17 +14,17 @@
 // Ring is the Ed25519 keys (RFC 8032) of those who may be members, several a name while one rolls, and one's own.
 // It is immutable: a roll makes another.
 type Ring struct {
-	own ed25519.PrivateKey
-	of  map[string][]ed25519.PublicKey
+	private ed25519.PrivateKey
+	public  map[string][]ed25519.PublicKey
 }
 
 // NewRing makes a ring. Members are names with their public keys, as PublicText has them. An error names the member.
 func NewRing(own ed25519.PrivateKey, members map[string][]string) (*Ring, error) {
-	r := &Ring{own: own, of: map[string][]ed25519.PublicKey{}}
+	r := &Ring{private: own, public: map[string][]ed25519.PublicKey{}}
 	seen := map[string]string{}
 	for name, keys := range members {
-		if name == "" || len(name) > nameMost {
-			return nil, fmt.Errorf("members: %q: a name has 1 to %d bytes", name, nameMost)
+		if name == "" || len(name) > maxName {
+			return nil, fmt.Errorf("members: %q: a name has 1 to %d bytes", name, maxName)
 		}
 		if len(keys) == 0 {
 			return nil, fmt.Errorf("members: %s: no key", name)
@@ -38,17 +38,17 @@
 				return nil, fmt.Errorf("members: %s: has a key of %s", name, other)
 			}
 			seen[text] = name
-			r.of[name] = append(r.of[name], raw)
+			r.public[name] = append(r.public[name], raw)
 		}
 	}
 	return r, nil
 }
 
 // Sign and Verify make it Keys.
-func (r *Ring) Sign(b []byte) []byte { return ed25519.Sign(r.own, b) }
+func (r *Ring) Sign(b []byte) []byte { return ed25519.Sign(r.private, b) }
 
 func (r *Ring) Verify(name string, b, sig []byte) error {
-	keys, known := r.of[name]
+	keys, known := r.public[name]
 	if !known {
 		return ErrStranger
 	}
@@ -67,10 +67,10 @@
 
 // A key file is the seed of the key in base64, readable by its owner alone. While a key rolls, the next one lies beside it
 // with this ending.
-const nextEnding = ".next"
+const nextKeySuffix = ".next"
 
 // ErrOpen says that others than its owner may read a key file.
-var ErrOpen = errors.New("others may read it")
+var ErrKeyFileMode = errors.New("others may read it")
 
 // MakeKey writes a new key file, which must not be there yet, and returns its public half.
 func MakeKey(path string) (string, error) {
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: %w: its mode is %o, 600 is wanted", path, ErrOpen, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: %w: its mode is %o, 600 is wanted", path, ErrKeyFileMode, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -112,14 +112,14 @@
 // NextKey makes the key that is to follow the one at the path, or finds it where it was made already, and returns its public
 // half. The one in use stays. A file of it that holds no key, as a crash may leave one, is made anew.
 func NextKey(path string) (string, error) {
-	next := path + nextEnding
+	next := path + nextKeySuffix
 	if _, err := ReadKey(path); err != nil {
 		return "", err
 	}
 	switch key, err := ReadKey(next); {
 	case err == nil:
 		return PublicText(key), nil
-	case errors.Is(err, ErrOpen):
+	case errors.Is(err, ErrKeyFileMode):
 		return "", err
 	case !errors.Is(err, os.ErrNotExist):
 		if err := os.Remove(next); err != nil {
@@ -131,11 +131,11 @@
 
 // UseNext puts the next key in the place of the one in use, in one step: whatever ends the process, one of the two is there.
 func UseNext(path string) (string, error) {
-	key, err := ReadKey(path + nextEnding)
+	key, err := ReadKey(path + nextKeySuffix)
 	if err != nil {
 		return "", err
 	}
-	if err := os.Rename(path+nextEnding, path); err != nil {
+	if err := os.Rename(path+nextKeySuffix, path); err != nil {
 		return "", err
 	}
 	if dir, err := os.Open(filepath.Dir(path)); err == nil {
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -14,10 +14,10 @@
 
 // What a fact says.
 const (
-	alive   = iota + 1 // By is there, at Addr, since its incarnation began
-	suspect            // By has not reached About, of that incarnation
-	left               // By leaves
-	witness            // By has seen something of a web server; Data says what
+	factAlive        = iota + 1 // By is there, at Addr, since its incarnation began
+	factSuspect                 // By has not reached About, of that incarnation
+	factLeft                    // By leaves
+	factServerReport            // By has seen something of a web server; Data says what
 )
 
 // Fact is one thing that a member has said. It goes from member to member as it was signed.
@@ -69,12 +69,12 @@
 
 // Limits of what is read. What exceeds them is no packet.
 const (
-	nameMost  = 64
-	dataMost  = 256
-	factsMost = 4096
+	maxName  = 64
+	maxData  = 256
+	maxFacts = 4096
 	// PacketMost is how long a packet may be; SyncMost one with all facts, which goes over TCP.
-	PacketMost = 1200
-	SyncMost   = 1 << 20
+	MaxPacketBytes = 1200
+	MaxSyncBytes   = 1 << 20
 )
 
 var (
@@ -87,7 +87,7 @@
 	if encoder, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
 		panic(err)
 	}
-	decoder, err = cbor.DecOptions{MaxArrayElements: factsMost, MaxMapPairs: 16, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
+	decoder, err = cbor.DecOptions{MaxArrayElements: maxFacts, MaxMapPairs: 16, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, UTF8: cbor.UTF8RejectInvalid}.DecMode()
 	if err != nil {
 		panic(err)
@@ -96,12 +96,12 @@
 
 // Why something is not taken.
 var (
-	ErrForm      = errors.New("not of the form")
-	ErrVersion   = errors.New("of another version")
-	ErrSignature = errors.New("not signed by whom it says")
-	ErrReplay    = errors.New("heard before")
-	ErrStranger  = errors.New("of nobody who may be a member")
-	ErrElsewhere = errors.New("for another member")
+	ErrMalformed      = errors.New("not of the form")
+	ErrVersion        = errors.New("of another version")
+	ErrSignature      = errors.New("not signed by whom it says")
+	ErrReplay         = errors.New("heard before")
+	ErrStranger       = errors.New("of nobody who may be a member")
+	ErrWrongRecipient = errors.New("for another member")
 )
 
 func encode(v any) []byte {
@@ -115,28 +115,30 @@
 // readFact checks a fact's form.
 func readFact(b []byte) (f Fact, err error) {
 	if err := decoder.Unmarshal(b, &f); err != nil {
-		return f, fmt.Errorf("%w: %v", ErrForm, err)
+		return f, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	if f.Kind < alive || f.Kind > witness || f.By == "" || len(f.By) > nameMost || len(f.About) > nameMost || len(f.Addr) > nameMost || len(f.Data) > dataMost {
-		return f, ErrForm
+	if f.Kind < factAlive || f.Kind > factServerReport || f.By == "" || len(f.By) > maxName || len(f.About) > maxName || len(f.Addr) > maxName || len(f.Data) > maxData {
+		return f, ErrMalformed
 	}
 	return f, nil
 }
 
 // as is what is signed of a body: no signature of the one sort is good for the other.
-func as(sort string, body []byte) []byte { return append([]byte("portstall "+sort+"\x00"), body...) }
+func signedBytes(sort string, body []byte) []byte {
+	return append([]byte("portstall "+sort+"\x00"), body...)
+}
 
 // seal signs a packet: a byte string of the packet and one of its signature.
 func seal(p *packet, sign func([]byte) []byte) []byte {
 	body := encode(p)
-	return encode(signed{Fact: body, Sig: sign(as("packet", body))})
+	return encode(signed{Fact: body, Sig: sign(signedBytes("packet", body))})
 }
 
 // unseal reads a packet whose signature holds.
 func unseal(b []byte, keys Keys) (*packet, error) {
 	var s signed
 	if err := decoder.Unmarshal(b, &s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrForm, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	var p packet
 	if err := decoder.Unmarshal(s.Fact, &p); err != nil {
@@ -147,33 +149,33 @@
 		if decoder.Unmarshal(s.Fact, &v); v.V != 0 && v.V != version {
 			return nil, ErrVersion
 		}
-		return nil, fmt.Errorf("%w: %v", ErrForm, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	switch {
 	case p.V != version:
 		return nil, ErrVersion
-	case p.From == "" || len(p.From) > nameMost || len(p.Target) > nameMost || p.Kind < ping || p.Kind > exchanged:
-		return nil, ErrForm
+	case p.From == "" || len(p.From) > maxName || len(p.Target) > maxName || p.Kind < ping || p.Kind > exchanged:
+		return nil, ErrMalformed
 	}
-	if err := keys.Verify(p.From, as("packet", s.Fact), s.Sig); err != nil {
+	if err := keys.Verify(p.From, signedBytes("packet", s.Fact), s.Sig); err != nil {
 		return nil, err
 	}
 	return &p, nil
 }
 
 // state makes a signed fact.
-func state(f *Fact, sign func([]byte) []byte) signed {
+func signFact(f *Fact, sign func([]byte) []byte) signed {
 	body := encode(f)
-	return signed{Fact: body, Sig: sign(as("fact", body))}
+	return signed{Fact: body, Sig: sign(signedBytes("fact", body))}
 }
 
 // check reads a fact whose signature holds.
-func check(s signed, keys Keys) (Fact, error) {
+func verifyFact(s signed, keys Keys) (Fact, error) {
 	f, err := readFact(s.Fact)
 	if err != nil {
 		return f, err
 	}
-	return f, keys.Verify(f.By, as("fact", s.Fact), s.Sig)
+	return f, keys.Verify(f.By, signedBytes("fact", s.Fact), s.Sig)
 }
 
 // Keys know who may be a member. They are safe for concurrent use, or belong to one goroutine with the member.
--- a/internal/member/edge_test.go
+++ b/internal/member/transport_test.go
@@ -19,11 +19,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-func wait(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: did not come", what)
 		}
@@ -35,7 +35,7 @@
 func TestTenInstances(t *testing.T) {
 	const n = 10
 	set := Usual()
-	set.Interval, set.Timeout, set.Sync = 100*time.Millisecond, 30*time.Millisecond, time.Second
+	set.ProbeInterval, set.ProbeTimeout, set.SyncInterval = 100*time.Millisecond, 30*time.Millisecond, time.Second
 	var keys []ed25519.PrivateKey
 	members := map[string][]string{}
 	for i := range n {
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		keys = append(keys, k)
-		members[name(i)] = []string{PublicText(k)}
+		members[memberName(i)] = []string{PublicText(k)}
 	}
 	ring := func(i int) *Ring {
 		r, err := NewRing(keys[i], members)
@@ -61,7 +61,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, err := Listen(t.Context(), Options{Name: name(i), Addr: addr, Seeds: seeds, Set: set, Keys: ring(i), Log: slog.New(slog.DiscardHandler)})
+		e, err := Listen(t.Context(), Options{Name: memberName(i), Addr: addr, Seeds: seeds, Set: set, Keys: ring(i), Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 	}()
 	holds := func(i, k int) (s State, known bool) {
 		edges[i].Do(func(_ time.Duration, m *Member) {
-			if p := m.peers[name(k)]; p != nil {
+			if p := m.peers[memberName(k)]; p != nil {
 				s, known = p.State, true
 			}
 		})
@@ -96,7 +96,7 @@
 		}
 		return true
 	}
-	wait(t, "joining", func() bool {
+	waitFor(t, "joining", func() bool {
 		for k := range n {
 			if !all(n, k, Alive) {
 				return false
@@ -116,9 +116,9 @@
 	}
 	defer raw.Close()
 	for i := range 300 {
-		p := packet{V: version, Kind: ping, From: name(i % n), To: name(3), Inc: 1 << 60, Seq: uint64(i)}
+		p := packet{V: version, Kind: ping, From: memberName(i % n), To: memberName(3), Inc: 1 << 60, Seq: uint64(i)}
 		for k := range n {
-			p.Facts = append(p.Facts, state(&Fact{Kind: left, By: name(k), Inc: 1 << 60}, stranger.Sign))
+			p.Facts = append(p.Facts, signFact(&Fact{Kind: factLeft, By: memberName(k), Inc: 1 << 60}, stranger.Sign))
 		}
 		data := seal(&p, stranger.Sign)
 		raw.Write(data[:min(len(data), 900+i)])
@@ -128,15 +128,15 @@
 	var accused [n]uint64
 	edges[9].Do(func(now time.Duration, m *Member) {
 		for k := range n - 1 {
-			p := m.peers[name(k)]
+			p := m.peers[memberName(k)]
 			accused[k] = p.Inc
-			m.pass(now, fmt.Sprint("lie ", k), state(&Fact{Kind: suspect, By: name(9), About: name(k), Inc: p.Inc}, m.keys.Sign), 9)
+			m.enqueue(now, fmt.Sprint("lie ", k), signFact(&Fact{Kind: factSuspect, By: memberName(9), About: memberName(k), Inc: p.Inc}, m.keys.Sign), 9)
 		}
 	})
-	wait(t, "quiet, once each has answered the accusation", func() bool {
+	waitFor(t, "quiet, once each has answered the accusation", func() bool {
 		for k := range n {
 			if all(n, k, Dead) || all(n, k, Left) {
-				t.Fatalf("%s is held for gone", name(k))
+				t.Fatalf("%s is held for gone", memberName(k))
 			}
 			answered := false
 			edges[k].Do(func(_ time.Duration, m *Member) { answered = k == 9 || m.Inc() > accused[k] })
@@ -147,22 +147,22 @@
 		return true
 	})
 	edges[3].Do(func(_ time.Duration, m *Member) {
-		if m.Refused[ErrSignature] == 0 || m.Refused[ErrForm] == 0 {
+		if m.Refused[ErrSignature] == 0 || m.Refused[ErrMalformed] == 0 {
 			t.Errorf("refused: %v: the forgeries did not arrive", m.Refused)
 		}
 	})
 	closed[4] = true
 	edges[4].Close()
-	wait(t, "one that leaves", func() bool { return all(n, 4, Left) })
+	waitFor(t, "one that leaves", func() bool { return all(n, 4, Left) })
 	closed[5] = true
 	edges[5].mu.Lock()
-	edges[5].m.gone = true // it stops without a word
+	edges[5].member.stopped = true // it stops without a word
 	edges[5].mu.Unlock()
 	edges[5].Close()
-	wait(t, "one that stops", func() bool { return all(n, 5, Dead) })
+	waitFor(t, "one that stops", func() bool { return all(n, 5, Dead) })
 	for i, e := range edges {
-		if most := float64(set.Bytes) * (time.Since(begun).Seconds() + 1); float64(e.Sent()) > most {
-			t.Errorf("%s has sent %d bytes, %.0f are its most", name(i), e.Sent(), most)
+		if most := float64(set.MaxBytesPerSecond) * (time.Since(begun).Seconds() + 1); float64(e.Sent()) > most {
+			t.Errorf("%s has sent %d bytes, %.0f are its most", memberName(i), e.Sent(), most)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 		t.Errorf("no key follows, and one is used: %v", err)
 	}
 	// A crash in the middle of making the next one leaves a part of it.
-	if err := os.WriteFile(path+nextEnding, []byte("bm9uc2"), 0o600); err != nil {
+	if err := os.WriteFile(path+nextKeySuffix, []byte("bm9uc2"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := UseNext(path); err == nil || public(path) != first {
@@ -214,7 +214,7 @@
 		if err := os.Chmod(path, mode); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ReadKey(path); !errors.Is(err, ErrOpen) || !strings.Contains(err.Error(), path) {
+		if _, err := ReadKey(path); !errors.Is(err, ErrKeyFileMode) || !strings.Contains(err.Error(), path) {
 			t.Errorf("mode %o: %v", mode, err)
 		}
 	}
@@ -230,20 +230,20 @@
 
 // Whatever comes as a packet is refused or read, and what is read has the form.
 func FuzzPacket(f *testing.F) {
-	w := newWorld(3, 1)
+	w := newSimulation(3, 1)
 	k := w.keys(1)
-	p := packet{V: version, Kind: ping, From: name(1), To: name(0), Inc: 1001, Seq: 9, Facts: []signed{state(&Fact{Kind: alive, By: name(1), Inc: 1001, Addr: "a1"}, k.Sign)}}
+	p := packet{V: version, Kind: ping, From: memberName(1), To: memberName(0), Inc: 1001, Seq: 9, Facts: []signed{signFact(&Fact{Kind: factAlive, By: memberName(1), Inc: 1001, Addr: "a1"}, k.Sign)}}
 	f.Add(seal(&p, k.Sign))
 	f.Add(encode(&p))
 	f.Add([]byte{0x82, 0x40, 0x40})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if p, err := unseal(data, k); err == nil && (p.V != version || p.From == "" || len(p.Facts) > factsMost) {
+		if p, err := unseal(data, k); err == nil && (p.V != version || p.From == "" || len(p.Facts) > maxFacts) {
 			t.Fatalf("%+v", p)
 		}
-		if fact, err := readFact(data); err == nil && (fact.Kind < alive || fact.Kind > witness || len(fact.Data) > dataMost) {
+		if fact, err := readFact(data); err == nil && (fact.Kind < factAlive || fact.Kind > factServerReport || len(fact.Data) > maxData) {
 			t.Fatalf("%+v", fact)
 		}
-		m := New(0, name(0), "a0", 1, Usual(), w.keys(0), w.rng)
-		m.Receive(sec, "a1", data)
+		m := New(0, memberName(0), "a0", 1, Usual(), w.keys(0), w.rng)
+		m.Receive(second, "a1", data)
 	})
 }
