--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -11,31 +11,32 @@
 	"strings"
 )
 
-// Ring is the Ed25519 keys (RFC 8032) of those who may be members, several a name while one rolls, and one's own.
-// It is immutable: a roll makes another.
+// Keyring holds the Ed25519 keys (RFC 8032) of the instances that may be members, and the private key of this one. While a member
+// rolls its key it has several. A Keyring is immutable and safe for concurrent use: a roll makes a new one.
 type Ring struct {
 	private ed25519.PrivateKey
-	public  map[string][]ed25519.PublicKey
+	public  map[string][]ed25519.PublicKey // by member name
 }
 
-// NewRing makes a ring. Members are names with their public keys, as PublicText has them. An error names the member.
-func NewRing(own ed25519.PrivateKey, members map[string][]string) (*Ring, error) {
-	r := &Ring{private: own, public: map[string][]ed25519.PublicKey{}}
+// NewKeyring makes a Keyring of a private key and the public keys of all members by name, in the form of PublicText. An error names
+// the member.
+func NewRing(private ed25519.PrivateKey, members map[string][]string) (*Ring, error) {
+	r := &Ring{private: private, public: map[string][]ed25519.PublicKey{}}
 	seen := map[string]string{}
 	for name, keys := range members {
 		if name == "" || len(name) > maxName {
-			return nil, fmt.Errorf("members: %q: a name has 1 to %d bytes", name, maxName)
+			return nil, fmt.Errorf("members: %q: name must have 1 to %d bytes", name, maxName)
 		}
 		if len(keys) == 0 {
-			return nil, fmt.Errorf("members: %s: no key", name)
+			return nil, fmt.Errorf("members: %s: has no public key", name)
 		}
 		for _, text := range keys {
 			raw, err := base64.StdEncoding.DecodeString(text)
 			if err != nil || len(raw) != ed25519.PublicKeySize {
-				return nil, fmt.Errorf("members: %s: %.60q is no public key", name, text)
+				return nil, fmt.Errorf("members: %s: %.60q is not a public key", name, text)
 			}
 			if other, dup := seen[text]; dup {
-				return nil, fmt.Errorf("members: %s: has a key of %s", name, other)
+				return nil, fmt.Errorf("members: %s: shares a public key with %s", name, other)
 			}
 			seen[text] = name
 			r.public[name] = append(r.public[name], raw)
@@ -44,9 +45,10 @@
 	return r, nil
 }
 
-// Sign and Verify make it Keys.
+// Sign implements Keys.
 func (r *Ring) Sign(b []byte) []byte { return ed25519.Sign(r.private, b) }
 
+// Verify implements Keys.
 func (r *Ring) Verify(name string, b, sig []byte) error {
 	keys, known := r.public[name]
 	if !known {
@@ -60,19 +62,19 @@
 	return ErrSignature
 }
 
-// PublicText is a key's public half as files have it.
+// PublicText returns the public key of a private key, in base64 as files hold it.
 func PublicText(k ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(k.Public().(ed25519.PublicKey))
 }
 
-// A key file is the seed of the key in base64, readable by its owner alone. While a key rolls, the next one lies beside it
-// with this ending.
+// nextKeySuffix is the suffix of the file that holds the next key while a key rolls, beside the file of the current one. A key file
+// holds the seed of the key in base64 and is readable by its owner alone.
 const nextKeySuffix = ".next"
 
-// ErrOpen says that others than its owner may read a key file.
-var ErrKeyFileMode = errors.New("others may read it")
+// ErrKeyFileMode means that others than its owner may read a key file.
+var ErrKeyFileMode = errors.New("readable by others than its owner")
 
-// MakeKey writes a new key file, which must not be there yet, and returns its public half.
+// MakeKey writes a new key file, which must not exist, and returns the public key.
 func MakeKey(path string) (string, error) {
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -96,7 +98,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: %w: its mode is %o, 600 is wanted", path, ErrKeyFileMode, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: %w: its mode is %o, want 600", path, ErrKeyFileMode, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -104,13 +106,13 @@
 	}
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, fmt.Errorf("%s: holds no key", path)
+		return nil, fmt.Errorf("%s: does not hold a key", path)
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// NextKey makes the key that is to follow the one at the path, or finds it where it was made already, and returns its public
-// half. The one in use stays. A file of it that holds no key, as a crash may leave one, is made anew.
+// NextKey makes the key that follows the one at the path, or reads it where it exists, and returns its public key. The current key
+// stays in use. A file of the next key that does not hold a key, as a crash may leave it, is replaced.
 func NextKey(path string) (string, error) {
 	next := path + nextKeySuffix
 	if _, err := ReadKey(path); err != nil {
@@ -129,7 +131,8 @@
 	return MakeKey(next)
 }
 
-// UseNext puts the next key in the place of the one in use, in one step: whatever ends the process, one of the two is there.
+// ActivateNextKey replaces the current key by the next one and returns its public key. The replacement is atomic: after a crash one of
+// the two keys is in place.
 func UseNext(path string) (string, error) {
 	key, err := ReadKey(path + nextKeySuffix)
 	if err != nil {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// Settings are how a member behaves; the same at all of them.
+// Settings hold the parameters of the protocol. All members must use the same values.
 type Settings struct {
-	ProbeInterval     time.Duration // between two probes by a member in good health
+	ProbeInterval     time.Duration // between two probes by a member that is not slow
 	ProbeTimeout      time.Duration // of a direct probe; an indirect one has the rest of the interval
-	IndirectProbes    int           // members that are asked to probe one that did not answer
-	Quorum            int           // accusers that it takes to give up a member, where there are that many
-	MaxBytesPerSecond int           // a second that a member sends at most
-	SyncInterval      time.Duration // between two exchanges of all that is known, with one member
+	IndirectProbes    int           // number of members asked to probe one that did not reply
+	Quorum            int           // number of accusers needed to declare a member dead, where there are that many members
+	MaxBytesPerSecond int           // upper bound of what one member sends
+	SyncInterval      time.Duration // mean time between two full exchanges with a random member
 }
 
-// Usual are the settings of a local network.
+// DefaultSettings returns settings for a local network.
 func Usual() Settings {
 	return Settings{ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3, Quorum: 3, MaxBytesPerSecond: 16 << 10, SyncInterval: 30 * time.Second}
 }
 
-// State is how a member stands with another.
+// State is the state of a peer as seen by one member.
 type State uint8
 
+// The states of a peer, in the order that comparisons such as State <= Suspect rely on.
 const (
 	Alive State = iota
 	Suspect
@@ -36,123 +37,133 @@
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
+// String returns the name of the state as operators see it.
 func (s State) String() string { return stateNames[s] }
 
 const (
-	maxSlowness        = 8   // worst health of one's own: everything takes up to this many times longer, and once
-	maxQueued          = 512 // facts that wait to be passed on
-	maxPeers           = 2000
-	minSuspicionFactor = 4 // times log10 of the number of members, in intervals: how long a suspicion lasts with all accusers
-	maxSuspicionFactor = 6 // times that: with one
-	retransmitFactor   = 4 // times log10 of the number of members: how often a fact is passed on
-	earlyProbers       = 6 // members that hear of a suspicion probe its subject at once
-	deadProbePeriod    = 8 // each so many-eth probe goes to one that was given up: a cut heals
+	// maxSlowness bounds a member's slowness: its probe interval and timeout grow to at most 1+maxSlowness times the setting.
+	maxSlowness = 8
+	// maxQueued bounds the facts in the gossip queue, and separately the probes relayed for other members.
+	maxQueued = 512
+	// maxPeers bounds the peers that a member knows.
+	maxPeers = 2000
+	// minSuspicionFactor times log10 of the number of members, in probe intervals, is the duration of a suspicion with a
+	// full quorum of accusers.
+	minSuspicionFactor = 4
+	// maxSuspicionFactor times the shortest duration is the duration of a suspicion with one accuser.
+	maxSuspicionFactor = 6
+	// retransmitFactor times log10 of the number of members is how often a member sends a fact.
+	retransmitFactor = 4
+	// earlyProbers is the expected number of members that probe a newly suspected member ahead of its turn.
+	earlyProbers = 6
+	// deadProbePeriod makes each 8th round also ping a dead or departed member, so that a healed partition is noticed.
+	deadProbePeriod = 8
 )
 
-// Out is a packet to be sent. Large ones go over TCP.
+// Outgoing is a packet to be sent.
 type Out struct {
 	Addr string
 	Data []byte
-	TCP  bool
+	TCP  bool // the packet exceeds MaxPacketBytes, or must not be lost
 }
 
-// Peer is another member as this one knows it.
+// Peer is another member as this one knows it. The Member owns it; Peers returns copies.
 type Peer struct {
 	Name          string
 	Addr          string
 	State         State
-	Inc           uint64
-	Since         time.Duration // when its state last changed
-	Accusers      []string
+	Inc           uint64            // latest known incarnation
+	Since         time.Duration     // time of the last change of State
+	Accusers      []string          // of a suspect, or those by which a peer was declared dead
 	lastFact      signed            // its latest alive or left
-	accusationsBy map[string]signed // accusations of this incarnation, by their accusers
-	seenInc       uint64            // of its packets,
-	seenSeq       uint64            // the latest of them,
-	seenBits      uint64            // and which of the 64 before it were taken
+	accusationsBy map[string]signed // accusations of this incarnation, by accuser
+	seenInc       uint64            // incarnation of its latest packet
+	seenSeq       uint64            // highest sequence number received in that incarnation
+	seenBits      uint64            // bitmap of the 64 sequence numbers below seenSeq that were received
 }
 
-// probe is one that is under way.
+// probe is the probe in progress.
 type probe struct {
 	target       string
 	nonce        uint64
 	sentAt       time.Duration
-	helpers      []string // for an indirect one
-	nacks        int
+	helpers      []string // members asked for an indirect probe
+	nacks        int      // helpers that replied that the target did not
 	indirectSent bool
 }
 
-// relay is a probe for somebody else.
+// relay is an indirect probe made on behalf of another member.
 type relay struct {
 	requester string
-	nonce     uint64 // theirs
+	nonce     uint64 // of the requester's own probe
 	expires   time.Duration
 }
 
-// waiting is a fact that is still to be passed on.
+// queuedFact is a fact in the gossip queue.
 type queuedFact struct {
-	topic     string // what it is about, so that later news takes its place
+	topic     string // a later fact with the same topic replaces this one
 	fact      signed
 	timesSent int
 	queuedAt  time.Duration
-	priority  int // more of it goes first
+	priority  int // of facts sent equally often, those of higher priority go first
 }
 
-// Member is one instance's part in the protocol. Whoever owns it hands in packets and the time, and sends what comes out;
-// not safe for concurrent use. Times are on any clock that does not step back.
+// Member is the protocol state machine of one instance. Its owner passes in packets and the time and sends the packets that
+// are returned. It is not safe for concurrent use. Times are on any clock that does not step back.
 type Member struct {
 	name, addr    string
 	settings      Settings
 	keys          Keys
 	rng           *rand.Rand
 	inc, seq      uint64
-	ownFact       signed // its own alive
-	stopped       bool   // it has left, or another instance has its name
-	Conflict      bool   // it is so: another has its name, and this one gave way
-	nameConflicts int    // how often another answered back
+	ownFact       signed // this member's latest alive
+	stopped       bool   // the member has left, or given way to another instance with the same name
+	Conflict      bool   // another instance has the same name, and this one has given way
+	nameConflicts int    // alive facts in this member's name, with another address, that it received
 	peers         map[string]*Peer
-	probeOrder    []string // whom to probe, in random order
-	probeIndex    int
+	probeOrder    []string // names of the peers to probe in this round, in random order
+	probeIndex    int      // next entry of probeOrder
 	seeds         []string
-	probe         *probe
-	relays        map[uint64]relay
+	probe         *probe           // nil: none in progress
+	relays        map[uint64]relay // by the nonce of the relayed ping
 	queue         []*queuedFact
-	slowness      int
+	slowness      int // from 0 to maxSlowness, see Slowness
 	nextProbe     time.Duration
 	nextSync      time.Duration
 	probeCount    int
-	tokens        float64
+	tokens        float64 // bytes that may be sent now
 	refilledAt    time.Duration
 	out           []Out
-	verified      map[string]bool // facts whose signature held, by their signature
+	verified      map[string]bool // facts with a valid signature, by fact and signature
 	serverReports map[reportKey]ServerReport
-	// Refused counts what was not taken, by why.
+	// Refused counts rejected packets and facts, by reason.
 	Refused map[error]int
 }
 
-// New makes a member that joins through the seeds. Inc is its first incarnation: the Unix time in milliseconds does, also
-// where the clock is off: the others tell a member that comes back with a lower one.
-func New(now time.Duration, name, addr string, inc uint64, set Settings, keys Keys, rng *rand.Rand, seeds ...string) *Member {
-	m := &Member{name: name, addr: addr, settings: set, keys: keys, rng: rng, inc: inc, peers: map[string]*Peer{}, relays: map[uint64]relay{},
-		seeds: seeds, refilledAt: now, nextProbe: now, nextSync: now + set.SyncInterval, verified: map[string]bool{}, Refused: map[error]int{}, tokens: float64(set.MaxBytesPerSecond),
+// New returns a member that joins through the seeds. Inc is its first incarnation. The Unix time in milliseconds will do even
+// with a wrong clock: the others notify a member that comes back with a lower incarnation than before.
+func New(now time.Duration, name, addr string, inc uint64, settings Settings, keys Keys, rng *rand.Rand, seeds ...string) *Member {
+	m := &Member{name: name, addr: addr, settings: settings, keys: keys, rng: rng, inc: inc, peers: map[string]*Peer{}, relays: map[uint64]relay{},
+		seeds: seeds, refilledAt: now, nextProbe: now, nextSync: now + settings.SyncInterval, verified: map[string]bool{}, Refused: map[error]int{}, tokens: float64(settings.MaxBytesPerSecond),
 		serverReports: map[reportKey]ServerReport{}}
 	m.announce(now)
 	return m
 }
 
-// announce signs that it is there, with its present incarnation.
+// announce signs an alive fact of the current incarnation and queues it.
 func (m *Member) announce(now time.Duration) {
 	m.ownFact = signFact(&Fact{Kind: factAlive, By: m.name, Inc: m.inc, Addr: m.addr}, m.keys.Sign)
 	m.enqueue(now, m.name, m.ownFact, 2)
 }
 
-// Rekey signs by other keys from now on: those that it had no more, and those of members that are not on them any more, are
-// no longer taken.
+// SetKeys replaces the keys. Facts and packets signed by a removed key, or by a member that is no longer listed, are rejected
+// from then on.
 func (m *Member) Rekey(now time.Duration, keys Keys) {
 	m.keys = keys
 	clear(m.verified)
 	for name, p := range m.peers {
 		if _, err := verifyFact(p.lastFact, keys); err != nil {
-			delete(m.peers, name) // it will be heard of again by its new key, if it may
+			delete(m.peers, name) // it is added again when it announces itself by its new key, if it is still allowed
 			continue
 		}
 		for by, a := range p.accusationsBy {
@@ -165,7 +176,7 @@
 	m.announce(now)
 }
 
-// size is how many members there are by what is known, this one included.
+// size returns the number of members that are not known to be dead or to have left, this one included.
 func (m *Member) size() int {
 	n := 1
 	for _, p := range m.peers {
@@ -176,16 +187,18 @@
 	return n
 }
 
+// logSize returns log10 of the number of members, at least 1.
 func (m *Member) logSize() float64 { return max(1, math.Log10(float64(m.size()))) }
 
-// pass puts a fact among those that go with the next packets. One about the same takes its place.
-func (m *Member) enqueue(now time.Duration, about string, f signed, worth int) {
-	w := &queuedFact{topic: about, fact: f, queuedAt: now, priority: worth}
-	if i := slices.IndexFunc(m.queue, func(o *queuedFact) bool { return o.topic == about }); i >= 0 {
-		m.queue[i] = w
+// enqueue adds a fact to the gossip queue, from which it goes out with the next packets. It replaces a queued fact with the
+// same topic.
+func (m *Member) enqueue(now time.Duration, topic string, f signed, priority int) {
+	added := &queuedFact{topic: topic, fact: f, queuedAt: now, priority: priority}
+	if i := slices.IndexFunc(m.queue, func(o *queuedFact) bool { return o.topic == topic }); i >= 0 {
+		m.queue[i] = added
 		return
 	}
-	if len(m.queue) >= maxQueued { // the least worth, of those the oldest
+	if len(m.queue) >= maxQueued { // drops the oldest fact of the lowest priority
 		i := 0
 		for k, o := range m.queue {
 			if o.priority < m.queue[i].priority || o.priority == m.queue[i].priority && o.queuedAt < m.queue[i].queuedAt {
@@ -194,50 +207,52 @@
 		}
 		m.queue = slices.Delete(m.queue, i, i+1)
 	}
-	m.queue = append(m.queue, w)
+	m.queue = append(m.queue, added)
 }
 
-// facts takes those that have been sent least, as many as fit.
-func (m *Member) takeFacts(room int) []signed {
+// takeFacts returns the facts that have been sent least often, as many as fit into so many bytes, and removes from the queue
+// those that have been sent often enough.
+func (m *Member) takeFacts(capacity int) []signed {
 	slices.SortStableFunc(m.queue, func(a, b *queuedFact) int {
 		return cmp.Or(cmp.Compare(a.timesSent, b.timesSent), cmp.Compare(b.priority, a.priority))
 	})
-	most := int(math.Ceil(retransmitFactor * m.logSize()))
+	maxSends := int(math.Ceil(retransmitFactor * m.logSize()))
 	var all []signed
-	kept := m.queue[:0]
-	for _, w := range m.queue {
-		if n := len(w.fact.Fact) + len(w.fact.Sig) + 6; n <= room {
-			room -= n
-			all = append(all, w.fact)
-			w.timesSent++
+	remaining := m.queue[:0]
+	for _, q := range m.queue {
+		if n := len(q.fact.Fact) + len(q.fact.Sig) + 6; n <= capacity {
+			capacity -= n
+			all = append(all, q.fact)
+			q.timesSent++
 		}
-		if w.timesSent < most {
-			kept = append(kept, w)
+		if q.timesSent < maxSends {
+			remaining = append(remaining, q)
 		}
 	}
-	clear(m.queue[len(kept):])
-	m.queue = kept
+	clear(m.queue[len(remaining):])
+	m.queue = remaining
 	return all
 }
 
-// refill adds to the budget of bytes what has come since.
+// refill adds to the byte budget what has accrued since the last call, up to one second's worth.
 func (m *Member) refill(now time.Duration) {
 	m.tokens = min(float64(m.settings.MaxBytesPerSecond), m.tokens+(now-m.refilledAt).Seconds()*float64(m.settings.MaxBytesPerSecond))
 	m.refilledAt = max(m.refilledAt, now)
 }
 
-// send seals a packet and lets it out, if the budget of bytes allows. False: it does not.
+// send completes a packet, signs it and adds it to the output. It returns false, and sends nothing, where the byte budget does
+// not allow it.
 func (m *Member) send(now time.Duration, to, addr string, p packet) bool {
 	m.refill(now)
 	p.V, p.From, p.To, p.Inc = version, m.name, to, m.inc
 	m.seq++
 	p.Seq = m.seq
 	if p.Kind < exchange {
-		room := min(MaxPacketBytes, int(m.tokens)) - 220 // for the packet itself and its signature
-		if room < 0 {
+		capacity := min(MaxPacketBytes, int(m.tokens)) - 220 // the packet without facts, and its signature
+		if capacity < 0 {
 			return false
 		}
-		p.Facts = m.takeFacts(room)
+		p.Facts = m.takeFacts(capacity)
 	}
 	data := seal(&p, m.keys.Sign)
 	if float64(len(data)) > m.tokens || len(data) > MaxSyncBytes {
@@ -248,13 +263,13 @@
 	return true
 }
 
-// Tick does what is due by now, and tells when it wants to be called again.
+// Tick does what is due by now. It returns the packets to send and the time of the next call.
 func (m *Member) Tick(now time.Duration) (out []Out, next time.Duration) {
 	m.out = nil
 	if m.stopped {
 		return nil, now + m.settings.SyncInterval
 	}
-	if now > m.nextProbe+5*m.settings.ProbeInterval { // it was stopped: what it waited for may have come and gone
+	if now > m.nextProbe+5*m.settings.ProbeInterval { // the process was suspended: replies may have been missed
 		m.probe = nil
 		m.slowness = min(maxSlowness, m.slowness+2)
 		for _, p := range m.peers {
@@ -297,11 +312,13 @@
 	return m.out, max(next, now+time.Millisecond)
 }
 
+// timeout returns the timeout of a direct probe, longer the slower this member is.
 func (m *Member) timeout() time.Duration {
 	return m.settings.ProbeTimeout * time.Duration(1+m.slowness)
 }
 
-// begin probes the next in turn, and now and then one that was given up, or a seed.
+// startProbe probes the next peer in turn. Each deadProbePeriod-th call also pings a dead or departed peer; a member that is alone,
+// and each fourth such call, exchanges facts with the seeds.
 func (m *Member) startProbe(now time.Duration) {
 	m.probeCount++
 	var target *Peer
@@ -337,15 +354,17 @@
 	}
 }
 
+// sendProbe starts a direct probe of a peer.
 func (m *Member) sendProbe(now time.Duration, p *Peer) {
 	nonce := m.rng.Uint64()
 	m.probe = &probe{target: p.Name, nonce: nonce, sentAt: now}
 	if !m.send(now, p.Name, p.Addr, packet{Kind: ping, Nonce: nonce}) {
-		m.probe = nil // nothing was asked: nobody has failed
+		m.probe = nil // nothing was sent, so a missing reply would prove nothing
 	}
 }
 
-// indirect asks others to probe one that does not answer, and tries it over TCP: packets may be what is lost.
+// startIndirectProbe asks other members to probe a target that does not reply, and pings it over TCP itself, in case only UDP
+// packets are lost.
 func (m *Member) startIndirectProbe(now time.Duration, pr *probe) {
 	if t := m.peers[pr.target]; t != nil {
 		m.send(now, t.Name, t.Addr, packet{Kind: ping, Nonce: pr.nonce, Sure: true})
@@ -359,8 +378,8 @@
 	}
 }
 
-// failed ends a probe that had no answer: an accusation, unless those who were asked are silent too. Then it may be this
-// member that hears nothing.
+// endFailedProbe ends a probe that had no reply and accuses its target. It accuses nobody where several helpers were asked and
+// none of them replied: then this member itself may be cut off.
 func (m *Member) endFailedProbe(now time.Duration) {
 	pr := m.probe
 	m.probe = nil
@@ -381,7 +400,8 @@
 	}
 }
 
-// accuse books an accusation of a member's present incarnation, and passes it on while it may make a difference.
+// addAccusation records an accusation of a peer's current incarnation and queues it for gossip. It ignores accusations beyond twice
+// the quorum, which make no difference.
 func (m *Member) addAccusation(now time.Duration, p *Peer, by string, f signed) {
 	if _, known := p.accusationsBy[by]; known || len(p.accusationsBy) >= 2*m.settings.Quorum {
 		return
@@ -396,22 +416,23 @@
 	m.enqueue(now, "suspect "+p.Name+" "+by, f, 3)
 }
 
-// quorum is how many accusers it takes to give one up.
+// quorum returns the number of accusers needed to declare a member dead.
 func (m *Member) quorum() int { return max(1, min(m.settings.Quorum, m.size()-2)) }
 
-// lasts is how long a suspicion lasts with so many accusers (Lifeguard, section IV-B).
+// suspicionTimeout returns the duration of a suspicion with so many accusers (Lifeguard, section IV-B).
 func (m *Member) suspicionTimeout(accusers int) time.Duration {
-	least := float64(m.settings.ProbeInterval) * minSuspicionFactor * m.logSize()
-	most := maxSuspicionFactor * least
+	shortest := float64(m.settings.ProbeInterval) * minSuspicionFactor * m.logSize()
+	longest := maxSuspicionFactor * shortest
 	if q := m.quorum(); accusers < q {
-		return time.Duration(most - (most-least)*math.Log(float64(accusers))/math.Log(float64(q)))
+		return time.Duration(longest - (longest-shortest)*math.Log(float64(accusers))/math.Log(float64(q)))
 	} else if q == 1 {
-		return time.Duration(2 * least) // one alone says so
+		return time.Duration(2 * shortest) // a single accuser decides, so it waits longer
 	}
-	return time.Duration(least)
+	return time.Duration(shortest)
 }
 
-// judge gives up whoever is accused by enough for long enough, and forgets accusations that nobody joined.
+// expireSuspicions declares dead each peer that a quorum has accused for long enough, and drops suspicions that no quorum joined
+// in time.
 func (m *Member) expireSuspicions(now time.Duration) {
 	for _, p := range m.peers {
 		if p.State != Suspect {
@@ -427,7 +448,8 @@
 	}
 }
 
-// known are the names of the peers that are wanted, in their order: what is drawn from them is the same on every run.
+// selectNames returns the sorted names of the peers for which want is true. The order makes random selections from them
+// reproducible.
 func (m *Member) selectNames(want func(*Peer) bool) []string {
 	return slices.DeleteFunc(m.peerNames(), func(name string) bool { return !want(m.peers[name]) })
 }
@@ -436,37 +458,37 @@
 	m.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 }
 
-// random is one of the peers that are wanted; nil: there is none.
+// randomPeer returns a random peer for which want is true, nil if there is none.
 func (m *Member) randomPeer(want func(*Peer) bool) *Peer {
-	of := m.selectNames(want)
-	if len(of) == 0 {
+	names := m.selectNames(want)
+	if len(names) == 0 {
 		return nil
 	}
-	return m.peers[of[m.rng.IntN(len(of))]]
+	return m.peers[names[m.rng.IntN(len(names))]]
 }
 
-// all is what is known of everybody, as it was signed; where that is too much at once, as much as half the budget takes,
-// from somewhere on.
+// knownFacts returns the latest signed facts about all members. Where they exceed half the byte budget it returns as many as fit,
+// starting at a random peer.
 func (m *Member) knownFacts(now time.Duration) []signed {
 	m.refill(now)
-	room := min(int(m.tokens), MaxSyncBytes) / 2
+	capacity := min(int(m.tokens), MaxSyncBytes) / 2
 	all := []signed{m.ownFact}
 	names := m.peerNames()
 	from := m.rng.IntN(len(names) + 1)
 	for i := range names {
 		p := m.peers[names[(from+i)%len(names)]]
-		if room -= len(p.lastFact.Fact) + len(p.lastFact.Sig) + 6; room < 0 {
+		if capacity -= len(p.lastFact.Fact) + len(p.lastFact.Sig) + 6; capacity < 0 {
 			break
 		}
 		all = append(all, p.lastFact)
-		if p.State == Suspect || p.State == Dead { // so that whoever missed some comes to the same
+		if p.State == Suspect || p.State == Dead { // so that a member that missed some comes to the same verdict
 			all = append(all, p.accusations()...)
 		}
 	}
 	return all
 }
 
-// accusations are those of a peer, in the order of their accusers.
+// accusations returns the accusations of a peer in the order of the accusers' names.
 func (p *Peer) accusations() (all []signed) {
 	for _, by := range sortedKeys(p.accusationsBy) {
 		all = append(all, p.accusationsBy[by])
@@ -485,16 +507,17 @@
 	return names
 }
 
-// Receive takes in a packet from an address, and tells why where it does not. What comes out is to be sent.
+// Receive processes a packet from an address. It returns the packets to send and, where the packet is rejected, the reason, which
+// it also counts in Refused.
 func (m *Member) Receive(now time.Duration, from string, data []byte) (out []Out, err error) {
 	m.out = nil
 	if m.stopped {
 		return nil, nil
 	}
 	if err := m.receive(now, from, data); err != nil {
-		for _, known := range []error{ErrMalformed, ErrVersion, ErrSignature, ErrReplay, ErrStranger, ErrWrongRecipient} {
-			if errors.Is(err, known) {
-				m.Refused[known]++
+		for _, reason := range []error{ErrMalformed, ErrVersion, ErrSignature, ErrReplay, ErrStranger, ErrWrongRecipient} {
+			if errors.Is(err, reason) {
+				m.Refused[reason]++
 			}
 		}
 		return m.out, err
@@ -515,7 +538,8 @@
 	}
 	sender := m.peers[p.From]
 	if sender != nil && p.Inc < sender.Inc {
-		m.sendPeerFacts(now, sender.Name, from, sender) // it may have come back with an older clock, or be another of the same name
+		// The sender may have come back with an older clock, or be another instance with the same name.
+		m.sendPeerFacts(now, sender.Name, from, sender)
 		return ErrReplay
 	}
 	if sender != nil && !sender.markSeen(p) {
@@ -525,13 +549,13 @@
 	for _, f := range p.Facts {
 		m.handleFact(now, f)
 	}
-	if p.Kind == exchanged && len(m.peers) > before { // there may be more that it does not know
+	if p.Kind == exchanged && len(m.peers) > before { // there may be more members that this one does not know
 		m.nextSync = min(m.nextSync, now+m.settings.ProbeInterval)
 	}
 	if m.stopped {
 		return nil
 	}
-	if sender = m.peers[p.From]; sender == nil { // not before it has said where it is: it is asked
+	if sender = m.peers[p.From]; sender == nil { // its address is not known before it has announced itself, so ask for that
 		if p.Kind == ping || p.Kind == exchange {
 			m.send(now, p.From, from, packet{Kind: exchange, Facts: m.knownFacts(now)})
 		}
@@ -541,7 +565,8 @@
 		sender.markSeen(p)
 	}
 	if sender.State == Dead && p.Inc == sender.Inc {
-		m.sendPeerFacts(now, sender.Name, sender.Addr, sender) // that it was given up: it refutes that, by another incarnation
+		// The sender does not know that it was declared dead. It refutes that by a higher incarnation.
+		m.sendPeerFacts(now, sender.Name, sender.Addr, sender)
 	}
 	switch p.Kind {
 	case ping:
@@ -565,8 +590,8 @@
 	return nil
 }
 
-// fresh tells whether a packet of a peer was not taken before, and books it. Packets may come in another order than they were
-// sent in.
+// markSeen reports whether a packet of the peer is received for the first time, and records it as received. Packets may arrive out
+// of order; those that are 64 or more behind the latest count as seen.
 func (p *Peer) markSeen(k *packet) bool {
 	switch {
 	case k.Inc > p.seenInc:
@@ -585,7 +610,8 @@
 	return true
 }
 
-// late answers an accusation of one that was given up already: whoever makes it has not heard of the others.
+// shareAccusations handles an accusation of a peer that is already dead: the accuser has not received the other accusations, so
+// they are sent to it.
 func (m *Member) shareAccusations(now time.Duration, f *Fact, s signed) {
 	about, by := m.peers[f.About], m.peers[f.By]
 	if f.Kind != factSuspect || about == nil || by == nil || about.State != Dead || by.State != Alive || f.Inc != about.Inc {
@@ -597,17 +623,17 @@
 	}
 }
 
-// tellOf sends one member what is said of another.
+// sendPeerFacts sends one member the latest fact and all accusations of another.
 func (m *Member) sendPeerFacts(now time.Duration, to, addr string, p *Peer) {
 	m.send(now, to, addr, packet{Kind: exchanged, Facts: append([]signed{p.lastFact}, p.accusations()...)})
 }
 
-// acked takes in that a member has answered: of this one's probe, or of one for somebody else.
+// handleAck processes a reply to a relayed ping, or to this member's own probe.
 func (m *Member) handleAck(now time.Duration, p *packet) {
 	if r, ok := m.relays[p.Nonce]; ok {
 		delete(m.relays, p.Nonce)
-		if asker := m.peers[r.requester]; asker != nil {
-			m.send(now, asker.Name, asker.Addr, packet{Kind: ack, Nonce: r.nonce, Target: p.From})
+		if requester := m.peers[r.requester]; requester != nil {
+			m.send(now, requester.Name, requester.Addr, packet{Kind: ack, Nonce: r.nonce, Target: p.From})
 		}
 		return
 	}
@@ -618,11 +644,11 @@
 	m.probe = nil
 	m.slowness = max(0, m.slowness-1)
 	if t := m.peers[pr.target]; t != nil {
-		delete(t.accusationsBy, m.name) // its own eyes have seen it since
+		delete(t.accusationsBy, m.name) // this member has reached the target since
 	}
 }
 
-// fact takes in what somebody has said, if it is news and signed by whom it says.
+// handleFact applies a fact if it is new and validly signed.
 func (m *Member) handleFact(now time.Duration, s signed) {
 	f, err := readFact(s.Fact)
 	if err != nil {
@@ -638,7 +664,7 @@
 	}
 	switch f.Kind {
 	case factAlive, factLeft:
-		m.handleAlive(now, &f, s)
+		m.handlePresence(now, &f, s)
 	case factSuspect:
 		m.handleSuspicion(now, &f, s)
 	case factServerReport:
@@ -646,7 +672,7 @@
 	}
 }
 
-// signedBy tells whether a fact is signed by whom it says. What was found once is remembered.
+// signedBy reports whether a fact has a valid signature of the member that it names. Valid ones are cached.
 func (m *Member) signedBy(s signed) bool {
 	id := string(s.Fact) + string(s.Sig)
 	if m.verified[id] {
@@ -663,7 +689,7 @@
 	return true
 }
 
-// news tells whether a fact can change anything, before its signature is looked at.
+// isNew reports whether a fact could change anything. It is called before the costlier check of the signature.
 func (m *Member) isNew(f *Fact) bool {
 	switch p := m.peers[f.By]; f.Kind {
 	case factAlive, factLeft:
@@ -688,18 +714,19 @@
 	return false
 }
 
-// heard takes in that a member is there, or leaves.
-func (m *Member) handleAlive(now time.Duration, f *Fact, s signed) {
+// handlePresence applies the announcement of a member that it is alive or leaves.
+func (m *Member) handlePresence(now time.Duration, f *Fact, s signed) {
 	if f.By == m.name {
 		if f.Kind == factAlive && f.Addr != m.addr {
-			// By the same key, and not by this instance: one that it was before, or one that is there too and answers back.
-			// Then one of the two gives way, the same by what both know.
+			// The fact is signed by the same key, but not by this instance: it is from an earlier run at another address, or
+			// from another running instance, which will announce itself again. Then the instance with the greater address
+			// gives way, which both can decide from what they know.
 			if m.nameConflicts++; m.nameConflicts > 3 && m.addr > f.Addr {
 				m.Conflict, m.stopped = true, true
 				return
 			}
 		}
-		m.inc = f.Inc + 1 // it has come back with an older clock
+		m.inc = f.Inc + 1 // this member has come back with an older clock
 		m.announce(now)
 		return
 	}
@@ -719,7 +746,7 @@
 		p.Addr = f.Addr
 	}
 	if p.State != to {
-		if p.State >= Dead && to == Alive && len(m.probeOrder) > 0 { // it is probed in this round already
+		if p.State >= Dead && to == Alive && len(m.probeOrder) > 0 { // probe it in this round already
 			at := m.probeIndex + m.rng.IntN(len(m.probeOrder)-m.probeIndex+1)
 			m.probeOrder = slices.Insert(m.probeOrder, at, p.Name)
 		}
@@ -728,9 +755,10 @@
 	m.enqueue(now, f.By, s, 2)
 }
 
-// suspected takes in that one member accuses another, and looks sooner itself.
+// handleSuspicion applies the accusation of a member by another. Some members then probe the accused ahead of its turn; a member
+// that is accused itself announces a higher incarnation.
 func (m *Member) handleSuspicion(now time.Duration, f *Fact, s signed) {
-	if f.About == m.name { // it is there, and says so
+	if f.About == m.name { // this member is alive: refute the accusation
 		m.inc = max(m.inc, f.Inc) + 1
 		m.slowness = min(maxSlowness, m.slowness+1)
 		m.announce(now)
@@ -744,7 +772,7 @@
 	}
 }
 
-// Leave says good-bye. What comes out is to be sent; after it nothing more does.
+// Leave announces that the member leaves. It returns the packets to send; the member sends nothing afterwards.
 func (m *Member) Leave(now time.Duration) []Out {
 	m.out = nil
 	if m.stopped {
@@ -763,7 +791,8 @@
 	return m.out
 }
 
-// Peers are the others, in the order of their names. Accusers are those of now, or those by whom one was given up.
+// Peers returns copies of all peers in the order of their names. Accusers are the current ones of a suspect, or those by which a
+// peer was declared dead.
 func (m *Member) Peers() []Peer {
 	var all []Peer
 	for _, name := range m.peerNames() {
@@ -776,11 +805,12 @@
 	return all
 }
 
-// Alive is how many members there are, this one included, by what it knows.
+// AliveCount returns the number of members that are not known to be dead or to have left, this one included.
 func (m *Member) Alive() int { return m.size() }
 
-// Inc is its present incarnation.
+// Inc returns the member's current incarnation.
 func (m *Member) Inc() uint64 { return m.inc }
 
-// Slowness is how slow it takes itself to be: everything takes it one time longer for each.
+// Slowness returns how slow the member judges itself to be, from 0 (not slow) to 8. Its probe interval and timeout are 1+Slowness
+// times the settings.
 func (m *Member) Slowness() int { return m.slowness }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -8,409 +8,415 @@
 	"time"
 )
 
-// seeds is how many worlds each test plays; PORTSTALL_MEMBERS asks for more.
-func seedCount(few int) int {
+// seedCount returns the number of simulations that a test runs: the default, unless PORTSTALL_MEMBERS sets another.
+func seedCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("PORTSTALL_MEMBERS")); err == nil {
 		return n
 	}
-	return few
+	return usual
 }
 
-// settle lets a world join.
-func (w *simulation) waitJoined(t *testing.T) {
+// waitJoined runs the simulation until all members have joined.
+func (sim *simulation) waitJoined(t *testing.T) {
 	t.Helper()
-	for w.now < 60*second && !w.joined() {
-		w.run(w.now + second)
+	for sim.now < 60*second && !sim.joined() {
+		sim.run(sim.now + second)
 	}
-	if !w.joined() {
-		t.Fatalf("not joined after %v", w.now)
+	if !sim.joined() {
+		t.Fatalf("members have not joined after %v", sim.now)
 	}
 }
 
-func (w *simulation) checkInvariants(t *testing.T) {
+// checkInvariants fails the test on violated invariants, and on members that sent more than their byte budget.
+func (sim *simulation) checkInvariants(t *testing.T) {
 	t.Helper()
-	if len(w.violations) > 0 {
-		t.Errorf("%d broken: %s", len(w.violations), w.violations[0])
+	if len(sim.violations) > 0 {
+		t.Errorf("%d invariants violated, first: %s", len(sim.violations), sim.violations[0])
 	}
-	for i, b := range w.bytes {
-		if most := float64(Usual().MaxBytesPerSecond) * (w.now.Seconds() + 2); float64(b) > most && w.intercept == nil {
-			t.Errorf("%s has sent %d bytes in %v", memberName(i), b, w.now)
+	for i, b := range sim.bytes {
+		if limit := float64(Usual().MaxBytesPerSecond) * (sim.now.Seconds() + 2); float64(b) > limit && sim.intercept == nil {
+			t.Errorf("%s sent %d bytes in %v, beyond its budget", memberName(i), b, sim.now)
 		}
 	}
 }
 
-// A member dies: how long until the first has given it up, and until all have; and nobody else is given up.
-func TestDetection(t *testing.T) {
+// A member that crashes is declared dead by all others within two minutes, and no running member is. Logs the time until the first
+// and until all have done so.
+func TestCrashedMemberIsDeclaredDead(t *testing.T) {
 	for _, n := range []int{10, 30} {
 		var first, all []time.Duration
 		for seed := range seedCount(8) {
-			w := newSimulation(n, uint64(seed))
-			w.waitJoined(t)
-			w.run(w.now + 5*second)
-			died := w.now
-			w.members[3] = nil
-			var f time.Duration
-			for w.countHolding(3, Dead) < n-1 {
-				w.run(w.now + second/10)
-				if f == 0 && w.countHolding(3, Dead) > 0 {
-					f = w.now - died
+			sim := newSimulation(n, uint64(seed))
+			sim.waitJoined(t)
+			sim.run(sim.now + 5*second)
+			died := sim.now
+			sim.members[3] = nil
+			var firstAfter time.Duration
+			for sim.countHolding(3, Dead) < n-1 {
+				sim.run(sim.now + second/10)
+				if firstAfter == 0 && sim.countHolding(3, Dead) > 0 {
+					firstAfter = sim.now - died
 				}
-				if w.now > died+120*second {
-					t.Fatalf("%d members, seed %d: %d of %d know after two minutes", n, seed, w.countHolding(3, Dead), n-1)
+				if sim.now > died+120*second {
+					t.Fatalf("%d members, seed %d: %d of %d hold it for dead after two minutes", n, seed, sim.countHolding(3, Dead), n-1)
 				}
 			}
-			first, all = append(first, f), append(all, w.now-died)
-			if len(w.falselyDead) > 0 {
-				t.Errorf("%d members, seed %d: living ones were given up: %v", n, seed, w.falselyDead)
+			first, all = append(first, firstAfter), append(all, sim.now-died)
+			if len(sim.falselyDead) > 0 {
+				t.Errorf("%d members, seed %d: running members were declared dead: %v", n, seed, sim.falselyDead)
 			}
-			w.checkInvariants(t)
+			sim.checkInvariants(t)
 		}
 		slices.Sort(first)
 		slices.Sort(all)
-		t.Logf("%d members: given up by the first after %v (median), by all after %v, %v at most", n, first[len(first)/2], all[len(all)/2], all[len(all)-1])
+		t.Logf("%d members: declared dead by the first after %v (median), by all after %v (median) and %v (maximum)", n, first[len(first)/2], all[len(all)/2], all[len(all)-1])
 	}
 }
 
-// With packets lost and members that are slow, nobody that lives is given up for good.
-func TestLossAndSlowness(t *testing.T) {
+// Packet loss and slow members cause no lasting false verdict: once both end, all members hold each other for alive again. Up to 5 %
+// loss alone causes no false verdict at all.
+func TestLossAndSlownessCauseNoLastingFalseVerdict(t *testing.T) {
 	for _, c := range []struct {
 		loss float64
 		slow int
 	}{{0, 0}, {0.05, 0}, {0.3, 0}, {0, 1}, {0.05, 1}} {
-		falsely, minutes, bytes := 0, 0.0, 0.0
+		falseDead, minutes, bytes := 0, 0.0, 0.0
 		for seed := range seedCount(3) {
-			w := newSimulation(12, uint64(seed))
-			w.waitJoined(t)
-			w.loss = c.loss
+			sim := newSimulation(12, uint64(seed))
+			sim.waitJoined(t)
+			sim.loss = c.loss
 			for i := range c.slow {
-				w.slow[5+i] = true
+				sim.slow[5+i] = true
 			}
-			begun := w.now
-			w.run(w.now + 180*second)
-			falsely += len(w.falselyDead)
-			minutes += (w.now - begun).Minutes()
-			for _, b := range w.bytes {
-				bytes += float64(b) / 12 / w.now.Seconds() / float64(seedCount(3))
+			begun := sim.now
+			sim.run(sim.now + 180*second)
+			falseDead += len(sim.falselyDead)
+			minutes += (sim.now - begun).Minutes()
+			for _, b := range sim.bytes {
+				bytes += float64(b) / 12 / sim.now.Seconds() / float64(seedCount(3))
 			}
-			w.loss, w.slow = 0, map[int]bool{}
-			w.run(w.now + 60*second)
-			if !w.joined() {
-				t.Errorf("%+v, seed %d: somebody stays given up", c, seed)
+			sim.loss, sim.slow = 0, map[int]bool{}
+			sim.run(sim.now + 60*second)
+			if !sim.joined() {
+				t.Errorf("%+v, seed %d: a running member is still held for dead", c, seed)
 			}
-			w.checkInvariants(t)
+			sim.checkInvariants(t)
 		}
-		t.Logf("loss %.2f, %d slow: %.1f times an hour one of 12 held a living one for dead, %.0f bytes a second and member", c.loss, c.slow, float64(falsely)/minutes*60, bytes)
-		if c.loss <= 0.05 && c.slow == 0 && falsely > 0 {
-			t.Errorf("loss %.2f: %d living members were given up", c.loss, falsely)
+		t.Logf("loss %.2f, %d slow: %.1f times per hour one of 12 held a running member for dead, %.0f bytes per second and member", c.loss, c.slow, float64(falseDead)/minutes*60, bytes)
+		if c.loss <= 0.05 && c.slow == 0 && falseDead > 0 {
+			t.Errorf("loss %.2f: %d running members were declared dead", c.loss, falseDead)
 		}
 	}
 }
 
-// A member stops for ten seconds and wakes: nobody is given up for good, whatever it thinks of the others.
-func TestFrozen(t *testing.T) {
+// A member that is suspended for ten seconds has missed all replies when it resumes. It must not suspect the others for that, and must
+// be accepted by them again.
+func TestSuspendedMemberRejoins(t *testing.T) {
 	for seed := range seedCount(3) {
-		w := newSimulation(10, uint64(seed))
-		w.waitJoined(t)
-		w.frozen[4] = w.now + 10*second
-		w.run(w.now + 12*second)
+		sim := newSimulation(10, uint64(seed))
+		sim.waitJoined(t)
+		sim.frozen[4] = sim.now + 10*second
+		sim.run(sim.now + 12*second)
 		accused := 0
-		for i := range w.members {
+		for i := range sim.members {
 			if i != 4 {
-				accused += w.countHolding(i, Suspect)
+				accused += sim.countHolding(i, Suspect)
 			}
 		}
 		if accused > 3 {
-			t.Errorf("seed %d: %d are suspected by a member that woke up", seed, accused)
+			t.Errorf("seed %d: %d members are suspected after one was suspended", seed, accused)
 		}
-		w.run(w.now + 60*second)
-		if !w.joined() {
-			t.Errorf("seed %d: somebody stays given up", seed)
+		sim.run(sim.now + 60*second)
+		if !sim.joined() {
+			t.Errorf("seed %d: a running member is still held for dead", seed)
 		}
-		for k := range w.falselyDead {
+		for k := range sim.falselyDead {
 			if k[len(k)-2:] != "m4" {
-				t.Errorf("seed %d: %s", seed, k)
+				t.Errorf("seed %d: a member that was not suspended is held for dead: %s", seed, k)
 			}
 		}
-		w.checkInvariants(t)
+		sim.checkInvariants(t)
 	}
 }
 
-// One with a valid key lies: accuses all at every chance, or only to some. Nobody is given up.
-func TestLiar(t *testing.T) {
+// A member with a valid key accuses all others with each packet, to all members or only to some. No member is declared dead, and the
+// facts that it forges in the names of others are rejected.
+func TestFalseAccusationsOfOneMemberDeclareNobodyDead(t *testing.T) {
 	for seed := range seedCount(3) {
 		for _, some := range []bool{false, true} {
-			w := newSimulation(10, uint64(seed))
-			w.waitJoined(t)
-			liar := w.keys(7)
+			sim := newSimulation(10, uint64(seed))
+			sim.waitJoined(t)
+			liar := sim.keys(7)
 			n := uint64(0)
-			w.intercept = func(from int, o Out) []Out {
+			sim.intercept = func(from int, o Out) []Out {
 				if from != 7 || some && o.Addr > memberAddr(4) {
 					return []Out{o}
 				}
-				m := w.members[7]
-				p := packet{V: version, Kind: ping, From: memberName(7), To: memberName(w.byAddr[o.Addr]), Inc: m.Inc(), Nonce: 1}
+				m := sim.members[7]
+				p := packet{V: version, Kind: ping, From: memberName(7), To: memberName(sim.byAddr[o.Addr]), Inc: m.Inc(), Nonce: 1}
 				m.seq++
 				p.Seq = m.seq
-				for i, other := range w.members {
+				for i, other := range sim.members {
 					if i == 7 || len(p.Facts) > 8 {
 						continue
 					}
 					n++
 					p.Facts = append(p.Facts, signFact(&Fact{Kind: factSuspect, By: memberName(7), About: memberName(i), Inc: other.Inc(), Seq: n}, liar.Sign))
-					// Others' words can't be made up: these are refused.
+					// These are forged in the names of others.
 					p.Facts = append(p.Facts, signFact(&Fact{Kind: factSuspect, By: memberName((i + 1) % 10), About: memberName(i), Inc: other.Inc(), Seq: n}, liar.Sign),
 						signFact(&Fact{Kind: factLeft, By: memberName(i), Inc: other.Inc() + 1}, liar.Sign))
 				}
 				return []Out{o, {Addr: o.Addr, Data: seal(&p, liar.Sign)}}
 			}
-			w.run(w.now + 60*second)
-			if len(w.falselyDead) > 0 || w.countHolding(3, Left) > 0 {
-				t.Errorf("seed %d, to some %v: %v", seed, some, w.falselyDead)
+			sim.run(sim.now + 60*second)
+			if len(sim.falselyDead) > 0 || sim.countHolding(3, Left) > 0 {
+				t.Errorf("seed %d, accusations to some only: %v: running members were declared dead: %v", seed, some, sim.falselyDead)
 			}
-			if w.members[0].Refused[ErrSignature] == 0 && !some {
-				t.Error("no forged fact was refused: the test is empty")
+			if sim.members[0].Refused[ErrSignature] == 0 && !some {
+				t.Error("no forged fact was rejected: the test has no effect")
 			}
-			w.checkInvariants(t)
+			sim.checkInvariants(t)
 		}
 	}
 }
 
-// What was said is said again later, to others, cut, padded, and by strangers: nothing of it is taken.
-func TestReplayAndForgery(t *testing.T) {
-	w := newSimulation(5, 1)
-	w.waitJoined(t)
-	var old [][]byte
-	w.intercept = func(from int, o Out) []Out {
-		if p, err := unseal(o.Data, w.keys(0)); err == nil && from == 2 && p.To == memberName(0) && len(old) < 50 {
-			old = append(old, o.Data)
+// Packets that are replayed, sent to another member, cut, padded, changed, or signed by an unknown key are all rejected.
+func TestReplayedAndForgedPacketsAreRejected(t *testing.T) {
+	sim := newSimulation(5, 1)
+	sim.waitJoined(t)
+	var recorded [][]byte
+	sim.intercept = func(from int, o Out) []Out {
+		if p, err := unseal(o.Data, sim.keys(0)); err == nil && from == 2 && p.To == memberName(0) && len(recorded) < 50 {
+			recorded = append(recorded, o.Data)
 		}
 		return []Out{o}
 	}
-	w.run(w.now + 120*second)
-	w.intercept = nil
-	m := w.members[0]
+	sim.run(sim.now + 120*second)
+	sim.intercept = nil
+	m := sim.members[0]
 	before := m.peers[memberName(2)].Inc
-	for _, data := range old {
-		if _, err := m.Receive(w.now, memberAddr(2), data); err == nil {
-			t.Error("a replayed packet is taken")
+	for _, data := range recorded {
+		if _, err := m.Receive(sim.now, memberAddr(2), data); err == nil {
+			t.Error("a replayed packet is accepted")
 		}
-		if _, err := w.members[1].Receive(w.now, memberAddr(2), data); err == nil {
-			t.Error("another's packet is taken")
+		if _, err := sim.members[1].Receive(sim.now, memberAddr(2), data); err == nil {
+			t.Error("a packet for another member is accepted")
 		}
 		for _, cut := range []int{0, 1, len(data) / 2, len(data) - 1} {
-			if _, err := m.Receive(w.now, memberAddr(2), data[:cut]); err == nil {
-				t.Error("a cut packet is taken")
+			if _, err := m.Receive(sim.now, memberAddr(2), data[:cut]); err == nil {
+				t.Error("a cut packet is accepted")
 			}
 		}
-		if _, err := m.Receive(w.now, memberAddr(2), append(slices.Clone(data), 0)); err == nil {
-			t.Error("a padded packet is taken")
+		if _, err := m.Receive(sim.now, memberAddr(2), append(slices.Clone(data), 0)); err == nil {
+			t.Error("a padded packet is accepted")
 		}
 		bad := slices.Clone(data)
 		bad[len(bad)/2] ^= 1
-		if _, err := m.Receive(w.now, memberAddr(2), bad); err == nil {
-			t.Error("a changed packet is taken")
+		if _, err := m.Receive(sim.now, memberAddr(2), bad); err == nil {
+			t.Error("a changed packet is accepted")
 		}
 	}
 	stranger := testKeys{map[string]uint64{"x": 1}, "x"}
 	for _, p := range []packet{{V: version, Kind: exchange, From: "x", To: memberName(0)}, {V: version, Kind: exchange, From: memberName(3), To: memberName(0)},
 		{V: version + 1, Kind: exchange, From: memberName(3), To: memberName(0)}} {
-		if _, err := m.Receive(w.now, "ax", seal(&p, stranger.Sign)); err == nil {
-			t.Errorf("%+v is taken", p)
+		if _, err := m.Receive(sim.now, "ax", seal(&p, stranger.Sign)); err == nil {
+			t.Errorf("a packet signed by an unknown key is accepted: %+v", p)
 		}
 	}
 	if m.peers[memberName(2)].Inc != before || m.peers["x"] != nil || m.Refused[ErrReplay] == 0 || m.Refused[ErrMalformed] == 0 || m.Refused[ErrStranger] == 0 || m.Refused[ErrVersion] == 0 || m.Refused[ErrWrongRecipient] != 0 {
-		t.Errorf("%v", m.Refused)
+		t.Errorf("rejected by reason: %v, or a forged packet changed what the member knows", m.Refused)
 	}
-	w.checkInvariants(t)
+	sim.checkInvariants(t)
 }
 
-// A member leaves, comes back with a clock that is minutes behind, and is believed again; one that was given up in a cut is
-// taken back once the cut heals, also where both sides have rolled their keys meanwhile.
-func TestComingBack(t *testing.T) {
+// A member that left and comes back with a clock that is minutes behind is accepted again. So are members that were declared dead in a
+// partition once it heals, also where both sides have rolled their keys meanwhile.
+func TestReturningMembersAreAccepted(t *testing.T) {
 	for seed := range seedCount(3) {
-		w := newSimulation(8, uint64(seed))
-		w.waitJoined(t)
-		w.send(5, w.members[5].Leave(w.now))
-		w.run(w.now + 20*second)
-		if w.countHolding(5, Left) != 7 {
-			t.Errorf("seed %d: %d of 7 know that it has left", seed, w.countHolding(5, Left))
+		sim := newSimulation(8, uint64(seed))
+		sim.waitJoined(t)
+		sim.send(5, sim.members[5].Leave(sim.now))
+		sim.run(sim.now + 20*second)
+		if sim.countHolding(5, Left) != 7 {
+			t.Errorf("seed %d: %d of 7 have received that it left", seed, sim.countHolding(5, Left))
 		}
-		w.start(5, 10) // far behind what it had
-		w.run(w.now + 40*second)
-		if !w.joined() {
-			t.Fatalf("seed %d: one with an old clock is not taken back", seed)
+		sim.start(5, 10) // far below its former incarnation
+		sim.run(sim.now + 40*second)
+		if !sim.joined() {
+			t.Fatalf("seed %d: a member with an old clock is not accepted again", seed)
 		}
-		w.cut = func(from, to int) bool { return (from < 4) != (to < 4) }
-		w.run(w.now + 180*second)
-		if w.countHolding(0, Dead) != 4 || w.countHolding(7, Dead) != 4 {
-			t.Errorf("seed %d: in a cut %d and %d of 4 gave up the other side", seed, w.countHolding(0, Dead), w.countHolding(7, Dead))
+		sim.cut = func(from, to int) bool { return (from < 4) != (to < 4) }
+		sim.run(sim.now + 180*second)
+		if sim.countHolding(0, Dead) != 4 || sim.countHolding(7, Dead) != 4 {
+			t.Errorf("seed %d: in a partition %d and %d of 4 declared the other side dead", seed, sim.countHolding(0, Dead), sim.countHolding(7, Dead))
 		}
-		for i := range w.members { // all roll: the file has gone round before
-			w.secrets[memberName(i)]++
+		for i := range sim.members { // all roll their keys; the new public keys were distributed before
+			sim.secrets[memberName(i)]++
 		}
-		for i, m := range w.members {
-			m.Rekey(w.now, w.keys(i))
+		for i, m := range sim.members {
+			m.Rekey(sim.now, sim.keys(i))
 		}
-		w.run(w.now + 30*second)
-		w.cut = nil
-		w.run(w.now + 240*second)
-		if !w.joined() {
-			t.Errorf("seed %d: the cut does not heal", seed)
+		sim.run(sim.now + 30*second)
+		sim.cut = nil
+		sim.run(sim.now + 240*second)
+		if !sim.joined() {
+			t.Errorf("seed %d: members have not joined again after the partition", seed)
 		}
 	}
 }
 
-// Two instances with one name: one of them gives way, and the others know one.
-func TestTwoOfOneName(t *testing.T) {
-	w := newSimulation(6, 1)
-	w.waitJoined(t)
-	w.members = append(w.members, nil)
-	w.bytes = append(w.bytes, 0)
-	w.secrets["twin"] = 0
-	w.start(6, 5000)
-	w.members[6].name, w.members[6].keys = memberName(2), w.keys(2)
-	w.members[6].announce(w.now)
-	w.run(w.now + 300*second)
-	if a, b := w.members[2], w.members[6]; a.stopped == b.stopped || !(a.Conflict || b.Conflict) {
-		t.Errorf("gone: %v and %v; %d %d rivals, inc %d %d, refused %v", a.stopped, b.stopped, a.nameConflicts, b.nameConflicts, a.Inc(), b.Inc(), b.Refused)
+// Of two instances with the same name and key exactly one gives way.
+func TestOneOfTwoInstancesWithOneNameGivesWay(t *testing.T) {
+	sim := newSimulation(6, 1)
+	sim.waitJoined(t)
+	sim.members = append(sim.members, nil)
+	sim.bytes = append(sim.bytes, 0)
+	sim.secrets["twin"] = 0
+	sim.start(6, 5000)
+	sim.members[6].name, sim.members[6].keys = memberName(2), sim.keys(2)
+	sim.members[6].announce(sim.now)
+	sim.run(sim.now + 300*second)
+	if a, b := sim.members[2], sim.members[6]; a.stopped == b.stopped || !(a.Conflict || b.Conflict) {
+		t.Errorf("stopped: %v and %v; name conflicts %d and %d, incarnations %d and %d, rejected %v", a.stopped, b.stopped, a.nameConflicts, b.nameConflicts, a.Inc(), b.Inc(), b.Refused)
 	}
-	w.violations = nil // of the oracle's view of a name that two have
+	sim.violations = nil // the checks of incarnations do not hold for a name that two instances have
 }
 
-// What others say of a web server makes a member look, once two of them say so; a liar can't, and it fades.
-func TestEvidence(t *testing.T) {
-	w := newSimulation(7, 1)
-	w.waitJoined(t)
-	say := func(i int, bad float64) { w.members[i].Witness(w.now, "s-1", bad, 20) }
-	say(6, 1)
-	w.run(w.now + 5*second)
-	if d, n := w.members[0].Doubt(w.now, "s-1"); d != 0 || n != 1 {
-		t.Errorf("one alone: %v of %d", d, n)
+// Reports of a failing web server count once several members agree. A single reporter, alone or against the others, has no effect, and
+// reports decay.
+func TestServerReportsCountFromSeveralMembers(t *testing.T) {
+	sim := newSimulation(7, 1)
+	sim.waitJoined(t)
+	report := func(i int, failedShare float64) { sim.members[i].Witness(sim.now, "s-1", failedShare, 20) }
+	report(6, 1)
+	sim.run(sim.now + 5*second)
+	if d, n := sim.members[0].Doubt(sim.now, "s-1"); d != 0 || n != 1 {
+		t.Errorf("a single reporter: failed share %v of %d reporters", d, n)
 	}
 	for i := 1; i < 6; i++ {
-		say(i, 0)
+		report(i, 0)
 	}
-	say(6, 1)
-	w.run(w.now + 5*second)
-	if d, n := w.members[0].Doubt(w.now, "s-1"); d > 0.01 || n < 5 {
-		t.Errorf("a liar among six: %v of %d", d, n)
+	report(6, 1)
+	sim.run(sim.now + 5*second)
+	if d, n := sim.members[0].Doubt(sim.now, "s-1"); d > 0.01 || n < 5 {
+		t.Errorf("one false report among six: failed share %v of %d reporters", d, n)
 	}
 	for i := 1; i < 6; i++ {
-		say(i, 0.9)
+		report(i, 0.9)
 	}
-	w.run(w.now + 5*second)
-	if d, n := w.members[0].Doubt(w.now, "s-1"); d < 0.4 || n < 5 {
-		t.Errorf("five say so: %v of %d", d, n)
+	sim.run(sim.now + 5*second)
+	if d, n := sim.members[0].Doubt(sim.now, "s-1"); d < 0.4 || n < 5 {
+		t.Errorf("five agree: failed share %v of %d reporters", d, n)
 	}
-	w.run(w.now + 60*second)
-	if d, _ := w.members[0].Doubt(w.now, "s-1"); d != 0 {
-		t.Errorf("a minute later: %v", d)
+	sim.run(sim.now + 60*second)
+	if d, _ := sim.members[0].Doubt(sim.now, "s-1"); d != 0 {
+		t.Errorf("a minute later: failed share %v", d)
 	}
-	w.checkInvariants(t)
+	sim.checkInvariants(t)
 }
 
-// PORTSTALL_MANY plays 100 and 1,000 members: how the traffic of each and the time to give one up grow.
-func TestMany(t *testing.T) {
+// With PORTSTALL_MANY it simulates 10, 100 and 1,000 members and logs how the traffic of each and the time to declare one dead grow.
+func TestManyMembers(t *testing.T) {
 	if os.Getenv("PORTSTALL_MANY") == "" {
-		t.Skip("PORTSTALL_MANY is not set: it takes minutes")
+		t.Skip("PORTSTALL_MANY is not set; the test takes minutes")
 	}
 	for _, n := range []int{10, 100, 1000} {
-		w := newSimulation(n, 1)
-		for w.now < 600*second && !w.joined() {
-			w.run(w.now + 5*second)
+		sim := newSimulation(n, 1)
+		for sim.now < 600*second && !sim.joined() {
+			sim.run(sim.now + 5*second)
 		}
-		joined := w.now
-		begun := append([]int64(nil), w.bytes...)
-		w.run(w.now + 20*second)
-		died, sent := w.now, 0.0
-		for i, b := range w.bytes {
+		joined := sim.now
+		begun := append([]int64(nil), sim.bytes...)
+		sim.run(sim.now + 20*second)
+		died, sent := sim.now, 0.0
+		for i, b := range sim.bytes {
 			sent += float64(b-begun[i]) / 20 / float64(n)
 		}
-		w.members[3] = nil
-		for w.countHolding(3, Dead) < n-1 && w.now < died+120*second {
-			w.run(w.now + second/2)
+		sim.members[3] = nil
+		for sim.countHolding(3, Dead) < n-1 && sim.now < died+120*second {
+			sim.run(sim.now + second/2)
 		}
-		t.Logf("%d members: joined by %v, %.0f bytes a second and member, given up by %d of %d after %v, living ones given up %d times", n, joined, sent, w.countHolding(3, Dead), n-1, w.now-died, len(w.falselyDead))
-		w.checkInvariants(t)
+		t.Logf("%d members: joined after %v, %.0f bytes per second and member, one declared dead by %d of %d after %v, running ones %d times", n, joined, sent, sim.countHolding(3, Dead), n-1, sim.now-died, len(sim.falselyDead))
+		sim.checkInvariants(t)
 	}
 }
 
-// Twenty of thirty members start anew each second for a while: nobody sends more than it may, and all are whole again after.
-func TestFloodOfJoins(t *testing.T) {
-	w := newSimulation(30, 1)
-	w.waitJoined(t)
+// Twenty of thirty members restart each second for a while. No member exceeds its byte budget, and all have joined afterwards.
+func TestRepeatedRestartsStayWithinByteBudget(t *testing.T) {
+	sim := newSimulation(30, 1)
+	sim.waitJoined(t)
 	for round := range 15 {
 		for i := 10; i < 30; i++ {
-			w.start(i, uint64(2000+100*round+i))
+			sim.start(i, uint64(2000+100*round+i))
 		}
-		w.run(w.now + second)
+		sim.run(sim.now + second)
 	}
-	w.run(w.now + 60*second)
-	if !w.joined() {
-		t.Error("somebody stays out")
+	sim.run(sim.now + 60*second)
+	if !sim.joined() {
+		t.Error("members have not joined after the restarts")
 	}
-	w.violations = nil // a member that is another by now may be behind what was heard of the one before
-	w.checkInvariants(t)
+	sim.violations = nil // a restarted member may be below the incarnations known of its earlier run
+	sim.checkInvariants(t)
 }
 
-// All sequences of three things that can happen to three members, each at two distances from the next: death, a start with
-// an older clock, leaving, a cut, a key that rolls, a lie. Whatever came, those that are there hold each other for alive
-// again, nobody holds an incarnation that its owner never had, and none goes back.
-func TestThreeMembers(t *testing.T) {
-	things := map[string]func(w *simulation){
-		"dies":   func(w *simulation) { w.members[2] = nil },
-		"starts": func(w *simulation) { w.start(2, 5) },
-		"leaves": func(w *simulation) {
-			if m := w.members[2]; m != nil {
-				w.send(2, m.Leave(w.now))
+// Runs all sequences of three events among three members, at two distances in time: a crash, a restart with an older clock, leaving,
+// a partition, a key roll, a false accusation. After each, the running members hold each other for alive again, no member holds an
+// incarnation that its owner never had, and no incarnation decreases.
+func TestThreeMembersRecoverFromEachSequenceOfEvents(t *testing.T) {
+	events := map[string]func(sim *simulation){
+		"crashes":  func(sim *simulation) { sim.members[2] = nil },
+		"restarts": func(sim *simulation) { sim.start(2, 5) },
+		"leaves": func(sim *simulation) {
+			if m := sim.members[2]; m != nil {
+				sim.send(2, m.Leave(sim.now))
 			}
 		},
-		"cut": func(w *simulation) {
-			if w.cut == nil {
-				w.cut = func(from, to int) bool { return (from == 2) != (to == 2) }
+		"partition": func(sim *simulation) {
+			if sim.cut == nil {
+				sim.cut = func(from, to int) bool { return (from == 2) != (to == 2) }
 			} else {
-				w.cut = nil
+				sim.cut = nil
 			}
 		},
-		"rolls": func(w *simulation) {
-			w.secrets[memberName(1)]++
-			for i, m := range w.members {
+		"rolls keys": func(sim *simulation) {
+			sim.secrets[memberName(1)]++
+			for i, m := range sim.members {
 				if m != nil {
-					m.Rekey(w.now, w.keys(i))
+					m.Rekey(sim.now, sim.keys(i))
 				}
 			}
 		},
-		"lies": func(w *simulation) {
-			m := w.members[0]
+		"accuses falsely": func(sim *simulation) {
+			m := sim.members[0]
 			for _, about := range []int{1, 2} {
 				if p := m.peers[memberName(about)]; p != nil {
-					m.enqueue(w.now, "lie", signFact(&Fact{Kind: factSuspect, By: memberName(0), About: memberName(about), Inc: p.Inc, Seq: 1 << 40}, m.keys.Sign), 9)
+					m.enqueue(sim.now, "lie", signFact(&Fact{Kind: factSuspect, By: memberName(0), About: memberName(about), Inc: p.Inc, Seq: 1 << 40}, m.keys.Sign), 9)
 				}
 			}
 		},
 	}
-	worlds := 0
-	for _, a := range sortedKeys(things) {
-		for _, b := range sortedKeys(things) {
-			for _, c := range sortedKeys(things) {
+	simulations := 0
+	for _, a := range sortedKeys(events) {
+		for _, b := range sortedKeys(events) {
+			for _, c := range sortedKeys(events) {
 				for _, gap := range []time.Duration{second / 2, 20 * second} {
-					w := newSimulation(3, 1)
-					w.run(10 * second)
+					sim := newSimulation(3, 1)
+					sim.run(10 * second)
 					for _, what := range []string{a, b, c} {
-						things[what](w)
-						w.run(w.now + gap)
+						events[what](sim)
+						sim.run(sim.now + gap)
 					}
-					w.cut = nil
-					for end := w.now + 240*second; w.now < end && !w.joined(); {
-						w.run(w.now + 5*second)
+					sim.cut = nil
+					for end := sim.now + 240*second; sim.now < end && !sim.joined(); {
+						sim.run(sim.now + 5*second)
 					}
-					if !w.joined() || len(w.violations) > 0 {
-						t.Errorf("%s, %s, %s, %v apart: joined %v, broken %v", a, b, c, gap, w.joined(), w.violations)
+					if !sim.joined() || len(sim.violations) > 0 {
+						t.Errorf("%s, %s, %s, %v apart: joined %v, violations %v", a, b, c, gap, sim.joined(), sim.violations)
 					}
-					worlds++
+					simulations++
 				}
 			}
 		}
 	}
-	t.Logf("%d worlds", worlds)
+	t.Logf("%d simulations", simulations)
 }
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -1,8 +1,8 @@
-// Package member lets instances find each other and agree on who is there, after SWIM (Das, Gupta and Motivala, 2002) with
-// Lifeguard's awareness of one's own slowness (Dadgar, Phillips and Currey, 2018). It differs in what a member may say: only a
-// member itself says that it is alive or leaves, an accusation is signed by its accuser, and nobody says that another is dead.
-// Each decides that for itself, by accusations of several. Member is a pure state machine over packets and time; Edge is its
-// socket.
+// Package member implements group membership: instances find each other and agree on which of them are alive. The protocol is
+// SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's local health awareness (Dadgar, Phillips and Currey, 2018). It differs in
+// what a member may claim: only a member itself announces that it is alive or leaves, an accusation is signed by its accuser, and
+// no member declares another dead to the rest. Each member decides that by itself, from the accusations of several others. Member
+// is a pure state machine over packets and time; Transport runs it on sockets.
 package member
 
 import (
@@ -12,69 +12,70 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// What a fact says.
+// The kinds of facts.
 const (
-	factAlive        = iota + 1 // By is there, at Addr, since its incarnation began
-	factSuspect                 // By has not reached About, of that incarnation
+	factAlive        = iota + 1 // By is alive and listens at Addr, in this incarnation
+	factSuspect                 // By could not reach About, in that incarnation of About
 	factLeft                    // By leaves
-	factServerReport            // By has seen something of a web server; Data says what
+	factServerReport            // Data holds what By has observed of a web server, see ReportServer
 )
 
-// Fact is one thing that a member has said. It goes from member to member as it was signed.
+// Fact is one signed statement of a member. It is passed on unchanged, with the signature of its author.
 type Fact struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  uint8
-	By    string // who says it
-	About string // suspect: whom; witness: which web server
-	Inc   uint64 // incarnation of whom it is about; witness: of By
-	Seq   uint64 // of By's facts of this kind about this; later ones take the place of earlier ones
-	Addr  string // alive: where it listens
-	Data  []byte
+	By    string // name of the author
+	About string // name of the accused member, or ID of the web server
+	Inc   uint64 // incarnation of the accused member, of By in the other kinds
+	Seq   uint64 // orders By's facts of one kind about one subject; a later one replaces earlier ones
+	Addr  string // host:port where By listens; factAlive only
+	Data  []byte // factServerReport only
 }
 
-// signed is a fact with its signature.
+// signed is an encoded fact, or a whole packet, with its signature.
 type signed struct {
 	_    struct{} `cbor:",toarray"`
 	Fact []byte
 	Sig  []byte
 }
 
-// What a packet is for.
+// The kinds of packets.
 const (
 	ping      = iota + 1
-	ack       // to a ping
-	pingReq   // please ping Target for me
-	nack      // it did not answer me in time: the one who asks hears at least that I am there
-	exchange  // facts of all that I know, and please yours
-	exchanged // the answer
+	ack       // reply to a ping, or to a pingReq whose target replied
+	pingReq   // asks the receiver to ping Target for the sender
+	nack      // reply to a pingReq whose target did not reply in time; it shows that the helper itself is alive
+	exchange  // all facts that the sender knows, and a request for the receiver's
+	exchanged // reply to an exchange, or unrequested facts about one member
 )
 
-// version of the packets. One of another is not read.
+// version is the version of the packet format. Packets of other versions are rejected.
 const version = 1
 
-// packet is what goes over the network, signed by its sender as a whole.
+// packet is one message between members, signed by its sender as a whole.
 type packet struct {
 	_      struct{} `cbor:",toarray"`
 	V      uint8
 	Kind   uint8
 	From   string
-	To     string // so that it can't be replayed to another
-	Inc    uint64 // of From, and
-	Seq    uint64 // of its packets: none is taken twice
-	Nonce  uint64 // of the ping that this belongs to
-	Target string
-	Sure   bool // it went over TCP, and the answer is to as well
+	To     string // name of the receiver, so that the packet can't be replayed to another member
+	Inc    uint64 // incarnation of From
+	Seq    uint64 // number of the packet within the incarnation of From; none is accepted twice
+	Nonce  uint64 // of the ping that the packet belongs to
+	Target string // member to ping or that has replied; pingReq and its ack only
+	Sure   bool   // the packet goes over TCP, and so does the reply to it
 	Facts  []signed
 }
 
-// Limits of what is read. What exceeds them is no packet.
+// Limits of received facts and packets; the lengths in bytes. Input that exceeds them is malformed.
 const (
 	maxName  = 64
 	maxData  = 256
 	maxFacts = 4096
-	// PacketMost is how long a packet may be; SyncMost one with all facts, which goes over TCP.
+	// MaxPacketBytes is the maximum length of a packet over UDP.
 	MaxPacketBytes = 1200
-	MaxSyncBytes   = 1 << 20
+	// MaxSyncBytes is the maximum length of a packet over TCP, such as one with all facts.
+	MaxSyncBytes = 1 << 20
 )
 
 var (
@@ -94,7 +95,7 @@
 	}
 }
 
-// Why something is not taken.
+// The reasons for which a packet or a fact is rejected.
 var (
 	ErrMalformed      = errors.New("not of the form")
 	ErrVersion        = errors.New("of another version")
@@ -104,15 +105,16 @@
 	ErrWrongRecipient = errors.New("for another member")
 )
 
+// encode returns the canonical CBOR encoding of a value.
 func encode(v any) []byte {
 	b, err := encoder.Marshal(v)
-	if err != nil { // of our own types: none can fail
+	if err != nil { // only for types that can't be encoded, of which there are none here
 		panic(err)
 	}
 	return b
 }
 
-// readFact checks a fact's form.
+// readFact decodes a fact and checks its limits, but not its signature.
 func readFact(b []byte) (f Fact, err error) {
 	if err := decoder.Unmarshal(b, &f); err != nil {
 		return f, fmt.Errorf("%w: %v", ErrMalformed, err)
@@ -123,18 +125,19 @@
 	return f, nil
 }
 
-// as is what is signed of a body: no signature of the one sort is good for the other.
-func signedBytes(sort string, body []byte) []byte {
-	return append([]byte("portstall "+sort+"\x00"), body...)
+// signedBytes returns what is signed for a body. The prefix keeps a signature of a fact from being valid for a packet, and the
+// reverse.
+func signedBytes(kind string, body []byte) []byte {
+	return append([]byte("portstall "+kind+"\x00"), body...)
 }
 
-// seal signs a packet: a byte string of the packet and one of its signature.
+// seal encodes and signs a packet, as a byte string of the packet and one of its signature.
 func seal(p *packet, sign func([]byte) []byte) []byte {
 	body := encode(p)
 	return encode(signed{Fact: body, Sig: sign(signedBytes("packet", body))})
 }
 
-// unseal reads a packet whose signature holds.
+// unseal decodes a packet and verifies its signature.
 func unseal(b []byte, keys Keys) (*packet, error) {
 	var s signed
 	if err := decoder.Unmarshal(b, &s); err != nil {
@@ -163,13 +166,13 @@
 	return &p, nil
 }
 
-// state makes a signed fact.
+// signFact encodes and signs a fact.
 func signFact(f *Fact, sign func([]byte) []byte) signed {
 	body := encode(f)
 	return signed{Fact: body, Sig: sign(signedBytes("fact", body))}
 }
 
-// check reads a fact whose signature holds.
+// verifyFact decodes a fact and verifies its signature.
 func verifyFact(s signed, keys Keys) (Fact, error) {
 	f, err := readFact(s.Fact)
 	if err != nil {
@@ -178,9 +181,11 @@
 	return f, keys.Verify(f.By, signedBytes("fact", s.Fact), s.Sig)
 }
 
-// Keys know who may be a member. They are safe for concurrent use, or belong to one goroutine with the member.
+// Keys signs for one member and knows the keys of all that may be members. An implementation is safe for concurrent use, or is used
+// by one goroutine together with its Member.
 type Keys interface {
+	// Sign returns the member's own signature of b.
 	Sign(b []byte) []byte
-	// Verify is nil where a signature is one of the name's; else ErrStranger or ErrSignature.
+	// Verify returns nil where sig is a signature of b by the named member, otherwise ErrUnknownMember or ErrSignature.
 	Verify(name string, b, sig []byte) error
 }
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -6,45 +6,49 @@
 	"time"
 )
 
-// Evidence is what one member has seen of a web server: never a verdict. It fades from when it was heard of.
+// ServerReport is what one member has observed of a web server. It is evidence, never a verdict, and decays exponentially from the
+// time at which it was received.
 type ServerReport struct {
-	By          string
+	By          string // name of the reporting member
 	Server      string
-	FailedShare float64 // part of its own latest attempts that failed, from 0 to 1
-	Attempts    float64 // how many those were, faded
+	FailedShare float64 // share of the member's own recent attempts that failed, from 0 to 1
+	Attempts    float64 // number of those attempts, decayed; from 0 to 255
 	ReceivedAt  time.Duration
 	inc         uint64
 	seq         uint64
 }
 
+// reportKey identifies the latest report of one member about one web server.
 type reportKey struct{ by, server string }
 
-// evidenceTau is over what evidence fades, and evidenceMost how much is remembered.
 const (
+	// reportTimeConstant is the time constant by which reports decay. After three of them a report is ignored.
 	reportTimeConstant = 10 * time.Second
-	maxReports         = 4096
+	// maxReports bounds the reports that a member stores.
+	maxReports = 4096
 )
 
-// Witness tells the others what this member has seen of a web server.
-func (m *Member) Witness(now time.Duration, server string, bad, weight float64) {
+// ReportServer reports to the other members the failed share of this member's recent attempts at a web server, and their number.
+func (m *Member) Witness(now time.Duration, server string, failedShare, attempts float64) {
 	if len(server) > maxName || len(server) == 0 || m.stopped {
 		return
 	}
 	m.seq++
-	share := uint8(255 * min(1, max(0, bad)))
-	count := uint8(min(255, max(0, weight)))
+	share := uint8(255 * min(1, max(0, failedShare)))
+	count := uint8(min(255, max(0, attempts)))
 	f := &Fact{Kind: factServerReport, By: m.name, About: server, Inc: m.inc, Seq: m.seq, Data: []byte{share, count}}
 	m.enqueue(now, "witness "+server, signFact(f, m.keys.Sign), 1)
 }
 
+// handleServerReport stores the report of another member, and passes it on.
 func (m *Member) handleServerReport(now time.Duration, f *Fact, s signed) {
 	if len(f.Data) != 2 {
 		return
 	}
 	k := reportKey{f.By, f.About}
 	if _, known := m.serverReports[k]; !known && len(m.serverReports) >= maxReports {
-		for key, e := range m.serverReports {
-			if now > e.ReceivedAt+3*reportTimeConstant {
+		for key, r := range m.serverReports {
+			if now > r.ReceivedAt+3*reportTimeConstant {
 				delete(m.serverReports, key)
 			}
 		}
@@ -56,32 +60,33 @@
 	m.enqueue(now, "witness "+f.About+" "+f.By, s, 1)
 }
 
-// Doubted are the web servers that somebody else sees fail, in the order of their names.
+// DoubtedServers returns the sorted IDs of the web servers that some other member recently reported as failing.
 func (m *Member) Doubted(now time.Duration) []string {
 	all := map[string]bool{}
-	for k, e := range m.serverReports {
-		if e.FailedShare > 0.1 && now <= e.ReceivedAt+3*reportTimeConstant {
+	for k, r := range m.serverReports {
+		if r.FailedShare > 0.1 && now <= r.ReceivedAt+3*reportTimeConstant {
 			all[k.server] = true
 		}
 	}
 	return sortedKeys(all)
 }
 
-// Doubt is how much the others' evidence speaks against a web server, from 0 to 1, and of how many of them: what it is worth
-// is a look of one's own, and a share of requests fewer until then. It is the median of the witnesses that are there, so that
-// fewer than half of them, whatever they say, can't move it past what the others saw.
-func (m *Member) Doubt(now time.Duration, server string) (doubt float64, witnesses int) {
-	var seen []float64
+// FailureEstimate returns the failed share that the other members report of a web server, from 0 to 1, and the number of members
+// that it is based on. It justifies an earlier probe by this node, and fewer requests until then, no more. It is the median of the
+// decayed reports of live members, so that fewer than half of them can't move it beyond what the others observed, whatever they
+// report.
+func (m *Member) Doubt(now time.Duration, server string) (failedShare float64, reporters int) {
+	var shares []float64
 	for _, name := range m.peerNames() {
-		e, known := m.serverReports[reportKey{name, server}]
-		if p := m.peers[name]; !known || p.State > Suspect || e.inc != p.Inc || e.Attempts < 1 || now > e.ReceivedAt+3*reportTimeConstant {
+		r, known := m.serverReports[reportKey{name, server}]
+		if p := m.peers[name]; !known || p.State > Suspect || r.inc != p.Inc || r.Attempts < 1 || now > r.ReceivedAt+3*reportTimeConstant {
 			continue
 		}
-		seen = append(seen, e.FailedShare*math.Exp(-float64(now-e.ReceivedAt)/float64(reportTimeConstant)))
+		shares = append(shares, r.FailedShare*math.Exp(-float64(now-r.ReceivedAt)/float64(reportTimeConstant)))
 	}
-	if len(seen) < 2 { // one alone is nobody
-		return 0, len(seen)
+	if len(shares) < 2 { // a single member is not believed
+		return 0, len(shares)
 	}
-	slices.Sort(seen)
-	return seen[(len(seen)-1)/2], len(seen) // of an even number the lower one
+	slices.Sort(shares)
+	return shares[(len(shares)-1)/2], len(shares) // the lower median of an even number
 }
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -12,10 +12,11 @@
 
 const second = time.Second
 
-// secrets are the keys of a virtual world: who lacks a name's secret can't sign for it. They cost less than Ed25519.
+// testKeys are the Keys of a simulated member: a keyed hash, which costs less than Ed25519. Without the secret of a name they can't
+// sign for it.
 type testKeys struct {
 	secretByName map[string]uint64
-	own          string
+	own          string // name of the member that signs
 }
 
 func (s testKeys) mac(name string, b []byte) []byte {
@@ -36,164 +37,171 @@
 	return nil
 }
 
-// world is members in virtual time on a network that loses and delays packets.
+// simulation runs members in virtual time on a network that loses and delays packets, and checks invariants of what they believe.
 type simulation struct {
 	rng         *rand.Rand
 	now         time.Duration
 	events      eventQueue
 	seq         int
 	secrets     map[string]uint64
-	members     []*Member // nil: it is not there
+	members     []*Member // nil: not running
 	byAddr      map[string]int
 	loss        float64
-	slow        map[int]bool                // takes up to two seconds over anything
-	frozen      map[int]time.Duration       // does nothing until then
-	cut         func(from, to int) bool     // nil: nobody is cut off
-	intercept   func(from int, o Out) []Out // what a member really sends; nil: that
-	maxIncSeen  map[string]uint64           // highest incarnation of each that anybody was seen to hold
-	falselyDead map[string]int              // living members that some living member held for dead
-	violations  []string
-	bytes       []int64
+	slow        map[int]bool                // members whose packets are delayed by up to two seconds
+	frozen      map[int]time.Duration       // members that are suspended, and until when
+	cut         func(from, to int) bool     // whether packets between two members are lost; nil: no partition
+	intercept   func(from int, o Out) []Out // replaces what a member sends; nil: nothing is replaced
+	maxIncSeen  map[string]uint64           // highest incarnation of each member that any member held
+	falselyDead map[string]int              // "holder subject" of running members that a running member held for dead
+	violations  []string                    // of invariants
+	bytes       []int64                     // sent, by member
 	started     time.Duration
 	each        func()
 }
 
+// event is a packet to be delivered, or a timer of a member.
 type event struct {
 	at   time.Duration
 	seq  int
 	to   int
 	from string
-	data []byte // nil: a tick
+	data []byte // nil: a timer
 }
 
+// eventQueue is a heap of events by time, then by the order of their scheduling.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	e := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	*q = (*q)[:last]
 	return e
 }
 
+// newSimulation starts n members, which join through the first two.
 func newSimulation(n int, seed uint64) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 77)), secrets: map[string]uint64{}, byAddr: map[string]int{}, slow: map[int]bool{},
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 77)), secrets: map[string]uint64{}, byAddr: map[string]int{}, slow: map[int]bool{},
 		frozen: map[int]time.Duration{}, maxIncSeen: map[string]uint64{}, falselyDead: map[string]int{}, bytes: make([]int64, n)}
 	for i := range n {
-		w.secrets[memberName(i)] = w.rng.Uint64()
+		sim.secrets[memberName(i)] = sim.rng.Uint64()
 	}
-	w.members = make([]*Member, n)
+	sim.members = make([]*Member, n)
 	for i := range n {
-		w.start(i, uint64(1000+i))
+		sim.start(i, uint64(1000+i))
 	}
-	return w
+	return sim
 }
 
 func memberName(i int) string { return fmt.Sprint("m", i) }
 func memberAddr(i int) string { return fmt.Sprint("a", i) }
 
-func (w *simulation) keys(i int) testKeys { return testKeys{w.secrets, memberName(i)} }
+func (sim *simulation) keys(i int) testKeys { return testKeys{sim.secrets, memberName(i)} }
 
-func (w *simulation) start(i int, inc uint64) {
-	w.byAddr[memberAddr(i)] = i
-	w.members[i] = New(w.now, memberName(i), memberAddr(i), inc, Usual(), w.keys(i), rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i))), memberAddr(0), memberAddr(1))
-	w.schedule(w.now+time.Duration(w.rng.Int64N(int64(second))), event{to: i})
+// start starts or restarts a member with the given incarnation.
+func (sim *simulation) start(i int, inc uint64) {
+	sim.byAddr[memberAddr(i)] = i
+	sim.members[i] = New(sim.now, memberName(i), memberAddr(i), inc, Usual(), sim.keys(i), rand.New(rand.NewPCG(sim.rng.Uint64(), uint64(i))), memberAddr(0), memberAddr(1))
+	sim.schedule(sim.now+time.Duration(sim.rng.Int64N(int64(second))), event{to: i})
 }
 
-func (w *simulation) schedule(t time.Duration, e event) {
-	e.at, e.seq = max(t, w.now), w.seq
-	w.seq++
-	heap.Push(&w.events, e)
+// schedule adds an event at a time, at the earliest now.
+func (sim *simulation) schedule(t time.Duration, e event) {
+	e.at, e.seq = max(t, sim.now), sim.seq
+	sim.seq++
+	heap.Push(&sim.events, e)
 }
 
 // send puts packets on the network.
-func (w *simulation) send(from int, outs []Out) {
-	for _, o := range outs {
+func (sim *simulation) send(from int, packets []Out) {
+	for _, o := range packets {
 		all := []Out{o}
-		if w.intercept != nil {
-			all = w.intercept(from, o)
+		if sim.intercept != nil {
+			all = sim.intercept(from, o)
 		}
 		for _, o := range all {
-			w.bytes[from] += int64(len(o.Data))
-			to, known := w.byAddr[o.Addr]
-			if !known || w.cut != nil && w.cut(from, to) || !o.TCP && w.rng.Float64() < w.loss {
+			sim.bytes[from] += int64(len(o.Data))
+			to, known := sim.byAddr[o.Addr]
+			if !known || sim.cut != nil && sim.cut(from, to) || !o.TCP && sim.rng.Float64() < sim.loss {
 				continue
 			}
-			delay := time.Duration(1+w.rng.IntN(5)) * time.Millisecond
-			if w.slow[from] {
-				delay += time.Duration(w.rng.Int64N(int64(2 * second)))
+			delay := time.Duration(1+sim.rng.IntN(5)) * time.Millisecond
+			if sim.slow[from] {
+				delay += time.Duration(sim.rng.Int64N(int64(2 * second)))
 			}
-			w.schedule(w.now+delay, event{to: to, from: memberAddr(from), data: o.Data})
+			sim.schedule(sim.now+delay, event{to: to, from: memberAddr(from), data: o.Data})
 		}
 	}
 }
 
-// run plays until then, and checks the oracles as it goes.
-func (w *simulation) run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		m := w.members[e.to]
+// run advances the simulation to a time, and checks the invariants at each step.
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
+		m := sim.members[e.to]
 		if m == nil {
 			continue
 		}
-		if f := w.frozen[e.to]; w.now < f {
-			w.schedule(f, event{to: e.to, from: e.from, data: e.data})
+		if f := sim.frozen[e.to]; sim.now < f {
+			sim.schedule(f, event{to: e.to, from: e.from, data: e.data})
 			continue
 		}
 		before := m.Inc()
 		if e.data == nil {
-			out, next := m.Tick(w.now)
-			w.send(e.to, out)
+			out, next := m.Tick(sim.now)
+			sim.send(e.to, out)
 			if !m.stopped {
-				w.schedule(next, event{to: e.to})
+				sim.schedule(next, event{to: e.to})
 			}
 		} else {
-			out, _ := m.Receive(w.now, e.from, e.data)
-			w.send(e.to, out)
+			out, _ := m.Receive(sim.now, e.from, e.data)
+			sim.send(e.to, out)
 		}
 		if m.Inc() < before {
-			w.violations = append(w.violations, fmt.Sprintf("%v: the incarnation of %s goes back", w.now, m.name))
+			sim.violations = append(sim.violations, fmt.Sprintf("%v: the incarnation of %s decreased", sim.now, m.name))
 		}
-		w.checkBeliefs(e.to, m)
+		sim.checkBeliefs(e.to, m)
 	}
-	w.now = until
+	sim.now = until
 }
 
-// look checks a member's beliefs: no incarnation that its owner never had, none that goes back.
-func (w *simulation) checkBeliefs(i int, m *Member) {
+// checkBeliefs checks that a member holds no incarnation that its owner never had, and notes running members that it holds for
+// dead.
+func (sim *simulation) checkBeliefs(i int, m *Member) {
 	for n, p := range m.peers {
 		if p.State == Dead {
-			if k := memberIndex(n); w.members[k] != nil && !w.members[k].stopped && p.Inc > 0 {
+			if k := memberIndex(n); sim.members[k] != nil && !sim.members[k].stopped && p.Inc > 0 {
 				key := m.name + " " + n
-				if w.falselyDead[key] == 0 {
-					w.falselyDead[key] = 1
+				if sim.falselyDead[key] == 0 {
+					sim.falselyDead[key] = 1
 				}
 			}
 		}
-		if p.Inc > w.maxIncSeen[n] {
-			w.maxIncSeen[n] = p.Inc
-			if o := w.members[memberIndex(n)]; o != nil && p.Inc > o.Inc() {
-				w.violations = append(w.violations, fmt.Sprintf("%v: %s holds incarnation %d of %s, who is at %d", w.now, m.name, p.Inc, n, o.Inc()))
+		if p.Inc > sim.maxIncSeen[n] {
+			sim.maxIncSeen[n] = p.Inc
+			if o := sim.members[memberIndex(n)]; o != nil && p.Inc > o.Inc() {
+				sim.violations = append(sim.violations, fmt.Sprintf("%v: %s holds incarnation %d of %s, which is at %d", sim.now, m.name, p.Inc, n, o.Inc()))
 			}
 		}
 	}
 }
 
+// memberIndex is the inverse of memberName.
 func memberIndex(n string) int {
 	var i int
 	fmt.Sscanf(n, "m%d", &i)
 	return i
 }
 
-// knows counts living members that hold another for something.
-func (w *simulation) countHolding(i int, s State) (n int) {
-	for k, m := range w.members {
+// countHolding returns the number of other running members that hold a member to be in a state.
+func (sim *simulation) countHolding(i int, s State) (n int) {
+	for k, m := range sim.members {
 		if m == nil || m.stopped || k == i {
 			continue
 		}
@@ -204,13 +212,13 @@
 	return
 }
 
-// joined tells whether all living members hold all living others for alive.
-func (w *simulation) joined() bool {
-	for i, m := range w.members {
+// joined reports whether each running member holds each other running member for alive or suspect.
+func (sim *simulation) joined() bool {
+	for i, m := range sim.members {
 		if m == nil || m.stopped {
 			continue
 		}
-		for k, o := range w.members {
+		for k, o := range sim.members {
 			if i == k || o == nil || o.stopped {
 				continue
 			}
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -18,148 +18,153 @@
 )
 
 const (
-	streamTimeout = 2 * time.Second // a packet over TCP takes no longer
-	maxStreams    = 32              // of them at a time, in and out each
+	// streamTimeout bounds the transfer of one packet over TCP.
+	streamTimeout = 2 * time.Second
+	// maxStreams bounds the concurrent TCP connections, separately for incoming and outgoing ones.
+	maxStreams = 32
 )
 
-// Options are what an Edge is made of.
+// Options are the parameters of Listen.
 type Options struct {
-	Name  string
-	Addr  string // host:port, for UDP and TCP; the port may be 0
-	Seeds []string
+	Name  string   // name of this member
+	Addr  string   // host:port, for UDP and TCP; the port may be 0
+	Seeds []string // host:port of members through which this one joins
 	Set   Settings
 	Keys  Keys
 	Log   *slog.Logger
 }
 
-// Edge is a member on sockets: UDP for packets, TCP for those that are too long or must not be lost, with a length of four
-// bytes before them. Safe for concurrent use.
+// Transport runs a Member on sockets. Packets go over UDP; those that are too long for it or must not be lost go over TCP, each on a
+// connection of its own, after a length of four bytes. It is safe for concurrent use.
 type Edge struct {
 	udp       *net.UDPConn
 	tcp       net.Listener
 	log       *slog.Logger
 	started   time.Time
 	done      chan struct{}
-	dialSlots chan struct{}
+	dialSlots chan struct{} // one element for each outgoing TCP connection
 	wg        sync.WaitGroup
-	sent      atomic.Int64
+	sent      atomic.Int64 // bytes
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	member       *Member
-	loggedStates map[string]State // as last logged
+	loggedStates map[string]State // last logged state, by name
 }
 
-// Listen opens the sockets and joins. An error names what could not be opened.
+// Listen opens the sockets and starts to join the other members. An error names the address that could not be opened.
 func Listen(ctx context.Context, o Options) (*Edge, error) {
-	lc := net.ListenConfig{}
-	tcp, err := lc.Listen(ctx, "tcp", o.Addr)
+	listenConfig := net.ListenConfig{}
+	tcp, err := listenConfig.Listen(ctx, "tcp", o.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	addr := tcp.Addr().String()
-	pc, err := lc.ListenPacket(ctx, "udp", addr)
+	udp, err := listenConfig.ListenPacket(ctx, "udp", addr)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("members: %w", err), tcp.Close())
 	}
-	e := &Edge{udp: pc.(*net.UDPConn), tcp: tcp, log: o.Log, started: time.Now(), done: make(chan struct{}),
+	t := &Edge{udp: udp.(*net.UDPConn), tcp: tcp, log: o.Log, started: time.Now(), done: make(chan struct{}),
 		dialSlots: make(chan struct{}, maxStreams), loggedStates: map[string]State{}}
-	e.member = New(0, o.Name, addr, uint64(time.Now().UnixMilli()), o.Set, o.Keys, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), o.Seeds...)
-	e.wg.Add(3)
-	go e.runTimer()
-	go e.readUDP()
-	go e.serveTCP()
-	return e, nil
+	t.member = New(0, o.Name, addr, uint64(time.Now().UnixMilli()), o.Set, o.Keys, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), o.Seeds...)
+	t.wg.Add(3)
+	go t.runTimer()
+	go t.readUDP()
+	go t.serveTCP()
+	return t, nil
 }
 
-// now is the time since the start, which does not step back.
-func (e *Edge) now() time.Duration { return time.Since(e.started) }
-
-// Addr is where it listens.
-func (e *Edge) Addr() string { return e.tcp.Addr().String() }
-
-// Close leaves, and ends the sockets and all that goes on.
-func (e *Edge) Close() {
-	e.mu.Lock()
-	outs := e.member.Leave(e.now())
-	e.mu.Unlock()
-	e.send(outs)
-	close(e.done)
-	e.udp.Close()
-	e.tcp.Close()
-	e.wg.Wait()
+// now returns the time since the start, which does not step back.
+func (t *Edge) now() time.Duration { return time.Since(t.started) }
+
+// Addr returns the host:port at which the member listens.
+func (t *Edge) Addr() string { return t.tcp.Addr().String() }
+
+// Close announces that the member leaves, closes the sockets and waits for all goroutines to end.
+func (t *Edge) Close() {
+	t.mu.Lock()
+	packets := t.member.Leave(t.now())
+	t.mu.Unlock()
+	t.send(packets)
+	close(t.done)
+	t.udp.Close()
+	t.tcp.Close()
+	t.wg.Wait()
 }
 
-// Do runs f with the member, which nothing else touches meanwhile. What it lets out is sent with the next packets.
-func (e *Edge) Do(f func(now time.Duration, m *Member)) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	f(e.now(), e.member)
+// Do runs f with the member under the lock. f must not retain the member. Facts that it queues are sent with the next packets.
+func (t *Edge) Do(f func(now time.Duration, m *Member)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f(t.now(), t.member)
 }
 
-// Sent is how many bytes were written to the sockets.
-func (e *Edge) Sent() int64 { return e.sent.Load() }
+// BytesSent returns the number of bytes written to the sockets.
+func (t *Edge) Sent() int64 { return t.sent.Load() }
 
-func (e *Edge) runTimer() {
-	defer e.wg.Done()
-	t := time.NewTimer(0)
-	defer t.Stop()
+// runTimer calls the member's Tick whenever it is due.
+func (t *Edge) runTimer() {
+	defer t.wg.Done()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
-		case <-t.C:
-		case <-e.done:
+		case <-timer.C:
+		case <-t.done:
 			return
 		}
-		e.mu.Lock()
-		outs, next := e.member.Tick(e.now())
-		e.logStates()
-		e.mu.Unlock()
-		e.send(outs)
-		t.Reset(next - e.now())
+		t.mu.Lock()
+		packets, next := t.member.Tick(t.now())
+		t.logStates()
+		t.mu.Unlock()
+		t.send(packets)
+		timer.Reset(next - t.now())
 	}
 }
 
-// tell logs what has changed. The lock is held.
-func (e *Edge) logStates() {
-	for name, p := range e.member.peers {
-		if old, known := e.loggedStates[name]; !known || old != p.State {
-			e.loggedStates[name] = p.State
-			e.log.Info("member", "name", name, "state", p.State.String(), "accusers", p.Accusers)
+// logStates logs each peer whose state has changed since it was last logged. The caller holds the lock.
+func (t *Edge) logStates() {
+	for name, p := range t.member.peers {
+		if old, known := t.loggedStates[name]; !known || old != p.State {
+			t.loggedStates[name] = p.State
+			t.log.Info("member state changed", "name", name, "state", p.State.String(), "accusers", p.Accusers)
 		}
 	}
 }
 
-// take hands in what has come.
-func (e *Edge) receive(from string, data []byte) {
-	e.mu.Lock()
-	outs, err := e.member.Receive(e.now(), from, data)
-	e.mu.Unlock()
+// receive passes a received packet to the member and sends the replies.
+func (t *Edge) receive(from string, data []byte) {
+	t.mu.Lock()
+	packets, err := t.member.Receive(t.now(), from, data)
+	t.mu.Unlock()
 	if err != nil {
-		e.log.Debug("member: a packet is not taken", "from", from, "err", err)
+		t.log.Debug("members: packet rejected", "from", from, "err", err)
 	}
-	e.send(outs)
+	t.send(packets)
 }
 
-func (e *Edge) readUDP() {
-	defer e.wg.Done()
+// readUDP receives packets until the socket is closed.
+func (t *Edge) readUDP() {
+	defer t.wg.Done()
 	buf := make([]byte, 2*MaxPacketBytes)
 	for {
-		n, from, err := e.udp.ReadFromUDPAddrPort(buf)
+		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			e.receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), append([]byte(nil), buf[:n]...))
+			t.receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), append([]byte(nil), buf[:n]...))
 		}
 	}
 }
 
-func (e *Edge) serveTCP() {
-	defer e.wg.Done()
-	flow.Serve(e.tcp, maxStreams, e.readStream, func(err error) { e.log.Warn("members: accepting failed", "err", err) })
+// serveTCP accepts connections until the listener is closed.
+func (t *Edge) serveTCP() {
+	defer t.wg.Done()
+	flow.Serve(t.tcp, maxStreams, t.readStream, func(err error) { t.log.Warn("members: accept failed", "err", err) })
 }
 
-// stream takes one packet.
-func (e *Edge) readStream(conn net.Conn) {
+// readStream receives one packet from a connection.
+func (t *Edge) readStream(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(streamTimeout))
 	var size [4]byte
 	if _, err := io.ReadFull(conn, size[:]); err != nil {
@@ -169,37 +174,38 @@
 	if n > MaxSyncBytes {
 		return
 	}
-	data, err := io.ReadAll(io.LimitReader(conn, int64(n))) // no more is held than has come
+	data, err := io.ReadAll(io.LimitReader(conn, int64(n))) // allocates no more than has arrived, whatever the length says
 	if err == nil && len(data) == int(n) {
-		e.receive(conn.RemoteAddr().String(), data)
+		t.receive(conn.RemoteAddr().String(), data)
 	}
 }
 
-// send writes packets. What can't be written is lost, as on any network.
-func (e *Edge) send(outs []Out) {
-	for _, o := range outs {
+// send writes packets to the network. Those that can't be written are dropped, as on any lossy network. TCP packets are written by
+// goroutines of their own.
+func (t *Edge) send(packets []Out) {
+	for _, o := range packets {
 		if !o.TCP {
 			to, err := netip.ParseAddrPort(o.Addr)
-			if err != nil { // a seed may be a name
-				a, err := net.ResolveUDPAddr("udp", o.Addr)
+			if err != nil { // a seed may be a host name
+				resolved, err := net.ResolveUDPAddr("udp", o.Addr)
 				if err != nil {
 					continue
 				}
-				to = a.AddrPort()
+				to = resolved.AddrPort()
 			}
-			n, _ := e.udp.WriteToUDPAddrPort(o.Data, to)
-			e.sent.Add(int64(n))
+			n, _ := t.udp.WriteToUDPAddrPort(o.Data, to)
+			t.sent.Add(int64(n))
 			continue
 		}
 		select {
-		case e.dialSlots <- struct{}{}:
+		case t.dialSlots <- struct{}{}:
 		default:
-			continue // too many are under way
+			continue // too many connections: drop the packet
 		}
-		e.wg.Add(1)
+		t.wg.Add(1)
 		go func() {
-			defer e.wg.Done()
-			defer func() { <-e.dialSlots }()
+			defer t.wg.Done()
+			defer func() { <-t.dialSlots }()
 			conn, err := net.DialTimeout("tcp", o.Addr, streamTimeout/2)
 			if err != nil {
 				return
@@ -207,7 +213,7 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(streamTimeout))
 			n, _ := conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(o.Data))), o.Data...))
-			e.sent.Add(int64(n))
+			t.sent.Add(int64(n))
 		}()
 	}
 }
