--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -15,14 +15,16 @@
 	"portstall/internal/message"
 )
 
-// What of the file is compiled one by one is so for resources as well (resource/catalog): one piece of code for both.
+// The functions here that compile one item of the file also compile the resources of package resource/catalog, so that both have the
+// same rules.
 
-// Ready is a pinned tenant ready for use, with what was not given filled in. Path stands before fields in errors, which are *FieldError.
+// Compile returns the pinned tenant ready for use, with defaults filled in. Path is the prefix of field names in errors, which are
+// *FieldError.
 func (v *Pinned) Ready(path string) (cell.Tenant, error) {
 	out := cell.Tenant{Name: v.Tenant, Pods: v.Pods}
-	for k, m := range v.Moves {
+	for i, m := range v.Moves {
 		if m.Start.IsZero() {
-			return out, &FieldError{fmt.Sprintf("%smoves[%d].start", path, k), "missing"}
+			return out, &FieldError{fmt.Sprintf("%smoves[%d].start", path, i), "missing"}
 		}
 		move := cell.Move{To: m.To, Start: unixTime(m.Start), Prepare: m.Prepare, Both: m.Both, Stop: unixTime(m.Stop), Back: unixTime(m.Back)}
 		if move.Prepare == 0 {
@@ -30,19 +32,19 @@
 		}
 		if len(m.Keys) > 0 {
 			if len(m.Keys) != 2 {
-				return out, &FieldError{fmt.Sprintf("%smoves[%d].keys", path, k), "is not of the form [from, below]"}
+				return out, &FieldError{fmt.Sprintf("%smoves[%d].keys", path, i), "is not of the form [from, below]"}
 			}
 			move.From, move.Below = m.Keys[0], m.Keys[1]
 		}
 		out.Moves = append(out.Moves, move)
 	}
-	if field, why := out.Check(); field != "" {
-		return out, &FieldError{path + field, why}
+	if field, reason := out.Check(); field != "" {
+		return out, &FieldError{path + field, reason}
 	}
 	return out, nil
 }
 
-// unix is a time as the nodes' clocks tell it; 0 for none.
+// unixTime returns the time since the Unix epoch, 0 for the zero time.
 func unixTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
@@ -50,8 +52,8 @@
 	return time.Duration(t.UnixNano())
 }
 
-// Ready is a route ready for use, with what was not given filled in. Path stands before fields in errors, which are *FieldError. Whether
-// its host and port are sound is for tunnel.Route.Check; its service and class are not looked for.
+// Compile returns the route ready for use, with defaults filled in. Path is the prefix of field names in errors, which are *FieldError.
+// Host and port are checked by tunnel.Route.Check. Whether its service and class exist is not checked.
 func (r *Route) Ready(path string) (tunnel.Route, error) {
 	out := tunnel.Route{Host: r.Host, Port: r.Port, Service: r.Service}
 	limits := []struct {
@@ -59,12 +61,12 @@
 		value time.Duration
 	}{{"idle", r.Idle}, {"total", r.Total}, {"stall", r.Stall}, {"drain", r.Drain}}
 	for _, l := range limits {
-		most := 24 * time.Hour
+		maximum := 24 * time.Hour
 		if l.name == "drain" {
-			most = time.Minute // a process that is told to end waits no longer for anything
+			maximum = time.Minute // a process that is told to stop waits no longer than this for anything
 		}
-		if l.value < 0 || l.value > most {
-			return out, &FieldError{path + l.name, fmt.Sprintf("%s is outside 0 to %s", l.value, most)}
+		if l.value < 0 || l.value > maximum {
+			return out, &FieldError{path + l.name, fmt.Sprintf("%s is outside 0 to %s", l.value, maximum)}
 		}
 		if l.value > 0 && r.Kind != "opaque" {
 			return out, &FieldError{path + l.name, "is for opaque routes only"}
@@ -73,7 +75,7 @@
 	switch r.Kind {
 	case "", "http":
 		if r.Class != "" {
-			return out, &FieldError{path + "class", "is for opaque routes only: each request names its own"}
+			return out, &FieldError{path + "class", "is for opaque routes only: elsewhere each request names its class"}
 		}
 		return out, nil
 	case "opaque":
@@ -81,25 +83,26 @@
 		return out, &FieldError{path + "kind", fmt.Sprintf("%q is neither http nor opaque", r.Kind)}
 	}
 	if r.Class == "" {
-		return out, &FieldError{path + "class", "missing: an opaque tunnel is a request of some class"}
+		return out, &FieldError{path + "class", "missing: an opaque tunnel counts as a request of a class"}
 	}
 	out.Opaque, out.Class = true, r.Class
 	out.Limits = message.Limits{Idle: r.Idle, Total: r.Total, Stall: r.Stall, Drain: r.Drain}
 	for _, d := range []struct {
-		value *time.Duration
-		usual time.Duration
+		value        *time.Duration
+		defaultValue time.Duration
 	}{{&out.Limits.Idle, time.Minute}, {&out.Limits.Total, time.Hour}, {&out.Limits.Drain, 30 * time.Second}} {
 		if *d.value == 0 {
-			*d.value = d.usual
+			*d.value = d.defaultValue
 		}
 	}
 	return out, nil
 }
 
-// Compile makes the table of contracts. Effects are those of the classes that the node serves, by name; with none, what
-// the file says itself is used. It returns nil where the file has no contracts. An error is a *FieldError.
+// Compile checks the services and returns the table of contracts, nil where the file has no contracts. Effects are those of the
+// classes that the node serves, by name; for classes that are not among them the effects in the file are used. An error is a
+// *FieldError.
 func Compile(f *File, effects map[string]string) (*contract.Table, error) {
-	known := map[string]string{}
+	allEffects := map[string]string{}
 	services := map[string]map[string]bool{}
 	for i := range f.Services {
 		s := &f.Services[i]
@@ -113,12 +116,12 @@
 		services[s.Name] = s.Set()
 		for _, c := range s.Classes {
 			if c.Effect != "" {
-				known[c.Name] = c.Effect
+				allEffects[c.Name] = c.Effect
 			}
 		}
 	}
 	for name, e := range effects {
-		known[name] = e
+		allEffects[name] = e
 	}
 	if f.Parts != "" && f.Parts != "seen" && f.Parts != "even" {
 		return nil, &FieldError{"parts", fmt.Sprintf("%q is neither seen nor even", f.Parts)}
@@ -128,7 +131,7 @@
 	}
 	scope := Scope{
 		Classes: func(service string) (map[string]bool, bool) { c, ok := services[service]; return c, ok },
-		Unsafe:  func(class string) bool { return known[class] == "unsafe" },
+		Unsafe:  func(class string) bool { return allEffects[class] == "unsafe" },
 		Where:   "of this file",
 	}
 	var terms []contract.Terms
@@ -141,18 +144,18 @@
 	}
 	table, err := contract.NewTable(terms)
 	if err != nil {
-		field, why, _ := strings.Cut(err.Error(), ": ")
-		return nil, &FieldError{field, why}
+		field, reason, _ := strings.Cut(err.Error(), ": ")
+		return nil, &FieldError{field, reason}
 	}
 	table.EvenParts = f.Parts == "even"
 	return table, nil
 }
 
-// Check reports what makes no sense in a service's classes, also against the effects of those that the node serves, by name. Path stands
-// before fields in errors, which are *FieldError.
+// Check checks a service's classes. Their effects must agree with those of the classes that the node serves, given by name. Path is
+// the prefix of field names in errors, which are *FieldError.
 func (s *Service) Check(path string, effects map[string]string) error {
-	for k, c := range s.Classes {
-		p := fmt.Sprintf("%sclasses[%d].", path, k)
+	for i, c := range s.Classes {
+		p := fmt.Sprintf("%sclasses[%d].", path, i)
 		if c.Name == "" {
 			return &FieldError{p + "name", "missing"}
 		}
@@ -166,7 +169,7 @@
 	return nil
 }
 
-// Set is the service's classes.
+// ClassSet returns the names of the service's classes as a set.
 func (s *Service) Set() map[string]bool {
 	set := make(map[string]bool, len(s.Classes))
 	for _, c := range s.Classes {
@@ -175,18 +178,21 @@
 	return set
 }
 
-// Scope is what contracts are compiled against.
+// Scope holds what contracts refer to.
 type Scope struct {
-	Classes func(service string) (classes map[string]bool, known bool) // shared by contracts: not to be changed
-	Unsafe  func(class string) bool                                    // it must never run twice
-	Where   string                                                     // services are looked for, in errors: as in "of this file"
+	// Classes returns the classes of a service, and whether the service exists. Contracts share the map, so it must not be changed.
+	Classes func(service string) (classes map[string]bool, known bool)
+	// Unsafe reports whether requests of a class must never run twice.
+	Unsafe func(class string) bool
+	// Where ends the error about an unknown service, as in "of this file".
+	Where string
 }
 
-// Terms is what a contract states, ready for use, with what was not given filled in. Path stands before fields in errors, which are
-// *FieldError. Contracts that name one service alone share its classes.
+// Terms returns the terms of the contract, ready for use, with defaults filled in. Path is the prefix of field names in errors, which
+// are *FieldError. Contracts that name only one service share the map of its classes.
 func (c *Contract) Terms(path string, in *Scope) (contract.Terms, error) {
-	bad := func(field, why string, args ...any) (contract.Terms, error) {
-		return contract.Terms{}, &FieldError{path + field, fmt.Sprintf(why, args...)}
+	fail := func(field, format string, args ...any) (contract.Terms, error) {
+		return contract.Terms{}, &FieldError{path + field, fmt.Sprintf(format, args...)}
 	}
 	t := contract.Terms{Name: c.Name, Rate: c.Rate, Burst: c.Burst, InFlight: c.InFlight, Guaranteed: c.Work.Guaranteed,
 		Limit: c.Work.Limit, Bandwidth: c.Bandwidth, Weight: 1, Lends: 1, Criticality: contract.Normal}
@@ -196,13 +202,13 @@
 	if c.Weight != nil {
 		t.Weight = *c.Weight
 	}
-	if c.LendableShare != nil {
-		t.Lends = *c.LendableShare
+	if c.Lends != nil {
+		t.Lends = *c.Lends
 	}
 	if c.Criticality != "" {
 		rank, ok := contract.Criticalities[c.Criticality]
 		if !ok {
-			return bad("criticality", "%q is none of critical, high, normal, sheddable", c.Criticality)
+			return fail("criticality", "%q is none of critical, high, normal, sheddable", c.Criticality)
 		}
 		t.Criticality = rank
 	}
@@ -215,7 +221,7 @@
 	for i, name := range c.Services {
 		classes, ok := in.Classes(name)
 		if !ok {
-			return bad(fmt.Sprintf("services[%d]", i), "%q is no service %s", name, in.Where)
+			return fail(fmt.Sprintf("services[%d]", i), "%q is no service %s", name, in.Where)
 		}
 		if i == 0 {
 			t.Classes = classes
@@ -233,9 +239,9 @@
 		field := fmt.Sprintf("retries[%d]", i)
 		switch {
 		case in.Unsafe(class):
-			return bad(field, "contract %q allows retries of class %q, which is unsafe: it must never run twice", c.Name, class)
+			return fail(field, "contract %q allows retries of class %q, which is unsafe: it must never run twice", c.Name, class)
 		case t.Classes != nil && !t.Classes[class]:
-			return bad(field, "contract %q allows retries of class %q, which none of its services has", c.Name, class)
+			return fail(field, "contract %q allows retries of class %q, which none of its services has", c.Name, class)
 		}
 		t.Retries[class] = true
 	}
@@ -243,12 +249,12 @@
 		p := fmt.Sprintf("match[%d]", i)
 		out := contract.Match{Tenant: m.Tenant}
 		if m == (Match{}) {
-			return bad(p, "is empty; a contract for everybody else has no match at all")
+			return fail(p, "is empty; a contract for everybody else must have no match")
 		}
 		if m.Header != "" {
 			name, value, ok := strings.Cut(m.Header, ":")
 			if out.Header, out.Value = http.CanonicalHeaderKey(strings.TrimSpace(name)), strings.TrimSpace(value); !ok || out.Value == "" || out.Header == "" {
-				return bad(p+".header", "%q is not of the form Name: value", m.Header)
+				return fail(p+".header", "%q is not of the form Name: value", m.Header)
 			}
 		}
 		if m.From != "" {
@@ -256,23 +262,23 @@
 			if err != nil {
 				addr, e := netip.ParseAddr(m.From)
 				if e != nil {
-					return bad(p+".from", "%q is neither an address nor a range", m.From)
+					return fail(p+".from", "%q is neither an address nor a range", m.From)
 				}
 				prefix = netip.PrefixFrom(addr, addr.BitLen())
 			}
 			out.From = prefix.Masked()
 		}
-		if m.TokenSHA256 != "" {
-			d, err := hex.DecodeString(m.TokenSHA256)
-			if err != nil || len(d) != len(out.Token) {
-				return bad(p+".token_sha256", "not the 64 hex digits of a SHA-256")
+		if m.Token != "" {
+			digest, err := hex.DecodeString(m.Token)
+			if err != nil || len(digest) != len(out.Token) {
+				return fail(p+".token_sha256", "is not the 64 hex digits of a SHA-256")
 			}
-			copy(out.Token[:], d)
+			copy(out.Token[:], digest)
 		}
 		t.Matches = append(t.Matches, out)
 	}
-	if field, why := t.Check(); field != "" {
-		return bad(field, "%s", why)
+	if field, reason := t.Check(); field != "" {
+		return fail(field, "%s", reason)
 	}
 	return t, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads the product's own file, deploy/portstall.yaml: what is switched on beyond the platform's node. No
-// file means that nothing is. It is pure but for Load; a file is one immutable value, swapped whole at a reload.
+// Package config reads the product's configuration file, deploy/portstall.yaml, which enables what goes beyond the node of the
+// platform. Without a file nothing of that is enabled. A File is an immutable value, replaced as a whole at a reload. Only Load and
+// Members.Load read from disk.
 package config
 
 import (
@@ -19,84 +20,85 @@
 	"portstall/internal/front/tunnel"
 )
 
-// File is the product's own file.
+// File is the product's configuration file.
 type File struct {
 	Services  []Service  `yaml:"services"`
 	Contracts []Contract `yaml:"contracts"`
-	Parts     string     `yaml:"parts"` // of each contract that a node hands out: seen (as the reports tell; the default) or even
+	Parts     string     `yaml:"parts"` // share of each contract that a node enforces: seen (by the traffic that it sees; the default) or even
 	Tunnels   *Tunnels   `yaml:"tunnels"`
 	Cells     *Cells     `yaml:"cells"`
 	Health    *Health    `yaml:"health"`
 	Members   *Members   `yaml:"members"`
 	State     *State     `yaml:"state"`
-	Control   *Control   `yaml:"control"` // whence services, contracts, routes and pinned tenants come in place of this file
+	Control   *Control   `yaml:"control"` // source of services, contracts, routes and pinned tenants, in place of this file
 
-	endsWithNewline, endsWithMarker bool // its text ends with the end of a line, and with YAML's mark for the end of a document
+	// How the text of the file ends: with a newline, and with the line "...", YAML's marker for the end of a document.
+	endsWithNewline, endsWithMarker bool
 }
 
-// Replaces tells whether the file can take the place of one in force. A part of a YAML file is often a file as well, of which
-// the rest is missing: one that is being written, or was cut off, must not take contracts away.
+// CheckReplacement returns an error where the file must not replace the current one. The beginning of a YAML file is often a valid
+// file itself, so a file that is still being written, or was truncated, could remove contracts.
 func (f *File) Replaces(old *File) error {
-	parts := func(f *File) [9]bool {
+	sections := func(f *File) [9]bool {
 		return [...]bool{f.Services != nil, f.Contracts != nil, f.Parts != "", f.Tunnels != nil, f.Cells != nil, f.Health != nil, f.Members != nil, f.State != nil,
 			f.Control != nil}
 	}
 	switch {
-	case parts(f) == [9]bool{} && parts(old) != [9]bool{}:
+	case sections(f) == [9]bool{} && sections(old) != [9]bool{}:
 		return errors.New("nothing is in it")
 	case old.endsWithNewline && !f.endsWithNewline:
-		return errors.New("its last line has no end: it is not whole")
+		return errors.New("its last line has no end: the file is truncated")
 	case old.endsWithMarker && !f.endsWithMarker:
-		return errors.New("it does not end with the line \"...\", as the one in force does: it is not whole")
+		return errors.New("it does not end with the line \"...\", as the current file does: the file is truncated")
 	}
 	return f.Control.checkReplacement(old.Control)
 }
 
-// Cells give each tenant a subset of the web servers of its own, spread over zones and pods.
+// Cells gives each tenant its own subset of the web servers, spread over zones and pods.
 type Cells struct {
-	Size    int           `yaml:"size"`    // web servers a tenant
-	Seed    uint64        `yaml:"seed"`    // another one deals all anew
-	Spill   float64       `yaml:"spill"`   // part of a tenant's requests that may go to its neighbour's where its own take none
-	Memory  int           `yaml:"memory"`  // keys of pinned tenants that a node remembers; 100,000
-	Marked  bool          `yaml:"marked"`  // clients mark their repeats, always
-	Skew    time.Duration `yaml:"skew"`    // by which nodes' clocks differ at most; 1 s
-	Tenants []Pinned      `yaml:"tenants"` // that are pinned to pods, and may move
+	Size    int           `yaml:"size"`    // web servers per tenant
+	Seed    uint64        `yaml:"seed"`    // another seed selects other subsets
+	Spill   float64       `yaml:"spill"`   // share of a tenant's requests that may go to its neighbour's servers where its own accept none
+	Memory  int           `yaml:"memory"`  // maximum number of keys of pinned tenants that a node remembers; default 100,000
+	Marked  bool          `yaml:"marked"`  // clients always mark repeated requests
+	Skew    time.Duration `yaml:"skew"`    // maximum difference between the clocks of nodes; default 1 s
+	Tenants []Pinned      `yaml:"tenants"` // tenants pinned to pods, which may be moved
 }
 
-// Pinned is a tenant whose web servers are those of some pods.
+// PinnedTenant is a tenant whose web servers are all those of some pods.
 type Pinned struct {
 	Tenant string  `yaml:"tenant" json:"tenant,omitzero"`
-	Pods   []int64 `yaml:"pods" json:"pods,omitzero"` // discovery's cells
+	Pods   []int64 `yaml:"pods" json:"pods,omitzero"` // pods are called cells in discovery
 	Moves  []Move  `yaml:"moves" json:"moves,omitzero"`
 }
 
-// Move takes a pinned tenant to other pods.
+// Move moves a pinned tenant to other pods.
 type Move struct {
 	To      []int64       `yaml:"to" json:"to,omitzero"`
-	Keys    []float64     `yaml:"keys" json:"keys,omitzero"` // from and below, as parts of all keys: those alone; none: all requests
+	Keys    []float64     `yaml:"keys" json:"keys,omitzero"` // [from, below] as fractions of all keys: moves only those; empty: all requests
 	Start   time.Time     `yaml:"start" json:"start,omitzero"`
-	Prepare time.Duration `yaml:"prepare" json:"prepare_ns,omitzero"` // 10 s
+	Prepare time.Duration `yaml:"prepare" json:"prepare_ns,omitzero"` // default 10 s
 	Both    time.Duration `yaml:"both" json:"both_ns,omitzero"`
-	Stop    time.Time     `yaml:"stop" json:"stop,omitzero"` // it stays as it is then
-	Back    time.Time     `yaml:"back" json:"back,omitzero"` // all goes back
+	Stop    time.Time     `yaml:"stop" json:"stop,omitzero"` // time at which the move halts at its current step
+	Back    time.Time     `yaml:"back" json:"back,omitzero"` // time at which the move is reversed
 }
 
-// Terms is how tenants are placed and moved. An error is a *FieldError.
+// Settings returns how tenants are placed and moved, with defaults filled in. An error is a *FieldError.
 func (c *Cells) Terms() (cell.Terms, error) {
 	t := cell.Terms{Plan: cell.Plan{Size: c.Size, Seed: c.Seed}, Doubt: cell.Doubt{Marked: c.Marked, Skew: c.Skew}, Memory: c.Memory, Spill: c.Spill}
-	bad := func(field, why string, args ...any) (cell.Terms, error) {
-		return t, &FieldError{"cells." + field, fmt.Sprintf(why, args...)}
+	fail := func(field, format string, args ...any) (cell.Terms, error) {
+		return t, &FieldError{"cells." + field, fmt.Sprintf(format, args...)}
 	}
-	if field, why := t.Plan.Check(); field != "" {
-		return bad(field, "%s", why)
+	if field, reason := t.Plan.Check(); field != "" {
+		return fail(field, "%s", reason)
 	}
 	switch {
 	case !(c.Spill >= 0 && c.Spill <= 1):
-		return bad("spill", "%v is outside 0 to 1", c.Spill)
+		return fail("spill", "%v is outside 0 to 1", c.Spill)
 	case c.Memory < 0 || c.Memory > 10_000_000:
-		return bad("memory", "%d is outside 0 to 10,000,000", c.Memory)
+		return fail("memory", "%d is outside 0 to 10,000,000", c.Memory)
 	case c.Skew < 0 || c.Skew > time.Minute:
-		return bad("skew", "%s is outside 0 to 1m", c.Skew)
+		return fail("skew", "%s is outside 0 to 1m", c.Skew)
 	}
 	if t.Memory == 0 {
 		t.Memory = 100_000
@@ -108,7 +110,7 @@
 	for i, v := range c.Tenants {
 		p := fmt.Sprintf("tenants[%d].", i)
 		if v.Tenant == "" || seen[v.Tenant] {
-			return bad(p+"tenant", "%q is missing or used twice", v.Tenant)
+			return fail(p+"tenant", "%q is missing or used twice", v.Tenant)
 		}
 		seen[v.Tenant] = true
 		tenant, err := v.Ready("cells." + p)
@@ -120,85 +122,88 @@
 	return t, nil
 }
 
-// Tunnels are the listeners on which clients ask for tunnels, and what they may ask for.
+// Tunnels holds the listeners on which clients request tunnels, and the routes that they may request.
 type Tunnels struct {
-	SOCKS5  string  `yaml:"socks5"`  // host:port; none: SOCKS5 is not spoken
-	Connect string  `yaml:"connect"` // the same for HTTP CONNECT
-	Users   []User  `yaml:"users"`   // none: nobody is asked for a password
+	SOCKS5  string  `yaml:"socks5"`  // host:port; empty: SOCKS5 is disabled
+	Connect string  `yaml:"connect"` // host:port; empty: HTTP CONNECT is disabled
+	Users   []User  `yaml:"users"`   // empty: no password is required
 	Routes  []Route `yaml:"routes"`
-	Proxies []Proxy `yaml:"proxies"` // the first that fits a web server stands before it
+	Proxies []Proxy `yaml:"proxies"` // the first one whose pattern matches a web server is used for it
 }
 
-// Proxy stands before some web servers, and is the only way to them: for opaque tunnels and for requests.
+// Proxy is the proxy through which some web servers are reached, for opaque tunnels as well as for requests.
 type Proxy struct {
-	Servers  string `yaml:"servers"` // ids, with * and ? as in a file's name
-	SOCKS5   string `yaml:"socks5"`  // host:port; this or connect
-	Connect  string `yaml:"connect"`
-	User     string `yaml:"user"` // empty: none is shown
+	Servers  string `yaml:"servers"` // pattern of server IDs, with * and ? as in filepath.Match
+	SOCKS5   string `yaml:"socks5"`  // host:port; exactly one of socks5 and connect is given
+	Connect  string `yaml:"connect"` // host:port
+	User     string `yaml:"user"`    // empty: no credentials are sent
 	Password string `yaml:"password"`
 }
 
-// User may open tunnels. A contract is for it by a match on the header Proxy-User.
+// User may open tunnels. A contract applies to a user by a match on the header Proxy-User.
 type User struct {
-	Name           string `yaml:"name"`
-	PasswordSHA256 string `yaml:"password_sha256"`
+	Name     string `yaml:"name"`
+	Password string `yaml:"password_sha256"`
 }
 
-// Route is a name and port that clients may ask for, and the service that answers there.
+// Route is a host name and port that clients may request, and the service behind it.
 type Route struct {
 	Host    string `yaml:"host" json:"host,omitzero"`
 	Port    uint16 `yaml:"port" json:"port,omitzero"`
 	Service string `yaml:"service" json:"service,omitzero"`
 
-	Kind  string        `yaml:"kind" json:"kind,omitzero"`      // http (the default): requests of our own protocol; opaque: whatever the two sides speak
-	Class string        `yaml:"class" json:"class,omitzero"`    // of an opaque tunnel
-	Idle  time.Duration `yaml:"idle" json:"idle_ns,omitzero"`   // an opaque one ends after this without a byte; 1 min
-	Total time.Duration `yaml:"total" json:"total_ns,omitzero"` // and at most this after its opening; 1 h
-	Stall time.Duration `yaml:"stall" json:"stall_ns,omitzero"` // or when the server says nothing to the client's latest for this long; 0: it may
-	Drain time.Duration `yaml:"drain" json:"drain_ns,omitzero"` // or this long after its server or the node is told to drain; 30 s
+	Kind  string        `yaml:"kind" json:"kind,omitzero"`      // http (the default): requests of this node's protocol; opaque: any protocol
+	Class string        `yaml:"class" json:"class,omitzero"`    // class of an opaque tunnel
+	Idle  time.Duration `yaml:"idle" json:"idle_ns,omitzero"`   // opaque tunnels end after this time without a byte; default 1 min
+	Total time.Duration `yaml:"total" json:"total_ns,omitzero"` // opaque tunnels end this long after their opening; default 1 h
+	// Stall is the time without a reply of the server to the client's latest bytes after which an opaque tunnel ends; 0: no limit.
+	Stall time.Duration `yaml:"stall" json:"stall_ns,omitzero"`
+	// Drain is the time after which an opaque tunnel ends once its server or the node has begun to drain; default 30 s.
+	Drain time.Duration `yaml:"drain" json:"drain_ns,omitzero"`
 }
 
-// Way is how the web servers are reached whose ids fit a pattern.
+// ProxyRule says through which proxy the web servers are reached whose IDs match a pattern.
 type Way struct {
-	Servers string // as filepath.Match has it
+	Servers string // as in filepath.Match
 	Proxy   backtunnel.Proxy
 }
 
-// Ways makes the proxies ready for use. An error is a *FieldError.
+// ProxyRules returns the proxies ready for use, in the order of the file. An error is a *FieldError.
 func (t *Tunnels) Ways() ([]Way, error) {
-	var ways []Way
+	var rules []Way
 	for i := range t.Proxies {
-		w, err := t.Proxies[i].compile(fmt.Sprintf("tunnels.proxies[%d].", i))
+		rule, err := t.Proxies[i].compile(fmt.Sprintf("tunnels.proxies[%d].", i))
 		if err != nil {
 			return nil, err
 		}
-		ways = append(ways, w)
+		rules = append(rules, rule)
 	}
-	return ways, nil
+	return rules, nil
 }
 
+// compile checks a proxy. Path is the prefix of field names in errors, which are *FieldError.
 func (p *Proxy) compile(path string) (Way, error) {
-	way := backtunnel.Proxy{Kind: backtunnel.SOCKS5, Addr: p.SOCKS5, User: p.User, Password: p.Password}
+	proxy := backtunnel.Proxy{Kind: backtunnel.SOCKS5, Addr: p.SOCKS5, User: p.User, Password: p.Password}
 	field := "socks5"
 	if p.Connect != "" {
-		way.Kind, way.Addr, field = backtunnel.Connect, p.Connect, "connect"
+		proxy.Kind, proxy.Addr, field = backtunnel.Connect, p.Connect, "connect"
 	}
-	_, _, bad := net.SplitHostPort(way.Addr)
+	_, _, addrErr := net.SplitHostPort(proxy.Addr)
 	switch {
 	case (p.SOCKS5 == "") == (p.Connect == ""):
-		return Way{}, &FieldError{path + "socks5", "one of socks5 and connect is needed"}
-	case bad != nil:
-		return Way{}, &FieldError{path + field, fmt.Sprintf("%q is not host:port", way.Addr)}
+		return Way{}, &FieldError{path + "socks5", "exactly one of socks5 and connect is required"}
+	case addrErr != nil:
+		return Way{}, &FieldError{path + field, fmt.Sprintf("%q is not host:port", proxy.Addr)}
 	case len(p.User) > 255 || len(p.Password) > 255 || strings.Contains(p.User, ":"):
-		return Way{}, &FieldError{path + "user", "user or password is longer than 255 bytes, or the user has a colon"}
+		return Way{}, &FieldError{path + "user", "user or password exceeds 255 bytes, or user contains a colon"}
 	}
 	if _, err := filepath.Match(p.Servers, ""); err != nil || p.Servers == "" {
-		return Way{}, &FieldError{path + "servers", fmt.Sprintf("%q is no pattern", p.Servers)}
+		return Way{}, &FieldError{path + "servers", fmt.Sprintf("%q is not a valid pattern", p.Servers)}
 	}
-	return Way{p.Servers, way}, nil
+	return Way{p.Servers, proxy}, nil
 }
 
-// Table makes the routes and users ready. An error is a *FieldError.
+// Table checks the section and returns its routes and users ready for use. An error is a *FieldError.
 func (t *Tunnels) Table() (*tunnel.Table, error) {
 	for _, v := range []struct{ field, addr string }{{"socks5", t.SOCKS5}, {"connect", t.Connect}} {
 		if _, _, err := net.SplitHostPort(v.addr); v.addr != "" && err != nil {
@@ -208,17 +213,17 @@
 	var users map[string][sha256.Size]byte
 	for i, u := range t.Users {
 		p := fmt.Sprintf("tunnels.users[%d].", i)
-		d, err := hex.DecodeString(u.PasswordSHA256)
+		digest, err := hex.DecodeString(u.Password)
 		if _, dup := users[u.Name]; u.Name == "" || dup {
 			return nil, &FieldError{p + "name", fmt.Sprintf("%q is missing or used twice", u.Name)}
 		}
-		if err != nil || len(d) != sha256.Size {
-			return nil, &FieldError{p + "password_sha256", "not the 64 hex digits of a SHA-256"}
+		if err != nil || len(digest) != sha256.Size {
+			return nil, &FieldError{p + "password_sha256", "is not the 64 hex digits of a SHA-256"}
 		}
 		if users == nil {
 			users = map[string][sha256.Size]byte{}
 		}
-		users[u.Name] = [sha256.Size]byte(d)
+		users[u.Name] = [sha256.Size]byte(digest)
 	}
 	var routes []tunnel.Route
 	for i := range t.Routes {
@@ -233,64 +238,65 @@
 	}
 	table, err := tunnel.NewTable(routes, users)
 	if err != nil {
-		field, why, _ := strings.Cut(err.Error(), ": ")
-		return nil, &FieldError{"tunnels." + field, why}
+		field, reason, _ := strings.Cut(err.Error(), ": ")
+		return nil, &FieldError{"tunnels." + field, reason}
 	}
 	return table, nil
 }
 
-// Service is what a team offers: a set of classes.
+// Service is a named set of classes that one team offers.
 type Service struct {
 	Name    string  `yaml:"name" json:"name,omitzero"`
 	Classes []Class `yaml:"classes" json:"classes,omitzero"`
 }
 
-// Class names a class, and what repeating it does where the file is to be checked for that: safe, keyed or unsafe.
+// Class names a class. Effect is what a repeated request of it does: safe, keyed or unsafe. It is optional, and is checked against the
+// node's settings where given.
 type Class struct {
 	Name   string `yaml:"name" json:"name,omitzero"`
 	Effect string `yaml:"effect" json:"effect,omitzero"`
 }
 
-// Contract says who may call what, at what rate, and within what budget. Figures are for all nodes together; nought or
-// nothing means no bound, but for work.guaranteed.
+// Contract limits the requests of some clients: which services they may call, at what rate and with what budget. Values are for all
+// nodes together; 0 or a missing value means no limit, except in work.guaranteed.
 type Contract struct {
-	Name          string    `yaml:"name" json:"name,omitzero"`
-	Match         []Match   `yaml:"match" json:"match,omitzero"`       // any of them; none: for whoever no other contract is for
-	Services      []string  `yaml:"services" json:"services,omitzero"` // none: all classes
-	Rate          float64   `yaml:"rate" json:"rate,omitzero"`         // requests a second
-	Burst         float64   `yaml:"burst" json:"burst,omitzero"`       // and how many at once; a second's rate where it is not given
-	InFlight      int       `yaml:"in_flight" json:"in_flight,omitzero"`
-	Bandwidth     float64   `yaml:"bandwidth" json:"bandwidth,omitzero"` // bytes a second through opaque tunnels, both ways together
-	Attempts      *Attempts `yaml:"attempts" json:"attempts,omitzero"`
-	Retries       []string  `yaml:"retries" json:"retries,omitzero"` // classes that may be sent more than once; not given: as each class allows
-	Work          Work      `yaml:"work" json:"work,omitzero"`
-	Criticality   string    `yaml:"criticality" json:"criticality,omitzero"` // critical, high, normal or sheddable
-	Weight        *float64  `yaml:"weight" json:"weight,omitzero"`           // of its part in what others leave unused; 1
-	LendableShare *float64  `yaml:"lends" json:"lends,omitzero"`             // part of its unused guarantee that others may have; 1
+	Name        string    `yaml:"name" json:"name,omitzero"`
+	Match       []Match   `yaml:"match" json:"match,omitzero"`       // any of them; empty: all requests that no other contract matches
+	Services    []string  `yaml:"services" json:"services,omitzero"` // empty: all classes
+	Rate        float64   `yaml:"rate" json:"rate,omitzero"`         // requests per second
+	Burst       float64   `yaml:"burst" json:"burst,omitzero"`       // requests at once; default one second's rate, at least 1
+	InFlight    int       `yaml:"in_flight" json:"in_flight,omitzero"`
+	Bandwidth   float64   `yaml:"bandwidth" json:"bandwidth,omitzero"` // bytes per second through opaque tunnels, both directions together
+	Attempts    *Attempts `yaml:"attempts" json:"attempts,omitzero"`
+	Retries     []string  `yaml:"retries" json:"retries,omitzero"` // classes that may be retried; missing: as each class allows
+	Work        Work      `yaml:"work" json:"work,omitzero"`
+	Criticality string    `yaml:"criticality" json:"criticality,omitzero"` // critical, high, normal (the default) or sheddable
+	Weight      *float64  `yaml:"weight" json:"weight,omitzero"`           // weight in the redistribution of unused quota; default 1
+	Lends       *float64  `yaml:"lends" json:"lends,omitzero"`             // share of its unused guarantee that other contracts may use; default 1
 }
 
-// Match is one way to be known. All that is given must hold.
+// Match is a condition on requests. All fields that are given must hold.
 type Match struct {
-	Tenant      string `yaml:"tenant" json:"tenant,omitzero"`
-	Header      string `yaml:"header" json:"header,omitzero"` // Name: value
-	From        string `yaml:"from" json:"from,omitzero"`     // address or CIDR range
-	TokenSHA256 string `yaml:"token_sha256" json:"token_sha256,omitzero"`
+	Tenant string `yaml:"tenant" json:"tenant,omitzero"`
+	Header string `yaml:"header" json:"header,omitzero"` // Name: value
+	From   string `yaml:"from" json:"from,omitzero"`     // address or CIDR range
+	Token  string `yaml:"token_sha256" json:"token_sha256,omitzero"`
 }
 
-// Attempts bounds further attempts and clients' marked repeats together.
+// Attempts bounds retries by nodes and repeats marked by clients, both together.
 type Attempts struct {
-	Ratio  float64       `yaml:"ratio" json:"ratio,omitzero"`      // as a part of first tries
-	Window time.Duration `yaml:"window" json:"window_ns,omitzero"` // over which both are counted; 10 s
-	Floor  float64       `yaml:"floor" json:"floor,omitzero"`      // and so many a second in any case
+	Ratio  float64       `yaml:"ratio" json:"ratio,omitzero"`      // maximum, as a fraction of first attempts
+	Window time.Duration `yaml:"window" json:"window_ns,omitzero"` // over which both are counted; default 10 s
+	Floor  float64       `yaml:"floor" json:"floor,omitzero"`      // retries per second that are always allowed
 }
 
-// Work is in server-seconds a second: about how many requests it keeps at servers.
+// Work is in server-seconds per second, which is about the number of requests that are at web servers at a time.
 type Work struct {
 	Guaranteed float64 `yaml:"guaranteed" json:"guaranteed,omitzero"`
 	Limit      float64 `yaml:"limit" json:"limit,omitzero"`
 }
 
-// Load reads the file at path. An error names file, line and field.
+// Load reads and checks the file at path. An error names file, line and field.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -299,7 +305,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's text; name stands for it in errors.
+// Parse reads and checks the text of a file. Name is the file's name in errors.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	if err := Decode(name, text, f, f.check); err != nil {
@@ -310,6 +316,7 @@
 	return f, nil
 }
 
+// check checks all sections. An error is a *FieldError.
 func (f *File) check() error {
 	if f.Control != nil {
 		if err := f.Control.check(f); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,23 +29,24 @@
     weight: 0
 `
 
-func TestGood(t *testing.T) {
+// A valid file is parsed and compiled with all defaults filled in.
+func TestValidFileIsCompiledWithDefaults(t *testing.T) {
 	f, err := Parse("p.yaml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	tab, err := Compile(f, map[string]string{"search": "safe"})
+	table, err := Compile(f, map[string]string{"search": "safe"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	app, rest := tab.Terms(0), tab.Terms(1)
+	app, fallback := table.Terms(0), table.Terms(1)
 	if app.Burst != 200 || app.Window.Seconds() != 10 || app.Criticality != contract.Critical || app.Weight != 1 || app.Lends != 1 ||
 		!app.Classes["pay"] || !app.Retries["search"] || app.Retries["pay"] || app.Matches[1].Header != "X-Team" ||
 		app.Matches[2].From.String() != "10.0.0.0/8" || app.Matches[3].From.Bits() != 32 {
-		t.Errorf("%+v", app)
+		t.Errorf("the contract app: %+v", app)
 	}
-	if rest.Burst != 1 || rest.Lends != 0 || rest.Weight != 0 || rest.Criticality != contract.Normal || rest.Retries != nil || rest.Classes != nil {
-		t.Errorf("%+v", rest)
+	if fallback.Burst != 1 || fallback.Lends != 0 || fallback.Weight != 0 || fallback.Criticality != contract.Normal || fallback.Retries != nil || fallback.Classes != nil {
+		t.Errorf("the contract for everybody else: %+v", fallback)
 	}
 	cells, err := Parse("p.yaml", []byte("cells: {size: 6, tenants: [{tenant: gulf, pods: [1, 2], moves: [{to: [3], start: 2026-12-01T13:00:00Z, both: 30s, keys: [0, 0.5]}]}]}"))
 	if err != nil {
@@ -53,10 +54,10 @@
 	}
 	if c, err := cells.Cells.Terms(); err != nil || c.Memory != 100000 || c.Doubt.Skew != time.Second || c.Tenants[0].Moves[0].Prepare != 10*time.Second ||
 		c.Tenants[0].Moves[0].Start != 1796130000*time.Second || c.Tenants[0].Moves[0].Below != 0.5 || c.Tenants[0].Moves[0].Back != 0 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("cells: %+v, %v", c, err)
 	}
-	if tab, err := Compile(&File{}, nil); tab != nil || err != nil {
-		t.Errorf("no contracts: %v %v", tab, err)
+	if table, err := Compile(&File{}, nil); table != nil || err != nil {
+		t.Errorf("a file without contracts: %v %v, want no table and no error", table, err)
 	}
 	path := filepath.Join(t.TempDir(), "p.yaml")
 	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
@@ -66,28 +67,29 @@
 		t.Error(err)
 	}
 	if _, err := Load(path + "x"); err == nil {
-		t.Error("a file that is not there is read")
+		t.Error("a missing file is read without an error")
 	}
 }
 
-// Each mistake names file, line and field; a contract that allows retries its class forbids is named with the class.
-func TestMistakes(t *testing.T) {
-	with := func(line string) string { return "contracts:\n- name: jobs\n  " + line + "\n" }
+// The error about an invalid value names file, line and field. The error about a contract that allows retries of an unsafe class names
+// both.
+func TestErrorsNameFileLineAndField(t *testing.T) {
+	contractWith := func(line string) string { return "contracts:\n- name: jobs\n  " + line + "\n" }
 	for _, c := range []struct{ text, want string }{
 		{"contracts: [", "p.yaml:1:"},
 		{"contract: []\n", `p.yaml:1: unknown field "contract"`},
 		{"contracts:\n- rate: 1\n", "contracts[0].name: missing"},
-		{with("rate: -1"), "p.yaml:3: contracts[0].rate: -1"},
-		{with("rate: .inf"), "p.yaml:3: contracts[0].rate"},
-		{with("burst: fast"), "p.yaml:3:"},
-		{with("services: [none]"), `p.yaml:3: contracts[0].services[0]: "none" is no service`},
-		{with("criticality: vital"), `p.yaml:3: contracts[0].criticality: "vital" is none of`},
-		{with("match: [{}]"), "p.yaml:3: contracts[0].match[0]: is empty"},
-		{with("match: [{from: here}]"), `p.yaml:3: contracts[0].match[0].from: "here"`},
-		{with("match: [{header: X-Team}]"), "p.yaml:3: contracts[0].match[0].header"},
-		{with("match: [{token_sha256: abc}]"), "p.yaml:3: contracts[0].match[0].token_sha256"},
-		{with("work: {guaranteed: 3, limit: 2}"), "p.yaml:3: contracts[0].work.guaranteed: 3 exceeds"},
-		{with("attempts: {ratio: 0.1, window: -1s}"), "p.yaml:3: contracts[0].attempts.window"},
+		{contractWith("rate: -1"), "p.yaml:3: contracts[0].rate: -1"},
+		{contractWith("rate: .inf"), "p.yaml:3: contracts[0].rate"},
+		{contractWith("burst: fast"), "p.yaml:3:"},
+		{contractWith("services: [none]"), `p.yaml:3: contracts[0].services[0]: "none" is no service`},
+		{contractWith("criticality: vital"), `p.yaml:3: contracts[0].criticality: "vital" is none of`},
+		{contractWith("match: [{}]"), "p.yaml:3: contracts[0].match[0]: is empty"},
+		{contractWith("match: [{from: here}]"), `p.yaml:3: contracts[0].match[0].from: "here"`},
+		{contractWith("match: [{header: X-Team}]"), "p.yaml:3: contracts[0].match[0].header"},
+		{contractWith("match: [{token_sha256: abc}]"), "p.yaml:3: contracts[0].match[0].token_sha256"},
+		{contractWith("work: {guaranteed: 3, limit: 2}"), "p.yaml:3: contracts[0].work.guaranteed: 3 exceeds"},
+		{contractWith("attempts: {ratio: 0.1, window: -1s}"), "p.yaml:3: contracts[0].attempts.window"},
 		{"contracts:\n- {name: a}\n- {name: b}\n", "contracts[0] (a) and contracts[1] (b): both are for everybody"},
 		{"services:\n- {name: s, classes: [{name: pay, effect: magic}]}\n", "p.yaml:2: services[0].classes[0].effect"},
 		{"cells: {size: 0}\n", "cells.size: 0 is outside 1 to 10000"},
@@ -97,7 +99,7 @@
 		{"health: {checks: {panic: 2, tcp: {}}}\n", "health.checks.panic: 2"},
 		{"health: {checks: {agent: {}}}\n", "health.checks.agent.port: 0"},
 		{"health: {checks: {tcp: {port: 70000}}}\n", "health.checks.tcp.port: 70000"},
-		{"health: {checks: {tcp: {}, grpc: {}}}\n", "health.checks.grpc: one of"},
+		{"health: {checks: {tcp: {}, grpc: {}}}\n", "health.checks.grpc: only one of"},
 		{"health: {checks: {http: {method: PUT}}}\n", "health.checks.http.method: \"PUT\""},
 		{"health: {checks: {http: {status: 200-700}}}\n", "health.checks.http.status"},
 		{"health: {checks: {http: {method: HEAD, body: x}}}\n", "health.checks.http.body"},
@@ -105,7 +107,7 @@
 		{"health: {answer: {grpc: nowhere}}\n", "health.answer.grpc: \"nowhere\""},
 		{"members: {name: a, listen: x}\n", "members.listen"},
 		{"members: {name: a, listen: 127.0.0.1:1, seeds: [x]}\n", "members.seeds[0]"},
-		{"state: {dir: here}\n", "state.dir: \"here\" is no absolute path"},
+		{"state: {dir: here}\n", "state.dir: \"here\" is not an absolute path"},
 		{"state: {dir: /x, every: 1ms}\n", "state.every: 1ms is outside"},
 		{"members: {name: a, listen: 127.0.0.1:1, bytes: 5}\n", "members.bytes: 5"},
 		{"members: {name: a, listen: 127.0.0.1:1}\n", "members.name: \"a\" is none"},
@@ -122,7 +124,7 @@
 		{"tunnels: {routes: [{host: a.b, port: 1, kind: opaque}]}\n", "tunnels.routes[0].class: missing"},
 		{"tunnels: {routes: [{host: a.b, port: 1, kind: opaque, class: c, drain: 2m}]}\n", "tunnels.routes[0].drain: 2m0s is outside"},
 		{"tunnels: {routes: [{host: a.b, port: 1, idle: 1s}]}\n", "tunnels.routes[0].idle: is for opaque routes only"},
-		{"tunnels: {proxies: [{servers: \"s-*\"}]}\n", "tunnels.proxies[0].socks5: one of socks5 and connect is needed"},
+		{"tunnels: {proxies: [{servers: \"s-*\"}]}\n", "tunnels.proxies[0].socks5: exactly one of socks5 and connect is required"},
 		{"tunnels: {proxies: [{servers: \"[\", connect: \"a:1\"}]}\n", "tunnels.proxies[0].servers"},
 		{"tunnels: {proxies: [{servers: s, connect: nowhere}]}\n", "tunnels.proxies[0].connect: \"nowhere\" is not host:port"},
 		{"parts: odd\n", `parts: "odd" is neither seen nor even`},
@@ -141,14 +143,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Compile(f, map[string]string{"buy": "unsafe"}); err == nil || !strings.Contains(err.Error(), `"buy", which is unsafe`) {
-		t.Errorf("by the node's settings: %v", err)
+		t.Errorf("a class that only the node's settings call unsafe: %v", err)
 	}
 	if _, err := Compile(f, map[string]string{"pay": "unsafe"}); err == nil || !strings.Contains(err.Error(), "the node's settings say") {
-		t.Errorf("against the node's settings: %v", err)
+		t.Errorf("an effect that contradicts the node's settings: %v", err)
 	}
 }
 
-// Whatever the text, the loader answers; it never panics.
+// No text makes Parse panic, and a file that Parse accepts can be compiled.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte("contracts: [{name: a, match: [{from: ::/0}]}]"))
@@ -157,7 +159,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if file, err := Parse("p.yaml", text); err == nil {
 			if _, err := Compile(file, nil); err != nil {
-				t.Errorf("it is good and can't be compiled: %v", err)
+				t.Errorf("a file that Parse accepts can't be compiled: %v", err)
 			}
 		}
 	})
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -7,20 +7,19 @@
 	"strconv"
 )
 
-// MaxControls bounds how many control processes a file may name.
+// MaxControls bounds the number of control processes in a file.
 const MaxControls = 8
 
-// Control says where a node has its services, routes, contracts and pinned tenants from, in place of this file: the control
-// processes, the nearest first.
+// Control names the control processes from which a node receives its services, routes, contracts and pinned tenants, in place of
+// this file. The nearest comes first.
 type Control struct {
 	Addresses []string `yaml:"addresses"` // host:port
 }
 
-// check reports what makes no sense in it, and what of the file's own would stand beside what control says. An error is a
-// *FieldError.
+// check checks the section, and that the file itself has none of the sections that come from control. An error is a *FieldError.
 func (c *Control) check(f *File) error {
 	if n := len(c.Addresses); n < 1 || n > MaxControls {
-		return &FieldError{"control.addresses", fmt.Sprintf("%d are named; 1 to %d are wanted", n, MaxControls)}
+		return &FieldError{"control.addresses", fmt.Sprintf("%d given, want 1 to %d", n, MaxControls)}
 	}
 	for i, addr := range c.Addresses {
 		field := fmt.Sprintf("control.addresses[%d]", i)
@@ -32,30 +31,31 @@
 			return &FieldError{field, fmt.Sprintf("%q is named twice", addr)}
 		}
 	}
-	for _, own := range []struct {
-		field string
-		there bool
+	for _, section := range []struct {
+		field   string
+		present bool
 	}{
 		{"services", f.Services != nil},
 		{"contracts", f.Contracts != nil},
 		{"tunnels.routes", f.Tunnels != nil && f.Tunnels.Routes != nil},
 		{"cells.tenants", f.Cells != nil && f.Cells.Tenants != nil},
 	} {
-		if own.there {
-			return &FieldError{own.field, "comes from control, which this file names: it must not be here as well"}
+		if section.present {
+			return &FieldError{section.field, "comes from control, which this file names; it must not be in the file as well"}
 		}
 	}
 	return nil
 }
 
-// replaces tells whether control can take the place of what was named before; nil is none. Which of the two has the
-// resources is settled at the start: a node that changed over would be without them for a while, or have them twice.
+// checkReplacement returns an error where a reload would add or remove the section; nil stands for a file without it. Whether
+// resources come from the file or from control is fixed at the start: a node that switched would lack them for a while, or have
+// them twice.
 func (c *Control) checkReplacement(old *Control) error {
 	switch {
 	case c == nil && old != nil:
-		return &FieldError{"control", "can't be taken out by a reload"}
+		return &FieldError{"control", "can't be removed by a reload"}
 	case c != nil && old == nil:
-		return &FieldError{"control", "can't be put in by a reload"}
+		return &FieldError{"control", "can't be added by a reload"}
 	}
 	return nil
 }
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -11,29 +11,29 @@
 	"portstall/internal/health/probe"
 )
 
-// Health is how web servers are checked, and where this node answers those that check it.
+// Health holds how web servers are checked, and where this node responds to health checks itself.
 type Health struct {
 	Checks *Checks `yaml:"checks"`
 	Answer *Answer `yaml:"answer"`
 }
 
-// Answer is the listeners on which this node is checked, host:port each; empty: not spoken.
+// Responders holds the listeners on which this node responds to health checks, each host:port; empty: disabled.
 type Answer struct {
-	Agent string `yaml:"agent"` // HAProxy's agent-check
+	Agent string `yaml:"agent"` // HAProxy's agent-check protocol
 	HTTP  string `yaml:"http"`  // /health and /live
-	GRPC  string `yaml:"grpc"`  // grpc.health.v1; services by their names
+	GRPC  string `yaml:"grpc"`  // grpc.health.v1, for each service by its name
 }
 
-// Checks is how web servers are probed. Not given is as told here.
+// Checks holds how web servers are probed.
 type Checks struct {
-	Interval         time.Duration `yaml:"interval"`   // of a server of which nothing is known; 2 s
-	Timeout          time.Duration `yaml:"timeout"`    // of a probe; 1 s
-	Rise             int           `yaml:"rise"`       // good words in a row that bring a server back; 2
-	Fall             int           `yaml:"fall"`       // failed checks in a row that take it out; 3
-	TrafficFactor    float64       `yaml:"calm"`       // intervals between probes where real requests speak; 4
-	MaxRatePerServer float64       `yaml:"per_server"` // probes a second that a server gets of all nodes together at most; 2
-	MaxRate          float64       `yaml:"rate"`       // probes a second that this node makes at most; 200
-	PanicThreshold   float64       `yaml:"panic"`      // part of the fleet above which those who say that it is bad are suspected; 0.5
+	Interval  time.Duration `yaml:"interval"`   // between probes of a server whose health is unknown; default 2 s
+	Timeout   time.Duration `yaml:"timeout"`    // of a probe; default 1 s
+	Rise      int           `yaml:"rise"`       // consecutive successes after which an ejected server returns; default 2
+	Fall      int           `yaml:"fall"`       // consecutive failures after which a server is ejected; default 3
+	Calm      float64       `yaml:"calm"`       // intervals between probes of a server that real requests cover; default 4
+	PerServer float64       `yaml:"per_server"` // maximum probes per second of one server by all nodes together; default 2
+	Rate      float64       `yaml:"rate"`       // maximum probes per second by this node; default 200
+	Panic     float64       `yaml:"panic"`      // share of servers found unhealthy above which the checks themselves are doubted; default 0.5
 
 	Agent *AgentCheck `yaml:"agent"`
 	HTTP  *HTTPCheck  `yaml:"http"`
@@ -41,34 +41,35 @@
 	GRPC  *GRPCCheck  `yaml:"grpc"`
 }
 
-// AgentCheck asks HAProxy's agent-check.
+// AgentCheck probes by HAProxy's agent-check protocol.
 type AgentCheck struct {
-	Port int    `yaml:"port"` // on each web server's host
-	Send string `yaml:"send"` // told to it first
+	Port int    `yaml:"port"` // on the host of each web server
+	Send string `yaml:"send"` // sent to the agent first
 }
 
-// HTTPCheck asks for a page.
+// HTTPCheck probes by an HTTP request.
 type HTTPCheck struct {
-	Port   int    `yaml:"port"`   // 0: where the server serves, as in the others
-	Method string `yaml:"method"` // GET or HEAD; GET
-	Path   string `yaml:"path"`   // /
+	Port   int    `yaml:"port"`   // 0: the port on which the server serves requests, also in TCPCheck and GRPCCheck
+	Method string `yaml:"method"` // GET (the default) or HEAD
+	Path   string `yaml:"path"`   // default /
 	Host   string `yaml:"host"`
-	Status string `yaml:"status"` // such as 200-299,404; 200-399
-	Body   string `yaml:"body"`   // that the answer must hold
+	Status string `yaml:"status"` // accepted statuses, as in 200-299,404; default 200-399
+	Body   string `yaml:"body"`   // text that the response must contain
 }
 
-// TCPCheck opens a connection.
+// TCPCheck probes by opening a connection.
 type TCPCheck struct {
 	Port int `yaml:"port"`
 }
 
-// GRPCCheck asks by the gRPC health protocol.
+// GRPCCheck probes by the gRPC health checking protocol.
 type GRPCCheck struct {
 	Port    int    `yaml:"port"`
 	Service string `yaml:"service"`
-	Watch   bool   `yaml:"watch"` // keeps a stream a server
+	Watch   bool   `yaml:"watch"` // keeps one Watch stream open per server instead of polling
 }
 
+// check checks the section. An error is a *FieldError.
 func (h *Health) check() error {
 	if h.Answer != nil {
 		for _, v := range []struct{ field, addr string }{{"agent", h.Answer.Agent}, {"http", h.Answer.HTTP}, {"grpc", h.Answer.GRPC}} {
@@ -84,64 +85,64 @@
 	return err
 }
 
-// Ready fills in what was not given. An error is a *FieldError.
+// WithDefaults returns the checked section with defaults filled in. An error is a *FieldError.
 func (c *Checks) Ready() (Checks, error) {
 	out := *c
 	for _, v := range []struct {
-		field        *time.Duration
-		name         string
-		usual, least time.Duration
+		field                 *time.Duration
+		name                  string
+		defaultValue, minimum time.Duration
 	}{{&out.Interval, "interval", 2 * time.Second, 100 * time.Millisecond}, {&out.Timeout, "timeout", time.Second, 10 * time.Millisecond}} {
 		if *v.field == 0 {
-			*v.field = v.usual
+			*v.field = v.defaultValue
 		}
-		if *v.field < v.least || *v.field > time.Hour {
-			return out, &FieldError{"health.checks." + v.name, fmt.Sprintf("%s is outside %s to 1h", *v.field, v.least)}
+		if *v.field < v.minimum || *v.field > time.Hour {
+			return out, &FieldError{"health.checks." + v.name, fmt.Sprintf("%s is outside %s to 1h", *v.field, v.minimum)}
 		}
 	}
 	for _, v := range []struct {
-		field        *int
-		name         string
-		usual, least int
+		field                 *int
+		name                  string
+		defaultValue, minimum int
 	}{{&out.Rise, "rise", 2, 1}, {&out.Fall, "fall", 3, 1}} {
 		if *v.field == 0 {
-			*v.field = v.usual
+			*v.field = v.defaultValue
 		}
-		if *v.field < v.least || *v.field > 100 {
-			return out, &FieldError{"health.checks." + v.name, fmt.Sprintf("%d is outside %d to 100", *v.field, v.least)}
+		if *v.field < v.minimum || *v.field > 100 {
+			return out, &FieldError{"health.checks." + v.name, fmt.Sprintf("%d is outside %d to 100", *v.field, v.minimum)}
 		}
 	}
 	for _, v := range []struct {
-		field              *float64
-		name               string
-		usual, least, most float64
-	}{{&out.TrafficFactor, "calm", 4, 1, 1000}, {&out.MaxRatePerServer, "per_server", 2, 0.001, 1000}, {&out.MaxRate, "rate", 200, 0.1, 100000}, {&out.PanicThreshold, "panic", 0.5, 0.01, 1}} {
+		field                          *float64
+		name                           string
+		defaultValue, minimum, maximum float64
+	}{{&out.Calm, "calm", 4, 1, 1000}, {&out.PerServer, "per_server", 2, 0.001, 1000}, {&out.Rate, "rate", 200, 0.1, 100000}, {&out.Panic, "panic", 0.5, 0.01, 1}} {
 		if *v.field == 0 {
-			*v.field = v.usual
+			*v.field = v.defaultValue
 		}
-		if !(*v.field >= v.least && *v.field <= v.most) {
-			return out, &FieldError{"health.checks." + v.name, fmt.Sprintf("%v is outside %v to %v", *v.field, v.least, v.most)}
+		if !(*v.field >= v.minimum && *v.field <= v.maximum) {
+			return out, &FieldError{"health.checks." + v.name, fmt.Sprintf("%v is outside %v to %v", *v.field, v.minimum, v.maximum)}
 		}
 	}
 	if c.Agent == nil && c.HTTP == nil && c.TCP == nil && c.GRPC == nil {
-		return out, &FieldError{"health.checks", "none of agent, http, tcp and grpc is there"}
+		return out, &FieldError{"health.checks", "none of agent, http, tcp and grpc is given"}
 	}
 	if c.Agent != nil && (c.Agent.Port < 1 || c.Agent.Port > 65535) {
 		return out, &FieldError{"health.checks.agent.port", fmt.Sprintf("%d is outside 1 to 65535", c.Agent.Port)}
 	}
-	type at struct {
+	type namedPort struct {
 		name string
 		port int
 	}
-	var ports []at
+	var ports []namedPort
 	if c.TCP != nil {
-		ports = append(ports, at{"tcp", c.TCP.Port})
+		ports = append(ports, namedPort{"tcp", c.TCP.Port})
 	}
 	if c.GRPC != nil {
-		ports = append(ports, at{"grpc", c.GRPC.Port})
+		ports = append(ports, namedPort{"grpc", c.GRPC.Port})
 	}
 	if h := c.HTTP; h != nil {
-		ports = append(ports, at{"http", h.Port})
+		ports = append(ports, namedPort{"http", h.Port})
 		page := *h
 		if page.Method == "" {
 			page.Method = "GET"
@@ -156,7 +157,7 @@
 		case page.Method != "GET" && page.Method != "HEAD":
 			return out, &FieldError{"health.checks.http.method", fmt.Sprintf("%q is neither GET nor HEAD", page.Method)}
 		case page.Method == "HEAD" && page.Body != "":
-			return out, &FieldError{"health.checks.http.body", "an answer to HEAD has none"}
+			return out, &FieldError{"health.checks.http.body", "a response to HEAD has no body"}
 		case !strings.HasPrefix(page.Path, "/"):
 			return out, &FieldError{"health.checks.http.path", fmt.Sprintf("%q does not begin with /", page.Path)}
 		}
@@ -171,12 +172,12 @@
 		}
 	}
 	if len(ports) > 1 {
-		return out, &FieldError{"health.checks." + ports[1].name, "one of http, tcp and grpc is enough: the outcomes of two would be counted as one's"}
+		return out, &FieldError{"health.checks." + ports[1].name, "only one of http, tcp and grpc is allowed: the outcomes of two would be counted as those of one"}
 	}
 	return out, nil
 }
 
-// statuses reads ranges such as 200-299,404.
+// parseStatuses parses ranges of HTTP statuses, as in 200-299,404.
 func parseStatuses(text string) ([]probe.Range, error) {
 	var all []probe.Range
 	for part := range strings.SplitSeq(text, ",") {
@@ -184,34 +185,34 @@
 		if !ranged {
 			to = from
 		}
-		a, err1 := strconv.Atoi(from)
-		b, err2 := strconv.Atoi(to)
-		if err1 != nil || err2 != nil || a < 100 || b > 599 || a > b {
-			return nil, fmt.Errorf("%q is no status from 100 to 599, or range of them", part)
+		first, err1 := strconv.Atoi(from)
+		last, err2 := strconv.Atoi(to)
+		if err1 != nil || err2 != nil || first < 100 || last > 599 || first > last {
+			return nil, fmt.Errorf("%q is not a status from 100 to 599 or a range of them", part)
 		}
-		all = append(all, probe.Range{From: a, To: b})
+		all = append(all, probe.Range{From: first, To: last})
 	}
 	return all, nil
 }
 
-// Weighing is how often so many nodes, which probe alike, ask a server, and by which rules they weigh what is said. The
-// checks are ready.
+// ProbeRules returns how often a server is probed where so many nodes probe alike, and the rules by which the outcomes are judged.
+// Defaults must have been filled in.
 func (c *Checks) Weighing(nodes int) (health.Pace, health.Rules) {
-	share := float64(len(c.Probers())) // they share the budget
-	pace := health.Pace{Interval: c.Interval, Calm: c.TrafficFactor, PerServer: c.MaxRatePerServer / share, Rate: c.MaxRate / share, Nodes: nodes, Jitter: 0.1}
+	share := float64(len(c.Probers())) // the protocols share the budget
+	pace := health.Pace{Interval: c.Interval, Calm: c.Calm, PerServer: c.PerServer / share, Rate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
 	rules := health.Usual(pace.Slowest())
-	rules.Panic, rules.Rise, rules.Fall = c.PanicThreshold, c.Rise, c.Fall
+	rules.Panic, rules.Rise, rules.Fall = c.Panic, c.Rise, c.Fall
 	return pace, rules
 }
 
-// Probers are the protocols that are asked for, by name. The checks are ready.
+// Probers returns the configured probers by protocol name. Defaults must have been filled in.
 func (c *Checks) Probers() map[string]probe.Prober {
 	all := map[string]probe.Prober{}
 	if a := c.Agent; a != nil {
 		all["agent"] = &probe.AgentCheck{Port: a.Port, Send: a.Send}
 	}
 	if h := c.HTTP; h != nil {
-		ranges, _ := parseStatuses(h.Status) // it was checked
+		ranges, _ := parseStatuses(h.Status) // can't fail: WithDefaults has checked it
 		all["http"] = &probe.HTTP{Port: h.Port, Method: h.Method, Path: h.Path, Host: h.Host, Statuses: ranges, Body: h.Body}
 	}
 	if t := c.TCP; t != nil {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -7,85 +7,87 @@
 	"portstall/internal/member"
 )
 
-// Members is how this instance finds others and talks with them.
+// Members holds how this instance finds the other instances and communicates with them.
 type Members struct {
-	Name              string          `yaml:"name"`   // this instance's, one of those below
-	Listen            string          `yaml:"listen"` // host:port, for UDP and TCP
-	KeyFile           string          `yaml:"key"`    // its key file; `portstall keys make` makes one
-	Seeds             []string        `yaml:"seeds"`  // host:port of some, through which it joins
-	MaxBytesPerSecond int             `yaml:"bytes"`  // a second that it sends at most; 16,384
-	Allowed           []AllowedMember `yaml:"of"`     // who may be a member, this instance too
+	Name   string          `yaml:"name"`   // name of this instance, one of those in Of
+	Listen string          `yaml:"listen"` // host:port, for UDP and TCP
+	Key    string          `yaml:"key"`    // path of the key file; `portstall keys make` makes one
+	Seeds  []string        `yaml:"seeds"`  // host:port of members through which this one joins
+	Bytes  int             `yaml:"bytes"`  // default 16,384
+	Of     []AllowedMember `yaml:"of"`     // all instances that may be members, this one included
 }
 
-// Member is an instance that may be one.
+// AllowedMember is an instance that may be a member.
 type AllowedMember struct {
-	Name       string   `yaml:"name"`
-	PublicKeys []string `yaml:"keys"` // public; two while it rolls
+	Name string   `yaml:"name"`
+	Keys []string `yaml:"keys"` // two while the instance rolls its key
 }
 
-// settings checks all but the key file.
+// settings checks the section, apart from the key file, and returns the settings of the protocol. An error is a *FieldError.
 func (m *Members) settings() (member.Settings, error) {
-	set := member.Usual()
-	bad := func(field, why string, args ...any) (member.Settings, error) {
-		return set, &FieldError{"members." + field, fmt.Sprintf(why, args...)}
+	settings := member.Usual()
+	fail := func(field, format string, args ...any) (member.Settings, error) {
+		return settings, &FieldError{"members." + field, fmt.Sprintf(format, args...)}
 	}
-	if m.MaxBytesPerSecond != 0 {
-		set.MaxBytesPerSecond = m.MaxBytesPerSecond
+	if m.Bytes != 0 {
+		settings.MaxBytesPerSecond = m.Bytes
 	}
-	if set.MaxBytesPerSecond < 4096 || set.MaxBytesPerSecond > 1<<30 {
-		return bad("bytes", "%d is outside 4096 to 2^30", m.MaxBytesPerSecond)
+	if settings.MaxBytesPerSecond < 4096 || settings.MaxBytesPerSecond > 1<<30 {
+		return fail("bytes", "%d is outside 4096 to 2^30", m.Bytes)
 	}
 	if _, _, err := net.SplitHostPort(m.Listen); err != nil {
-		return bad("listen", "%q is not host:port", m.Listen)
+		return fail("listen", "%q is not host:port", m.Listen)
 	}
 	for i, s := range m.Seeds {
 		if _, _, err := net.SplitHostPort(s); err != nil {
-			return bad(fmt.Sprintf("seeds[%d]", i), "%q is not host:port", s)
+			return fail(fmt.Sprintf("seeds[%d]", i), "%q is not host:port", s)
 		}
 	}
 	known := map[string]bool{}
-	for i, o := range m.Allowed {
+	for i, o := range m.Of {
 		if known[o.Name] {
-			return bad(fmt.Sprintf("of[%d].name", i), "%q is used twice", o.Name)
+			return fail(fmt.Sprintf("of[%d].name", i), "%q is used twice", o.Name)
 		}
 		known[o.Name] = true
 	}
 	if !known[m.Name] {
-		return bad("name", "%q is none of those in members.of", m.Name)
+		return fail("name", "%q is none of the names in members.of", m.Name)
 	}
-	if m.KeyFile == "" {
-		return bad("key", "missing: `portstall keys make` makes a key file")
+	if m.Key == "" {
+		return fail("key", "missing: `portstall keys make` makes a key file")
 	}
 	if _, err := member.NewRing(nil, m.publicKeys()); err != nil {
-		return bad("of", "%s", err)
+		return fail("of", "%s", err)
 	}
-	return set, nil
+	return settings, nil
 }
 
+// publicKeys returns the public keys of all allowed members by name.
 func (m *Members) publicKeys() map[string][]string {
 	all := map[string][]string{}
-	for _, o := range m.Allowed {
-		all[o.Name] = o.PublicKeys
+	for _, o := range m.Of {
+		all[o.Name] = o.Keys
 	}
 	return all
 }
 
-// Ready reads the key file, which must be the owner's alone, and makes all ready. An error names the field or the file.
+// Load reads the key file, which only its owner may be able to read, and returns the settings and keys. An error is a *FieldError and
+// names the key file where that is at fault.
 func (m *Members) Ready() (member.Settings, *member.Ring, error) {
-	set, err := m.settings()
+	settings, err := m.settings()
 	if err != nil {
-		return set, nil, err
+		return settings, nil, err
 	}
-	key, err := member.ReadKey(m.KeyFile)
+	key, err := member.ReadKey(m.Key)
 	if err != nil {
-		return set, nil, &FieldError{"members.key", err.Error()}
+		return settings, nil, &FieldError{"members.key", err.Error()}
 	}
-	ring, err := member.NewRing(key, m.publicKeys())
+	keyring, err := member.NewRing(key, m.publicKeys())
 	if err != nil {
-		return set, nil, &FieldError{"members.of", err.Error()}
+		return settings, nil, &FieldError{"members.of", err.Error()}
 	}
-	if probe := []byte("is it mine"); ring.Verify(m.Name, probe, ring.Sign(probe)) != nil {
-		return set, nil, &FieldError{"members.key", fmt.Sprintf("%s: its public half, %s, is none of %s's in members.of", m.KeyFile, member.PublicText(key), m.Name)}
+	if message := []byte("is it mine"); keyring.Verify(m.Name, message, keyring.Sign(message)) != nil {
+		return settings, nil, &FieldError{"members.key", fmt.Sprintf("%s: its public key, %s, is none of the keys of %s in members.of", m.Key, member.PublicText(key), m.Name)}
 	}
-	return set, ring, nil
+	return settings, keyring, nil
 }
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -16,25 +16,26 @@
 ...
 `
 
-// A file that is cut off at any byte is not one that can take another's place, though most of its lines by themselves could.
-func TestReplacesNoPart(t *testing.T) {
+// A file with the end marker that is truncated at any byte is not accepted in place of the complete one, though many of its beginnings
+// are valid files.
+func TestTruncatedFileWithEndMarkerIsRejected(t *testing.T) {
 	old, err := Parse("p.yaml", []byte(currentFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sound := 0
+	valid := 0
 	for i := range currentFile {
 		f, err := Parse("p.yaml", []byte(currentFile[:i]))
 		if err != nil {
 			continue
 		}
-		sound++
+		valid++
 		if f.Replaces(old) == nil {
-			t.Errorf("the first %d bytes replace the whole: %q", i, currentFile[max(0, i-20):i])
+			t.Errorf("the first %d bytes replace the complete file: %q", i, currentFile[max(0, i-20):i])
 		}
 	}
-	if sound < 20 {
-		t.Errorf("%d parts are files of their own: the test shows nothing", sound)
+	if valid < 20 {
+		t.Errorf("only %d beginnings are valid files: the test has no effect", valid)
 	}
 	for name, text := range map[string]string{
 		"itself":           currentFile,
@@ -48,8 +49,8 @@
 	}
 }
 
-// Without the mark, a line that breaks off and a file with nothing in it are still told.
-func TestReplacesUnmarked(t *testing.T) {
+// Without the end marker, a file that ends within a line and an empty one are still rejected.
+func TestTruncatedOrEmptyFileWithoutEndMarkerIsRejected(t *testing.T) {
 	old, err := Parse("p.yaml", []byte("contracts:\n- {name: all, rate: 100}\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// State keeps what a node knows in a directory, for its next start. Only where the installation has a disk that lasts.
+// State makes a node store what it has learned in a directory, and restore it at its next start. It is for installations with a
+// persistent disk only.
 type State struct {
-	Dir   string        `yaml:"dir"`   // an absolute path; it must be there, and is this node's alone
-	Every time.Duration `yaml:"every"` // how often it is written; 1 s
-	Fleet string        `yaml:"fleet"` // a name of the fleet: state of another one is not used; none: the address of discovery
+	Dir   string        `yaml:"dir"`   // absolute path of an existing directory that only this node uses
+	Every time.Duration `yaml:"every"` // interval between writes; default 1 s
+	Fleet string        `yaml:"fleet"` // name of the fleet; state stored under another name is not used; default: the address of discovery
 }
 
-// Ready is the section with what was not given filled in. An error is a *FieldError.
+// WithDefaults returns the checked section with defaults filled in. An error is a *FieldError.
 func (s *State) Ready() (State, error) {
 	out := *s
 	if out.Every == 0 {
@@ -21,7 +22,7 @@
 	}
 	switch {
 	case !filepath.IsAbs(s.Dir):
-		return out, &FieldError{"state.dir", fmt.Sprintf("%q is no absolute path", s.Dir)}
+		return out, &FieldError{"state.dir", fmt.Sprintf("%q is not an absolute path", s.Dir)}
 	case out.Every < 100*time.Millisecond || out.Every > time.Hour:
 		return out, &FieldError{"state.every", fmt.Sprintf("%s is outside 100ms to 1h", s.Every)}
 	}
