--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -15,11 +15,11 @@
 	"portstall/internal/message"
 )
 
-// The functions here that compile one item of the file also compile the resources of package resource/catalog, so that both have the
-// same rules.
+// The functions here that compile one item of the file also compile the resources of package resource/catalog, so that
+// both have the same rules.
 
-// Compile returns the pinned tenant ready for use, with defaults filled in. Path is the prefix of field names in errors, which are
-// *FieldError.
+// Compile returns the pinned tenant ready for use, with defaults filled in. Path is the prefix of field names in
+// errors, which are *FieldError.
 func (v *Pinned) Ready(path string) (cell.Tenant, error) {
 	out := cell.Tenant{Name: v.Tenant, Pods: v.Pods}
 	for i, m := range v.Moves {
@@ -52,8 +52,8 @@
 	return time.Duration(t.UnixNano())
 }
 
-// Compile returns the route ready for use, with defaults filled in. Path is the prefix of field names in errors, which are *FieldError.
-// Host and port are checked by tunnel.Route.Check. Whether its service and class exist is not checked.
+// Compile returns the route ready for use, with defaults filled in. Path is the prefix of field names in errors, which
+// are *FieldError. Host and port are checked by tunnel.Route.Check. Whether its service and class exist is not checked.
 func (r *Route) Ready(path string) (tunnel.Route, error) {
 	out := tunnel.Route{Host: r.Host, Port: r.Port, Service: r.Service}
 	limits := []struct {
@@ -98,9 +98,9 @@
 	return out, nil
 }
 
-// Compile checks the services and returns the table of contracts, nil where the file has no contracts. Effects are those of the
-// classes that the node serves, by name; for classes that are not among them the effects in the file are used. An error is a
-// *FieldError.
+// Compile checks the services and returns the table of contracts, nil where the file has no contracts. Effects are
+// those of the classes that the node serves, by name; for classes that are not among them the effects in the file are
+// used. An error is a *FieldError.
 func Compile(f *File, effects map[string]string) (*contract.Table, error) {
 	allEffects := map[string]string{}
 	services := map[string]map[string]bool{}
@@ -151,8 +151,8 @@
 	return table, nil
 }
 
-// Check checks a service's classes. Their effects must agree with those of the classes that the node serves, given by name. Path is
-// the prefix of field names in errors, which are *FieldError.
+// Check checks a service's classes. Their effects must agree with those of the classes that the node serves, given by
+// name. Path is the prefix of field names in errors, which are *FieldError.
 func (s *Service) Check(path string, effects map[string]string) error {
 	for i, c := range s.Classes {
 		p := fmt.Sprintf("%sclasses[%d].", path, i)
@@ -180,7 +180,8 @@
 
 // Scope holds what contracts refer to.
 type Scope struct {
-	// Classes returns the classes of a service, and whether the service exists. Contracts share the map, so it must not be changed.
+	// Classes returns the classes of a service, and whether the service exists. Contracts share the map, so it must not
+	// be changed.
 	Classes func(service string) (classes map[string]bool, known bool)
 	// Unsafe reports whether requests of a class must never run twice.
 	Unsafe func(class string) bool
@@ -188,8 +189,8 @@
 	Where string
 }
 
-// Terms returns the terms of the contract, ready for use, with defaults filled in. Path is the prefix of field names in errors, which
-// are *FieldError. Contracts that name only one service share the map of its classes.
+// Terms returns the terms of the contract, ready for use, with defaults filled in. Path is the prefix of field names in
+// errors, which are *FieldError. Contracts that name only one service share the map of its classes.
 func (c *Contract) Terms(path string, in *Scope) (contract.Terms, error) {
 	fail := func(field, format string, args ...any) (contract.Terms, error) {
 		return contract.Terms{}, &FieldError{path + field, fmt.Sprintf(format, args...)}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the product's configuration file, deploy/portstall.yaml, which enables what goes beyond the node of the
-// platform. Without a file nothing of that is enabled. A File is an immutable value, replaced as a whole at a reload. Only Load and
-// Members.Load read from disk.
+// Package config reads the product's configuration file, deploy/portstall.yaml, which enables what goes beyond the node
+// of the platform. Without a file nothing of that is enabled. A File is an immutable value, replaced as a whole at a
+// reload. Only Load and Members.Load read from disk.
 package config
 
 import (
@@ -36,8 +36,8 @@
 	endsWithNewline, endsWithMarker bool
 }
 
-// CheckReplacement returns an error where the file must not replace the current one. The beginning of a YAML file is often a valid
-// file itself, so a file that is still being written, or was truncated, could remove contracts.
+// CheckReplacement returns an error where the file must not replace the current one. The beginning of a YAML file is
+// often a valid file itself, so a file that is still being written, or was truncated, could remove contracts.
 func (f *File) Replaces(old *File) error {
 	sections := func(f *File) [9]bool {
 		return [...]bool{f.Services != nil, f.Contracts != nil, f.Parts != "", f.Tunnels != nil, f.Cells != nil, f.Health != nil, f.Members != nil, f.State != nil,
@@ -156,7 +156,8 @@
 	Class string        `yaml:"class" json:"class,omitzero"`    // class of an opaque tunnel
 	Idle  time.Duration `yaml:"idle" json:"idle_ns,omitzero"`   // opaque tunnels end after this time without a byte; default 1 min
 	Total time.Duration `yaml:"total" json:"total_ns,omitzero"` // opaque tunnels end this long after their opening; default 1 h
-	// Stall is the time without a reply of the server to the client's latest bytes after which an opaque tunnel ends; 0: no limit.
+	// Stall is the time without a reply of the server to the client's latest bytes after which an opaque tunnel ends;
+	// 0: no limit.
 	Stall time.Duration `yaml:"stall" json:"stall_ns,omitzero"`
 	// Drain is the time after which an opaque tunnel ends once its server or the node has begun to drain; default 30 s.
 	Drain time.Duration `yaml:"drain" json:"drain_ns,omitzero"`
@@ -250,15 +251,15 @@
 	Classes []Class `yaml:"classes" json:"classes,omitzero"`
 }
 
-// Class names a class. Effect is what a repeated request of it does: safe, keyed or unsafe. It is optional, and is checked against the
-// node's settings where given.
+// Class names a class. Effect is what a repeated request of it does: safe, keyed or unsafe. It is optional, and is
+// checked against the node's settings where given.
 type Class struct {
 	Name   string `yaml:"name" json:"name,omitzero"`
 	Effect string `yaml:"effect" json:"effect,omitzero"`
 }
 
-// Contract limits the requests of some clients: which services they may call, at what rate and with what budget. Values are for all
-// nodes together; 0 or a missing value means no limit, except in work.guaranteed.
+// Contract limits the requests of some clients: which services they may call, at what rate and with what budget. Values
+// are for all nodes together; 0 or a missing value means no limit, except in work.guaranteed.
 type Contract struct {
 	Name        string    `yaml:"name" json:"name,omitzero"`
 	Match       []Match   `yaml:"match" json:"match,omitzero"`       // any of them; empty: all requests that no other contract matches
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// The error about an invalid value names file, line and field. The error about a contract that allows retries of an unsafe class names
-// both.
+// The error about an invalid value names file, line and field. The error about a contract that allows retries of an
+// unsafe class names both.
 func TestErrorsNameFileLineAndField(t *testing.T) {
 	contractWith := func(line string) string { return "contracts:\n- name: jobs\n  " + line + "\n" }
 	for _, c := range []struct{ text, want string }{
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -10,13 +10,14 @@
 // MaxControls bounds the number of control processes in a file.
 const MaxControls = 8
 
-// Control names the control processes from which a node receives its services, routes, contracts and pinned tenants, in place of
-// this file. The nearest comes first.
+// Control names the control processes from which a node receives its services, routes, contracts and pinned tenants, in
+// place of this file. The nearest comes first.
 type Control struct {
 	Addresses []string `yaml:"addresses"` // host:port
 }
 
-// check checks the section, and that the file itself has none of the sections that come from control. An error is a *FieldError.
+// check checks the section, and that the file itself has none of the sections that come from control. An error is a
+// *FieldError.
 func (c *Control) check(f *File) error {
 	if n := len(c.Addresses); n < 1 || n > MaxControls {
 		return &FieldError{"control.addresses", fmt.Sprintf("%d given, want 1 to %d", n, MaxControls)}
@@ -47,9 +48,9 @@
 	return nil
 }
 
-// checkReplacement returns an error where a reload would add or remove the section; nil stands for a file without it. Whether
-// resources come from the file or from control is fixed at the start: a node that switched would lack them for a while, or have
-// them twice.
+// checkReplacement returns an error where a reload would add or remove the section; nil stands for a file without it.
+// Whether resources come from the file or from control is fixed at the start: a node that switched would lack them for
+// a while, or have them twice.
 func (c *Control) checkReplacement(old *Control) error {
 	switch {
 	case c == nil && old != nil:
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -195,8 +195,8 @@
 	return all, nil
 }
 
-// ProbeRules returns how often a server is probed where so many nodes probe alike, and the rules by which the outcomes are judged.
-// Defaults must have been filled in.
+// ProbeRules returns how often a server is probed where so many nodes probe alike, and the rules by which the outcomes
+// are judged. Defaults must have been filled in.
 func (c *Checks) Weighing(nodes int) (health.Pace, health.Rules) {
 	share := float64(len(c.Probers())) // the protocols share the budget
 	pace := health.Pace{Interval: c.Interval, Calm: c.Calm, PerServer: c.PerServer / share, Rate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -23,7 +23,8 @@
 	Keys []string `yaml:"keys"` // two while the instance rolls its key
 }
 
-// settings checks the section, apart from the key file, and returns the settings of the protocol. An error is a *FieldError.
+// settings checks the section, apart from the key file, and returns the settings of the protocol. An error is a
+// *FieldError.
 func (m *Members) settings() (member.Settings, error) {
 	settings := member.Usual()
 	fail := func(field, format string, args ...any) (member.Settings, error) {
@@ -71,8 +72,8 @@
 	return all
 }
 
-// Load reads the key file, which only its owner may be able to read, and returns the settings and keys. An error is a *FieldError and
-// names the key file where that is at fault.
+// Load reads the key file, which only its owner may be able to read, and returns the settings and keys. An error is a
+// *FieldError and names the key file where that is at fault.
 func (m *Members) Ready() (member.Settings, *member.Ring, error) {
 	settings, err := m.settings()
 	if err != nil {
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -16,8 +16,8 @@
 ...
 `
 
-// A file with the end marker that is truncated at any byte is not accepted in place of the complete one, though many of its beginnings
-// are valid files.
+// A file with the end marker that is truncated at any byte is not accepted in place of the complete one, though many of
+// its beginnings are valid files.
 func TestTruncatedFileWithEndMarkerIsRejected(t *testing.T) {
 	old, err := Parse("p.yaml", []byte(currentFile))
 	if err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// State makes a node store what it has learned in a directory, and restore it at its next start. It is for installations with a
-// persistent disk only.
+// State makes a node store what it has learned in a directory, and restore it at its next start. It is for
+// installations with a persistent disk only.
 type State struct {
 	Dir   string        `yaml:"dir"`   // absolute path of an existing directory that only this node uses
 	Every time.Duration `yaml:"every"` // interval between writes; default 1 s
--- a/internal/config/yaml.go
+++ b/internal/config/yaml.go
@@ -11,8 +11,8 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Decode reads YAML into v, rejecting unknown fields, and then calls check. An error names the file, the line and the field; the line of
-// a *FieldError that check returns is looked up in the text.
+// Decode reads YAML into v, rejecting unknown fields, and then calls check. An error names the file, the line and the
+// field; the line of a *FieldError that check returns is looked up in the text.
 func Decode(name string, text []byte, v any, check func() error) error {
 	if err := yaml.UnmarshalWithOptions(text, v, yaml.Strict(), yaml.DisallowUnknownField()); err != nil {
 		return withPosition(name, text, err)
@@ -33,8 +33,8 @@
 // invalidDuration matches the duration in an error of time.ParseDuration.
 var invalidDuration = regexp.MustCompile(`duration "?([^"]+)"?`)
 
-// durationAt returns ":" and the line of an invalid duration, which the error of the YAML library does not contain; empty where it
-// is not found.
+// durationAt returns ":" and the line of an invalid duration, which the error of the YAML library does not contain;
+// empty where it is not found.
 func durationAt(text []byte, err error) string {
 	match := invalidDuration.FindStringSubmatch(err.Error())
 	if match == nil {
@@ -70,9 +70,9 @@
 // Error returns the path and the reason.
 func (e *FieldError) Error() string { return e.Path + ": " + e.Why }
 
-// ParsePartial reads one of several files that form a configuration together. It rejects unknown fields, but values may refer to what is
-// in another file, so nothing else is checked. The function line returns the line of a value by its path, as in contracts[3].rate,
-// and 0 where the text does not have it. An error names file and line.
+// ParsePartial reads one of several files that form a configuration together. It rejects unknown fields, but values may
+// refer to what is in another file, so nothing else is checked. The function line returns the line of a value by its
+// path, as in contracts[3].rate, and 0 where the text does not have it. An error names file and line.
 func ParsePart(name string, text []byte) (f *File, line func(path string) int, err error) {
 	f = &File{}
 	lineAt := func(string) int { return 0 }
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -11,15 +11,16 @@
 	"strings"
 )
 
-// Keyring holds the Ed25519 keys (RFC 8032) of the instances that may be members, and the private key of this one. While a member
-// rolls its key it has several. A Keyring is immutable and safe for concurrent use: a roll makes a new one.
+// Keyring holds the Ed25519 keys (RFC 8032) of the instances that may be members, and the private key of this one.
+// While a member rolls its key it has several. A Keyring is immutable and safe for concurrent use: a roll makes a new
+// one.
 type Ring struct {
 	private ed25519.PrivateKey
 	public  map[string][]ed25519.PublicKey // by member name
 }
 
-// NewKeyring makes a Keyring of a private key and the public keys of all members by name, in the form of PublicText. An error names
-// the member.
+// NewKeyring makes a Keyring of a private key and the public keys of all members by name, in the form of PublicText. An
+// error names the member.
 func NewRing(private ed25519.PrivateKey, members map[string][]string) (*Ring, error) {
 	r := &Ring{private: private, public: map[string][]ed25519.PublicKey{}}
 	seen := map[string]string{}
@@ -67,8 +68,8 @@
 	return base64.StdEncoding.EncodeToString(k.Public().(ed25519.PublicKey))
 }
 
-// nextKeySuffix is the suffix of the file that holds the next key while a key rolls, beside the file of the current one. A key file
-// holds the seed of the key in base64 and is readable by its owner alone.
+// nextKeySuffix is the suffix of the file that holds the next key while a key rolls, beside the file of the current
+// one. A key file holds the seed of the key in base64 and is readable by its owner alone.
 const nextKeySuffix = ".next"
 
 // ErrKeyFileMode means that others than its owner may read a key file.
@@ -111,8 +112,8 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// NextKey makes the key that follows the one at the path, or reads it where it exists, and returns its public key. The current key
-// stays in use. A file of the next key that does not hold a key, as a crash may leave it, is replaced.
+// NextKey makes the key that follows the one at the path, or reads it where it exists, and returns its public key. The
+// current key stays in use. A file of the next key that does not hold a key, as a crash may leave it, is replaced.
 func NextKey(path string) (string, error) {
 	next := path + nextKeySuffix
 	if _, err := ReadKey(path); err != nil {
@@ -131,8 +132,8 @@
 	return MakeKey(next)
 }
 
-// ActivateNextKey replaces the current key by the next one and returns its public key. The replacement is atomic: after a crash one of
-// the two keys is in place.
+// ActivateNextKey replaces the current key by the next one and returns its public key. The replacement is atomic: after
+// a crash one of the two keys is in place.
 func UseNext(path string) (string, error) {
 	key, err := ReadKey(path + nextKeySuffix)
 	if err != nil {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -41,7 +41,8 @@
 func (s State) String() string { return stateNames[s] }
 
 const (
-	// maxSlowness bounds a member's slowness: its probe interval and timeout grow to at most 1+maxSlowness times the setting.
+	// maxSlowness bounds a member's slowness: its probe interval and timeout grow to at most 1+maxSlowness times the
+	// setting.
 	maxSlowness = 8
 	// maxQueued bounds the facts in the gossip queue, and separately the probes relayed for other members.
 	maxQueued = 512
@@ -108,8 +109,8 @@
 	priority  int // of facts sent equally often, those of higher priority go first
 }
 
-// Member is the protocol state machine of one instance. Its owner passes in packets and the time and sends the packets that
-// are returned. It is not safe for concurrent use. Times are on any clock that does not step back.
+// Member is the protocol state machine of one instance. Its owner passes in packets and the time and sends the packets
+// that are returned. It is not safe for concurrent use. Times are on any clock that does not step back.
 type Member struct {
 	name, addr    string
 	settings      Settings
@@ -140,8 +141,8 @@
 	Refused map[error]int
 }
 
-// New returns a member that joins through the seeds. Inc is its first incarnation. The Unix time in milliseconds will do even
-// with a wrong clock: the others notify a member that comes back with a lower incarnation than before.
+// New returns a member that joins through the seeds. Inc is its first incarnation. The Unix time in milliseconds will
+// do even with a wrong clock: the others notify a member that comes back with a lower incarnation than before.
 func New(now time.Duration, name, addr string, inc uint64, settings Settings, keys Keys, rng *rand.Rand, seeds ...string) *Member {
 	m := &Member{name: name, addr: addr, settings: settings, keys: keys, rng: rng, inc: inc, peers: map[string]*Peer{}, relays: map[uint64]relay{},
 		seeds: seeds, refilledAt: now, nextProbe: now, nextSync: now + settings.SyncInterval, verified: map[string]bool{}, Refused: map[error]int{}, tokens: float64(settings.MaxBytesPerSecond),
@@ -156,8 +157,8 @@
 	m.enqueue(now, m.name, m.ownFact, 2)
 }
 
-// SetKeys replaces the keys. Facts and packets signed by a removed key, or by a member that is no longer listed, are rejected
-// from then on.
+// SetKeys replaces the keys. Facts and packets signed by a removed key, or by a member that is no longer listed, are
+// rejected from then on.
 func (m *Member) Rekey(now time.Duration, keys Keys) {
 	m.keys = keys
 	clear(m.verified)
@@ -190,8 +191,8 @@
 // logSize returns log10 of the number of members, at least 1.
 func (m *Member) logSize() float64 { return max(1, math.Log10(float64(m.size()))) }
 
-// enqueue adds a fact to the gossip queue, from which it goes out with the next packets. It replaces a queued fact with the
-// same topic.
+// enqueue adds a fact to the gossip queue, from which it goes out with the next packets. It replaces a queued fact with
+// the same topic.
 func (m *Member) enqueue(now time.Duration, topic string, f signed, priority int) {
 	added := &queuedFact{topic: topic, fact: f, queuedAt: now, priority: priority}
 	if i := slices.IndexFunc(m.queue, func(o *queuedFact) bool { return o.topic == topic }); i >= 0 {
@@ -210,8 +211,8 @@
 	m.queue = append(m.queue, added)
 }
 
-// takeFacts returns the facts that have been sent least often, as many as fit into so many bytes, and removes from the queue
-// those that have been sent often enough.
+// takeFacts returns the facts that have been sent least often, as many as fit into so many bytes, and removes from the
+// queue those that have been sent often enough.
 func (m *Member) takeFacts(capacity int) []signed {
 	slices.SortStableFunc(m.queue, func(a, b *queuedFact) int {
 		return cmp.Or(cmp.Compare(a.timesSent, b.timesSent), cmp.Compare(b.priority, a.priority))
@@ -240,8 +241,8 @@
 	m.refilledAt = max(m.refilledAt, now)
 }
 
-// send completes a packet, signs it and adds it to the output. It returns false, and sends nothing, where the byte budget does
-// not allow it.
+// send completes a packet, signs it and adds it to the output. It returns false, and sends nothing, where the byte
+// budget does not allow it.
 func (m *Member) send(now time.Duration, to, addr string, p packet) bool {
 	m.refill(now)
 	p.V, p.From, p.To, p.Inc = version, m.name, to, m.inc
@@ -317,8 +318,8 @@
 	return m.settings.ProbeTimeout * time.Duration(1+m.slowness)
 }
 
-// startProbe probes the next peer in turn. Each deadProbePeriod-th call also pings a dead or departed peer; a member that is alone,
-// and each fourth such call, exchanges facts with the seeds.
+// startProbe probes the next peer in turn. Each deadProbePeriod-th call also pings a dead or departed peer; a member
+// that is alone, and each fourth such call, exchanges facts with the seeds.
 func (m *Member) startProbe(now time.Duration) {
 	m.probeCount++
 	var target *Peer
@@ -363,8 +364,8 @@
 	}
 }
 
-// startIndirectProbe asks other members to probe a target that does not reply, and pings it over TCP itself, in case only UDP
-// packets are lost.
+// startIndirectProbe asks other members to probe a target that does not reply, and pings it over TCP itself, in case
+// only UDP packets are lost.
 func (m *Member) startIndirectProbe(now time.Duration, pr *probe) {
 	if t := m.peers[pr.target]; t != nil {
 		m.send(now, t.Name, t.Addr, packet{Kind: ping, Nonce: pr.nonce, Sure: true})
@@ -378,8 +379,8 @@
 	}
 }
 
-// endFailedProbe ends a probe that had no reply and accuses its target. It accuses nobody where several helpers were asked and
-// none of them replied: then this member itself may be cut off.
+// endFailedProbe ends a probe that had no reply and accuses its target. It accuses nobody where several helpers were
+// asked and none of them replied: then this member itself may be cut off.
 func (m *Member) endFailedProbe(now time.Duration) {
 	pr := m.probe
 	m.probe = nil
@@ -400,8 +401,8 @@
 	}
 }
 
-// addAccusation records an accusation of a peer's current incarnation and queues it for gossip. It ignores accusations beyond twice
-// the quorum, which make no difference.
+// addAccusation records an accusation of a peer's current incarnation and queues it for gossip. It ignores accusations
+// beyond twice the quorum, which make no difference.
 func (m *Member) addAccusation(now time.Duration, p *Peer, by string, f signed) {
 	if _, known := p.accusationsBy[by]; known || len(p.accusationsBy) >= 2*m.settings.Quorum {
 		return
@@ -431,8 +432,8 @@
 	return time.Duration(shortest)
 }
 
-// expireSuspicions declares dead each peer that a quorum has accused for long enough, and drops suspicions that no quorum joined
-// in time.
+// expireSuspicions declares dead each peer that a quorum has accused for long enough, and drops suspicions that no
+// quorum joined in time.
 func (m *Member) expireSuspicions(now time.Duration) {
 	for _, p := range m.peers {
 		if p.State != Suspect {
@@ -467,8 +468,8 @@
 	return m.peers[names[m.rng.IntN(len(names))]]
 }
 
-// knownFacts returns the latest signed facts about all members. Where they exceed half the byte budget it returns as many as fit,
-// starting at a random peer.
+// knownFacts returns the latest signed facts about all members. Where they exceed half the byte budget it returns as
+// many as fit, starting at a random peer.
 func (m *Member) knownFacts(now time.Duration) []signed {
 	m.refill(now)
 	capacity := min(int(m.tokens), MaxSyncBytes) / 2
@@ -507,8 +508,8 @@
 	return names
 }
 
-// Receive processes a packet from an address. It returns the packets to send and, where the packet is rejected, the reason, which
-// it also counts in Refused.
+// Receive processes a packet from an address. It returns the packets to send and, where the packet is rejected, the
+// reason, which it also counts in Refused.
 func (m *Member) Receive(now time.Duration, from string, data []byte) (out []Out, err error) {
 	m.out = nil
 	if m.stopped {
@@ -590,8 +591,8 @@
 	return nil
 }
 
-// markSeen reports whether a packet of the peer is received for the first time, and records it as received. Packets may arrive out
-// of order; those that are 64 or more behind the latest count as seen.
+// markSeen reports whether a packet of the peer is received for the first time, and records it as received. Packets may
+// arrive out of order; those that are 64 or more behind the latest count as seen.
 func (p *Peer) markSeen(k *packet) bool {
 	switch {
 	case k.Inc > p.seenInc:
@@ -610,8 +611,8 @@
 	return true
 }
 
-// shareAccusations handles an accusation of a peer that is already dead: the accuser has not received the other accusations, so
-// they are sent to it.
+// shareAccusations handles an accusation of a peer that is already dead: the accuser has not received the other
+// accusations, so they are sent to it.
 func (m *Member) shareAccusations(now time.Duration, f *Fact, s signed) {
 	about, by := m.peers[f.About], m.peers[f.By]
 	if f.Kind != factSuspect || about == nil || by == nil || about.State != Dead || by.State != Alive || f.Inc != about.Inc {
@@ -718,9 +719,9 @@
 func (m *Member) handlePresence(now time.Duration, f *Fact, s signed) {
 	if f.By == m.name {
 		if f.Kind == factAlive && f.Addr != m.addr {
-			// The fact is signed by the same key, but not by this instance: it is from an earlier run at another address, or
-			// from another running instance, which will announce itself again. Then the instance with the greater address
-			// gives way, which both can decide from what they know.
+			// The fact is signed by the same key, but not by this instance: it is from an earlier run at another
+			// address, or from another running instance, which will announce itself again. Then the instance with the
+			// greater address gives way, which both can decide from what they know.
 			if m.nameConflicts++; m.nameConflicts > 3 && m.addr > f.Addr {
 				m.Conflict, m.stopped = true, true
 				return
@@ -755,8 +756,8 @@
 	m.enqueue(now, f.By, s, 2)
 }
 
-// handleSuspicion applies the accusation of a member by another. Some members then probe the accused ahead of its turn; a member
-// that is accused itself announces a higher incarnation.
+// handleSuspicion applies the accusation of a member by another. Some members then probe the accused ahead of its turn;
+// a member that is accused itself announces a higher incarnation.
 func (m *Member) handleSuspicion(now time.Duration, f *Fact, s signed) {
 	if f.About == m.name { // this member is alive: refute the accusation
 		m.inc = max(m.inc, f.Inc) + 1
@@ -791,8 +792,8 @@
 	return m.out
 }
 
-// Peers returns copies of all peers in the order of their names. Accusers are the current ones of a suspect, or those by which a
-// peer was declared dead.
+// Peers returns copies of all peers in the order of their names. Accusers are the current ones of a suspect, or those
+// by which a peer was declared dead.
 func (m *Member) Peers() []Peer {
 	var all []Peer
 	for _, name := range m.peerNames() {
@@ -811,6 +812,6 @@
 // Inc returns the member's current incarnation.
 func (m *Member) Inc() uint64 { return m.inc }
 
-// Slowness returns how slow the member judges itself to be, from 0 (not slow) to 8. Its probe interval and timeout are 1+Slowness
-// times the settings.
+// Slowness returns how slow the member judges itself to be, from 0 (not slow) to 8. Its probe interval and timeout are
+// 1+Slowness times the settings.
 func (m *Member) Slowness() int { return m.slowness }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A member that crashes is declared dead by all others within two minutes, and no running member is. Logs the time until the first
-// and until all have done so.
+// A member that crashes is declared dead by all others within two minutes, and no running member is. Logs the time
+// until the first and until all have done so.
 func TestCrashedMemberIsDeclaredDead(t *testing.T) {
 	for _, n := range []int{10, 30} {
 		var first, all []time.Duration
@@ -73,8 +73,8 @@
 	}
 }
 
-// Packet loss and slow members cause no lasting false verdict: once both end, all members hold each other for alive again. Up to 5 %
-// loss alone causes no false verdict at all.
+// Packet loss and slow members cause no lasting false verdict: once both end, all members hold each other for alive
+// again. Up to 5 % loss alone causes no false verdict at all.
 func TestLossAndSlownessCauseNoLastingFalseVerdict(t *testing.T) {
 	for _, c := range []struct {
 		loss float64
@@ -109,8 +109,8 @@
 	}
 }
 
-// A member that is suspended for ten seconds has missed all replies when it resumes. It must not suspect the others for that, and must
-// be accepted by them again.
+// A member that is suspended for ten seconds has missed all replies when it resumes. It must not suspect more than
+// three of the others for that, and all must hold each other for alive again afterwards.
 func TestSuspendedMemberRejoins(t *testing.T) {
 	for seed := range seedCount(3) {
 		sim := newSimulation(10, uint64(seed))
@@ -139,8 +139,8 @@
 	}
 }
 
-// A member with a valid key accuses all others with each packet, to all members or only to some. No member is declared dead, and the
-// facts that it forges in the names of others are rejected.
+// A member with a valid key accuses all others with each packet, to all members or only to some. No member is declared
+// dead, and the facts that it forges in the names of others are rejected.
 func TestFalseAccusationsOfOneMemberDeclareNobodyDead(t *testing.T) {
 	for seed := range seedCount(3) {
 		for _, some := range []bool{false, true} {
@@ -229,8 +229,8 @@
 	sim.checkInvariants(t)
 }
 
-// A member that left and comes back with a clock that is minutes behind is accepted again. So are members that were declared dead in a
-// partition once it heals, also where both sides have rolled their keys meanwhile.
+// A member that left and comes back with a clock that is minutes behind is accepted again. So are members that were
+// declared dead in a partition once it heals, also where both sides have rolled their keys meanwhile.
 func TestReturningMembersAreAccepted(t *testing.T) {
 	for seed := range seedCount(3) {
 		sim := newSimulation(8, uint64(seed))
@@ -282,8 +282,8 @@
 	sim.violations = nil // the checks of incarnations do not hold for a name that two instances have
 }
 
-// Reports of a failing web server count once several members agree. A single reporter, alone or against the others, has no effect, and
-// reports decay.
+// Reports of a failing web server count once several members agree. A single reporter, alone or against the others, has
+// no effect, and reports decay.
 func TestServerReportsCountFromSeveralMembers(t *testing.T) {
 	sim := newSimulation(7, 1)
 	sim.waitJoined(t)
@@ -315,7 +315,8 @@
 	sim.checkInvariants(t)
 }
 
-// With PORTSTALL_MANY it simulates 10, 100 and 1,000 members and logs how the traffic of each and the time to declare one dead grow.
+// With PORTSTALL_MANY it simulates 10, 100 and 1,000 members and logs how the traffic of each and the time to declare
+// one dead grow.
 func TestManyMembers(t *testing.T) {
 	if os.Getenv("PORTSTALL_MANY") == "" {
 		t.Skip("PORTSTALL_MANY is not set; the test takes minutes")
@@ -341,7 +342,8 @@
 	}
 }
 
-// Twenty of thirty members restart each second for a while. No member exceeds its byte budget, and all have joined afterwards.
+// Twenty of thirty members restart each second for a while. No member exceeds its byte budget, and all have joined
+// afterwards.
 func TestRepeatedRestartsStayWithinByteBudget(t *testing.T) {
 	sim := newSimulation(30, 1)
 	sim.waitJoined(t)
@@ -359,9 +361,9 @@
 	sim.checkInvariants(t)
 }
 
-// Runs all sequences of three events among three members, at two distances in time: a crash, a restart with an older clock, leaving,
-// a partition, a key roll, a false accusation. After each, the running members hold each other for alive again, no member holds an
-// incarnation that its owner never had, and no incarnation decreases.
+// Runs all sequences of three events among three members, at two distances in time: a crash, a restart with an older
+// clock, leaving, a partition, a key roll, a false accusation. After each, the running members hold each other for
+// alive again, no member holds an incarnation that its owner never had, and no incarnation decreases.
 func TestThreeMembersRecoverFromEachSequenceOfEvents(t *testing.T) {
 	events := map[string]func(sim *simulation){
 		"crashes":  func(sim *simulation) { sim.members[2] = nil },
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -1,8 +1,9 @@
-// Package member implements group membership: instances find each other and agree on which of them are alive. The protocol is
-// SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's local health awareness (Dadgar, Phillips and Currey, 2018). It differs in
-// what a member may claim: only a member itself announces that it is alive or leaves, an accusation is signed by its accuser, and
-// no member declares another dead to the rest. Each member decides that by itself, from the accusations of several others. Member
-// is a pure state machine over packets and time; Transport runs it on sockets.
+// Package member implements group membership: instances find each other and agree on which of them are alive. The
+// protocol is SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's local health awareness (Dadgar, Phillips and
+// Currey, 2018). It differs in what a member may claim: only a member itself announces that it is alive or leaves, an
+// accusation is signed by its accuser, and no member declares another dead to the rest. Each member decides that by
+// itself, from the accusations of several others. Member is a pure state machine over packets and time; Transport runs
+// it on sockets.
 package member
 
 import (
@@ -125,8 +126,8 @@
 	return f, nil
 }
 
-// signedBytes returns what is signed for a body. The prefix keeps a signature of a fact from being valid for a packet, and the
-// reverse.
+// signedBytes returns what is signed for a body. The prefix keeps a signature of a fact from being valid for a packet,
+// and the reverse.
 func signedBytes(kind string, body []byte) []byte {
 	return append([]byte("portstall "+kind+"\x00"), body...)
 }
@@ -181,8 +182,8 @@
 	return f, keys.Verify(f.By, signedBytes("fact", s.Fact), s.Sig)
 }
 
-// Keys signs for one member and knows the keys of all that may be members. An implementation is safe for concurrent use, or is used
-// by one goroutine together with its Member.
+// Keys signs for one member and knows the keys of all that may be members. An implementation is safe for concurrent
+// use, or is used by one goroutine together with its Member.
 type Keys interface {
 	// Sign returns the member's own signature of b.
 	Sign(b []byte) []byte
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ServerReport is what one member has observed of a web server. It is evidence, never a verdict, and decays exponentially from the
-// time at which it was received.
+// ServerReport is what one member has observed of a web server. It is evidence, never a verdict, and decays
+// exponentially from the time at which it was received.
 type ServerReport struct {
 	By          string // name of the reporting member
 	Server      string
@@ -28,7 +28,8 @@
 	maxReports = 4096
 )
 
-// ReportServer reports to the other members the failed share of this member's recent attempts at a web server, and their number.
+// ReportServer reports to the other members the failed share of this member's recent attempts at a web server, and
+// their number.
 func (m *Member) Witness(now time.Duration, server string, failedShare, attempts float64) {
 	if len(server) > maxName || len(server) == 0 || m.stopped {
 		return
@@ -71,10 +72,10 @@
 	return sortedKeys(all)
 }
 
-// FailureEstimate returns the failed share that the other members report of a web server, from 0 to 1, and the number of members
-// that it is based on. It justifies an earlier probe by this node, and fewer requests until then, no more. It is the median of the
-// decayed reports of live members, so that fewer than half of them can't move it beyond what the others observed, whatever they
-// report.
+// FailureEstimate returns the failed share that the other members report of a web server, from 0 to 1, and the number
+// of members that it is based on. It justifies an earlier probe by this node, and fewer requests until then, no more.
+// It is the median of the decayed reports of live members, so that fewer than half of them can't move it beyond what
+// the others observed, whatever they report.
 func (m *Member) Doubt(now time.Duration, server string) (failedShare float64, reporters int) {
 	var shares []float64
 	for _, name := range m.peerNames() {
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -12,8 +12,8 @@
 
 const second = time.Second
 
-// testKeys are the Keys of a simulated member: a keyed hash, which costs less than Ed25519. Without the secret of a name they can't
-// sign for it.
+// testKeys are the Keys of a simulated member: a keyed hash, which costs less than Ed25519. Without the secret of a
+// name they can't sign for it.
 type testKeys struct {
 	secretByName map[string]uint64
 	own          string // name of the member that signs
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// simulation runs members in virtual time on a network that loses and delays packets, and checks invariants of what they believe.
+// simulation runs members in virtual time on a network that loses and delays packets, and checks invariants of what
+// they believe.
 type simulation struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -171,8 +172,8 @@
 	sim.now = until
 }
 
-// checkBeliefs checks that a member holds no incarnation that its owner never had, and notes running members that it holds for
-// dead.
+// checkBeliefs checks that a member holds no incarnation that its owner never had, and notes running members that it
+// holds for dead.
 func (sim *simulation) checkBeliefs(i int, m *Member) {
 	for n, p := range m.peers {
 		if p.State == Dead {
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -34,8 +34,8 @@
 	Log   *slog.Logger
 }
 
-// Transport runs a Member on sockets. Packets go over UDP; those that are too long for it or must not be lost go over TCP, each on a
-// connection of its own, after a length of four bytes. It is safe for concurrent use.
+// Transport runs a Member on sockets. Packets go over UDP; those that are too long for it or must not be lost go over
+// TCP, each on a connection of its own, after a length of four bytes. It is safe for concurrent use.
 type Edge struct {
 	udp       *net.UDPConn
 	tcp       net.Listener
@@ -91,7 +91,8 @@
 	t.wg.Wait()
 }
 
-// Do runs f with the member under the lock. f must not retain the member. Facts that it queues are sent with the next packets.
+// Do runs f with the member under the lock. f must not retain the member. Facts that it queues are sent with the next
+// packets.
 func (t *Edge) Do(f func(now time.Duration, m *Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,8 +181,8 @@
 	}
 }
 
-// send writes packets to the network. Those that can't be written are dropped, as on any lossy network. TCP packets are written by
-// goroutines of their own.
+// send writes packets to the network. Those that can't be written are dropped, as on any lossy network. TCP packets are
+// written by goroutines of their own.
 func (t *Edge) send(packets []Out) {
 	for _, o := range packets {
 		if !o.TCP {
--- a/internal/member/transport_test.go
+++ b/internal/member/transport_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Ten instances on loopback sockets, with Ed25519 keys, join through two seeds. Forged packets of an unknown key and false accusations
-// of one member remove nobody, a member that leaves is known to have left, one that stops is declared dead, and none sends more
-// bytes than its budget.
+// Ten instances on loopback sockets, with Ed25519 keys, join through two seeds. Forged packets of an unknown key and
+// false accusations of one member remove nobody, a member that leaves is known to have left, one that stops is declared
+// dead, and none sends more bytes than its budget.
 func TestTenInstancesOverSockets(t *testing.T) {
 	const n = 10
 	settings := Usual()
@@ -170,7 +170,8 @@
 	}
 }
 
-// A key file is never overwritten and is readable by its owner alone. A roll of the key survives a crash after any of its steps.
+// A key file is never overwritten and is readable by its owner alone. A roll of the key survives a crash after any of
+// its steps.
 func TestKeyFilesSurviveCrashesOfARoll(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	first, err := MakeKey(path)
