--- a/internal/health/evidence_test.go
+++ b/internal/health/evidence_test.go
@@ -12,268 +12,278 @@
 
 const sec = time.Second
 
-func at(s float64) time.Duration { return time.Duration(s * float64(sec)) }
+func atSeconds(s float64) time.Duration { return time.Duration(s * float64(sec)) }
 
-// fleet is a book of ten servers, of which the tests tell of the first.
-func fleet() *Book {
-	b := NewBook(Usual(sec))
+// newTestTracker returns a tracker of ten servers, 0 to 9. Most tests report on server 0.
+func newTestTracker() *Book {
+	tracker := NewBook(Usual(sec))
 	for id := range uint32(10) {
-		b.Add(id)
+		tracker.Add(id)
 	}
-	return b
+	return tracker
 }
 
-func word(line string) Word {
-	w := Silent
-	for _, f := range strings.Fields(line) {
-		switch f {
+// parseReport parses a test's short form of an agent's report.
+func parseReport(line string) Word {
+	report := Silent
+	for _, keyword := range strings.Fields(line) {
+		switch keyword {
 		case "up":
-			w.State = Up
+			report.State = Up
 		case "down":
-			w.State, w.Reason = Down, "full"
+			report.State, report.Reason = Down, "full"
 		case "ready":
-			w.Admin = Ready
+			report.Admin = Ready
 		case "drain":
-			w.Admin = Drain
+			report.Admin = Drain
 		case "maint":
-			w.Admin = Maint
+			report.Admin = Maint
 		default:
-			n := 0.0
-			fmt.Sscanf(f, "%f%%", &n)
-			w.Weight = n / 100
+			percent := 0.0
+			fmt.Sscanf(keyword, "%f%%", &percent)
+			report.Weight = percent / 100
 		}
 	}
-	return w
+	return report
 }
 
-// The evidence table of docs/health.md, row by row: what is told of a server, and what the verdict is at the end. Each would
-// fail if its row were other.
-func TestEvidence(t *testing.T) {
-	out, drain := Verdict{Out: true}, Verdict{Out: true, Drain: true}
-	in := func(weight float64) Verdict { return Verdict{Weight: weight} }
+// The evidence table of docs/health.md, row by row: the evidence on a server, and the verdict that must follow from it. Each
+// case fails if its row of the table is implemented differently.
+func TestVerdictsFollowEvidenceTable(t *testing.T) {
+	ejected, drained := Verdict{Out: true}, Verdict{Out: true, Drain: true}
+	weighted := func(weight float64) Verdict { return Verdict{Weight: weight} }
 	agent := func(s float64, line string) func(*Book) time.Duration {
-		return func(b *Book) time.Duration { b.Agent(at(s), 0, word(line)); return at(s) }
+		return func(tracker *Book) time.Duration {
+			tracker.Agent(atSeconds(s), 0, parseReport(line))
+			return atSeconds(s)
+		}
 	}
 	check := func(s float64, ok bool) func(*Book) time.Duration {
-		return func(b *Book) time.Duration { b.Check(at(s), 0, ok, "status 500"); return at(s) }
+		return func(tracker *Book) time.Duration {
+			tracker.Check(atSeconds(s), 0, ok, "status 500")
+			return atSeconds(s)
+		}
 	}
-	real := func(s float64, ok bool) func(*Book) time.Duration {
-		return func(b *Book) time.Duration { b.Real(at(s), 0, ok); return at(s) }
+	request := func(s float64, ok bool) func(*Book) time.Duration {
+		return func(tracker *Book) time.Duration { tracker.Real(atSeconds(s), 0, ok); return atSeconds(s) }
 	}
-	others := func(s float64) func(*Book) time.Duration {
-		return func(b *Book) time.Duration { b.Others(at(s), 0); return at(s) }
+	peers := func(s float64) func(*Book) time.Duration {
+		return func(tracker *Book) time.Duration { tracker.Others(atSeconds(s), 0); return atSeconds(s) }
 	}
-	look := func(s float64) func(*Book) time.Duration { return func(*Book) time.Duration { return at(s) } }
-	type play = []func(*Book) time.Duration
+	wait := func(s float64) func(*Book) time.Duration { return func(*Book) time.Duration { return atSeconds(s) } }
+	type evidence = []func(*Book) time.Duration
 	for _, c := range []struct {
-		name    string
-		play    play
-		want    Verdict
-		against string // part of the contradiction; "-": none
+		name     string
+		evidence evidence
+		want     Verdict
+		conflict string // text in Verdict.Conflict; "-": it is empty
 	}{
-		{"nothing is said", play{look(1)}, in(1), "-"},
-		{"agent: drain", play{agent(1, "drain")}, drain, "-"},
-		{"agent: maint", play{agent(1, "maint")}, drain, "-"},
-		{"agent: drain, while it answers", play{real(1, true), agent(1.1, "drain")}, drain, "-"},
-		{"agent: drain stays while other words come", play{agent(1, "drain"), agent(2, "up 100%"), look(3)}, drain, "-"},
-		{"agent: ready takes it back", play{agent(1, "drain"), agent(2, "ready"), agent(3, "up")}, in(1), "-"},
-		{"agent: one good word is not enough", play{agent(1, "drain"), agent(3, "ready")}, drain, "-"},
-		{"agent: drain is good for a minute after it was heard", play{agent(1, "drain"), look(61)}, drain, "-"},
-		{"and no longer", play{agent(1, "drain"), look(61.1)}, in(1), "-"},
-		{"agent: down", play{agent(1, "down")}, out, "-"},
-		{"agent: down, but it answers", play{real(1, true), agent(2, "down")}, in(0.5), "its agent says down: full, but it answers"},
-		{"agent: down, and the answer is old", play{real(1, true), agent(2, "down"), look(3.1)}, out, "-"},
-		{"agent: down, and the latest request failed", play{real(1, true), real(1.5, false), agent(2, "down")}, out, "-"},
-		{"agent: down is good for three intervals and a second", play{agent(1, "down"), look(5)}, out, "-"},
-		{"and no longer", play{agent(1, "down"), look(5.1)}, in(1), "-"},
-		{"agent: up while requests fail", play{agent(1, "up"), real(1.5, false)}, in(1), "its agent says up, but real requests fail"},
-		{"agent: a weight", play{agent(1, "75%")}, in(0.75), "-"},
-		{"agent: a weight over 100", play{agent(1, "200%")}, in(1), "-"},
-		{"agent: a weight fades", play{agent(1, "75%"), look(5.1)}, in(1), "-"},
-		{"agent: weight 0 is no drain", play{agent(1, "0%")}, out, "-"},
-		{"agent: weight 0, while it answers", play{real(0.9, true), agent(1, "0%")}, out, "-"},
-		{"agent: weight 0 and drain", play{agent(1, "0% drain")}, drain, "-"},
-		{"agent: down and a weight, but it answers", play{real(1, true), agent(1.1, "down 50%")}, in(0.25), "answers"},
-		{"check: two failures are none", play{check(1, false), check(2, false)}, in(1), "-"},
-		{"check: three are", play{check(1, false), check(2, false), check(3, false)}, out, "-"},
-		{"check: with a good one between they are not", play{check(1, false), check(2, false), check(2.5, true), check(3, false)}, in(1), "-"},
-		{"check: failures, but it answers", play{check(1, false), check(2, false), real(2.9, true), check(3, false)}, in(0.5), "its checks fail: status 500, but"},
-		{"check: failures are good for three intervals and a second", play{check(1, false), check(2, false), check(3, false), look(7.1)}, in(1), "-"},
-		{"check: passes while requests fail", play{check(1, true), real(1.1, false)}, in(1), "its checks pass, but real requests fail"},
-		{"check: good ones do not take back an agent's drain", play{agent(1, "drain"), check(2, true), check(3, true), check(4, true)}, drain, "-"},
-		{"check: two good ones bring back what failed ones took out", play{check(1, false), check(2, false), check(3, false), check(4, true), check(5, true)}, in(1), "-"},
-		{"agent: up does not bring back what checks took out", play{check(1, false), check(2, false), check(3, false), agent(3.5, "up"), agent(4, "up")}, out, "-"},
-		{"others see it fail", play{others(1)}, in(0.5), "-"},
-		{"and it fades", play{others(1), look(3.1)}, in(1), "-"},
-		{"others see it fail, but it answers here", play{real(0.9, true), others(1)}, in(1), "-"},
-		{"others see it fail, and its agent gives it a weight", play{agent(1, "50%"), others(1.1)}, in(0.25), "-"},
-		{"requests: failures alone are the module's affair", play{real(1, false), real(1.1, false), real(1.2, false)}, in(1), "-"},
+		{"no evidence", evidence{wait(1)}, weighted(1), "-"},
+		{"agent: drain", evidence{agent(1, "drain")}, drained, "-"},
+		{"agent: maint", evidence{agent(1, "maint")}, drained, "-"},
+		{"agent: drain, while real requests succeed", evidence{request(1, true), agent(1.1, "drain")}, drained, "-"},
+		{"agent: drain stays in force while other keywords are reported", evidence{agent(1, "drain"), agent(2, "up 100%"), wait(3)}, drained, "-"},
+		{"agent: ready ends a drain", evidence{agent(1, "drain"), agent(2, "ready"), agent(3, "up")}, weighted(1), "-"},
+		{"agent: one good report is not enough to end a drain", evidence{agent(1, "drain"), agent(3, "ready")}, drained, "-"},
+		{"agent: drain is valid for a minute after the last reply", evidence{agent(1, "drain"), wait(61)}, drained, "-"},
+		{"agent: drain expires after a minute", evidence{agent(1, "drain"), wait(61.1)}, weighted(1), "-"},
+		{"agent: down", evidence{agent(1, "down")}, ejected, "-"},
+		{"agent: down, but a real request succeeded", evidence{request(1, true), agent(2, "down")}, weighted(0.5), "its agent reports down: full, but it answers"},
+		{"agent: down, and the last success is too old", evidence{request(1, true), agent(2, "down"), wait(3.1)}, ejected, "-"},
+		{"agent: down, and the latest request failed", evidence{request(1, true), request(1.5, false), agent(2, "down")}, ejected, "-"},
+		{"agent: down is valid for three intervals and a second", evidence{agent(1, "down"), wait(5)}, ejected, "-"},
+		{"agent: down expires after three intervals and a second", evidence{agent(1, "down"), wait(5.1)}, weighted(1), "-"},
+		{"agent: up while requests fail", evidence{agent(1, "up"), request(1.5, false)}, weighted(1), "its agent reports up, but real requests fail"},
+		{"agent: a weight", evidence{agent(1, "75%")}, weighted(0.75), "-"},
+		{"agent: a weight over 100% counts as 100%", evidence{agent(1, "200%")}, weighted(1), "-"},
+		{"agent: a weight expires", evidence{agent(1, "75%"), wait(5.1)}, weighted(1), "-"},
+		{"agent: weight 0 ejects without a drain", evidence{agent(1, "0%")}, ejected, "-"},
+		{"agent: weight 0, while real requests succeed", evidence{request(0.9, true), agent(1, "0%")}, ejected, "-"},
+		{"agent: weight 0 and drain", evidence{agent(1, "0% drain")}, drained, "-"},
+		{"agent: down and a weight, but a real request succeeded", evidence{request(1, true), agent(1.1, "down 50%")}, weighted(0.25), "answers"},
+		{"check: two failures do not eject", evidence{check(1, false), check(2, false)}, weighted(1), "-"},
+		{"check: three consecutive failures eject", evidence{check(1, false), check(2, false), check(3, false)}, ejected, "-"},
+		{"check: three failures with a success between them do not eject", evidence{check(1, false), check(2, false), check(2.5, true), check(3, false)}, weighted(1), "-"},
+		{"check: failures, but a real request succeeded", evidence{check(1, false), check(2, false), request(2.9, true), check(3, false)}, weighted(0.5), "its checks fail: status 500, but"},
+		{"check: failures expire after three intervals and a second", evidence{check(1, false), check(2, false), check(3, false), wait(7.1)}, weighted(1), "-"},
+		{"check: passes while requests fail", evidence{check(1, true), request(1.1, false)}, weighted(1), "its checks pass, but real requests fail"},
+		{"check: successes do not end an agent's drain", evidence{agent(1, "drain"), check(2, true), check(3, true), check(4, true)}, drained, "-"},
+		{"check: two successes readmit a server that checks ejected", evidence{check(1, false), check(2, false), check(3, false), check(4, true), check(5, true)}, weighted(1), "-"},
+		{"agent: up does not readmit a server that checks ejected", evidence{check(1, false), check(2, false), check(3, false), agent(3.5, "up"), agent(4, "up")}, ejected, "-"},
+		{"peers: other instances see it fail", evidence{peers(1)}, weighted(0.5), "-"},
+		{"peers: their report expires", evidence{peers(1), wait(3.1)}, weighted(1), "-"},
+		{"peers: they see it fail, but a real request succeeded here", evidence{request(0.9, true), peers(1)}, weighted(1), "-"},
+		{"peers: they see it fail, and its agent reports a weight", evidence{agent(1, "50%"), peers(1.1)}, weighted(0.25), "-"},
+		{"requests: failures alone do not eject, as the policy does that itself", evidence{request(1, false), request(1.1, false), request(1.2, false)}, weighted(1), "-"},
 	} {
-		b := fleet()
+		tracker := newTestTracker()
 		var now time.Duration
-		for _, f := range c.play {
-			now = f(b)
-			b.Weigh(now, 0)
+		for _, record := range c.evidence {
+			now = record(tracker)
+			tracker.Weigh(now, 0)
 		}
-		v := b.Verdict(0)
+		v := tracker.Verdict(0)
 		if v.Out != c.want.Out || v.Drain != c.want.Drain || v.Weight != c.want.Weight {
 			t.Errorf("%s: %+v, want %+v", c.name, v, c.want)
 		}
-		if c.against == "-" && v.Against != "" || c.against != "-" && !strings.Contains(v.Against, c.against) {
-			t.Errorf("%s: against %q, want %q", c.name, v.Against, c.against)
+		if c.conflict == "-" && v.Against != "" || c.conflict != "-" && !strings.Contains(v.Against, c.conflict) {
+			t.Errorf("%s: conflict %q, want %q", c.name, v.Against, c.conflict)
 		}
 		if (v.Out || v.Weight < 1) != (v.Why != "") {
-			t.Errorf("%s: why is %q of %+v", c.name, v.Why, v)
+			t.Errorf("%s: reason is %q of %+v", c.name, v.Why, v)
 		}
 	}
 }
 
-// Where most of the fleet is said to be bad the sayers are suspected; up to half of it is believed, and a server whose requests
-// fail stays out all the same.
-func TestPanic(t *testing.T) {
-	b := fleet()
-	weigh := func(now time.Duration) (out int) {
+// Where more than half of the fleet is reported unhealthy the reports are suspected and not followed; up to half of it they
+// are followed. A server whose real requests fail stays ejected in both cases.
+func TestReportsAreDoubtedWhenMostServersAreReportedBad(t *testing.T) {
+	tracker := newTestTracker()
+	evaluate := func(now time.Duration) (ejected int) {
 		for id := range uint32(10) {
-			b.Weigh(now, id)
+			tracker.Weigh(now, id)
 		}
 		for id := range uint32(10) {
-			if v, _ := b.Weigh(now, id); v.Out {
-				out++
+			if v, _ := tracker.Weigh(now, id); v.Out {
+				ejected++
 			}
 		}
 		return
 	}
 	for id := range uint32(5) {
-		b.Agent(at(1), id, word("down"))
+		tracker.Agent(atSeconds(1), id, parseReport("down"))
 	}
-	if n := weigh(at(1)); n != 5 || b.Panic() {
-		t.Errorf("%d of 10 are out with 5 down", n)
+	if n := evaluate(atSeconds(1)); n != 5 || tracker.Panic() {
+		t.Errorf("%d of 10 servers are ejected with 5 reported down, want 5", n)
 	}
 	for id := range uint32(10) {
-		b.Agent(at(2), id, word([]string{"down", "drain"}[id%2]))
+		tracker.Agent(atSeconds(2), id, parseReport([]string{"down", "drain"}[id%2]))
 	}
-	b.Real(at(1.9), 3, false)
-	if n := weigh(at(2)); n != 1 || !b.Panic() || !b.Verdict(3).Out || !strings.Contains(b.Verdict(0).Why, "suspected") {
-		t.Errorf("%d are out with all of them down: %+v", n, b.Verdict(0))
+	tracker.Real(atSeconds(1.9), 3, false)
+	if n := evaluate(atSeconds(2)); n != 1 || !tracker.Panic() || !tracker.Verdict(3).Out || !strings.Contains(tracker.Verdict(0).Why, "suspected") {
+		t.Errorf("%d servers are ejected with all reported unhealthy, want 1: %+v", n, tracker.Verdict(0))
 	}
-	// They are suspected for half a minute after the last time.
+	// Reports stay suspected for half a minute after the last time that most servers were reported unhealthy.
 	for id := range uint32(10) {
-		b.Agent(at(3), id, word([]string{"ready up", "drain"}[min(1, id/9)]))
+		tracker.Agent(atSeconds(3), id, parseReport([]string{"ready up", "drain"}[min(1, id/9)]))
 	}
-	weigh(at(3))
-	if n := weigh(at(32.9)); n != 0 || !b.Panic() {
-		t.Errorf("%d are out 30 s after most were", n)
+	evaluate(atSeconds(3))
+	if n := evaluate(atSeconds(32.9)); n != 0 || !tracker.Panic() {
+		t.Errorf("%d servers are ejected within 30 s after most were reported unhealthy, want 0", n)
 	}
-	b.Agent(at(33.1), 9, word("drain"))
-	if n := weigh(at(33.1)); n != 1 || b.Panic() {
-		t.Errorf("%d are out later", n)
+	tracker.Agent(atSeconds(33.1), 9, parseReport("drain"))
+	if n := evaluate(atSeconds(33.1)); n != 1 || tracker.Panic() {
+		t.Errorf("%d servers are ejected later, want 1", n)
 	}
 	for id := range uint32(10) {
-		b.Remove(id)
+		tracker.Remove(id)
 	}
-	if len(b.servers) != 0 || b.wanted != 0 {
-		t.Error("something is left", b.wanted)
+	if len(tracker.servers) != 0 || tracker.ejectionsWanted != 0 {
+		t.Error("servers or their count are left after all were removed:", tracker.ejectionsWanted)
 	}
 }
 
-// An agent that flips at every check has its server out for longer each time, and after long quiet for a second again.
-func TestFlips(t *testing.T) {
-	b := fleet()
-	outs, was := 0, false
+// An agent that flaps between down and up has its server ejected for longer each time; after a long quiet time the first
+// ejection lasts a second again.
+func TestFlappingAgentEjectsForLongerEachTime(t *testing.T) {
+	tracker := newTestTracker()
+	ejections, ejected := 0, false
 	for i := range 240 { // every half second for two minutes
-		now := at(float64(i) / 2)
-		b.Agent(now, 0, word([]string{"down", "up", "up", "up"}[i%4]))
-		if v, _ := b.Weigh(now, 0); v.Out != was {
-			if was = v.Out; was {
-				outs++
+		now := atSeconds(float64(i) / 2)
+		tracker.Agent(now, 0, parseReport([]string{"down", "up", "up", "up"}[i%4]))
+		if v, _ := tracker.Weigh(now, 0); v.Out != ejected {
+			if ejected = v.Out; ejected {
+				ejections++
 			}
 		}
 	}
-	if outs > 10 || outs < 3 {
-		t.Errorf("taken out %d times in two minutes", outs)
+	if ejections > 10 || ejections < 3 {
+		t.Errorf("ejected %d times in two minutes, want 3 to 10", ejections)
 	}
-	now := at(120)
-	for ; now < at(600); now += sec { // nobody says anything
-		b.Weigh(now, 0)
+	now := atSeconds(120)
+	for ; now < atSeconds(600); now += sec { // no reports come
+		tracker.Weigh(now, 0)
 	}
 	for range 3 {
-		b.Agent(now, 0, word("up"))
-		b.Weigh(now, 0)
+		tracker.Agent(now, 0, parseReport("up"))
+		tracker.Weigh(now, 0)
 		now += sec
 	}
-	b.Agent(now, 0, word("down"))
-	b.Weigh(now, 0)
+	tracker.Agent(now, 0, parseReport("down"))
+	tracker.Weigh(now, 0)
 	for range 3 {
 		now += sec
-		b.Agent(now, 0, word("up"))
-		b.Weigh(now, 0)
+		tracker.Agent(now, 0, parseReport("up"))
+		tracker.Weigh(now, 0)
 	}
-	if b.Verdict(0).Out {
-		t.Error("it is never forgiven")
+	if tracker.Verdict(0).Out {
+		t.Error("the server is not readmitted within 3 s, though there was no ejection in the eight minutes before")
 	}
 }
 
-// News that is older than what is known changes nothing, and a server that starts anew is not held to what was said before.
-func TestOldNews(t *testing.T) {
-	b := fleet()
-	b.Agent(at(5), 0, word("drain"))
-	if b.Agent(at(4), 0, word("ready")) || b.Agent(at(4), 77, word("up")) {
-		t.Error("old news, or of no server, is taken")
+// A report that is older than a recorded one, or of an unknown server, changes nothing, and earlier reports do not count for
+// a server that has restarted.
+func TestOldReportsAreIgnoredAndRestartForgets(t *testing.T) {
+	tracker := newTestTracker()
+	tracker.Agent(atSeconds(5), 0, parseReport("drain"))
+	if tracker.Agent(atSeconds(4), 0, parseReport("ready")) || tracker.Agent(atSeconds(4), 77, parseReport("up")) {
+		t.Error("an old report, or one of an unknown server, is accepted")
 	}
-	b.Check(at(4), 77, true, "")
-	b.Real(at(4), 77, true)
-	if v, _ := b.Weigh(at(5), 0); !v.Out {
-		t.Error("old news counts")
+	tracker.Check(atSeconds(4), 77, true, "")
+	tracker.Real(atSeconds(4), 77, true)
+	if v, _ := tracker.Weigh(atSeconds(5), 0); !v.Out {
+		t.Error("an old report changes the verdict")
 	}
-	b.Add(0)
-	if v, _ := b.Weigh(at(6), 0); v.Out || v.Weight != 1 {
-		t.Errorf("started anew: %+v", v)
+	tracker.Add(0)
+	if v, _ := tracker.Weigh(atSeconds(6), 0); v.Out || v.Weight != 1 {
+		t.Errorf("after a restart: %+v, want weight 1", v)
 	}
-	if b.Spoken(at(6), 0) {
-		t.Error("nothing was asked of it")
+	if tracker.Spoken(atSeconds(6), 0) {
+		t.Error("a server without requests counts as serving them")
 	}
-	if b.Real(at(6), 0, true); !b.Spoken(at(7), 0) || b.Spoken(at(9), 0) {
-		t.Error("real answers are good for two seconds")
+	if tracker.Real(atSeconds(6), 0, true); !tracker.Spoken(atSeconds(7), 0) || tracker.Spoken(atSeconds(9), 0) {
+		t.Error("a successful request must count for two seconds")
 	}
 }
 
-// Whatever is told in whatever order, the verdict makes sense, the books balance, and once nobody speaks all are back.
-func TestAnything(t *testing.T) {
+// Any evidence in any order gives valid verdicts and a right count of the servers to be ejected, and once no reports come all
+// servers are readmitted.
+func TestAnySequenceOfReportsGivesValidVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := fleet(), sec
+		tracker, now := newTestTracker(), sec
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
-			id := rapid.Uint32Range(0, 10).Draw(t, "id") // one of them is not there
+			id := rapid.Uint32Range(0, 10).Draw(t, "id") // 10 is not in the tracker
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				b.Agent(now, id, Word{Admin: Admin(rapid.IntRange(0, 3).Draw(t, "admin")), State: State(rapid.IntRange(0, 2).Draw(t, "state")),
+				tracker.Agent(now, id, Word{Admin: Admin(rapid.IntRange(0, 3).Draw(t, "admin")), State: State(rapid.IntRange(0, 2).Draw(t, "state")),
 					Weight: rapid.Float64Range(-1, 3).Draw(t, "weight"), MaxConn: rapid.IntRange(-1, 5).Draw(t, "maxconn")})
 			case 1:
-				b.Check(now, id, rapid.Bool().Draw(t, "ok"), "")
+				tracker.Check(now, id, rapid.Bool().Draw(t, "ok"), "")
 			case 2:
-				b.Real(now, id, rapid.Bool().Draw(t, "ok"))
+				tracker.Real(now, id, rapid.Bool().Draw(t, "ok"))
 			case 3:
-				b.Add(id % 10)
+				tracker.Add(id % 10)
 			}
-			v, _ := b.Weigh(now, id)
+			v, _ := tracker.Weigh(now, id)
 			if math.IsNaN(v.Weight) || v.Weight < 0 || v.Weight > 1 || v.Out != (v.Weight == 0) || v.Drain && !v.Out || v.MaxConn < 0 {
-				t.Fatalf("%+v", v)
+				t.Fatalf("invalid verdict %+v", v)
 			}
 		}
 		wanted := 0
-		for _, s := range b.servers {
-			if s.wants {
+		for _, s := range tracker.servers {
+			if s.wantsEjection {
 				wanted++
 			}
 		}
-		if wanted != b.wanted {
-			t.Fatalf("%d want to be out, booked are %d", wanted, b.wanted)
+		if wanted != tracker.ejectionsWanted {
+			t.Fatalf("%d servers want ejection, the count is %d", wanted, tracker.ejectionsWanted)
 		}
 		now += 10 * time.Minute
 		for range 2 {
 			for id := range uint32(10) {
-				if v, _ := b.Weigh(now, id); v.Out {
-					t.Fatalf("server %d is out for good: %+v", id, v)
+				if v, _ := tracker.Weigh(now, id); v.Out {
+					t.Fatalf("server %d is still ejected 10 minutes after the last report: %+v", id, v)
 				}
 			}
 		}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,6 +1,7 @@
-// Package health weighs what is said of web servers: by their agents, by active checks, and by what becomes of real
-// requests. None is believed alone; the rules stand in Book, and docs/health.md has them as a table. The package has no
-// I/O and no clock: probes are in its subpackages, times are handed in, on any clock that does not step back.
+// Package health decides whether a web server is healthy, from the reports of its agent, from active checks, from the
+// outcomes of real requests and from failures that other instances see. No source is trusted alone: Tracker has the rules,
+// and docs/health.md shows them as a table. The package does no I/O and reads no clock: probes are in its subpackages, and
+// callers pass times of a clock that never goes backwards.
 package health
 
 import (
@@ -9,7 +10,7 @@
 	"portstall/policy"
 )
 
-// Admin is what an agent says that operators want of its server.
+// Admin is the administrative state that an agent reports: what operators want of its server.
 type Admin uint8
 
 const (
@@ -19,11 +20,13 @@
 	Maint
 )
 
-var admins = [...]string{"", "ready", "drain", "maint"}
+// adminNames are the keywords of the agent-check protocol, by Admin.
+var adminNames = [...]string{"", "ready", "drain", "maint"}
 
-func (a Admin) String() string { return admins[a] }
+// String returns the keyword of the agent-check protocol, and "" for AdminUnset.
+func (a Admin) String() string { return adminNames[a] }
 
-// State is how an agent or a check finds its server.
+// State is the operational state of a server, as an agent or a check reports it.
 type State uint8
 
 const (
@@ -32,314 +35,335 @@
 	Down
 )
 
-// Word is one answer of an agent or outcome of a check. What it does not say stays as it was.
+// Report is one reply of an agent or one outcome of a check. A field that is not set leaves the earlier value in force.
 type Word struct {
 	Admin   Admin
 	State   State
-	Weight  float64 // as a part of the usual; negative: not told
-	MaxConn int     // requests that it wants to hold at most; negative: not told, 0: no bound
+	Weight  float64 // relative to the server's normal weight; negative: not reported
+	MaxConn int     // limit on concurrent requests; negative: not reported, 0: no limit
 	Reason  string
 }
 
-// Silent is a word that says nothing.
+// EmptyReport is a report that sets nothing.
 var Silent = Word{Weight: -1, MaxConn: -1}
 
-// Rules are what the sources may do. The zero value is not usable: see Usual.
+// Rules limit what reports may do to a server. The zero value is not usable: see DefaultRules.
 type Rules struct {
-	Panic    float64       // where more than this part of the fleet would be out by what is said, the sayers are suspected
-	Suspect  time.Duration // and for so long after it was so: sayers that lied once may do so again
-	Fresh    time.Duration // a real answer counts against what is said for so long
-	AgentFor time.Duration // an agent's up, down, weight and maxconn are good for so long,
-	AdminFor time.Duration // its drain and maint for so long after the agent was last heard
-	CheckFor time.Duration // and a check's outcome for so long
-	Rise     int           // so many good words in a row bring a server back
-	Fall     int           // so many failed checks in a row count as down
-	Hold     time.Duration // a server that was taken out stays out this long at first, doubled each time
-	HoldMost time.Duration // up to this; all is forgiven after as long without
-	Doubted  float64       // weight of a server that is said to be down and answers
+	// PanicThreshold is the share of the fleet above which reports are suspected instead of followed.
+	Panic float64
+	// PanicDuration is how long reports stay suspected after the share was last exceeded: a source that reported wrongly once may
+	// do so again.
+	Suspect time.Duration
+	// RequestTTL is how long the outcome of a real request, or a failure seen by other instances, is evidence.
+	Fresh time.Duration
+	// AgentTTL is how long an agent's up, down, weight and maxconn are valid.
+	AgentFor time.Duration
+	// AdminTTL is how long an agent's drain and maint are valid after the agent's last reply.
+	AdminFor time.Duration
+	// CheckTTL is how long the outcome of a check is valid.
+	CheckFor time.Duration
+	// Rise is the number of consecutive good reports that readmit an ejected server.
+	Rise int
+	// Fall is the number of consecutive failed checks that count as down.
+	Fall int
+	// MinHold is the minimum time of the first ejection of a server. It doubles with each further ejection.
+	Hold time.Duration
+	// MaxHold limits the doubling. A server that has not been ejected for as long starts at the minimum again.
+	HoldMost time.Duration
+	// DisputedWeight is the weight factor of a server that is reported down but answers real requests, that other instances see
+	// fail, or that is reported unhealthy by suspected reports.
+	Doubted float64
 }
 
-// Usual are rules for checks at an interval.
+// DefaultRules returns the rules for probes at an interval.
 func Usual(interval time.Duration) Rules {
 	return Rules{Panic: 0.5, Suspect: 30 * time.Second, Fresh: 2 * time.Second, AgentFor: 3*interval + time.Second, AdminFor: max(time.Minute, 3*interval+time.Second), CheckFor: 3*interval + time.Second,
 		Rise: 2, Fall: 3, Hold: time.Second, HoldMost: time.Minute, Doubted: 0.5}
 }
 
-// Verdict is what the rules make of all that is said of a server.
+// Verdict is the result of the rules for one server.
 type Verdict struct {
-	Out     bool    // nothing new goes to it
-	Drain   bool    // and what stands is to end as in a drain
-	Weight  float64 // of what it would get otherwise; 0 where it is out
-	MaxConn int     // 0: no bound
-	Why     string  // which rule, in words; empty where nothing is said
-	Against string  // a contradiction that the rules have settled; empty: none
+	Out     bool    // the server is ejected: it gets no new requests
+	Drain   bool    // open connections end as in a drain; only where the server is ejected
+	Weight  float64 // factor on the server's share of the traffic, from 0 to 1; 0 if it is ejected
+	MaxConn int     // limit on concurrent requests; 0: no limit
+	Why     string  // the rule that applied, in words; empty if none did
+	Against string  // evidence that contradicts the verdict; empty: none
 }
 
-// fine is the verdict on a server of which nothing bad is known.
-var fine = Verdict{Weight: 1}
+// healthyVerdict is the verdict on a server without bad reports.
+var healthyVerdict = Verdict{Weight: 1}
 
-// server is what is known of one.
+// server is the evidence on one server and its latest verdict.
 type server struct {
-	agent          time.Duration // when the agent was last heard
-	word           Word          // of the agent, each part as last said
-	check          time.Duration
-	fails          int // checks failed in a row
-	failed         string
-	good           int // good words of agent or check in a row
-	lastOK, lastKO time.Duration
-	others         time.Duration // when other instances were last heard to see it fail
-	heard          bool          // a word ever came
-	real           bool          // a real outcome ever came
-	verdict        Verdict
-	since          time.Duration // of the latest change between in and out
-	hold           time.Duration
-	wants          bool // to be out, before the panic bound
+	agentAt                  time.Duration // time of the agent's last reply
+	report                   Word          // the last reported value of each field of the agent's reports
+	checkedAt                time.Duration // time of the last check; 0: none
+	failedChecks             int           // consecutive failed checks
+	failReason               string        // of the last check, if it failed
+	goodReports              int           // consecutive good reports of agent or checks
+	lastSuccess, lastFailure time.Duration // of real requests; 0: none
+	peerFailureAt            time.Duration // when other instances last reported failures of it; 0: never
+	agentHeard               bool          // the agent has replied at least once
+	hasOutcome               bool          // a real request has ended at least once
+	verdict                  Verdict
+	changedAt                time.Duration // of the latest ejection or readmission
+	holdTime                 time.Duration // minimum time of the latest ejection; 0: none yet
+	wantsEjection            bool          // its own evidence asks for ejection, before the panic threshold is applied
 }
 
-// Book weighs what is said of a fleet. Its owner tells it all and asks for changes; not safe for concurrent use.
+// Tracker holds the evidence on the servers of a fleet and evaluates it by Rules. It is not safe for concurrent use: its
+// owner's lock guards it.
 type Book struct {
-	rules   Rules
-	servers map[uint32]*server
-	wanted  int           // that want to be out
-	panic   time.Duration // until when the sayers are suspected
-	panics  bool          // as of the latest verdict
+	rules           Rules
+	servers         map[uint32]*server
+	ejectionsWanted int           // servers with wantsEjection
+	panicUntil      time.Duration // reports are suspected until then
+	inPanic         bool          // reports were suspected at the latest evaluation
 }
 
-// NewBook opens a book.
+// NewTracker returns a tracker without servers.
 func NewBook(r Rules) *Book { return &Book{rules: r, servers: map[uint32]*server{}} }
 
-// Add enters a server of which nothing is known, or forgets all that was: it has started anew.
-func (b *Book) Add(id uint32) {
-	b.Remove(id)
-	b.servers[id] = &server{verdict: fine}
+// Add adds a server without evidence. For a known server it drops all earlier evidence: the server has restarted.
+func (t *Book) Add(id uint32) {
+	t.Remove(id)
+	t.servers[id] = &server{verdict: healthyVerdict}
 }
 
-// Remove strikes one off.
-func (b *Book) Remove(id uint32) {
-	if s := b.servers[id]; s != nil {
-		b.want(s, false)
-		delete(b.servers, id)
+// Remove drops a server.
+func (t *Book) Remove(id uint32) {
+	if s := t.servers[id]; s != nil {
+		t.setWantsEjection(s, false)
+		delete(t.servers, id)
 	}
 }
 
-func (b *Book) want(s *server, out bool) {
-	if s.wants != out {
-		s.wants = out
-		if out {
-			b.wanted++
+// setWantsEjection sets s.wantsEjection and keeps ejectionsWanted in step with it.
+func (t *Book) setWantsEjection(s *server, wants bool) {
+	if s.wantsEjection != wants {
+		s.wantsEjection = wants
+		if wants {
+			t.ejectionsWanted++
 		} else {
-			b.wanted--
+			t.ejectionsWanted--
 		}
 	}
 }
 
-// Agent takes in what an agent has said. Later news of an earlier answer (a watch that broke) is refused: false.
-func (b *Book) Agent(now time.Duration, id uint32, w Word) bool {
-	s := b.servers[id]
-	if s == nil || s.heard && now < s.agent {
+// RecordAgent records a reply of an agent. It returns false if the server is unknown or a later reply was recorded before.
+func (t *Book) Agent(now time.Duration, id uint32, report Word) bool {
+	s := t.servers[id]
+	if s == nil || s.agentHeard && now < s.agentAt {
 		return false
 	}
-	if s.heard && now > s.agent+b.rules.AgentFor { // what it said before is no longer good, but for its admin word
-		s.word = Word{Admin: s.word.Admin, Weight: -1, MaxConn: -1, Reason: s.word.Reason}
+	if s.agentHeard && now > s.agentAt+t.rules.AgentFor { // earlier values have expired, except the administrative state
+		s.report = Word{Admin: s.report.Admin, Weight: -1, MaxConn: -1, Reason: s.report.Reason}
 	}
-	if !s.heard {
-		s.word = Silent
+	if !s.agentHeard {
+		s.report = Silent
 	}
-	s.agent, s.heard = now, true
-	if w.Admin != Unsaid {
-		s.word.Admin, s.word.Reason = w.Admin, w.Reason
+	s.agentAt, s.agentHeard = now, true
+	if report.Admin != Unsaid {
+		s.report.Admin, s.report.Reason = report.Admin, report.Reason
 	}
-	if w.State != Untold {
-		s.word.State, s.word.Reason = w.State, w.Reason
+	if report.State != Untold {
+		s.report.State, s.report.Reason = report.State, report.Reason
 	}
-	if w.Weight >= 0 {
-		s.word.Weight = w.Weight
+	if report.Weight >= 0 {
+		s.report.Weight = report.Weight
 	}
-	if w.MaxConn >= 0 {
-		s.word.MaxConn = w.MaxConn
+	if report.MaxConn >= 0 {
+		s.report.MaxConn = report.MaxConn
 	}
-	b.count(s, s.word.State != Down && s.word.Admin != Drain && s.word.Admin != Maint && s.word.Weight != 0)
+	t.countReport(s, s.report.State != Down && s.report.Admin != Drain && s.report.Admin != Maint && s.report.Weight != 0)
 	return true
 }
 
-// Check takes in the outcome of an active check.
-func (b *Book) Check(now time.Duration, id uint32, ok bool, reason string) {
-	s := b.servers[id]
+// RecordCheck records the outcome of an active check.
+func (t *Book) Check(now time.Duration, id uint32, ok bool, reason string) {
+	s := t.servers[id]
 	if s == nil {
 		return
 	}
-	s.check = now
+	s.checkedAt = now
 	if ok {
-		s.fails, s.failed = 0, ""
+		s.failedChecks, s.failReason = 0, ""
 	} else {
-		s.fails++
-		s.failed = reason
+		s.failedChecks++
+		s.failReason = reason
 	}
-	b.count(s, ok)
+	t.countReport(s, ok)
 }
 
-func (b *Book) count(s *server, good bool) {
-	s.good++
+// countReport counts consecutive good reports.
+func (t *Book) countReport(s *server, good bool) {
+	s.goodReports++
 	if !good {
-		s.good = 0
+		s.goodReports = 0
 	}
 }
 
-// Real takes in what became of a real request: answered, or failed in a way that tells of the server.
-func (b *Book) Real(now time.Duration, id uint32, ok bool) {
-	if s := b.servers[id]; s != nil {
-		s.real = true
+// RecordRequest records the outcome of a real request: a success, or a failure that reflects on the server (OutcomeCounts).
+func (t *Book) Real(now time.Duration, id uint32, ok bool) {
+	if s := t.servers[id]; s != nil {
+		s.hasOutcome = true
 		if ok {
-			s.lastOK = now
+			s.lastSuccess = now
 		} else {
-			s.lastKO = now
+			s.lastFailure = now
 		}
 	}
 }
 
-// Others takes in that other instances see a server fail: enough to look sooner and send it less, never to take it out.
-func (b *Book) Others(now time.Duration, id uint32) {
-	if s := b.servers[id]; s != nil {
-		s.others = now
+// RecordPeerFailure records that other instances see a server fail. This lowers its weight but never ejects it.
+func (t *Book) Others(now time.Duration, id uint32) {
+	if s := t.servers[id]; s != nil {
+		s.peerFailureAt = now
 	}
 }
 
-// Spoken tells whether real requests tell enough of a server, so that probes may be seldom.
-func (b *Book) Spoken(now time.Duration, id uint32) bool {
-	s := b.servers[id]
-	return s != nil && !s.verdict.Out && b.answers(now, s)
+// ServesRequests reports whether a server is not ejected and its recent real requests succeed, so that it may be probed
+// less often.
+func (t *Book) Spoken(now time.Duration, id uint32) bool {
+	s := t.servers[id]
+	return s != nil && !s.verdict.Out && t.succeeds(now, s)
 }
 
-// answers tells whether a server answers real requests lately, the latest one included.
-func (b *Book) answers(now time.Duration, s *server) bool {
-	return s.real && s.lastOK > 0 && now < s.lastOK+b.rules.Fresh && s.lastOK >= s.lastKO
+// succeeds reports whether a real request has succeeded recently and none has failed since.
+func (t *Book) succeeds(now time.Duration, s *server) bool {
+	return s.hasOutcome && s.lastSuccess > 0 && now < s.lastSuccess+t.rules.Fresh && s.lastSuccess >= s.lastFailure
 }
 
-// failing tells whether the latest real request failed, lately.
-func (b *Book) failing(now time.Duration, s *server) bool {
-	return s.real && s.lastKO > 0 && now < s.lastKO+b.rules.Fresh && s.lastKO > s.lastOK
+// fails reports whether a real request has failed recently and none has succeeded since.
+func (t *Book) fails(now time.Duration, s *server) bool {
+	return s.hasOutcome && s.lastFailure > 0 && now < s.lastFailure+t.rules.Fresh && s.lastFailure > s.lastSuccess
 }
 
-// said is the verdict on a server by its own evidence alone.
-func (b *Book) said(now time.Duration, s *server) Verdict {
-	v := fine
-	r := &b.rules
-	live := s.heard && now <= s.agent+r.AgentFor // what the agent says of its state is still good
-	adminGood := s.heard && now <= s.agent+r.AdminFor
-	checked := s.check > 0 && now <= s.check+r.CheckFor && s.fails >= r.Fall
-	if live && s.word.MaxConn > 0 {
-		v.MaxConn = s.word.MaxConn
+// evaluateAlone returns the verdict on a server by its own evidence alone, before the panic threshold and the rules on
+// readmission.
+func (t *Book) evaluateAlone(now time.Duration, s *server) Verdict {
+	v := healthyVerdict
+	rules := &t.rules
+	agentValid := s.agentHeard && now <= s.agentAt+rules.AgentFor
+	adminValid := s.agentHeard && now <= s.agentAt+rules.AdminFor
+	checksFail := s.checkedAt > 0 && now <= s.checkedAt+rules.CheckFor && s.failedChecks >= rules.Fall
+	if agentValid && s.report.MaxConn > 0 {
+		v.MaxConn = s.report.MaxConn
 	}
-	if live && s.word.Weight > 0 {
-		v.Weight = min(1, s.word.Weight)
+	if agentValid && s.report.Weight > 0 {
+		v.Weight = min(1, s.report.Weight)
 	}
 	down := ""
 	switch {
-	case live && s.word.State == Down:
-		down = reasoned("its agent says down", s.word.Reason)
-	case checked:
-		down = reasoned("its checks fail", s.failed)
+	case agentValid && s.report.State == Down:
+		down = withReason("its agent reports down", s.report.Reason)
+	case checksFail:
+		down = withReason("its checks fail", s.failReason)
 	}
 	switch {
-	case adminGood && (s.word.Admin == Drain || s.word.Admin == Maint): // operators' will, whatever requests show
-		return Verdict{Out: true, Drain: true, Why: reasoned("its agent says "+s.word.Admin.String(), s.word.Reason)}
-	case down != "" && b.answers(now, s):
-		v.Weight *= r.Doubted
-		v.Why, v.Against = "answers real requests: only its weight falls", down+", but it answers real requests"
+	case adminValid && (s.report.Admin == Drain || s.report.Admin == Maint): // an order of operators goes before all evidence
+		return Verdict{Out: true, Drain: true, Why: withReason("its agent reports "+s.report.Admin.String(), s.report.Reason)}
+	case down != "" && t.succeeds(now, s):
+		v.Weight *= rules.Doubted
+		v.Why, v.Against = "it answers real requests: only its weight is reduced", down+", but it answers real requests"
 	case down != "":
 		return Verdict{Out: true, Why: down}
-	case live && s.word.Weight == 0:
-		return Verdict{Out: true, Why: "its agent gives it weight 0"}
-	case live && (s.word.State == Up || s.word.Admin == Ready) && b.failing(now, s):
-		v.Against = "its agent says up, but real requests fail" // the module ejects it by those; no word brings it back
-	case s.check > 0 && now <= s.check+r.CheckFor && s.fails == 0 && b.failing(now, s):
+	case agentValid && s.report.Weight == 0:
+		return Verdict{Out: true, Why: "its agent reports weight 0"}
+	case agentValid && (s.report.State == Up || s.report.Admin == Ready) && t.fails(now, s):
+		// The policy ejects it for these failures, and a report does not readmit it.
+		v.Against = "its agent reports up, but real requests fail"
+	case s.checkedAt > 0 && now <= s.checkedAt+rules.CheckFor && s.failedChecks == 0 && t.fails(now, s):
 		v.Against = "its checks pass, but real requests fail"
 	}
-	if s.others > 0 && now <= s.others+r.Fresh && !b.answers(now, s) {
-		v.Weight *= r.Doubted
+	if s.peerFailureAt > 0 && now <= s.peerFailureAt+rules.Fresh && !t.succeeds(now, s) {
+		v.Weight *= rules.Doubted
 		v.Why = "other instances see it fail"
 	}
 	if v.Why == "" && v.Weight < 1 {
-		v.Why = "its agent lowers its weight"
+		v.Why = "its agent reduces its weight"
 	}
 	return v
 }
 
-func reasoned(what, why string) string {
+// withReason appends a reason, if there is one.
+func withReason(what, why string) string {
 	if why == "" {
 		return what
 	}
 	return what + ": " + why
 }
 
-// Weigh works out a server's verdict now, and tells whether it differs from the one before. Whoever tells the book
-// something of a server asks for its verdict; and a few times a second for all servers', since words fade.
-func (b *Book) Weigh(now time.Duration, id uint32) (v Verdict, changed bool) {
-	s := b.servers[id]
+// Evaluate computes a server's verdict and reports whether it differs from the previous one. The owner calls it after each
+// record for a server, and a few times a second for all servers, since evidence expires.
+func (t *Book) Weigh(now time.Duration, id uint32) (v Verdict, changed bool) {
+	s := t.servers[id]
 	if s == nil {
-		return fine, false
+		return healthyVerdict, false
 	}
-	v = b.said(now, s)
-	b.want(s, v.Out)
-	if float64(b.wanted) > b.rules.Panic*float64(len(b.servers)) {
-		b.panic = now + b.rules.Suspect
+	v = t.evaluateAlone(now, s)
+	t.setWantsEjection(s, v.Out)
+	if float64(t.ejectionsWanted) > t.rules.Panic*float64(len(t.servers)) {
+		t.panicUntil = now + t.rules.Suspect
 	}
-	b.panics = now < b.panic
-	if v.Out && b.panics && !b.failing(now, s) {
-		// Most of a fleet does not fail at once; what says so may.
-		v = Verdict{Weight: b.rules.Doubted, MaxConn: v.MaxConn, Why: "most of the fleet is said to be bad: the sayers are suspected", Against: v.Why}
+	t.inPanic = now < t.panicUntil
+	if v.Out && t.inPanic && !t.fails(now, s) {
+		// It is less likely that most of a fleet fails at once than that the reports are wrong.
+		v = Verdict{Weight: t.rules.Doubted, MaxConn: v.MaxConn, Why: "most of the fleet is reported unhealthy: the reports are suspected", Against: v.Why}
 	}
 	before := s.verdict
-	if before.Out && !v.Out && !b.panics {
-		// It comes back by good words in a row, and not before its time.
-		quiet := !s.heard && s.check == 0 || now > max(s.agent+b.rules.AgentFor, s.check+b.rules.CheckFor) // nobody says anything any more
-		if s.good < b.rules.Rise && !quiet || now < s.since+s.hold {
+	if before.Out && !v.Out && !t.inPanic {
+		// Readmission needs consecutive good reports, or no valid report at all, and the minimum time of ejection.
+		noReports := !s.agentHeard && s.checkedAt == 0 || now > max(s.agentAt+t.rules.AgentFor, s.checkedAt+t.rules.CheckFor)
+		if s.goodReports < t.rules.Rise && !noReports || now < s.changedAt+s.holdTime {
 			v = before
 		}
 	}
 	if v.Out != before.Out {
 		if v.Out {
-			if s.hold == 0 || now > s.since+max(b.rules.HoldMost, s.hold) {
-				s.hold = b.rules.Hold
+			if s.holdTime == 0 || now > s.changedAt+max(t.rules.HoldMost, s.holdTime) {
+				s.holdTime = t.rules.Hold
 			} else {
-				s.hold = min(2*s.hold, b.rules.HoldMost)
+				s.holdTime = min(2*s.holdTime, t.rules.HoldMost)
 			}
 		}
-		s.since = now
+		s.changedAt = now
 	}
 	s.verdict = v
 	return v, v != before
 }
 
-// Verdict is the latest.
-func (b *Book) Verdict(id uint32) Verdict {
-	if s := b.servers[id]; s != nil {
+// Verdict returns the latest verdict on a server.
+func (t *Book) Verdict(id uint32) Verdict {
+	if s := t.servers[id]; s != nil {
 		return s.verdict
 	}
-	return fine
+	return healthyVerdict
 }
 
-// Panic tells whether so many are said to be bad that the sayers are suspected.
-func (b *Book) Panic() bool { return b.panics }
+// InPanic reports whether so many servers are reported unhealthy that the reports are suspected.
+func (t *Book) Panic() bool { return t.inPanic }
 
-// Tells is whether an attempt's outcome tells of its server: not that nothing was sent, nobody waited, or it had no room.
+// OutcomeCounts reports whether the outcome of an attempt reflects on its server. It does not if nothing was sent, the
+// client had gone, or the server's queue was full.
 func Tells(o policy.Outcome) bool {
 	return o != policy.Full && o != policy.Canceled && o != policy.Moot
 }
 
-// Steps are the events by which the policy comes from one verdict on a server to another. While operators have it out that
-// stays, whatever is said.
-func Steps(server uint32, old, v Verdict, byHand bool) []policy.Event {
-	var steps []policy.Event
-	if v.Out != old.Out && !byHand {
+// PolicyEvents returns the events that move the policy from one verdict on a server to the next. A server that an operator
+// has disabled is neither disabled nor enabled by them.
+func Steps(server uint32, old, v Verdict, operatorDisabled bool) []policy.Event {
+	var events []policy.Event
+	if v.Out != old.Out && !operatorDisabled {
 		kind := policy.EvEnable
 		if v.Out {
 			kind = policy.EvDisable
 		}
-		steps = append(steps, policy.Event{Kind: kind, Server: server})
+		events = append(events, policy.Event{Kind: kind, Server: server})
 	}
 	if !v.Out && (v.Weight != old.Weight || v.MaxConn != old.MaxConn) {
-		steps = append(steps, policy.Event{Kind: policy.EvWeigh, Server: server, Weight: v.Weight, Most: v.MaxConn})
+		events = append(events, policy.Event{Kind: policy.EvWeigh, Server: server, Weight: v.Weight, Most: v.MaxConn})
 	}
-	return steps
+	return events
 }
--- a/internal/health/probe/agent.go
+++ b/internal/health/probe/agent.go
@@ -1,5 +1,6 @@
-// Package probe asks web servers how they are, by the protocols that common balancers use. Every probe ends with its
-// context, reads a bounded number of bytes, and leaves no connection behind.
+// Package probe checks the health of web servers by the protocols that common load balancers use: HAProxy's agent-check,
+// HTTP, TCP and gRPC. Every probe ends with its context, reads a bounded number of bytes, and leaves no connection open
+// (gRPC's Watch keeps its stream open on purpose).
 package probe
 
 import (
@@ -16,34 +17,35 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// agentMost is how long an agent's answer may be.
-const agentMost = 1024
+// maxAgentReply is the limit on an agent's reply, in bytes.
+const maxAgentReply = 1024
 
-// Agent asks an agent at an address. Send is what it is told first; empty: nothing. The answer ends with its line or with
-// the connection; one that is cut before either is an error.
+// QueryAgent asks the agent at an address for its report and also returns the unknown keywords in its reply. Send is written
+// to the agent first, unless it is empty. The reply ends with its first line or with the connection; one that is cut off
+// before either is an error.
 func Agent(ctx context.Context, dial Dial, addr, send string) (health.Word, []string, error) {
-	conn, err := open(ctx, dial, addr)
+	conn, err := connect(ctx, dial, addr)
 	if err != nil {
 		return health.Silent, nil, err
 	}
 	defer conn.Close()
 	if send != "" {
 		if _, err := io.WriteString(conn, send); err != nil {
-			return health.Silent, nil, fmt.Errorf("telling the agent: %w", err)
+			return health.Silent, nil, fmt.Errorf("writing to the agent: %w", err)
 		}
 	}
-	text := make([]byte, 0, agentMost)
+	text := make([]byte, 0, maxAgentReply)
 	for !bytes.ContainsAny(text, "\r\n") {
-		if len(text) == agentMost {
-			return health.Silent, nil, fmt.Errorf("the agent's answer has no end within %d bytes", agentMost)
+		if len(text) == maxAgentReply {
+			return health.Silent, nil, fmt.Errorf("agent reply has no end of line within %d bytes", maxAgentReply)
 		}
-		n, err := conn.Read(text[len(text):agentMost])
+		n, err := conn.Read(text[len(text):maxAgentReply])
 		text = text[:len(text)+n]
 		if errors.Is(err, io.EOF) {
-			break // the end of the line may be left out
+			break // the last line may lack its end
 		}
 		if err != nil {
-			return health.Silent, nil, fmt.Errorf("reading the agent's answer: %w", err)
+			return health.Silent, nil, fmt.Errorf("reading the agent's reply: %w", err)
 		}
 	}
 	return health.ParseAgent(string(text))
--- a/internal/health/probe/grpc.go
+++ b/internal/health/probe/grpc.go
@@ -16,22 +16,23 @@
 	"portstall/internal/health"
 )
 
-// GRPC asks by the gRPC health checking protocol (grpc.health.v1). Check opens a connection for each probe; Watch keeps one
-// stream a server, and each probe tells what the stream said last: a server that says nothing new is still heard. The zero
-// value but for its settings is ready to use; safe for concurrent use.
+// GRPC probes by the gRPC health checking protocol (grpc.health.v1). Without Watch it opens a connection for each probe;
+// with Watch it keeps one stream open per server, and a probe returns the latest status of the stream: an open stream
+// without new statuses still confirms the latest. The zero value with its settings is ready to use. It is safe for
+// concurrent use.
 type GRPC struct {
-	Port    int
+	Port    int    // 0: the port of the target
 	Service string // empty: the server as a whole
 	Watch   bool
 
-	mu      sync.Mutex
-	watches map[string]*watch // by the target's id
+	mu      sync.Mutex              // guards the fields below
+	streams map[string]*watchStream // by the target's ID
 	closed  bool
 }
 
-// dialGRPC is a connection that is made when it is first used.
+// dialGRPC returns a client connection, which is established when it is first used.
 func dialGRPC(t Target, port int) (*grpc.ClientConn, error) {
-	addr, err := t.at(port)
+	addr, err := t.addrWithPort(port)
 	if err != nil {
 		return nil, err
 	}
@@ -40,10 +41,10 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(4096)), grpc.WithDisableServiceConfig(), grpc.WithUserAgent("portstall-check"))
 }
 
-// Probe makes it a Prober.
+// Probe implements Prober.
 func (g *GRPC) Probe(ctx context.Context, t Target) (health.Word, error) {
 	if g.Watch {
-		return g.watched(ctx, t)
+		return g.latestFromWatch(ctx, t)
 	}
 	return g.check(ctx, t)
 }
@@ -55,102 +56,104 @@
 	}
 	defer conn.Close()
 	resp, err := healthpb.NewHealthClient(conn).Check(ctx, &healthpb.HealthCheckRequest{Service: g.Service})
-	return word(resp.GetStatus(), err)
+	return reportOf(resp.GetStatus(), err)
 }
 
-// word is what an answer says. A server that does not implement the protocol, or says that it does not know yet, says
-// nothing; one that does not know the service is down.
-func word(s healthpb.HealthCheckResponse_ServingStatus, err error) (health.Word, error) {
+// reportOf returns the report for a status or an error. A server that does not implement the protocol, or whose status is
+// unknown, gives an empty report; one that does not know the service is down.
+func reportOf(s healthpb.HealthCheckResponse_ServingStatus, err error) (health.Word, error) {
 	switch status.Code(err) {
 	case codes.OK:
 	case codes.Unimplemented:
 		return health.Silent, nil
 	case codes.NotFound:
-		return down("the service is not known"), nil
+		return downReport("the service is not known"), nil
 	default:
-		return health.Silent, fmt.Errorf("asking for its health: %w", err)
+		return health.Silent, fmt.Errorf("gRPC health check: %w", err)
 	}
 	switch s {
 	case healthpb.HealthCheckResponse_SERVING:
-		return up, nil
+		return upReport, nil
 	case healthpb.HealthCheckResponse_NOT_SERVING:
-		return down("not serving"), nil
+		return downReport("not serving"), nil
 	case healthpb.HealthCheckResponse_SERVICE_UNKNOWN:
-		return down("the service is not known"), nil
+		return downReport("the service is not known"), nil
 	}
 	return health.Silent, nil
 }
 
-// watch is one kept stream.
-type watch struct {
+// watchStream is one open Watch stream and its latest status. Its run method owns the stream; other goroutines read status
+// and err under mu.
+type watchStream struct {
 	addr   string
 	cancel context.CancelFunc
-	first  chan struct{} // closed once a status has come, or the stream has ended
+	ready  chan struct{} // closed once a status was received or the stream has ended
 
 	mu     sync.Mutex
 	status healthpb.HealthCheckResponse_ServingStatus
-	err    error // of a stream that has ended
+	err    error // not nil once the stream has ended
 }
 
-// watched is what a server's stream says, which is opened where there is none.
-func (g *GRPC) watched(ctx context.Context, t Target) (health.Word, error) {
+// latestFromWatch returns the latest status of a server's stream, and opens a stream if there is none.
+func (g *GRPC) latestFromWatch(ctx context.Context, t Target) (health.Word, error) {
 	g.mu.Lock()
 	if g.closed {
 		g.mu.Unlock()
 		return health.Silent, net.ErrClosed
 	}
-	w := g.watches[t.ID]
+	w := g.streams[t.ID]
 	if w != nil && w.addr != t.Addr {
 		w.cancel()
 		w = nil
 	}
 	if w == nil {
-		long, cancel := context.WithCancel(context.Background())
-		w = &watch{addr: t.Addr, cancel: cancel, first: make(chan struct{})}
-		if g.watches == nil {
-			g.watches = map[string]*watch{}
+		streamCtx, cancel := context.WithCancel(context.Background())
+		w = &watchStream{addr: t.Addr, cancel: cancel, ready: make(chan struct{})}
+		if g.streams == nil {
+			g.streams = map[string]*watchStream{}
 		}
-		g.watches[t.ID] = w
-		go w.run(long, t, g.Port, g.Service)
+		g.streams[t.ID] = w
+		go w.run(streamCtx, t, g.Port, g.Service)
 	}
 	g.mu.Unlock()
 	select {
-	case <-w.first:
+	case <-w.ready:
 	case <-ctx.Done():
-		g.drop(t.ID, w)
+		g.closeWatch(t.ID, w)
 		return health.Silent, ctx.Err()
 	}
 	w.mu.Lock()
 	s, err := w.status, w.err
 	w.mu.Unlock()
-	if err != nil { // a new one begins at the next probe
-		g.drop(t.ID, w)
+	if err != nil { // the next probe opens a new stream
+		g.closeWatch(t.ID, w)
 		if status.Code(err) == codes.Unimplemented {
 			return g.check(ctx, t)
 		}
 	}
-	return word(s, err)
+	return reportOf(s, err)
 }
 
-func (g *GRPC) drop(id string, w *watch) {
+// closeWatch ends a stream and drops it, unless another has replaced it.
+func (g *GRPC) closeWatch(id string, w *watchStream) {
 	w.cancel()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.watches[id] == w {
-		delete(g.watches, id)
+	if g.streams[id] == w {
+		delete(g.streams, id)
 	}
 }
 
-// run follows a stream until it ends or is cancelled.
-func (w *watch) run(ctx context.Context, t Target, port int, service string) {
+// run receives statuses until the stream ends or is cancelled.
+func (w *watchStream) run(ctx context.Context, t Target, port int, service string) {
 	var once sync.Once
-	told := func(s healthpb.HealthCheckResponse_ServingStatus, err error) {
+	update := func(s healthpb.HealthCheckResponse_ServingStatus, err error) {
 		w.mu.Lock()
 		w.status, w.err = s, err
 		w.mu.Unlock()
-		once.Do(func() { close(w.first) })
+		once.Do(func() { close(w.ready) })
 	}
-	fail := func(err error) { told(healthpb.HealthCheckResponse_UNKNOWN, err) }
+	fail := func(err error) { update(healthpb.HealthCheckResponse_UNKNOWN, err) }
 	conn, err := dialGRPC(t, port)
 	if err != nil {
 		fail(err)
@@ -165,32 +168,33 @@
 	for {
 		resp, err := stream.Recv()
 		if err != nil {
-			fail(errors.Join(errBroke, err))
+			fail(errors.Join(errWatchEnded, err))
 			return
 		}
-		told(resp.GetStatus(), nil)
+		update(resp.GetStatus(), nil)
 	}
 }
 
-var errBroke = errors.New("the watch broke")
+// errWatchEnded marks the errors of a stream that had been opened.
+var errWatchEnded = errors.New("watch stream ended")
 
-// Forget ends the stream of a server that is gone.
+// Forget ends the stream of a server that is no longer probed.
 func (g *GRPC) Forget(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w := g.watches[id]; w != nil {
+	if w := g.streams[id]; w != nil {
 		w.cancel()
-		delete(g.watches, id)
+		delete(g.streams, id)
 	}
 }
 
-// Close ends all streams.
+// Close ends all streams. Later probes with Watch fail.
 func (g *GRPC) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	for _, w := range g.watches {
+	for _, w := range g.streams {
 		w.cancel()
 	}
-	g.watches = nil
+	g.streams = nil
 }
--- a/internal/health/probe/probe.go
+++ b/internal/health/probe/probe.go
@@ -12,22 +12,23 @@
 	"portstall/internal/health"
 )
 
-// Prober probes one web server. A check's word has a State and a Reason alone.
+// Prober probes web servers by one protocol. Reports of checks set only State and Reason; those of agents may set any field.
 type Prober interface {
-	// Probe returns what the server, or its agent, says. An error means that it said nothing that can be used.
+	// Probe returns the report of the server or its agent. An error means that there is no usable report.
 	Probe(ctx context.Context, server Target) (health.Word, error)
-	Close() // ends what is kept between probes
+	// Close releases what is held between probes.
+	Close()
 }
 
-// Target is where a server is.
+// Target identifies a web server and how to connect to it.
 type Target struct {
 	ID   string
-	Addr string // where it serves
-	Dial Dial   // how it is reached
+	Addr string // the address at which it serves requests, host:port
+	Dial Dial
 }
 
-// at is the target's address with another port; 0: its own.
-func (t Target) at(port int) (string, error) {
+// addrWithPort returns the target's address with another port; 0 means the target's own.
+func (t Target) addrWithPort(port int) (string, error) {
 	if port == 0 {
 		return t.Addr, nil
 	}
@@ -38,92 +39,100 @@
 	return net.JoinHostPort(host, fmt.Sprint(port)), nil
 }
 
-// open connects, and lets the context's end cut what is read and written.
-func open(ctx context.Context, dial Dial, addr string) (net.Conn, error) {
+// connect opens a connection whose reads and writes fail once the context ends.
+func connect(ctx context.Context, dial Dial, addr string) (net.Conn, error) {
 	conn, err := dial(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	return &watched{conn, stop}, nil
+	return &contextConn{conn, stop}, nil
 }
 
-// watched is a connection that ends with a context.
-type watched struct {
+// contextConn is a connection whose reads and writes fail once a context ends.
+type contextConn struct {
 	net.Conn
-	stop func() bool
+	stopWatching func() bool
 }
 
-func (w *watched) Close() error {
-	w.stop()
-	return w.Conn.Close()
+// Close closes the connection and detaches it from the context.
+func (c *contextConn) Close() error {
+	c.stopWatching()
+	return c.Conn.Close()
 }
 
-// AgentCheck asks HAProxy's agent-check beside each server.
+// AgentCheck probes by HAProxy's agent-check: it asks an agent that runs on the server's host.
 type AgentCheck struct {
-	Port int    // on the server's host
-	Send string // first; empty: nothing
-	// Unknown is told of words that are not known. May be nil.
+	Port int    // of the agent; 0: the port of the target
+	Send string // written to the agent first; empty: nothing
+	// OnUnknown is called with the unknown keywords of a server's agent. It may be nil.
 	Unknown func(id string, words []string)
 }
 
+// Probe implements Prober.
 func (a *AgentCheck) Probe(ctx context.Context, t Target) (health.Word, error) {
-	addr, err := t.at(a.Port)
+	addr, err := t.addrWithPort(a.Port)
 	if err != nil {
 		return health.Silent, err
 	}
-	w, unknown, err := Agent(ctx, t.Dial, addr, a.Send)
+	report, unknown, err := Agent(ctx, t.Dial, addr, a.Send)
 	if len(unknown) > 0 && a.Unknown != nil {
 		a.Unknown(t.ID, unknown)
 	}
-	return w, err
+	return report, err
 }
 
+// Close implements Prober.
 func (a *AgentCheck) Close() {}
 
-// TCP checks that a connection can be opened, and closes it.
+// TCP checks that a connection can be opened, and closes it. Port 0 means the port of the target.
 type TCP struct{ Port int }
 
+// Probe implements Prober.
 func (c *TCP) Probe(ctx context.Context, t Target) (health.Word, error) {
-	addr, err := t.at(c.Port)
+	addr, err := t.addrWithPort(c.Port)
 	if err != nil {
 		return health.Silent, err
 	}
-	conn, err := open(ctx, t.Dial, addr)
+	conn, err := connect(ctx, t.Dial, addr)
 	if err != nil {
 		return health.Silent, err
 	}
 	conn.Close()
-	return up, nil
+	return upReport, nil
 }
 
+// Close implements Prober.
 func (c *TCP) Close() {}
 
-var up = health.Word{State: health.Up, Weight: -1, MaxConn: -1}
+// upReport is the report of a check that passed.
+var upReport = health.Word{State: health.Up, Weight: -1, MaxConn: -1}
 
-func down(format string, args ...any) health.Word {
+// downReport returns the report of a check that failed.
+func downReport(format string, args ...any) health.Word {
 	return health.Word{State: health.Down, Weight: -1, MaxConn: -1, Reason: fmt.Sprintf(format, args...)}
 }
 
-// bodyMost is how much of a check's answer is looked at.
-const bodyMost = 64 << 10
+// maxBodyRead is how many bytes of a response's body are searched for HTTP.Body.
+const maxBodyRead = 64 << 10
 
-// HTTP asks for a page. An answer says up if its status lies in a range (RFC 9110, section 15) and its first 64 KiB hold
-// the text; redirects are answers, and not followed.
+// HTTP checks by an HTTP request. The server is up if the response's status (RFC 9110, section 15) is in one of the ranges
+// and the first 64 KiB of the body contain the text. Redirects are not followed: their status counts like any other.
 type HTTP struct {
-	Port     int
+	Port     int    // 0: the port of the target
 	Method   string // GET or HEAD
 	Path     string
-	Host     string // empty: the address
+	Host     string // Host header; empty: the address
 	Statuses []Range
-	Body     string // empty: any will do
+	Body     string // text that the body must contain; empty: the body is not read
 }
 
-// Range is of statuses, both ends included.
+// StatusRange is a range of HTTP statuses, both ends included.
 type Range struct{ From, To int }
 
+// Probe implements Prober.
 func (h *HTTP) Probe(ctx context.Context, t Target) (health.Word, error) {
-	addr, err := t.at(h.Port)
+	addr, err := t.addrWithPort(h.Port)
 	if err != nil {
 		return health.Silent, err
 	}
@@ -139,24 +148,25 @@
 		return health.Silent, err
 	}
 	defer resp.Body.Close()
-	in := false
+	accepted := false
 	for _, r := range h.Statuses {
-		in = in || r.From <= resp.StatusCode && resp.StatusCode <= r.To
+		accepted = accepted || r.From <= resp.StatusCode && resp.StatusCode <= r.To
 	}
-	if !in {
-		return down("status %d", resp.StatusCode), nil
+	if !accepted {
+		return downReport("status %d", resp.StatusCode), nil
 	}
 	if h.Body == "" {
-		return up, nil
+		return upReport, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyRead))
 	if err != nil {
-		return health.Silent, fmt.Errorf("reading the answer: %w", err)
+		return health.Silent, fmt.Errorf("reading the response: %w", err)
 	}
 	if !strings.Contains(string(text), h.Body) {
-		return down("the answer lacks %.60q", h.Body), nil
+		return downReport("response body does not contain %.60q", h.Body), nil
 	}
-	return up, nil
+	return upReport, nil
 }
 
+// Close implements Prober.
 func (h *HTTP) Close() {}
--- a/internal/health/probe/probe_test.go
+++ b/internal/health/probe/probe_test.go
@@ -19,131 +19,137 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// brief is how long a probe waits that is to wait in vain.
-const brief = 50 * time.Millisecond
+// shortTimeout is the timeout of a probe that must run into it.
+const shortTimeout = 50 * time.Millisecond
 
-func direct(addr string) Target {
+// directTarget returns the server at an address, which is connected to without a proxy.
+func directTarget(addr string) Target {
 	return Target{ID: "s", Addr: addr, Dial: (&net.Dialer{}).DialContext}
 }
 
-func ask(t *testing.T, p Prober, at Target, wait time.Duration) (health.Word, error) {
+// probeOnce makes one probe with a timeout.
+func probeOnce(t *testing.T, p Prober, target Target, timeout time.Duration) (health.Word, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), wait)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	return p.Probe(ctx, at)
+	return p.Probe(ctx, target)
 }
 
-// An agent that answers, cuts its answer anywhere, stalls, rambles, resets, or is not there.
-func TestAgent(t *testing.T) {
-	a, err := standin.StartAgent("")
+// An agent replies, cuts its reply anywhere, stalls, writes without end, resets the connection, or is not there: only a
+// complete, sensible reply gives a report.
+func TestAgentCheckReplies(t *testing.T) {
+	agent, err := standin.StartAgent("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Stop()
-	host, port, _ := net.SplitHostPort(a.Addr())
+	defer agent.Stop()
+	host, port, _ := net.SplitHostPort(agent.Addr())
 	var unknown []string
 	check := &AgentCheck{Unknown: func(_ string, words []string) { unknown = words }, Send: "how are you\n"}
 	for _, c := range port {
 		check.Port = check.Port*10 + int(c-'0')
 	}
-	at := direct(net.JoinHostPort(host, "1"))
-	w, err := ask(t, check, at, patience)
-	if err != nil || w.State != health.Up || w.Admin != health.Ready || w.Weight != 1 {
-		t.Fatal(w, err)
-	}
-	a.Says("drain purple\n")
-	if w, err := ask(t, check, at, patience); err != nil || w.Admin != health.Drain || len(unknown) != 1 {
-		t.Error(w, err, unknown)
-	}
-	for name, does := range map[string]func(){
-		"empty":             func() { a.Says("") },
-		"a word cut":        func() { a.Says("dra") },
-		"an answer stalls":  func() { a.Stalls("up") },
-		"nothing comes":     func() { a.Stalls("") },
-		"an endless answer": a.Rambles,
-		"a break":           func() { a.Resets("") },
-		"nonsense":          func() { a.Says("maxconn:many\n") },
-		"an over-long line": func() { a.Says(strings.Repeat("up ", 1000)) },
+	target := directTarget(net.JoinHostPort(host, "1"))
+	report, err := probeOnce(t, check, target, testTimeout)
+	if err != nil || report.State != health.Up || report.Admin != health.Ready || report.Weight != 1 {
+		t.Fatal(report, err)
+	}
+	agent.Says("drain purple\n")
+	if report, err := probeOnce(t, check, target, testTimeout); err != nil || report.Admin != health.Drain || len(unknown) != 1 {
+		t.Error(report, err, unknown)
+	}
+	for name, misbehave := range map[string]func(){
+		"empty reply":       func() { agent.Says("") },
+		"keyword cut off":   func() { agent.Says("dra") },
+		"reply stalls":      func() { agent.Stalls("up") },
+		"nothing is sent":   func() { agent.Stalls("") },
+		"endless reply":     agent.Rambles,
+		"connection reset":  func() { agent.Resets("") },
+		"malformed keyword": func() { agent.Says("maxconn:many\n") },
+		"line too long":     func() { agent.Says(strings.Repeat("up ", 1000)) },
 	} {
-		does()
-		wait := patience
+		misbehave()
+		timeout := testTimeout
 		if strings.Contains(name, "stalls") || strings.Contains(name, "nothing") {
-			wait = brief
+			timeout = shortTimeout
 		}
-		if w, err := ask(t, check, at, wait); err == nil || w != health.Silent {
-			t.Errorf("%s: %+v", name, w)
+		if report, err := probeOnce(t, check, target, timeout); err == nil || report != health.Silent {
+			t.Errorf("%s: no error, or a report: %+v", name, report)
 		}
 	}
-	a.Stop()
-	if _, err := ask(t, check, at, patience); err == nil {
-		t.Error("nobody is there, and it says something")
+	agent.Stop()
+	if _, err := probeOnce(t, check, target, testTimeout); err == nil {
+		t.Error("no error though nothing listens")
 	}
-	if _, err := ask(t, check, direct("no address"), patience); err == nil {
-		t.Error("an address without a port is asked")
+	if _, err := probeOnce(t, check, directTarget("no address"), testTimeout); err == nil {
+		t.Error("no error for an address without a port")
 	}
 }
 
-func TestHTTPAndTCP(t *testing.T) {
+// The status ranges and the body text of HTTP checks, and what neither check may take for a server that is up: a response
+// that does not come, another protocol, and a port on which nothing listens.
+func TestHTTPAndTCPChecks(t *testing.T) {
 	page := &standin.Page{Status: 200, Body: "all is well"}
-	s := httptest.NewServer(page)
-	defer s.Close()
-	addr := s.Listener.Addr().String()
+	server := httptest.NewServer(page)
+	defer server.Close()
+	addr := server.Listener.Addr().String()
 	ranges := []Range{{200, 299}, {404, 404}}
 	for _, c := range []struct {
 		name string
 		page standin.Page
 		body string
-		up   health.State
+		want health.State
 	}{
 		{"200", standin.Page{Status: 200}, "", health.Up},
 		{"299", standin.Page{Status: 299}, "", health.Up},
-		{"404, which is in a range", standin.Page{Status: 404}, "", health.Up},
-		{"300 is not followed", standin.Page{Status: 302}, "", health.Down},
+		{"404, in a range", standin.Page{Status: 404}, "", health.Up},
+		{"redirects are not followed", standin.Page{Status: 302}, "", health.Down},
 		{"500", standin.Page{Status: 500}, "", health.Down},
-		{"the text is there", standin.Page{Status: 200, Body: "xx well xx"}, "well", health.Up},
-		{"it is not", standin.Page{Status: 200, Body: "ill"}, "well", health.Down},
-		{"it comes too late in a long answer", standin.Page{Status: 200, Body: strings.Repeat(" ", bodyMost) + "well"}, "well", health.Down},
+		{"the body contains the text", standin.Page{Status: 200, Body: "xx well xx"}, "well", health.Up},
+		{"the body does not contain the text", standin.Page{Status: 200, Body: "ill"}, "well", health.Down},
+		{"the text comes after the first 64 KiB", standin.Page{Status: 200, Body: strings.Repeat(" ", maxBodyRead) + "well"}, "well", health.Down},
 	} {
 		*page = c.page
-		w, err := ask(t, &HTTP{Method: http.MethodGet, Path: "/health", Host: "example.org", Statuses: ranges, Body: c.body}, direct(addr), patience)
-		if err != nil || w.State != c.up || (w.Reason == "") != (c.up == health.Up) {
-			t.Errorf("%s: %+v, %v", c.name, w, err)
+		report, err := probeOnce(t, &HTTP{Method: http.MethodGet, Path: "/health", Host: "example.org", Statuses: ranges, Body: c.body}, directTarget(addr), testTimeout)
+		if err != nil || report.State != c.want || (report.Reason == "") != (c.want == health.Up) {
+			t.Errorf("%s: %+v, %v", c.name, report, err)
 		}
 	}
 	*page = standin.Page{Status: 200, After: time.Hour}
-	if _, err := ask(t, &HTTP{Method: http.MethodGet, Path: "/", Statuses: ranges}, direct(addr), brief); err == nil {
-		t.Error("an answer that does not come is one")
+	if _, err := probeOnce(t, &HTTP{Method: http.MethodGet, Path: "/", Statuses: ranges}, directTarget(addr), shortTimeout); err == nil {
+		t.Error("no error though the response does not come")
 	}
-	if w, err := ask(t, &TCP{}, direct(addr), patience); err != nil || w.State != health.Up {
-		t.Error(w, err)
+	if report, err := probeOnce(t, &TCP{}, directTarget(addr), testTimeout); err != nil || report.State != health.Up {
+		t.Error(report, err)
 	}
-	a, err := standin.StartAgent("") // speaks no HTTP
+	agent, err := standin.StartAgent("") // does not speak HTTP
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Stop()
-	if _, err := ask(t, &HTTP{Method: http.MethodGet, Path: "/", Statuses: ranges}, direct(a.Addr()), patience); err == nil {
-		t.Error("what is no HTTP is an answer")
+	defer agent.Stop()
+	if _, err := probeOnce(t, &HTTP{Method: http.MethodGet, Path: "/", Statuses: ranges}, directTarget(agent.Addr()), testTimeout); err == nil {
+		t.Error("no error though the response is not HTTP")
 	}
 	free, err := standin.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ask(t, &TCP{}, direct(free), patience); err == nil {
-		t.Error("nobody is there, and it is up")
+	if _, err := probeOnce(t, &TCP{}, directTarget(free), testTimeout); err == nil {
+		t.Error("TCP check passes though nothing listens")
 	}
 }
 
-// Each status of grpc.health.v1 by Check and by Watch; a watch that breaks, a server that comes back, one without the service.
-func TestGRPC(t *testing.T) {
-	h, err := standin.StartHealth("")
+// Each status of grpc.health.v1 by Check and by Watch. A stream whose server stops gives an error and is opened again once the
+// server is back. A server without the service is down, and one without the protocol gives an empty report.
+func TestGRPCCheckAndWatch(t *testing.T) {
+	server, err := standin.StartHealth("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.Stop()
-	addr := h.Addr()
+	defer server.Stop()
+	addr := server.Addr()
 	watch := &GRPC{Service: "placement", Watch: true}
 	defer watch.Close()
 	for _, c := range []struct {
@@ -156,71 +162,71 @@
 		{healthpb.HealthCheckResponse_SERVICE_UNKNOWN, health.Down},
 		{healthpb.HealthCheckResponse_SERVING, health.Up},
 	} {
-		h.SetServingStatus("placement", c.status)
-		if w, err := ask(t, &GRPC{Service: "placement"}, direct(addr), patience); err != nil || w.State != c.want {
-			t.Errorf("check, %v: %+v, %v", c.status, w, err)
+		server.SetServingStatus("placement", c.status)
+		if report, err := probeOnce(t, &GRPC{Service: "placement"}, directTarget(addr), testTimeout); err != nil || report.State != c.want {
+			t.Errorf("check, %v: %+v, %v", c.status, report, err)
 		}
-		until := time.Now().Add(patience) // a watch hears of it in its own time
+		until := time.Now().Add(testTimeout) // a stream receives the status some time later
 		for {
-			w, err := ask(t, watch, direct(addr), patience)
-			if err == nil && w.State == c.want {
+			report, err := probeOnce(t, watch, directTarget(addr), testTimeout)
+			if err == nil && report.State == c.want {
 				break
 			}
 			if time.Now().After(until) {
-				t.Fatalf("watch, %v: %+v, %v", c.status, w, err)
+				t.Fatalf("watch, %v: %+v, %v", c.status, report, err)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	// A service that is not known: Check fails by NOT_FOUND, Watch says SERVICE_UNKNOWN.
+	// An unknown service: Check fails with NOT_FOUND, Watch sends SERVICE_UNKNOWN.
 	for _, p := range []*GRPC{{Service: "other"}, {Service: "other", Watch: true}} {
-		if w, err := ask(t, p, direct(addr), patience); err != nil || w.State != health.Down || !strings.Contains(w.Reason, "not known") {
-			t.Errorf("%+v, %v", w, err)
+		if report, err := probeOnce(t, p, directTarget(addr), testTimeout); err != nil || report.State != health.Down || !strings.Contains(report.Reason, "not known") {
+			t.Errorf("unknown service: %+v, %v", report, err)
 		}
 		p.Close()
 	}
-	// The server goes: the watch breaks and says so, and finds the next server by itself.
-	h.Stop()
-	until := time.Now().Add(patience)
+	// The server stops: the stream ends with an error, and a later probe opens one to the next server at the address.
+	server.Stop()
+	until := time.Now().Add(testTimeout)
 	for broken := false; !broken; {
-		_, err := ask(t, watch, direct(addr), brief)
+		_, err := probeOnce(t, watch, directTarget(addr), shortTimeout)
 		if broken = err != nil; !broken && time.Now().After(until) {
-			t.Fatal("a watch goes on without its server")
+			t.Fatal("no error from a stream whose server has stopped")
 		}
 	}
-	if h, err = standin.StartHealth(addr); err != nil {
+	if server, err = standin.StartHealth(addr); err != nil {
 		t.Fatal(err)
 	}
-	defer h.Stop()
-	h.SetServingStatus("placement", healthpb.HealthCheckResponse_SERVING)
+	defer server.Stop()
+	server.SetServingStatus("placement", healthpb.HealthCheckResponse_SERVING)
 	for {
-		if w, err := ask(t, watch, direct(addr), patience); err == nil && w.State == health.Up {
+		if report, err := probeOnce(t, watch, directTarget(addr), testTimeout); err == nil && report.State == health.Up {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("it does not find the server that came back")
+			t.Fatal("the server that is back is not reported up")
 		}
 	}
 	watch.Forget("s")
 	watch.Forget("s")
-	if len(watch.watches) != 0 {
-		t.Error("a stream is kept of a server that is gone")
+	if len(watch.streams) != 0 {
+		t.Error("the stream of a forgotten server is still there")
 	}
-	// One that does not implement the protocol says nothing by either.
+	// A server that does not implement the protocol gives an empty report by Check and by Watch.
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	bare := grpc.NewServer()
-	go bare.Serve(ln)
-	defer bare.Stop()
+	plain := grpc.NewServer()
+	go plain.Serve(ln)
+	defer plain.Stop()
 	for _, p := range []*GRPC{{}, {Watch: true}} {
-		if w, err := ask(t, p, direct(ln.Addr().String()), patience); err != nil || w != health.Silent {
-			t.Errorf("unimplemented: %+v, %v", w, err)
+		if report, err := probeOnce(t, p, directTarget(ln.Addr().String()), testTimeout); err != nil || report != health.Silent {
+			t.Errorf("unimplemented: %+v, %v", report, err)
 		}
 		p.Close()
-		if _, err := ask(t, p, direct(addr), patience); p.Watch && err == nil {
-			t.Error("a closed prober probes")
+		if _, err := probeOnce(t, p, directTarget(addr), testTimeout); p.Watch && err == nil {
+			t.Error("no error from a closed prober")
 		}
 	}
 }
--- a/internal/health/schedule.go
+++ b/internal/health/schedule.go
@@ -6,134 +6,138 @@
 	"time"
 )
 
-// Pace is how often servers are probed.
+// ProbeSettings limit how often servers are probed.
 type Pace struct {
-	Interval  time.Duration // where nothing is known of a server
-	Calm      float64       // times that where real requests speak for themselves
-	PerServer float64       // probes a second that a server gets of all nodes together at most
-	Rate      float64       // and that this node makes of all servers together
-	Nodes     int           // that probe alike
-	Jitter    float64       // each wait is drawn from this part below to this part above
+	Interval  time.Duration // wait between two probes of entry server that no recent real requests vouch for
+	Calm      float64       // factor on the wait of entry server whose recent real requests succeed
+	PerServer float64       // limit on the probes per second that one server gets from all nodes together
+	Rate      float64       // limit on the probes per second that this node sends to all servers together
+	Nodes     int           // number of nodes that probe the same servers with these settings
+	Jitter    float64       // each wait varies randomly by up to this fraction in either direction
 }
 
-// interval is the shortest wait between two probes of a server by this node.
-func (p *Pace) interval() time.Duration {
-	least := time.Duration(float64(max(1, p.Nodes)) / p.PerServer / (1 - p.Jitter) * float64(time.Second))
-	return max(p.Interval, least)
+// minWait returns the shortest wait between two probes of a server by this node, before jitter.
+func (p *Pace) minWait() time.Duration {
+	fairWait := time.Duration(float64(max(1, p.Nodes)) / p.PerServer / (1 - p.Jitter) * float64(time.Second))
+	return max(p.Interval, fairWait)
 }
 
-// Slowest is the longest wait between two probes of a server, jitter aside, while the node's rate allows it: words are good
-// for a few of it.
+// MaxInterval returns the longest wait between two probes of a server, before jitter, while the node's rate limit does not
+// delay probes. Reports are valid for a multiple of it.
 func (p *Pace) Slowest() time.Duration {
-	return time.Duration(float64(p.interval()) * max(1, p.Calm))
+	return time.Duration(float64(p.minWait()) * max(1, p.Calm))
 }
 
-// Schedule says which server is to be probed next: each in its own time, none twice at once, and no more in all than the
-// node may. Servers of which nothing is known come first when there are too many. Not safe for concurrent use.
+// Schedule selects the server to probe next. Each server has its own due time and at most one probe in flight, and all
+// probes together stay within the node's rate limit. Servers that recent real requests vouch for are due less often, which
+// leaves the budget to the others. It is not safe for concurrent use: its owner's lock guards it.
 type Schedule struct {
-	pace   Pace
-	random func() float64 // from 0 up to 1
-	due    dues
-	of     map[uint32]*appointment
-	tokens float64
-	at     time.Duration
+	settings   Pace
+	random     func() float64         // uniform in [0, 1)
+	queue      probeQueue             // servers without entry probe in flight
+	entries    map[uint32]*probeEntry // all servers, by id
+	tokens     float64                // probes that may start now
+	refilledAt time.Duration          // when tokens were last added
 }
 
-type appointment struct {
-	id    uint32
-	at    time.Duration
-	place int // in the heap; -1 while its probe is out
-	gone  bool
+// probeEntry is a server's place in the schedule.
+type probeEntry struct {
+	id        uint32
+	dueAt     time.Duration
+	heapIndex int // in the queue; -1 while its probe is in flight
+	removed   bool
 }
 
-// NewSchedule makes an empty one. Random draws the jitter.
+// NewSchedule returns an empty schedule. Random is the source of the jitter and returns values in [0, 1).
 func NewSchedule(p Pace, random func() float64) *Schedule {
-	return &Schedule{pace: p, random: random, of: map[uint32]*appointment{}}
+	return &Schedule{settings: p, random: random, entries: map[uint32]*probeEntry{}}
 }
 
-// Add enters a server: its first probe comes at a random time within an interval, so that a list of thousands does not
-// begin at once.
+// Add adds a server. Its first probe is due at a random time within one interval, so that a list of thousands is not probed
+// all at once.
 func (s *Schedule) Add(now time.Duration, id uint32) {
-	if s.of[id] == nil {
-		a := &appointment{id: id, at: now + time.Duration(s.random()*float64(s.pace.interval()))}
-		s.of[id] = a
-		heap.Push(&s.due, a)
+	if s.entries[id] == nil {
+		entry := &probeEntry{id: id, dueAt: now + time.Duration(s.random()*float64(s.settings.minWait()))}
+		s.entries[id] = entry
+		heap.Push(&s.queue, entry)
 	}
 }
 
-// Remove strikes one off. A probe that is out ends without consequence.
+// Remove drops a server. A probe of it that is in flight has no further effect.
 func (s *Schedule) Remove(id uint32) {
-	if a := s.of[id]; a != nil {
-		a.gone = true
-		if a.place >= 0 {
-			heap.Remove(&s.due, a.place)
+	if entry := s.entries[id]; entry != nil {
+		entry.removed = true
+		if entry.heapIndex >= 0 {
+			heap.Remove(&s.queue, entry.heapIndex)
 		}
-		delete(s.of, id)
+		delete(s.entries, id)
 	}
 }
 
-// Next takes out a server that is to be probed now; false, and how long until one is to be looked for again, where there
-// is none.
+// Next returns a server that is due, whose probe is in flight from then until Done. If none is due or the rate limit is
+// reached, it returns false and how long to wait before the next call.
 func (s *Schedule) Next(now time.Duration) (id uint32, ok bool, wait time.Duration) {
-	s.tokens = min(max(1, s.pace.Rate/10), s.tokens+(now-s.at).Seconds()*s.pace.Rate) // a tenth of a second's at once
-	s.at = max(s.at, now)
-	if len(s.due) == 0 {
-		return 0, false, s.pace.Interval
+	// The burst is a tenth of a second's probes.
+	s.tokens = min(max(1, s.settings.Rate/10), s.tokens+(now-s.refilledAt).Seconds()*s.settings.Rate)
+	s.refilledAt = max(s.refilledAt, now)
+	if len(s.queue) == 0 {
+		return 0, false, s.settings.Interval
 	}
-	if a := s.due[0]; a.at > now {
-		return 0, false, a.at - now
+	if entry := s.queue[0]; entry.dueAt > now {
+		return 0, false, entry.dueAt - now
 	}
 	if s.tokens < 1 {
-		return 0, false, time.Duration(math.Ceil((1 - s.tokens) / s.pace.Rate * 1e9))
+		return 0, false, time.Duration(math.Ceil((1 - s.tokens) / s.settings.Rate * 1e9))
 	}
 	s.tokens--
-	a := heap.Pop(&s.due).(*appointment)
-	a.place = -1
-	return a.id, true, 0
+	entry := heap.Pop(&s.queue).(*probeEntry)
+	entry.heapIndex = -1
+	return entry.id, true, 0
 }
 
-// Sooner lets a server be probed now, within the node's budget, unless its probe is out.
+// ProbeNow makes a server due now, within the node's rate limit, unless a probe of it is in flight.
 func (s *Schedule) Sooner(now time.Duration, id uint32) {
-	if a := s.of[id]; a != nil && a.place >= 0 && a.at > now {
-		a.at = now
-		heap.Fix(&s.due, a.place)
+	if entry := s.entries[id]; entry != nil && entry.heapIndex >= 0 && entry.dueAt > now {
+		entry.dueAt = now
+		heap.Fix(&s.queue, entry.heapIndex)
 	}
 }
 
-// Done tells that a server's probe is over. Spoken: real requests tell enough of it.
-func (s *Schedule) Done(now time.Duration, id uint32, spoken bool) {
-	a := s.of[id]
-	if a == nil || a.place >= 0 {
+// Done ends a server's probe and schedules the next. Serving states that its recent real requests succeed
+// (Tracker.ServesRequests), which makes the wait longer.
+func (s *Schedule) Done(now time.Duration, id uint32, serving bool) {
+	entry := s.entries[id]
+	if entry == nil || entry.heapIndex >= 0 {
 		return
 	}
-	wait := float64(s.pace.interval()) * (1 - s.pace.Jitter + 2*s.pace.Jitter*s.random())
-	if spoken {
-		wait *= max(1, s.pace.Calm)
+	wait := float64(s.settings.minWait()) * (1 - s.settings.Jitter + 2*s.settings.Jitter*s.random())
+	if serving {
+		wait *= max(1, s.settings.Calm)
 	}
-	a.at = now + time.Duration(wait)
-	heap.Push(&s.due, a)
+	entry.dueAt = now + time.Duration(wait)
+	heap.Push(&s.queue, entry)
 }
 
-// dues is a heap by time.
-type dues []*appointment
+// probeQueue is a heap by due time, with ties broken by id.
+type probeQueue []*probeEntry
 
-func (d dues) Len() int { return len(d) }
-func (d dues) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].id < d[j].id
+func (q probeQueue) Len() int { return len(q) }
+func (q probeQueue) Less(i, j int) bool {
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].id < q[j].id
 }
-func (d dues) Swap(i, j int) {
-	d[i], d[j] = d[j], d[i]
-	d[i].place, d[j].place = i, j
+func (q probeQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
-func (d *dues) Push(x any) {
-	a := x.(*appointment)
-	a.place = len(*d)
-	*d = append(*d, a)
+func (q *probeQueue) Push(x any) {
+	entry := x.(*probeEntry)
+	entry.heapIndex = len(*q)
+	*q = append(*q, entry)
 }
-func (d *dues) Pop() any {
-	last := len(*d) - 1
-	a := (*d)[last]
-	(*d)[last] = nil
-	*d = (*d)[:last]
-	return a
+func (q *probeQueue) Pop() any {
+	last := len(*q) - 1
+	entry := (*q)[last]
+	(*q)[last] = nil
+	*q = (*q)[:last]
+	return entry
 }
--- a/internal/health/schedule_test.go
+++ b/internal/health/schedule_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// 100 nodes check 10,000 servers in virtual time: no server gets more probes than it may, no node makes more than it may, each
-// server comes in its turn, and no two probes of one node at one server are out at once.
+// 100 nodes check 10,000 servers in virtual time. No server may get more probes than its limit, no node may send more than
+// its own, each server must be probed again and again, and a node has one probe of a server in flight at most.
 func TestProbeBudget(t *testing.T) {
 	const servers, nodes = 10000, 100
 	const seconds = 400
-	p := Pace{Interval: 2 * sec, Calm: 4, PerServer: 1, Rate: 150, Nodes: nodes, Jitter: 0.1}
+	settings := Pace{Interval: 2 * sec, Calm: 4, PerServer: 1, Rate: 150, Nodes: nodes, Jitter: 0.1}
 	rng := rand.New(rand.NewPCG(1, 2))
-	per := make([]int, servers)
-	for range 5 { // nodes alike: a few show what each does
-		s := NewSchedule(p, rng.Float64)
+	probes := make([]int, servers)
+	for range 5 { // all nodes behave alike: five of them stand for the hundred
+		s := NewSchedule(settings, rng.Float64)
 		for id := range uint32(servers) {
 			s.Add(0, id)
 		}
-		seen, made, out := make([]int, servers), 0, map[uint32]bool{}
+		probed, sent, inFlight := make([]int, servers), 0, map[uint32]bool{}
 		for now := time.Duration(0); now < seconds*sec; now += 10 * time.Millisecond {
-			for id := range out { // each takes until the next look
-				delete(out, id)
+			for id := range inFlight { // each probe takes one step
+				delete(inFlight, id)
 				s.Done(now, id, false)
 			}
 			inStep := 0
@@ -30,46 +30,47 @@
 				id, ok, wait := s.Next(now)
 				if !ok {
 					if wait <= 0 {
-						t.Fatal("nothing is due, and no wait is told")
+						t.Fatal("nothing is due, but the wait is not positive")
 					}
 					break
 				}
-				if out[id] {
-					t.Fatal("two probes of one server at once")
+				if inFlight[id] {
+					t.Fatal("two probes of one server in flight at once")
 				}
-				out[id] = true
-				seen[id]++
-				made++
+				inFlight[id] = true
+				probed[id]++
+				sent++
 				inStep++
 			}
 			if inStep > 16 {
-				t.Fatalf("%d probes at once", inStep)
+				t.Fatalf("%d probes in one step of 10 ms, want at most 16", inStep)
 			}
 		}
-		if made > 150*seconds+15 {
-			t.Errorf("%d probes in %d s", made, seconds)
+		if sent > 150*seconds+15 {
+			t.Errorf("a node sent %d probes in %d s", sent, seconds)
 		}
-		for id, n := range seen {
-			per[id] += n
+		for id, n := range probed {
+			probes[id] += n
 			if n < 2 {
 				t.Fatalf("server %d was probed %d times in %d s", id, n, seconds)
 			}
 		}
 	}
-	most := 0
-	for _, n := range per {
-		most = max(most, n)
+	maxProbes := 0
+	for _, n := range probes {
+		maxProbes = max(maxProbes, n)
 	}
-	// Five of a hundred nodes may make a twentieth of what a server may get.
-	if bound := seconds*1*5/100 + 5; most > bound {
-		t.Errorf("a server got %d probes of five nodes, %d are its bound", most, bound)
+	// Five of a hundred nodes may send a twentieth of the probes that a server may get.
+	if bound := seconds*1*5/100 + 5; maxProbes > bound {
+		t.Errorf("a server got %d probes from five nodes, want at most %d", maxProbes, bound)
 	}
 }
 
-// Where real requests speak probes are seldom, one that is new comes soon, and one that has gone is not probed again.
-func TestSchedule(t *testing.T) {
-	p := Pace{Interval: sec, Calm: 4, PerServer: 100, Rate: 100, Nodes: 1, Jitter: 0}
-	s := NewSchedule(p, func() float64 { return 0.5 })
+// A server whose real requests succeed is probed less often, a new one within an interval, one that is asked for at once,
+// and a removed one not again.
+func TestScheduleOrder(t *testing.T) {
+	settings := Pace{Interval: sec, Calm: 4, PerServer: 100, Rate: 100, Nodes: 1, Jitter: 0}
+	s := NewSchedule(settings, func() float64 { return 0.5 })
 	s.Add(0, 1)
 	s.Add(0, 1)
 	if _, ok, wait := s.Next(0); ok || wait != sec/2 {
@@ -80,13 +81,13 @@
 		t.Fatal(id, ok)
 	}
 	s.Done(sec, 1, true)
-	s.Done(sec, 1, true) // once is enough
+	s.Done(sec, 1, true) // a second call has no effect
 	if _, ok, wait := s.Next(sec); ok || wait != 4*sec {
-		t.Error("spoken for: ", ok, wait)
+		t.Error("a server whose real requests succeed: ", ok, wait)
 	}
 	s.Add(sec, 2)
 	if _, ok, wait := s.Next(sec); ok || wait != sec/2 {
-		t.Error("a new one: ", ok, wait)
+		t.Error("a new server: ", ok, wait)
 	}
 	s.Sooner(sec, 2)
 	s.Sooner(sec, 9)
@@ -94,17 +95,17 @@
 		s.Done(sec, 2, false)
 		s.Sooner(sec, 2)
 	} else {
-		t.Error("one that is to be probed sooner is not")
+		t.Error("a server is not due after ProbeNow")
 	}
 	if id, _, _ := s.Next(2 * sec); id != 2 {
 		t.Error(id)
 	}
-	s.Remove(2) // while its probe is out
+	s.Remove(2) // while its probe is in flight
 	s.Done(3*sec, 2, false)
 	s.Remove(1)
 	s.Remove(1)
-	if _, ok, _ := s.Next(time.Hour); ok || len(s.due) != 0 || len(s.of) != 0 {
-		t.Error("something is left")
+	if _, ok, _ := s.Next(time.Hour); ok || len(s.queue) != 0 || len(s.entries) != 0 {
+		t.Error("entries are left after all servers were removed")
 	}
 }
 
@@ -113,18 +114,18 @@
 	for id := range uint32(10000) {
 		s.Add(0, id)
 	}
-	book := NewBook(Usual(sec))
+	tracker := NewBook(Usual(sec))
 	for id := range uint32(10000) {
-		book.Add(id)
+		tracker.Add(id)
 	}
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for b.Loop() {
 		now += 200 * time.Microsecond
 		if id, ok, _ := s.Next(now); ok {
-			book.Check(now, id, true, "")
-			book.Weigh(now, id)
-			s.Done(now, id, book.Spoken(now, id))
+			tracker.Check(now, id, true, "")
+			tracker.Weigh(now, id)
+			s.Done(now, id, tracker.Spoken(now, id))
 		}
 	}
 }
