--- a/cmd/portstall/cli_test.go
+++ b/cmd/portstall/cli_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// Exit codes and what an error names, as the shell sees them.
-func TestCalls(t *testing.T) {
-	bin := built(t)
-	good := write(t, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+settings+`}`)
+// The exit code of each command line and a text in its output: mistakes end with 2 and name what is wrong, failures with 1.
+func TestExitCodesAndMessages(t *testing.T) {
+	bin := buildBinary(t)
+	good := writeConfig(t, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+settingsJSON+`}`)
 	yaml := func(text string) string {
 		path := filepath.Join(t.TempDir(), "day.yaml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,7 +28,7 @@
 	for _, c := range []struct {
 		args string
 		code int
-		want string // in what is printed
+		want string // text in the output
 	}{
 		{"version", 0, "portstall"},
 		{"--help", 0, "node"},
@@ -37,18 +37,18 @@
 		{"--log=xml version", 2, "--log"},
 		{"config check " + good, 0, "good"},
 		{"config check /does/not/exist", 2, "/does/not/exist"},
-		{"config check " + write(t, "{\n\"listen\": 7}"), 2, ":2: GW_CONFIG: json: cannot unmarshal number into Go struct field .listen"},
-		{"config check " + write(t, "{\n\n,"), 2, ":3: "},
-		{"config check " + write(t, `{"listen":"127.0.0.1:1","discovery":"x","settings":{}}`), 2, "discovery"},
+		{"config check " + writeConfig(t, "{\n\"listen\": 7}"), 2, ":2: GW_CONFIG: json: cannot unmarshal number into Go struct field .listen"},
+		{"config check " + writeConfig(t, "{\n\n,"), 2, ":3: "},
+		{"config check " + writeConfig(t, `{"listen":"127.0.0.1:1","discovery":"x","settings":{}}`), 2, "discovery"},
 		{"config check " + yaml("name: x\nnodes: 0\n"), 2, "day.yaml:2: nodes: 0 is outside"},
 		{"config check " + yaml("name: x\n"), 0, "good"},
 		{"config check ../../deploy/lab/experiments/peers.yaml", 0, "good"},
 		{"config check ../../deploy/portstall.yaml", 0, "good"},
 		{"config check " + yaml("cells: {size: 0}\n"), 2, "cells.size: 0"},
-		{"config check " + folder(t, map[string]string{"a.yaml": "services: [{name: shop}]\n", "b.yaml": "contracts: [{name: a, services: [shop]}]\n"}), 0, "good"},
-		{"config check " + folder(t, map[string]string{"a.yaml": "contracts:\n- name: a\n  services: [shop]\n"}), 2, `a.yaml:2: contract "a": services[0]: "shop" is no service here`},
-		{"config check " + folder(t, map[string]string{"a.yaml": "contracts: [{name: a}]\n", "b.yaml": "contracts: [{name: a}]\n"}), 2, `contract "a" is in`},
-		{"config check " + folder(t, nil), 2, "no file *.yaml is in it"},
+		{"config check " + newFolder(t, map[string]string{"a.yaml": "services: [{name: shop}]\n", "b.yaml": "contracts: [{name: a, services: [shop]}]\n"}), 0, "good"},
+		{"config check " + newFolder(t, map[string]string{"a.yaml": "contracts:\n- name: a\n  services: [shop]\n"}), 2, `a.yaml:2: contract "a": services[0]: "shop" is no service here`},
+		{"config check " + newFolder(t, map[string]string{"a.yaml": "contracts: [{name: a}]\n", "b.yaml": "contracts: [{name: a}]\n"}), 2, `contract "a" is in`},
+		{"config check " + newFolder(t, nil), 2, "no file *.yaml is in it"},
 		{"control", 2, "--listen"},
 		{"control --listen 127.0.0.1:0", 2, "one of --files and --from"},
 		{"control --listen here --from 127.0.0.1:1", 2, `--listen: "here" is not host:port`},
@@ -58,7 +58,7 @@
 		{"control --listen 127.0.0.1:0 --from 127.0.0.1:1 --keep 0s", 2, "--keep"},
 		{"control --listen 127.0.0.1:0 --from 127.0.0.1:1 --most-watches 0", 2, "--most-watches"},
 		{"control --listen 127.0.0.1:0 --files /does/not/exist", 2, "--files: stat /does/not/exist"},
-		{"control --listen 127.0.0.1:0 --files " + folder(t, map[string]string{"a.yaml": "contracts:\n- name: a\n  rats: 5\n"}), 2, `a.yaml:3: unknown field "rats"`},
+		{"control --listen 127.0.0.1:0 --files " + newFolder(t, map[string]string{"a.yaml": "contracts:\n- name: a\n  rats: 5\n"}), 2, `a.yaml:3: unknown field "rats"`},
 		{"lab list", 0, "metastable"},
 		{"lab faults", 0, "roster_down"},
 		{"lab run smoke --seeds 1-2 --quiet", 0, "| smoke | portstall | 2 |"},
@@ -95,14 +95,15 @@
 	}
 }
 
-// The demo runs by itself, ends by itself and says that all rules were kept. A short day of it, so that CI is quick.
-func TestDemo(t *testing.T) {
-	day := filepath.Join(t.TempDir(), "day.yaml")
-	if err := os.WriteFile(day, []byte("name: day\nduration: 4s\nwarmup: 0s\nservers: {count: 4}\nclients: {load: 0.3}\n"+
+// The demo runs without input, prints its faults, ends by itself and reports that all rules were kept. The scenario is
+// short to keep the test quick.
+func TestDemoRunsAndEndsByItself(t *testing.T) {
+	scenario := filepath.Join(t.TempDir(), "day.yaml")
+	if err := os.WriteFile(scenario, []byte("name: day\nduration: 4s\nwarmup: 0s\nservers: {count: 4}\nclients: {load: 0.3}\n"+
 		"rules: {answer_slack: 2s, drain_grace: 3s}\nfaults: [{kind: crash, at: 1s, for: 1s, share: 0.25}]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	text, err := exec.Command(built(t), "demo", day).CombinedOutput()
+	text, err := exec.Command(buildBinary(t), "demo", scenario).CombinedOutput()
 	for _, want := range []string{"<- crash", "crash is over", "All rules were kept", "class search"} {
 		if err != nil || !strings.Contains(string(text), want) {
 			t.Fatalf("%v, want %q in\n%s", err, want, text)
@@ -110,18 +111,18 @@
 	}
 }
 
-// The load generator counts what a node answers.
-func TestLoad(t *testing.T) {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// The load generator counts the responses of a node: with a working web server all requests are served in time.
+func TestLabLoadCountsResponses(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
-	defer backend.Close()
-	p := start(t, newDiscovery(t, backend.Listener.Addr().String()).Listener.Addr().String(), "")
-	day := filepath.Join(t.TempDir(), "day.yaml")
-	os.WriteFile(day, []byte("name: day\nclients: {impatient: 0}\nclasses: [{name: a, share: 1, work: 1ms, aim: 20s, deadline: 20s, worth: 1, effect: safe}]\n"), 0o600)
-	text, err := exec.Command(built(t), "lab", "load", day, "--addr", p.addr, "--rate", "50", "--for", "1s").CombinedOutput()
-	if err != nil || !strings.Contains(string(text), "100.0% of the worth") {
+	defer server.Close()
+	p := startNode(t, newStubDiscovery(t, server.Listener.Addr().String()).Listener.Addr().String(), "")
+	scenario := filepath.Join(t.TempDir(), "day.yaml")
+	os.WriteFile(scenario, []byte("name: day\nclients: {impatient: 0}\nclasses: [{name: a, share: 1, work: 1ms, aim: 20s, deadline: 20s, worth: 1, effect: safe}]\n"), 0o600)
+	text, err := exec.Command(buildBinary(t), "lab", "load", scenario, "--addr", p.addr, "--rate", "50", "--for", "1s").CombinedOutput()
+	if err != nil || !strings.Contains(string(text), "100.0% of the value") {
 		t.Errorf("%v\n%s", err, text)
 	}
-	p.leave(t)
+	p.terminate(t)
 }
--- a/cmd/portstall/config.go
+++ b/cmd/portstall/config.go
@@ -16,14 +16,17 @@
 	"portstall/internal/node"
 )
 
+// configCmd is the config command.
 type configCmd struct {
-	Check configCheckCmd `cmd:"" help:"Tell whether a file is one that can be used, and which field is at fault if not."`
+	Check configCheckCmd `cmd:"" help:"Check a configuration file and name the field at fault if it is invalid."`
 }
 
+// configCheckCmd is the config check command.
 type configCheckCmd struct {
-	File string `arg:"" help:"A node's JSON configuration, the product's own file, a scenario or experiment of the lab in YAML, or a folder as a control process reads it."`
+	File string `arg:"" help:"A node's JSON configuration, the product's YAML file, a scenario or experiment of the lab in YAML, or a folder of YAML files for a control process."`
 }
 
+// Run checks the file by the parser for its type and prints that it is good.
 func (c configCheckCmd) Run() error {
 	check := checkNodeConfig
 	if ext := filepath.Ext(c.File); ext == ".yaml" || ext == ".yml" {
@@ -39,13 +42,14 @@
 	return nil
 }
 
-// checkFolder reads a folder as the control process would that writes.
+// checkFolder checks a folder of files as a control process in the role of writer reads it.
 func checkFolder(path string) error {
 	_, err := control.CheckFiles(path)
 	return err
 }
 
-// checkNodeConfig reads a node's configuration as a node would at its start, without the variables that go before it.
+// checkNodeConfig checks a node's configuration as a node reads it at start, without the environment variables that
+// override it. Where the JSON decoder reports an offset, the error names the line.
 func checkNodeConfig(path string) error {
 	_, err := node.Load(func(name string) string {
 		if name == "GW_CONFIG" {
@@ -57,24 +61,24 @@
 		return nil
 	}
 	var syntax *json.SyntaxError
-	var wrong *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	offset := int64(-1)
 	switch {
 	case errors.As(err, &syntax):
 		offset = syntax.Offset
-	case errors.As(err, &wrong):
-		offset = wrong.Offset
+	case errors.As(err, &wrongType):
+		offset = wrongType.Offset
 	}
-	if text, e := os.ReadFile(path); e == nil && offset >= 0 && offset <= int64(len(text)) {
+	if text, readErr := os.ReadFile(path); readErr == nil && offset >= 0 && offset <= int64(len(text)) {
 		return fmt.Errorf("%s:%d: %w", path, 1+bytes.Count(text[:offset], []byte("\n")), err)
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// named is what a scenario or an experiment has at its top, and the product's own file does not.
-var named = regexp.MustCompile(`(?m)^name\s*:`)
+// scenarioName matches the top-level name of a scenario or an experiment, which the product's file does not have.
+var scenarioName = regexp.MustCompile(`(?m)^name\s*:`)
 
-// checkYAML reads a scenario, an experiment or the product's own file.
+// checkYAML checks a scenario, an experiment or the product's file.
 func checkYAML(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -83,7 +87,7 @@
 	switch {
 	case experiment.IsExperiment(text):
 		_, err = experiment.Parse(path, text)
-	case named.Match(text):
+	case scenarioName.Match(text):
 		_, err = scenario.Parse(path, text)
 	default:
 		_, err = product.Parse(path, text)
--- a/cmd/portstall/control.go
+++ b/cmd/portstall/control.go
@@ -15,25 +15,26 @@
 	"portstall/internal/resource"
 )
 
-// controlCmd runs a control process. SIGHUP makes a writer read its files again; it ends on SIGTERM.
+// controlCmd is the control command, which runs a control process. SIGHUP makes a writer read its files again; SIGTERM
+// ends the process.
 type controlCmd struct {
-	Listen string   `required:"" help:"Where nodes, other control processes and operators call." placeholder:"HOST:PORT"`
-	Files  string   `help:"Write: read the configuration from this file, or from the *.yaml files of this folder." placeholder:"PATH" xor:"what"`
-	From   []string `help:"Follow these control processes, the nearest first." placeholder:"HOST:PORT" xor:"what"`
-	Peers  []string `help:"The other control processes, which a writer asks at its start for the version that it goes on from." placeholder:"HOST:PORT"`
-	Name   string   `help:"How it is called by the control processes that it follows; the host's name and --listen." placeholder:"NAME"`
+	Listen string   `required:"" help:"Listening address for nodes, other control processes and operators." placeholder:"HOST:PORT"`
+	Files  string   `help:"Run as the writer: read the configuration from this file, or from the *.yaml files of this folder." placeholder:"PATH" xor:"what"`
+	From   []string `help:"Run as a follower of these control processes, the nearest first." placeholder:"HOST:PORT" xor:"what"`
+	Peers  []string `help:"The other control processes, which a writer asks at start for the version to continue from." placeholder:"HOST:PORT"`
+	Name   string   `help:"Name under which the followed control processes list this one; by default the host's name and --listen." placeholder:"NAME"`
 
-	Keep        time.Duration `default:"30m" help:"For how long deltas are kept for who falls behind."`
-	MostWatches int           `default:"2000" help:"Calls that are held at a time."`
+	Keep        time.Duration `default:"30m" help:"How long deltas are kept for followers that fall behind."`
+	MostWatches int           `default:"2000" help:"Limit on concurrent watch calls."`
 }
 
-// check tells what is wrong with the flags; kong has seen to the rest.
-func (c *controlCmd) check() error {
+// validate checks what kong's tags do not.
+func (c *controlCmd) validate() error {
 	switch {
 	case c.Files == "" && len(c.From) == 0:
-		return errors.New("one of --files and --from is needed")
+		return errors.New("one of --files and --from is required")
 	case len(c.Peers) > 0 && c.Files == "":
-		return errors.New("--peers: is for a writer, which has --files")
+		return errors.New("--peers: only for a writer, which has --files")
 	case c.Keep < time.Second || c.Keep > 24*time.Hour:
 		return fmt.Errorf("--keep: %v is outside 1s to 24h", c.Keep)
 	case c.MostWatches < 1 || c.MostWatches > 100_000:
@@ -55,11 +56,12 @@
 	return nil
 }
 
+// Run serves until SIGTERM or an interrupt. Errors of the command line and of the files are usage errors.
 func (c *controlCmd) Run(top *cli) error {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return usageError{err}
 	}
-	hup := make(chan os.Signal, 1) // holds one: another during a reload makes for one more reading
+	hup := make(chan os.Signal, 1) // capacity 1: a signal during a reload causes one more reload
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -85,7 +87,7 @@
 				return
 			}
 			if c.Files == "" {
-				log.Warn("SIGHUP: this control process follows others; changes are made at the writer")
+				log.Warn("SIGHUP ignored: this control process follows others; changes are made at the writer")
 				continue
 			}
 			select {
@@ -95,10 +97,10 @@
 			}
 		}
 	}()
-	log.Info("control listens", "address", ln.Addr(), "files", c.Files, "from", c.From)
+	log.Info("control process listening", "address", ln.Addr(), "files", c.Files, "from", c.From)
 	err = control.Serve(ctx, control.ServeOptions{Listener: ln, Name: name, Files: c.Files, From: c.From, Peers: c.Peers, Reload: reload, Log: log,
 		Limits: control.Limits{History: resource.HistoryLimits{Age: c.Keep}, Watches: c.MostWatches}})
-	if bad := (*control.FilesError)(nil); errors.As(err, &bad) {
+	if filesError := (*control.FilesError)(nil); errors.As(err, &filesError) {
 		return usageError{err}
 	}
 	return err
--- a/cmd/portstall/demo.go
+++ b/cmd/portstall/demo.go
@@ -11,11 +11,12 @@
 	"portstall/internal/lab/scenario"
 )
 
-// demoCmd plays a short day on real sockets and shows it as it happens.
+// demoCmd is the demo command, which runs a short scenario on real sockets and shows its progress.
 type demoCmd struct {
-	Name string `arg:"" optional:"" default:"demo" help:"The scenario: of the library, or a file."`
+	Name string `arg:"" optional:"" default:"demo" help:"A scenario of the library, or a scenario file."`
 }
 
+// Run prints one line per second, then the summary. It returns errRuleBroken if a rule was broken.
 func (c *demoCmd) Run() error {
 	s, err := experiment.Load(c.Name)
 	if err != nil {
@@ -25,33 +26,33 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
-	fmt.Printf("%s: %d real nodes, %d stand-in servers, %.0f requests a second for %v, all on loopback.\n%s\n\n", s.Name, s.Nodes,
+	fmt.Printf("%s: %d real nodes, %d stub servers, %.0f requests per second for %v, all on loopback.\n%s\n\n", s.Name, s.Nodes,
 		s.Servers.Count, s.Rate(), s.Duration, s.About)
 	fmt.Printf("%6s %8s %8s %8s %8s %8s %8s\n", "second", "asked", "served", "refused", "failed", "attempts", "p99 ms")
 	r, err := rig.Run(ctx, s, rig.Options{Binary: self, Watch: func(second int, r measure.Result) {
-		// The answers to what came in the last second are still on their way: the one before is told.
+		// Responses to requests of the last second may still be under way: the second before it is printed.
 		i := second - 2
 		if i < 0 {
 			return
 		}
 		t := r.Series[i]
-		fmt.Printf("%6d %8d %8d %8d %8d %8d %8.0f%s\n", i, t.Asked, t.Served, t.Refused, t.Failed, t.Attempts, r.Latency.P99, happens(&s, i))
+		fmt.Printf("%6d %8d %8d %8d %8d %8d %8.0f%s\n", i, t.Asked, t.Served, t.Refused, t.Failed, t.Attempts, r.Latency.P99, faultEvents(&s, i))
 	}})
 	if err != nil {
 		return err
 	}
 	printSummary(os.Stdout, &r)
 	if r.BrokenTotal() > 0 {
-		return errBroken
+		return errRuleBroken
 	}
-	fmt.Println("All rules were kept: one final answer for each request, no forbidden repeat, drains and cold servers respected.")
+	fmt.Println("All rules were kept: one final response for each request, no forbidden retry, drains and cold servers respected.")
 	return nil
 }
 
-// happens says which faults begin or end in a second.
-func happens(s *scenario.Scenario, second int) string {
+// faultEvents returns the text on the faults that begin or end in a second of the run; empty if there are none.
+func faultEvents(s *scenario.Scenario, second int) string {
 	text := ""
 	for i := range s.Faults {
 		f := &s.Faults[i]
--- a/cmd/portstall/descriptors_test.go
+++ b/cmd/portstall/descriptors_test.go
@@ -17,17 +17,19 @@
 	"time"
 )
 
-// storm is clients that connect and say nothing, or ask once, and come again when they are closed: they hold all that they get.
-type storm struct {
-	refused atomic.Int64 // connections that were closed on them
-	stop    chan struct{}
-	wg      sync.WaitGroup
+// idleClients are clients that connect, send nothing or one text, hold the connection for as long as they can, and
+// connect again once it is closed.
+type idleClients struct {
+	closedByServer atomic.Int64 // number of connections that the node closed
+	stop           chan struct{}
+	wg             sync.WaitGroup
 }
 
-func newStorm(t *testing.T, addr string, clients int, text string) *storm {
-	s := &storm{stop: make(chan struct{})}
+// startIdleClients starts clients that connect to an address and send this text. They end with the test.
+func startIdleClients(t *testing.T, addr string, clients int, text string) *idleClients {
+	s := &idleClients{stop: make(chan struct{})}
 	for range clients {
-		s.wg.Go(func() { s.sit(addr, text) })
+		s.wg.Go(func() { s.holdConnection(addr, text) })
 	}
 	t.Cleanup(func() {
 		close(s.stop)
@@ -36,7 +38,8 @@
 	return s
 }
 
-func (s *storm) sit(addr, text string) {
+// holdConnection is the loop of one client.
+func (s *idleClients) holdConnection(addr, text string) {
 	for {
 		select {
 		case <-s.stop:
@@ -48,33 +51,35 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		over := make(chan struct{})
+		closed := make(chan struct{})
 		go func() {
 			select {
 			case <-s.stop:
 				c.Close()
-			case <-over:
+			case <-closed:
 			}
 		}()
 		io.WriteString(c, text)
 		io.Copy(io.Discard, c)
-		close(over)
+		close(closed)
 		c.Close()
-		s.refused.Add(1)
+		s.closedByServer.Add(1)
 	}
 }
 
-// news is a discovery that is down until it opens.
-type news struct {
-	addr string
-	list string
-	told chan struct{} // closed once it has answered with its list
+// delayedDiscovery is a discovery that does not listen until open is called.
+type delayedDiscovery struct {
+	addr     string
+	list     string
+	listSent chan struct{} // closed once it has sent its list
 }
 
-func newNews(t *testing.T, list string) *news { return &news{freeAddr(t), list, make(chan struct{})} }
+func newDelayedDiscovery(t *testing.T, list string) *delayedDiscovery {
+	return &delayedDiscovery{freeAddr(t), list, make(chan struct{})}
+}
 
-// open brings it up. It tells its list to who has an older one, and lets watches of who has it wait.
-func (d *news) open(t *testing.T, version string) {
+// open starts to listen. It sends the list to callers with an older version, and holds the watches of callers that have it.
+func (d *delayedDiscovery) open(t *testing.T, version string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", d.addr)
 	if err != nil {
@@ -87,47 +92,48 @@
 			return
 		}
 		io.WriteString(w, d.list)
-		once.Do(func() { close(d.told) })
+		once.Do(func() { close(d.listSent) })
 	})}}
 	s.Start()
 	t.Cleanup(s.Close)
 }
 
-// known is a client that keeps its connection, and makes a new one where the node has closed it between two requests.
-type known struct {
-	addr    string
-	conn    net.Conn
-	in      *bufio.Reader
-	ids     int
-	crossed int // requests that were refused on a connection that is held
+// persistentClient is a client that keeps its connection, and opens a new one if the node closed it between two requests.
+type persistentClient struct {
+	addr             string
+	conn             net.Conn
+	in               *bufio.Reader
+	lastID           int // number in the latest request's id
+	refusedWhileHeld int // requests that were refused on a connection that was open before
 }
 
-// ask returns the answer's status and body. It asks on the connection that is held, and again on a new one only where that was closed
-// with nothing said, or its request refused as one too many: of a new one in the moment in which it comes, as of any other of the storm;
-// of one that is held where it makes room for another in the moment in which its request comes (TestRoomIsMadeAmidARequest in
-// internal/node forces that): once at most, as that moment lies between two lines. Nothing else than an answer of a server is good.
-func (k *known) ask(t *testing.T) (int, string) {
+// request sends a request and returns the status and body of the response of a web server. It uses the open connection,
+// and tries again on a new one only in two cases: the node closed the connection without a response, or it refused the
+// request with "too many connections". A new connection may be refused like any idle client's. An open one may be refused
+// if the node closes it in favour of another at the moment at which its request arrives (a test in internal/node forces
+// this); that moment is so short that it is accepted once at most.
+func (client *persistentClient) request(t *testing.T) (int, string) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
-		held := k.conn != nil
-		if !held {
-			c, err := net.Dial("tcp", k.addr)
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+		wasOpen := client.conn != nil
+		if !wasOpen {
+			c, err := net.Dial("tcp", client.addr)
 			if err != nil {
 				time.Sleep(time.Millisecond)
 				continue
 			}
 			t.Cleanup(func() { c.Close() })
-			k.conn, k.in = c, bufio.NewReader(c)
+			client.conn, client.in = c, bufio.NewReader(c)
 		}
-		k.ids++
-		k.conn.SetDeadline(time.Now().Add(patience))
-		fmt.Fprintf(k.conn, "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: known-%d\r\nX-Class: a\r\nX-Deadline: 50000m\r\n\r\n", k.ids)
-		if _, err := k.in.Peek(1); err != nil {
-			k.conn.Close()
-			k.conn = nil
+		client.lastID++
+		client.conn.SetDeadline(time.Now().Add(testTimeout))
+		fmt.Fprintf(client.conn, "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: known-%d\r\nX-Class: a\r\nX-Deadline: 50000m\r\n\r\n", client.lastID)
+		if _, err := client.in.Peek(1); err != nil {
+			client.conn.Close()
+			client.conn = nil
 			continue
 		}
-		resp, err := http.ReadResponse(k.in, nil)
+		resp, err := http.ReadResponse(client.in, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,27 +142,27 @@
 			t.Fatal(err)
 		}
 		if resp.Close {
-			k.conn.Close()
-			k.conn = nil
+			client.conn.Close()
+			client.conn = nil
 		}
 		if resp.Close && resp.StatusCode == http.StatusServiceUnavailable && string(body) == "too many connections\n" {
-			if held {
-				k.crossed++
+			if wasOpen {
+				client.refusedWhileHeld++
 			}
-			if k.crossed > 1 {
-				t.Fatalf("refused %d times on a connection that is held", k.crossed)
+			if client.refusedWhileHeld > 1 {
+				t.Fatalf("refused %d times on an open connection", client.refusedWhileHeld)
 			}
 			time.Sleep(time.Millisecond)
 			continue
 		}
 		return resp.StatusCode, string(body)
 	}
-	t.Fatal("a known client is not answered")
+	t.Fatal("the persistent client gets no response")
 	return 0, ""
 }
 
-// descriptors is how many a process holds.
-func descriptors(t *testing.T, pid int) int {
+// openDescriptors returns the number of open file descriptors of a process.
+func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -165,14 +171,15 @@
 	return len(all)
 }
 
-// Idle clients hold all that they can get while discovery is down, operators' connections too. When it is back the node has its
-// list and a connection to the server that is new there without luck: no call to the system for a descriptor fails, of discovery,
-// of a web server, nor of a file that SIGHUP names. So in a process that starts amid them, and with another discovery; where the
-// file tells the limit that the system sets, and where the system's is less than the file tells.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	bin := built(t)
-	for _, told := range []int{72, 1024} {
-		t.Run(fmt.Sprintf("%d told", told), func(t *testing.T) {
+// Idle clients take all connections that they can get while discovery is down, also on the management address. Once
+// discovery is back the node must get its list and reliably connect to the new web server in it: no system call fails for
+// want of a descriptor, neither for discovery, nor for a web server, nor for the file that is read on SIGHUP. The same
+// holds for a process that starts among such clients and for a change to another discovery; both where the configuration
+// states the system's limit and where the system's limit is lower than the configuration states.
+func TestIdleClientsLeaveDescriptorsForNode(t *testing.T) {
+	bin := buildBinary(t)
+	for _, configured := range []int{72, 1024} {
+		t.Run(fmt.Sprintf("%d sockets configured", configured), func(t *testing.T) {
 			t.Parallel()
 			const limit = 72
 			serve := func(name string) *httptest.Server {
@@ -190,30 +197,30 @@
 			}
 			file := func(discovery string) string {
 				return fmt.Sprintf(`{"seed":"8c1f30d27a5be964","discovery":%q,"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-					discovery, told, list(1, entry(a, "s-a", "Ready")), settings)
+					discovery, configured, list(1, entry(a, "s-a", "Ready")), settingsJSON)
 			}
-			first := newNews(t, list(2, entry(a, "s-a", "Terminating"), entry(b, "s-b", "Ready")))
-			second := newNews(t, list(3, entry(a, "s-a", "Terminating"), entry(b, "s-b", "Terminating"), entry(c, "s-c", "Ready")))
-			p := &program{addr: freeAddr(t), config: write(t, file(first.addr))}
+			first := newDelayedDiscovery(t, list(2, entry(a, "s-a", "Terminating"), entry(b, "s-b", "Ready")))
+			second := newDelayedDiscovery(t, list(3, entry(a, "s-a", "Terminating"), entry(b, "s-b", "Terminating"), entry(c, "s-c", "Ready")))
+			p := &process{addr: freeAddr(t), config: writeConfig(t, file(first.addr))}
 			launch := func() {
 				p.cmd = exec.Command("sh", "-c", `ulimit -n "$0" && exec "$1" node`, fmt.Sprint(limit), bin)
-				p.run(t, "GW_LISTEN="+p.addr, "GW_DISCOVERY="+first.addr)
+				p.startAndWaitReady(t, "GW_LISTEN="+p.addr, "GW_DISCOVERY="+first.addr)
 			}
-			full := func(s *storm) {
+			waitUntilFull := func(s *idleClients) {
 				t.Helper()
-				for end, from := time.Now().Add(patience), s.refused.Load(); s.refused.Load() < from+limit; time.Sleep(time.Millisecond) {
+				for end, from := time.Now().Add(testTimeout), s.closedByServer.Load(); s.closedByServer.Load() < from+limit; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						t.Fatalf("idle clients find room without end; %d descriptors", descriptors(t, p.cmd.Process.Pid))
+						t.Fatalf("the node never closes a connection of idle clients; %d descriptors are open", openDescriptors(t, p.cmd.Process.Pid))
 					}
 				}
 			}
-			k := &known{addr: p.addr}
+			client := &persistentClient{addr: p.addr}
 			served := func(by string) {
 				t.Helper()
-				for end := time.Now().Add(patience); ; {
-					status, body := k.ask(t)
+				for end := time.Now().Add(testTimeout); ; {
+					status, body := client.request(t)
 					if status != 200 {
-						t.Fatalf("a known client is answered %d %q\n%s", status, body, p.log.String())
+						t.Fatalf("the persistent client gets %d %q\n%s", status, body, p.log.String())
 					}
 					if body == by {
 						return
@@ -223,50 +230,50 @@
 					}
 				}
 			}
-			heard := func(d *news) {
+			waitForList := func(d *delayedDiscovery) {
 				t.Helper()
 				select {
-				case <-d.told:
-				case <-time.After(patience):
-					t.Fatalf("discovery is not asked\n%s", p.log.String())
+				case <-d.listSent:
+				case <-time.After(testTimeout):
+					t.Fatalf("discovery receives no request\n%s", p.log.String())
 				}
 			}
 
 			launch()
 			served("a")
-			idle := newStorm(t, p.addr, 4*limit, "")
-			newStorm(t, p.mgmt, limit, "")
-			full(idle)
+			idle := startIdleClients(t, p.addr, 4*limit, "")
+			startIdleClients(t, p.mgmt, limit, "")
+			waitUntilFull(idle)
 			served("a")
 			p.cmd.Process.Kill()
 			<-p.exited
-			launch() // amid those that come again
-			full(idle)
+			launch() // while the idle clients connect again
+			waitUntilFull(idle)
 			served("a")
 			first.open(t, "2")
-			heard(first)
+			waitForList(first)
 			served("b")
 
 			if err := os.WriteFile(p.config, []byte(file(second.addr)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			full(idle)
+			waitUntilFull(idle)
 			if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
-			for end := time.Now().Add(patience); !strings.Contains(p.log.String(), "following another discovery"); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); !strings.Contains(p.log.String(), "following another discovery"); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("SIGHUP is not taken\n%s", p.log.String())
+					t.Fatalf("SIGHUP has no effect\n%s", p.log.String())
 				}
 			}
 			second.open(t, "3")
-			heard(second)
+			waitForList(second)
 			served("c")
 			if strings.Contains(p.log.String(), syscall.EMFILE.Error()) {
-				t.Errorf("a descriptor was not to be had\n%s", p.log.String())
+				t.Errorf("a system call failed for want of a descriptor\n%s", p.log.String())
 			}
-			if n := descriptors(t, p.cmd.Process.Pid); n > limit {
-				t.Errorf("%d descriptors", n)
+			if n := openDescriptors(t, p.cmd.Process.Pid); n > limit {
+				t.Errorf("%d descriptors are open, over the limit", n)
 			}
 		})
 	}
--- a/cmd/portstall/keys.go
+++ b/cmd/portstall/keys.go
@@ -11,17 +11,20 @@
 	"portstall/internal/node"
 )
 
+// keysCmd is the keys command.
 type keysCmd struct {
-	Make keysMakeCmd `cmd:"" help:"Make a key file, readable by its owner alone, and print the public half."`
-	Show keysShowCmd `cmd:"" help:"Print the public half of a key file."`
-	Next keysNextCmd `cmd:"" help:"Make the key that is to follow, and print its public half: it goes into every node's file beside the old one."`
-	Roll keysRollCmd `cmd:"" help:"Use the key that is to follow, once every node has read the file. Then reload this node."`
+	Make keysMakeCmd `cmd:"" help:"Create a key file, readable by its owner only, and print the public key."`
+	Show keysShowCmd `cmd:"" help:"Print the public key of a key file."`
+	Next keysNextCmd `cmd:"" help:"Create the next key and print its public key, which is added to every node's file beside the old one."`
+	Roll keysRollCmd `cmd:"" help:"Start to use the next key, once every node has read its file. Reload this node afterwards."`
 }
 
+// keyFile is the argument of the keys commands.
 type keyFile struct {
 	File string `arg:"" help:"The key file."`
 }
 
+// The commands below keys.
 type (
 	keysMakeCmd struct{ keyFile }
 	keysShowCmd struct{ keyFile }
@@ -29,30 +32,38 @@
 	keysRollCmd struct{ keyFile }
 )
 
-// printed prints the public half that a step has led to.
-func printed(public string, err error) error {
+// printPublic prints a public key, unless err is set, and returns err.
+func printPublic(public string, err error) error {
 	if err == nil {
 		fmt.Println(public)
 	}
 	return err
 }
 
-func (c keysMakeCmd) Run() error { return printed(member.MakeKey(c.File)) }
-func (c keysNextCmd) Run() error { return printed(member.NextKey(c.File)) }
-func (c keysRollCmd) Run() error { return printed(member.UseNext(c.File)) }
+// Run creates a key file.
+func (c keysMakeCmd) Run() error { return printPublic(member.MakeKey(c.File)) }
 
+// Run creates the next key.
+func (c keysNextCmd) Run() error { return printPublic(member.NextKey(c.File)) }
+
+// Run replaces the key by the next one.
+func (c keysRollCmd) Run() error { return printPublic(member.UseNext(c.File)) }
+
+// Run prints the public key of a key file.
 func (c keysShowCmd) Run() error {
 	key, err := member.ReadKey(c.File)
 	if err != nil {
 		return err
 	}
-	return printed(member.PublicText(key), nil)
+	return printPublic(member.PublicText(key), nil)
 }
 
+// membersCmd is the members command.
 type membersCmd struct {
 	Mgmt string `required:"" help:"The node's management address, host:port."`
 }
 
+// Run reads the members from a node's management address and prints them.
 func (c membersCmd) Run() error {
 	resp, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + c.Mgmt + "/-/members")
 	if err != nil {
@@ -64,14 +75,14 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: no members there: does its file have any? (%s)", c.Mgmt, resp.Status)
+		return fmt.Errorf("%s: the node has no members; check members in its configuration (%s)", c.Mgmt, resp.Status)
 	}
-	var all node.Members
-	if err := json.Unmarshal(text, &all); err != nil {
+	var members node.Members
+	if err := json.Unmarshal(text, &members); err != nil {
 		return fmt.Errorf("%s: %w", c.Mgmt, err)
 	}
-	fmt.Printf("%s knows %d alive, itself included; slowness %d, %d bytes sent\n", all.Name, all.Alive, all.Slowness, all.Sent)
-	for _, m := range all.Members {
+	fmt.Printf("%s: %d members alive including itself; slowness %d, %d bytes sent\n", members.Name, members.Alive, members.Slowness, members.Sent)
+	for _, m := range members.Members {
 		fmt.Println(m)
 	}
 	return nil
--- a/cmd/portstall/lab.go
+++ b/cmd/portstall/lab.go
@@ -25,38 +25,41 @@
 	"portstall/internal/lab/scenario"
 )
 
+// labCmd is the lab command.
 type labCmd struct {
-	Run     labRunCmd     `cmd:"" help:"Run a scenario, or an experiment of many, and check rules and bounds."`
-	Compare labCompareCmd `cmd:"" help:"Print paired differences between two policies, or between two files of results."`
-	Replay  labReplayCmd  `cmd:"" help:"Play one run again with every broken rule's story; shrink drawn faults to those that matter."`
-	Load    labLoadCmd    `cmd:"" help:"Send a scenario's load to a node that runs."`
-	List    labListCmd    `cmd:"" help:"List the library's scenarios."`
-	Faults  labFaultsCmd  `cmd:"" help:"List the kinds of faults and the figures that each reads."`
-	Scale   labScaleCmd   `cmd:"" help:"Try the control side at full size: slopes beside budgets, and a fleet through faults."`
+	Run     labRunCmd     `cmd:"" help:"Run a scenario or an experiment, and check rules and bounds."`
+	Compare labCompareCmd `cmd:"" help:"Print paired differences between two policies or two files of results."`
+	Replay  labReplayCmd  `cmd:"" help:"Repeat one run with a trace of each broken rule; reduce random faults to those that are needed to break it."`
+	Load    labLoadCmd    `cmd:"" help:"Send a scenario's load to running nodes."`
+	List    labListCmd    `cmd:"" help:"List the scenarios of the library."`
+	Faults  labFaultsCmd  `cmd:"" help:"List the kinds of faults and the settings of each."`
+	Scale   labScaleCmd   `cmd:"" help:"Test control processes and nodes at full size: growth of costs against budgets, and a fleet under faults."`
 
-	ScaleWorker labScaleWorkerCmd `cmd:"" hidden:"" help:"A process of lab scale."`
+	ScaleWorker labScaleWorkerCmd `cmd:"" hidden:"" help:"A worker process of lab scale."`
 }
 
-// errBroken is a rule or a bound that does not hold. What is broken was printed before.
-var errBroken = errors.New("a rule or a bound is broken")
+// errRuleBroken reports that a rule or a bound does not hold. The details have been printed before it is returned.
+var errRuleBroken = errors.New("a rule or a bound is broken")
 
-// interruptible ends on SIGINT and SIGTERM.
-func interruptible() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends on SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// labRunCmd is the lab run command.
 type labRunCmd struct {
 	Name    string   `arg:"" help:"A scenario of the library, a scenario file or an experiment file."`
-	Policy  []string `help:"Policies to play, in place of the file's." placeholder:"NAME"`
-	Seeds   string   `help:"Seeds such as 1,2,5-8, in place of the file's."`
-	Draw    string   `help:"Seeds for which faults are drawn, in place of the file's."`
+	Policy  []string `help:"Policies to run, instead of the file's." placeholder:"NAME"`
+	Seeds   string   `help:"Seeds such as 1,2,5-8, instead of the file's."`
+	Draw    string   `help:"Seeds for random faults, instead of the file's seeds and faults."`
 	Engine  string   `enum:"model,rig" default:"model" help:"model: virtual time. rig: real sockets and processes, in real time."`
-	Workers int      `default:"0" help:"Runs side by side; 0: one a core."`
+	Workers int      `default:"0" help:"Concurrent runs; 0: one per core."`
 	JSON    string   `name:"json" help:"Write results as JSON lines to this file." placeholder:"FILE"`
 	HTML    string   `name:"html" help:"Write a report to this file." placeholder:"FILE"`
-	Quiet   bool     `help:"No progress."`
+	Quiet   bool     `help:"Show no progress."`
 }
 
+// Run prints the table of results and what is broken. It returns errRuleBroken if anything is.
 func (c *labRunCmd) Run() error {
 	e, runs, err := c.plan()
 	if err != nil {
@@ -64,7 +67,7 @@
 	}
 	var results []measure.Result
 	if c.Engine == "rig" {
-		results, err = c.onRig(runs)
+		results, err = c.runOnRig(runs)
 	} else {
 		workers := c.Workers
 		if workers == 0 {
@@ -83,7 +86,7 @@
 	}
 	experiment.Table(os.Stdout, results)
 	broken := e.Broken(results)
-	if err := c.write(e.Name, results, broken); err != nil {
+	if err := c.writeResults(e.Name, results, broken); err != nil {
 		return err
 	}
 	if len(broken) == 0 {
@@ -94,14 +97,14 @@
 	}
 	for i := range results {
 		if r := &results[i]; r.Policy == "portstall" && len(r.Breaches) > 0 {
-			fmt.Printf("\nseed %d: %s\nonce more: %s\n", r.Seed, r.Breaches[0], c.replayOf(r))
+			fmt.Printf("\nseed %d: %s\nto repeat: %s\n", r.Seed, r.Breaches[0], c.replayCommand(r))
 		}
 	}
-	return errBroken
+	return errRuleBroken
 }
 
-// replayOf is the call that plays a run again.
-func (c *labRunCmd) replayOf(r *measure.Result) string {
+// replayCommand returns the command line that repeats a run.
+func (c *labRunCmd) replayCommand(r *measure.Result) string {
 	text := fmt.Sprintf("portstall lab replay %s --policy %s --seed %d", c.Name, r.Policy, r.Seed)
 	if c.Draw != "" {
 		text += " --draw --shrink"
@@ -109,7 +112,7 @@
 	return text
 }
 
-// plan says what is run.
+// plan reads the scenario or experiment and returns its runs, with the flags applied.
 func (c *labRunCmd) plan() (*experiment.Experiment, []experiment.Run, error) {
 	text, err := experiment.Read(c.Name)
 	if err != nil {
@@ -152,9 +155,9 @@
 	return e, runs, err
 }
 
-// onRig plays the runs one after the other, as each has the machine to itself.
-func (c *labRunCmd) onRig(runs []experiment.Run) ([]measure.Result, error) {
-	ctx, stop := interruptible()
+// runOnRig runs on real sockets, one run after the other, since concurrent runs would compete for the machine.
+func (c *labRunCmd) runOnRig(runs []experiment.Run) ([]measure.Result, error) {
+	ctx, stop := signalContext()
 	defer stop()
 	self, err := os.Executable()
 	if err != nil {
@@ -163,7 +166,7 @@
 	var results []measure.Result
 	for _, r := range runs {
 		if r.Policy != "portstall" {
-			return nil, usageError{fmt.Errorf("policy %s: the rig plays real nodes, which run portstall's", r.Policy)}
+			return nil, usageError{fmt.Errorf("policy %s: the rig runs real nodes, which only have the policy portstall", r.Policy)}
 		}
 		res, err := rig.Run(ctx, r.Scenario, rig.Options{Binary: self})
 		if err != nil {
@@ -175,20 +178,21 @@
 	return results, nil
 }
 
-// write keeps the results where the flags say.
-func (c *labRunCmd) write(name string, results []measure.Result, broken []string) error {
+// writeResults writes the results to the files that the flags name.
+func (c *labRunCmd) writeResults(name string, results []measure.Result, broken []string) error {
 	if c.JSON != "" {
-		if err := toFile(c.JSON, func(w io.Writer) error { return experiment.WriteLines(w, results) }); err != nil {
+		if err := writeFile(c.JSON, func(w io.Writer) error { return experiment.WriteLines(w, results) }); err != nil {
 			return err
 		}
 	}
 	if c.HTML != "" {
-		return toFile(c.HTML, func(w io.Writer) error { return experiment.Report(w, name, results, broken) })
+		return writeFile(c.HTML, func(w io.Writer) error { return experiment.Report(w, name, results, broken) })
 	}
 	return nil
 }
 
-func toFile(path string, write func(w io.Writer) error) error {
+// writeFile creates a file and writes it by a function.
+func writeFile(path string, write func(w io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -197,30 +201,32 @@
 	return errors.Join(write(w), w.Flush(), f.Close())
 }
 
+// labCompareCmd is the lab compare command.
 type labCompareCmd struct {
 	A        string `arg:"" help:"A policy, or a file of results."`
-	B        string `arg:"" help:"What it is compared with."`
-	Scenario string `default:"smoke" help:"Where A and B are policies: the scenario or experiment that both play."`
-	Seeds    string `default:"1-10" help:"And the seeds."`
+	B        string `arg:"" help:"The policy or file of results that A is compared with."`
+	Scenario string `default:"smoke" help:"The scenario or experiment that policies among A and B run."`
+	Seeds    string `default:"1-10" help:"The seeds of these runs."`
 }
 
+// Run prints the differences as a table.
 func (c *labCompareCmd) Run() error {
-	a, err := c.side(c.A)
+	a, err := c.results(c.A)
 	if err != nil {
 		return usageError{err}
 	}
-	b, err := c.side(c.B)
+	b, err := c.results(c.B)
 	if err != nil {
 		return usageError{err}
 	}
-	all, err := experiment.Compare(a, b)
+	differences, err := experiment.Compare(a, b)
 	if err != nil {
 		return usageError{err}
 	}
-	fmt.Printf("%d pairs; %s less %s, with 95%% confidence intervals\n", all[0].Pairs, c.B, c.A)
+	fmt.Printf("%d pairs; %s minus %s, with 95%% confidence intervals\n", differences[0].Pairs, c.B, c.A)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "measure\t%s\t%s\tdifference\tfrom\tto\t\t\n", c.A, c.B)
-	for _, d := range all {
+	for _, d := range differences {
 		mark := ""
 		if d.Clear() {
 			mark = "clear"
@@ -230,11 +236,11 @@
 	return w.Flush()
 }
 
-// side is one side of a comparison: the results in a file, or those of a policy played now.
-func (c *labCompareCmd) side(name string) ([]measure.Result, error) {
+// results returns one side of a comparison: the results in a file, or those of a policy that is run now.
+func (c *labCompareCmd) results(name string) ([]measure.Result, error) {
 	if _, err := peer.Lookup(name); err != nil {
-		if _, e := os.Stat(name); e != nil {
-			return nil, errors.Join(err, e)
+		if _, statErr := os.Stat(name); statErr != nil {
+			return nil, errors.Join(err, statErr)
 		}
 		return experiment.ReadLines(name)
 	}
@@ -245,20 +251,22 @@
 	return experiment.Play(runs, runtime.GOMAXPROCS(0), nil)
 }
 
+// labReplayCmd is the lab replay command.
 type labReplayCmd struct {
 	Name   string `arg:"" help:"A scenario of the library or a scenario file."`
 	Policy string `default:"portstall" help:"The policy that broke a rule."`
-	Seed   uint64 `help:"The run's seed; 0: the scenario's."`
-	Draw   bool   `help:"The faults were drawn by the seed."`
-	Shrink bool   `help:"Leave out faults for as long as a rule still breaks."`
+	Seed   uint64 `help:"The seed of the run; 0: the scenario's."`
+	Draw   bool   `help:"The run had random faults, derived from the seed."`
+	Shrink bool   `help:"Remove faults as long as a rule is still broken."`
 }
 
+// Run repeats the run and prints the trace of each broken rule. It returns errRuleBroken if there is one.
 func (c *labReplayCmd) Run() error {
 	s, err := experiment.Load(c.Name)
 	if err != nil {
 		return usageError{err}
 	}
-	make, err := peer.Lookup(c.Policy)
+	newPolicy, err := peer.Lookup(c.Policy)
 	if err != nil {
 		return usageError{err}
 	}
@@ -269,14 +277,14 @@
 		s = scenario.Draw(s, s.Seed)
 	}
 	play := func(s scenario.Scenario) (measure.Result, error) {
-		return model.Run(s, model.Options{Policy: c.Policy, Make: make, Stories: true})
+		return model.Run(s, model.Options{Policy: c.Policy, Make: newPolicy, Stories: true})
 	}
 	r, err := play(s)
 	if err != nil {
 		return err
 	}
 	if r.BrokenTotal() == 0 {
-		fmt.Printf("%s, seed %d: all rules are kept; %.3f of the worth is served; digest %s\n", s.Name, s.Seed, r.All.Share(), r.Digest)
+		fmt.Printf("%s, seed %d: all rules are kept; %.3f of the value is served; digest %s\n", s.Name, s.Seed, r.All.Share(), r.Digest)
 		return nil
 	}
 	if c.Shrink {
@@ -298,17 +306,19 @@
 	for _, b := range r.Breaches {
 		fmt.Println(b)
 	}
-	return errBroken
+	return errRuleBroken
 }
 
+// labLoadCmd is the lab load command.
 type labLoadCmd struct {
-	Name    string        `arg:"" help:"A scenario of the library or a scenario file, for its clients and classes."`
-	Addr    []string      `required:"" help:"Where nodes take clients, as host:port; loopback only." placeholder:"ADDR"`
-	Rate    float64       `help:"Requests a second, in place of the scenario's."`
-	For     time.Duration `help:"How long, in place of the scenario's."`
-	Timeout time.Duration `default:"10s" help:"How long the last answers are waited for."`
+	Name    string        `arg:"" help:"A scenario of the library or a scenario file, whose clients and classes are used."`
+	Addr    []string      `required:"" help:"Addresses at which nodes serve clients, host:port; loopback only." placeholder:"ADDR"`
+	Rate    float64       `help:"Requests per second, instead of the scenario's."`
+	For     time.Duration `help:"Duration, instead of the scenario's."`
+	Timeout time.Duration `default:"10s" help:"How long to wait for the last responses."`
 }
 
+// Run sends the load and prints a summary.
 func (c *labLoadCmd) Run() error {
 	s, err := experiment.Load(c.Name)
 	if err != nil {
@@ -323,7 +333,7 @@
 	if err := s.Check(); err != nil {
 		return usageError{err}
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	r, err := rig.Load(ctx, s, c.Addr)
 	if err != nil {
@@ -333,8 +343,10 @@
 	return nil
 }
 
+// labListCmd is the lab list command.
 type labListCmd struct{}
 
+// Run prints one line per scenario of the library.
 func (labListCmd) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, name := range deploylab.Names() {
@@ -347,8 +359,10 @@
 	return w.Flush()
 }
 
+// labFaultsCmd is the lab faults command.
 type labFaultsCmd struct{}
 
+// Run prints one line per kind of fault: its settings, and whether the model alone or also the rig can inject it.
 func (labFaultsCmd) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, kind := range scenario.KindNames() {
@@ -371,9 +385,9 @@
 	return w.Flush()
 }
 
-// printSummary prints what a run came to.
+// printSummary prints the totals of a run, its endings and classes, and the broken rules.
 func printSummary(w io.Writer, r *measure.Result) {
-	fmt.Fprintf(w, "\n%d asked, %d served (%d in time), %.1f%% of the worth; p50 %.0f ms, p99 %.0f ms\n", r.All.Asked, r.All.Served,
+	fmt.Fprintf(w, "\n%d asked, %d served (%d in time), %.1f%% of the value; p50 %.0f ms, p99 %.0f ms\n", r.All.Asked, r.All.Served,
 		r.All.InTime, 100*r.All.Share(), r.Latency.P50, r.Latency.P99)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, end := range measure.Endings {
@@ -383,7 +397,7 @@
 	}
 	for _, name := range scenario.Sorted(r.Classes) {
 		t := r.Classes[name]
-		fmt.Fprintf(tw, "  class %s\t%d asked\t%.1f%% of the worth in time\n", name, t.Asked, 100*t.Share())
+		fmt.Fprintf(tw, "  class %s\t%d asked\t%.1f%% of the value in time\n", name, t.Asked, 100*t.Share())
 	}
 	tw.Flush()
 	if r.BrokenTotal() == 0 {
--- a/cmd/portstall/main_test.go
+++ b/cmd/portstall/main_test.go
@@ -19,13 +19,13 @@
 	"portstall/internal/lab/standin"
 )
 
-const settings = `{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":20,"deadline_s":60,` +
+const settingsJSON = `{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":20,"deadline_s":60,` +
 	`"gain":1,"effect":"free","group":"all"}],"policy_limits":{"max_attempts":2,"connect_timeout_s":5}}`
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// built returns the path of a freshly built portstall.
-func built(t *testing.T) string {
+// buildBinary builds portstall and returns the path of the binary.
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "portstall")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -34,18 +34,19 @@
 	return bin
 }
 
-// processes makes the processes of one node, in turn: each is handed the clients' listening socket, has a list in its file, and a
-// discovery that tells it and nothing more. They are not started; env is what each is to be started with.
-func processes(t *testing.T, known string) (next func() (p *program, env []string)) {
+// newProcesses returns a function that creates the successive processes of one node. Each inherits the listening socket
+// for clients, has a server list in its configuration, and a discovery that serves this list and nothing else. The
+// processes are not started; env is the environment to start them with.
+func newProcesses(t *testing.T, known string) (next func() (p *process, env []string)) {
 	t.Helper()
-	registry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, known)
 			return
 		}
 		<-r.Context().Done()
 	}))
-	t.Cleanup(registry.Close)
+	t.Cleanup(discovery.Close)
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -56,16 +57,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	bin, tmp := built(t), t.TempDir()
-	text := fmt.Sprintf(`{"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, known, settings)
-	return func() (*program, []string) {
-		p := &program{addr: ln.Addr().String(), config: write(t, text), cmd: exec.Command(bin, "node")}
+	bin, tmp := buildBinary(t), t.TempDir()
+	text := fmt.Sprintf(`{"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, known, settingsJSON)
+	return func() (*process, []string) {
+		p := &process{addr: ln.Addr().String(), config: writeConfig(t, text), cmd: exec.Command(bin, "node")}
 		p.cmd.ExtraFiles = []*os.File{socket}
-		return p, []string{"GW_LISTEN=" + p.addr, "GW_DISCOVERY=" + registry.Listener.Addr().String(), "TMPDIR=" + tmp, "GW_ACCEPT_FD=3"}
+		return p, []string{"GW_LISTEN=" + p.addr, "GW_DISCOVERY=" + discovery.Listener.Addr().String(), "TMPDIR=" + tmp, "GW_ACCEPT_FD=3"}
 	}
 }
 
-func write(t *testing.T, text string) string {
+// writeConfig writes a text to a new file config.json and returns its path.
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -84,27 +86,29 @@
 	return addr
 }
 
-func TestStartsServesAndLeaves(t *testing.T) {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A node starts with an empty list, gets one from discovery, serves a request and ends well on SIGTERM.
+func TestNodeStartsServesAndTerminates(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
-	defer backend.Close()
-	discovery := newDiscovery(t, backend.Listener.Addr().String())
-	p := start(t, discovery.Listener.Addr().String(), "")
-	p.ask(t, "r1")
-	p.leave(t)
+	defer server.Close()
+	discovery := newStubDiscovery(t, server.Listener.Addr().String())
+	p := startNode(t, discovery.Listener.Addr().String(), "")
+	p.request(t, "r1")
+	p.terminate(t)
 }
 
-// SIGHUP used to end the program. It takes the file again: a bad one changes nothing, a good one's discovery goes
-// before GW_DISCOVERY, and one that comes during another or after SIGTERM does no harm.
-func TestReloads(t *testing.T) {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// SIGHUP once ended the process. It must make the node read its configuration again: an invalid one changes nothing, the
+// discovery address of a valid one goes before GW_DISCOVERY, and a SIGHUP during another reload or after SIGTERM does no
+// harm.
+func TestNodeReloadsOnSIGHUP(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
-	defer backend.Close()
-	first, second := newDiscovery(t, backend.Listener.Addr().String()), newDiscovery(t, backend.Listener.Addr().String())
-	p := start(t, first.Listener.Addr().String(), "")
-	first.wait(t)
+	defer server.Close()
+	first, second := newStubDiscovery(t, server.Listener.Addr().String()), newStubDiscovery(t, server.Listener.Addr().String())
+	p := startNode(t, first.Listener.Addr().String(), "")
+	first.waitForRequest(t)
 	replace := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
@@ -115,97 +119,101 @@
 		}
 	}
 	replace("{")
-	for end := time.Now().Add(patience); !strings.Contains(p.log.String(), "keeping the old one"); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(p.log.String(), "keeping the old one"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("nothing logged of a bad file\n%s", p.log.String())
+			t.Fatalf("the invalid file is not logged\n%s", p.log.String())
 		}
 	}
-	p.ask(t, "r1")
-	replace(config(second.Listener.Addr().String()))
+	p.request(t, "r1")
+	replace(configJSON(second.Listener.Addr().String()))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	second.wait(t)
-	p.ask(t, "r2")
+	second.waitForRequest(t)
+	p.request(t, "r2")
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.leave(t)
+	p.terminate(t)
 }
 
-// discovery is one that tells a single backend to whoever does not have it, and lets watches of who has it wait.
-type discovery struct {
+// stubDiscovery is a discovery with a list of one web server. It answers callers that have an older version, and holds the
+// watches of callers that have this one.
+type stubDiscovery struct {
 	*httptest.Server
-	asked chan struct{}
+	requests chan struct{} // one value for each request
 }
 
-func newDiscovery(t *testing.T, backend string) *discovery {
-	d := &discovery{asked: make(chan struct{}, 100)}
+// newStubDiscovery starts a discovery whose web server has this address.
+func newStubDiscovery(t *testing.T, serverAddr string) *stubDiscovery {
+	d := &stubDiscovery{requests: make(chan struct{}, 100)}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.asked <- struct{}{}
+		d.requests <- struct{}{}
 		if r.URL.Query().Get("since") == "2" {
 			<-r.Context().Done()
 			return
 		}
 		fmt.Fprintf(w, `{"version":2,"full":true,"servers":[{"id":"s-1","addr":%q,"zone":"n","kind":"k","cell":0,`+
-			`"state":"Ready","weight":1,"started_ms":0}]}`, backend)
+			`"state":"Ready","weight":1,"started_ms":0}]}`, serverAddr)
 	}))
 	t.Cleanup(d.Close)
 	return d
 }
 
-// wait returns once the discovery has been asked.
-func (d *discovery) wait(t *testing.T) {
+// waitForRequest returns once the discovery has received a request.
+func (d *stubDiscovery) waitForRequest(t *testing.T) {
 	t.Helper()
 	select {
-	case <-d.asked:
-	case <-time.After(patience):
-		t.Fatal("discovery is not asked")
+	case <-d.requests:
+	case <-time.After(testTimeout):
+		t.Fatal("discovery receives no request")
 	}
 }
 
-func config(discovery string) string {
+// configJSON returns a node's configuration with an empty server list.
+func configJSON(discovery string) string {
 	return fmt.Sprintf(`{"seed":"8c1f30d27a5be964","discovery":%q,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`+
-		`"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, settings)
+		`"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, settingsJSON)
 }
 
-// logText is what a program has written so far.
-type logText struct {
+// logBuffer collects what a process writes; safe for concurrent use.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// program is a portstall node that runs and is ready.
-type program struct {
+// process is a portstall process: a node, or with the fields cmd, log and exited alone any other command.
+type process struct {
 	addr, config string
 	mgmt         string
 	cmd          *exec.Cmd
-	log          logText
+	log          logBuffer
 	exited       chan error
 }
 
-// start starts one with discovery in GW_DISCOVERY and inFile in its file.
-func start(t *testing.T, discovery, inFile string) *program {
+// startNode starts a node with discovery in GW_DISCOVERY and discoveryInFile in its configuration, and waits until it is
+// ready.
+func startNode(t *testing.T, discovery, discoveryInFile string) *process {
 	t.Helper()
-	p := &program{addr: freeAddr(t), config: write(t, config(inFile)), cmd: exec.Command(built(t), "node")}
-	p.run(t, "GW_LISTEN="+p.addr, "GW_DISCOVERY="+discovery)
+	p := &process{addr: freeAddr(t), config: writeConfig(t, configJSON(discoveryInFile)), cmd: exec.Command(buildBinary(t), "node")}
+	p.startAndWaitReady(t, "GW_LISTEN="+p.addr, "GW_DISCOVERY="+discovery)
 	return p
 }
 
-// run runs the program and returns once operators are told that it takes clients.
-func (p *program) run(t *testing.T, env ...string) {
+// startAndWaitReady starts the process and returns once its management address reports that it is ready.
+func (p *process) startAndWaitReady(t *testing.T, env ...string) {
 	t.Helper()
-	p.launch(t, env...)
-	operator := http.Client{Timeout: patience} // a node that can't answer is a failure with its log, not a test that hangs
+	p.startProcess(t, env...)
+	operator := http.Client{Timeout: testTimeout} // a node that hangs fails the test with its log
 	ready := func() bool {
 		resp, err := operator.Get("http://" + p.mgmt + "/-/ready")
 		if err != nil {
@@ -214,20 +222,20 @@
 		resp.Body.Close()
 		return resp.StatusCode == 200
 	}
-	for end := time.Now().Add(patience); !ready(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ready(); time.Sleep(10 * time.Millisecond) {
 		select {
 		case err := <-p.exited:
-			t.Fatalf("ended: %v\n%s", err, p.log.String())
+			t.Fatalf("the process has exited: %v\n%s", err, p.log.String())
 		default:
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not ready\n%s", p.log.String())
+			t.Fatalf("the node does not become ready\n%s", p.log.String())
 		}
 	}
 }
 
-// call makes an operator's call.
-func (p *program) call(t *testing.T, path string) {
+// operatorCall makes a management call, which must succeed.
+func (p *process) operatorCall(t *testing.T, path string) {
 	t.Helper()
 	resp, err := http.Post("http://"+p.mgmt+path, "", nil)
 	if err != nil {
@@ -235,12 +243,12 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != 200 {
-		t.Errorf("%s: answered %d", path, resp.StatusCode)
+		t.Errorf("%s: status %d, want 200", path, resp.StatusCode)
 	}
 }
 
-// ask wants a request under id served.
-func (p *program) ask(t *testing.T, id string) {
+// request sends a request with this id, which must be served.
+func (p *process) request(t *testing.T, id string) {
 	t.Helper()
 	req, _ := http.NewRequest("GET", "http://"+p.addr+"/api", nil)
 	for name, value := range map[string]string{"X-Request-Id": id, "X-Class": "a", "X-Deadline": "50000m"} {
@@ -253,12 +261,12 @@
 	body, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != 200 || string(body) != "made for "+id {
-		t.Errorf("answered %d %q", resp.StatusCode, body)
+		t.Errorf("response %d %q, want 200 from the web server", resp.StatusCode, body)
 	}
 }
 
-// leave wants the program to end well after SIGTERM.
-func (p *program) leave(t *testing.T) {
+// terminate sends SIGTERM, on which the process must exit with code 0.
+func (p *process) terminate(t *testing.T) {
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -266,13 +274,14 @@
 		if err != nil {
 			t.Errorf("after SIGTERM: %v\n%s", err, p.log.String())
 		}
-	case <-time.After(patience):
-		t.Error("does not end after SIGTERM")
+	case <-time.After(testTimeout):
+		t.Error("the process does not exit after SIGTERM")
 	}
 }
 
-func TestBadConfig(t *testing.T) {
-	bin := built(t)
+// A node with an invalid configuration exits with a failure and one line on standard error that names the field.
+func TestNodeRejectsBadConfiguration(t *testing.T) {
+	bin := buildBinary(t)
 	for _, c := range []struct{ text, want string }{
 		{`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`, "settings"},
 		{`{"listen":7}`, "listen"},
@@ -281,7 +290,7 @@
 		cmd := exec.Command(bin, "node")
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
-		cmd.Env = append(os.Environ(), "GW_CONFIG="+write(t, c.text))
+		cmd.Env = append(os.Environ(), "GW_CONFIG="+writeConfig(t, c.text))
 		err := cmd.Run()
 		text := stderr.String()
 		if err == nil || !strings.Contains(text, c.want) || strings.Count(text, "\n") != 1 {
--- a/cmd/portstall/node.go
+++ b/cmd/portstall/node.go
@@ -10,12 +10,13 @@
 	"portstall/internal/node"
 )
 
-// nodeCmd runs a node. SIGHUP makes it read its configuration again; it ends on SIGTERM once all that it has taken is
-// answered.
+// nodeCmd is the node command, which runs a node. SIGHUP makes it read its configuration again. On SIGTERM it ends once all
+// accepted requests have been answered.
 type nodeCmd struct{}
 
+// Run serves until SIGTERM or an interrupt. A configuration that can't be loaded is a usage error.
 func (nodeCmd) Run(c *cli) error {
-	hup := make(chan os.Signal, 1) // holds one: another during a reload makes for one more reading
+	hup := make(chan os.Signal, 1) // capacity 1: a signal during a reload causes one more reload
 	signal.Notify(hup, syscall.SIGHUP)
 	cfg, err := node.Load(os.Getenv)
 	if err != nil {
@@ -25,13 +26,13 @@
 	defer stop()
 	log := c.logger().With("node", cfg.Name)
 	reload := make(chan node.Change)
-	go reread(ctx, hup, cfg, reload, log)
+	go reloadOnSignal(ctx, hup, cfg, reload, log)
 	return node.Run(ctx, cfg, reload, log)
 }
 
-// reread passes on the configuration as it is after each SIGHUP, until ctx ends. One that is bad, by itself or as the node
-// finds, changes nothing, and the next one is held against the one in force.
-func reread(ctx context.Context, hup <-chan os.Signal, inForce node.Config, reload chan<- node.Change, log *slog.Logger) {
+// reloadOnSignal reads the configuration after each SIGHUP and passes it to the node, until ctx ends. A configuration
+// that is invalid, or that the node rejects, changes nothing: the next one is checked against the one in force.
+func reloadOnSignal(ctx context.Context, hup <-chan os.Signal, inForce node.Config, reload chan<- node.Change, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
@@ -40,17 +41,17 @@
 		}
 		cfg, err := node.Reload(os.Getenv, inForce)
 		if err != nil {
-			log.Error("the new configuration is bad; keeping the old one", "err", err)
+			log.Error("new configuration rejected; keeping the old one", "err", err)
 			continue
 		}
-		taken := make(chan error, 1)
+		applied := make(chan error, 1)
 		select {
-		case reload <- node.Change{Config: cfg, Taken: taken}:
+		case reload <- node.Change{Config: cfg, Taken: applied}:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case err := <-taken:
+		case err := <-applied:
 			if err == nil {
 				inForce = cfg
 			}
--- a/cmd/portstall/scale.go
+++ b/cmd/portstall/scale.go
@@ -14,18 +14,20 @@
 	"portstall/internal/lab/scale"
 )
 
+// labScaleCmd is the lab scale command.
 type labScaleCmd struct {
 	Name  string `arg:"" optional:"" default:"full" help:"A plan of the library (full, quick, small) or a plan file."`
-	Quick bool   `help:"The plan quick, in place of the one that is named: within 60 s."`
-	JSON  string `name:"json" help:"Write all that was found to this file." placeholder:"FILE"`
+	Quick bool   `help:"Run the plan quick instead of the named one; takes at most 60 s."`
+	JSON  string `name:"json" help:"Write all results to this file." placeholder:"FILE"`
 
-	Beside  string        `help:"Hold what a request takes at full size beside an older build's, by its binary, in place of the plan." placeholder:"BINARY"`
-	Round   time.Duration `default:"10s" help:"With beside: a quiet round, or one with ten changes of the configuration a second."`
-	Rounds  int           `default:"4" help:"With beside: so many of each, 1 to 100."`
-	Tenants int           `default:"0" help:"With beside: contracts in force, in place of the plan's size."`
+	Beside  string        `help:"Instead of running the plan, compare the cost of a request at full size with that of an older build, given by its binary." placeholder:"BINARY"`
+	Round   time.Duration `default:"10s" help:"With --beside: duration of a round, without changes or with ten configuration changes per second."`
+	Rounds  int           `default:"4" help:"With --beside: number of rounds of each sort, 1 to 100."`
+	Tenants int           `default:"0" help:"With --beside: number of contracts, instead of the plan's size."`
 }
 
-// Run plays a plan: exit code 1 where a budget that must hold is passed, or a bound of the run.
+// Run runs a plan. It returns errRuleBroken if a mandatory budget or a bound of the run is exceeded. What was measured is
+// printed and written even if the run ended early.
 func (c *labScaleCmd) Run() error {
 	if c.Quick {
 		c.Name = "quick"
@@ -34,7 +36,7 @@
 	if !known {
 		var err error
 		if text, err = os.ReadFile(c.Name); err != nil {
-			return usageError{fmt.Errorf("%q is no plan of the library, %v, and no file: %w", c.Name, deployscale.Names(), err)}
+			return usageError{fmt.Errorf("%q is neither a plan of the library, %v, nor a file: %w", c.Name, deployscale.Names(), err)}
 		}
 	}
 	plan, err := scale.Parse(c.Name, text)
@@ -45,15 +47,15 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	if c.Beside != "" {
-		return c.beside(ctx, plan, self)
+		return c.compareBuilds(ctx, plan, self)
 	}
 	report, err := scale.Run(ctx, plan, scale.Options{Binary: self, Tell: os.Stderr})
-	if report != nil { // also where the run came to an end before its time
+	if report != nil { // also if the run ended early
 		if c.JSON != "" {
-			err = errors.Join(err, toFile(c.JSON, func(w io.Writer) error { return report.WriteJSON(w) }))
+			err = errors.Join(err, writeFile(c.JSON, func(w io.Writer) error { return report.WriteJSON(w) }))
 		}
 		err = errors.Join(err, report.Print(os.Stdout))
 	}
@@ -61,13 +63,14 @@
 		return err
 	}
 	if len(report.Broken) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-// beside plays no plan: it asks nodes of two builds in turn. Exit code 1 where a request was lost.
-func (c *labScaleCmd) beside(ctx context.Context, plan *scale.Plan, self string) error {
+// compareBuilds runs no plan: it sends requests to nodes of two builds in turn. It returns errRuleBroken if a request was
+// lost.
+func (c *labScaleCmd) compareBuilds(ctx context.Context, plan *scale.Plan, self string) error {
 	if _, err := os.Stat(c.Beside); err != nil {
 		return usageError{fmt.Errorf("--beside: %w", err)}
 	}
@@ -80,7 +83,7 @@
 		return err
 	}
 	if c.JSON != "" {
-		if err := toFile(c.JSON, func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
+		if err := writeFile(c.JSON, func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
 			return err
 		}
 	}
@@ -89,13 +92,14 @@
 	}
 	for _, r := range rows {
 		if r.Lost > 0 {
-			return errBroken
+			return errRuleBroken
 		}
 	}
 	return nil
 }
 
-// labScaleWorkerCmd is a process of a scale run. It ends with its standard input.
+// labScaleWorkerCmd is the hidden command of a worker process of a scale run. It ends when its standard input is closed.
 type labScaleWorkerCmd struct{}
 
+// Run executes the orders on standard input.
 func (labScaleWorkerCmd) Run() error { return scale.Work(os.Stdin, os.Stdout) }
--- a/cmd/portstall/scale_test.go
+++ b/cmd/portstall/scale_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// A budget that must hold and is passed ends with exit code 1, as a bound of the run does; a mistake with 2. All that was found is
-// written in any case.
-func TestScaleCalls(t *testing.T) {
-	bin := built(t)
+// Exceeding a mandatory budget or a bound of the run gives exit code 1, a mistake in the plan gives 2. The results are
+// written even then.
+func TestLabScaleExitCodes(t *testing.T) {
+	bin := buildBinary(t)
 	plan := func(name, more string, changes ...string) string {
 		path := filepath.Join(t.TempDir(), name)
 		text := "name: tiny\nbound: 60s\nmemory_mb: 2048\nprocesses: 4\nsize: {nodes: 3, servers: 3, tenants: 1, zones: 1, regions: 1}\nparts: [1, 2, 3]\n" + more
@@ -27,10 +27,10 @@
 		code int
 		want string
 	}{
-		{plan("kept.yaml", "budgets: [{row: parts.first, most: 10, must: true}]\n"), 0, "lawful requests refused"},
-		{plan("shown.yaml", "budgets: [{row: parts.first, most: 0.1}]\n"), 0, "PASSED"},
-		{plan("passed.yaml", "budgets: [{row: parts.first, most: 0.1, must: true}]\n") + " --json " + out, 1, "broken: parts.first"},
-		{plan("unwritten.yaml", "") + " --json /does/not/exist", 1, "/does/not/exist"},
+		{plan("met.yaml", "budgets: [{row: parts.first, most: 10, must: true}]\n"), 0, "lawful requests refused"},
+		{plan("optional.yaml", "budgets: [{row: parts.first, most: 0.1}]\n"), 0, "PASSED"},
+		{plan("exceeded.yaml", "budgets: [{row: parts.first, most: 0.1, must: true}]\n") + " --json " + out, 1, "broken: parts.first"},
+		{plan("unwritable.yaml", "") + " --json /does/not/exist", 1, "/does/not/exist"},
 		{plan("late.yaml", "members: {sizes: [2, 3, 450], for: 10h, limit: 10h}\n", "60s", "300ms"), 1, "the run passes its bound"},
 		{plan("mistake.yaml", "parts: [1]\n"), 2, "parts"},
 		{"nowhere", 2, "nowhere"},
@@ -44,6 +44,6 @@
 	}
 	text, err := os.ReadFile(out)
 	if err != nil || !strings.Contains(string(text), `"id": "parts.first"`) || !strings.Contains(string(text), `"broken": [`) {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("the file of results: %v: %s", err, text)
 	}
 }
--- a/cmd/portstall/state.go
+++ b/cmd/portstall/state.go
@@ -11,16 +11,19 @@
 	"portstall/internal/state/disk"
 )
 
+// stateCmd is the state command.
 type stateCmd struct {
-	Show  stateShowCmd  `cmd:"" help:"Print what a kept state holds."`
-	Check stateCheckCmd `cmd:"" help:"Tell whether a node would start with a kept state, and what of it would not be used."`
+	Show  stateShowCmd  `cmd:"" help:"Print the contents of a stored state."`
+	Check stateCheckCmd `cmd:"" help:"Check whether a node would start with a stored state, and print what it would not use."`
 }
 
-// stateFile is a file of a node's state directory, or the directory: then its newer sound file.
+// stateFile is the argument of the state commands: a file of a node's state directory, or the directory, which stands for
+// its newest valid file.
 type stateFile struct {
-	File string `arg:"" help:"A file such as state.a, or the directory that holds it."`
+	File string `arg:"" help:"A file such as state.a, or the directory that contains it."`
 }
 
+// read returns the state and the path of its file. Errors of invalid files in a directory are printed.
 func (c stateFile) read() (*state.Snapshot, string, error) {
 	info, err := os.Stat(c.File)
 	if err != nil {
@@ -30,32 +33,34 @@
 		s, err := disk.ReadFile(c.File)
 		return s, c.File, err
 	}
-	s, slot, wrong := disk.Read(c.File)
-	for _, err := range wrong {
+	s, slot, invalid := disk.Read(c.File)
+	for _, err := range invalid {
 		fmt.Fprintln(os.Stderr, "portstall:", err)
 	}
 	if s == nil {
-		return nil, "", fmt.Errorf("state: %s: no sound state is there", c.File)
+		return nil, "", fmt.Errorf("state: %s: no valid state found", c.File)
 	}
 	return s, filepath.Join(c.File, []string{"state.a", "state.b"}[slot]), nil
 }
 
+// stateShowCmd is the state show command.
 type stateShowCmd struct{ stateFile }
 
+// Run prints the state for people.
 func (c stateShowCmd) Run() error {
 	s, name, err := c.read()
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s, taken %s (%v ago)\nfleet %s, list %d, clients sent away: %v\n", name, unixTime(s.Taken).Format(time.RFC3339Nano),
+	fmt.Printf("%s, taken %s (%v ago)\nfleet %s, list %d, draining: %v\n", name, unixTime(s.Taken).Format(time.RFC3339Nano),
 		time.Since(unixTime(s.Taken)).Round(time.Millisecond), s.Fleet, s.Version, s.Drained)
-	fmt.Printf("out by hand: %v\n", s.Out)
+	fmt.Printf("disabled by operators: %v\n", s.Out)
 	for _, r := range s.Returned {
-		fmt.Printf("put back by hand: %s at %s\n", r.ID, unixTime(r.At).Format(time.RFC3339Nano))
+		fmt.Printf("enabled by an operator: %s at %s\n", r.ID, unixTime(r.At).Format(time.RFC3339Nano))
 	}
-	fmt.Printf("%d requests were open, %d keys are remembered, %.1f further attempts are allowed\n", len(s.Open), len(s.Keys), s.Totals.Retries)
+	fmt.Printf("%d open requests, %d remembered keys, %.1f retries allowed\n", len(s.Open), len(s.Keys), s.Totals.Retries)
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "server\taddress\tstate\tstarted\tanswers lately\tseconds a request\tothers there\tfailing")
+	fmt.Fprintln(out, "server\taddress\tstate\tstarted\trecent responses\tseconds per request\tremote load\tfailing")
 	for _, v := range s.Servers {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t", v.ID, v.Addr, v.State, v.Started)
 		if e := v.Known; e != nil && e.Occupancy > 0 {
@@ -70,11 +75,13 @@
 	return out.Flush()
 }
 
+// stateCheckCmd is the state check command.
 type stateCheckCmd struct {
 	stateFile
-	Fleet string `help:"The fleet that would read it; its own, if none is named."`
+	Fleet string `help:"The fleet of the node that would read it; by default the fleet in the state."`
 }
 
+// Run ages the state as a node that starts now would, and prints what is dropped.
 func (c stateCheckCmd) Run() error {
 	s, name, err := c.read()
 	if err != nil {
@@ -85,12 +92,13 @@
 		fleet = s.Fleet
 	}
 	s.Exact = false
-	drops := s.Age(state.Reader{Now: time.Duration(time.Now().UnixNano()), Fleet: fleet, ColdFor: time.Minute})
-	fmt.Printf("%s: sound, %d web servers, %d out by hand\n", name, len(s.Servers), len(s.Out))
-	for _, d := range drops {
+	dropped := s.Age(state.Reader{Now: time.Duration(time.Now().UnixNano()), Fleet: fleet, ColdFor: time.Minute})
+	fmt.Printf("%s: valid, %d web servers, %d disabled by operators\n", name, len(s.Servers), len(s.Out))
+	for _, d := range dropped {
 		fmt.Printf("not used: %s: %s\n", d.Field, d.Why)
 	}
 	return nil
 }
 
+// unixTime returns the time that is d after the Unix epoch.
 func unixTime(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
--- a/cmd/portstall/upgrade_test.go
+++ b/cmd/portstall/upgrade_test.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// A new process takes over from the old one while clients ask without a break: no request is turned away, a web server
-// out by hand stays out, and the old process ends by itself. A process that died is no hindrance to the next.
-func TestUpgrade(t *testing.T) {
-	var out atomic.Int64 // requests at the web server that is out
-	backend := func(hits *atomic.Int64) string {
+// A successor process takes over from its predecessor while clients send requests without a pause: no request is refused,
+// a web server that an operator disabled stays disabled, and the predecessor exits by itself. A process that was killed
+// does not hinder the next one.
+func TestUpgradeLosesNoRequest(t *testing.T) {
+	var disabledHits atomic.Int64 // requests to the disabled web server
+	newServer := func(hits *atomic.Int64) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			hits.Add(1)
 			io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
@@ -24,16 +25,16 @@
 		return s.Listener.Addr().String()
 	}
 	known := fmt.Sprintf(`{"version":2,"full":true,"servers":[{"id":"s-1","addr":%q,"zone":"n","kind":"k","state":"Ready"},`+
-		`{"id":"s-2","addr":%q,"zone":"n","kind":"k","state":"Ready"}]}`, backend(new(atomic.Int64)), backend(&out))
-	more := processes(t, known)
-	next := func() *program {
-		p, env := more()
-		p.run(t, env...)
+		`{"id":"s-2","addr":%q,"zone":"n","kind":"k","state":"Ready"}]}`, newServer(new(atomic.Int64)), newServer(&disabledHits))
+	newProcess := newProcesses(t, known)
+	next := func() *process {
+		p, env := newProcess()
+		p.startAndWaitReady(t, env...)
 		return p
 	}
-	old := next()
-	old.call(t, "/-/web-servers/s-2/disable")
-	before := out.Load()
+	predecessor := next()
+	predecessor.operatorCall(t, "/-/web-servers/s-2/disable")
+	before := disabledHits.Load()
 
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
@@ -46,29 +47,29 @@
 				case <-stop:
 					return
 				default:
-					old.ask(t, fmt.Sprintf("r-%d-%d", i, n))
+					predecessor.request(t, fmt.Sprintf("r-%d-%d", i, n))
 				}
 			}
 		}()
 	}
-	young := next()
+	successor := next()
 	select {
-	case err := <-old.exited:
+	case err := <-predecessor.exited:
 		if err != nil {
-			t.Errorf("the old process: %v\n%s", err, old.log.String())
+			t.Errorf("the predecessor: %v\n%s", err, predecessor.log.String())
 		}
-	case <-time.After(patience):
-		t.Error("the old process does not end")
+	case <-time.After(testTimeout):
+		t.Error("the predecessor does not exit")
 	}
 	close(stop)
 	clients.Wait()
-	if n := out.Load() - before; n > 0 {
-		t.Errorf("%d requests went to the web server that is out by hand", n)
+	if n := disabledHits.Load() - before; n > 0 {
+		t.Errorf("%d requests went to the web server that an operator disabled", n)
 	}
-	young.call(t, "/-/web-servers/s-2/enable")
-	young.cmd.Process.Kill()
-	<-young.exited
+	successor.operatorCall(t, "/-/web-servers/s-2/enable")
+	successor.cmd.Process.Kill()
+	<-successor.exited
 	last := next()
-	last.ask(t, "last")
-	last.leave(t)
+	last.request(t, "last")
+	last.terminate(t)
 }
--- a/cmd/portstall/version.go
+++ b/cmd/portstall/version.go
@@ -5,9 +5,10 @@
 	"runtime/debug"
 )
 
+// versionCmd is the version command.
 type versionCmd struct{}
 
-// Run prints the module's version, and the commit where the build knows it.
+// Run prints the module's version and, if the build recorded it, the commit.
 func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/health/agent_test.go
+++ b/internal/health/agent_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Each keyword of HAProxy's agent-check, with what the configuration manual's section on agent-check says of it and the report
-// that it must be parsed to.
+// Each keyword of HAProxy's agent-check, with what the configuration manual's section on agent-check says of it and the
+// report that it must be parsed to.
 func TestParseAgent(t *testing.T) {
 	reportWith := func(change func(*Word)) Word {
 		report := Silent
--- a/internal/health/evidence_test.go
+++ b/internal/health/evidence_test.go
@@ -47,8 +47,8 @@
 	return report
 }
 
-// The evidence table of docs/health.md, row by row: the evidence on a server, and the verdict that must follow from it. Each
-// case fails if its row of the table is implemented differently.
+// The evidence table of docs/health.md, row by row: the evidence on a server, and the verdict that must follow from it.
+// Each case fails if its row of the table is implemented differently.
 func TestVerdictsFollowEvidenceTable(t *testing.T) {
 	ejected, drained := Verdict{Out: true}, Verdict{Out: true, Drain: true}
 	weighted := func(weight float64) Verdict { return Verdict{Weight: weight} }
@@ -221,8 +221,8 @@
 	}
 }
 
-// A report that is older than a recorded one, or of an unknown server, changes nothing, and earlier reports do not count for
-// a server that has restarted.
+// A report that is older than a recorded one, or of an unknown server, changes nothing, and earlier reports do not count
+// for a server that has restarted.
 func TestOldReportsAreIgnoredAndRestartForgets(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.Agent(atSeconds(5), 0, parseReport("drain"))
@@ -246,8 +246,8 @@
 	}
 }
 
-// Any evidence in any order gives valid verdicts and a right count of the servers to be ejected, and once no reports come all
-// servers are readmitted.
+// Any evidence in any order gives valid verdicts and a right count of the servers to be ejected, and once no reports come
+// all servers are readmitted.
 func TestAnySequenceOfReportsGivesValidVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := newTestTracker(), sec
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -51,8 +51,8 @@
 type Rules struct {
 	// PanicThreshold is the share of the fleet above which reports are suspected instead of followed.
 	Panic float64
-	// PanicDuration is how long reports stay suspected after the share was last exceeded: a source that reported wrongly once may
-	// do so again.
+	// PanicDuration is how long reports stay suspected after the share was last exceeded: a source that reported wrongly
+	// once may do so again.
 	Suspect time.Duration
 	// RequestTTL is how long the outcome of a real request, or a failure seen by other instances, is evidence.
 	Fresh time.Duration
@@ -70,8 +70,8 @@
 	Hold time.Duration
 	// MaxHold limits the doubling. A server that has not been ejected for as long starts at the minimum again.
 	HoldMost time.Duration
-	// DisputedWeight is the weight factor of a server that is reported down but answers real requests, that other instances see
-	// fail, or that is reported unhealthy by suspected reports.
+	// DisputedWeight is the weight factor of a server that is reported down but answers real requests, that other
+	// instances see fail, or that is reported unhealthy by suspected reports.
 	Doubted float64
 }
 
--- a/internal/health/party/responder.go
+++ b/internal/health/party/responder.go
@@ -1,5 +1,6 @@
-// Package party is the health responder of a node: it replies to HAProxy's agent-check, to HTTP checks and to the gRPC health
-// protocol, each on its own listener. Replies use a status that is polled in the background, so that none waits for the node.
+// Package party is the health responder of a node: it replies to HAProxy's agent-check, to HTTP checks and to the gRPC
+// health protocol, each on its own listener. Replies use a status that is polled in the background, so that none waits
+// for the node.
 package party
 
 import (
@@ -121,8 +122,8 @@
 	p.wg.Wait()
 }
 
-// refresh polls the node's status and passes it on to gRPC's watchers. It may block while the node hangs; no reply waits for
-// it.
+// refresh polls the node's status and passes it on to gRPC's watchers. It may block while the node hangs; no reply waits
+// for it.
 func (p *Party) refresh() {
 	s := &timedStatus{p.currentStatus(), time.Now()}
 	p.lastStatus.Store(s)
--- a/internal/health/party/responder_test.go
+++ b/internal/health/party/responder_test.go
@@ -153,8 +153,8 @@
 			}
 		}
 	}
-	// A wrong reply fails at once. A reply that the node hangs is asked for again: on a slow machine the status may not have been
-	// polled for a second.
+	// A wrong reply fails at once. A reply that the node hangs is asked for again: on a slow machine the status may not
+	// have been polled for a second.
 	const hangs = "the node does not answer"
 	expect := func(line, status string, code int) {
 		t.Helper()
--- a/internal/health/probe/agent.go
+++ b/internal/health/probe/agent.go
@@ -20,9 +20,9 @@
 // maxAgentReply is the limit on an agent's reply, in bytes.
 const maxAgentReply = 1024
 
-// QueryAgent asks the agent at an address for its report and also returns the unknown keywords in its reply. Send is written
-// to the agent first, unless it is empty. The reply ends with its first line or with the connection; one that is cut off
-// before either is an error.
+// QueryAgent asks the agent at an address for its report and also returns the unknown keywords in its reply. Send is
+// written to the agent first, unless it is empty. The reply ends with its first line or with the connection; one that is
+// cut off before either is an error.
 func Agent(ctx context.Context, dial Dial, addr, send string) (health.Word, []string, error) {
 	conn, err := connect(ctx, dial, addr)
 	if err != nil {
--- a/internal/health/probe/probe.go
+++ b/internal/health/probe/probe.go
@@ -12,7 +12,8 @@
 	"portstall/internal/health"
 )
 
-// Prober probes web servers by one protocol. Reports of checks set only State and Reason; those of agents may set any field.
+// Prober probes web servers by one protocol. Reports of checks set only State and Reason; those of agents may set any
+// field.
 type Prober interface {
 	// Probe returns the report of the server or its agent. An error means that there is no usable report.
 	Probe(ctx context.Context, server Target) (health.Word, error)
--- a/internal/health/probe/probe_test.go
+++ b/internal/health/probe/probe_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Each status of grpc.health.v1 by Check and by Watch. A stream whose server stops gives an error and is opened again once the
-// server is back. A server without the service is down, and one without the protocol gives an empty report.
+// Each status of grpc.health.v1 by Check and by Watch. A stream whose server stops gives an error and is opened again
+// once the server is back. A server without the service is down, and one without the protocol gives an empty report.
 func TestGRPCCheckAndWatch(t *testing.T) {
 	server, err := standin.StartHealth("")
 	if err != nil {
