--- a/cmd/portstall/state.go
+++ b/cmd/portstall/state.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s, taken %s (%v ago)\nfleet %s, list %d, draining: %v\n", name, unixTime(s.Taken).Format(time.RFC3339Nano),
+	fmt.Printf("%s, taken %s (%v ago)\nfleet %s, list %d, drained by an operator: %v\n", name, unixTime(s.Taken).Format(time.RFC3339Nano),
 		time.Since(unixTime(s.Taken)).Round(time.Millisecond), s.Fleet, s.Version, s.Drained)
 	fmt.Printf("disabled by operators: %v\n", s.Out)
 	for _, r := range s.Returned {
