--- a/cmd/portstall/cli_test.go
+++ b/cmd/portstall/cli_test.go
@@ -48,7 +48,7 @@
 		{"config check " + newFolder(t, map[string]string{"a.yaml": "services: [{name: shop}]\n", "b.yaml": "contracts: [{name: a, services: [shop]}]\n"}), 0, "good"},
 		{"config check " + newFolder(t, map[string]string{"a.yaml": "contracts:\n- name: a\n  services: [shop]\n"}), 2, `a.yaml:2: contract "a": services[0]: "shop" is no service here`},
 		{"config check " + newFolder(t, map[string]string{"a.yaml": "contracts: [{name: a}]\n", "b.yaml": "contracts: [{name: a}]\n"}), 2, `contract "a" is in`},
-		{"config check " + newFolder(t, nil), 2, "no file *.yaml is in it"},
+		{"config check " + newFolder(t, nil), 2, "no *.yaml files found"},
 		{"control", 2, "--listen"},
 		{"control --listen 127.0.0.1:0", 2, "one of --files and --from"},
 		{"control --listen here --from 127.0.0.1:1", 2, `--listen: "here" is not host:port`},
