--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -42,63 +42,66 @@
 			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
 		}
 		if r.Scenario == "" || r.Classes == nil {
-			return nil, fmt.Errorf("%s:%d: scenario: missing: this is no result of a run", path, n)
+			return nil, fmt.Errorf("%s:%d: scenario: missing: not the result of a run", path, n)
 		}
 		results = append(results, r)
 	}
 	return results, in.Err()
 }
 
-// Difference is how much B exceeds A in one measure, paired by what they share: scenario, seed and swept values.
+// Difference compares two sets of results, A and B, in one measure. Results are paired by scenario, seed and swept
+// values; each difference is B minus A.
 type Difference struct {
 	Measure    string
 	Pairs      int
-	A, B, Mean float64 // means, and that of the differences
+	A, B, Mean float64 // mean of each side and of the differences
 	Low, High  float64 // 95% confidence interval of the mean difference, by Student's t; infinite for one pair
 }
 
-// Clear tells whether the interval leaves out nought.
+// ExcludesZero reports whether the confidence interval excludes zero.
 func (d *Difference) Clear() bool { return d.Low > 0 || d.High < 0 }
 
-// Compare pairs two sets of results. An error says that nothing pairs.
+// Compare pairs two sets of results and returns the differences in all measures, in the order of MeasureNames. It
+// returns an error if the sides have no run in common or a has two results of the same run, for instance of two
+// policies.
 func Compare(a, b []measure.Result) ([]Difference, error) {
 	type key struct{ text string }
-	of := func(r *measure.Result) key {
-		return key{fmt.Sprintf("%s %d%s", r.Scenario, r.Seed, paramText(r.Params))}
+	keyOf := func(r *measure.Result) key {
+		return key{fmt.Sprintf("%s %d%s", r.Scenario, r.Seed, formatParams(r.Params))}
 	}
 	index := map[key]*measure.Result{}
 	for i := range a {
-		if index[of(&a[i])] != nil {
-			return nil, fmt.Errorf("the first side has %q twice: name one policy a side", of(&a[i]).text)
+		if index[keyOf(&a[i])] != nil {
+			return nil, fmt.Errorf("the first side has more than one result for %q: each side can hold only one policy", keyOf(&a[i]).text)
 		}
-		index[of(&a[i])] = &a[i]
+		index[keyOf(&a[i])] = &a[i]
 	}
 	var left, right []*measure.Result
 	for i := range b {
-		if r := index[of(&b[i])]; r != nil {
+		if r := index[keyOf(&b[i])]; r != nil {
 			left, right = append(left, r), append(right, &b[i])
-			delete(index, of(&b[i]))
+			delete(index, keyOf(&b[i]))
 		}
 	}
 	if len(left) == 0 {
-		return nil, errors.New("nothing to compare: no scenario and seed is on both sides")
+		return nil, errors.New("nothing to compare: no scenario and seed occurs on both sides")
 	}
-	var all []Difference
+	var differences []Difference
 	for _, name := range MeasureNames {
 		d := Difference{Measure: name, Pairs: len(left)}
-		var diffs []float64
+		var deltas []float64
 		for i := range left {
 			x, y := Measures[name](left[i]), Measures[name](right[i])
 			d.A, d.B = d.A+x/float64(len(left)), d.B+y/float64(len(left))
-			diffs = append(diffs, y-x)
+			deltas = append(deltas, y-x)
 		}
-		mean, sd := stat.MeanStdDev(diffs, nil)
+		mean, sd := stat.MeanStdDev(deltas, nil)
 		d.Mean, d.Low, d.High = mean, math.Inf(-1), math.Inf(1)
-		if n := float64(len(diffs)); n > 1 {
-			half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdErr(sd, n)
-			d.Low, d.High = mean-half, mean+half
+		if n := float64(len(deltas)); n > 1 {
+			halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdErr(sd, n)
+			d.Low, d.High = mean-halfWidth, mean+halfWidth
 		}
-		all = append(all, d)
+		differences = append(differences, d)
 	}
-	return all, nil
+	return differences, nil
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs scenarios side by side: sweeps over parameters, seeds and policies, with bounds that must hold,
-// results as JSON lines and a report.
+// Package experiment runs scenarios with several policies, seeds and parameter values, checks the results against
+// bounds, and writes them as JSON lines, a Markdown table and an HTML report.
 package experiment
 
 import (
@@ -21,33 +21,33 @@
 	"portstall/internal/lab/scenario"
 )
 
-// Experiment names what is run: every scenario with every policy, seed and combination of swept values.
+// Experiment describes a set of runs: every scenario with every policy, seed and combination of swept values.
 type Experiment struct {
 	Name      string   `yaml:"name"`
 	About     string   `yaml:"about"`
-	Scenarios []string `yaml:"scenarios"` // names of the library, or files
+	Scenarios []string `yaml:"scenarios"` // names of library scenarios, or files
 	Policies  []string `yaml:"policies"`
 	Seeds     []uint64 `yaml:"seeds"`
 	Sweep     []Sweep  `yaml:"sweep"`
 	Bounds    []Bound  `yaml:"bounds"`
 }
 
-// Sweep sets one field of the scenarios to each value in turn.
+// Sweep sets one field of the scenarios to each of several values.
 type Sweep struct {
-	Field  string `yaml:"field"` // as in clients.load
+	Field  string `yaml:"field"` // path of the field, such as clients.load
 	Values []any  `yaml:"values"`
 }
 
-// Bound must hold for each run that it speaks of; an empty name means every one.
+// Bound limits a measure of each run that matches its scenario and policy. An empty name matches every run.
 type Bound struct {
 	Scenario string   `yaml:"scenario"`
 	Policy   string   `yaml:"policy"`
 	Measure  string   `yaml:"measure"`
-	Least    *float64 `yaml:"at_least"`
-	Most     *float64 `yaml:"at_most"`
+	Min      *float64 `yaml:"at_least"`
+	Max      *float64 `yaml:"at_most"`
 }
 
-// Measures are the figures that bounds and comparisons can name.
+// Measures computes the measures that bounds and comparisons can name, by their names.
 var Measures = map[string]func(r *measure.Result) float64{
 	"share":    func(r *measure.Result) float64 { return r.All.Share() },
 	"worst":    func(r *measure.Result) float64 { return r.Worst() },
@@ -66,10 +66,11 @@
 	"broken": func(r *measure.Result) float64 { return float64(r.BrokenTotal()) },
 }
 
-// MeasureNames in the order of tables.
+// MeasureNames lists the names of Measures in the order of tables.
 var MeasureNames = []string{"share", "worst", "served", "p50", "p99", "p99.9", "attempts", "recovered", "recovery", "broken"}
 
-// Parse reads an experiment; an error names file, line and field.
+// Parse reads and checks an experiment. Policies default to portstall and seeds to 1. An error names file, line and
+// field.
 func Parse(name string, text []byte) (*Experiment, error) {
 	e := &Experiment{Policies: []string{"portstall"}, Seeds: []uint64{1}}
 	if err := config.Decode(name, text, e, e.check); err != nil {
@@ -78,15 +79,16 @@
 	return e, nil
 }
 
+// check reports the first invalid field as a config.FieldError. It reads all scenarios with all swept values.
 func (e *Experiment) check() error {
 	bad := func(path, why string, args ...any) error {
 		return &config.FieldError{Path: path, Why: fmt.Sprintf(why, args...)}
 	}
 	if len(e.Scenarios) == 0 {
-		return bad("scenarios", "at least one is needed")
+		return bad("scenarios", "at least one is required")
 	}
 	if len(e.Seeds) == 0 {
-		return bad("seeds", "at least one is needed")
+		return bad("seeds", "at least one is required")
 	}
 	for i, s := range e.Scenarios {
 		if _, err := Read(s); err != nil {
@@ -100,16 +102,16 @@
 	}
 	for i, s := range e.Sweep {
 		if s.Field == "" || len(s.Values) == 0 {
-			return bad(fmt.Sprintf("sweep[%d].field", i), "a field and its values are needed")
+			return bad(fmt.Sprintf("sweep[%d].field", i), "a field and at least one value are required")
 		}
 	}
 	for i, b := range e.Bounds {
 		p := fmt.Sprintf("bounds[%d].", i)
 		if Measures[b.Measure] == nil {
-			return bad(p+"measure", "%q is none of %q", b.Measure, MeasureNames)
+			return bad(p+"measure", "%q is not one of %q", b.Measure, MeasureNames)
 		}
-		if b.Least == nil && b.Most == nil {
-			return bad(p+"measure", "at_least or at_most is needed")
+		if b.Min == nil && b.Max == nil {
+			return bad(p+"measure", "at_least or at_most is required")
 		}
 	}
 	if _, err := e.Runs(); err != nil {
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// Read is the text of a scenario: one of the library by its name, else a file.
+// Read returns the text of a scenario or experiment: the library's scenario of that name, else the file of that name.
 func Read(name string) ([]byte, error) {
 	if text, ok := deploylab.Read(name); ok {
 		return text, nil
@@ -130,7 +132,7 @@
 	return text, err
 }
 
-// Load reads a scenario by the name of the library or from a file.
+// Load parses the library's scenario of that name, else the file of that name.
 func Load(name string) (scenario.Scenario, error) {
 	text, err := Read(name)
 	if err != nil {
@@ -139,7 +141,7 @@
 	return scenario.Parse(name, text)
 }
 
-// IsExperiment tells an experiment's file from a scenario's.
+// IsExperiment reports whether text is an experiment rather than a scenario: it lists scenarios.
 func IsExperiment(text []byte) bool {
 	var e struct {
 		Scenarios []string `yaml:"scenarios"`
@@ -147,28 +149,28 @@
 	return yaml.Unmarshal(text, &e) == nil && len(e.Scenarios) > 0
 }
 
-// Run is one of an experiment's runs.
+// Run is one run of an experiment. Params holds the swept values by field.
 type Run struct {
 	Scenario scenario.Scenario
 	Policy   string
 	Params   map[string]string
 }
 
-// Runs lists all runs in the order of the results.
+// Runs returns all runs of the experiment, in the order of the results.
 func (e *Experiment) Runs() ([]Run, error) {
-	combos := []map[string]any{{}}
+	combinations := []map[string]any{{}}
 	for _, s := range e.Sweep {
 		var next []map[string]any
-		for _, c := range combos {
+		for _, c := range combinations {
 			for _, v := range s.Values {
 				n := map[string]any{s.Field: v}
-				for k, old := range c {
-					n[k] = old
+				for field, value := range c {
+					n[field] = value
 				}
 				next = append(next, n)
 			}
 		}
-		combos = next
+		combinations = next
 	}
 	var runs []Run
 	for _, name := range e.Scenarios {
@@ -176,8 +178,8 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, combo := range combos {
-			s, params, err := with(name, text, combo)
+		for _, values := range combinations {
+			s, params, err := withFields(name, text, values)
 			if err != nil {
 				return nil, err
 			}
@@ -192,8 +194,9 @@
 	return runs, nil
 }
 
-// with sets fields of a scenario's text and reads it.
-func with(name string, text []byte, set map[string]any) (scenario.Scenario, map[string]string, error) {
+// withFields sets fields, given by their paths, in a scenario's text and parses it. The second result holds the values
+// as text, nil if there are none.
+func withFields(name string, text []byte, set map[string]any) (scenario.Scenario, map[string]string, error) {
 	if len(set) == 0 {
 		s, err := scenario.Parse(name, text)
 		return s, nil, err
@@ -209,7 +212,7 @@
 		for _, p := range parts[:len(parts)-1] {
 			inner, ok := at[p].(map[string]any)
 			if at[p] != nil && !ok {
-				return scenario.Scenario{}, nil, fmt.Errorf("%s: %s holds no fields", name, p)
+				return scenario.Scenario{}, nil, fmt.Errorf("%s: %s is not a mapping", name, p)
 			}
 			if inner == nil {
 				inner = map[string]any{}
@@ -227,8 +230,8 @@
 	return s, params, err
 }
 
-// Play runs all, so many at a time, and calls done after each. Results stand in the order of the runs, whatever ended
-// first.
+// RunAll performs the runs in the model, with the given number of workers, and returns the results in the order of the
+// runs. It calls done after each run, one call at a time, in the order in which the runs end; done may be nil.
 func Play(runs []Run, workers int, done func(i int, r *measure.Result)) ([]measure.Result, error) {
 	results, errs := make([]measure.Result, len(runs)), make([]error, len(runs))
 	next := make(chan int)
@@ -239,9 +242,9 @@
 		go func() {
 			defer wg.Done()
 			for i := range next {
-				make, err := peer.Lookup(runs[i].Policy)
+				factory, err := peer.Lookup(runs[i].Policy)
 				if err == nil {
-					results[i], err = model.Run(runs[i].Scenario, model.Options{Policy: runs[i].Policy, Make: make})
+					results[i], err = model.Run(runs[i].Scenario, model.Options{Policy: runs[i].Policy, Make: factory})
 				}
 				results[i].Params, errs[i] = runs[i].Params, err
 				if done != nil {
@@ -260,33 +263,34 @@
 	return results, errors.Join(errs...)
 }
 
-// Broken lists the bounds that do not hold. The rules are a bound of their own for portstall; peers may break them, and
-// the tables say so.
+// Violations describes each bound that does not hold. For the policy portstall, each run that broke a rule counts as
+// well; other policies may break rules, which the tables show.
 func (e *Experiment) Broken(results []measure.Result) []string {
-	var broken []string
+	var violations []string
 	for i := range results {
 		r := &results[i]
-		where := fmt.Sprintf("%s, %s, seed %d%s", r.Scenario, r.Policy, r.Seed, paramText(r.Params))
+		runText := fmt.Sprintf("%s, %s, seed %d%s", r.Scenario, r.Policy, r.Seed, formatParams(r.Params))
 		if n := r.BrokenTotal(); n > 0 && r.Policy == "portstall" {
-			broken = append(broken, fmt.Sprintf("%s: rules were broken %d times: %v", where, n, r.Broken))
+			violations = append(violations, fmt.Sprintf("%s: rules broken %d times: %v", runText, n, r.Broken))
 		}
 		for _, b := range e.Bounds {
 			if b.Scenario != "" && b.Scenario != r.Scenario || b.Policy != "" && b.Policy != r.Policy {
 				continue
 			}
 			v := Measures[b.Measure](r)
-			if b.Least != nil && v < *b.Least {
-				broken = append(broken, fmt.Sprintf("%s: %s is %.4g, and must be at least %g", where, b.Measure, v, *b.Least))
+			if b.Min != nil && v < *b.Min {
+				violations = append(violations, fmt.Sprintf("%s: %s is %.4g, must be at least %g", runText, b.Measure, v, *b.Min))
 			}
-			if b.Most != nil && v > *b.Most {
-				broken = append(broken, fmt.Sprintf("%s: %s is %.4g, and must be at most %g", where, b.Measure, v, *b.Most))
+			if b.Max != nil && v > *b.Max {
+				violations = append(violations, fmt.Sprintf("%s: %s is %.4g, must be at most %g", runText, b.Measure, v, *b.Max))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-func paramText(params map[string]string) string {
+// formatParams returns swept values as ", field=value" each, sorted by field.
+func formatParams(params map[string]string) string {
 	text := ""
 	for _, k := range scenario.Sorted(params) {
 		text += ", " + k + "=" + params[k]
@@ -294,23 +298,24 @@
 	return text
 }
 
-// Shrink takes faults out of a scenario for as long as what is left still breaks, and gives the least that was found and
-// how many runs it took. Breaks runs a scenario and tells whether it does.
+// Shrink removes faults from a scenario as long as a rule still breaks without them, in groups that get smaller. It
+// returns the smallest scenario found and the number of runs. breaks runs a scenario and reports whether it breaks a
+// rule. The scenario passed in is not changed.
 func Shrink(s scenario.Scenario, breaks func(scenario.Scenario) bool) (scenario.Scenario, int) {
 	runs := 0
 	for size := max(1, len(s.Faults)/2); len(s.Faults) > 0; {
-		cut := false
+		removed := false
 		for i := 0; i+size <= len(s.Faults); {
-			less := s
-			less.Faults = append(append([]scenario.Fault(nil), s.Faults[:i]...), s.Faults[i+size:]...)
+			reduced := s
+			reduced.Faults = append(append([]scenario.Fault(nil), s.Faults[:i]...), s.Faults[i+size:]...)
 			runs++
-			if breaks(less) {
-				s, cut = less, true
+			if breaks(reduced) {
+				s, removed = reduced, true
 			} else {
 				i += size
 			}
 		}
-		if !cut && size == 1 {
+		if !removed && size == 1 {
 			break
 		}
 		size = max(1, size/2)
@@ -318,7 +323,7 @@
 	return s, runs
 }
 
-// ParseSeeds reads a list such as 1,2,5-8.
+// ParseSeeds reads a list of seeds and ranges such as 1,2,5-8. A range may hold at most 10,001 seeds.
 func ParseSeeds(text string) ([]uint64, error) {
 	var seeds []uint64
 	for _, part := range strings.Split(text, ",") {
@@ -329,7 +334,7 @@
 			b, err = strconv.ParseUint(strings.TrimSpace(to), 10, 64)
 		}
 		if err != nil || b < a || b-a > 10000 {
-			return nil, fmt.Errorf("seeds: %q is no list such as 1,2,5-8", text)
+			return nil, fmt.Errorf("seeds: %q is not a list such as 1,2,5-8", text)
 		}
 		for ; a <= b; a++ {
 			seeds = append(seeds, a)
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -18,40 +18,45 @@
 	"portstall/internal/lab/scenario"
 )
 
-// group is what the report shows side by side: all policies and seeds of one scenario and one set of swept values.
+// group holds what the report shows side by side: all policies and seeds of one scenario and one set of swept values.
+// The template reads its exported fields.
 type group struct {
-	Title   string
-	Rows    []row
-	Plots   []template.HTML
-	Causes  []causeRow
-	Split   []splitRow
-	columns []column
+	Title     string
+	Rows      []policyRow
+	Plots     []template.HTML
+	Causes    []causeRow
+	Breakdown []breakdownRow
+	columns   []column
 }
 
-// column is one policy in a group, over all its seeds.
+// column holds the results of one policy in a group, one for each seed.
 type column struct {
 	policy  string
 	results []*measure.Result
 }
 
-type row struct {
+// policyRow is a row of the main table: the means of one policy in the order of MeasureNames, and the rules that it
+// broke.
+type policyRow struct {
 	Policy  string
 	Seeds   int
 	Figures []string
 	Broken  string
 }
 
+// causeRow holds the mean count of a cause of tries that were not served, for each policy.
 type causeRow struct {
 	Cause  string
 	Counts []string
 }
 
-type splitRow struct {
+// breakdownRow holds the share of value served for one class or tenant, for each policy.
+type breakdownRow struct {
 	Name   string
 	Shares []string
 }
 
-// mean is the mean of a figure over a column's seeds.
+// mean returns the mean of a measure over the column's seeds.
 func (c *column) mean(f func(r *measure.Result) float64) float64 {
 	sum := 0.0
 	for _, r := range c.results {
@@ -60,13 +65,13 @@
 	return sum / float64(len(c.results))
 }
 
-// groups sorts results into groups and policies, in the order in which they come.
-func groups(results []measure.Result) []*group {
+// groupResults collects results by group and policy, in the order of their first occurrence.
+func groupResults(results []measure.Result) []*group {
 	var all []*group
 	index := map[string]*group{}
 	for i := range results {
 		r := &results[i]
-		title := r.Scenario + paramText(r.Params)
+		title := r.Scenario + formatParams(r.Params)
 		g := index[title]
 		if g == nil {
 			g = &group{Title: title}
@@ -83,8 +88,8 @@
 	return all
 }
 
-// brokenText says which rules a column broke, in how many of its runs.
-func (c *column) brokenText() string {
+// brokenRules lists the rules that the column's policy broke, each with the number of runs in which it did.
+func (c *column) brokenRules() string {
 	runs := map[string]int{}
 	for _, r := range c.results {
 		for rule := range r.Broken {
@@ -101,14 +106,15 @@
 	return text
 }
 
-// Table writes a table of all runs as Markdown: one row for a scenario and policy, means over seeds.
+// WriteTable writes a Markdown table with one row for each scenario, set of swept values and policy, with means over
+// the seeds.
 func Table(w io.Writer, results []measure.Result) {
 	fmt.Fprintln(w, "| scenario | policy | seeds | worth served | worst class | p50 ms | p99 ms | p99.9 ms | attempts | rules broken |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, g := range groups(results) {
+	for _, g := range groupResults(results) {
 		for i := range g.columns {
 			c := &g.columns[i]
-			broken := c.brokenText()
+			broken := c.brokenRules()
 			if broken == "" {
 				broken = "none"
 			}
@@ -119,22 +125,23 @@
 	}
 }
 
-// Report writes one self-contained HTML page.
+// WriteReport writes a self-contained HTML page with the results and the violations passed in as broken.
 func Report(w io.Writer, title string, results []measure.Result, broken []string) error {
-	all := groups(results)
+	all := groupResults(results)
 	for _, g := range all {
-		if err := g.fill(); err != nil {
+		if err := g.addContent(); err != nil {
 			return err
 		}
 	}
-	return page.Execute(w, map[string]any{"Title": title, "Groups": all, "Broken": broken, "Measures": MeasureNames})
+	return reportTemplate.Execute(w, map[string]any{"Title": title, "Groups": all, "Broken": broken, "Measures": MeasureNames})
 }
 
-func (g *group) fill() error {
-	causes, split := map[string]bool{}, map[string]bool{}
+// addContent fills the group's tables and plots from its columns.
+func (g *group) addContent() error {
+	causes, names := map[string]bool{}, map[string]bool{}
 	for i := range g.columns {
 		c := &g.columns[i]
-		r := row{Policy: c.policy, Seeds: len(c.results), Broken: c.brokenText()}
+		r := policyRow{Policy: c.policy, Seeds: len(c.results), Broken: c.brokenRules()}
 		for _, m := range MeasureNames {
 			r.Figures = append(r.Figures, fmt.Sprintf("%.4g", c.mean(Measures[m])))
 		}
@@ -144,10 +151,10 @@
 				causes[cause] = true
 			}
 			for name := range res.Classes {
-				split["class "+name] = true
+				names["class "+name] = true
 			}
 			for name := range res.Tenants {
-				split["tenant "+name] = true
+				names["tenant "+name] = true
 			}
 		}
 	}
@@ -158,8 +165,8 @@
 		}
 		g.Causes = append(g.Causes, row)
 	}
-	for _, name := range scenario.Sorted(split) {
-		row := splitRow{Name: name}
+	for _, name := range scenario.Sorted(names) {
+		row := breakdownRow{Name: name}
 		for i := range g.columns {
 			row.Shares = append(row.Shares, fmt.Sprintf("%.3f", g.columns[i].mean(func(r *measure.Result) float64 {
 				t := r.Tenants[strings.TrimPrefix(name, "tenant ")]
@@ -172,10 +179,10 @@
 				return t.Share()
 			})))
 		}
-		g.Split = append(g.Split, row)
+		g.Breakdown = append(g.Breakdown, row)
 	}
-	second := func(title, y string, f func(s measure.Second) float64) error {
-		return g.plot(title, "s", y, func(r *measure.Result) plotter.XYs {
+	plotSeconds := func(title, y string, f func(s measure.Second) float64) error {
+		return g.addPlot(title, "s", y, func(r *measure.Result) plotter.XYs {
 			var pts plotter.XYs
 			for i, s := range r.Series {
 				if s.Asked > 0 {
@@ -185,9 +192,9 @@
 			return pts
 		})
 	}
-	steps := []func() error{
+	plots := []func() error{
 		func() error {
-			return second("Worth served in time", "part", func(s measure.Second) float64 {
+			return plotSeconds("Worth served in time", "share", func(s measure.Second) float64 {
 				if s.Offered == 0 {
 					return 1
 				}
@@ -195,19 +202,19 @@
 			})
 		},
 		func() error {
-			return second("Refused and failed", "a second", func(s measure.Second) float64 { return float64(s.Refused + s.Failed) })
+			return plotSeconds("Refused and failed", "per second", func(s measure.Second) float64 { return float64(s.Refused + s.Failed) })
 		},
 		func() error {
-			return second("Attempts for each ask", "attempts", func(s measure.Second) float64 { return float64(s.Attempts) / float64(s.Asked) })
+			return plotSeconds("Attempts per request", "attempts", func(s measure.Second) float64 { return float64(s.Attempts) / float64(s.Asked) })
 		},
 		func() error {
-			return g.plot("Time to the answer", "quantile", "ms", func(r *measure.Result) plotter.XYs {
+			return g.addPlot("Response time", "percentile", "ms", func(r *measure.Result) plotter.XYs {
 				q := r.Latency
 				return plotter.XYs{{X: 50, Y: q.P50}, {X: 90, Y: q.P90}, {X: 99, Y: q.P99}, {X: 99.9, Y: q.P999}}
 			})
 		},
 		func() error {
-			return g.plot("Load of each server, sorted", "server", "busy", func(r *measure.Result) plotter.XYs {
+			return g.addPlot("Load of each server, sorted", "server", "busy share", func(r *measure.Result) plotter.XYs {
 				busy := make([]float64, 0, len(r.Servers))
 				for _, s := range r.Servers {
 					busy = append(busy, s.Busy)
@@ -222,23 +229,23 @@
 			})
 		},
 	}
-	for _, s := range steps {
-		if err := s(); err != nil {
+	for _, add := range plots {
+		if err := add(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plot draws a line for each policy, of its first seed.
-func (g *group) plot(title, x, y string, of func(r *measure.Result) plotter.XYs) error {
+// addPlot adds an SVG plot with one line for each policy, of its first seed. points returns the line's points.
+func (g *group) addPlot(title, x, y string, points func(r *measure.Result) plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top = true
 	p.Y.Min = 0
 	for i := range g.columns {
 		c := &g.columns[i]
-		pts := of(c.results[0])
+		pts := points(c.results[0])
 		if len(pts) == 0 {
 			continue
 		}
@@ -250,35 +257,36 @@
 		p.Add(line)
 		p.Legend.Add(c.policy, line)
 	}
-	to, err := p.WriterTo(14*vg.Centimeter, 8*vg.Centimeter, "svg")
+	svg, err := p.WriterTo(14*vg.Centimeter, 8*vg.Centimeter, "svg")
 	if err != nil {
 		return err
 	}
 	var buf bytes.Buffer
-	if _, err := to.WriteTo(&buf); err != nil {
+	if _, err := svg.WriteTo(&buf); err != nil {
 		return err
 	}
 	text := buf.Bytes()
 	if i := bytes.Index(text, []byte("<svg")); i > 0 {
-		text = text[i:] // without the XML prologue, which has no place in a page
+		text = text[i:] // drops the XML prologue, which is not allowed inside an HTML page
 	}
 	g.Plots = append(g.Plots, template.HTML(text))
 	return nil
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+// reportTemplate is the HTML page of WriteReport.
+var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>
 body{font:15px/1.45 sans-serif;margin:2em auto;max-width:72em;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{border-bottom:1px solid #ddd;padding:.25em .7em;text-align:right}
 td:first-child,th:first-child{text-align:left}.plots svg{max-width:48%;height:auto}.bad{color:#a00}
 </style></head><body><h1>{{.Title}}</h1>
-{{if .Broken}}<h2 class="bad">Broken</h2><ul>{{range .Broken}}<li class="bad">{{.}}</li>{{end}}</ul>{{else}}<p>All bounds hold.</p>{{end}}
+{{if .Broken}}<h2 class="bad">Broken bounds and rules</h2><ul>{{range .Broken}}<li class="bad">{{.}}</li>{{end}}</ul>{{else}}<p>All bounds hold.</p>{{end}}
 {{$measures := .Measures}}{{range .Groups}}<h2>{{.Title}}</h2>
 <table><tr><th>policy</th><th>seeds</th>{{range $measures}}<th>{{.}}</th>{{end}}<th>rules broken</th></tr>
 {{range .Rows}}<tr><td>{{.Policy}}</td><td>{{.Seeds}}</td>{{range .Figures}}<td>{{.}}</td>{{end}}<td class="bad">{{.Broken}}</td></tr>{{end}}</table>
 <div class="plots">{{range .Plots}}{{.}}{{end}}</div>
 <table><tr><th>worth served in time</th>{{range .Rows}}<th>{{.Policy}}</th>{{end}}</tr>
-{{range .Split}}<tr><td>{{.Name}}</td>{{range .Shares}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
+{{range .Breakdown}}<tr><td>{{.Name}}</td>{{range .Shares}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
 {{if .Causes}}<table><tr><th>tries not served, by cause</th>{{range .Rows}}<th>{{.Policy}}</th>{{end}}</tr>
 {{range .Causes}}<tr><td>{{.Cause}}</td>{{range .Counts}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>{{end}}
 {{end}}</body></html>
