--- a/internal/lab/coldsum/events.go
+++ b/internal/lab/coldsum/events.go
@@ -9,183 +9,185 @@
 	"portstall/policy"
 )
 
-// play lets one event happen.
-func (w *world) play(e *event) {
+// process performs one event.
+func (sim *simulation) process(e *event) {
 	switch e.kind {
-	case evArrive:
-		w.asked++
-		c := &call{begun: w.now, tries: 1}
-		if w.rng.Float64() < heavy {
+	case evClientRequest:
+		sim.requests++
+		c := &clientTry{requestedAt: sim.now, tryNumber: 1}
+		if sim.rng.Float64() < heavyShare {
 			c.class = 1
 		}
-		w.arrive(c)
-		gap := w.rng.ExpFloat64() / (float64(w.Servers) * w.Capacity * w.Load * w.rate(w.now))
-		w.put(event{at: w.now + time.Duration(gap*float64(time.Second)), kind: evArrive})
+		sim.submit(c)
+		gap := sim.rng.ExpFloat64() / (float64(sim.Servers) * sim.Capacity * sim.Load * sim.rateFactor(sim.now))
+		sim.schedule(event{at: sim.now + time.Duration(gap*float64(time.Second)), kind: evClientRequest})
 	case evTick:
-		w.handle(e.node, nil, &policy.Event{Kind: policy.EvTimer, Token: "tick"})
-		w.put(event{at: w.now + 250*time.Millisecond, kind: evTick, node: e.node})
-	case evNews:
-		w.told[e.node][e.entry.ID] = max(w.told[e.node][e.entry.ID], e.entry.Launched)
-		w.handle(e.node, nil, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{e.entry}})
-	case evReach:
-		w.reach(e.server, e.call, e.index)
-	case evDone:
-		if e.server.launches != e.index {
-			return // its process has ended
+		sim.notifyNode(e.node, nil, &policy.Event{Kind: policy.EvTimer, Token: "tick"})
+		sim.schedule(event{at: sim.now + 250*time.Millisecond, kind: evTick, node: e.node})
+	case evListUpdate:
+		sim.knownLaunch[e.node][e.entry.ID] = max(sim.knownLaunch[e.node][e.entry.ID], e.entry.Launched)
+		sim.notifyNode(e.node, nil, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{e.entry}})
+	case evDelivery:
+		sim.deliver(e.server, e.try, e.number)
+	case evServerDone:
+		if e.server.launchCount != e.number {
+			return // the process that had the request has ended
 		}
-		e.server.busy--
-		w.work(e.server)
+		e.server.running--
+		sim.startQueued(e.server)
 	case evOutcome:
-		w.outcome(e)
-	case evStart:
-		w.start(e.server)
-	case evSilent:
+		sim.finishAttempt(e)
+	case evServerStart:
+		sim.restart(e.server)
+	case evServerSilent:
 		e.server.silent = true
-	case evLeaving:
+	case evServerDraining:
 		e.server.State = policy.Leaving
-		w.tell(e.server)
-		w.start(w.add())
-		w.put(event{at: w.now + 3*time.Second, kind: evLeft, server: e.server})
-	case evLeft:
+		sim.announce(e.server)
+		sim.restart(sim.addServer())
+		sim.schedule(event{at: sim.now + 3*time.Second, kind: evServerRemoved, server: e.server})
+	case evServerRemoved:
 		e.server.State = policy.Left
-		w.tell(e.server)
+		sim.announce(e.server)
 	}
 }
 
-// arrive brings a client's try to a node.
-func (w *world) arrive(c *call) {
-	at := sort.SearchFloat64s(w.weights, w.rng.Float64()*w.weights[len(w.weights)-1])
-	w.calls++
-	c.id, c.node = strconv.Itoa(w.calls), min(at, w.Nodes-1)
-	w.handle(c.node, c, &policy.Event{Kind: policy.EvRequest, ID: c.id, Class: strconv.Itoa(c.class), Left: c.begun + patience - w.now, Repeat: c.tries > 1})
+// submit sends a client's try to a node, chosen at random by the nodes' weights.
+func (sim *simulation) submit(c *clientTry) {
+	at := sort.SearchFloat64s(sim.cumulativeWeights, sim.rng.Float64()*sim.cumulativeWeights[len(sim.cumulativeWeights)-1])
+	sim.lastTryID++
+	c.id, c.node = strconv.Itoa(sim.lastTryID), min(at, sim.Nodes-1)
+	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvRequest, ID: c.id, Class: strconv.Itoa(c.class), Left: c.requestedAt + clientTimeout - sim.now, Repeat: c.tryNumber > 1})
 }
 
-// handle hands an event to a node and does what it says; c is the call that it is about.
-func (w *world) handle(node int, c *call, ev *policy.Event) {
-	out := w.nodes[node].Handle(w.now, ev, nil)
-	for i := range out {
-		switch a := &out[i]; a.Kind {
+// notifyNode passes an event to a node's policy and performs the actions that it returns. c is the try that the event
+// concerns, nil if none. A client whose try is refused or fails retries after 30 to 130 ms, if tries and time are left.
+func (sim *simulation) notifyNode(node int, c *clientTry, ev *policy.Event) {
+	actions := sim.nodes[node].Handle(sim.now, ev, nil)
+	for i := range actions {
+		switch a := &actions[i]; a.Kind {
 		case policy.ActSend:
-			w.send(c, a)
+			sim.sendAttempt(c, a)
 		case policy.ActRefuse, policy.ActFail:
-			c.over = true
-			again := w.now + 30*time.Millisecond + w.random(100*time.Millisecond)
-			if c.tries < triesMost && again < c.begun+patience-20*time.Millisecond {
-				w.put(event{at: again, kind: evReach, call: &call{class: c.class, begun: c.begun, tries: c.tries + 1}})
+			c.finished = true
+			again := sim.now + 30*time.Millisecond + sim.randomDuration(100*time.Millisecond)
+			if c.tryNumber < maxTries && again < c.requestedAt+clientTimeout-20*time.Millisecond {
+				sim.schedule(event{at: again, kind: evDelivery, try: &clientTry{class: c.class, requestedAt: c.requestedAt, tryNumber: c.tryNumber + 1}})
 			}
 		}
 	}
 }
 
-// send books an attempt and has it on its way.
-func (w *world) send(c *call, a *policy.Action) {
-	s := w.servers[a.Server]
+// sendAttempt records an attempt and schedules its arrival at the server and its timeout.
+func (sim *simulation) sendAttempt(c *clientTry, a *policy.Action) {
+	s := sim.servers[a.Server]
 	c.attempts++
-	c.open, c.sent = true, w.now
-	w.count(s, c)
-	w.put(event{at: w.now + crossing, kind: evReach, call: c, server: s, index: c.attempts - 1})
-	w.put(event{at: w.now + a.Wait, kind: evOutcome, call: c, server: s, index: c.attempts - 1, result: policy.TimedOut})
+	c.pending, c.sentAt = true, sim.now
+	sim.checkColdRule(s, c)
+	sim.schedule(event{at: sim.now + messageDelay, kind: evDelivery, try: c, server: s, number: c.attempts - 1})
+	sim.schedule(event{at: sim.now + a.Wait, kind: evOutcome, try: c, server: s, number: c.attempts - 1, outcome: policy.TimedOut})
 }
 
-// count holds a send against the rule.
-func (w *world) count(s *server, c *call) {
-	st := s.start
-	if st == nil {
+// checkColdRule adds an attempt to the server's window, if the server is cold, and compares the window with the limit N.
+func (sim *simulation) checkColdRule(s *server, c *clientTry) {
+	start := s.coldStart
+	if start == nil {
 		return
 	}
-	ramp := w.Share + (1-w.Share)*min(1, (w.now-s.Launched).Seconds()/w.ColdFor.Seconds())
+	ramp := sim.ColdShare + (1-sim.ColdShare)*min(1, (sim.now-s.Launched).Seconds()/sim.ColdFor.Seconds())
 	if ramp >= 1 {
-		s.start = nil
+		s.coldStart = nil
 		return
 	}
-	told := w.told[c.node][s.ID] >= s.Launched
-	mean := works[0]*(1-heavy) + works[1]*heavy
-	st.window = append(st.window, send{w.now, works[c.class] / mean, told})
-	sum, known := 0.0, 0.0
-	for len(st.window) > 0 && st.window[0].at < w.now-w.FallFor {
-		st.window = st.window[1:]
+	informed := sim.knownLaunch[c.node][s.ID] >= s.Launched
+	mean := classWork[0]*(1-heavyShare) + classWork[1]*heavyShare
+	start.window = append(start.window, sentAttempt{sim.now, classWork[c.class] / mean, informed})
+	sum, informedWork := 0.0, 0.0
+	for len(start.window) > 0 && start.window[0].at < sim.now-sim.FallFor {
+		start.window = start.window[1:]
 	}
-	for _, x := range st.window {
-		if sum += x.work; x.told {
-			known += x.work
+	for _, x := range start.window {
+		if sum += x.work; x.informed {
+			informedWork += x.work
 		}
 	}
-	n := w.Multiple * ramp * w.Capacity * w.FallFor.Seconds()
-	w.worst = max(w.worst, (sum-n)/math.Sqrt(n))
-	st.used, st.windows = st.used+sum/n, st.windows+1
-	if sum > n+Slack(n) && !st.fell {
-		st.fell = true
-		if known > sum*2/3 {
-			st.told = known
+	n := sim.FallFactor * ramp * sim.Capacity * sim.FallFor.Seconds()
+	sim.maxExcess = max(sim.maxExcess, (sum-n)/math.Sqrt(n))
+	start.useSum, start.windowCount = start.useSum+sum/n, start.windowCount+1
+	if sum > n+Slack(n) && !start.exceeded {
+		start.exceeded = true
+		if informedWork > sum*2/3 {
+			start.informedWork = informedWork
 		}
 	}
 }
 
-// reach brings an attempt to its server, or a client's repeat to a node.
-func (w *world) reach(s *server, c *call, index int) {
+// deliver hands an attempt to its server, or submits a client's retry if s is nil.
+func (sim *simulation) deliver(s *server, c *clientTry, index int) {
 	switch {
 	case s == nil:
-		w.arrive(c)
+		sim.submit(c)
 	case s.silent:
-	case s.failing && w.rng.Float64() < 0.6:
-		w.put(event{at: w.now + crossing, kind: evOutcome, call: c, server: s, index: index, result: policy.Failed})
-	case len(s.queue) >= queueMost:
-		w.put(event{at: w.now + crossing, kind: evOutcome, call: c, server: s, index: index, result: policy.Full})
+	case s.failing && sim.rng.Float64() < 0.6:
+		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.Failed})
+	case len(s.queue) >= maxQueue:
+		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.Full})
 	default:
-		s.queue = append(s.queue, waiting{c, index})
-		w.work(s)
+		s.queue = append(s.queue, queuedAttempt{c, index})
+		sim.startQueued(s)
 	}
 }
 
-// work lets a server begin what waits, as far as it has slots.
-func (w *world) work(s *server) {
-	for s.busy < slots && len(s.queue) > 0 {
-		x := s.queue[0]
+// startQueued starts queued attempts while the server has free slots. Attempts that their node has given up are dropped.
+func (sim *simulation) startQueued(s *server) {
+	for s.running < serverSlots && len(s.queue) > 0 {
+		next := s.queue[0]
 		s.queue = s.queue[1:]
-		if x.call.over || !x.call.open || x.call.attempts-1 != x.index {
-			continue // its node has given it up
+		if next.try.finished || !next.try.pending || next.try.attempts-1 != next.index {
+			continue
 		}
 		ramp := 1.0
 		if s.Launched > 0 {
-			ramp = min(1, w.Share+(1-w.Share)*(w.now-s.Launched).Seconds()/w.ColdFor.Seconds())
+			ramp = min(1, sim.ColdShare+(1-sim.ColdShare)*(sim.now-s.Launched).Seconds()/sim.ColdFor.Seconds())
 		}
-		mean := works[0]*(1-heavy) + works[1]*heavy
-		took := works[x.call.class] / mean * slots / (w.Capacity * ramp) * (0.5 + 0.5*w.rng.ExpFloat64())
-		s.busy++
-		done := w.now + time.Duration(took*float64(time.Second))
-		w.put(event{at: done, kind: evDone, server: s, index: s.launches})
-		w.put(event{at: done + crossing, kind: evOutcome, call: x.call, server: s, index: x.index, result: policy.OK, launch: s.launches})
+		mean := classWork[0]*(1-heavyShare) + classWork[1]*heavyShare
+		took := classWork[next.try.class] / mean * serverSlots / (sim.Capacity * ramp) * (0.5 + 0.5*sim.rng.ExpFloat64())
+		s.running++
+		done := sim.now + time.Duration(took*float64(time.Second))
+		sim.schedule(event{at: done, kind: evServerDone, server: s, number: s.launchCount})
+		sim.schedule(event{at: done + messageDelay, kind: evOutcome, try: next.try, server: s, number: next.index, outcome: policy.OK, launchCount: s.launchCount})
 	}
 }
 
-// outcome brings an attempt's end to its node, unless it has one.
-func (w *world) outcome(e *event) {
-	c := e.call
-	if c.over || !c.open || c.attempts-1 != e.index {
+// finishAttempt reports an attempt's outcome to its node. It ignores attempts that already have an outcome.
+func (sim *simulation) finishAttempt(e *event) {
+	c := e.try
+	if c.finished || !c.pending || c.attempts-1 != e.number {
 		return
 	}
-	if e.result == policy.OK && (e.server.silent || e.server.launches != e.launch) {
-		return // its process ended before
+	if e.outcome == policy.OK && (e.server.silent || e.server.launchCount != e.launchCount) {
+		return // the server process stopped before it responded; the attempt times out
 	}
-	c.open = false
-	if e.result == policy.OK {
-		c.over = true
-		w.served++
+	c.pending = false
+	if e.outcome == policy.OK {
+		c.finished = true
+		sim.served++
 	}
-	load := policy.Load{Known: e.result != policy.TimedOut, Queue: float64(len(e.server.queue)), Held: -1}
-	w.handle(c.node, c, &policy.Event{Kind: policy.EvOutcome, ID: c.id, Server: e.server.ID, Attempt: e.index, Took: w.now - c.sent,
-		Last: e.result == policy.OK, Outcome: e.result, Load: load})
+	load := policy.Load{Known: e.outcome != policy.TimedOut, Queue: float64(len(e.server.queue)), Held: -1}
+	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvOutcome, ID: c.id, Server: e.server.ID, Attempt: e.number, Took: sim.now - c.sentAt,
+		Last: e.outcome == policy.OK, Outcome: e.outcome, Load: load})
 }
 
-// start starts a server anew, cold: what it held is lost and times out.
-func (w *world) start(s *server) {
-	w.launch(s)
-	w.tell(s)
+// restart starts a server anew, cold, and announces it. Requests that it held are lost and time out.
+func (sim *simulation) restart(s *server) {
+	sim.launch(s)
+	sim.announce(s)
 }
 
-func (w *world) launch(s *server) {
-	s.Launched, s.silent, s.busy, s.queue = w.now, false, 0, nil
-	s.launches++
-	s.start = &start{}
-	w.starts = append(w.starts, s.start)
+// launch starts a server's process and begins a new count of what is sent to it while it is cold.
+func (sim *simulation) launch(s *server) {
+	s.Launched, s.silent, s.running, s.queue = sim.now, false, 0, nil
+	s.launchCount++
+	s.coldStart = &coldStart{}
+	sim.coldStarts = append(sim.coldStarts, s.coldStart)
 }
