--- a/internal/lab/scale/churn.go
+++ b/internal/lab/scale/churn.go
@@ -10,41 +10,41 @@
 )
 
 // change is one of the list and, where control is followed, one of the configuration, each with when it was made.
-type change struct {
-	list     int64
-	listAt   time.Time
-	config   resource.Version
-	configAt time.Time
+type trackedChange struct {
+	listVersion   int64
+	listTime      time.Time
+	configVersion resource.Version
+	configTime    time.Time
 }
 
 // orders ask who has it.
-func (c *change) orders() []order {
-	all := []order{{Do: "reached", Version: c.list}}
-	if !c.config.IsZero() {
-		all = append(all, order{Do: "reached", Changed: c.config.String()})
+func (c *trackedChange) queries() []workerCommand {
+	all := []workerCommand{{Do: "reached", Version: c.listVersion}}
+	if !c.configVersion.IsZero() {
+		all = append(all, workerCommand{Do: "reached", Changed: c.configVersion.String()})
 	}
 	return all
 }
 
 // change makes one.
-func (f *fleet) change(ctx context.Context) (c change, err error) {
+func (f *fleet) makeChange(ctx context.Context) (c trackedChange, err error) {
 	if f.files != nil {
-		if c.configAt, c.config, err = f.reconfigure(); err != nil {
+		if c.configTime, c.configVersion, err = f.reconfigure(); err != nil {
 			return c, err
 		}
 	}
-	c.listAt = time.Now()
-	c.list = f.roster.Set("Ready", true, 1)
+	c.listTime = time.Now()
+	c.listVersion = f.discovery.SetState("Ready", true, 1)
 	return c, nil
 }
 
 // reconfigure makes one change of the configuration, and tells when it began and the version that it made. It waits while another one
 // is made, and while the writer is away.
 func (f *fleet) reconfigure() (at time.Time, v resource.Version, err error) {
-	f.writing.Lock()
-	defer f.writing.Unlock()
+	f.changeMu.Lock()
+	defer f.changeMu.Unlock()
 	at = time.Now()
-	if err := f.files.change(); err != nil {
+	if err := f.files.changeNext(); err != nil {
 		return at, v, err
 	}
 	v, err = f.controls[0].reload()
@@ -52,7 +52,7 @@
 }
 
 // configure lets the configuration be changed as in life, so many times faster, until ctx ends.
-func (f *fleet) configure(ctx context.Context) error {
+func (f *fleet) reconfigureAtRandom(ctx context.Context) error {
 	each := time.Duration(24 * time.Hour.Seconds() / (f.run.plan.Size.Changes * f.plan.Speed) * float64(time.Second))
 	rng := rand.New(rand.NewPCG(31, 8))
 	for pause(ctx, time.Duration(rng.ExpFloat64()*float64(each))) == nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-const stepRest = 500 * time.Millisecond // between a server's draining, its end and its new start
+const churnStepDelay = 500 * time.Millisecond // between a server's draining, its end and its new start
 
 // churn lets servers be replaced as in life, so many times faster, until ctx ends.
 func (f *fleet) churn(ctx context.Context) {
@@ -81,8 +81,8 @@
 		}
 		wg.Go(func() {
 			for _, s := range states {
-				f.roster.Set(s, s == "Ready", which)
-				if pause(ctx, stepRest) != nil {
+				f.discovery.SetState(s, s == "Ready", which)
+				if pause(ctx, churnStepDelay) != nil {
 					return
 				}
 			}
--- a/internal/lab/scale/beside.go
+++ b/internal/lab/scale/compare.go
@@ -45,9 +45,9 @@
 // that no node's share of the machine is another's loss. Plan gives sizes and bounds.
 func Beside(ctx context.Context, p *Plan, o Options, b BesideOptions) (rows []Added, err error) {
 	if !(p.Size.Rate > 0) {
-		return nil, bad("size.rate", "is over 0 to ask nodes by")
+		return nil, fieldError("size.rate", "is over 0 to ask nodes by")
 	}
-	r, ctx, end, err := begin(ctx, p, o, p.Bound+2*time.Duration(b.Rounds+1)*b.Round)
+	r, ctx, end, err := startRun(ctx, p, o, p.Bound+2*time.Duration(b.Rounds+1)*b.Round)
 	if err != nil {
 		return nil, err
 	}
@@ -56,70 +56,70 @@
 			err = cause
 		}
 	}()
-	web, err := startWeb(8, 0, time.Minute)
+	web, err := startStubServers(8, 0, time.Minute)
 	if err != nil {
 		return nil, err
 	}
 	defer web.stop()
-	s := &sides{BesideOptions: b, run: r, gap: time.Duration(float64(time.Second) * float64(p.Size.Nodes) / p.Size.Rate),
+	s := &comparison{BesideOptions: b, run: r, requestInterval: time.Duration(float64(time.Second) * float64(p.Size.Nodes) / p.Size.Rate),
 		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}}
 	defer s.client.CloseIdleConnections()
-	list := NewRoster(len(web.addrs), 1, web.addrs)
+	list := NewStubDiscovery(len(web.addrs), 1, web.addrs)
 	if err := s.start(ctx, list); err != nil {
 		return nil, err
 	}
 	defer list.Stop()
-	if err := s.named(); err != nil {
+	if err := s.checkNamedContracts(); err != nil {
 		return nil, err
 	}
-	if err := s.round(ctx, 0, b.Round/2, false); err != nil { // connections come up
+	if err := s.runRound(ctx, 0, b.Round/2, false); err != nil { // connections come up
 		return nil, err
 	}
 	for range b.Rounds {
 		for phase := range 2 {
-			if err := errors.Join(s.round(ctx, phase, b.Round, true), context.Cause(ctx)); err != nil {
+			if err := errors.Join(s.runRound(ctx, phase, b.Round, true), context.Cause(ctx)); err != nil {
 				return nil, err
 			}
 		}
 	}
 	for i := range s.nodes {
-		rows = append(rows, s.nodes[i].told(0), s.nodes[i].told(1))
+		rows = append(rows, s.nodes[i].row(0), s.nodes[i].row(1))
 	}
 	return rows, nil
 }
 
 // sides are the nodes that are held beside each other.
-type sides struct {
+type comparison struct {
 	BesideOptions
-	run    *run
-	client *http.Client
-	gap    time.Duration // between two requests at a node
-	files  *folder
-	writer *controller
-	nodes  []*side
-	turn   atomic.Int64 // requests so far at each node
+	run             *run
+	client          *http.Client
+	requestInterval time.Duration // between two requests at a node
+	files           *configFiles
+	writer          *controlProcess
+	nodes           []*comparedNode
+	requestCount    atomic.Int64 // requests so far at each node
 }
 
 // side is one of them, with what it met in quiet rounds and in those with changes.
-type side struct {
+type comparedNode struct {
 	*realNode
-	name  string
-	rows  [2]Added
-	added [2][]float64
-	spent [2]time.Duration // with changes, and by all of them
+	name         string
+	rows         [2]Added
+	addedSeconds [2][]float64
+	changeTimes  [2]time.Duration // with changes, and by all of them
 }
 
 // start brings up what is asked and what that follows.
-func (s *sides) start(ctx context.Context, list *Roster) error {
+func (s *comparison) start(ctx context.Context, list *StubDiscovery) error {
 	r := s.run
 	discovery, err := list.Start()
 	if err != nil {
 		return err
 	}
-	if s.files, err = r.folder(s.Contracts, false); err != nil {
+	if s.files, err = r.newConfigFiles(s.Contracts, false); err != nil {
 		return err
 	}
-	controls, err := r.controls(ctx, 1, s.files, nil)
+	controls, err := r.startControls(ctx, 1, s.files, nil)
 	if err != nil {
 		return err
 	}
@@ -133,16 +133,16 @@
 		if err != nil {
 			return err
 		}
-		n, err := r.node(ctx, nodeSetup{binary: binary, name: role, discovery: discovery, zone: zoneName(0), known: list.Whole(), idle: time.Minute,
+		n, err := r.startNode(ctx, nodeSetup{binary: binary, name: role, discovery: discovery, zone: zoneName(0), serverList: list.FullList(), serverIdle: time.Minute,
 			env: []string{"PORTSTALL_FILE=" + path}})
 		if err == nil {
-			s.nodes = append(s.nodes, &side{realNode: n, name: name})
+			s.nodes = append(s.nodes, &comparedNode{realNode: n, name: name})
 		}
 		return err
 	}
 	file := func(connect string) (string, error) {
-		text := string(productFile(&r.plan.Size, s.Contracts))
-		return r.file(".yaml", []byte(strings.Replace(text, "connect: 127.0.0.1:1\n", "connect: "+connect+"\n", 1)))
+		text := string(productFileText(&r.plan.Size, s.Contracts))
+		return r.writeFile(".yaml", []byte(strings.Replace(text, "connect: 127.0.0.1:1\n", "connect: "+connect+"\n", 1)))
 	}
 	if s.Old != "" {
 		if err := add("older build, a file", s.Old, "old", file); err != nil {
@@ -152,27 +152,29 @@
 	if err := add("this build, a file", "", "file", file); err != nil {
 		return err
 	}
-	return add("this build, control", "", "control", func(connect string) (string, error) { return r.product(connect, s.writer.addr) })
+	return add("this build, control", "", "control", func(connect string) (string, error) { return r.writeControlProductFile(connect, s.writer.addr) })
 }
 
 // errNobody is that a request of nobody was let in.
-var errNobody = errors.New("lets in a request that no named contract is for")
+var errUnnamedAdmitted = errors.New("lets in a request that no named contract is for")
 
 // named makes sure that what a node lets in falls under a named contract: a request of nobody is refused.
-func (s *sides) named() error {
+func (s *comparison) checkNamedContracts() error {
 	for _, n := range s.nodes {
-		if _, ok := ask(s.client, n.addr, "nobody", ""); ok {
-			return fmt.Errorf("%s: %w", n.name, errNobody)
+		if _, ok := sendRequest(s.client, n.addr, "nobody", ""); ok {
+			return fmt.Errorf("%s: %w", n.name, errUnnamedAdmitted)
 		}
 	}
 	return nil
 }
 
 // tenant is whose request the k-th at each node is: all have their turn before one comes again.
-func (s *sides) tenant(k int64) int { return int(k * stride(s.Contracts) % int64(s.Contracts)) }
+func (s *comparison) tenantOf(k int64) int {
+	return int(k * tenantStride(s.Contracts) % int64(s.Contracts))
+}
 
 // stride has no divisor in common with a number, and leads far from one file of contracts to the next.
-func stride(n int) int64 {
+func tenantStride(n int) int64 {
 	for step := int64(7919); ; step++ {
 		a, b := step, int64(n)
 		for b > 0 {
@@ -185,19 +187,19 @@
 }
 
 // ahead is how long before a request its contract is changed, in the changes that are to be met: longer than a node takes to have it in force.
-const ahead = 300 * time.Millisecond
+const changeLead = 300 * time.Millisecond
 
 // changes makes changes at even times, whatever each takes, until ctx ends. Met are those whose contract's turn comes by then.
-func (s *sides) changes(ctx context.Context, begun time.Time) (made, met int, took time.Duration, err error) {
+func (s *comparison) makeChanges(ctx context.Context, begun time.Time) (made, met int, took time.Duration, err error) {
 	var turns []int64
 	for ; pause(ctx, time.Until(begun.Add(time.Duration(float64(made)/s.Changes*float64(time.Second))))) == nil; made++ {
 		at := time.Now()
 		if made%2 == 0 {
-			turn := s.turn.Load() + int64(ahead/s.gap)
+			turn := s.requestCount.Load() + int64(changeLead/s.requestInterval)
 			turns = append(turns, turn)
-			err = s.files.changeOf(s.tenant(turn))
+			err = s.files.changeContract(s.tenantOf(turn))
 		} else {
-			err = s.files.change()
+			err = s.files.changeNext()
 		}
 		if err == nil {
 			_, err = s.writer.reload()
@@ -207,7 +209,7 @@
 		}
 		took += time.Since(at)
 	}
-	last := s.turn.Load()
+	last := s.requestCount.Load()
 	for _, turn := range turns {
 		if turn < last {
 			met++
@@ -217,7 +219,7 @@
 }
 
 // round asks the nodes in turn, for so long; in phase 1 with changes. What is met counts, or not.
-func (s *sides) round(ctx context.Context, phase int, length time.Duration, count bool) error {
+func (s *comparison) runRound(ctx context.Context, phase int, length time.Duration, count bool) error {
 	within, stop := context.WithTimeout(ctx, length)
 	defer stop()
 	begun := time.Now()
@@ -227,30 +229,30 @@
 	go func() {
 		var err error
 		if phase == 1 {
-			made, met, took, err = s.changes(within, begun)
+			made, met, took, err = s.makeChanges(within, begun)
 		}
 		changed <- err
 	}()
 	var used []time.Duration
 	for _, n := range s.nodes {
-		used = append(used, worked(n.cmd.Process.Pid))
+		used = append(used, cpuTime(n.cmd.Process.Pid))
 	}
-	for k := 0; pause(within, time.Until(begun.Add(time.Duration(k)*s.gap))) == nil; k++ {
-		turn := s.turn.Load()
-		tenant := tenantName(s.tenant(turn))
+	for k := 0; pause(within, time.Until(begun.Add(time.Duration(k)*s.requestInterval))) == nil; k++ {
+		turn := s.requestCount.Load()
+		tenant := tenantName(s.tenantOf(turn))
 		for j := range s.nodes {
 			n := s.nodes[(j+k)%len(s.nodes)] // another one is the first each time
-			took, ok := ask(s.client, n.addr, fmt.Sprintf("beside-%s-%d", n.role, turn), tenant)
+			took, ok := sendRequest(s.client, n.addr, fmt.Sprintf("beside-%s-%d", n.role, turn), tenant)
 			if !count {
 				continue
 			}
 			if n.rows[phase].Asked++; ok {
-				n.added[phase] = append(n.added[phase], took)
+				n.addedSeconds[phase] = append(n.addedSeconds[phase], took)
 			} else {
 				n.rows[phase].Lost++
 			}
 		}
-		s.turn.Add(1)
+		s.requestCount.Add(1)
 	}
 	err := <-changed
 	length = time.Since(begun)
@@ -259,9 +261,9 @@
 			break
 		}
 		row := &n.rows[phase]
-		row.CPU += (worked(n.cmd.Process.Pid) - used[i]).Seconds()
+		row.CPU += (cpuTime(n.cmd.Process.Pid) - used[i]).Seconds()
 		row.Made, row.Met = row.Made+made, row.Met+met
-		n.spent[0], n.spent[1] = n.spent[0]+length*time.Duration(phase), n.spent[1]+took
+		n.changeTimes[0], n.changeTimes[1] = n.changeTimes[0]+length*time.Duration(phase), n.changeTimes[1]+took
 	}
 	if err != nil || phase == 0 {
 		return err
@@ -270,17 +272,17 @@
 	if err != nil {
 		return err
 	}
-	return s.writer.acked(ctx, status.Version, 1) // the node has all of them in force
+	return s.writer.awaitAcknowledged(ctx, status.Version, 1) // the node has all of them in force
 }
 
 // told is a phase's row.
-func (n *side) told(phase int) Added {
+func (n *comparedNode) row(phase int) Added {
 	row := n.rows[phase]
 	row.Node, row.Changing = n.name, phase == 1
-	row.P50, row.P99 = quantile(n.added[phase], 0.5), quantile(n.added[phase], 0.99)
+	row.P50, row.P99 = quantile(n.addedSeconds[phase], 0.5), quantile(n.addedSeconds[phase], 0.99)
 	row.CPU /= float64(max(row.Asked, 1))
 	if row.Made > 0 {
-		row.Rate, row.Change = float64(row.Made)/n.spent[0].Seconds(), n.spent[1].Seconds()/float64(row.Made)
+		row.Rate, row.Change = float64(row.Made)/n.changeTimes[0].Seconds(), n.changeTimes[1].Seconds()/float64(row.Made)
 	}
 	return row
 }
@@ -292,9 +294,9 @@
 	for _, r := range rows {
 		what := "quiet"
 		if r.Changing {
-			what = fmt.Sprintf("%d changes, %.1f a second, %s each; %d met by a request", r.Made, r.Rate, Amount(r.Change, "s"), r.Met)
+			what = fmt.Sprintf("%d changes, %.1f a second, %s each; %d met by a request", r.Made, r.Rate, FormatAmount(r.Change, "s"), r.Met)
 		}
-		fmt.Fprintf(out, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", r.Node, what, r.Asked, r.Lost, Amount(r.P50, "s"), Amount(r.P99, "s"), Amount(r.CPU, "s"))
+		fmt.Fprintf(out, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", r.Node, what, r.Asked, r.Lost, FormatAmount(r.P50, "s"), FormatAmount(r.P99, "s"), FormatAmount(r.CPU, "s"))
 	}
 	return out.Flush()
 }
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/compare_test.go
@@ -15,14 +15,14 @@
 
 // Nodes of two builds, asked in turn: each round has requests at each, all served under named contracts, changes are made in every other
 // one, some of them of contracts that requests then fall under, and nothing is left behind.
-func TestBeside(t *testing.T) {
+func TestCompareBuilds(t *testing.T) {
 	text, _ := deployscale.Read("small")
 	p, err := Parse("small", text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Bound = 4 * time.Minute // the verdict must not hang on how busy the machine is
-	rows, err := Beside(t.Context(), p, Options{Binary: built}, BesideOptions{Old: built, Contracts: 200, Round: 3 * time.Second, Rounds: 1, Changes: 10})
+	rows, err := Beside(t.Context(), p, Options{Binary: testBinary}, BesideOptions{Old: testBinary, Contracts: 200, Round: 3 * time.Second, Rounds: 1, Changes: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,19 +39,19 @@
 	if err := PrintBeside(&out, rows); err != nil || strings.Count(out.String(), "\n") != 7 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
-	if left := children(t); len(left) > 0 {
+	if left := runningChildren(t); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
 	}
-	if _, err := Beside(t.Context(), p, Options{Binary: built}, BesideOptions{Old: "/nowhere", Contracts: 200, Round: time.Second, Rounds: 1}); err == nil {
+	if _, err := Beside(t.Context(), p, Options{Binary: testBinary}, BesideOptions{Old: "/nowhere", Contracts: 200, Round: time.Second, Rounds: 1}); err == nil {
 		t.Error("an older build that is not there is no error")
 	}
-	if left := children(t); len(left) > 0 {
+	if left := runningChildren(t); len(left) > 0 {
 		t.Errorf("left behind an error: %v", left)
 	}
 }
 
 // One who lets in requests that no named contract is for gives no figures.
-func TestBesideWantsNamedContracts(t *testing.T) {
+func TestCompareBuildsNeedsNamedContracts(t *testing.T) {
 	for _, open := range []bool{false, true} {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("X-Tenant") == "" && !open {
@@ -60,11 +60,11 @@
 			fmt.Fprint(w, 1)
 		}))
 		addr := strings.TrimPrefix(node.URL, "http://")
-		s := &sides{client: node.Client(), nodes: []*side{{realNode: &realNode{addr: addr}}}}
-		if err := s.named(); errors.Is(err, errNobody) != open {
+		s := &comparison{client: node.Client(), nodes: []*comparedNode{{realNode: &realNode{addr: addr}}}}
+		if err := s.checkNamedContracts(); errors.Is(err, errUnnamedAdmitted) != open {
 			t.Errorf("open %v: %v", open, err)
 		}
-		if _, ok := ask(s.client, addr, "id", tenantName(3)); !ok {
+		if _, ok := sendRequest(s.client, addr, "id", tenantName(3)); !ok {
 			t.Errorf("open %v: a tenant's request is not let in", open)
 		}
 		node.Close()
@@ -72,24 +72,24 @@
 }
 
 // Each tenant has its turn before one comes again, however many there are.
-func TestTurns(t *testing.T) {
+func TestEachTenantBeforeAnyRepeats(t *testing.T) {
 	for _, n := range []int{1, 2, 200, 7919, 2 * 7919, 17_000} {
-		s := &sides{BesideOptions: BesideOptions{Contracts: n}}
+		s := &comparison{BesideOptions: BesideOptions{Contracts: n}}
 		seen := map[int]bool{}
 		for k := range int64(n) {
-			seen[s.tenant(k)] = true
+			seen[s.tenantOf(k)] = true
 		}
-		if len(seen) != n || s.tenant(int64(n)) != s.tenant(0) {
+		if len(seen) != n || s.tenantOf(int64(n)) != s.tenantOf(0) {
 			t.Errorf("%d tenants: %d had their turn", n, len(seen))
 		}
 	}
 }
 
 // Changes come at the times that they are asked for, and not so long after the one before: what one takes does not make them fewer.
-func TestChangesAtEvenTimes(t *testing.T) {
+func TestChangesKeepTheirRate(t *testing.T) {
 	const due = 25
 	r := &run{dir: t.TempDir(), plan: &Plan{Size: Size{Tenants: 100, Services: 1}}}
-	files, err := r.folder(100, false)
+	files, err := r.newConfigFiles(100, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,10 +103,10 @@
 		fmt.Fprint(w, `{"version":"1.2","changed":true}`)
 	}))
 	defer writer.Close()
-	s := &sides{BesideOptions: BesideOptions{Contracts: 100, Changes: 0.1}, run: r, gap: time.Second, files: files,
-		writer: &controller{child: &child{}, addr: strings.TrimPrefix(writer.URL, "http://")}}
+	s := &comparison{BesideOptions: BesideOptions{Contracts: 100, Changes: 0.1}, run: r, requestInterval: time.Second, files: files,
+		writer: &controlProcess{child: &child{}, addr: strings.TrimPrefix(writer.URL, "http://")}}
 	// So many are due at once, 10 s apart: to wait behind each would take minutes.
-	made, met, _, err := s.changes(ctx, time.Now().Add(-(due-1)*10*time.Second-5*time.Second))
+	made, met, _, err := s.makeChanges(ctx, time.Now().Add(-(due-1)*10*time.Second-5*time.Second))
 	if err != nil || made != due || reloads != due || met != 0 {
 		t.Errorf("%d made, %d read, %d met, want %d of which no request met one: %v", made, reloads, met, due, err)
 	}
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -21,17 +21,17 @@
 )
 
 // perFile is how many contracts stand in one of the writer's files: so many are read for a change of one.
-const perFile = 100
+const contractsPerFile = 100
 
 // folder is the writer's files: services and routes in one, contracts in others. Safe for concurrent use.
-type folder struct {
+type configFiles struct {
 	path string
 	size *Size
 
-	mu        sync.Mutex
-	contracts int
-	rates     map[int]int // of those that were changed
-	turn      int
+	mu             sync.Mutex
+	contractCount  int
+	rateIncrements map[int]int // of those that were changed
+	changeCount    int
 }
 
 // tenantName is the i-th tenant's, and its contract's.
@@ -39,13 +39,13 @@
 
 // folder writes files with so many contracts, and services and routes in proportion to the full size; others: one contract more is for
 // who has none.
-func (r *run) folder(contracts int, others bool) (*folder, error) {
+func (r *run) newConfigFiles(contracts int, others bool) (*configFiles, error) {
 	path, err := os.MkdirTemp(r.dir, "files")
 	if err != nil {
 		return nil, err
 	}
-	f := &folder{path: path, size: &r.plan.Size, contracts: contracts, rates: map[int]int{}}
-	services := f.services()
+	f := &configFiles{path: path, size: &r.plan.Size, contractCount: contracts, rateIncrements: map[int]int{}}
+	services := f.serviceCount()
 	var b strings.Builder
 	b.WriteString("services:\n")
 	for i := range services {
@@ -61,11 +61,11 @@
 		}
 	}
 	b.WriteString("...\n")
-	if err := f.write("base.yaml", b.String()); err != nil {
+	if err := f.replaceFile("base.yaml", b.String()); err != nil {
 		return nil, err
 	}
-	for from := 0; from < contracts; from += perFile {
-		if err := f.part(from / perFile); err != nil {
+	for from := 0; from < contracts; from += contractsPerFile {
+		if err := f.writeContracts(from / contractsPerFile); err != nil {
 			return nil, err
 		}
 	}
@@ -78,12 +78,12 @@
 	return f, err
 }
 
-func (f *folder) services() int {
-	return max(1, int(float64(f.contracts)/float64(f.size.Tenants)*float64(f.size.Services)+0.5))
+func (f *configFiles) serviceCount() int {
+	return max(1, int(float64(f.contractCount)/float64(f.size.Tenants)*float64(f.size.Services)+0.5))
 }
 
 // write puts a file in its place, whole.
-func (f *folder) write(name, text string) error {
+func (f *configFiles) replaceFile(name, text string) error {
 	next := filepath.Join(f.path, ".next")
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		return err
@@ -92,37 +92,37 @@
 }
 
 // part writes the k-th file of contracts. f.mu is held, or nobody else knows the folder.
-func (f *folder) part(k int) error {
+func (f *configFiles) writeContracts(k int) error {
 	var b strings.Builder
 	b.WriteString("contracts:\n")
-	services := f.services()
-	for i := k * perFile; i < min(f.contracts, (k+1)*perFile); i++ {
+	services := f.serviceCount()
+	for i := k * contractsPerFile; i < min(f.contractCount, (k+1)*contractsPerFile); i++ {
 		fmt.Fprintf(&b, "  - name: %[1]s\n    match: [{tenant: %[1]s}]\n    services: [service-%03[2]d]\n    rate: %[3]d\n    burst: 10\n    in_flight: 20\n"+
-			"    attempts: {ratio: 0.2, window: 10s, floor: 1}\n", tenantName(i), i%services, 5+f.rates[i])
+			"    attempts: {ratio: 0.2, window: 10s, floor: 1}\n", tenantName(i), i%services, 5+f.rateIncrements[i])
 	}
 	b.WriteString("...\n")
-	return f.write(fmt.Sprintf("contracts-%04d.yaml", k), b.String())
+	return f.replaceFile(fmt.Sprintf("contracts-%04d.yaml", k), b.String())
 }
 
 // change changes one contract, another one each time.
-func (f *folder) change() error {
+func (f *configFiles) changeNext() error {
 	f.mu.Lock()
-	i := f.turn * 37 % f.contracts
-	f.turn++
+	i := f.changeCount * 37 % f.contractCount
+	f.changeCount++
 	f.mu.Unlock()
-	return f.changeOf(i)
+	return f.changeContract(i)
 }
 
 // changeOf changes the i-th contract.
-func (f *folder) changeOf(i int) error {
+func (f *configFiles) changeContract(i int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rates[i]++
-	return f.part(i / perFile)
+	f.rateIncrements[i]++
+	return f.writeContracts(i / contractsPerFile)
 }
 
 // controller is a control process of the run.
-type controller struct {
+type controlProcess struct {
 	*child
 	addr string
 	args []string
@@ -130,14 +130,14 @@
 
 // controls starts control processes: the first is the writer of the files, the others follow it, and look at one another as docs/configuration.md
 // has it. Via tells the address by which one reaches another (nil: its own). More are flags of all.
-func (r *run) controls(ctx context.Context, count int, files *folder, via func(from int, to *controller) (string, error), more ...string) ([]*controller, error) {
-	var all []*controller
+func (r *run) startControls(ctx context.Context, count int, files *configFiles, via func(from int, to *controlProcess) (string, error), more ...string) ([]*controlProcess, error) {
+	var all []*controlProcess
 	for range count {
 		addr, err := standin.FreeAddr()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, &controller{addr: addr})
+		all = append(all, &controlProcess{addr: addr})
 	}
 	for i, c := range all {
 		c.args = append([]string{"control", "--listen", c.addr, "--name", fmt.Sprintf("control-%d", i)}, more...)
@@ -158,7 +158,7 @@
 			}
 			c.args = append(c.args, others, addr)
 		}
-		if err := r.begin(ctx, c); err != nil {
+		if err := r.startControl(ctx, c); err != nil {
 			return all, err
 		}
 	}
@@ -166,12 +166,12 @@
 }
 
 // begin starts a control process, anew where it was ended, and waits until it has a configuration.
-func (r *run) begin(ctx context.Context, c *controller) (err error) {
-	if c.child, err = r.herd.start(c.args[4], nil, c.args...); err != nil {
+func (r *run) startControl(ctx context.Context, c *controlProcess) (err error) {
+	if c.child, err = r.processes.start(c.args[4], nil, c.args...); err != nil {
 		return err
 	}
-	for end := time.Now().Add(beginMost); time.Now().Before(end); {
-		if resp, err := operator.Get("http://" + c.addr + "/-/ready"); err == nil {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
+		if resp, err := operatorClient.Get("http://" + c.addr + "/-/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
@@ -179,21 +179,21 @@
 		}
 		select {
 		case <-c.done:
-			return fmt.Errorf("%s: %w: %s", c.role, errBegun, c.logs.String())
+			return fmt.Errorf("%s: %w: %s", c.role, errNotReady, c.logs.String())
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("%s: %w within %v: %s", c.role, errBegun, beginMost, c.logs.String())
+	return fmt.Errorf("%s: %w within %v: %s", c.role, errNotReady, startTimeout, c.logs.String())
 }
 
 // operator calls control processes as operators do.
-var operator = &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var operatorClient = &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // reload lets a writer read its files, and tells the version that this made.
-func (c *controller) reload() (resource.Version, error) {
-	resp, err := operator.Post("http://"+c.addr+"/v1/reload", "", nil)
+func (c *controlProcess) reload() (resource.Version, error) {
+	resp, err := operatorClient.Post("http://"+c.addr+"/v1/reload", "", nil)
 	if err != nil {
 		return resource.Version{}, err
 	}
@@ -216,7 +216,7 @@
 }
 
 // status is how a control process stands.
-type status struct {
+type controlStatus struct {
 	Version  resource.Version `json:"version"`
 	Versions []struct {
 		Version resource.Version `json:"version"`
@@ -227,8 +227,8 @@
 	Follows   *follow.Figures `json:"follows"` // of a follower
 }
 
-func (c *controller) status() (s status, err error) {
-	resp, err := operator.Get("http://" + c.addr + "/v1/status")
+func (c *controlProcess) status() (s controlStatus, err error) {
+	resp, err := operatorClient.Get("http://" + c.addr + "/v1/status")
 	if err != nil {
 		return s, err
 	}
@@ -237,9 +237,9 @@
 }
 
 // acked waits until so many callers have a version in force, and none refuses one.
-func (c *controller) acked(ctx context.Context, v resource.Version, callers int) error {
-	var last status
-	err := until(ctx, heardMost, fmt.Sprintf("version %s at %d callers", v, callers), func() bool {
+func (c *controlProcess) awaitAcknowledged(ctx context.Context, v resource.Version, callers int) error {
+	var last controlStatus
+	err := waitUntil(ctx, updateTimeout, fmt.Sprintf("version %s at %d callers", v, callers), func() bool {
 		s, err := c.status()
 		last = s
 		n := 0
@@ -263,7 +263,7 @@
 }
 
 // product writes a node's product file that names control processes. Connect is where it takes tunnels, which have the routes.
-func (r *run) product(connect string, addrs ...string) (string, error) {
+func (r *run) writeControlProductFile(connect string, addrs ...string) (string, error) {
 	text := "control:\n  addresses:\n"
 	for _, a := range addrs {
 		text += fmt.Sprintf("    - %q\n", a)
@@ -271,23 +271,23 @@
 	if connect != "" {
 		text += fmt.Sprintf("tunnels:\n  connect: %q\n", connect)
 	}
-	return r.file(".yaml", []byte(text+"...\n"))
+	return r.writeFile(".yaml", []byte(text+"...\n"))
 }
 
 // changeRest is between two changes of the configuration: longer than a node takes over one, so that none is told with the next.
-const changeRest = 150 * time.Millisecond
+const changeDelay = 150 * time.Millisecond
 
 // changes makes changes of the configuration one after the other, and tells how long that took and the last version.
-func changes(ctx context.Context, count int, f *folder, writer *controller) (took time.Duration, last resource.Version, err error) {
+func makeChanges(ctx context.Context, count int, f *configFiles, writer *controlProcess) (took time.Duration, last resource.Version, err error) {
 	begun := time.Now()
 	for range count {
-		if err = f.change(); err != nil {
+		if err = f.changeNext(); err != nil {
 			return 0, last, err
 		}
 		if last, err = writer.reload(); err != nil {
 			return 0, last, err
 		}
-		if err = pause(ctx, changeRest); err != nil {
+		if err = pause(ctx, changeDelay); err != nil {
 			return 0, last, err
 		}
 	}
--- a/internal/lab/scale/control_cost.go
+++ b/internal/lab/scale/control_cost.go
@@ -12,14 +12,14 @@
 )
 
 // control measures control processes: by the size of the configuration with one real node that follows, and by how many follow.
-func (r *run) control(ctx context.Context) error {
+func (r *run) measureControl(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return r.byContracts(ctx) })
-	g.Go(func() error { return r.byWatchers(ctx) })
+	g.Go(func() error { return r.measureControlByContracts(ctx) })
+	g.Go(func() error { return r.measureControlByWatchers(ctx) })
 	return g.Wait()
 }
 
-func (r *run) byContracts(ctx context.Context) error {
+func (r *run) measureControlByContracts(ctx context.Context) error {
 	p := r.plan.Control
 	type result struct{ start, rss, peak, rest, delta, bytes, whole, control, controlDelta, controlPeak Point }
 	results := make([]result, len(p.Contracts))
@@ -27,22 +27,22 @@
 	g.SetLimit(3)
 	for i, n := range p.Contracts {
 		g.Go(func() error {
-			files, err := r.folder(n, true)
+			files, err := r.newConfigFiles(n, true)
 			if err != nil {
 				return err
 			}
-			all, err := r.controls(ctx, 1, files, nil)
+			all, err := r.startControls(ctx, 1, files, nil)
 			if err != nil {
 				return err
 			}
 			writer := all[0]
-			defer r.herd.end(writer.child)
+			defer r.processes.stop(writer.child)
 			way, err := StartRelay(writer.addr) // counts the bytes
 			if err != nil {
 				return err
 			}
 			defer way.Stop()
-			roster := NewRoster(p.Servers, r.plan.Size.Zones, nil)
+			roster := NewStubDiscovery(p.Servers, r.plan.Size.Zones, nil)
 			addr, err := roster.Start()
 			if err != nil {
 				return err
@@ -52,50 +52,50 @@
 			if err != nil {
 				return err
 			}
-			product, err := r.product(connect, way.Addr())
+			product, err := r.writeControlProductFile(connect, way.Addr())
 			if err != nil {
 				return err
 			}
-			node, err := r.node(ctx, nodeSetup{name: fmt.Sprintf("control-%d", n), discovery: addr, zone: zoneName(0), known: roster.Whole(), idle: 10 * time.Second,
+			node, err := r.startNode(ctx, nodeSetup{name: fmt.Sprintf("control-%d", n), discovery: addr, zone: zoneName(0), serverList: roster.FullList(), serverIdle: 10 * time.Second,
 				env: []string{"PORTSTALL_FILE=" + product}})
 			if err != nil {
 				return err
 			}
-			defer r.herd.end(node.child)
+			defer r.processes.stop(node.child)
 			x, id, own, res := float64(n), node.cmd.Process.Pid, writer.cmd.Process.Pid, &results[i]
-			res.start, res.whole = Point{x, node.began.Seconds()}, Point{x, float64(way.Bytes())}
+			res.start, res.whole = Point{x, node.startDuration.Seconds()}, Point{x, float64(way.Bytes())}
 			if err := pause(ctx, time.Second); err != nil {
 				return err
 			}
-			begun, before, ownBefore := time.Now(), worked(id), worked(own)
+			begun, before, ownBefore := time.Now(), cpuTime(id), cpuTime(own)
 			if err := pause(ctx, p.AtRest); err != nil {
 				return err
 			}
 			took := time.Since(begun).Seconds()
-			rest, ownRest := (worked(id)-before).Seconds()/took, (worked(own)-ownBefore).Seconds()/took
-			res.rss, res.rest, res.control = Point{x, float64(resident(id))}, Point{x, rest}, Point{x, float64(resident(own))}
-			before, ownBefore = worked(id), worked(own)
+			rest, ownRest := (cpuTime(id)-before).Seconds()/took, (cpuTime(own)-ownBefore).Seconds()/took
+			res.rss, res.rest, res.control = Point{x, float64(residentBytes(id))}, Point{x, rest}, Point{x, float64(residentBytes(own))}
+			before, ownBefore = cpuTime(id), cpuTime(own)
 			sent := way.Bytes()
-			spent, last, err := changes(ctx, p.Changes, files, writer)
+			spent, last, err := makeChanges(ctx, p.Changes, files, writer)
 			if err != nil {
 				return err
 			}
 			count := float64(p.Changes)
-			res.delta = Point{x, max(0, (worked(id)-before).Seconds()-rest*spent.Seconds()) / count}
+			res.delta = Point{x, max(0, (cpuTime(id)-before).Seconds()-rest*spent.Seconds()) / count}
 			res.bytes = Point{x, float64(way.Bytes()-sent) / count}
-			res.controlDelta = Point{x, max(0, (worked(own)-ownBefore).Seconds()-ownRest*spent.Seconds()) / count}
-			if err := writer.acked(ctx, last, 1); err != nil {
+			res.controlDelta = Point{x, max(0, (cpuTime(own)-ownBefore).Seconds()-ownRest*spent.Seconds()) / count}
+			if err := writer.awaitAcknowledged(ctx, last, 1); err != nil {
 				return err
 			}
 			// A whole list comes in on top of it.
-			if err := until(ctx, heardMost, "a whole list", func() bool { at, _ := roster.Heard(); return at >= roster.Version() }); err != nil {
+			if err := waitUntil(ctx, updateTimeout, "a whole list", func() bool { at, _ := roster.HighestSince(); return at >= roster.Version() }); err != nil {
 				return err
 			}
-			v := roster.Forget("Terminating", 0)
-			if err := until(ctx, heardMost, "a whole list", func() bool { at, _ := roster.Heard(); return at >= v }); err != nil {
+			v := roster.SetStateAsSnapshot("Terminating", 0)
+			if err := waitUntil(ctx, updateTimeout, "a whole list", func() bool { at, _ := roster.HighestSince(); return at >= v }); err != nil {
 				return err
 			}
-			res.peak, res.controlPeak = Point{x, float64(peak(id))}, Point{x, float64(peak(own))}
+			res.peak, res.controlPeak = Point{x, float64(peakResidentBytes(id))}, Point{x, float64(peakResidentBytes(own))}
 			return nil
 		})
 	}
@@ -109,7 +109,7 @@
 		for i := range results {
 			points = append(points, of(&results[i]))
 		}
-		errs = errors.Join(errs, r.line(Row{ID: id, Role: role, Figure: figure, Unit: unit, Of: "contract", Note: note}, points, float64(r.plan.Size.Tenants)))
+		errs = errors.Join(errs, r.addFittedRow(Row{ID: id, Role: role, Figure: figure, Unit: unit, Of: "contract", Note: note}, points, float64(r.plan.Size.Tenants)))
 	}
 	row("conf.start", "node", "start with list and configuration until it is ready", "s", func(s *result) Point { return s.start })
 	row("conf.rss", "node", "resident at rest, with list and configuration", "B", func(s *result) Point { return s.rss })
@@ -124,13 +124,13 @@
 	return errs
 }
 
-func (r *run) byWatchers(ctx context.Context) error {
+func (r *run) measureControlByWatchers(ctx context.Context) error {
 	p := r.plan.Control
 	rss, rest, delta := make([]Point, len(p.Watchers)), make([]Point, len(p.Watchers)), make([]Point, len(p.Watchers))
 	g, ctx := errgroup.WithContext(ctx)
 	for i, n := range p.Watchers {
 		g.Go(func() (err error) {
-			rss[i], rest[i], delta[i], err = r.watchers(ctx, n)
+			rss[i], rest[i], delta[i], err = r.measureWatchers(ctx, n)
 			return err
 		})
 	}
@@ -138,44 +138,44 @@
 		return err
 	}
 	one := func(id, figure, unit string, points []Point) error {
-		return r.line(Row{ID: id, Role: "control", Figure: figure, Unit: unit, Of: "node", Note: "hollow nodes follow one control process of 100 contracts"}, points, float64(r.plan.Size.Nodes))
+		return r.addFittedRow(Row{ID: id, Role: "control", Figure: figure, Unit: unit, Of: "node", Note: "hollow nodes follow one control process of 100 contracts"}, points, float64(r.plan.Size.Nodes))
 	}
 	return errors.Join(one("control.nodes.rss", "resident, by the nodes that follow", "B", rss), one("control.nodes.rest", "processor time a second, nobody changes anything", "s", rest),
 		one("control.nodes.delta", "processor time of a change, by the nodes that follow", "s", delta))
 }
 
 // watchers measures one control process that so many hollow nodes follow.
-func (r *run) watchers(ctx context.Context, n int) (rss, rest, delta Point, err error) {
+func (r *run) measureWatchers(ctx context.Context, n int) (rss, rest, delta Point, err error) {
 	p := r.plan.Control
-	files, err := r.folder(perFile, true)
+	files, err := r.newConfigFiles(contractsPerFile, true)
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	all, err := r.controls(ctx, 1, files, nil)
+	all, err := r.startControls(ctx, 1, files, nil)
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	defer r.herd.end(all[0].child)
-	roster := NewRoster(r.plan.Size.Zones, r.plan.Size.Zones, nil)
+	defer r.processes.stop(all[0].child)
+	roster := NewStubDiscovery(r.plan.Size.Zones, r.plan.Size.Zones, nil)
 	addr, err := roster.Start()
 	if err != nil {
 		return rss, rest, delta, err
 	}
 	defer roster.Stop()
-	path, err := r.config("hollow", "127.0.0.1:1", addr, zoneName(0), roster.Whole(), 10*time.Second)
+	path, err := r.writeNodeConfig("hollow", "127.0.0.1:1", addr, zoneName(0), roster.FullList(), 10*time.Second)
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	product, err := r.product("", all[0].addr)
+	product, err := r.writeControlProductFile("", all[0].addr)
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	w, err := r.worker(fmt.Sprintf("watchers-%d", n))
+	w, err := r.startWorker(fmt.Sprintf("watchers-%d", n))
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	defer r.herd.end(w)
-	o := r.names(0, n, func(int) string { return addr })
+	defer r.processes.stop(w)
+	o := r.hollowCommand(0, n, func(int) string { return addr })
 	o.Config = path
 	for range n {
 		o.Products = append(o.Products, product)
@@ -187,23 +187,23 @@
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	if err := all[0].acked(ctx, v.Version, n); err != nil {
+	if err := all[0].awaitAcknowledged(ctx, v.Version, n); err != nil {
 		return rss, rest, delta, err
 	}
 	id, x := all[0].cmd.Process.Pid, float64(n)
-	begun, before := time.Now(), worked(id)
+	begun, before := time.Now(), cpuTime(id)
 	if err := pause(ctx, p.AtRest); err != nil {
 		return rss, rest, delta, err
 	}
-	rest = Point{x, (worked(id) - before).Seconds() / time.Since(begun).Seconds()}
-	before = worked(id)
-	spent, last, err := changes(ctx, p.Changes, files, all[0])
+	rest = Point{x, (cpuTime(id) - before).Seconds() / time.Since(begun).Seconds()}
+	before = cpuTime(id)
+	spent, last, err := makeChanges(ctx, p.Changes, files, all[0])
 	if err != nil {
 		return rss, rest, delta, err
 	}
-	delta = Point{x, max(0, (worked(id)-before).Seconds()-rest.Y*spent.Seconds()) / float64(p.Changes)}
-	if err := all[0].acked(ctx, last, n); err != nil {
+	delta = Point{x, max(0, (cpuTime(id)-before).Seconds()-rest.Y*spent.Seconds()) / float64(p.Changes)}
+	if err := all[0].awaitAcknowledged(ctx, last, n); err != nil {
 		return rss, rest, delta, err
 	}
-	return Point{x, float64(resident(id))}, rest, delta, nil
+	return Point{x, float64(residentBytes(id))}, rest, delta, nil
 }
--- a/internal/lab/scale/line.go
+++ b/internal/lab/scale/fit.go
@@ -14,7 +14,7 @@
 }
 
 // Line is a straight line through points, by least squares.
-type Line struct {
+type LinearFit struct {
 	Base  float64 `json:"base"`  // at size 0
 	Slope float64 `json:"slope"` // for each unit of the size
 	// Off is how far the farthest point lies off it, as a part of the largest figure that was measured; 0: all lie on it.
@@ -25,7 +25,7 @@
 var errPoints = errors.New("a slope wants points at three sizes or more")
 
 // Fit lays a line through points at three sizes or more.
-func Fit(points []Point) (Line, error) {
+func FitLine(points []Point) (LinearFit, error) {
 	sizes := map[float64]bool{}
 	var xs, ys []float64
 	most := 0.0
@@ -35,9 +35,9 @@
 		most = max(most, math.Abs(p.Y))
 	}
 	if len(sizes) < 3 {
-		return Line{}, errPoints
+		return LinearFit{}, errPoints
 	}
-	var l Line
+	var l LinearFit
 	l.Base, l.Slope = stat.LinearRegression(xs, ys, nil, false)
 	for _, p := range points {
 		if most > 0 {
@@ -48,4 +48,4 @@
 }
 
 // At is what the line says for a size.
-func (l Line) At(x float64) float64 { return l.Base + l.Slope*x }
+func (l LinearFit) At(x float64) float64 { return l.Base + l.Slope*x }
--- a/internal/lab/scale/line_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-func TestFit(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		points []Point
-		want   Line
+		want   LinearFit
 		at100  float64
 	}{
-		{"on a line", []Point{{1, 5}, {2, 7}, {4, 11}}, Line{Base: 3, Slope: 2}, 203},
-		{"one off", []Point{{0, 0}, {1, 3}, {2, 0}}, Line{Base: 1, Slope: 0, Off: 2.0 / 3}, 1},
-		{"nothing", []Point{{1, 0}, {2, 0}, {3, 0}}, Line{}, 0},
-		{"several at a size", []Point{{1, 1}, {1, 3}, {2, 4}, {3, 6}}, Line{Base: 0, Slope: 2, Off: 1.0 / 6}, 200},
+		{"on a line", []Point{{1, 5}, {2, 7}, {4, 11}}, LinearFit{Base: 3, Slope: 2}, 203},
+		{"one off", []Point{{0, 0}, {1, 3}, {2, 0}}, LinearFit{Base: 1, Slope: 0, Off: 2.0 / 3}, 1},
+		{"nothing", []Point{{1, 0}, {2, 0}, {3, 0}}, LinearFit{}, 0},
+		{"several at a size", []Point{{1, 1}, {1, 3}, {2, 4}, {3, 6}}, LinearFit{Base: 0, Slope: 2, Off: 1.0 / 6}, 200},
 	} {
-		l, err := Fit(c.points)
+		l, err := FitLine(c.points)
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
@@ -29,9 +29,9 @@
 	}
 }
 
-func TestFitWantsThreeSizes(t *testing.T) {
+func TestFitLineNeedsThreeSizes(t *testing.T) {
 	for _, points := range [][]Point{nil, {{1, 1}}, {{1, 1}, {2, 2}}, {{1, 1}, {2, 2}, {2, 3}, {1, 4}}} {
-		if _, err := Fit(points); !errors.Is(err, errPoints) {
+		if _, err := FitLine(points); !errors.Is(err, errPoints) {
 			t.Errorf("%v: %v", points, err)
 		}
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -16,30 +16,30 @@
 
 // fleet is hollow nodes, real ones with clients, and what they follow.
 type fleet struct {
-	run     *run
-	plan    *Fleet
-	roster  *Roster
-	relays  []*Relay // by region
-	workers []*child
-	nodes   [][]int // of each worker, its nodes' numbers
-	real    []*realNode
-	took    []*took
-	counts  atomic.Bool
+	run             *run
+	plan            *FleetPlan
+	discovery       *StubDiscovery
+	discoveryRelays []*Relay // by region
+	workers         []*child
+	hollowNodes     [][]int // of each worker, its nodes' numbers
+	realNodes       []*realNode
+	clients         []*clientStats
+	counting        atomic.Bool
 
-	files    *folder // nil: no control is followed
-	controls []*controller
-	ways     [][]*Relay // to them, by region
-	links    [][]*Relay // between them: by who asks and who is asked; nil where both are one
-	writing  sync.Mutex // held by who changes the configuration, or lets the writer be away
+	files         *configFiles // nil: no control is followed
+	controls      []*controlProcess
+	controlRelays [][]*Relay // to them, by region
+	controlLinks  [][]*Relay // between them: by who asks and who is asked; nil where both are one
+	changeMu      sync.Mutex // held by who changes the configuration, or lets the writer be away
 }
 
 const (
-	webTime = 20 * time.Millisecond // what a server takes over a request
-	webIdle = 10 * time.Second      // how long it lets a connection rest
+	serviceTime       = 20 * time.Millisecond // what a server takes over a request
+	serverIdleTimeout = 10 * time.Second      // how long it lets a connection rest
 )
 
 // fleet lets a fleet follow churn, and go through the plan's faults.
-func (r *run) fleet(ctx context.Context) error {
+func (r *run) runFleet(ctx context.Context) error {
 	f := &fleet{run: r, plan: r.plan.Fleet}
 	r.report.Sped = f.plan.Speed
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -48,21 +48,21 @@
 		cancel(nil)
 		wg.Wait()
 		for _, c := range f.workers {
-			r.herd.end(c)
+			r.processes.stop(c)
 		}
-		for _, n := range f.real {
-			r.herd.end(n.child)
+		for _, n := range f.realNodes {
+			r.processes.stop(n.child)
 		}
 		for _, c := range f.controls {
-			r.herd.end(c.child)
+			r.processes.stop(c.child)
 		}
-		for _, l := range append(slices.Concat(append(f.ways, f.links...)...), f.relays...) {
+		for _, l := range append(slices.Concat(append(f.controlRelays, f.controlLinks...)...), f.discoveryRelays...) {
 			if l != nil {
 				l.Stop()
 			}
 		}
-		if f.roster != nil {
-			f.roster.Stop()
+		if f.discovery != nil {
+			f.discovery.Stop()
 		}
 	}()
 	if err := f.start(ctx); err != nil {
@@ -71,23 +71,23 @@
 	wg.Go(func() { f.churn(ctx) })
 	if f.files != nil {
 		wg.Go(func() {
-			if err := f.configure(ctx); err != nil && ctx.Err() == nil {
+			if err := f.reconfigureAtRandom(ctx); err != nil && ctx.Err() == nil {
 				cancel(err)
 			}
 		})
 	}
-	for i, n := range f.real {
-		f.took = append(f.took, &took{})
-		wg.Go(func() { f.took[i].clients(ctx, n.addr, n.role, f.plan.Rate, &f.counts) })
+	for i, n := range f.realNodes {
+		f.clients = append(f.clients, &clientStats{})
+		wg.Go(func() { f.clients[i].runClients(ctx, n.addr, n.role, f.plan.Rate, &f.counting) })
 	}
-	if err := f.calm(ctx); err != nil {
+	if err := f.measureCalm(ctx); err != nil {
 		return err
 	}
 	for _, x := range f.plan.Faults {
-		if r.opt.Tell != nil {
-			fmt.Fprintf(r.opt.Tell, "%5.1f s    %s\n", time.Since(r.begun).Seconds(), x.Kind)
+		if r.options.Tell != nil {
+			fmt.Fprintf(r.options.Tell, "%5.1f s    %s\n", time.Since(r.startedAt).Seconds(), x.Kind)
 		}
-		if err := f.fault(ctx, x); err != nil {
+		if err := f.runFault(ctx, x); err != nil {
 			return fmt.Errorf("%s: %w", x.Kind, err)
 		}
 	}
@@ -99,19 +99,19 @@
 	r, p := f.run, f.plan
 	var addrs []string
 	if p.Real > 0 {
-		web, err := r.worker("web")
+		web, err := r.startWorker("web")
 		if err != nil {
 			return err
 		}
-		f.workers, f.nodes = append(f.workers, web), append(f.nodes, nil)
-		got, err := web.call(ctx, order{Do: "web", Count: p.Servers, ServerUS: int(webTime.Microseconds()), IdleMS: int(webIdle.Milliseconds())})
+		f.workers, f.hollowNodes = append(f.workers, web), append(f.hollowNodes, nil)
+		got, err := web.call(ctx, workerCommand{Do: "web", Count: p.Servers, ServerUS: int(serviceTime.Microseconds()), IdleMS: int(serverIdleTimeout.Milliseconds())})
 		if err != nil {
 			return err
 		}
 		addrs = got.Addrs
 	}
-	f.roster = NewRoster(p.Servers, r.plan.Size.Zones, addrs)
-	addr, err := f.roster.Start()
+	f.discovery = NewStubDiscovery(p.Servers, r.plan.Size.Zones, addrs)
+	addr, err := f.discovery.Start()
 	if err != nil {
 		return err
 	}
@@ -120,11 +120,11 @@
 		if err != nil {
 			return err
 		}
-		f.relays = append(f.relays, l)
+		f.discoveryRelays = append(f.discoveryRelays, l)
 	}
-	products := make([]string, len(f.relays))
+	products := make([]string, len(f.discoveryRelays))
 	if p.Controls > 0 {
-		if f.files, err = r.folder(p.Contracts, true); err != nil {
+		if f.files, err = r.newConfigFiles(p.Contracts, true); err != nil {
 			return err
 		}
 		var keep []string
@@ -132,23 +132,23 @@
 			keep = []string{"--keep", p.Keep.String()}
 		}
 		for range p.Controls {
-			f.links = append(f.links, make([]*Relay, 0, p.Controls))
+			f.controlLinks = append(f.controlLinks, make([]*Relay, 0, p.Controls))
 		}
-		via := func(from int, to *controller) (string, error) {
+		via := func(from int, to *controlProcess) (string, error) {
 			l, err := StartRelay(to.addr)
 			if err != nil {
 				return "", err
 			}
-			if len(f.links[from]) == from {
-				f.links[from] = append(f.links[from], nil) // itself
+			if len(f.controlLinks[from]) == from {
+				f.controlLinks[from] = append(f.controlLinks[from], nil) // itself
 			}
-			f.links[from] = append(f.links[from], l)
+			f.controlLinks[from] = append(f.controlLinks[from], l)
 			return l.Addr(), nil
 		}
-		if f.controls, err = r.controls(ctx, p.Controls, f.files, via, keep...); err != nil {
+		if f.controls, err = r.startControls(ctx, p.Controls, f.files, via, keep...); err != nil {
 			return err
 		}
-		for region := range f.relays {
+		for region := range f.discoveryRelays {
 			var ways []*Relay
 			var addrs []string
 			for _, c := range f.controls {
@@ -158,15 +158,15 @@
 				}
 				ways, addrs = append(ways, l), append(addrs, l.Addr())
 			}
-			f.ways = append(f.ways, ways)
+			f.controlRelays = append(f.controlRelays, ways)
 			own := region % len(addrs) // its own control process is the nearest
-			if products[region], err = r.product("", append(append([]string{}, addrs[own:]...), addrs[:own]...)...); err != nil {
+			if products[region], err = r.writeControlProductFile("", append(append([]string{}, addrs[own:]...), addrs[:own]...)...); err != nil {
 				return err
 			}
 		}
 	}
-	source := func(region int) string { return f.relays[region].Addr() }
-	path, err := r.config("hollow", "127.0.0.1:1", addr, zoneName(0), f.roster.Whole(), webIdle)
+	source := func(region int) string { return f.discoveryRelays[region].Addr() }
+	path, err := r.writeNodeConfig("hollow", "127.0.0.1:1", addr, zoneName(0), f.discovery.FullList(), serverIdleTimeout)
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 		if from == to {
 			continue
 		}
-		w, err := r.worker(fmt.Sprintf("hollow-%d", i), p.collector()...)
+		w, err := r.startWorker(fmt.Sprintf("hollow-%d", i), p.gcEnvironment()...)
 		if err != nil {
 			return err
 		}
@@ -184,12 +184,12 @@
 		for k := from; k < to; k++ {
 			which = append(which, k)
 		}
-		f.workers, f.nodes = append(f.workers, w), append(f.nodes, which)
+		f.workers, f.hollowNodes = append(f.workers, w), append(f.hollowNodes, which)
 		g.Go(func() error {
-			o := r.names(from, to-from, source)
+			o := r.hollowCommand(from, to-from, source)
 			o.Config = path
 			for k := from; f.files != nil && k < to; k++ {
-				o.Products = append(o.Products, products[r.region(k)])
+				o.Products = append(o.Products, products[r.regionOf(k)])
 			}
 			_, err := w.call(inner, o)
 			return err
@@ -202,26 +202,26 @@
 		}
 		env := []string{"GW_MGMT=" + mgmt}
 		if f.files != nil {
-			env = append(env, "PORTSTALL_FILE="+products[r.region(i)])
+			env = append(env, "PORTSTALL_FILE="+products[r.regionOf(i)])
 		}
-		n, err := r.node(ctx, nodeSetup{name: fmt.Sprintf("real-%d", i), discovery: source(r.region(i)), zone: zoneName(i % r.plan.Size.Zones),
-			known: f.roster.Whole(), idle: webIdle, env: env})
+		n, err := r.startNode(ctx, nodeSetup{name: fmt.Sprintf("real-%d", i), discovery: source(r.regionOf(i)), zone: zoneName(i % r.plan.Size.Zones),
+			serverList: f.discovery.FullList(), serverIdle: serverIdleTimeout, env: env})
 		if err != nil {
 			return err
 		}
 		n.mgmt = mgmt
-		f.real = append(f.real, n)
+		f.realNodes = append(f.realNodes, n)
 	}
 	if err := g.Wait(); err != nil {
 		return err
 	}
 	// All are up once they have a change that was made then.
-	c, err := f.change(ctx)
+	c, err := f.makeChange(ctx)
 	if err != nil {
 		return err
 	}
-	for _, o := range c.orders() {
-		if after, err := f.within(ctx, startMost, o, time.Now(), nil); err != nil || len(after) < p.Hollow {
+	for _, o := range c.queries() {
+		if after, err := f.awaitWithin(ctx, fleetStartTimeout, o, time.Now(), nil); err != nil || len(after) < p.Hollow {
 			return errors.Join(err, fmt.Errorf("%d of %d hollow nodes are up", len(after), p.Hollow))
 		}
 	}
@@ -229,32 +229,32 @@
 }
 
 // harvest is what the clients met since it was last asked.
-func (f *fleet) harvest() (asked, served int, added []float64) {
-	for _, t := range f.took {
+func (f *fleet) takeClientStats() (asked, served int, added []float64) {
+	for _, t := range f.clients {
 		t.mu.Lock()
-		asked, served, added = asked+t.asked, served+t.served, append(added, t.added...)
-		t.asked, t.served, t.added = 0, 0, nil
+		asked, served, added = asked+t.requests, served+t.served, append(added, t.addedSeconds...)
+		t.requests, t.served, t.addedSeconds = 0, 0, nil
 		t.mu.Unlock()
 	}
 	return asked, served, added
 }
 
 // startMost is how long all nodes may take to come up: a machine that starts 450 at once is no measure of one that starts one.
-const startMost = 3 * time.Minute
+const fleetStartTimeout = 3 * time.Minute
 
 // follow is within the plan's limit.
-func (f *fleet) follow(ctx context.Context, o order, from time.Time, wanted func(node int) bool) (after []float64, err error) {
-	return f.within(ctx, f.plan.Limit, o, from, wanted)
+func (f *fleet) await(ctx context.Context, o workerCommand, from time.Time, wanted func(node int) bool) (after []float64, err error) {
+	return f.awaitWithin(ctx, f.plan.Limit, o, from, wanted)
 }
 
 // within waits until nodes (nil: all hollow ones) have the version that is asked for, and tells how long after a time each had it. Those that don't have
 // it within the limit are missing.
-func (f *fleet) within(ctx context.Context, limit time.Duration, o order, from time.Time, wanted func(node int) bool) (after []float64, err error) {
+func (f *fleet) awaitWithin(ctx context.Context, limit time.Duration, o workerCommand, from time.Time, wanted func(node int) bool) (after []float64, err error) {
 	for {
 		after = after[:0]
 		missing := 0
 		for i, w := range f.workers {
-			if len(f.nodes[i]) == 0 {
+			if len(f.hollowNodes[i]) == 0 {
 				continue
 			}
 			got, err := w.call(ctx, o)
@@ -263,7 +263,7 @@
 			}
 			for k, at := range got.At {
 				switch {
-				case wanted != nil && !wanted(f.nodes[i][k]):
+				case wanted != nil && !wanted(f.hollowNodes[i][k]):
 				case at == 0:
 					missing++
 				default:
@@ -281,11 +281,11 @@
 }
 
 // event is a fault that is under way.
-type event struct {
+type activeFault struct {
 	*fleet
 	Fault
-	begun     time.Time
-	bytes     int64 // from discovery until then,
-	toldAt    int64 // and from control
-	shortened string
+	startedAt            time.Time
+	discoveryBytesBefore int64 // from discovery until then,
+	controlBytesBefore   int64 // and from control
+	shortened            string
 }
--- a/internal/lab/scale/fleet_test.go
+++ b/internal/lab/scale/fleet_test.go
@@ -10,15 +10,15 @@
 )
 
 // A change that was not in force at all reachable nodes in time fails the run, whatever the budgets.
-func TestLateChangeBreaks(t *testing.T) {
-	roster, _ := startRoster(t, 2)
+func TestLateChangeFailsRun(t *testing.T) {
+	roster, _ := startStubDiscovery(t, 2)
 	r := &run{plan: &Plan{}}
-	e := &event{fleet: &fleet{run: r, plan: &Fleet{Hollow: 2, Limit: time.Second}, roster: roster}}
-	e.row("a fault", "list", []float64{0.1, 0.2}, 2)
+	e := &activeFault{fleet: &fleet{run: r, plan: &FleetPlan{Hollow: 2, Limit: time.Second}, discovery: roster}}
+	e.addFaultRow("a fault", "list", []float64{0.1, 0.2}, 2)
 	if len(r.report.Broken) != 0 {
 		t.Fatalf("broken: %v", r.report.Broken)
 	}
-	e.row("a fault", "configuration", []float64{0.1}, 2)
+	e.addFaultRow("a fault", "configuration", []float64{0.1}, 2)
 	if b := r.report.Broken; len(b) != 1 || !strings.Contains(b[0], "a fault: the change of the configuration was in force at 1 of 2 nodes after 1s") {
 		t.Fatalf("broken: %v", b)
 	}
@@ -28,9 +28,9 @@
 }
 
 // The writer's files are sound, and a change reads one of them and is one resource.
-func TestFolder(t *testing.T) {
+func TestConfigFiles(t *testing.T) {
 	r := &run{dir: t.TempDir(), plan: &Plan{Size: Size{Tenants: 1000, Services: 10, Routes: 300}}}
-	f, err := r.folder(250, true)
+	f, err := r.newConfigFiles(250, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	reads := source.Reads()
 	seen := map[resource.Key]bool{}
 	for range 5 {
-		if err := f.change(); err != nil {
+		if err := f.changeNext(); err != nil {
 			t.Fatal(err)
 		}
 		r, err := source.Read()
@@ -69,14 +69,14 @@
 }
 
 // When a node has a version is told of the first time that it had it or a later one, for list and configuration apart.
-func TestReached(t *testing.T) {
+func TestFirstSeenTimes(t *testing.T) {
 	n := &hollowNode{}
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	for i, v := range []uint64{1, 1, 3, 3, 7} {
-		n.seen[0].note(resource.Version{Number: v}, at(int64(i)))
+		n.history[0].record(resource.Version{Number: v}, at(int64(i)))
 	}
-	n.seen[1].note(resource.Version{Epoch: 2, Number: 5}, at(10))
-	n.seen[1].note(resource.Version{Epoch: 3}, at(11))
+	n.history[1].record(resource.Version{Epoch: 2, Number: 5}, at(10))
+	n.history[1].record(resource.Version{Epoch: 3}, at(11))
 	w := &worker{nodes: []*hollowNode{n, {}}}
 	for _, c := range []struct {
 		of   int
@@ -84,7 +84,7 @@
 		want int64
 	}{{0, resource.Version{Number: 1}, 0}, {0, resource.Version{Number: 2}, 2}, {0, resource.Version{Number: 7}, 4}, {0, resource.Version{Number: 8}, -1},
 		{1, resource.Version{Epoch: 2, Number: 5}, 10}, {1, resource.Version{Epoch: 2, Number: 6}, 11}, {1, resource.Version{Epoch: 3, Number: 1}, -1}} {
-		got := w.reached(c.of, c.v)
+		got := w.firstSeenTimes(c.of, c.v)
 		want := int64(0)
 		if c.want >= 0 {
 			want = at(c.want).UnixNano()
@@ -93,24 +93,24 @@
 			t.Errorf("%d, %v: %v, want %d", c.of, c.v, got, want)
 		}
 	}
-	if times := w.back(); times != 0 {
+	if times := w.regressions(); times != 0 {
 		t.Errorf("%d times back", times)
 	}
-	n.seen[1].note(resource.Version{Epoch: 2, Number: 9}, at(12))
-	n.seen[1].note(resource.Version{Epoch: 2, Number: 9}, at(13))
-	n.seen[0].note(resource.Version{Number: 6}, at(14)) // of the list: not counted
-	if times := w.back(); times != 1 {
+	n.history[1].record(resource.Version{Epoch: 2, Number: 9}, at(12))
+	n.history[1].record(resource.Version{Epoch: 2, Number: 9}, at(13))
+	n.history[0].record(resource.Version{Number: 6}, at(14)) // of the list: not counted
+	if times := w.regressions(); times != 1 {
 		t.Errorf("%d times back, want 1", times)
 	}
-	n.back, n.seen[1] = 1, history{} // as a restart does
-	if times := w.back(); times != 1 {
+	n.earlierRegressions, n.history[1] = 1, versionHistory{} // as a restart does
+	if times := w.regressions(); times != 1 {
 		t.Errorf("%d times back after a restart, want 1", times)
 	}
-	n.seen[0] = history{}
-	for i := range 3 * seenMost {
-		n.seen[0].note(resource.Version{Number: uint64(10 + i)}, at(int64(20+i)))
+	n.history[0] = versionHistory{}
+	for i := range 3 * maxSeenVersions {
+		n.history[0].record(resource.Version{Number: uint64(10 + i)}, at(int64(20+i)))
 	}
-	if len(n.seen[0].list) > seenMost {
-		t.Errorf("%d are kept", len(n.seen[0].list))
+	if len(n.history[0].entries) > maxSeenVersions {
+		t.Errorf("%d are kept", len(n.history[0].entries))
 	}
 }
--- a/internal/lab/scale/inside.go
+++ b/internal/lab/scale/in_process.go
@@ -17,7 +17,7 @@
 // What is measured within a worker, where no sockets are in play.
 
 // terms is one contract of a tenant.
-func terms(i int) contract.Terms {
+func tenantTerms(i int) contract.Terms {
 	return contract.Terms{Name: fmt.Sprintf("tenant-%05d", i), Matches: []contract.Match{{Tenant: fmt.Sprintf("tenant-%05d", i)}},
 		Classes: map[string]bool{"search": true, "waitlist-join": true}, Rate: 5, Burst: 10, InFlight: 20, Ratio: 0.2, Window: 10 * time.Second,
 		Floor: 1, Bounded: true, Guaranteed: 1, Limit: 4, Weight: 1, Lends: 1}
@@ -35,7 +35,7 @@
 	before := heap()
 	list := make([]contract.Terms, count)
 	for i := range list {
-		list[i] = terms(i)
+		list[i] = tenantTerms(i)
 	}
 	begun := time.Now()
 	t, err := contract.NewTable(list)
@@ -96,20 +96,20 @@
 }
 
 // membersCost plays members, and tells what they sent and what this process worked for it. One that is late has no figures.
-func membersCost(n int, each, limit time.Duration) (reply, error) {
-	before := worked(os.Getpid())
-	t, err := PlayMembers(context.Background(), n, 1, each, limit)
+func membersCost(n int, each, limit time.Duration) (workerReply, error) {
+	before := cpuTime(os.Getpid())
+	t, err := SimulateMembers(context.Background(), n, 1, each, limit)
 	switch {
-	case errors.Is(err, errSlow):
-		return reply{Late: err.Error()}, nil
+	case errors.Is(err, errTooSlow):
+		return workerReply{Late: err.Error()}, nil
 	case err != nil:
-		return reply{}, err
+		return workerReply{}, err
 	}
-	f := map[string]float64{"bytes": t.Bytes, "join": t.Join, "known": t.Known, "signs": t.Signs, "checks": t.Checks,
-		"cpu": (worked(os.Getpid()) - before).Seconds() / (2 * each.Seconds() * float64(n))}
+	f := map[string]float64{"bytes": t.BytesPerSecond, "join": t.JoinBytesPerSecond, "known": t.MinKnownShare, "signs": t.SignaturesPerSecond, "checks": t.ChecksPerSecond,
+		"cpu": (cpuTime(os.Getpid()) - before).Seconds() / (2 * each.Seconds() * float64(n))}
 	_, key, err := ed25519.GenerateKey(nil)
 	if err != nil {
-		return reply{}, err
+		return workerReply{}, err
 	}
 	const rounds = 2000
 	text := make([]byte, 200)
@@ -123,7 +123,7 @@
 		ed25519.Verify(key.Public().(ed25519.PublicKey), text, sig)
 	}
 	f["check"] = time.Since(begun).Seconds() / rounds
-	return reply{Figures: f}, nil
+	return workerReply{Figures: f}, nil
 }
 
 func policySettings() policy.Settings {
@@ -133,16 +133,16 @@
 }
 
 // Part is what a contract that is split over so many nodes lets in.
-type Part struct {
-	Nodes   int
-	Refused float64 // part of a lawful tenant's requests that were refused, after the first ten seconds
-	First   float64 // of one that floods: requests let in within the first 10 s, as a part of what its contract allows
-	Idle    float64 // the same where all nodes see it for the first time ten minutes later
+type SplitResult struct {
+	Nodes           int
+	RefusedShare    float64 // part of a lawful tenant's requests that were refused, after the first ten seconds
+	InitialAdmitted float64 // of one that floods: requests let in within the first 10 s, as a part of what its contract allows
+	IdleAdmitted    float64 // the same where all nodes see it for the first time ten minutes later
 }
 
 // SplitContract plays a contract of rate and burst over so many nodes, each with a real ledger, in virtual time. A tenant that
 // stays within the contract asks at even times, its requests dealt out to nodes by a hash of the seed; another one floods.
-func SplitContract(nodes int, seed string, lawful, flood float64, length time.Duration) Part {
+func SplitContract(nodes int, seed string, lawful, flood float64, length time.Duration) SplitResult {
 	const class = "search"
 	t := contract.Terms{Name: "t", Matches: []contract.Match{{Tenant: "t"}}, Rate: 5, Burst: 10, Weight: 1}
 	ledgers := func() []*contract.Ledger {
@@ -176,15 +176,15 @@
 			}
 		}
 	}
-	p := Part{Nodes: nodes}
+	p := SplitResult{Nodes: nodes}
 	all := ledgers()
 	play(lawful, 0, 10*time.Second, all)
 	asked, in := play(lawful, 10*time.Second, 10*time.Second+length, all)
-	p.Refused = 1 - float64(in)/float64(asked)
+	p.RefusedShare = 1 - float64(in)/float64(asked)
 	allowed := t.Burst + t.Rate*10
 	_, in = play(flood, 0, 10*time.Second, ledgers())
-	p.First = float64(in) / allowed
+	p.InitialAdmitted = float64(in) / allowed
 	_, in = play(flood, 10*time.Minute, 10*time.Minute+10*time.Second, ledgers())
-	p.Idle = float64(in) / allowed
+	p.IdleAdmitted = float64(in) / allowed
 	return p
 }
--- a/internal/lab/scale/inside_test.go
+++ b/internal/lab/scale/in_process_test.go
@@ -15,7 +15,7 @@
 		firstFrom, firstTo     float64
 	}{{1, 0, 0, 0.95, 1}, {10, 0.25, 0.35, 0.6, 1.01}, {100, 0.25, 0.35, 1.6, 1.7}, {450, 0.25, 0.35, 7.4, 7.6}} {
 		p := SplitContract(c.nodes, "a tenant", 2.1, 500, time.Hour)
-		if p.Refused < c.refusedFrom || p.Refused > c.refusedTo || p.First < c.firstFrom || p.First > c.firstTo {
+		if p.RefusedShare < c.refusedFrom || p.RefusedShare > c.refusedTo || p.InitialAdmitted < c.firstFrom || p.InitialAdmitted > c.firstTo {
 			t.Errorf("%+v, want %+v", p, c)
 		}
 		if again := SplitContract(c.nodes, "a tenant", 2.1, 500, time.Hour); again != p {
@@ -24,18 +24,18 @@
 	}
 }
 
-func TestPlayMembers(t *testing.T) {
-	a, err := PlayMembers(t.Context(), 12, 5, 30*time.Second, time.Minute)
+func TestSimulateMembers(t *testing.T) {
+	a, err := SimulateMembers(t.Context(), 12, 5, 30*time.Second, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, _ := PlayMembers(t.Context(), 12, 5, 30*time.Second, time.Minute); a != b {
+	if b, _ := SimulateMembers(t.Context(), 12, 5, 30*time.Second, time.Minute); a != b {
 		t.Errorf("not the same twice: %+v, %+v", a, b)
 	}
-	if a.Known != 1 || a.Bytes <= 0 || a.Bytes > 16<<10 || a.Packets < 1 || a.Signs < 1 {
+	if a.MinKnownShare != 1 || a.BytesPerSecond <= 0 || a.BytesPerSecond > 16<<10 || a.PacketsPerSecond < 1 || a.SignaturesPerSecond < 1 {
 		t.Errorf("%+v", a)
 	}
-	if _, err := PlayMembers(t.Context(), 12, 5, time.Hour, 0); !errors.Is(err, errSlow) {
+	if _, err := SimulateMembers(t.Context(), 12, 5, time.Hour, 0); !errors.Is(err, errTooSlow) {
 		t.Errorf("no time: %v", err)
 	}
 }
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -6,7 +6,7 @@
 type machine struct{ fs procfs.FS }
 
 // machineAt reads from where /proc is.
-func machineAt(proc string) machine {
+func newMachine(proc string) machine {
 	fs, _ := procfs.NewFS(proc) // one that can't be read tells nothing
 	return machine{fs}
 }
@@ -38,7 +38,7 @@
 }
 
 // Stolen is the part of the machine's processor time that its host took, 0 to 1.
-func (p *PartRow) Stolen(cores int) float64 {
+func (p *PartRow) StolenShare(cores int) float64 {
 	if p.Took <= 0 || cores <= 0 {
 		return 0
 	}
--- a/internal/lab/scale/machine_test.go
+++ b/internal/lab/scale/machine_test.go
@@ -17,11 +17,11 @@
 			t.Fatal(err)
 		}
 	}
-	if m := machineAt(dir); m.load() != 3.5 || m.stolen() != 12.5 {
+	if m := newMachine(dir); m.load() != 3.5 || m.stolen() != 12.5 {
 		t.Errorf("load %v, %v s stolen, want 3.5 and 12.5 s", m.load(), m.stolen())
 	}
 	for _, dir := range []string{t.TempDir(), filepath.Join(dir, "none")} {
-		if m := machineAt(dir); m.load() != 0 || m.stolen() != 0 {
+		if m := newMachine(dir); m.load() != 0 || m.stolen() != 0 {
 			t.Errorf("%s: load %v, %v s stolen", dir, m.load(), m.stolen())
 		}
 	}
@@ -29,7 +29,7 @@
 		p    PartRow
 		want float64
 	}{{PartRow{Took: 10, Steal: 20}, 0.25}, {PartRow{Took: 10}, 0}, {PartRow{Steal: 1}, 0}} {
-		if got := c.p.Stolen(8); got != c.want {
+		if got := c.p.StolenShare(8); got != c.want {
 			t.Errorf("%+v: %v of 8 cores, want %v", c.p, got, c.want)
 		}
 	}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -14,29 +14,29 @@
 )
 
 // inside measures what needs no sockets: contracts, the policy's plan, product files, members' talk and split contracts.
-func (r *run) inside(ctx context.Context) error {
+func (r *run) measureInProcess(ctx context.Context) error {
 	p := r.plan
-	for _, part := range []func(ctx context.Context) error{r.contracts, r.plans, r.productFiles} { // by the clock: one after the other
+	for _, part := range []func(ctx context.Context) error{r.measureContracts, r.measurePlans, r.measureProductFiles} { // by the clock: one after the other
 		if err := part(ctx); err != nil {
 			return err
 		}
 	}
 	if p.Parts != nil {
-		r.split()
+		r.measureSplit()
 	}
-	return r.talk(ctx)
+	return r.measureMembers(ctx)
 }
 
 // each asks a worker of its own for each size, and gives back its figures.
-func (r *run) each(ctx context.Context, do string, sizes []int) ([]map[string]float64, error) {
+func (r *run) callForSizes(ctx context.Context, do string, sizes []int) ([]map[string]float64, error) {
 	var all []map[string]float64
 	for _, n := range sizes {
-		w, err := r.worker(fmt.Sprintf("%s-%d", do, n))
+		w, err := r.startWorker(fmt.Sprintf("%s-%d", do, n))
 		if err != nil {
 			return nil, err
 		}
-		got, err := w.call(ctx, order{Do: do, Count: n})
-		r.herd.end(w)
+		got, err := w.call(ctx, workerCommand{Do: do, Count: n})
+		r.processes.stop(w)
 		if err != nil {
 			return nil, err
 		}
@@ -45,26 +45,26 @@
 	return all, nil
 }
 
-func points(sizes []int, all []map[string]float64, figure string) (list []Point) {
+func pointsOf(sizes []int, all []map[string]float64, figure string) (list []Point) {
 	for i, n := range sizes {
 		list = append(list, Point{float64(n), all[i][figure]})
 	}
 	return list
 }
 
-func (r *run) contracts(ctx context.Context) error {
+func (r *run) measureContracts(ctx context.Context) error {
 	sizes := r.plan.Contracts
 	if sizes == nil {
 		return nil
 	}
-	all, err := r.each(ctx, "contracts", sizes)
+	all, err := r.callForSizes(ctx, "contracts", sizes)
 	if err != nil {
 		return err
 	}
 	full := float64(r.plan.Size.Tenants)
 	one := func(id, figure, unit, note string) error {
 		_, name, _ := strings.Cut(id, ".")
-		return r.line(Row{ID: id, Role: "node", Figure: figure, Unit: unit, Of: "contract", Note: note}, points(sizes, all, name), full)
+		return r.addFittedRow(Row{ID: id, Role: "node", Figure: figure, Unit: unit, Of: "contract", Note: note}, pointsOf(sizes, all, name), full)
 	}
 	return errors.Join(one("contracts.unused", "heap of contracts that nobody used", "B", "table and ledger"),
 		one("contracts.used", "heap of contracts that all were used", "B", "table and ledger"),
@@ -73,27 +73,27 @@
 }
 
 // plansEach is how often a node makes the policy's plan.
-const plansEach = 4.0
+const plansPerSecond = 4.0
 
-func (r *run) plans(ctx context.Context) error {
+func (r *run) measurePlans(ctx context.Context) error {
 	sizes := r.plan.Plans
 	if sizes == nil {
 		return nil
 	}
-	all, err := r.each(ctx, "plan", sizes)
+	all, err := r.callForSizes(ctx, "plan", sizes)
 	if err != nil {
 		return err
 	}
-	list := points(sizes, all, "plan")
+	list := pointsOf(sizes, all, "plan")
 	for i := range list {
-		list[i].Y *= plansEach
+		list[i].Y *= plansPerSecond
 	}
-	return r.line(Row{ID: "plan.rest", Role: "node", Figure: "the policy's plans, four a second", Unit: "s", Of: "server", Note: "processor time a second; a part of that at rest"},
+	return r.addFittedRow(Row{ID: "plan.rest", Role: "node", Figure: "the policy's plans, four a second", Unit: "s", Of: "server", Note: "processor time a second; a part of that at rest"},
 		list, float64(r.plan.Size.Servers))
 }
 
 // productFile is a product's file with so many contracts, and routes and services in proportion to the full size.
-func productFile(size *Size, contracts int) []byte {
+func productFileText(size *Size, contracts int) []byte {
 	var b strings.Builder
 	part := float64(contracts) / float64(size.Tenants)
 	services, routes := max(1, int(part*float64(size.Services)+0.5)), int(part*float64(size.Routes)+0.5)
@@ -116,19 +116,19 @@
 	return []byte(b.String())
 }
 
-func (r *run) productFiles(ctx context.Context) error {
+func (r *run) measureProductFiles(ctx context.Context) error {
 	sizes := r.plan.Files
 	if sizes == nil {
 		return nil
 	}
 	var cpu, rss, size []Point
 	for _, n := range sizes {
-		text := productFile(&r.plan.Size, n)
-		path, err := r.file(".yaml", text)
+		text := productFileText(&r.plan.Size, n)
+		path, err := r.writeFile(".yaml", text)
 		if err != nil {
 			return err
 		}
-		c, err := r.herd.start(fmt.Sprintf("file-%d", n), nil, "config", "check", path)
+		c, err := r.processes.start(fmt.Sprintf("file-%d", n), nil, "config", "check", path)
 		if err != nil {
 			return err
 		}
@@ -142,47 +142,47 @@
 		}
 		x, s := float64(n), c.cmd.ProcessState
 		cpu = append(cpu, Point{x, (s.UserTime() + s.SystemTime()).Seconds()})
-		rss = append(rss, Point{x, float64(maxResident(s))})
+		rss = append(rss, Point{x, float64(exitedPeakResidentBytes(s))})
 		size = append(size, Point{x, float64(len(text))})
 	}
 	full := float64(r.plan.Size.Tenants)
 	note := "`portstall config check` of the whole product file: what each SIGHUP costs a node"
-	return errors.Join(r.line(Row{ID: "file.cpu", Role: "node by file", Figure: "processor time to read it", Unit: "s", Of: "contract", Note: note}, cpu, full),
-		r.line(Row{ID: "file.rss", Role: "node by file", Figure: "resident at the most", Unit: "B", Of: "contract", Note: note}, rss, full),
-		r.line(Row{ID: "file.bytes", Role: "node by file", Figure: "bytes of the file", Unit: "B", Of: "contract", Note: note}, size, full))
+	return errors.Join(r.addFittedRow(Row{ID: "file.cpu", Role: "node by file", Figure: "processor time to read it", Unit: "s", Of: "contract", Note: note}, cpu, full),
+		r.addFittedRow(Row{ID: "file.rss", Role: "node by file", Figure: "resident at the most", Unit: "B", Of: "contract", Note: note}, rss, full),
+		r.addFittedRow(Row{ID: "file.bytes", Role: "node by file", Figure: "bytes of the file", Unit: "B", Of: "contract", Note: note}, size, full))
 }
 
 // split plays contracts that are dealt out to nodes.
-func (r *run) split() {
+func (r *run) measureSplit() {
 	full := float64(r.plan.Size.Nodes)
 	var refused, first []Point
 	for _, n := range r.plan.Parts {
 		p := SplitContract(n, "a tenant", 2.1, 500, time.Hour)
-		refused, first = append(refused, Point{float64(n), p.Refused}), append(first, Point{float64(n), p.First})
+		refused, first = append(refused, Point{float64(n), p.RefusedShare}), append(first, Point{float64(n), p.InitialAdmitted})
 	}
 	last := func(list []Point) float64 { return list[len(list)-1].Y }
-	r.add(Row{ID: "parts.refused", Role: "node", Figure: "lawful requests refused: 2.1 a second of a contract of 5", Unit: "", Origin: Ran, Of: "node", Points: refused,
+	r.addRows(Row{ID: "parts.refused", Role: "node", Figure: "lawful requests refused: 2.1 a second of a contract of 5", Unit: "", Origin: Measured, Of: "node", Points: refused,
 		Size: full, At: last(refused), Note: "real ledgers in virtual time; a burst of 10"},
-		Row{ID: "parts.first", Role: "node", Figure: "let in of 500 a second in 10 s, against what is allowed", Unit: "", Origin: Ran, Of: "node", Points: first,
+		Row{ID: "parts.first", Role: "node", Figure: "let in of 500 a second in 10 s, against what is allowed", Unit: "", Origin: Measured, Of: "node", Points: first,
 			Size: full, At: last(first), Note: "the same contract: 60 are allowed"})
 }
 
 // talk plays members.
-func (r *run) talk(ctx context.Context) error {
+func (r *run) measureMembers(ctx context.Context) error {
 	p := r.plan.Members
 	if p == nil {
 		return nil
 	}
-	all := make([]reply, len(p.Sizes))
+	all := make([]workerReply, len(p.Sizes))
 	g, ctx := errgroup.WithContext(ctx)
 	for i, n := range p.Sizes {
 		g.Go(func() error {
-			w, err := r.worker(fmt.Sprintf("members-%d", n))
+			w, err := r.startWorker(fmt.Sprintf("members-%d", n))
 			if err != nil {
 				return err
 			}
-			defer r.herd.end(w)
-			all[i], err = w.call(ctx, order{Do: "members", Count: n, ForMS: int(p.For.Milliseconds()), LimitMS: int(p.Limit.Milliseconds())})
+			defer r.processes.stop(w)
+			all[i], err = w.call(ctx, workerCommand{Do: "members", Count: n, ForMS: int(p.For.Milliseconds()), LimitMS: int(p.Limit.Milliseconds())})
 			return err
 		})
 	}
@@ -206,10 +206,10 @@
 	}
 	full := float64(r.plan.Size.Nodes)
 	one := func(id, figure, unit string, list []Point) error {
-		return r.line(Row{ID: id, Role: "members", Figure: figure, Unit: unit, Of: "member", Note: note}, list, full)
+		return r.addFittedRow(Row{ID: id, Role: "members", Figure: figure, Unit: unit, Of: "member", Note: note}, list, full)
 	}
 	last := known[len(known)-1]
-	r.add(Row{ID: "member.known", Role: "members", Figure: fmt.Sprintf("part that the worst informed holds for alive after %v", 2*p.For), Unit: "", Origin: Ran, Of: "member",
+	r.addRows(Row{ID: "member.known", Role: "members", Figure: fmt.Sprintf("part that the worst informed holds for alive after %v", 2*p.For), Unit: "", Origin: Measured, Of: "member",
 		Points: known, Size: last.X, At: last.Y, Note: note + "; all start within a second"})
 	return errors.Join(one("member.bytes", "bytes a second that a member sends", "B", bytes), one("member.join", "the same while all join at once", "B", join),
 		one("member.cpu", "processor time a second, without signatures", "s", cpu),
@@ -226,70 +226,70 @@
 }
 
 // pool measures one node before more and more servers.
-func (r *run) pool(ctx context.Context) error {
+func (r *run) measurePool(ctx context.Context) error {
 	p := r.plan.Pool
 	type result struct{ fresh, known, p50, p99, cpu Point }
 	results := make([]result, len(p.Servers))
 	g, ctx := errgroup.WithContext(ctx)
 	for i, n := range p.Servers {
 		g.Go(func() error {
-			w, err := r.worker(fmt.Sprintf("web-%d", n))
+			w, err := r.startWorker(fmt.Sprintf("web-%d", n))
 			if err != nil {
 				return err
 			}
-			defer r.herd.end(w)
-			got, err := w.call(ctx, order{Do: "web", Count: n, ServerUS: int(p.Service.Microseconds()), IdleMS: int(p.Idle.Milliseconds())})
+			defer r.processes.stop(w)
+			got, err := w.call(ctx, workerCommand{Do: "web", Count: n, ServerUS: int(p.Service.Microseconds()), IdleMS: int(p.Idle.Milliseconds())})
 			if err != nil {
 				return err
 			}
-			roster := NewRoster(n, r.plan.Size.Zones, got.Addrs)
+			roster := NewStubDiscovery(n, r.plan.Size.Zones, got.Addrs)
 			addr, err := roster.Start()
 			if err != nil {
 				return err
 			}
 			defer roster.Stop()
-			node, err := r.node(ctx, nodeSetup{name: fmt.Sprintf("pool-%d", n), discovery: addr, zone: zoneName(0), known: roster.Whole(), idle: p.Idle})
+			node, err := r.startNode(ctx, nodeSetup{name: fmt.Sprintf("pool-%d", n), discovery: addr, zone: zoneName(0), serverList: roster.FullList(), serverIdle: p.Idle})
 			if err != nil {
 				return err
 			}
-			defer r.herd.end(node.child)
+			defer r.processes.stop(node.child)
 			var count atomic.Bool
-			var t took
+			var t clientStats
 			asking, stop := context.WithCancel(ctx)
 			defer stop()
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				t.clients(asking, node.addr, node.role, p.Rate, &count)
+				t.runClients(asking, node.addr, node.role, p.Rate, &count)
 			}()
 			if err := pause(ctx, p.Warmup); err != nil {
 				return err
 			}
-			before, err := w.call(ctx, order{Do: "counts"})
+			before, err := w.call(ctx, workerCommand{Do: "counts"})
 			if err != nil {
 				return err
 			}
 			id := node.cmd.Process.Pid
-			cpu, begun := worked(id), time.Now()
+			cpu, begun := cpuTime(id), time.Now()
 			count.Store(true)
 			if err := pause(ctx, p.For); err != nil {
 				return err
 			}
-			after, err := w.call(ctx, order{Do: "counts"})
+			after, err := w.call(ctx, workerCommand{Do: "counts"})
 			if err != nil {
 				return err
 			}
-			spent := (worked(id) - cpu).Seconds() / time.Since(begun).Seconds()
+			spent := (cpuTime(id) - cpu).Seconds() / time.Since(begun).Seconds()
 			stop()
 			<-done
 			if t.served == 0 {
-				return fmt.Errorf("%d servers: none of %d requests was served", n, t.asked)
+				return fmt.Errorf("%d servers: none of %d requests was served", n, t.requests)
 			}
 			x := float64(n)
 			asked := after.Figures["requests"] - before.Figures["requests"]
 			results[i] = result{Point{x, (after.Figures["conns"] - before.Figures["conns"]) / asked},
-				Point{x, (after.Figures[freshFor[0].String()] - before.Figures[freshFor[0].String()]) / asked}, Point{x, quantile(t.added, 0.5)},
-				Point{x, quantile(t.added, 0.99)}, Point{x, spent}}
+				Point{x, (after.Figures[reportAges[0].String()] - before.Figures[reportAges[0].String()]) / asked}, Point{x, quantile(t.addedSeconds, 0.5)},
+				Point{x, quantile(t.addedSeconds, 0.99)}, Point{x, spent}}
 			return nil
 		})
 	}
@@ -303,11 +303,11 @@
 			list = append(list, of(&results[i]))
 		}
 		last := list[len(list)-1]
-		r.add(Row{ID: id, Role: role, Figure: figure, Unit: unit, Origin: Ran, Of: "server", Points: list, Size: last.X, At: last.Y, Note: note})
+		r.addRows(Row{ID: id, Role: role, Figure: figure, Unit: unit, Origin: Measured, Of: "server", Points: list, Size: last.X, At: last.Y, Note: note})
 	}
 	note := fmt.Sprintf("one node, %v requests a second, servers take %v and let connections rest %v; loopback, no handshake but TCP's", p.Rate, p.Service, p.Idle)
 	one("pool.fresh", "web server", "new connections a request", "", note, func(s *result) Point { return s.fresh })
-	one("pool.known", "node", fmt.Sprintf("requests to a server whose report is %v old at most", freshFor[0]), "", note, func(s *result) Point { return s.known })
+	one("pool.known", "node", fmt.Sprintf("requests to a server whose report is %v old at most", reportAges[0]), "", note, func(s *result) Point { return s.known })
 	one("pool.p50", "node", "added to a request, median", "s", note, func(s *result) Point { return s.p50 })
 	one("pool.p99", "node", "added to a request, p99", "s", note, func(s *result) Point { return s.p99 })
 	one("pool.cpu", "node", "processor time a second, with requests", "s", note, func(s *result) Point { return s.cpu })
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/node_process.go
@@ -12,7 +12,7 @@
 )
 
 // config writes a node's configuration.
-func (r *run) config(name, listen, discovery, zone string, known []byte, idle time.Duration) (string, error) {
+func (r *run) writeNodeConfig(name, listen, discovery, zone string, known []byte, idle time.Duration) (string, error) {
 	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": name,
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 4096}, "known": json.RawMessage(known),
 		"settings": map[string]any{"balancers": r.plan.Size.Nodes, "zone": zone, "discovery": "ask",
@@ -27,67 +27,67 @@
 	if err != nil {
 		return "", err
 	}
-	return r.file(".json", text)
+	return r.writeFile(".json", text)
 }
 
 // realNode is a node as a process.
 type realNode struct {
 	*child
-	addr  string
-	mgmt  string        // where operators call; empty: nobody can
-	began time.Duration // from its start until it was ready
+	addr          string
+	mgmt          string        // where operators call; empty: nobody can
+	startDuration time.Duration // from its start until it was ready
 }
 
-const beginMost = 30 * time.Second
+const startTimeout = 30 * time.Second
 
 // nodeSetup is what a node's process is started with.
 type nodeSetup struct {
-	binary    string // empty: the run's own
-	name      string
-	discovery string
-	zone      string
-	known     []byte        // the list that it starts with
-	idle      time.Duration // how long web servers let connections rest
-	env       []string      // added to its environment
+	binary     string // empty: the run's own
+	name       string
+	discovery  string
+	zone       string
+	serverList []byte        // the list that it starts with
+	serverIdle time.Duration // how long web servers let connections rest
+	env        []string      // added to its environment
 }
 
 // node starts a node and waits until it is ready.
-func (r *run) node(ctx context.Context, s nodeSetup) (*realNode, error) {
+func (r *run) startNode(ctx context.Context, s nodeSetup) (*realNode, error) {
 	name := s.name
 	addr, err := standin.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
-	path, err := r.config(name, addr, s.discovery, s.zone, s.known, s.idle)
+	path, err := r.writeNodeConfig(name, addr, s.discovery, s.zone, s.serverList, s.serverIdle)
 	if err != nil {
 		return nil, err
 	}
 	begun := time.Now()
-	c, err := r.herd.startOf(cmp.Or(s.binary, r.opt.Binary), name, append(s.env, "GW_CONFIG="+path), "node")
+	c, err := r.processes.startBinary(cmp.Or(s.binary, r.options.Binary), name, append(s.env, "GW_CONFIG="+path), "node")
 	if err != nil {
 		return nil, err
 	}
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := begun.Add(beginMost); time.Now().Before(end); {
+	for end := begun.Add(startTimeout); time.Now().Before(end); {
 		if resp, err := client.Get("http://" + addr + "/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				return &realNode{child: c, addr: addr, began: time.Since(begun)}, nil
+				return &realNode{child: c, addr: addr, startDuration: time.Since(begun)}, nil
 			}
 		}
 		select {
 		case <-c.done:
-			return nil, fmt.Errorf("%s: %w: %s", name, errBegun, c.logs.String())
+			return nil, fmt.Errorf("%s: %w: %s", name, errNotReady, c.logs.String())
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
-	r.herd.end(c)
-	return nil, fmt.Errorf("%s: %w within %v: %s", name, errBegun, beginMost, c.logs.String())
+	r.processes.stop(c)
+	return nil, fmt.Errorf("%s: %w within %v: %s", name, errNotReady, startTimeout, c.logs.String())
 }
 
 // worker starts a worker. Env is added to its environment.
-func (r *run) worker(role string, env ...string) (*child, error) {
-	return r.herd.start(role, env, "lab", "scale-worker")
+func (r *run) startWorker(role string, env ...string) (*child, error) {
+	return r.processes.start(role, env, "lab", "scale-worker")
 }
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -21,16 +21,16 @@
 	MemoryMB  int           `yaml:"memory_mb"` // resident, of all its processes together
 	Processes int           `yaml:"processes"`
 	Size      Size          `yaml:"size"`
-	List      *List         `yaml:"list"`
-	Hollow    *Hollow       `yaml:"hollow"`
+	List      *ListPlan     `yaml:"list"`
+	Hollow    *HollowPlan   `yaml:"hollow"`
 	Contracts []int         `yaml:"contracts"` // sizes of tables of contracts
 	Files     []int         `yaml:"files"`     // contracts in product files that `config check` reads whole
 	Plans     []int         `yaml:"plans"`     // servers, for the cost of the policy's plan
-	Members   *Members      `yaml:"members"`
+	Members   *MembersPlan  `yaml:"members"`
 	Parts     []int         `yaml:"parts"` // nodes among which a contract is split
-	Control   *Control      `yaml:"control"`
-	Pool      *Pool         `yaml:"pool"`
-	Fleet     *Fleet        `yaml:"fleet"`
+	Control   *ControlPlan  `yaml:"control"`
+	Pool      *PoolPlan     `yaml:"pool"`
+	Fleet     *FleetPlan    `yaml:"fleet"`
 	Budgets   []Budget      `yaml:"budgets"`
 }
 
@@ -50,7 +50,7 @@
 }
 
 // List measures real nodes, without clients, at several sizes of the list.
-type List struct {
+type ListPlan struct {
 	Servers []int         `yaml:"servers"`
 	AtRest  time.Duration `yaml:"at_rest"` // how long each is left alone for its cost at rest
 	Deltas  int           `yaml:"deltas"`  // changes of one server
@@ -58,21 +58,21 @@
 }
 
 // Hollow measures hollow nodes in one process.
-type Hollow struct {
+type HollowPlan struct {
 	Nodes   []int         `yaml:"nodes"`
 	Servers int           `yaml:"servers"`
 	AtRest  time.Duration `yaml:"at_rest"`
 }
 
 // Members measures members' talk in virtual time.
-type Members struct {
+type MembersPlan struct {
 	Sizes []int         `yaml:"sizes"`
 	For   time.Duration `yaml:"for"`   // of virtual time, after as much to join
 	Limit time.Duration `yaml:"limit"` // of real time for one size; what takes longer is said, and left out
 }
 
 // Control measures control processes, and real nodes that follow them before a full list.
-type Control struct {
+type ControlPlan struct {
 	Contracts []int         `yaml:"contracts"` // sizes of the configuration
 	Servers   int           `yaml:"servers"`   // on the nodes' list
 	AtRest    time.Duration `yaml:"at_rest"`
@@ -81,7 +81,7 @@
 }
 
 // Pool measures what one node's connections are worth as the servers become many.
-type Pool struct {
+type PoolPlan struct {
 	Servers []int         `yaml:"servers"`
 	Rate    float64       `yaml:"rate"`    // requests a second at each node
 	For     time.Duration `yaml:"for"`     // counted,
@@ -91,7 +91,7 @@
 }
 
 // Fleet is hollow and real nodes together, and what they go through.
-type Fleet struct {
+type FleetPlan struct {
 	Servers   int           `yaml:"servers"`
 	Hollow    int           `yaml:"hollow"`    // nodes,
 	Processes int           `yaml:"processes"` // in so many processes
@@ -117,7 +117,7 @@
 }
 
 // Kinds are the faults that there are, with what they do.
-var Kinds = map[string]string{
+var FaultKinds = map[string]string{
 	"none":          "nothing: an ordinary day",
 	"region_cut":    "the nodes of one region lose control and discovery; their packets vanish",
 	"regions_cut":   "the writer's region and the last one lose each other, control processes and nodes; both reach the others, and discovery",
@@ -160,19 +160,19 @@
 	return p, nil
 }
 
-func bad(field, why string, args ...any) error {
+func fieldError(field, why string, args ...any) error {
 	return &config.FieldError{Path: field, Why: fmt.Sprintf(why, args...)}
 }
 
 // sizes checks a list of sizes of which a line is to be made.
-func sizes(field string, list []int, least, most int) error {
+func checkSizes(field string, list []int, least, most int) error {
 	for i, n := range list {
 		if n < least || n > most {
-			return bad(fmt.Sprintf("%s[%d]", field, i), "%d is outside %d to %d", n, least, most)
+			return fieldError(fmt.Sprintf("%s[%d]", field, i), "%d is outside %d to %d", n, least, most)
 		}
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(list)))) < 3 {
-		return bad(field, "%v: %v", list, errPoints)
+		return fieldError(field, "%v: %v", list, errPoints)
 	}
 	return nil
 }
@@ -180,30 +180,30 @@
 func (p *Plan) check() error {
 	switch {
 	case p.Name == "":
-		return bad("name", "missing")
+		return fieldError("name", "missing")
 	case p.Bound <= 0 || p.Bound > maxBound:
-		return bad("bound", "%v is outside 0 to %v", p.Bound, maxBound)
+		return fieldError("bound", "%v is outside 0 to %v", p.Bound, maxBound)
 	case p.MemoryMB < 64 || p.MemoryMB > 12<<10:
-		return bad("memory_mb", "%d is outside 64 to %d", p.MemoryMB, 12<<10)
+		return fieldError("memory_mb", "%d is outside 64 to %d", p.MemoryMB, 12<<10)
 	case p.Processes < 1 || p.Processes > 200:
-		return bad("processes", "%d is outside 1 to 200", p.Processes)
+		return fieldError("processes", "%d is outside 1 to 200", p.Processes)
 	case p.Size.Nodes < 1 || p.Size.Servers < 1 || p.Size.Tenants < 1 || p.Size.Zones < 1 || p.Size.Regions < 1:
-		return bad("size", "nodes, servers, tenants, zones and regions are at least 1")
+		return fieldError("size", "nodes, servers, tenants, zones and regions are at least 1")
 	}
 	if l := p.List; l != nil {
-		if err := sizes("list.servers", l.Servers, 1, maxServers); err != nil {
+		if err := checkSizes("list.servers", l.Servers, 1, maxServers); err != nil {
 			return err
 		}
 		if l.AtRest <= 0 || l.Deltas < 1 || l.Wholes < 1 {
-			return bad("list", "at_rest, deltas and wholes are over 0")
+			return fieldError("list", "at_rest, deltas and wholes are over 0")
 		}
 	}
 	if h := p.Hollow; h != nil {
-		if err := sizes("hollow.nodes", h.Nodes, 0, maxNodes); err != nil {
+		if err := checkSizes("hollow.nodes", h.Nodes, 0, maxNodes); err != nil {
 			return err
 		}
 		if h.Servers < 1 || h.Servers > maxServers || h.AtRest <= 0 {
-			return bad("hollow", "servers and at_rest are over 0")
+			return fieldError("hollow", "servers and at_rest are over 0")
 		}
 	}
 	for _, s := range []struct {
@@ -212,91 +212,91 @@
 		most  int
 	}{{"contracts", p.Contracts, maxContracts}, {"files", p.Files, maxContracts}, {"plans", p.Plans, maxServers}, {"parts", p.Parts, maxNodes}} {
 		if s.list != nil {
-			if err := sizes(s.field, s.list, 1, s.most); err != nil {
+			if err := checkSizes(s.field, s.list, 1, s.most); err != nil {
 				return err
 			}
 		}
 	}
 	if m := p.Members; m != nil {
-		if err := sizes("members.sizes", m.Sizes, 2, maxNodes); err != nil {
+		if err := checkSizes("members.sizes", m.Sizes, 2, maxNodes); err != nil {
 			return err
 		}
 		if m.For <= 0 || m.Limit <= 0 {
-			return bad("members", "for and limit are over 0")
+			return fieldError("members", "for and limit are over 0")
 		}
 	}
 	if c := p.Control; c != nil {
 		for field, list := range map[string][]int{"control.contracts": c.Contracts, "control.watchers": c.Watchers} {
-			if err := sizes(field, list, 0, maxContracts); err != nil {
+			if err := checkSizes(field, list, 0, maxContracts); err != nil {
 				return err
 			}
 		}
 		if c.Servers < 1 || c.Servers > maxServers || c.AtRest <= 0 || c.Changes < 1 {
-			return bad("control", "servers, at_rest and changes are over 0")
+			return fieldError("control", "servers, at_rest and changes are over 0")
 		}
 	}
 	if l := p.Pool; l != nil {
-		if err := sizes("pool.servers", l.Servers, 1, maxServers); err != nil {
+		if err := checkSizes("pool.servers", l.Servers, 1, maxServers); err != nil {
 			return err
 		}
 		if !(l.Rate > 0) || l.For <= 0 || l.Service <= 0 || l.Idle <= 0 || l.Warmup < 0 {
-			return bad("pool", "rate, for, service and idle are over 0")
+			return fieldError("pool", "rate, for, service and idle are over 0")
 		}
 	}
 	return p.Fleet.check(p.Size.Regions)
 }
 
 // collector is what tells Go's collector in the hollow nodes' processes how much garbage there may be.
-func (f *Fleet) collector() []string {
+func (f *FleetPlan) gcEnvironment() []string {
 	if f.Garbage == 0 {
 		return nil
 	}
 	return []string{fmt.Sprintf("GOGC=%d", f.Garbage)}
 }
 
-func (f *Fleet) check(regions int) error {
+func (f *FleetPlan) check(regions int) error {
 	if f == nil {
 		return nil
 	}
 	switch {
 	case f.Servers < 1 || f.Servers > maxServers:
-		return bad("fleet.servers", "%d is outside 1 to %d", f.Servers, maxServers)
+		return fieldError("fleet.servers", "%d is outside 1 to %d", f.Servers, maxServers)
 	case f.Hollow < 0 || f.Hollow > maxNodes || f.Processes < 1 || f.Processes > 100:
-		return bad("fleet.hollow", "0 to %d hollow nodes in 1 to 100 processes", maxNodes)
+		return fieldError("fleet.hollow", "0 to %d hollow nodes in 1 to 100 processes", maxNodes)
 	case f.Real < 0 || f.Real > 50 || f.Real+f.Hollow < 1:
-		return bad("fleet.real", "0 to 50 real nodes, and one node of either kind at least")
+		return fieldError("fleet.real", "0 to 50 real nodes, and one node of either kind at least")
 	case !(f.Speed > 0) || f.Speed > 10_000:
-		return bad("fleet.speed", "%v is outside 0 to 10000", f.Speed)
+		return fieldError("fleet.speed", "%v is outside 0 to 10000", f.Speed)
 	case f.Limit <= 0:
-		return bad("fleet.limit", "is over 0")
+		return fieldError("fleet.limit", "is over 0")
 	case f.Real > 0 && !(f.Rate > 0):
-		return bad("fleet.rate", "is over 0 where there are real nodes")
+		return fieldError("fleet.rate", "is over 0 where there are real nodes")
 	}
 	if f.Controls < 0 || f.Controls > 9 || f.Controls > 0 && (f.Contracts < 1 || f.Contracts > maxContracts) {
-		return bad("fleet.controls", "0 to 9 control processes, with 1 to %d contracts", maxContracts)
+		return fieldError("fleet.controls", "0 to 9 control processes, with 1 to %d contracts", maxContracts)
 	}
 	if f.Garbage < 0 || f.Garbage > 1000 {
-		return bad("fleet.garbage", "%d is outside 0 to 1000", f.Garbage)
+		return fieldError("fleet.garbage", "%d is outside 0 to 1000", f.Garbage)
 	}
 	if f.Keep != 0 && (f.Keep < time.Second || f.Keep > 24*time.Hour) {
-		return bad("fleet.keep", "%v is outside 1s to 24h", f.Keep)
+		return fieldError("fleet.keep", "%v is outside 1s to 24h", f.Keep)
 	}
 	for i, x := range f.Faults {
 		path := fmt.Sprintf("fleet.faults[%d]", i)
-		if _, known := Kinds[x.Kind]; !known {
-			return bad(path+".kind", "%q is no fault", x.Kind)
+		if _, known := FaultKinds[x.Kind]; !known {
+			return fieldError(path+".kind", "%q is no fault", x.Kind)
 		}
 		if strings.HasPrefix(x.Kind, "control") && f.Controls < 2 || x.Kind == "writer_kill" && f.Controls < 1 {
-			return bad(path+".kind", "%s wants control processes", x.Kind)
+			return fieldError(path+".kind", "%s wants control processes", x.Kind)
 		}
 		if x.Kind == "regions_cut" && (f.Controls < regions || regions < 3) || x.Kind == "region_alone" && (f.Controls < regions || regions < 2) {
-			return bad(path+".kind", "%s wants a control process in each region, and three of them, or two for region_alone", x.Kind)
+			return fieldError(path+".kind", "%s wants a control process in each region, and three of them, or two for region_alone", x.Kind)
 		}
 		if !(x.Rate >= 0) || x.Rate > 100 {
-			return bad(path+".rate", "%v is outside 0 to 100", x.Rate)
+			return fieldError(path+".rate", "%v is outside 0 to 100", x.Rate)
 		}
 		if x.For < 0 || x.Kind == "nodes_restart" && !(x.Share > 0 && x.Share <= 1) {
-			return bad(path, "for is 0 or more, and a share over 0 to 1")
+			return fieldError(path, "for is 0 or more, and a share over 0 to 1")
 		}
 	}
 	return nil
--- a/internal/lab/scale/plan_test.go
+++ b/internal/lab/scale/plan_test.go
@@ -7,7 +7,7 @@
 	deployscale "portstall/deploy/lab/scale"
 )
 
-func TestLibrary(t *testing.T) {
+func TestLibraryPlansParse(t *testing.T) {
 	names := deployscale.Names()
 	if len(names) < 6 {
 		t.Errorf("%v", names)
@@ -38,42 +38,42 @@
 	}
 }
 
-const head = "name: p\nbound: 1s\nmemory_mb: 100\nprocesses: 2\nsize: {nodes: 1, servers: 1, tenants: 1, zones: 1, regions: 1}\n"
+const planHead = "name: p\nbound: 1s\nmemory_mb: 100\nprocesses: 2\nsize: {nodes: 1, servers: 1, tenants: 1, zones: 1, regions: 1}\n"
 
 // cuts is a plan of three control processes in so many regions, with a fault.
-func cuts(regions, fault string) string {
-	return strings.Replace(head, "regions: 1", regions, 1) +
+func cutPlan(regions, fault string) string {
+	return strings.Replace(planHead, "regions: 1", regions, 1) +
 		"fleet: {servers: 1, hollow: 1, processes: 1, speed: 1, limit: 1s, controls: 3, contracts: 1, faults: [{" + fault + "}]}\n"
 }
 
 // A mistake is told by file, line and field.
-func TestMistakes(t *testing.T) {
-	if _, err := Parse("p.yaml", []byte(head)); err != nil {
+func TestPlanErrorsNameFileLineAndField(t *testing.T) {
+	if _, err := Parse("p.yaml", []byte(planHead)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ text, want string }{
-		{strings.Replace(head, "name: p\n", "", 1), "p.yaml: name"},
-		{strings.Replace(head, "1s", "2h", 1), "p.yaml:2: bound: 2h0m0s is outside"},
-		{strings.Replace(head, "memory_mb: 100", "memory_mb: 13000", 1), "p.yaml:3: memory_mb: 13000 is outside"},
-		{strings.Replace(head, "processes: 2", "processes: 201", 1), "p.yaml:4: processes: 201 is outside"},
-		{strings.Replace(head, "nodes: 1", "nodes: 0", 1), "p.yaml:5: size: "},
-		{head + "plans: [1, 2, 2]\n", "p.yaml:6: plans: [1 2 2]: a slope wants"},
-		{head + "parts: [0, 1, 2]\n", "p.yaml:6: parts[0]: 0 is outside"},
-		{head + "list: {servers: [1, 2, 3], deltas: 1, wholes: 1}\n", "p.yaml:6: list: at_rest"},
-		{head + "fleet: {servers: 1, hollow: 1, processes: 1, speed: 1, limit: 1s, faults: [{kind: flood}]}\n", `fleet.faults[0].kind: "flood" is no fault`},
-		{head + "fleet: {servers: 1, hollow: 1, processes: 1, speed: 1, limit: 1s, faults: [{kind: nodes_restart}]}\n", "fleet.faults[0]: "},
-		{head + "fleet: {servers: 1, hollow: 1, processes: 1, speed: 0, limit: 1s}\n", "fleet.speed"},
-		{head + "fleet: {servers: 1, processes: 1, speed: 1, limit: 1s}\n", "fleet.real"},
-		{cuts("regions: 3", "kind: regions_cut"), ""},
-		{cuts("regions: 2", "kind: region_alone"), ""},
-		{cuts("regions: 2", "kind: regions_cut"), `fleet.faults[0].kind: regions_cut wants a control process in each region`},
-		{cuts("regions: 4", "kind: region_alone"), `fleet.faults[0].kind: region_alone wants a control process in each region`},
-		{cuts("regions: 1", "kind: region_alone"), `fleet.faults[0].kind: region_alone wants`},
-		{cuts("regions: 3", "kind: region_alone, rate: 101"), "fleet.faults[0].rate: 101 is outside"},
-		{cuts("regions: 3", "kind: region_alone, rate: -1"), "fleet.faults[0].rate: -1 is outside"},
-		{strings.Replace(cuts("regions: 3", "kind: none"), "speed", "keep: 1ms, speed", 1), "fleet.keep: 1ms is outside"},
-		{strings.Replace(cuts("regions: 3", "kind: none"), "speed", "garbage: -1, speed", 1), "fleet.garbage: -1 is outside"},
-		{head + "servers: 3\n", "p.yaml:6: unknown field"},
+		{strings.Replace(planHead, "name: p\n", "", 1), "p.yaml: name"},
+		{strings.Replace(planHead, "1s", "2h", 1), "p.yaml:2: bound: 2h0m0s is outside"},
+		{strings.Replace(planHead, "memory_mb: 100", "memory_mb: 13000", 1), "p.yaml:3: memory_mb: 13000 is outside"},
+		{strings.Replace(planHead, "processes: 2", "processes: 201", 1), "p.yaml:4: processes: 201 is outside"},
+		{strings.Replace(planHead, "nodes: 1", "nodes: 0", 1), "p.yaml:5: size: "},
+		{planHead + "plans: [1, 2, 2]\n", "p.yaml:6: plans: [1 2 2]: a slope wants"},
+		{planHead + "parts: [0, 1, 2]\n", "p.yaml:6: parts[0]: 0 is outside"},
+		{planHead + "list: {servers: [1, 2, 3], deltas: 1, wholes: 1}\n", "p.yaml:6: list: at_rest"},
+		{planHead + "fleet: {servers: 1, hollow: 1, processes: 1, speed: 1, limit: 1s, faults: [{kind: flood}]}\n", `fleet.faults[0].kind: "flood" is no fault`},
+		{planHead + "fleet: {servers: 1, hollow: 1, processes: 1, speed: 1, limit: 1s, faults: [{kind: nodes_restart}]}\n", "fleet.faults[0]: "},
+		{planHead + "fleet: {servers: 1, hollow: 1, processes: 1, speed: 0, limit: 1s}\n", "fleet.speed"},
+		{planHead + "fleet: {servers: 1, processes: 1, speed: 1, limit: 1s}\n", "fleet.real"},
+		{cutPlan("regions: 3", "kind: regions_cut"), ""},
+		{cutPlan("regions: 2", "kind: region_alone"), ""},
+		{cutPlan("regions: 2", "kind: regions_cut"), `fleet.faults[0].kind: regions_cut wants a control process in each region`},
+		{cutPlan("regions: 4", "kind: region_alone"), `fleet.faults[0].kind: region_alone wants a control process in each region`},
+		{cutPlan("regions: 1", "kind: region_alone"), `fleet.faults[0].kind: region_alone wants`},
+		{cutPlan("regions: 3", "kind: region_alone, rate: 101"), "fleet.faults[0].rate: 101 is outside"},
+		{cutPlan("regions: 3", "kind: region_alone, rate: -1"), "fleet.faults[0].rate: -1 is outside"},
+		{strings.Replace(cutPlan("regions: 3", "kind: none"), "speed", "keep: 1ms, speed", 1), "fleet.keep: 1ms is outside"},
+		{strings.Replace(cutPlan("regions: 3", "kind: none"), "speed", "garbage: -1, speed", 1), "fleet.garbage: -1 is outside"},
+		{planHead + "servers: 3\n", "p.yaml:6: unknown field"},
 	} {
 		if _, err := Parse("p.yaml", []byte(c.text)); c.want == "" && err != nil || c.want != "" && err == nil || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.want)
@@ -82,11 +82,11 @@
 }
 
 // How much garbage hollow nodes' processes may have is told to Go's collector there, or not at all.
-func TestCollector(t *testing.T) {
-	if env := (&Fleet{Garbage: 10}).collector(); len(env) != 1 || env[0] != "GOGC=10" {
+func TestGCEnvironment(t *testing.T) {
+	if env := (&FleetPlan{Garbage: 10}).gcEnvironment(); len(env) != 1 || env[0] != "GOGC=10" {
 		t.Errorf("%q", env)
 	}
-	if env := (&Fleet{}).collector(); env != nil {
+	if env := (&FleetPlan{}).gcEnvironment(); env != nil {
 		t.Errorf("%q", env)
 	}
 }
--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/process_group.go
@@ -34,16 +34,16 @@
 	in  io.WriteCloser
 	out *bufio.Reader
 
-	logs tail
+	logs logTail
 }
 
 // tail keeps the end of what a process logs. Safe for concurrent use.
-type tail struct {
+type logTail struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.buf.Len() > 64<<10 {
@@ -52,7 +52,7 @@
 	return t.buf.Write(p)
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.buf.String()
@@ -60,53 +60,53 @@
 
 // herd is the processes of a run. It holds them to the bounds, ends each by its id, and leaves none behind: they end with the run,
 // also where that is killed. Safe for concurrent use.
-type herd struct {
-	binary string
-	dir    string
-	memory int64
-	most   int
-	cancel context.CancelCauseFunc // of the run, where a bound is passed
-	starts chan func()             // to the one thread that starts processes: they are killed when it ends
+type processGroup struct {
+	binary        string
+	dir           string
+	maxMemory     int64
+	maxProcesses  int
+	cancel        context.CancelCauseFunc // of the run, where a bound is passed
+	startRequests chan func()             // to the one thread that starts processes: they are killed when it ends
 
-	mu       sync.Mutex
-	children map[*child]struct{}
-	count    int // those, and those that are being started
-	peak     int64
-	peakProc int
-	closed   bool
-	over     chan struct{}
-	wg       sync.WaitGroup
+	mu            sync.Mutex
+	children      map[*child]struct{}
+	count         int // those, and those that are being started
+	peakMemory    int64
+	peakProcesses int
+	closed        bool
+	stopped       chan struct{}
+	wg            sync.WaitGroup
 }
 
-const lookEach = 200 * time.Millisecond
+const memoryCheckInterval = 200 * time.Millisecond
 
-func newHerd(binary, dir string, memory int64, processes int, cancel context.CancelCauseFunc) *herd {
-	h := &herd{binary: binary, dir: dir, memory: memory, most: processes, cancel: cancel, starts: make(chan func()),
-		children: map[*child]struct{}{}, over: make(chan struct{})}
+func newProcessGroup(binary, dir string, memory int64, processes int, cancel context.CancelCauseFunc) *processGroup {
+	h := &processGroup{binary: binary, dir: dir, maxMemory: memory, maxProcesses: processes, cancel: cancel, startRequests: make(chan func()),
+		children: map[*child]struct{}{}, stopped: make(chan struct{})}
 	h.wg.Add(2)
 	go func() {
 		defer h.wg.Done()
 		runtime.LockOSThread() // and never unlocked: the thread ends with the run
 		for {
 			select {
-			case f := <-h.starts:
+			case f := <-h.startRequests:
 				f()
-			case <-h.over:
+			case <-h.stopped:
 				return
 			}
 		}
 	}()
 	go func() {
 		defer h.wg.Done()
-		tick := time.NewTicker(lookEach)
+		tick := time.NewTicker(memoryCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				if err := h.look(); err != nil {
+				if err := h.checkMemory(); err != nil {
 					h.cancel(err)
 				}
-			case <-h.over:
+			case <-h.stopped:
 				return
 			}
 		}
@@ -115,28 +115,28 @@
 }
 
 // look holds what is resident against the bound.
-func (h *herd) look() error {
+func (h *processGroup) checkMemory() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	sum := resident(os.Getpid())
+	sum := residentBytes(os.Getpid())
 	for c := range h.children {
-		sum += resident(c.cmd.Process.Pid)
+		sum += residentBytes(c.cmd.Process.Pid)
 	}
-	h.peak = max(h.peak, sum)
-	if sum > h.memory {
-		return fmt.Errorf("%w: %s resident in %d processes, %s allowed", ErrBound, Amount(float64(sum), "B"), len(h.children)+1,
-			Amount(float64(h.memory), "B"))
+	h.peakMemory = max(h.peakMemory, sum)
+	if sum > h.maxMemory {
+		return fmt.Errorf("%w: %s resident in %d processes, %s allowed", ErrBound, FormatAmount(float64(sum), "B"), len(h.children)+1,
+			FormatAmount(float64(h.maxMemory), "B"))
 	}
 	return nil
 }
 
 // start starts a process of the run's own binary. Its log is kept; what it prints is read by call.
-func (h *herd) start(role string, env []string, args ...string) (*child, error) {
-	return h.startOf(h.binary, role, env, args...)
+func (h *processGroup) start(role string, env []string, args ...string) (*child, error) {
+	return h.startBinary(h.binary, role, env, args...)
 }
 
 // startOf is start with another binary.
-func (h *herd) startOf(binary, role string, env []string, args ...string) (*child, error) {
+func (h *processGroup) startBinary(binary, role string, env []string, args ...string) (*child, error) {
 	c := &child{role: role, done: make(chan struct{}), cmd: exec.Command(binary, args...)}
 	c.cmd.Env = append(append(os.Environ(), "TMPDIR="+h.dir), env...)
 	c.cmd.Stderr = &c.logs
@@ -155,17 +155,17 @@
 		h.mu.Unlock()
 		return nil, context.Canceled
 	}
-	if n := h.count + 2; n > h.most { // with this one and the run's own
+	if n := h.count + 2; n > h.maxProcesses { // with this one and the run's own
 		h.mu.Unlock()
-		err := fmt.Errorf("%w: %s would be process %d, %d allowed", ErrBound, role, n, h.most)
+		err := fmt.Errorf("%w: %s would be process %d, %d allowed", ErrBound, role, n, h.maxProcesses)
 		h.cancel(err)
 		return nil, err
 	}
 	h.count++
-	h.peakProc = max(h.peakProc, h.count+1)
+	h.peakProcesses = max(h.peakProcesses, h.count+1)
 	h.mu.Unlock()
 	started := make(chan error, 1)
-	h.starts <- func() {
+	h.startRequests <- func() {
 		err := c.cmd.Start()
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -191,7 +191,7 @@
 }
 
 // end ends a process and waits for that.
-func (h *herd) end(c *child) {
+func (h *processGroup) stop(c *child) {
 	if c == nil {
 		return
 	}
@@ -201,24 +201,24 @@
 }
 
 // close ends all. Nothing may be starting meanwhile.
-func (h *herd) close() {
+func (h *processGroup) close() {
 	h.mu.Lock()
 	h.closed = true
 	all := slices.Collect(maps.Keys(h.children))
 	h.mu.Unlock()
 	for _, c := range all {
-		h.end(c)
+		h.stop(c)
 	}
-	close(h.over)
+	close(h.stopped)
 	h.wg.Wait()
 }
 
 // call gives a worker an order and waits for what it answers.
-func (c *child) call(ctx context.Context, o order) (reply, error) {
+func (c *child) call(ctx context.Context, o workerCommand) (workerReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := json.NewEncoder(c.in).Encode(o); err != nil {
-		return reply{}, fmt.Errorf("%s: %s: %w: %s", c.role, o.Do, err, c.logs.String())
+		return workerReply{}, fmt.Errorf("%s: %s: %w: %s", c.role, o.Do, err, c.logs.String())
 	}
 	type got struct {
 		line []byte
@@ -235,14 +235,14 @@
 	case <-ctx.Done():
 		c.cmd.Process.Kill() // its answer would come to the next call
 		<-answer
-		return reply{}, context.Cause(ctx)
+		return workerReply{}, context.Cause(ctx)
 	}
 	if g.err != nil {
-		return reply{}, fmt.Errorf("%s: %s: %w: %s", c.role, o.Do, g.err, c.logs.String())
+		return workerReply{}, fmt.Errorf("%s: %s: %w: %s", c.role, o.Do, g.err, c.logs.String())
 	}
-	var r reply
+	var r workerReply
 	if err := json.Unmarshal(g.line, &r); err != nil {
-		return reply{}, fmt.Errorf("%s: %s: %w", c.role, o.Do, err)
+		return workerReply{}, fmt.Errorf("%s: %s: %w", c.role, o.Do, err)
 	}
 	if r.Err != "" {
 		return r, fmt.Errorf("%s: %s: %s", c.role, o.Do, r.Err)
@@ -251,12 +251,12 @@
 }
 
 // resident is a process's resident set in bytes; 0: it is not there.
-func resident(pid int) int64 { return fieldOf(pid, "VmRSS:") }
+func residentBytes(pid int) int64 { return statusBytes(pid, "VmRSS:") }
 
 // peak is the most that a process had resident.
-func peak(pid int) int64 { return fieldOf(pid, "VmHWM:") }
+func peakResidentBytes(pid int) int64 { return statusBytes(pid, "VmHWM:") }
 
-func fieldOf(pid int, field string) int64 {
+func statusBytes(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -271,7 +271,7 @@
 }
 
 // worked is the processor time that a process has had so far: of all its threads that are there.
-func worked(pid int) (sum time.Duration) {
+func cpuTime(pid int) (sum time.Duration) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, t := range tasks {
 		text, err := os.ReadFile(t)
@@ -284,7 +284,7 @@
 }
 
 // maxResident is the most that a process which has ended had resident, in bytes.
-func maxResident(s *os.ProcessState) int64 {
+func exitedPeakResidentBytes(s *os.ProcessState) int64 {
 	if u, ok := s.SysUsage().(*syscall.Rusage); ok {
 		return u.Maxrss << 10
 	}
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -12,15 +12,15 @@
 // Relay is the network between a region's nodes and one address. Cut, nothing that is sent arrives: connections stand, and are
 // broken only when the network is whole again. Safe for concurrent use.
 type Relay struct {
-	to    string
-	ln    net.Listener
-	wg    sync.WaitGroup
-	bytes atomic.Int64 // passed on, both ways
+	target   string
+	listener net.Listener
+	wg       sync.WaitGroup
+	bytes    atomic.Int64 // passed on, both ways
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool // true: bytes of it were lost, or it came while the network was cut
-	cut   bool
-	over  bool
+	mu      sync.Mutex
+	conns   map[net.Conn]bool // true: bytes of it were lost, or it came while the network was cut
+	cut     bool
+	stopped bool
 }
 
 // StartRelay opens one.
@@ -29,14 +29,14 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{to: to, ln: ln, conns: map[net.Conn]bool{}}
+	r := &Relay{target: to, listener: ln, conns: map[net.Conn]bool{}}
 	r.wg.Add(1)
 	go r.accept()
 	return r, nil
 }
 
 // Addr is where it listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Bytes is how many were passed on, both ways.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
@@ -58,9 +58,9 @@
 
 // Stop ends it, with all connections.
 func (r *Relay) Stop() {
-	r.ln.Close()
+	r.listener.Close()
 	r.mu.Lock()
-	r.over = true
+	r.stopped = true
 	for c := range r.conns {
 		c.Close()
 	}
@@ -71,23 +71,23 @@
 func (r *Relay) accept() {
 	defer r.wg.Done()
 	for {
-		c, err := r.ln.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.carry(c)
+			r.serve(c)
 		}()
 	}
 }
 
 // hold enters a connection; false: the relay has stopped.
-func (r *Relay) hold(c net.Conn) bool {
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.stopped {
 		c.Close()
 		return false
 	}
@@ -95,7 +95,7 @@
 	return true
 }
 
-func (r *Relay) release(c net.Conn) {
+func (r *Relay) closeAndForget(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 }
 
 // passes tells whether bytes of a connection arrive. Those that don't break it for good.
-func (r *Relay) passes(c net.Conn) bool {
+func (r *Relay) forwards(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut {
@@ -112,12 +112,12 @@
 	return !r.conns[c]
 }
 
-func (r *Relay) carry(c net.Conn) {
-	if !r.hold(c) {
+func (r *Relay) serve(c net.Conn) {
+	if !r.track(c) {
 		return
 	}
-	defer r.release(c)
-	if !r.passes(c) { // it stands until the network is whole
+	defer r.closeAndForget(c)
+	if !r.forwards(c) { // it stands until the network is whole
 		var b [1]byte
 		for {
 			if _, err := c.Read(b[:]); err != nil {
@@ -125,11 +125,11 @@
 			}
 		}
 	}
-	o, err := net.DialTimeout("tcp", r.to, time.Second)
-	if err != nil || !r.hold(o) {
+	o, err := net.DialTimeout("tcp", r.target, time.Second)
+	if err != nil || !r.track(o) {
 		return
 	}
-	defer r.release(o)
+	defer r.closeAndForget(o)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -146,7 +146,7 @@
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && r.passes(of) {
+		if n > 0 && r.forwards(of) {
 			r.bytes.Add(int64(n))
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
--- a/internal/lab/scale/relay_test.go
+++ b/internal/lab/scale/relay_test.go
@@ -10,7 +10,7 @@
 )
 
 // echo answers each byte by the same one, and tells of each that came.
-func echo(t *testing.T) (addr string, came chan byte) {
+func startEcho(t *testing.T) (addr string, came chan byte) {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
@@ -41,7 +41,7 @@
 }
 
 func TestRelayCut(t *testing.T) {
-	addr, came := echo(t)
+	addr, came := startEcho(t)
 	r, err := StartRelay(addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -14,15 +14,15 @@
 	deployscale "portstall/deploy/lab/scale"
 )
 
-var built string
+var testBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "portstall-test")
 	if err != nil {
 		panic(err)
 	}
-	built = filepath.Join(dir, "portstall")
-	if out, err := exec.Command("go", "build", "-o", built, "portstall/cmd/portstall").CombinedOutput(); err != nil {
+	testBinary = filepath.Join(dir, "portstall")
+	if out, err := exec.Command("go", "build", "-o", testBinary, "portstall/cmd/portstall").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -31,14 +31,14 @@
 }
 
 // children are the processes of this one that run the binary.
-func children(t *testing.T) (list []string) {
+func runningChildren(t *testing.T) (list []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range stats {
-		if exe, err := os.Readlink(s); err == nil && exe == built {
+		if exe, err := os.Readlink(s); err == nil && exe == testBinary {
 			list = append(list, s)
 		}
 	}
@@ -46,7 +46,7 @@
 }
 
 // The small plan, as CI plays it: each part measured, each fault followed until all had its change, nothing left behind.
-func TestSmall(t *testing.T) {
+func TestSmallPlan(t *testing.T) {
 	text, _ := deployscale.Read("small")
 	p, err := Parse("small", text)
 	if err != nil {
@@ -55,7 +55,7 @@
 	// The verdict must not hang on how busy the machine is. Changes of the configuration come at random, 0.75 s apart: in the plan's second
 	// of calm there is none by chance, where that begins later than it would.
 	p.Bound, p.Fleet.Limit, p.Fleet.Calm = 4*time.Minute, time.Minute, 10*time.Second
-	r, err := Run(t.Context(), p, Options{Binary: built})
+	r, err := Run(t.Context(), p, Options{Binary: testBinary})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		switch row := r.row(id); {
 		case row == nil:
 			t.Errorf("%s was not measured", id)
-		case (row.Origin == Sloped || row.Line != nil) && (row.Line == nil || len(row.Points) < 3):
+		case (row.Origin == Extrapolated || row.Line != nil) && (row.Line == nil || len(row.Points) < 3):
 			t.Errorf("%s: no line through three points: %+v", id, row)
 		}
 	}
@@ -94,20 +94,20 @@
 	if r.Memory <= 0 || r.Procs < 4 {
 		t.Errorf("%d bytes resident in %d processes", r.Memory, r.Procs)
 	}
-	if left := children(t); len(left) > 0 {
+	if left := runningChildren(t); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
 
 // tiny is a plan that costs next to nothing.
-func tiny() *Plan {
+func tinyPlan() *Plan {
 	return &Plan{Name: "tiny", Bound: time.Minute, MemoryMB: 1024, Processes: 4, Plans: []int{1, 2, 3}, Parts: []int{1, 2, 3},
 		Size: Size{Nodes: 3, Servers: 3, Tenants: 1, Zones: 1, Regions: 1}}
 }
 
 // A planted breach of a budget is found, and so are the run's own bounds; a run that is given up ends. None leaves a process.
-func TestBounds(t *testing.T) {
-	hollow := &Hollow{Nodes: []int{0, 1, 2}, Servers: 2, AtRest: time.Minute}
+func TestRunStaysWithinBounds(t *testing.T) {
+	hollow := &HollowPlan{Nodes: []int{0, 1, 2}, Servers: 2, AtRest: time.Minute}
 	canceled, cancel := context.WithCancel(t.Context())
 	for _, c := range []struct {
 		name   string
@@ -124,9 +124,9 @@
 		{"time", t.Context(), func(p *Plan) { p.Bound, p.Hollow = 50*time.Millisecond, hollow }, ErrBound, "not over after 50ms", ""},
 		{"given up", canceled, func(p *Plan) { p.Hollow = hollow; time.AfterFunc(50*time.Millisecond, cancel) }, context.Canceled, "", ""},
 	} {
-		p := tiny()
+		p := tinyPlan()
 		c.change(p)
-		r, err := Run(c.ctx, p, Options{Binary: built})
+		r, err := Run(c.ctx, p, Options{Binary: testBinary})
 		if !errors.Is(err, c.err) || err != nil && !strings.Contains(err.Error(), c.text) {
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -136,7 +136,7 @@
 		if err == nil && (len(r.Broken) > 0) != (c.broken != "") || err == nil && c.broken != "" && !strings.HasPrefix(r.Broken[0], c.broken) {
 			t.Errorf("%s: broken: %v", c.name, r.Broken)
 		}
-		if left := children(t); len(left) > 0 {
+		if left := runningChildren(t); len(left) > 0 {
 			t.Errorf("%s: left behind: %v", c.name, left)
 		}
 	}
@@ -144,20 +144,20 @@
 }
 
 // Where the run itself is killed, its processes end.
-func TestKilled(t *testing.T) {
+func TestKilledRunLeavesNoProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "p.yaml")
-	text := head + "hollow: {nodes: [0, 1, 2], servers: 2, at_rest: 10m}\n"
+	text := planHead + "hollow: {nodes: [0, 1, 2], servers: 2, at_rest: 10m}\n"
 	text = strings.NewReplacer("bound: 1s", "bound: 20m", "memory_mb: 100", "memory_mb: 2000", "processes: 2", "processes: 9").Replace(text)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(built, "lab", "scale", path)
+	cmd := exec.Command(testBinary, "lab", "scale", path)
 	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	wait := func(what string, ok func(n int) bool) {
-		for ends := time.Now().Add(time.Minute); !ok(len(children(t))); time.Sleep(5 * time.Millisecond) {
+		for ends := time.Now().Add(time.Minute); !ok(len(runningChildren(t))); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(ends) {
 				t.Error(what)
 				return
--- a/internal/lab/scale/roster_test.go
+++ b/internal/lab/scale/stub_discovery_test.go
@@ -9,7 +9,7 @@
 )
 
 // get asks the stand-in once.
-func get(t *testing.T, addr, query string) (int, answer) {
+func getEndpoints(t *testing.T, addr, query string) (int, endpointsResponse) {
 	t.Helper()
 	resp, err := http.Get("http://" + addr + "/v1/endpoints" + query)
 	if err != nil {
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var a answer
+	var a endpointsResponse
 	if resp.StatusCode == http.StatusOK {
 		if err := json.Unmarshal(text, &a); err != nil {
 			t.Fatal(err)
@@ -29,9 +29,9 @@
 	return resp.StatusCode, a
 }
 
-func startRoster(t *testing.T, servers int) (*Roster, string) {
+func startStubDiscovery(t *testing.T, servers int) (*StubDiscovery, string) {
 	t.Helper()
-	r := NewRoster(servers, 3, nil)
+	r := NewStubDiscovery(servers, 3, nil)
 	addr, err := r.Start()
 	if err != nil {
 		t.Fatal(err)
@@ -40,73 +40,73 @@
 	return r, addr
 }
 
-func TestRosterVersions(t *testing.T) {
-	r, addr := startRoster(t, 10)
-	_, a := get(t, addr, "")
+func TestStubDiscoveryVersions(t *testing.T) {
+	r, addr := startStubDiscovery(t, 10)
+	_, a := getEndpoints(t, addr, "")
 	if a.Version != 1 || !a.Full || len(a.Servers) != 10 || a.Servers[4].Zone != "zone-01" {
 		t.Fatalf("the whole list: %+v", a)
 	}
-	if _, a := get(t, addr, "?since=1&timeout_ms=1"); a.Version != 1 || a.Full || len(a.Servers) != 0 {
+	if _, a := getEndpoints(t, addr, "?since=1&timeout_ms=1"); a.Version != 1 || a.Full || len(a.Servers) != 0 {
 		t.Errorf("nothing new: %+v", a)
 	}
-	if v := r.Set("Terminating", false, 3); v != 2 {
+	if v := r.SetState("Terminating", false, 3); v != 2 {
 		t.Errorf("version %d", v)
 	}
-	r.Set("Gone", false, 3, 4)
-	_, a = get(t, addr, "?since=1")
+	r.SetState("Gone", false, 3, 4)
+	_, a = getEndpoints(t, addr, "?since=1")
 	if a.Version != 4 || a.Full || len(a.Servers) != 3 || a.Servers[0].State != "Terminating" || a.Servers[2].ID != "web-00004" {
 		t.Errorf("the changes since 1: %+v", a)
 	}
-	if _, a := get(t, addr, "?since=3"); len(a.Servers) != 1 || a.Full {
+	if _, a := getEndpoints(t, addr, "?since=3"); len(a.Servers) != 1 || a.Full {
 		t.Errorf("the changes since 3: %+v", a)
 	}
-	if _, a := get(t, addr, ""); len(a.Servers) != 8 {
+	if _, a := getEndpoints(t, addr, ""); len(a.Servers) != 8 {
 		t.Errorf("the whole list without two: %d", len(a.Servers))
 	}
-	if _, a := get(t, addr, "?since=9"); !a.Full || a.Version != 4 {
+	if _, a := getEndpoints(t, addr, "?since=9"); !a.Full || a.Version != 4 {
 		t.Errorf("a version that never was: %+v", a)
 	}
-	if v := r.Forget("Ready", 3); v != 5 {
+	if v := r.SetStateAsSnapshot("Ready", 3); v != 5 {
 		t.Errorf("version %d", v)
 	}
-	if _, a := get(t, addr, "?since=4"); !a.Full || a.Version != 5 || len(a.Servers) != 9 {
+	if _, a := getEndpoints(t, addr, "?since=4"); !a.Full || a.Version != 5 || len(a.Servers) != 9 {
 		t.Errorf("a version that is not kept: %+v", a)
 	}
-	if v, _ := r.Heard(); v != 9 {
+	if v, _ := r.HighestSince(); v != 9 {
 		t.Errorf("heard of %d", v)
 	}
-	if calls, bytes := r.Tally(); calls != 7 || bytes < 7*100 {
+	if calls, bytes := r.Totals(); calls != 7 || bytes < 7*100 {
 		t.Errorf("%d calls, %d bytes", calls, bytes)
 	}
 }
 
 // What is kept is bounded: behind it the whole list is told.
-func TestRosterBound(t *testing.T) {
-	r, addr := startRoster(t, 2)
-	for range keptMost + 5 {
-		r.Set("Ready", true, 1)
+func TestStubDiscoveryKeepsBoundedChanges(t *testing.T) {
+	r, addr := startStubDiscovery(t, 2)
+	for range maxKeptChanges + 5 {
+		r.SetState("Ready", true, 1)
 	}
 	last := r.Version()
-	if _, a := get(t, addr, "?since=6"); a.Full || len(a.Servers) != keptMost {
+	if _, a := getEndpoints(t, addr, "?since=6"); a.Full || len(a.Servers) != maxKeptChanges {
 		t.Errorf("the edge of what is kept: full %v, %d lines", a.Full, len(a.Servers))
 	}
-	if _, a := get(t, addr, "?since=5"); !a.Full || a.Version != last {
+	if _, a := getEndpoints(t, addr, "?since=5"); !a.Full || a.Version != last {
 		t.Errorf("behind what is kept: full %v, version %d", a.Full, a.Version)
 	}
 }
 
 // A watch waits until something is new; one that waits as discovery goes out is answered so.
-func TestRosterWatch(t *testing.T) {
-	r, addr := startRoster(t, 2)
+func TestStubDiscoveryWatch(t *testing.T) {
+	r, addr := startStubDiscovery(t, 2)
 	for _, c := range []struct {
 		change func()
 		status int
 		lines  int
-	}{{func() { r.Set("Gone", false, 0) }, http.StatusOK, 1}, {func() { r.SetDown(true) }, http.StatusServiceUnavailable, 0}} {
-		calls, _ := r.Tally()
+	}{{func() { r.SetState("Gone", false, 0) }, http.StatusOK, 1}, {func() { r.SetDown(true) }, http.StatusServiceUnavailable, 0}} {
+		calls, _ := r.Totals()
 		type got struct {
 			status int
-			answer
+			endpointsResponse
 		}
 		done := make(chan got, 1)
 		since := r.Version()
@@ -117,12 +117,12 @@
 				return
 			}
 			defer resp.Body.Close()
-			var a answer
+			var a endpointsResponse
 			json.NewDecoder(resp.Body).Decode(&a)
 			done <- got{resp.StatusCode, a}
 		}()
 		for end := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
-			if n, _ := r.Tally(); n > calls {
+			if n, _ := r.Totals(); n > calls {
 				break // it is there
 			}
 			if time.Now().After(end) {
@@ -134,16 +134,16 @@
 			t.Errorf("%+v, want %d", g, c.status)
 		}
 	}
-	if status, _ := get(t, addr, ""); status != http.StatusServiceUnavailable {
+	if status, _ := getEndpoints(t, addr, ""); status != http.StatusServiceUnavailable {
 		t.Errorf("out: %d", status)
 	}
 	r.SetDown(false)
-	if status, a := get(t, addr, ""); status != http.StatusOK || len(a.Servers) != 1 {
+	if status, a := getEndpoints(t, addr, ""); status != http.StatusOK || len(a.Servers) != 1 {
 		t.Errorf("back: %d, %+v", status, a)
 	}
-	big := NewRoster(600, 3, nil)
-	for kind, want := range map[string]int{"zone": 200, "rack": rackOf, "machine": 1} {
-		which := big.Group(kind)
+	big := NewStubDiscovery(600, 3, nil)
+	for kind, want := range map[string]int{"zone": 200, "rack": serversPerRack, "machine": 1} {
+		which := big.FailureGroup(kind)
 		zones := map[string]bool{}
 		for _, i := range which {
 			zones[big.entries[i].Zone] = true
@@ -152,7 +152,7 @@
 			t.Errorf("a %s has %d servers in %d zones", kind, len(which), len(zones))
 		}
 	}
-	if r.Busiest(time.Now().Add(-time.Minute)) < 1 || len(r.Group("zone")) != 1 {
+	if r.PeakCalls(time.Now().Add(-time.Minute)) < 1 || len(r.FailureGroup("zone")) != 1 {
 		t.Error("calls a second, or a zone's servers")
 	}
 }
--- a/internal/lab/scale/web.go
+++ b/internal/lab/scale/stub_servers.go
@@ -16,44 +16,44 @@
 )
 
 // web is stand-in web servers, all in one process: each answers after a while, tells its queue, and how long it took.
-type web struct {
+type stubServers struct {
 	addrs    []string
 	server   *http.Server
 	wg       sync.WaitGroup
 	conns    atomic.Int64
 	requests atomic.Int64
 
-	mu    sync.Mutex
-	last  map[string]time.Time // by server: when it last had a request
-	fresh [len(freshFor)]int64 // requests that came so soon behind the one before at the same server
+	mu          sync.Mutex
+	lastRequest map[string]time.Time   // by server: when it last had a request
+	recent      [len(reportAges)]int64 // requests that came so soon behind the one before at the same server
 }
 
 // freshFor is how old a report may be: the policy's memory of one, and how long a connection rests.
-var freshFor = [...]time.Duration{2 * time.Second, 9 * time.Second}
+var reportAges = [...]time.Duration{2 * time.Second, 9 * time.Second}
 
 // came notes a request at a server.
-func (s *web) came(server string, now time.Time) {
+func (s *stubServers) recordRequest(server string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if before, known := s.last[server]; known {
-		for i, d := range freshFor {
+	if before, known := s.lastRequest[server]; known {
+		for i, d := range reportAges {
 			if now.Sub(before) <= d {
-				s.fresh[i]++
+				s.recent[i]++
 			}
 		}
 	}
-	s.last[server] = now
+	s.lastRequest[server] = now
 }
 
 // startWeb starts so many. Service is what each takes over a request, idle how long it lets a connection rest.
-func startWeb(count int, service, idle time.Duration) (*web, error) {
-	s := &web{last: map[string]time.Time{}}
+func startStubServers(count int, service, idle time.Duration) (*stubServers, error) {
+	s := &stubServers{lastRequest: map[string]time.Time{}}
 	s.server = &http.Server{IdleTimeout: idle, ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) {
 			begun := time.Now()
 			s.requests.Add(1)
 			if at, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
-				s.came(at.String(), begun)
+				s.recordRequest(at.String(), begun)
 			}
 			io.Copy(io.Discard, r.Body)
 			time.Sleep(service)
@@ -81,32 +81,32 @@
 }
 
 // counts are connections, requests, and those by freshFor.
-func (s *web) counts() map[string]float64 {
+func (s *stubServers) counts() map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := map[string]float64{"conns": float64(s.conns.Load()), "requests": float64(s.requests.Load())}
-	for i, d := range freshFor {
-		f[d.String()] = float64(s.fresh[i])
+	for i, d := range reportAges {
+		f[d.String()] = float64(s.recent[i])
 	}
 	return f
 }
 
-func (s *web) stop() {
+func (s *stubServers) stop() {
 	s.server.Close()
 	s.wg.Wait()
 }
 
 // took is what the clients of a node met.
-type took struct {
-	mu     sync.Mutex
-	added  []float64 // seconds beyond what the web server took, of those that were served
-	asked  int
-	served int
+type clientStats struct {
+	mu           sync.Mutex
+	addedSeconds []float64 // seconds beyond what the web server took, of those that were served
+	requests     int
+	served       int
 }
 
 // clients sends requests to a node until ctx ends, at an even rate whatever comes of them, and waits for the last. Until count is
 // set nothing is counted.
-func (t *took) clients(ctx context.Context, addr, name string, rate float64, count *atomic.Bool) {
+func (t *clientStats) runClients(ctx context.Context, addr, name string, rate float64, count *atomic.Bool) {
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
@@ -123,23 +123,23 @@
 		}
 		wg.Go(func() {
 			counted := count.Load()
-			added, ok := ask(client, addr, fmt.Sprintf("%s-%d", name, i), "")
+			added, ok := sendRequest(client, addr, fmt.Sprintf("%s-%d", name, i), "")
 			if !counted {
 				return
 			}
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.asked++
+			t.requests++
 			if ok {
 				t.served++
-				t.added = append(t.added, added)
+				t.addedSeconds = append(t.addedSeconds, added)
 			}
 		})
 	}
 }
 
 // ask asks once, for a tenant or (empty) for nobody. Added is what the answer took beyond the time that the web server tells.
-func ask(client *http.Client, addr, id, tenant string) (added float64, ok bool) {
+func sendRequest(client *http.Client, addr, id, tenant string) (added float64, ok bool) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/api", nil)
 	if err != nil {
 		return 0, false
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -13,26 +13,26 @@
 type Origin string
 
 const (
-	Ran    Origin = "run"        // it was measured at the size that it is told for
-	Sloped Origin = "slope"      // the line through what was measured, at that size
-	Worked Origin = "arithmetic" // worked out from other figures
+	Measured     Origin = "run"        // it was measured at the size that it is told for
+	Extrapolated Origin = "slope"      // the line through what was measured, at that size
+	Calculated   Origin = "arithmetic" // worked out from other figures
 )
 
 // Row is one figure of one role.
 type Row struct {
-	ID     string  `json:"id"` // by which a plan names its budget, as in node.rss
-	Role   string  `json:"role"`
-	Figure string  `json:"figure"`
-	Unit   string  `json:"unit"`
-	Origin Origin  `json:"origin"`
-	Of     string  `json:"of,omitempty"` // what a point's X counts
-	Points []Point `json:"points,omitempty"`
-	Line   *Line   `json:"line,omitempty"`
-	Size   float64 `json:"size,omitempty"`   // the X that At is for
-	At     float64 `json:"at"`               // the figure at full size
-	Budget float64 `json:"budget,omitempty"` // 0: none is stated
-	Must   bool    `json:"must,omitempty"`   // a run that passes the budget has failed
-	Note   string  `json:"note,omitempty"`
+	ID     string     `json:"id"` // by which a plan names its budget, as in node.rss
+	Role   string     `json:"role"`
+	Figure string     `json:"figure"`
+	Unit   string     `json:"unit"`
+	Origin Origin     `json:"origin"`
+	Of     string     `json:"of,omitempty"` // what a point's X counts
+	Points []Point    `json:"points,omitempty"`
+	Line   *LinearFit `json:"line,omitempty"`
+	Size   float64    `json:"size,omitempty"`   // the X that At is for
+	At     float64    `json:"at"`               // the figure at full size
+	Budget float64    `json:"budget,omitempty"` // 0: none is stated
+	Must   bool       `json:"must,omitempty"`   // a run that passes the budget has failed
+	Note   string     `json:"note,omitempty"`
 }
 
 // Ratio is the figure as a part of its budget; 0 where none is stated.
@@ -44,7 +44,7 @@
 }
 
 // Passed tells whether the figure exceeds its budget. One that is no number does.
-func (r *Row) Passed() bool { return r.Budget > 0 && !(r.At <= r.Budget) }
+func (r *Row) OverBudget() bool { return r.Budget > 0 && !(r.At <= r.Budget) }
 
 // FaultRow is what a fault did.
 type FaultRow struct {
@@ -78,7 +78,7 @@
 }
 
 // add adds rows.
-func (r *Report) add(rows ...Row) { r.Rows = append(r.Rows, rows...) }
+func (r *Report) addRows(rows ...Row) { r.Rows = append(r.Rows, rows...) }
 
 // row finds one; nil: it was not measured.
 func (r *Report) row(id string) *Row {
@@ -91,23 +91,23 @@
 }
 
 // breaks notes what must hold and does not.
-func (r *Report) breaks(format string, args ...any) {
+func (r *Report) addFailure(format string, args ...any) {
 	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
 }
 
 // judge enters the budgets, and notes which of those that must hold are passed or were not measured.
-func (r *Report) judge(budgets []Budget) {
+func (r *Report) applyBudgets(budgets []Budget) {
 	for _, b := range budgets {
 		row := r.row(b.Row)
 		if row == nil {
 			if b.Must {
-				r.breaks("%s: was not measured", b.Row)
+				r.addFailure("%s: was not measured", b.Row)
 			}
 			continue
 		}
 		row.Budget, row.Must = b.Most, b.Must
-		if row.Passed() && row.Must {
-			r.breaks("%s (%s): %s at full size, %s allowed", row.ID, row.Figure, Amount(row.At, row.Unit), Amount(row.Budget, row.Unit))
+		if row.OverBudget() && row.Must {
+			r.addFailure("%s (%s): %s at full size, %s allowed", row.ID, row.Figure, FormatAmount(row.At, row.Unit), FormatAmount(row.Budget, row.Unit))
 		}
 	}
 }
@@ -122,14 +122,14 @@
 // Print writes the tables, for people.
 func (r *Report) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s: %.0f s, %d cores, load %.1f at its begin and %.1f at its end; at most %d processes, %s resident\n", r.Plan, r.Took, r.Cores,
-		r.Load[0], r.Load[1], r.Procs, Amount(float64(r.Memory), "B"))
+		r.Load[0], r.Load[1], r.Procs, FormatAmount(float64(r.Memory), "B"))
 	fmt.Fprintf(w, "churn went %.0f times as fast as in life\n\n", r.Sped)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if len(r.Parts) > 0 {
 		fmt.Fprintln(tw, "part\ttook\tload at its begin\tprocessor time that the host took\tof the cores'\t")
 		for i := range r.Parts {
 			p := &r.Parts[i]
-			fmt.Fprintf(tw, "%s\t%s\t%.1f\t%s\t%.1f%%\t\n", p.Part, Amount(p.Took, "s"), p.Load, Amount(p.Steal, "s"), 100*p.Stolen(r.Cores))
+			fmt.Fprintf(tw, "%s\t%s\t%.1f\t%s\t%.1f%%\t\n", p.Part, FormatAmount(p.Took, "s"), p.Load, FormatAmount(p.Steal, "s"), 100*p.StolenShare(r.Cores))
 		}
 		fmt.Fprintln(tw)
 	}
@@ -138,22 +138,22 @@
 		f := &r.Rows[i]
 		var points []string
 		for _, p := range f.Points {
-			points = append(points, fmt.Sprintf("%.0f: %s", p.X, Amount(p.Y, f.Unit)))
+			points = append(points, fmt.Sprintf("%.0f: %s", p.X, FormatAmount(p.Y, f.Unit)))
 		}
 		slope, off, budget, ratio := "", "", "", ""
 		if f.Line != nil {
-			slope, off = Amount(f.Line.Slope, f.Unit)+" a "+f.Of, fmt.Sprintf("%.1f%%", 100*f.Line.Off)
+			slope, off = FormatAmount(f.Line.Slope, f.Unit)+" a "+f.Of, fmt.Sprintf("%.1f%%", 100*f.Line.Off)
 		}
 		if f.Budget > 0 {
-			budget, ratio = Amount(f.Budget, f.Unit), fmt.Sprintf("%.2f", f.Ratio())
+			budget, ratio = FormatAmount(f.Budget, f.Unit), fmt.Sprintf("%.2f", f.Ratio())
 			if f.Must {
 				budget += " (must)"
 			}
-			if f.Passed() {
+			if f.OverBudget() {
 				ratio += " PASSED"
 			}
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", f.Role, f.Figure, strings.Join(points, ", "), slope, off, Amount(f.At, f.Unit),
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", f.Role, f.Figure, strings.Join(points, ", "), slope, off, FormatAmount(f.At, f.Unit),
 			f.Origin, budget, ratio)
 	}
 	if len(r.Faults) > 0 {
@@ -166,8 +166,8 @@
 			if f.Asked > 0 {
 				served = fmt.Sprintf("%.4f of %d", f.Served, f.Asked)
 			}
-			fmt.Fprintf(tw, "%s\t%s\t%d of %d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", f.Fault, f.What, f.Had, f.Nodes, Amount(f.P50, "s"), Amount(f.P99, "s"),
-				Amount(f.Worst, "s"), calls, Amount(f.Bytes, "B"), served, f.Shortened)
+			fmt.Fprintf(tw, "%s\t%s\t%d of %d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", f.Fault, f.What, f.Had, f.Nodes, FormatAmount(f.P50, "s"), FormatAmount(f.P99, "s"),
+				FormatAmount(f.Worst, "s"), calls, FormatAmount(f.Bytes, "B"), served, f.Shortened)
 		}
 	}
 	if err := tw.Flush(); err != nil {
@@ -182,7 +182,7 @@
 }
 
 // Amount words a figure with a fitting prefix: bytes by 1,024, seconds and others by 1,000.
-func Amount(v float64, unit string) string {
+func FormatAmount(v float64, unit string) string {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return fmt.Sprint(v)
 	}
--- a/internal/lab/scale/table_test.go
+++ b/internal/lab/scale/table_test.go
@@ -9,7 +9,7 @@
 )
 
 // A budget that must hold and is passed, or was never measured, fails the run; another one is only shown.
-func TestJudge(t *testing.T) {
+func TestApplyBudgets(t *testing.T) {
 	rows := func() []Row {
 		return []Row{{ID: "a", Figure: "of a", Unit: "s", At: 2}, {ID: "b", Unit: "B", At: math.NaN()}, {ID: "c", At: 1}}
 	}
@@ -26,7 +26,7 @@
 		{"not measured", []Budget{{"x", 1, true}, {"y", 1, false}}, []string{"x: was not measured"}},
 	} {
 		r := Report{Rows: rows()}
-		r.judge(c.budgets)
+		r.applyBudgets(c.budgets)
 		if len(r.Broken) != len(c.broken) {
 			t.Errorf("%s: broken: %q", c.name, r.Broken)
 			continue
@@ -40,13 +40,13 @@
 }
 
 func TestPrint(t *testing.T) {
-	l, err := Fit([]Point{{1, 1024}, {2, 2048}, {3, 3072}})
+	l, err := FitLine([]Point{{1, 1024}, {2, 2048}, {3, 3072}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := Report{Plan: "p", Cores: 8, Parts: []PartRow{{Part: "the pool", Took: 35, Load: 3.5, Steal: 7}}, Rows: []Row{{ID: "a", Role: "node", Figure: "resident", Unit: "B", Of: "server", Points: []Point{{1, 1024}, {2, 2048}, {3, 3072}}, Line: &l,
-		Size: 10, At: l.At(10), Origin: Sloped}}, Faults: []FaultRow{{Fault: "region cut", What: "list", Nodes: 4, Had: 3, P50: 0.0015, Asked: 10, Served: 0.5}}}
-	r.judge([]Budget{{"a", 5120, true}})
+		Size: 10, At: l.At(10), Origin: Extrapolated}}, Faults: []FaultRow{{Fault: "region cut", What: "list", Nodes: 4, Had: 3, P50: 0.0015, Asked: 10, Served: 0.5}}}
+	r.applyBudgets([]Budget{{"a", 5120, true}})
 	var text, list bytes.Buffer
 	if err := r.Print(&text); err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 		want string
 	}{{0, "s", "0 s"}, {0.0032, "s", "3.2 ms"}, {4.4e-7, "s", "440 ns"}, {18, "s", "18 s"}, {1 << 27, "B", "128 MiB"}, {48, "B", "48 B"}, {0.5, "B", "0.5 B"},
 		{0.2916, "", "0.2916"}, {math.Inf(1), "s", "+Inf"}, {-0.002, "s", "-2 ms"}} {
-		if got := Amount(c.v, c.unit); got != c.want {
+		if got := FormatAmount(c.v, c.unit); got != c.want {
 			t.Errorf("%v %s: %q, want %q", c.v, c.unit, got, c.want)
 		}
 	}
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -9,28 +9,28 @@
 )
 
 // A hollow node that is to follow control is up once it has a configuration; one that gets none in time is an error that names it.
-func TestConfigured(t *testing.T) {
+func TestAwaitConfiguration(t *testing.T) {
 	text := &Plan{Size: Size{Nodes: 1, Servers: 1, Tenants: 1, Services: 1, Zones: 1, Regions: 1}, Bound: 4 * time.Minute, MemoryMB: 2048, Processes: 9}
-	r, ctx, end, err := begin(t.Context(), text, Options{Binary: built}, text.Bound)
+	r, ctx, end, err := startRun(t.Context(), text, Options{Binary: testBinary}, text.Bound)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer end()
-	roster := NewRoster(1, 1, nil)
+	roster := NewStubDiscovery(1, 1, nil)
 	discovery, err := roster.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer roster.Stop()
-	config, err := r.config("hollow", "127.0.0.1:1", discovery, zoneName(0), roster.Whole(), time.Second)
+	config, err := r.writeNodeConfig("hollow", "127.0.0.1:1", discovery, zoneName(0), roster.FullList(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := r.folder(1, true)
+	files, err := r.newConfigFiles(1, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	controls, err := r.controls(ctx, 1, files, nil)
+	controls, err := r.startControls(ctx, 1, files, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,23 +38,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for addr, want := range map[string]error{controls[0].addr: nil, nobody: errBegun} {
-		product, err := r.product("", addr)
+	for addr, want := range map[string]error{controls[0].addr: nil, nobody: errNotReady} {
+		product, err := r.writeControlProductFile("", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &worker{most: time.Minute}
+		w := &worker{configTimeout: time.Minute}
 		if want != nil {
-			w.most = 50 * time.Millisecond
+			w.configTimeout = 50 * time.Millisecond
 		}
-		o := r.names(0, 1, func(int) string { return discovery })
+		o := r.hollowCommand(0, 1, func(int) string { return discovery })
 		o.Config, o.Products = config, []string{product}
-		if err := w.hollow(o); !errors.Is(err, want) {
+		if err := w.startHollow(o); !errors.Is(err, want) {
 			t.Errorf("%v, want %v", err, want)
 		}
-		if has := !w.nodes[0].run.Figures().Configuration.IsZero(); has != (want == nil) {
+		if has := !w.nodes[0].node.Figures().Configuration.IsZero(); has != (want == nil) {
 			t.Errorf("it has a configuration: %v", has)
 		}
-		w.end()
+		w.stop()
 	}
 }
