--- a/deploy/lab/scale/scale.go
+++ b/deploy/lab/scale/scale.go
@@ -1,4 +1,4 @@
-// Package deployscale holds the plans of `portstall lab scale` that portstall brings along: one YAML file each.
+// Package deployscale embeds the plans of `portstall lab scale`, one YAML file each.
 package deployscale
 
 import (
@@ -10,10 +10,11 @@
 //go:embed *.yaml
 var files embed.FS
 
+// plans is the library that reads the embedded files.
 var plans = deploylab.Library{Files: files}
 
-// Names lists the plans in alphabetical order.
+// Names returns the names of the plans in alphabetical order.
 func Names() []string { return plans.Names() }
 
-// Read is the text of the plan of that name; false where there is none.
+// Read returns the text of the named plan, and false if there is none.
 func Read(name string) ([]byte, bool) { return plans.Read(name) }
--- a/internal/lab/scale/churn.go
+++ b/internal/lab/scale/churn.go
@@ -9,7 +9,8 @@
 	"portstall/internal/resource"
 )
 
-// change is one of the list and, where control is followed, one of the configuration, each with when it was made.
+// trackedChange is a change of the server list and, if the nodes follow control, one of the configuration, each with
+// the time at which it was made.
 type trackedChange struct {
 	listVersion   int64
 	listTime      time.Time
@@ -17,7 +18,7 @@
 	configTime    time.Time
 }
 
-// orders ask who has it.
+// queries returns the worker commands that ask which nodes have the change: of the list, then of the configuration.
 func (c *trackedChange) queries() []workerCommand {
 	all := []workerCommand{{Do: "reached", Version: c.listVersion}}
 	if !c.configVersion.IsZero() {
@@ -26,7 +27,7 @@
 	return all
 }
 
-// change makes one.
+// makeChange makes a change of the list, and one of the configuration if the nodes follow control.
 func (f *fleet) makeChange(ctx context.Context) (c trackedChange, err error) {
 	if f.files != nil {
 		if c.configTime, c.configVersion, err = f.reconfigure(); err != nil {
@@ -38,8 +39,8 @@
 	return c, nil
 }
 
-// reconfigure makes one change of the configuration, and tells when it began and the version that it made. It waits while another one
-// is made, and while the writer is away.
+// reconfigure makes one configuration change, and returns when it began and the version that it made. It waits while
+// another change is being made and while the writer is down.
 func (f *fleet) reconfigure() (at time.Time, v resource.Version, err error) {
 	f.changeMu.Lock()
 	defer f.changeMu.Unlock()
@@ -51,11 +52,12 @@
 	return at, v, err
 }
 
-// configure lets the configuration be changed as in life, so many times faster, until ctx ends.
+// reconfigureAtRandom changes the configuration at random times until ctx ends, faster than in production by the plan's
+// speed.
 func (f *fleet) reconfigureAtRandom(ctx context.Context) error {
-	each := time.Duration(24 * time.Hour.Seconds() / (f.run.plan.Size.Changes * f.plan.Speed) * float64(time.Second))
+	interval := time.Duration(24 * time.Hour.Seconds() / (f.run.plan.Size.Changes * f.plan.Speed) * float64(time.Second))
 	rng := rand.New(rand.NewPCG(31, 8))
-	for pause(ctx, time.Duration(rng.ExpFloat64()*float64(each))) == nil {
+	for pause(ctx, time.Duration(rng.ExpFloat64()*float64(interval))) == nil {
 		if _, _, err := f.reconfigure(); err != nil {
 			return err
 		}
@@ -63,25 +65,26 @@
 	return nil
 }
 
-const churnStepDelay = 500 * time.Millisecond // between a server's draining, its end and its new start
+// churnStepDelay separates a server's draining, its removal and its new start.
+const churnStepDelay = 500 * time.Millisecond
 
-// churn lets servers be replaced as in life, so many times faster, until ctx ends.
+// churn replaces servers at random times until ctx ends, faster than in production by the plan's speed.
 func (f *fleet) churn(ctx context.Context) {
 	size := &f.run.plan.Size
 	day := 24 * time.Hour.Seconds()
-	each := time.Duration(day / ((size.Restarts + size.Failures) * f.plan.Speed) * float64(time.Second))
+	interval := time.Duration(day / ((size.Restarts + size.Failures) * f.plan.Speed) * float64(time.Second))
 	rng := rand.New(rand.NewPCG(31, 7))
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for pause(ctx, time.Duration(rng.ExpFloat64()*float64(each))) == nil {
-		which := rng.IntN(f.plan.Servers)
+	for pause(ctx, time.Duration(rng.ExpFloat64()*float64(interval))) == nil {
+		server := rng.IntN(f.plan.Servers)
 		states := []string{"Terminating", "Gone", "Ready"}
 		if rng.Float64() < size.Failures/(size.Failures+size.Restarts) {
 			states = states[1:]
 		}
 		wg.Go(func() {
 			for _, s := range states {
-				f.discovery.SetState(s, s == "Ready", which)
+				f.discovery.SetState(s, s == "Ready", server)
 				if pause(ctx, churnStepDelay) != nil {
 					return
 				}
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -14,40 +14,45 @@
 	"portstall/internal/lab/standin"
 )
 
-// BesideOptions are what an older build is held beside this one by: one run, in which both have the same contracts, web servers and
-// moments.
+// CompareOptions configures the comparison of an older build with this one: a single run, in which both have the same
+// contracts and web servers and are measured at the same time.
 type BesideOptions struct {
-	Old       string        // the older build's binary; empty: this build alone
-	Contracts int           // in force at each node; each request falls under one of them, for there is none for everybody else
-	Round     time.Duration // quiet rounds, and rounds with changes of the configuration, take turns
-	Rounds    int           // of each
-	Changes   float64       // a second, in every other round: half of them of contracts that requests fall under shortly after
+	Old string // path of the older build's binary; empty: only this build is measured
+	// Contracts is how many are in force at each node. There is no default contract: each request falls under one of them.
+	Contracts int
+	Round     time.Duration // length of a round; rounds without and with configuration changes alternate
+	Rounds    int           // number of rounds of each kind
+	// ChangesPerSecond applies to every other round. Half of the changes are to a contract that a request needs shortly after.
+	Changes float64
 }
 
-// Added is what a request through one node took in the quiet rounds, or in those with changes.
+// LatencyRow reports the latency that one node added to requests, and its CPU time, in the rounds without or with
+// changes.
 type Added struct {
 	Node     string  `json:"node"`
-	Changing bool    `json:"changing"`
-	Asked    int     `json:"asked"`
-	Lost     int     `json:"lost"` // without a good answer
-	P50      float64 `json:"p50_s"`
+	Changing bool    `json:"changing"` // in the rounds with changes
+	Asked    int     `json:"asked"`    // requests sent
+	Lost     int     `json:"lost"`     // requests without a successful response
+	P50      float64 `json:"p50_s"`    // median of the added latency
 	P99      float64 `json:"p99_s"`
-	CPU      float64 `json:"cpu_s"` // processor time a request, all else that the node does included
-	Made     int     `json:"changes"`
-	Met      int     `json:"changes_met"`  // of those: of a contract that a request at each node fell under after the change, in the same round
-	Rate     float64 `json:"changes_rate"` // that were reached, a second
-	Change   float64 `json:"change_s"`     // what one took, until the writer had it in force
+	CPU      float64 `json:"cpu_s"`   // CPU time of the node per request, including everything else that it does
+	Made     int     `json:"changes"` // changes made
+	// Met counts the changes after which, in the same round, a request at each node fell under the changed contract.
+	Met    int     `json:"changes_met"`
+	Rate   float64 `json:"changes_rate"` // changes actually made per second
+	Change float64 `json:"change_s"`     // mean time of a change until the writer had it in force
 }
 
-// Beside asks nodes of an older build and of this one in turn: the older one and this one with a file of all contracts, and this one
-// with the same contracts from a control process, which changes one now and then in every other round. Each is asked as often as a node of
-// the plan's size is, by one tenant after the other, so that none comes to a node more often than in life. Requests wait for one another, so
-// that no node's share of the machine is another's loss. Plan gives sizes and bounds.
-func Beside(ctx context.Context, p *Plan, o Options, b BesideOptions) (rows []Added, err error) {
+// CompareBuilds sends requests in turn to a node of an older build, to one of this build, both of which read all
+// contracts from a file, and to one of this build that has the same contracts from a control process. In every other
+// round contracts at that control process change. Each node gets as many requests as a node of the plan's size, from
+// one tenant after the other, so that no tenant calls a node more often than in production. Only one request is in
+// flight at a time, so that the nodes don't take CPU time from each other. The plan gives sizes and limits.
+func Beside(ctx context.Context, p *Plan, runOpts Options, opts BesideOptions) (rows []Added, err error) {
 	if !(p.Size.Rate > 0) {
-		return nil, fieldError("size.rate", "is over 0 to ask nodes by")
+		return nil, fieldError("size.rate", "must be greater than 0 to send requests to nodes")
 	}
-	r, ctx, end, err := startRun(ctx, p, o, p.Bound+2*time.Duration(b.Rounds+1)*b.Round)
+	r, ctx, end, err := startRun(ctx, p, runOpts, p.Bound+2*time.Duration(opts.Rounds+1)*opts.Round)
 	if err != nil {
 		return nil, err
 	}
@@ -56,63 +61,65 @@
 			err = cause
 		}
 	}()
-	web, err := startStubServers(8, 0, time.Minute)
+	servers, err := startStubServers(8, 0, time.Minute)
 	if err != nil {
 		return nil, err
 	}
-	defer web.stop()
-	s := &comparison{BesideOptions: b, run: r, requestInterval: time.Duration(float64(time.Second) * float64(p.Size.Nodes) / p.Size.Rate),
-		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}}
-	defer s.client.CloseIdleConnections()
-	list := NewStubDiscovery(len(web.addrs), 1, web.addrs)
-	if err := s.start(ctx, list); err != nil {
+	defer servers.stop()
+	c := &comparison{BesideOptions: opts, run: r,
+		requestInterval: time.Duration(float64(time.Second) * float64(p.Size.Nodes) / p.Size.Rate),
+		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4,
+			DisableCompression: true}}}
+	defer c.client.CloseIdleConnections()
+	discovery := NewStubDiscovery(len(servers.addrs), 1, servers.addrs)
+	if err := c.start(ctx, discovery); err != nil {
 		return nil, err
 	}
-	defer list.Stop()
-	if err := s.checkNamedContracts(); err != nil {
+	defer discovery.Stop()
+	if err := c.checkNamedContracts(); err != nil {
 		return nil, err
 	}
-	if err := s.runRound(ctx, 0, b.Round/2, false); err != nil { // connections come up
+	if err := c.runRound(ctx, 0, opts.Round/2, false); err != nil { // connections are established
 		return nil, err
 	}
-	for range b.Rounds {
+	for range opts.Rounds {
 		for phase := range 2 {
-			if err := errors.Join(s.runRound(ctx, phase, b.Round, true), context.Cause(ctx)); err != nil {
+			if err := errors.Join(c.runRound(ctx, phase, opts.Round, true), context.Cause(ctx)); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for i := range s.nodes {
-		rows = append(rows, s.nodes[i].row(0), s.nodes[i].row(1))
+	for i := range c.nodes {
+		rows = append(rows, c.nodes[i].row(0), c.nodes[i].row(1))
 	}
 	return rows, nil
 }
 
-// sides are the nodes that are held beside each other.
+// comparison holds the nodes that are compared and what they depend on.
 type comparison struct {
 	BesideOptions
 	run             *run
 	client          *http.Client
-	requestInterval time.Duration // between two requests at a node
+	requestInterval time.Duration // time between two requests at a node
 	files           *configFiles
 	writer          *controlProcess
 	nodes           []*comparedNode
-	requestCount    atomic.Int64 // requests so far at each node
+	requestCount    atomic.Int64 // requests sent to each node so far
 }
 
-// side is one of them, with what it met in quiet rounds and in those with changes.
+// comparedNode is one of the nodes, with its results in the rounds without changes (0) and with them (1).
 type comparedNode struct {
 	*realNode
 	name         string
 	rows         [2]Added
 	addedSeconds [2][]float64
-	changeTimes  [2]time.Duration // with changes, and by all of them
+	changeTimes  [2]time.Duration // duration of the rounds with changes, and of all changes together
 }
 
-// start brings up what is asked and what that follows.
-func (s *comparison) start(ctx context.Context, list *StubDiscovery) error {
+// start starts control and the nodes that are compared.
+func (s *comparison) start(ctx context.Context, discovery *StubDiscovery) error {
 	r := s.run
-	discovery, err := list.Start()
+	discoveryAddr, err := discovery.Start()
 	if err != nil {
 		return err
 	}
@@ -133,7 +140,8 @@
 		if err != nil {
 			return err
 		}
-		n, err := r.startNode(ctx, nodeSetup{binary: binary, name: role, discovery: discovery, zone: zoneName(0), serverList: list.FullList(), serverIdle: time.Minute,
+		n, err := r.startNode(ctx, nodeSetup{binary: binary, name: role, discovery: discoveryAddr, zone: zoneName(0),
+			serverList: discovery.FullList(), serverIdle: time.Minute,
 			env: []string{"PORTSTALL_FILE=" + path}})
 		if err == nil {
 			s.nodes = append(s.nodes, &comparedNode{realNode: n, name: name})
@@ -152,13 +160,15 @@
 	if err := add("this build, a file", "", "file", file); err != nil {
 		return err
 	}
-	return add("this build, control", "", "control", func(connect string) (string, error) { return r.writeControlProductFile(connect, s.writer.addr) })
+	return add("this build, control", "", "control",
+		func(connect string) (string, error) { return r.writeControlProductFile(connect, s.writer.addr) })
 }
 
-// errNobody is that a request of nobody was let in.
-var errUnnamedAdmitted = errors.New("lets in a request that no named contract is for")
+// errUnnamedAdmitted reports that a node admitted a request without a tenant.
+var errUnnamedAdmitted = errors.New("admits a request that no named contract covers")
 
-// named makes sure that what a node lets in falls under a named contract: a request of nobody is refused.
+// checkNamedContracts makes sure that nodes admit requests under named contracts only: one without a tenant must be
+// refused.
 func (s *comparison) checkNamedContracts() error {
 	for _, n := range s.nodes {
 		if _, ok := sendRequest(s.client, n.addr, "nobody", ""); ok {
@@ -168,12 +178,13 @@
 	return nil
 }
 
-// tenant is whose request the k-th at each node is: all have their turn before one comes again.
+// tenantOf returns the tenant of the k-th request at each node. Each tenant has one request before any has a second.
 func (s *comparison) tenantOf(k int64) int {
 	return int(k * tenantStride(s.Contracts) % int64(s.Contracts))
 }
 
-// stride has no divisor in common with a number, and leads far from one file of contracts to the next.
+// tenantStride returns a step that is coprime with n, and so large that successive tenants are in different files of
+// contracts.
 func tenantStride(n int) int64 {
 	for step := int64(7919); ; step++ {
 		a, b := step, int64(n)
@@ -186,17 +197,20 @@
 	}
 }
 
-// ahead is how long before a request its contract is changed, in the changes that are to be met: longer than a node takes to have it in force.
+// changeLead is how long before a request its contract is changed. It is longer than a node takes to have the change in
+// force.
 const changeLead = 300 * time.Millisecond
 
-// changes makes changes at even times, whatever each takes, until ctx ends. Met are those whose contract's turn comes by then.
-func (s *comparison) makeChanges(ctx context.Context, begun time.Time) (made, met int, took time.Duration, err error) {
-	var turns []int64
-	for ; pause(ctx, time.Until(begun.Add(time.Duration(float64(made)/s.Changes*float64(time.Second))))) == nil; made++ {
+// makeChanges makes changes at a constant rate, however long each takes, until ctx ends. It returns how many it made,
+// after how many of them a request fell under the changed contract by then, and how long all changes took together.
+func (s *comparison) makeChanges(ctx context.Context, startedAt time.Time) (made, met int, elapsed time.Duration,
+	err error) {
+	var affected []int64
+	for ; pause(ctx, time.Until(startedAt.Add(time.Duration(float64(made)/s.Changes*float64(time.Second))))) == nil; made++ {
 		at := time.Now()
 		if made%2 == 0 {
 			turn := s.requestCount.Load() + int64(changeLead/s.requestInterval)
-			turns = append(turns, turn)
+			affected = append(affected, turn)
 			err = s.files.changeContract(s.tenantOf(turn))
 		} else {
 			err = s.files.changeNext()
@@ -205,49 +219,50 @@
 			_, err = s.writer.reload()
 		}
 		if err != nil {
-			return made, 0, took, err
+			return made, 0, elapsed, err
 		}
-		took += time.Since(at)
+		elapsed += time.Since(at)
 	}
 	last := s.requestCount.Load()
-	for _, turn := range turns {
+	for _, turn := range affected {
 		if turn < last {
 			met++
 		}
 	}
-	return made, met, took, nil
+	return made, met, elapsed, nil
 }
 
-// round asks the nodes in turn, for so long; in phase 1 with changes. What is met counts, or not.
+// runRound sends requests to the nodes in turn for the given time. In phase 1 the configuration changes meanwhile. The
+// results are recorded if count is set.
 func (s *comparison) runRound(ctx context.Context, phase int, length time.Duration, count bool) error {
 	within, stop := context.WithTimeout(ctx, length)
 	defer stop()
-	begun := time.Now()
+	startedAt := time.Now()
 	var made, met int
-	var took time.Duration
+	var elapsed time.Duration
 	changed := make(chan error, 1)
 	go func() {
 		var err error
 		if phase == 1 {
-			made, met, took, err = s.makeChanges(within, begun)
+			made, met, elapsed, err = s.makeChanges(within, startedAt)
 		}
 		changed <- err
 	}()
-	var used []time.Duration
+	var cpuBefore []time.Duration
 	for _, n := range s.nodes {
-		used = append(used, cpuTime(n.cmd.Process.Pid))
+		cpuBefore = append(cpuBefore, cpuTime(n.cmd.Process.Pid))
 	}
-	for k := 0; pause(within, time.Until(begun.Add(time.Duration(k)*s.requestInterval))) == nil; k++ {
+	for k := 0; pause(within, time.Until(startedAt.Add(time.Duration(k)*s.requestInterval))) == nil; k++ {
 		turn := s.requestCount.Load()
 		tenant := tenantName(s.tenantOf(turn))
-		for j := range s.nodes {
-			n := s.nodes[(j+k)%len(s.nodes)] // another one is the first each time
-			took, ok := sendRequest(s.client, n.addr, fmt.Sprintf("beside-%s-%d", n.role, turn), tenant)
+		for offset := range s.nodes {
+			n := s.nodes[(offset+k)%len(s.nodes)] // each time another node is the first
+			elapsed, ok := sendRequest(s.client, n.addr, fmt.Sprintf("beside-%s-%d", n.role, turn), tenant)
 			if !count {
 				continue
 			}
 			if n.rows[phase].Asked++; ok {
-				n.addedSeconds[phase] = append(n.addedSeconds[phase], took)
+				n.addedSeconds[phase] = append(n.addedSeconds[phase], elapsed)
 			} else {
 				n.rows[phase].Lost++
 			}
@@ -255,15 +270,15 @@
 		s.requestCount.Add(1)
 	}
 	err := <-changed
-	length = time.Since(begun)
+	length = time.Since(startedAt)
 	for i, n := range s.nodes {
 		if !count {
 			break
 		}
 		row := &n.rows[phase]
-		row.CPU += (cpuTime(n.cmd.Process.Pid) - used[i]).Seconds()
+		row.CPU += (cpuTime(n.cmd.Process.Pid) - cpuBefore[i]).Seconds()
 		row.Made, row.Met = row.Made+made, row.Met+met
-		n.changeTimes[0], n.changeTimes[1] = n.changeTimes[0]+length*time.Duration(phase), n.changeTimes[1]+took
+		n.changeTimes[0], n.changeTimes[1] = n.changeTimes[0]+length*time.Duration(phase), n.changeTimes[1]+elapsed
 	}
 	if err != nil || phase == 0 {
 		return err
@@ -272,10 +287,10 @@
 	if err != nil {
 		return err
 	}
-	return s.writer.awaitAcknowledged(ctx, status.Version, 1) // the node has all of them in force
+	return s.writer.awaitAcknowledged(ctx, status.Version, 1) // wait until the node has all changes in force
 }
 
-// told is a phase's row.
+// row returns the node's results in a phase.
 func (n *comparedNode) row(phase int) Added {
 	row := n.rows[phase]
 	row.Node, row.Changing = n.name, phase == 1
@@ -287,16 +302,18 @@
 	return row
 }
 
-// PrintBeside writes rows as a table.
+// PrintComparison writes the rows as a table.
 func PrintBeside(w io.Writer, rows []Added) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "node\tconfiguration\trequests\tlost\tadded, median\tp99\tprocessor time each")
+	fmt.Fprintln(out, "node\tconfiguration\trequests\tlost\tadded latency, median\tp99\tCPU time per request")
 	for _, r := range rows {
-		what := "quiet"
+		what := "unchanged"
 		if r.Changing {
-			what = fmt.Sprintf("%d changes, %.1f a second, %s each; %d met by a request", r.Made, r.Rate, FormatAmount(r.Change, "s"), r.Met)
+			what = fmt.Sprintf("%d changes, %.1f per second, %s each; %d followed by a request of the tenant", r.Made,
+				r.Rate, FormatAmount(r.Change, "s"), r.Met)
 		}
-		fmt.Fprintf(out, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", r.Node, what, r.Asked, r.Lost, FormatAmount(r.P50, "s"), FormatAmount(r.P99, "s"), FormatAmount(r.CPU, "s"))
+		fmt.Fprintf(out, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", r.Node, what, r.Asked, r.Lost, FormatAmount(r.P50, "s"),
+			FormatAmount(r.P99, "s"), FormatAmount(r.CPU, "s"))
 	}
 	return out.Flush()
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -20,25 +20,27 @@
 	"portstall/internal/resource"
 )
 
-// perFile is how many contracts stand in one of the writer's files: so many are read for a change of one.
+// contractsPerFile is the number of contracts in one of the writer's files, all of which are read again for a change of
+// one.
 const contractsPerFile = 100
 
-// folder is the writer's files: services and routes in one, contracts in others. Safe for concurrent use.
+// configFiles is the folder of the writer's files: one with services and routes, others with contracts. Its mutex
+// guards what changes. It is safe for concurrent use.
 type configFiles struct {
 	path string
 	size *Size
 
 	mu             sync.Mutex
 	contractCount  int
-	rateIncrements map[int]int // of those that were changed
+	rateIncrements map[int]int // by contract: how often it was changed, which raises its rate by as much
 	changeCount    int
 }
 
-// tenantName is the i-th tenant's, and its contract's.
+// tenantName returns the name of the i-th tenant, which is also the name of its contract.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%05d", i) }
 
-// folder writes files with so many contracts, and services and routes in proportion to the full size; others: one contract more is for
-// who has none.
+// newConfigFiles writes files with the given number of contracts, and services and routes in proportion to the full
+// size. If others is set, one more contract covers the requests of tenants without one.
 func (r *run) newConfigFiles(contracts int, others bool) (*configFiles, error) {
 	path, err := os.MkdirTemp(r.dir, "files")
 	if err != nil {
@@ -57,7 +59,8 @@
 	if routes := contracts * f.size.Routes / f.size.Tenants; routes > 0 {
 		b.WriteString("tunnels:\n  routes:\n")
 		for i := range routes {
-			fmt.Fprintf(&b, "    - {host: r%04d.example.org, port: 443, service: service-%03d, kind: http}\n", i, i%services)
+			fmt.Fprintf(&b, "    - {host: r%04d.example.org, port: 443, service: service-%03d, kind: http}\n", i,
+				i%services)
 		}
 	}
 	b.WriteString("...\n")
@@ -69,7 +72,8 @@
 			return nil, err
 		}
 	}
-	// The writer takes files that changed just before it read them for such as may change again unseen.
+	// Files that are older than a minute: the writer reads files again that changed just before it read them, because a
+	// second change within the resolution of the modification time could go unnoticed.
 	old := time.Now().Add(-time.Minute)
 	files, err := filepath.Glob(filepath.Join(path, "*.yaml"))
 	for _, name := range files {
@@ -78,11 +82,12 @@
 	return f, err
 }
 
+// serviceCount returns the number of services, in proportion to the full size.
 func (f *configFiles) serviceCount() int {
 	return max(1, int(float64(f.contractCount)/float64(f.size.Tenants)*float64(f.size.Services)+0.5))
 }
 
-// write puts a file in its place, whole.
+// replaceFile replaces a file atomically.
 func (f *configFiles) replaceFile(name, text string) error {
 	next := filepath.Join(f.path, ".next")
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
@@ -91,7 +96,7 @@
 	return os.Rename(next, filepath.Join(f.path, name))
 }
 
-// part writes the k-th file of contracts. f.mu is held, or nobody else knows the folder.
+// writeContracts writes the k-th file of contracts. The caller holds f.mu, or is the only user of f.
 func (f *configFiles) writeContracts(k int) error {
 	var b strings.Builder
 	b.WriteString("contracts:\n")
@@ -104,7 +109,7 @@
 	return f.replaceFile(fmt.Sprintf("contracts-%04d.yaml", k), b.String())
 }
 
-// change changes one contract, another one each time.
+// changeNext changes one contract, a different one each time.
 func (f *configFiles) changeNext() error {
 	f.mu.Lock()
 	i := f.changeCount * 37 % f.contractCount
@@ -113,7 +118,7 @@
 	return f.changeContract(i)
 }
 
-// changeOf changes the i-th contract.
+// changeContract changes the rate of the i-th contract.
 func (f *configFiles) changeContract(i int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,16 +126,18 @@
 	return f.writeContracts(i / contractsPerFile)
 }
 
-// controller is a control process of the run.
+// controlProcess is a control process of the run, with the arguments to start it again.
 type controlProcess struct {
 	*child
 	addr string
 	args []string
 }
 
-// controls starts control processes: the first is the writer of the files, the others follow it, and look at one another as docs/configuration.md
-// has it. Via tells the address by which one reaches another (nil: its own). More are flags of all.
-func (r *run) startControls(ctx context.Context, count int, files *configFiles, via func(from int, to *controlProcess) (string, error), more ...string) ([]*controlProcess, error) {
+// startControls starts control processes. The first is the writer of the files, the others follow it and watch each
+// other as docs/configuration.md describes. The function reach returns the address by which one process reaches
+// another; if it is nil, they use each other's own addresses. The flags are passed to each process.
+func (r *run) startControls(ctx context.Context, count int, files *configFiles,
+	reach func(from int, to *controlProcess) (string, error), flags ...string) ([]*controlProcess, error) {
 	var all []*controlProcess
 	for range count {
 		addr, err := standin.FreeAddr()
@@ -140,23 +147,23 @@
 		all = append(all, &controlProcess{addr: addr})
 	}
 	for i, c := range all {
-		c.args = append([]string{"control", "--listen", c.addr, "--name", fmt.Sprintf("control-%d", i)}, more...)
-		others := "--from"
+		c.args = append([]string{"control", "--listen", c.addr, "--name", fmt.Sprintf("control-%d", i)}, flags...)
+		otherFlag := "--from"
 		if i == 0 {
-			c.args, others = append(c.args, "--files", files.path), "--peers"
+			c.args, otherFlag = append(c.args, "--files", files.path), "--peers"
 		}
 		for _, o := range all {
 			if o == c {
 				continue
 			}
 			addr := o.addr
-			if via != nil {
+			if reach != nil {
 				var err error
-				if addr, err = via(i, o); err != nil {
+				if addr, err = reach(i, o); err != nil {
 					return all, err
 				}
 			}
-			c.args = append(c.args, others, addr)
+			c.args = append(c.args, otherFlag, addr)
 		}
 		if err := r.startControl(ctx, c); err != nil {
 			return all, err
@@ -165,7 +172,7 @@
 	return all, nil
 }
 
-// begin starts a control process, anew where it was ended, and waits until it has a configuration.
+// startControl starts a control process, also one that was stopped before, and waits until it has a configuration.
 func (r *run) startControl(ctx context.Context, c *controlProcess) (err error) {
 	if c.child, err = r.processes.start(c.args[4], nil, c.args...); err != nil {
 		return err
@@ -188,10 +195,11 @@
 	return fmt.Errorf("%s: %w within %v: %s", c.role, errNotReady, startTimeout, c.logs.String())
 }
 
-// operator calls control processes as operators do.
+// operatorClient calls control processes and nodes as an operator does.
 var operatorClient = &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// reload lets a writer read its files, and tells the version that this made.
+// reload makes a writer read its files, and returns the version that this created. It is an error if nothing has
+// changed.
 func (c *controlProcess) reload() (resource.Version, error) {
 	resp, err := operatorClient.Post("http://"+c.addr+"/v1/reload", "", nil)
 	if err != nil {
@@ -210,12 +218,12 @@
 		return resource.Version{}, fmt.Errorf("%s: reload: %w", c.role, err)
 	}
 	if !r.Changed {
-		return resource.Version{}, fmt.Errorf("%s: reload: nothing was changed by a change", c.role)
+		return resource.Version{}, fmt.Errorf("%s: reload: no new version although the files changed", c.role)
 	}
 	return r.Version, nil
 }
 
-// status is how a control process stands.
+// controlStatus is the part of a control process's status that the run reads.
 type controlStatus struct {
 	Version  resource.Version `json:"version"`
 	Versions []struct {
@@ -224,9 +232,10 @@
 	} `json:"callers_by_version"`
 	Refused   int             `json:"refusing"`
 	Snapshots int             `json:"snapshots_told"`
-	Follows   *follow.Figures `json:"follows"` // of a follower
+	Follows   *follow.Figures `json:"follows"` // set by a follower only
 }
 
+// status asks a control process for its status.
 func (c *controlProcess) status() (s controlStatus, err error) {
 	resp, err := operatorClient.Get("http://" + c.addr + "/v1/status")
 	if err != nil {
@@ -236,7 +245,8 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// acked waits until so many callers have a version in force, and none refuses one.
+// awaitAcknowledged waits until the given number of callers have a version or a later one in force. It is an error if a
+// caller refuses a version.
 func (c *controlProcess) awaitAcknowledged(ctx context.Context, v resource.Version, callers int) error {
 	var last controlStatus
 	err := waitUntil(ctx, updateTimeout, fmt.Sprintf("version %s at %d callers", v, callers), func() bool {
@@ -249,7 +259,7 @@
 			}
 		}
 		if err == nil && n < callers {
-			time.Sleep(20 * time.Millisecond) // asking costs the process that is measured
+			time.Sleep(20 * time.Millisecond) // asking more often would load the process that is being measured
 		}
 		return err == nil && n >= callers
 	})
@@ -257,12 +267,13 @@
 		return fmt.Errorf("%w: %+v", err, last)
 	}
 	if last.Refused > 0 {
-		return fmt.Errorf("version %s: %d callers refuse one", v, last.Refused)
+		return fmt.Errorf("version %s: %d callers refuse a version", v, last.Refused)
 	}
 	return nil
 }
 
-// product writes a node's product file that names control processes. Connect is where it takes tunnels, which have the routes.
+// writeControlProductFile writes a node's product file that names control processes. Connect is the address at which
+// the node accepts tunnels, which the routes belong to; empty: it accepts none.
 func (r *run) writeControlProductFile(connect string, addrs ...string) (string, error) {
 	text := "control:\n  addresses:\n"
 	for _, a := range addrs {
@@ -274,12 +285,14 @@
 	return r.writeFile(".yaml", []byte(text+"...\n"))
 }
 
-// changeRest is between two changes of the configuration: longer than a node takes over one, so that none is told with the next.
+// changeDelay separates two configuration changes. It is longer than a node takes to apply one, so that no two changes
+// arrive in one response.
 const changeDelay = 150 * time.Millisecond
 
-// changes makes changes of the configuration one after the other, and tells how long that took and the last version.
-func makeChanges(ctx context.Context, count int, f *configFiles, writer *controlProcess) (took time.Duration, last resource.Version, err error) {
-	begun := time.Now()
+// makeChanges makes configuration changes one after the other, and returns how long that took and the last version.
+func makeChanges(ctx context.Context, count int, f *configFiles, writer *controlProcess) (elapsed time.Duration,
+	last resource.Version, err error) {
+	startedAt := time.Now()
 	for range count {
 		if err = f.changeNext(); err != nil {
 			return 0, last, err
@@ -291,5 +304,5 @@
 			return 0, last, err
 		}
 	}
-	return time.Since(begun), last, nil
+	return time.Since(startedAt), last, nil
 }
--- a/internal/lab/scale/cut.go
+++ b/internal/lab/scale/cut.go
@@ -11,17 +11,18 @@
 	"portstall/internal/resource"
 )
 
-// sever takes the network between two regions away, or gives it back: between control processes, and between nodes and control processes.
+// cutRegions cuts or restores the network between two regions, both between control processes and between nodes and
+// control processes.
 func (f *fleet) cutRegions(a, b int, on bool) {
 	home := func(control int) int { return control % len(f.discoveryRelays) }
 	for i := range f.controls {
-		for _, way := range [][2]int{{a, b}, {b, a}} {
-			if home(i) != way[1] {
+		for _, direction := range [][2]int{{a, b}, {b, a}} {
+			if home(i) != direction[1] {
 				continue
 			}
-			f.controlRelays[way[0]][i].Cut(on)
+			f.controlRelays[direction[0]][i].Cut(on)
 			for k := range f.controls {
-				if home(k) == way[0] {
+				if home(k) == direction[0] {
 					f.controlLinks[k][i].Cut(on)
 				}
 			}
@@ -29,7 +30,7 @@
 	}
 }
 
-// teller is a process, a control process or a real node, that tells which configuration it has.
+// versionReporter is a control process or a real node that reports which version of the configuration it has.
 type versionReporter struct {
 	name     string
 	isolated bool // it is in the region that is cut off
@@ -37,27 +38,29 @@
 	history  versionHistory
 }
 
-// tellers are all of them.
+// versionReporters returns all control processes and real nodes. Cut is the region that is cut off.
 func (f *fleet) versionReporters(cut int) (all []*versionReporter) {
 	for i, c := range f.controls {
-		all = append(all, &versionReporter{name: c.role, isolated: i%len(f.discoveryRelays) == cut, version: func() (resource.Version, error) {
-			s, err := c.status()
-			return s.Version, err
-		}})
+		all = append(all, &versionReporter{name: c.role, isolated: i%len(f.discoveryRelays) == cut,
+			version: func() (resource.Version, error) {
+				s, err := c.status()
+				return s.Version, err
+			}})
 	}
 	for i, n := range f.realNodes {
-		all = append(all, &versionReporter{name: n.role, isolated: f.run.regionOf(i) == cut, version: func() (resource.Version, error) {
-			c, err := n.configuration()
-			if err != nil {
-				return resource.Version{}, err
-			}
-			return resource.ParseVersion(c.Version)
-		}})
+		all = append(all, &versionReporter{name: n.role, isolated: f.run.regionOf(i) == cut,
+			version: func() (resource.Version, error) {
+				c, err := n.configuration()
+				if err != nil {
+					return resource.Version{}, err
+				}
+				return resource.ParseVersion(c.Version)
+			}})
 	}
 	return all
 }
 
-// configuration is how a node stands with control.
+// configuration asks a node for the state of its configuration.
 func (n *realNode) configuration() (c node.Configuration, err error) {
 	resp, err := operatorClient.Get("http://" + n.mgmt + "/-/configuration")
 	if err != nil {
@@ -67,10 +70,12 @@
 	return c, json.NewDecoder(resp.Body).Decode(&c)
 }
 
-// askEach is how exactly it is known when a control process or a real node has a version.
+// versionPollInterval is the resolution of the times at which control processes and real nodes are known to have a
+// version.
 const versionPollInterval = 100 * time.Millisecond
 
-// watchTellers asks them again and again until ctx ends. Their histories may be read once it has returned, or under mu.
+// pollVersions polls the reporters until ctx ends and records their versions. The histories may be read while mu is
+// held, or after it has returned.
 func pollVersions(ctx context.Context, mu *sync.Mutex, all []*versionReporter) {
 	var wg sync.WaitGroup
 	for _, t := range all {
@@ -87,10 +92,11 @@
 	wg.Wait()
 }
 
-// carried is what was told so far: the whole by all control processes together, and to the control process of the region that is cut
-// off and to its real nodes the whole and deltas.
+// transferCounts counts transfers of the configuration so far: full snapshots sent by all control processes together,
+// and the full snapshots and deltas that the control process and the real nodes of the region that is cut off received.
 type transferCounts struct{ controlSnapshots, regionSnapshots, regionDeltas, nodeSnapshots, nodeDeltas int64 }
 
+// readTransferCounts asks the control processes, and the real nodes of the region that is cut off, for their counts.
 func (f *fleet) readTransferCounts(cut int) (sum transferCounts, err error) {
 	for i, c := range f.controls {
 		s, err := c.status()
@@ -115,22 +121,22 @@
 	return sum, nil
 }
 
-// back is how often any hollow node had a configuration older than the one before.
+// regressions returns how often any hollow node changed to an older configuration than it had before.
 func (f *fleet) regressions(ctx context.Context) (times float64, err error) {
 	for i, w := range f.workers {
 		if f.hollowNodes[i] == nil {
 			continue
 		}
-		got, err := w.call(ctx, workerCommand{Do: "back"})
+		reply, err := w.call(ctx, workerCommand{Do: "back"})
 		if err != nil {
 			return 0, err
 		}
-		times += got.Figures["back"]
+		times += reply.Figures["back"]
 	}
 	return times, nil
 }
 
-// tight fails the run where a node has a change of the configuration that was made beyond a cut.
+// checkIsolated fails the run if an isolated node has a configuration change that was made on the other side of the cut.
 func (e *activeFault) checkIsolated(ctx context.Context, name string, c trackedChange, inside func(node int) bool) error {
 	leaked, err := e.awaitWithin(ctx, 0, c.queries()[1], time.Time{}, inside)
 	if err != nil || len(leaked) == 0 {
@@ -138,15 +144,15 @@
 	}
 	e.run.mu.Lock()
 	defer e.run.mu.Unlock()
-	e.run.report.addFailure("%s: %d of its nodes have a change that was made beyond it", name, len(leaked))
+	e.run.report.addFailure("%s: %d of its nodes have a change that was made on the other side", name, len(leaked))
 	return nil
 }
 
-// meanwhile makes changes of the configuration at a rate until the fault's time is over.
+// reconfigureUntilEnd makes configuration changes at the fault's rate until the fault's time is over.
 func (e *activeFault) reconfigureUntilEnd(ctx context.Context) error {
-	begun := time.Now()
+	startedAt := time.Now()
 	for k := 1; e.Rate > 0; k++ {
-		at := begun.Add(time.Duration(float64(k) / e.Rate * float64(time.Second)))
+		at := startedAt.Add(time.Duration(float64(k) / e.Rate * float64(time.Second)))
 		if at.After(e.startedAt.Add(e.For)) {
 			break
 		}
@@ -160,9 +166,9 @@
 	return e.waitForShare(ctx, 1)
 }
 
-// controlsCut cuts the last region from the writer's, or from all others, while the configuration changes: in the first half as the fleet's
-// speed has it, in the second half faster. One change is followed amid the cut, and the last one before the heal from that on, at hollow nodes,
-// real ones and control processes.
+// controlsCut cuts the last region from the writer's, or from all others, while the configuration changes: in the first
+// half at the fleet's speed, in the second half faster. One change is followed during the cut. The last change before
+// the network is restored is followed from that moment on, at hollow nodes, real nodes and control processes.
 func (e *activeFault) controlsCut(ctx context.Context) error {
 	r, cut, alone := e.run, len(e.discoveryRelays)-1, e.Kind == "region_alone"
 	name := "two regions cut from each other"
@@ -175,28 +181,28 @@
 	}
 	inside := func(i int) bool { return r.regionOf(i) == cut }
 	var mu sync.Mutex
-	tellers := e.versionReporters(cut)
-	asking, stop := context.WithCancel(ctx)
+	reporters := e.versionReporters(cut)
+	pollCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { pollVersions(asking, &mu, tellers) })
+	wg.Go(func() { pollVersions(pollCtx, &mu, reporters) })
 	defer wg.Wait()
 	defer stop()
 	before, err := e.readTransferCounts(cut)
 	if err != nil {
 		return err
 	}
-	network := func(on bool) {
+	setCut := func(on bool) {
 		for _, region := range others {
 			e.cutRegions(cut, region, on)
 		}
 	}
 	turns := e.changeCount()
-	network(true)
-	defer network(false)
+	setCut(true)
+	defer setCut(false)
 	if err := e.waitForShare(ctx, 0.5); err != nil {
 		return err
 	}
-	slow := e.changeCount() - turns
+	firstHalf := e.changeCount() - turns
 	if err := e.reconfigureUntilEnd(ctx); err != nil {
 		return err
 	}
@@ -204,71 +210,79 @@
 	if err != nil {
 		return err
 	}
-	told := name + ": all, amid it" // by way of the third region
+	faultName := name + ": all, amid it" // they are reached through the third region
 	reached := func(int) bool { return true }
 	if alone {
-		told, reached = name+": the others, amid it", func(i int) bool { return !inside(i) }
+		faultName, reached = name+": the others, amid it", func(i int) bool { return !inside(i) }
 	}
-	if err := e.followChange(ctx, told, c, time.Time{}, reached); err != nil {
+	if err := e.followChange(ctx, faultName, c, time.Time{}, reached); err != nil {
 		return err
 	}
 	if c, err = e.makeChange(ctx); err != nil {
 		return err
 	}
-	if alone { // where the cut is one, none inside has anything of it
+	if alone { // nothing may get into a region that is cut from all others
 		if err := e.checkIsolated(ctx, name, c, inside); err != nil {
 			return err
 		}
 	}
 	made, lasted := e.changeCount()-turns, time.Since(e.startedAt)
-	network(false)
-	healed := time.Now()
-	if err := e.followChange(ctx, name+": its nodes, from the heal", c, healed, inside); err != nil {
+	setCut(false)
+	restoredAt := time.Now()
+	if err := e.followChange(ctx, name+": its nodes, from the heal", c, restoredAt, inside); err != nil {
 		return err
 	}
-	var after []float64
-	for end := healed.Add(e.plan.Limit); ; {
-		after = after[:0]
+	var delays []float64
+	for end := restoredAt.Add(e.plan.Limit); ; {
+		delays = delays[:0]
 		mu.Lock()
-		for _, t := range tellers {
+		for _, t := range reporters {
 			if at := t.history.firstSeen(c.configVersion); !at.IsZero() {
-				after = append(after, max(0, at.Sub(healed).Seconds()))
+				delays = append(delays, max(0, at.Sub(restoredAt).Seconds()))
 			}
 		}
 		mu.Unlock()
-		if len(after) == len(tellers) || time.Now().After(end) {
+		if len(delays) == len(reporters) || time.Now().After(end) {
 			break
 		}
 		if err := pause(ctx, versionPollInterval); err != nil {
 			return err
 		}
 	}
-	e.addFaultRow(name+": control processes and real nodes, from the heal", "configuration", after, len(tellers))
-	now, err := e.readTransferCounts(cut)
+	e.addFaultRow(name+": control processes and real nodes, from the heal", "configuration", delays, len(reporters))
+	transferred, err := e.readTransferCounts(cut)
 	if err != nil {
 		return err
 	}
-	back, err := e.regressions(ctx)
+	regressions, err := e.regressions(ctx)
 	if err != nil {
 		return err
 	}
 	stop()
 	wg.Wait()
-	for _, t := range tellers {
-		back += float64(t.history.regressions)
+	for _, t := range reporters {
+		regressions += float64(t.history.regressions)
 	}
-	note := fmt.Sprintf("%s for %.0f s, %d contracts, %d hollow and %d real nodes", name, lasted.Seconds(), e.plan.Contracts, e.plan.Hollow, len(e.realNodes))
-	row := func(id, role, figure, more string, at float64) {
-		r.addRows(Row{ID: e.Kind + "." + id, Role: role, Figure: name + ": " + figure, Origin: Measured, At: at, Note: note + more})
+	note := fmt.Sprintf("%s for %.0f s, %d contracts, %d hollow and %d real nodes", name, lasted.Seconds(),
+		e.plan.Contracts, e.plan.Hollow, len(e.realNodes))
+	row := func(id, role, figure, suffix string, at float64) {
+		r.addRows(Row{ID: e.Kind + "." + id, Role: role, Figure: name + ": " + figure, Origin: Measured, At: at,
+			Note: note + suffix})
 	}
-	row("lasted", "control", "seconds that it lasted", "", lasted.Seconds())
-	row("changes", "control", "changes of the configuration amid it", fmt.Sprintf("; %d in its first half", slow), float64(made))
-	row("slow", "control", "changes of those in its first half", "", float64(slow))
-	row("wholes", "control", "answers with the whole, by all control processes", "", float64(now.controlSnapshots-before.controlSnapshots))
-	row("followed", "control", "of those to the region's own one", "", float64(now.regionSnapshots-before.regionSnapshots))
-	row("deltas", "control", "deltas that the region's own one took", "", float64(now.regionDeltas-before.regionDeltas))
-	row("nodes", "node", "the whole taken by its real nodes", "", float64(now.nodeSnapshots-before.nodeSnapshots))
-	row("nodes.deltas", "node", "deltas taken by its real nodes", "", float64(now.nodeDeltas-before.nodeDeltas))
-	row("back", "node", "times that an older version was in force than before, anywhere", "", back)
+	row("lasted", "control", "duration in seconds", "", lasted.Seconds())
+	row("changes", "control", "configuration changes during the cut", fmt.Sprintf("; %d in its first half",
+		firstHalf), float64(made))
+	row("slow", "control", "configuration changes in its first half", "", float64(firstHalf))
+	row("wholes", "control", "full snapshots sent by all control processes", "",
+		float64(transferred.controlSnapshots-before.controlSnapshots))
+	row("followed", "control", "full snapshots received by the region's control process", "",
+		float64(transferred.regionSnapshots-before.regionSnapshots))
+	row("deltas", "control", "deltas applied by the region's control process", "",
+		float64(transferred.regionDeltas-before.regionDeltas))
+	row("nodes", "node", "full snapshots applied by the region's real nodes", "",
+		float64(transferred.nodeSnapshots-before.nodeSnapshots))
+	row("nodes.deltas", "node", "deltas applied by the region's real nodes", "",
+		float64(transferred.nodeDeltas-before.nodeDeltas))
+	row("back", "node", "changes to an older version, at any process", "", regressions)
 	return nil
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -14,31 +14,32 @@
 	"portstall/internal/lab/standin"
 )
 
-// fleet is hollow nodes, real ones with clients, and what they follow.
+// fleet holds the hollow nodes, the real nodes with their clients, and the discovery and control processes that they
+// follow.
 type fleet struct {
 	run             *run
 	plan            *FleetPlan
 	discovery       *StubDiscovery
-	discoveryRelays []*Relay // by region
+	discoveryRelays []*Relay // from the nodes of a region to discovery, by region
 	workers         []*child
-	hollowNodes     [][]int // of each worker, its nodes' numbers
+	hollowNodes     [][]int // numbers of the nodes of each worker; nil for a worker without nodes
 	realNodes       []*realNode
-	clients         []*clientStats
-	counting        atomic.Bool
+	clients         []*clientStats // one for each real node
+	counting        atomic.Bool    // set when clients begin to count their requests
 
-	files         *configFiles // nil: no control is followed
+	files         *configFiles // files of the writer; nil: no node follows control
 	controls      []*controlProcess
-	controlRelays [][]*Relay // to them, by region
-	controlLinks  [][]*Relay // between them: by who asks and who is asked; nil where both are one
-	changeMu      sync.Mutex // held by who changes the configuration, or lets the writer be away
+	controlRelays [][]*Relay // from the nodes of a region to each control process, by region
+	controlLinks  [][]*Relay // between control processes, by the caller and the called one; nil where both are the same
+	changeMu      sync.Mutex // held while the configuration is changed, and while the writer is down
 }
 
 const (
-	serviceTime       = 20 * time.Millisecond // what a server takes over a request
-	serverIdleTimeout = 10 * time.Second      // how long it lets a connection rest
+	serviceTime       = 20 * time.Millisecond // how long a web server takes for a request
+	serverIdleTimeout = 10 * time.Second      // how long a web server keeps an idle connection open
 )
 
-// fleet lets a fleet follow churn, and go through the plan's faults.
+// runFleet starts the fleet, measures it while servers and configuration change, and takes it through the plan's faults.
 func (r *run) runFleet(ctx context.Context) error {
 	f := &fleet{run: r, plan: r.plan.Fleet}
 	r.report.Sped = f.plan.Speed
@@ -94,21 +95,23 @@
 	return nil
 }
 
-// start brings all of it up.
+// start starts web servers, discovery, control processes and nodes, and waits until all nodes have a change made after
+// that.
 func (f *fleet) start(ctx context.Context) error {
 	r, p := f.run, f.plan
 	var addrs []string
 	if p.Real > 0 {
-		web, err := r.startWorker("web")
+		servers, err := r.startWorker("web")
 		if err != nil {
 			return err
 		}
-		f.workers, f.hollowNodes = append(f.workers, web), append(f.hollowNodes, nil)
-		got, err := web.call(ctx, workerCommand{Do: "web", Count: p.Servers, ServerUS: int(serviceTime.Microseconds()), IdleMS: int(serverIdleTimeout.Milliseconds())})
+		f.workers, f.hollowNodes = append(f.workers, servers), append(f.hollowNodes, nil)
+		reply, err := servers.call(ctx, workerCommand{Do: "web", Count: p.Servers,
+			ServerUS: int(serviceTime.Microseconds()), IdleMS: int(serverIdleTimeout.Milliseconds())})
 		if err != nil {
 			return err
 		}
-		addrs = got.Addrs
+		addrs = reply.Addrs
 	}
 	f.discovery = NewStubDiscovery(p.Servers, r.plan.Size.Zones, addrs)
 	addr, err := f.discovery.Start()
@@ -127,40 +130,41 @@
 		if f.files, err = r.newConfigFiles(p.Contracts, true); err != nil {
 			return err
 		}
-		var keep []string
+		var flags []string
 		if p.Keep > 0 {
-			keep = []string{"--keep", p.Keep.String()}
+			flags = []string{"--keep", p.Keep.String()}
 		}
 		for range p.Controls {
 			f.controlLinks = append(f.controlLinks, make([]*Relay, 0, p.Controls))
 		}
-		via := func(from int, to *controlProcess) (string, error) {
+		reach := func(from int, to *controlProcess) (string, error) {
 			l, err := StartRelay(to.addr)
 			if err != nil {
 				return "", err
 			}
 			if len(f.controlLinks[from]) == from {
-				f.controlLinks[from] = append(f.controlLinks[from], nil) // itself
+				f.controlLinks[from] = append(f.controlLinks[from], nil) // no link from a process to itself
 			}
 			f.controlLinks[from] = append(f.controlLinks[from], l)
 			return l.Addr(), nil
 		}
-		if f.controls, err = r.startControls(ctx, p.Controls, f.files, via, keep...); err != nil {
+		if f.controls, err = r.startControls(ctx, p.Controls, f.files, reach, flags...); err != nil {
 			return err
 		}
 		for region := range f.discoveryRelays {
-			var ways []*Relay
+			var relays []*Relay
 			var addrs []string
 			for _, c := range f.controls {
 				l, err := StartRelay(c.addr)
 				if err != nil {
 					return err
 				}
-				ways, addrs = append(ways, l), append(addrs, l.Addr())
+				relays, addrs = append(relays, l), append(addrs, l.Addr())
 			}
-			f.controlRelays = append(f.controlRelays, ways)
-			own := region % len(addrs) // its own control process is the nearest
-			if products[region], err = r.writeControlProductFile("", append(append([]string{}, addrs[own:]...), addrs[:own]...)...); err != nil {
+			f.controlRelays = append(f.controlRelays, relays)
+			nearest := region % len(addrs) // the control process of the node's own region comes first
+			if products[region], err = r.writeControlProductFile("", append(append([]string{}, addrs[nearest:]...),
+				addrs[:nearest]...)...); err != nil {
 				return err
 			}
 		}
@@ -180,11 +184,11 @@
 		if err != nil {
 			return err
 		}
-		var which []int
+		var numbers []int
 		for k := from; k < to; k++ {
-			which = append(which, k)
+			numbers = append(numbers, k)
 		}
-		f.workers, f.hollowNodes = append(f.workers, w), append(f.hollowNodes, which)
+		f.workers, f.hollowNodes = append(f.workers, w), append(f.hollowNodes, numbers)
 		g.Go(func() error {
 			o := r.hollowCommand(from, to-from, source)
 			o.Config = path
@@ -204,7 +208,8 @@
 		if f.files != nil {
 			env = append(env, "PORTSTALL_FILE="+products[r.regionOf(i)])
 		}
-		n, err := r.startNode(ctx, nodeSetup{name: fmt.Sprintf("real-%d", i), discovery: source(r.regionOf(i)), zone: zoneName(i % r.plan.Size.Zones),
+		n, err := r.startNode(ctx, nodeSetup{name: fmt.Sprintf("real-%d", i), discovery: source(r.regionOf(i)),
+			zone:       zoneName(i % r.plan.Size.Zones),
 			serverList: f.discovery.FullList(), serverIdle: serverIdleTimeout, env: env})
 		if err != nil {
 			return err
@@ -215,64 +220,68 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	// All are up once they have a change that was made then.
+	// All nodes are ready once they have a change that was made after they were started.
 	c, err := f.makeChange(ctx)
 	if err != nil {
 		return err
 	}
 	for _, o := range c.queries() {
 		if after, err := f.awaitWithin(ctx, fleetStartTimeout, o, time.Now(), nil); err != nil || len(after) < p.Hollow {
-			return errors.Join(err, fmt.Errorf("%d of %d hollow nodes are up", len(after), p.Hollow))
+			return errors.Join(err, fmt.Errorf("%d of %d hollow nodes are ready", len(after), p.Hollow))
 		}
 	}
 	return nil
 }
 
-// harvest is what the clients met since it was last asked.
-func (f *fleet) takeClientStats() (asked, served int, added []float64) {
+// takeClientStats returns and resets what the clients counted since its last call.
+func (f *fleet) takeClientStats() (requests, served int, added []float64) {
 	for _, t := range f.clients {
 		t.mu.Lock()
-		asked, served, added = asked+t.requests, served+t.served, append(added, t.addedSeconds...)
+		requests, served, added = requests+t.requests, served+t.served, append(added, t.addedSeconds...)
 		t.requests, t.served, t.addedSeconds = 0, 0, nil
 		t.mu.Unlock()
 	}
-	return asked, served, added
+	return requests, served, added
 }
 
-// startMost is how long all nodes may take to come up: a machine that starts 450 at once is no measure of one that starts one.
+// fleetStartTimeout is how long all nodes together may take to become ready. It is generous, because 450 nodes that
+// start on one machine at once start far slower than a node that starts alone.
 const fleetStartTimeout = 3 * time.Minute
 
-// follow is within the plan's limit.
-func (f *fleet) await(ctx context.Context, o workerCommand, from time.Time, wanted func(node int) bool) (after []float64, err error) {
+// await is awaitWithin with the plan's limit.
+func (f *fleet) await(ctx context.Context, o workerCommand, from time.Time,
+	wanted func(node int) bool) (delays []float64, err error) {
 	return f.awaitWithin(ctx, f.plan.Limit, o, from, wanted)
 }
 
-// within waits until nodes (nil: all hollow ones) have the version that is asked for, and tells how long after a time each had it. Those that don't have
-// it within the limit are missing.
-func (f *fleet) awaitWithin(ctx context.Context, limit time.Duration, o workerCommand, from time.Time, wanted func(node int) bool) (after []float64, err error) {
+// awaitWithin waits until the wanted nodes (nil: all hollow nodes) have the version that the command asks for. It
+// returns, in seconds, how long after the time from each node had it. Nodes that don't have it within the limit are
+// missing from the result.
+func (f *fleet) awaitWithin(ctx context.Context, limit time.Duration, o workerCommand, from time.Time,
+	wanted func(node int) bool) (delays []float64, err error) {
 	for {
-		after = after[:0]
+		delays = delays[:0]
 		missing := 0
 		for i, w := range f.workers {
 			if len(f.hollowNodes[i]) == 0 {
 				continue
 			}
-			got, err := w.call(ctx, o)
+			reply, err := w.call(ctx, o)
 			if err != nil {
 				return nil, err
 			}
-			for k, at := range got.At {
+			for k, at := range reply.At {
 				switch {
 				case wanted != nil && !wanted(f.hollowNodes[i][k]):
 				case at == 0:
 					missing++
 				default:
-					after = append(after, max(0, time.Unix(0, at).Sub(from).Seconds()))
+					delays = append(delays, max(0, time.Unix(0, at).Sub(from).Seconds()))
 				}
 			}
 		}
 		if missing == 0 || time.Since(from) > limit {
-			return after, nil
+			return delays, nil
 		}
 		if err := pause(ctx, 20*time.Millisecond); err != nil {
 			return nil, err
@@ -280,12 +289,12 @@
 	}
 }
 
-// event is a fault that is under way.
+// activeFault is a fault in progress.
 type activeFault struct {
 	*fleet
 	Fault
 	startedAt            time.Time
-	discoveryBytesBefore int64 // from discovery until then,
-	controlBytesBefore   int64 // and from control
-	shortened            string
+	discoveryBytesBefore int64  // bytes exchanged with discovery before the fault
+	controlBytesBefore   int64  // bytes exchanged with control before the fault
+	shortened            string // durations here and in production, if the run shortens the fault
 }
--- a/internal/lab/scale/machine_test.go
+++ b/internal/lab/scale/machine_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What the machine tells is read as its kernel words it; what it does not tell is none.
+// Load and steal time are read in the kernel's format, and are 0 if the files are missing.
 func TestMachine(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -22,7 +22,7 @@
 	}
 	for _, dir := range []string{t.TempDir(), filepath.Join(dir, "none")} {
 		if m := newMachine(dir); m.load() != 0 || m.stolen() != 0 {
-			t.Errorf("%s: load %v, %v s stolen", dir, m.load(), m.stolen())
+			t.Errorf("%s: load %v, %v s stolen, want 0 and 0", dir, m.load(), m.stolen())
 		}
 	}
 	for _, c := range []struct {
@@ -30,7 +30,7 @@
 		want float64
 	}{{PartRow{Took: 10, Steal: 20}, 0.25}, {PartRow{Took: 10}, 0}, {PartRow{Steal: 1}, 0}} {
 		if got := c.p.StolenShare(8); got != c.want {
-			t.Errorf("%+v: %v of 8 cores, want %v", c.p, got, c.want)
+			t.Errorf("%+v: stolen share of 8 cores %v, want %v", c.p, got, c.want)
 		}
 	}
 }
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -14,28 +14,29 @@
 	"portstall/internal/member"
 )
 
-// Talk is what members' talk costs, in virtual time on a network that delays packets and loses none.
+// MemberTraffic reports the traffic between members, in virtual time on a network that delays packets but loses none.
 type MemberTraffic struct {
 	Members             int
-	BytesPerSecond      float64 // a second and member, once all have joined
-	PacketsPerSecond    float64 // the same
-	JoinBytesPerSecond  float64 // bytes a second and member while they join
-	MinKnownShare       float64 // part of all that the one who knows the fewest holds for alive at the end
-	SignaturesPerSecond float64 // signatures made, a second and member
-	ChecksPerSecond     float64 // signatures checked, the same
+	BytesPerSecond      float64 // sent by a member on average, once all have joined
+	PacketsPerSecond    float64 // sent by a member on average, once all have joined
+	JoinBytesPerSecond  float64 // sent by a member on average while all join
+	MinKnownShare       float64 // share of all members that the worst informed one considers alive at the end
+	SignaturesPerSecond float64 // signatures made by a member on average, once all have joined
+	ChecksPerSecond     float64 // signatures checked by a member on average, once all have joined
 }
 
-// errSlow says that a world did not come to its end in time.
-var errTooSlow = errors.New("did not come to its end in time")
+// errTooSlow reports that a simulation did not finish within its limit of real time.
+var errTooSlow = errors.New("did not finish in time")
 
-// macs are the keys of a virtual world: who lacks a name's secret can't sign for it. They are as long as Ed25519's, and cheaper;
-// how often they are used is counted.
+// countingMACs signs and verifies in a simulation, as one member: only with a name's secret can one sign for that name.
+// Its signatures are as long as those of Ed25519, but cheaper, and their uses are counted.
 type countingMACs struct {
 	secrets       map[string]uint64
 	name          string
 	signs, checks *int64
 }
 
+// mac returns the signature of b by the named member.
 func (m countingMACs) mac(name string, b []byte) []byte {
 	d := xxhash.NewWithSeed(m.secrets[name])
 	d.Write(b)
@@ -46,11 +47,13 @@
 	return sig
 }
 
+// Sign signs b as the own member.
 func (m countingMACs) Sign(b []byte) []byte {
 	*m.signs++
 	return m.mac(m.name, b)
 }
 
+// Verify checks a signature of the named member.
 func (m countingMACs) Verify(name string, b, sig []byte) error {
 	*m.checks++
 	if _, known := m.secrets[name]; !known {
@@ -62,7 +65,7 @@
 	return nil
 }
 
-// packet is one on its way; without data it is a member's tick.
+// packet is a packet in flight; without data it is a timer tick of the receiving member.
 type packet struct {
 	at       time.Duration
 	sequence int
@@ -71,6 +74,7 @@
 	data     []byte
 }
 
+// packetQueue is a heap of packets by arrival time, then by the order in which they were sent.
 type packetQueue []packet
 
 func (p packetQueue) Len() int { return len(p) }
@@ -86,9 +90,9 @@
 	return e
 }
 
-// PlayMembers plays so many members: for a time in which they join, and as long again that is counted. It is an error if it takes more
-// than the limit of real time.
-func SimulateMembers(ctx context.Context, n int, seed uint64, each, limit time.Duration) (MemberTraffic, error) {
+// SimulateMembers simulates n members for two phases of equal length: in the first they join, in the second their
+// traffic is counted. It returns errTooSlow if that takes longer than the limit of real time.
+func SimulateMembers(ctx context.Context, n int, seed uint64, phase, limit time.Duration) (MemberTraffic, error) {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	secrets, byAddr := map[string]uint64{}, map[string]int{}
 	name := func(i int) string { return fmt.Sprintf("node-%03d", i) }
@@ -98,59 +102,64 @@
 		byAddr[addr(i)] = i
 	}
 	var queue packetQueue
-	nth := 0
-	at := func(p packet) {
-		nth++
-		p.sequence = nth
+	sequence := 0
+	enqueue := func(p packet) {
+		sequence++
+		p.sequence = sequence
 		heap.Push(&queue, p)
 	}
 	var bytes, count, joining int64
-	var signs, checks, signsBefore, checksBefore int64 // all, and those before what is counted
-	all := make([]*member.Member, n)
+	var signs, checks, signsBefore, checksBefore int64 // in total, and before the second phase
+	members := make([]*member.Member, n)
 	for i := range n {
-		all[i] = member.New(0, name(i), addr(i), 1, member.Usual(), countingMACs{secrets, name(i), &signs, &checks}, rand.New(rand.NewPCG(rng.Uint64(), uint64(i))), addr(0), addr(1))
-		at(packet{at: time.Duration(rng.Int64N(int64(time.Second))), to: i})
+		members[i] = member.New(0, name(i), addr(i), 1, member.Usual(), countingMACs{secrets, name(i), &signs,
+			&checks}, rand.New(rand.NewPCG(rng.Uint64(), uint64(i))), addr(0), addr(1))
+		enqueue(packet{at: time.Duration(rng.Int64N(int64(time.Second))), to: i})
 	}
 	now := time.Duration(0)
 	send := func(from int, outs []member.Out) {
 		for _, o := range outs {
-			if now >= each {
+			if now >= phase {
 				bytes += int64(len(o.Data))
 				count++
 			} else {
 				joining += int64(len(o.Data))
 			}
 			if to, known := byAddr[o.Addr]; known {
-				at(packet{at: now + time.Duration(1+rng.IntN(5))*time.Millisecond, to: to, from: addr(from), data: o.Data})
+				enqueue(packet{at: now + time.Duration(1+rng.IntN(5))*time.Millisecond, to: to, from: addr(from),
+					data: o.Data})
 			}
 		}
 	}
-	begun := time.Now()
-	for steps := 0; len(queue) > 0 && queue[0].at < 2*each; steps++ {
+	startedAt := time.Now()
+	for steps := 0; len(queue) > 0 && queue[0].at < 2*phase; steps++ {
 		if steps%1024 == 0 && ctx.Err() != nil {
 			return MemberTraffic{Members: n}, context.Cause(ctx)
 		}
-		if steps%1024 == 0 && time.Since(begun) > limit {
-			return MemberTraffic{Members: n}, fmt.Errorf("%d members: %w: %v of %v of virtual time within %v", n, errTooSlow, now.Round(time.Second), 2*each, limit)
+		if steps%1024 == 0 && time.Since(startedAt) > limit {
+			return MemberTraffic{Members: n}, fmt.Errorf("%d members: %w: %v of %v of virtual time within %v", n,
+				errTooSlow, now.Round(time.Second), 2*phase, limit)
 		}
 		p := heap.Pop(&queue).(packet)
-		if now < each && p.at >= each {
+		if now < phase && p.at >= phase {
 			signsBefore, checksBefore = signs, checks
 		}
 		now = p.at
 		if p.data == nil {
-			outs, next := all[p.to].Tick(now)
+			outs, next := members[p.to].Tick(now)
 			send(p.to, outs)
-			at(packet{at: next, to: p.to})
+			enqueue(packet{at: next, to: p.to})
 			continue
 		}
-		outs, _ := all[p.to].Receive(now, p.from, p.data)
+		outs, _ := members[p.to].Receive(now, p.from, p.data)
 		send(p.to, outs)
 	}
-	per := float64(n) * each.Seconds()
-	t := MemberTraffic{Members: n, BytesPerSecond: float64(bytes) / per, PacketsPerSecond: float64(count) / per, JoinBytesPerSecond: float64(joining) / per,
-		SignaturesPerSecond: float64(signs-signsBefore) / per, ChecksPerSecond: float64(checks-checksBefore) / per, MinKnownShare: 1}
-	for _, m := range all {
+	memberSeconds := float64(n) * phase.Seconds()
+	t := MemberTraffic{Members: n, BytesPerSecond: float64(bytes) / memberSeconds,
+		PacketsPerSecond: float64(count) / memberSeconds, JoinBytesPerSecond: float64(joining) / memberSeconds,
+		SignaturesPerSecond: float64(signs-signsBefore) / memberSeconds,
+		ChecksPerSecond:     float64(checks-checksBefore) / memberSeconds, MinKnownShare: 1}
+	for _, m := range members {
 		t.MinKnownShare = min(t.MinKnownShare, float64(m.Alive())/float64(n))
 	}
 	return t, nil
--- a/internal/lab/scale/process_group.go
+++ b/internal/lab/scale/process_group.go
@@ -21,23 +21,23 @@
 	"time"
 )
 
-// ErrBound says that a run would pass a bound of its own on memory, processes or time.
+// ErrBound reports that a run exceeds, or would exceed, its limit on memory, processes or time.
 var ErrBound = errors.New("the run passes its bound")
 
-// child is a process of the run.
+// child is a process of the run, owned by the run's processGroup.
 type child struct {
 	role string
 	cmd  *exec.Cmd
-	done chan struct{} // closed when it has ended
+	done chan struct{} // closed when the process has ended
 
-	mu  sync.Mutex // one call at a time
+	mu  sync.Mutex // serializes calls
 	in  io.WriteCloser
 	out *bufio.Reader
 
 	logs logTail
 }
 
-// tail keeps the end of what a process logs. Safe for concurrent use.
+// logTail keeps the end of a process's log. It is safe for concurrent use.
 type logTail struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -58,19 +58,20 @@
 	return t.buf.String()
 }
 
-// herd is the processes of a run. It holds them to the bounds, ends each by its id, and leaves none behind: they end with the run,
-// also where that is killed. Safe for concurrent use.
+// processGroup owns the processes of a run. It enforces the limits, stops each process by its ID, and leaves none
+// behind: they end with the run, even if that is killed. Its mutex guards the fields below it. It is safe for
+// concurrent use.
 type processGroup struct {
 	binary        string
 	dir           string
 	maxMemory     int64
 	maxProcesses  int
-	cancel        context.CancelCauseFunc // of the run, where a bound is passed
-	startRequests chan func()             // to the one thread that starts processes: they are killed when it ends
+	cancel        context.CancelCauseFunc // cancels the run when a limit is exceeded
+	startRequests chan func()             // to the only thread that starts processes; they are killed when that thread ends
 
 	mu            sync.Mutex
 	children      map[*child]struct{}
-	count         int // those, and those that are being started
+	count         int // processes in children, and those that are being started
 	peakMemory    int64
 	peakProcesses int
 	closed        bool
@@ -78,15 +79,18 @@
 	wg            sync.WaitGroup
 }
 
+// memoryCheckInterval separates two checks of the processes' memory.
 const memoryCheckInterval = 200 * time.Millisecond
 
+// newProcessGroup returns a group with limits on resident memory, in bytes, and on the number of processes.
 func newProcessGroup(binary, dir string, memory int64, processes int, cancel context.CancelCauseFunc) *processGroup {
-	h := &processGroup{binary: binary, dir: dir, maxMemory: memory, maxProcesses: processes, cancel: cancel, startRequests: make(chan func()),
-		children: map[*child]struct{}{}, stopped: make(chan struct{})}
+	h := &processGroup{binary: binary, dir: dir, maxMemory: memory, maxProcesses: processes, cancel: cancel,
+		startRequests: make(chan func()),
+		children:      map[*child]struct{}{}, stopped: make(chan struct{})}
 	h.wg.Add(2)
 	go func() {
 		defer h.wg.Done()
-		runtime.LockOSThread() // and never unlocked: the thread ends with the run
+		runtime.LockOSThread() // never unlocked: the thread ends with the run
 		for {
 			select {
 			case f := <-h.startRequests:
@@ -114,7 +118,7 @@
 	return h
 }
 
-// look holds what is resident against the bound.
+// checkMemory compares the resident memory of all processes with the limit.
 func (h *processGroup) checkMemory() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,18 +128,19 @@
 	}
 	h.peakMemory = max(h.peakMemory, sum)
 	if sum > h.maxMemory {
-		return fmt.Errorf("%w: %s resident in %d processes, %s allowed", ErrBound, FormatAmount(float64(sum), "B"), len(h.children)+1,
+		return fmt.Errorf("%w: %s resident in %d processes, %s allowed", ErrBound, FormatAmount(float64(sum), "B"),
+			len(h.children)+1,
 			FormatAmount(float64(h.maxMemory), "B"))
 	}
 	return nil
 }
 
-// start starts a process of the run's own binary. Its log is kept; what it prints is read by call.
+// start starts a process of the run's own binary. The end of its log is kept; its standard output is read by call.
 func (h *processGroup) start(role string, env []string, args ...string) (*child, error) {
 	return h.startBinary(h.binary, role, env, args...)
 }
 
-// startOf is start with another binary.
+// startBinary is start with another binary.
 func (h *processGroup) startBinary(binary, role string, env []string, args ...string) (*child, error) {
 	c := &child{role: role, done: make(chan struct{}), cmd: exec.Command(binary, args...)}
 	c.cmd.Env = append(append(os.Environ(), "TMPDIR="+h.dir), env...)
@@ -155,7 +160,7 @@
 		h.mu.Unlock()
 		return nil, context.Canceled
 	}
-	if n := h.count + 2; n > h.maxProcesses { // with this one and the run's own
+	if n := h.count + 2; n > h.maxProcesses { // including this one and the run's own process
 		h.mu.Unlock()
 		err := fmt.Errorf("%w: %s would be process %d, %d allowed", ErrBound, role, n, h.maxProcesses)
 		h.cancel(err)
@@ -190,17 +195,17 @@
 	return c, nil
 }
 
-// end ends a process and waits for that.
+// stop kills a process and waits until it has ended. A nil process is ignored.
 func (h *processGroup) stop(c *child) {
 	if c == nil {
 		return
 	}
 	c.in.Close()
-	c.cmd.Process.Kill() // one that has ended is not there any more
+	c.cmd.Process.Kill() // fails if it has ended already
 	<-c.done
 }
 
-// close ends all. Nothing may be starting meanwhile.
+// close stops all processes. No process may be started meanwhile.
 func (h *processGroup) close() {
 	h.mu.Lock()
 	h.closed = true
@@ -213,7 +218,7 @@
 	h.wg.Wait()
 }
 
-// call gives a worker an order and waits for what it answers.
+// call sends a command to a worker and waits for its reply.
 func (c *child) call(ctx context.Context, o workerCommand) (workerReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,17 +229,17 @@
 		line []byte
 		err  error
 	}
-	answer := make(chan got, 1)
+	replies := make(chan got, 1)
 	go func() {
 		line, err := c.out.ReadBytes('\n')
-		answer <- got{line, err}
+		replies <- got{line, err}
 	}()
 	var g got
 	select {
-	case g = <-answer:
+	case g = <-replies:
 	case <-ctx.Done():
-		c.cmd.Process.Kill() // its answer would come to the next call
-		<-answer
+		c.cmd.Process.Kill() // otherwise its reply would be taken for that to the next call
+		<-replies
 		return workerReply{}, context.Cause(ctx)
 	}
 	if g.err != nil {
@@ -250,12 +255,13 @@
 	return r, nil
 }
 
-// resident is a process's resident set in bytes; 0: it is not there.
+// residentBytes returns the resident memory of a process; 0 if there is no such process.
 func residentBytes(pid int) int64 { return statusBytes(pid, "VmRSS:") }
 
-// peak is the most that a process had resident.
+// peakResidentBytes returns the highest resident memory that a process has had; 0 if there is no such process.
 func peakResidentBytes(pid int) int64 { return statusBytes(pid, "VmHWM:") }
 
+// statusBytes reads a field of /proc/PID/status, which the kernel gives in KiB, in bytes.
 func statusBytes(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -270,7 +276,7 @@
 	return 0
 }
 
-// worked is the processor time that a process has had so far: of all its threads that are there.
+// cpuTime returns the CPU time that a process has used so far, of all threads that still exist.
 func cpuTime(pid int) (sum time.Duration) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, t := range tasks {
@@ -283,7 +289,7 @@
 	return sum
 }
 
-// maxResident is the most that a process which has ended had resident, in bytes.
+// exitedPeakResidentBytes returns the highest resident memory that a process which has ended had.
 func exitedPeakResidentBytes(s *os.ProcessState) int64 {
 	if u, ok := s.SysUsage().(*syscall.Rusage); ok {
 		return u.Maxrss << 10
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -9,21 +9,22 @@
 	"portstall/internal/lab/standin"
 )
 
-// Relay is the network between a region's nodes and one address. Cut, nothing that is sent arrives: connections stand, and are
-// broken only when the network is whole again. Safe for concurrent use.
+// Relay is a TCP relay that stands for the network between a region's nodes and one address. While it is cut, nothing
+// that is sent arrives, but connections stay open. Those that lost bytes are closed when the network is restored. Its
+// mutex guards the fields below it. It is safe for concurrent use.
 type Relay struct {
 	target   string
 	listener net.Listener
 	wg       sync.WaitGroup
-	bytes    atomic.Int64 // passed on, both ways
+	bytes    atomic.Int64 // forwarded, in both directions
 
 	mu      sync.Mutex
-	conns   map[net.Conn]bool // true: bytes of it were lost, or it came while the network was cut
+	conns   map[net.Conn]bool // true: the connection lost bytes, or was accepted while the network was cut
 	cut     bool
 	stopped bool
 }
 
-// StartRelay opens one.
+// StartRelay starts a relay to the address to, on a free port.
 func StartRelay(to string) (*Relay, error) {
 	ln, err := standin.Listen()
 	if err != nil {
@@ -35,13 +36,13 @@
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Bytes is how many were passed on, both ways.
+// Bytes returns how many bytes were forwarded, in both directions.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
-// Cut cuts the network, or heals it.
+// Cut cuts the network, or restores it.
 func (r *Relay) Cut(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +57,7 @@
 	}
 }
 
-// Stop ends it, with all connections.
+// Stop stops the relay and closes all connections.
 func (r *Relay) Stop() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -68,6 +69,7 @@
 	r.wg.Wait()
 }
 
+// accept serves connections until the listener is closed.
 func (r *Relay) accept() {
 	defer r.wg.Done()
 	for {
@@ -83,7 +85,7 @@
 	}
 }
 
-// hold enters a connection; false: the relay has stopped.
+// track records a connection. If the relay has stopped, it closes the connection and returns false.
 func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,6 +97,7 @@
 	return true
 }
 
+// closeAndForget closes a connection and removes it from the records.
 func (r *Relay) closeAndForget(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
@@ -102,7 +105,7 @@
 	delete(r.conns, c)
 }
 
-// passes tells whether bytes of a connection arrive. Those that don't break it for good.
+// forwards reports whether bytes of a connection arrive. Once they don't, none of that connection arrive any more.
 func (r *Relay) forwards(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,12 +115,13 @@
 	return !r.conns[c]
 }
 
+// serve connects a client to the target and copies bytes in both directions until either side ends.
 func (r *Relay) serve(c net.Conn) {
 	if !r.track(c) {
 		return
 	}
 	defer r.closeAndForget(c)
-	if !r.forwards(c) { // it stands until the network is whole
+	if !r.forwards(c) { // it stays open until the network is restored
 		var b [1]byte
 		for {
 			if _, err := c.Read(b[:]); err != nil {
@@ -134,14 +138,15 @@
 	go func() {
 		defer close(done)
 		r.copy(o, c, c)
-		o.Close() // ends the other way
+		o.Close() // ends the other direction
 	}()
 	r.copy(c, o, c)
 	c.Close()
 	<-done
 }
 
-// copy passes on what comes, unless the network is cut. Of is the connection that the cut is booked to.
+// copy copies bytes unless the network is cut. The connection of, the client's, is the one that is marked when bytes
+// are lost.
 func (r *Relay) copy(to, from, of net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
--- a/internal/lab/scale/relay_test.go
+++ b/internal/lab/scale/relay_test.go
@@ -9,7 +9,7 @@
 	"portstall/internal/lab/standin"
 )
 
-// echo answers each byte by the same one, and tells of each that came.
+// startEcho starts a server that sends each byte back, and reports each byte received on the channel.
 func startEcho(t *testing.T) (addr string, came chan byte) {
 	t.Helper()
 	ln, err := standin.Listen()
@@ -40,6 +40,8 @@
 	return ln.Addr().String(), came
 }
 
+// While a relay is cut, nothing that is sent arrives, then or later, and connections that sent something are closed at
+// its end. A connection that was idle during the cut goes on.
 func TestRelayCut(t *testing.T) {
 	addr, came := startEcho(t)
 	r, err := StartRelay(addr)
@@ -77,7 +79,7 @@
 			t.Fatal(err)
 		}
 	}
-	// The network is whole again only once it has seen what was sent amid the cut.
+	// The network is restored only after the relay has read what was sent during the cut.
 	for ends := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
 		lost := 0
@@ -91,24 +93,24 @@
 			break
 		}
 		if time.Now().After(ends) {
-			t.Fatal("the cut was not seen")
+			t.Fatal("the relay did not read what was sent during the cut")
 		}
 	}
 	r.Cut(false)
 	for name, c := range map[string]net.Conn{"used": used, "late": late} {
 		if _, err := io.ReadFull(c, b[:]); err == nil {
-			t.Errorf("%s: what was sent amid the cut came to be answered", name)
+			t.Errorf("%s: a byte sent during the cut was sent back", name)
 		}
 	}
 	if err := say(quiet, 4); err != nil || <-came != 4 {
-		t.Errorf("nothing was lost on it: %v", err)
+		t.Errorf("a connection that lost nothing failed: %v", err)
 	}
 	if err := say(dial(), 5); err != nil || <-came != 5 {
-		t.Errorf("behind the cut: %v", err)
+		t.Errorf("after the cut: %v", err)
 	}
 	select {
 	case b := <-came:
-		t.Errorf("%d came through the cut", b)
+		t.Errorf("byte %d came through the cut", b)
 	default:
 	}
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -16,13 +16,13 @@
 	"github.com/prometheus/procfs"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Binary string    // portstall itself: its subcommands are the run's processes
-	Tell   io.Writer // a line as each part begins; nil: nothing is told
+	Binary string    // path of the portstall binary; the run's processes are its subcommands
+	Tell   io.Writer // receives a progress line as each part begins; nil: no progress lines
 }
 
-// run is one run.
+// run holds the state of one run. Its mutex guards the report and the number of files written.
 type run struct {
 	plan      *Plan
 	options   Options
@@ -37,13 +37,14 @@
 	fileCount int
 }
 
-// errBegun is that a node did not come up.
-var errNotReady = errors.New("did not come up")
+// errNotReady reports that a node or control process did not become ready.
+var errNotReady = errors.New("did not become ready")
 
-// Run carries out a plan. Budgets that are passed are in the report; the error is of the run itself, and ErrBound where it passed a
-// bound of its own: then the report has what was found before. All that it started has ended when it returns.
-func Run(ctx context.Context, p *Plan, o Options) (*Report, error) {
-	r, ctx, end, err := startRun(ctx, p, o, p.Bound)
+// Run carries out a plan. Exceeded budgets are listed in the report. The error is about the run itself; it is ErrBound
+// if the run exceeded one of its own limits, and the report then holds what was measured until that moment. All
+// processes that the run started have ended when Run returns.
+func Run(ctx context.Context, p *Plan, opts Options) (*Report, error) {
+	r, ctx, end, err := startRun(ctx, p, opts, p.Bound)
 	if err != nil {
 		return nil, err
 	}
@@ -51,37 +52,42 @@
 	err = r.runParts(ctx)
 	cause := end()
 	r.report.Load[1] = r.machine.load()
-	r.report.Took, r.report.Memory, r.report.Procs = time.Since(r.startedAt).Seconds(), r.processes.peakMemory, r.processes.peakProcesses
+	r.report.Took, r.report.Memory, r.report.Procs = time.Since(r.startedAt).Seconds(), r.processes.peakMemory,
+		r.processes.peakProcesses
 	r.addDailyRows()
 	r.report.applyBudgets(p.Budgets)
-	if cause != nil { // what else went wrong went wrong by it
+	if cause != nil { // the cause of all later errors
 		err = cause
 	}
 	return &r.report, err
 }
 
-// begin begins a run in a folder of its own. Its context ends where a bound of the plan is passed. End ends all that was started, and tells
-// for what the run was given up; nil: it was not. It is to be called once.
-func startRun(ctx context.Context, p *Plan, o Options, bound time.Duration) (r *run, within context.Context, end func() error, err error) {
+// startRun starts a run in a temporary folder of its own. The returned context is canceled when the run exceeds a limit
+// of the plan. The function end stops all processes and returns why the run was aborted, or nil if it was not; call it
+// exactly once.
+func startRun(ctx context.Context, plan *Plan, opts Options, bound time.Duration) (r *run, within context.Context,
+	end func() error, err error) {
 	dir, err := os.MkdirTemp("", "portstall-scale")
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	within, cancel := context.WithCancelCause(ctx)
-	late := time.AfterFunc(bound, func() { cancel(fmt.Errorf("%w: not over after %v", ErrBound, bound)) })
-	r = &run{plan: p, options: o, dir: dir, machine: newMachine(procfs.DefaultMountPoint), startedAt: time.Now(), report: Report{Plan: p.Name, Cores: runtime.NumCPU(), Sped: 1}}
-	r.processes = newProcessGroup(o.Binary, dir, int64(p.MemoryMB)<<20, p.Processes, cancel)
+	timer := time.AfterFunc(bound, func() { cancel(fmt.Errorf("%w: not finished after %v", ErrBound, bound)) })
+	r = &run{plan: plan, options: opts, dir: dir, machine: newMachine(procfs.DefaultMountPoint),
+		startedAt: time.Now(), report: Report{Plan: plan.Name, Cores: runtime.NumCPU(), Sped: 1}}
+	r.processes = newProcessGroup(opts.Binary, dir, int64(plan.MemoryMB)<<20, plan.Processes, cancel)
 	return r, within, func() error {
 		r.processes.close()
 		cause := context.Cause(within)
-		late.Stop()
+		timer.Stop()
 		cancel(nil)
 		os.RemoveAll(dir)
 		return cause
 	}, nil
 }
 
-// parts carries out what the plan names. What is measured by processor time goes alone, or beside what hardly works.
+// runParts runs the parts that the plan names, one after the other. Parts that measure CPU time run alone, or
+// concurrently only with work that uses almost none.
 func (r *run) runParts(ctx context.Context) error {
 	p := r.plan
 	for _, part := range []struct {
@@ -89,7 +95,8 @@
 		do   func(ctx context.Context) error
 		on   bool
 	}{
-		{"real nodes at several sizes of the list, and hollow nodes in one process", r.measureNodes, p.List != nil || p.Hollow != nil},
+		{"real nodes at several sizes of the list, and hollow nodes in one process", r.measureNodes,
+			p.List != nil || p.Hollow != nil},
 		{"contracts, plans, files, members, parts of contracts", r.measureInProcess, true},
 		{"control processes and what follows them", r.measureControl, p.Control != nil},
 		{"one node's connections as servers become many", r.measurePool, p.Pool != nil},
@@ -101,9 +108,9 @@
 		if r.options.Tell != nil {
 			fmt.Fprintf(r.options.Tell, "%5.1f s  %s\n", time.Since(r.startedAt).Seconds(), part.name)
 		}
-		begun, row, steal := time.Now(), PartRow{Part: part.name, Load: r.machine.load()}, r.machine.stolen()
+		startedAt, row, steal := time.Now(), PartRow{Part: part.name, Load: r.machine.load()}, r.machine.stolen()
 		err := part.do(ctx)
-		row.Took, row.Steal = time.Since(begun).Seconds(), r.machine.stolen()-steal
+		row.Took, row.Steal = time.Since(startedAt).Seconds(), r.machine.stolen()-steal
 		r.report.Parts = append(r.report.Parts, row)
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
@@ -112,21 +119,22 @@
 	return nil
 }
 
-// add notes rows.
+// addRows adds rows to the report.
 func (r *run) addRows(rows ...Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.addRows(rows...)
 }
 
-// line notes a row by the line through its points, told for a size: by what was measured there, where it was, else by the line.
+// addFittedRow adds a row with a line fitted through its points. The row's value for the given size is the measurement
+// at that size where there is one, and the value of the fitted line otherwise.
 func (r *run) addFittedRow(row Row, points []Point, size float64) error {
 	slices.SortFunc(points, func(a, b Point) int { return cmp.Compare(a.X, b.X) })
-	l, err := FitLine(points)
+	fit, err := FitLine(points)
 	if err != nil {
 		return fmt.Errorf("%s: %w", row.ID, err)
 	}
-	row.Points, row.Line, row.Size, row.At, row.Origin = points, &l, size, l.At(size), Extrapolated
+	row.Points, row.Line, row.Size, row.At, row.Origin = points, &fit, size, fit.At(size), Extrapolated
 	if i := slices.IndexFunc(points, func(p Point) bool { return p.X == size }); i >= 0 {
 		row.At, row.Origin = points[i].Y, Measured
 	}
@@ -134,7 +142,7 @@
 	return nil
 }
 
-// file writes a file of the run.
+// writeFile writes a file with the given extension into the run's folder and returns its path.
 func (r *run) writeFile(ending string, text []byte) (string, error) {
 	r.mu.Lock()
 	r.fileCount++
@@ -143,7 +151,7 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// pause waits.
+// pause waits for the duration, or until ctx ends; then it returns the cause of that.
 func pause(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -155,11 +163,12 @@
 	}
 }
 
-// until waits for something, that is looked at often, for so long at most.
-func waitUntil(ctx context.Context, most time.Duration, what string, ok func() bool) error {
-	for end := time.Now().Add(most); !ok(); {
+// waitUntil polls ok once a millisecond until it returns true. It returns an error that names what was awaited if that
+// takes longer than the timeout.
+func waitUntil(ctx context.Context, timeout time.Duration, what string, ok func() bool) error {
+	for end := time.Now().Add(timeout); !ok(); {
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: not within %v", what, most)
+			return fmt.Errorf("%s: timed out after %v", what, timeout)
 		}
 		if err := pause(ctx, time.Millisecond); err != nil {
 			return err
@@ -168,4 +177,5 @@
 	return nil
 }
 
-const updateTimeout = 30 * time.Second // a node that asks no more after that long is broken
+// updateTimeout is how long a node may take to apply a change. A node that has not asked again by then is broken.
+const updateTimeout = 30 * time.Second
--- a/internal/lab/scale/stub_discovery.go
+++ b/internal/lab/scale/stub_discovery.go
@@ -13,67 +13,73 @@
 	"portstall/internal/lab/standin"
 )
 
-// answer is what a call is told.
+// endpointsResponse is the body of a response to GET /v1/endpoints.
 type endpointsResponse struct {
 	Version int64            `json:"version"`
 	Full    bool             `json:"full"`
 	Servers []standin.Listed `json:"servers"`
 }
 
-// keptMost bounds the changes that the stand-in keeps; whoever is further behind is told the whole list.
+// maxKeptChanges limits how many changes the stub keeps. A client that is further behind gets the full list.
 const maxKeptChanges = 20_000
 
-// Roster is the stand-in discovery. Each change has a version; a watch that asks since a version that is kept is told the changes
-// alone, any other the whole list. It counts the calls and the bytes of their answers. Safe for concurrent use.
+// StubDiscovery is a stub of the discovery service. Each change has a version. A watch since a version that is still
+// kept gets only the changes, any other call gets the full list. It counts calls and the bytes on their connections.
+// Its mutex guards all fields that change, other than the atomic one. It is safe for concurrent use.
 type StubDiscovery struct {
 	mu             sync.Mutex
 	entries        []standin.Listed
-	changes        []standin.Listed // the changes after first, one a version
-	baseVersion    int64            // the version that the log begins behind
+	changes        []standin.Listed // the changes after baseVersion, one for each version
+	baseVersion    int64            // the version before the first change that is kept
 	changed        chan struct{}
 	down           bool
-	highestSince   int64 // highest version that a call asked since
+	highestSince   int64 // highest version that a client named in a call
 	highestSinceAt time.Time
-	callsBySecond  map[int64]int // by second
+	callsBySecond  map[int64]int // by Unix time in seconds
 	callCount      int
 	bytes          atomic.Int64
 	server         *http.Server
-	encoded        []byte // the whole list at textAt
+	encoded        []byte // the full list as JSON at encodedVersion
 	encodedVersion int64
 	stopped        chan struct{}
 }
 
-// NewRoster makes one of so many servers, dealt out to zones in turn, and rackOf of each of them to a rack. Addrs are where they are; nil: addresses that are never
-// called.
+// NewStubDiscovery returns a stub with the given number of servers. They are assigned to zones in turn, and within a
+// zone serversPerRack of them share a rack. Addrs are their addresses; if it is nil, they get addresses that must not
+// be called.
 func NewStubDiscovery(servers, zones int, addrs []string) *StubDiscovery {
-	r := &StubDiscovery{baseVersion: 1, changed: make(chan struct{}), callsBySecond: map[int64]int{}, stopped: make(chan struct{})}
+	r := &StubDiscovery{baseVersion: 1, changed: make(chan struct{}), callsBySecond: map[int64]int{},
+		stopped: make(chan struct{})}
 	for i := range servers {
 		addr := fmt.Sprintf("10.%d.%d.%d:8080", i/62500%250, i/250%250, i%250)
 		if addrs != nil {
 			addr = addrs[i]
 		}
-		r.entries = append(r.entries, standin.Listed{ID: fmt.Sprintf("web-%05d", i), Addr: addr, Zone: zoneName(i % zones), Kind: "standard",
+		r.entries = append(r.entries, standin.Listed{ID: fmt.Sprintf("web-%05d", i), Addr: addr,
+			Zone: zoneName(i % zones), Kind: "standard",
 			Cell: i / (serversPerRack * zones), State: "Ready", Weight: 1})
 	}
 	return r
 }
 
-// rackOf is how many servers stand in a rack: taken, not told.
+// serversPerRack is an assumption: the size of racks is not specified.
 const serversPerRack = 40
 
+// zoneName returns the name of the i-th zone.
 func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i) }
 
-// Version is the latest.
+// Version returns the latest version.
 func (r *StubDiscovery) Version() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version()
 }
 
+// version returns the latest version. r.mu is held.
 func (r *StubDiscovery) version() int64 { return r.baseVersion + int64(len(r.changes)) }
 
-// Set changes the state of some servers at once, each by a version of its own, and tells the last one. Started: they were started
-// now.
+// SetState changes the state of servers at once, each in a version of its own, and returns the last version. If started
+// is set, the servers have been started just now.
 func (r *StubDiscovery) SetState(state string, started bool, which ...int) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,13 +92,14 @@
 		}
 		r.changes = append(r.changes, *e)
 	}
-	if more := len(r.changes) - maxKeptChanges; more > 0 {
-		r.changes, r.baseVersion = append([]standin.Listed(nil), r.changes[more:]...), r.baseVersion+int64(more)
+	if excess := len(r.changes) - maxKeptChanges; excess > 0 {
+		r.changes, r.baseVersion = append([]standin.Listed(nil), r.changes[excess:]...), r.baseVersion+int64(excess)
 	}
 	return r.version()
 }
 
-// Forget changes a server's state, and drops all changes that are kept: whoever is behind the new version is told the whole list.
+// SetStateAsSnapshot changes a server's state and drops all changes that are kept, so that each client gets the full
+// list. It returns the new version.
 func (r *StubDiscovery) SetStateAsSnapshot(state string, which int) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +109,8 @@
 	return r.baseVersion
 }
 
-// SetDown takes it out of reach, or back: all calls are answered with 503, those that wait too.
+// SetDown makes the stub unavailable, or available again. While it is unavailable all calls get status 503, waiting
+// watches included.
 func (r *StubDiscovery) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,73 +118,75 @@
 	r.wakeWatches()
 }
 
-// Group is the servers that fail together, by their places: those of the last zone, of its last rack, or its last one.
-func (r *StubDiscovery) FailureGroup(kind string) (which []int) {
+// FailureGroup returns the indices of servers that fail together: those of the last zone, of its last rack, or the last
+// server.
+func (r *StubDiscovery) FailureGroup(kind string) (servers []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := r.entries[len(r.entries)-1]
 	for i, e := range r.entries {
 		if e.Zone == last.Zone && (kind != "rack" || e.Cell == last.Cell) && (kind != "machine" || e.ID == last.ID) {
-			which = append(which, i)
+			servers = append(servers, i)
 		}
 	}
-	return which
+	return servers
 }
 
-// wake lets all watches look again. r.mu is held.
+// wakeWatches makes all waiting watches check for changes. r.mu is held.
 func (r *StubDiscovery) wakeWatches() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Heard is the highest version that any call asked since, and when it came.
+// HighestSince returns the highest version since which any call asked for changes, and when that call came.
 func (r *StubDiscovery) HighestSince() (int64, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.highestSince, r.highestSinceAt
 }
 
-// Tally is how many calls there were, and how many bytes went over their connections, both ways.
+// Totals returns how many calls there were, and how many bytes their connections carried in both directions.
 func (r *StubDiscovery) Totals() (calls int, bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.callCount, r.bytes.Load()
 }
 
-// Busiest is the most calls that came in any second from then on.
-func (r *StubDiscovery) PeakCalls(from time.Time) (most int) {
+// PeakCalls returns the highest number of calls in any second since the given time.
+func (r *StubDiscovery) PeakCalls(from time.Time) (peak int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s, n := range r.callsBySecond {
 		if s >= from.Unix() {
-			most = max(most, n)
+			peak = max(peak, n)
 		}
 	}
-	return most
+	return peak
 }
 
-// Whole is the whole list as it is told.
+// FullList returns the full list as JSON.
 func (r *StubDiscovery) FullList() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fullList()
 }
 
+// fullList returns the full list as JSON, encoded once for each version. r.mu is held.
 func (r *StubDiscovery) fullList() []byte {
 	if r.encoded == nil || r.encodedVersion != r.version() {
-		a := endpointsResponse{Version: r.version(), Full: true, Servers: make([]standin.Listed, 0, len(r.entries))}
+		resp := endpointsResponse{Version: r.version(), Full: true, Servers: make([]standin.Listed, 0, len(r.entries))}
 		for _, e := range r.entries {
 			if e.State != "Gone" {
-				a.Servers = append(a.Servers, e)
+				resp.Servers = append(resp.Servers, e)
 			}
 		}
-		r.encoded, _ = json.Marshal(a) // plain values
-		r.encodedVersion = a.Version
+		r.encoded, _ = json.Marshal(resp) // can't fail: it holds plain values only
+		r.encodedVersion = resp.Version
 	}
 	return r.encoded
 }
 
-// Start opens it, and tells where.
+// Start starts the HTTP server on a free port and returns its address.
 func (r *StubDiscovery) Start() (addr string, err error) {
 	ln, err := standin.Listen()
 	if err != nil {
@@ -189,7 +199,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Stop ends it, with all calls.
+// Stop stops the server and ends all calls.
 func (r *StubDiscovery) Stop() {
 	close(r.stopped)
 	if r.server != nil {
@@ -197,7 +207,7 @@
 	}
 }
 
-// counted counts the bytes of all connections that it accepts.
+// countingListener counts the bytes of all connections that it accepts.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -211,6 +221,7 @@
 	return countingConn{c, l.bytes}, nil
 }
 
+// countingConn adds the bytes that a connection reads and writes to a counter.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -228,11 +239,12 @@
 	return n, err
 }
 
-// ServeHTTP answers GET /v1/endpoints.
-func (r *StubDiscovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	since, err := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64)
+// ServeHTTP serves GET /v1/endpoints: at once without a since parameter, otherwise as soon as there are changes or the
+// timeout ends.
+func (r *StubDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	since, err := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64)
 	watch := err == nil
-	limit, _ := strconv.Atoi(q.URL.Query().Get("timeout_ms"))
+	limit, _ := strconv.Atoi(req.URL.Query().Get("timeout_ms"))
 	timeout := time.NewTimer(time.Duration(min(limit, 60000)) * time.Millisecond)
 	defer timeout.Stop()
 	r.mu.Lock()
@@ -243,10 +255,10 @@
 		r.highestSince, r.highestSinceAt = since, now
 	}
 	r.mu.Unlock()
-	for late := false; ; {
+	for timedOut := false; ; {
 		r.mu.Lock()
-		news, down := r.changed, r.down
-		if !down && (!watch || since != r.version() || late) {
+		changed, down := r.changed, r.down
+		if !down && (!watch || since != r.version() || timedOut) {
 			text := r.response(since, watch)
 			r.mu.Unlock()
 			w.Write(text)
@@ -258,10 +270,10 @@
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timeout.C:
-			late = true
-		case <-q.Context().Done():
+			timedOut = true
+		case <-req.Context().Done():
 			return
 		case <-r.stopped:
 			return
@@ -269,15 +281,15 @@
 	}
 }
 
-// told is the answer for whoever has a version. r.mu is held.
+// response returns the body for a client that has the version since. r.mu is held.
 func (r *StubDiscovery) response(since int64, watch bool) []byte {
 	if !watch || since < r.baseVersion || since > r.version() {
 		return r.fullList()
 	}
-	a := endpointsResponse{Version: r.version(), Servers: r.changes[since-r.baseVersion:]}
-	if a.Servers == nil {
-		a.Servers = []standin.Listed{}
+	resp := endpointsResponse{Version: r.version(), Servers: r.changes[since-r.baseVersion:]}
+	if resp.Servers == nil {
+		resp.Servers = []standin.Listed{}
 	}
-	text, _ := json.Marshal(a) // plain values
+	text, _ := json.Marshal(resp) // can't fail: it holds plain values only
 	return text
 }
--- a/internal/lab/scale/stub_discovery_test.go
+++ b/internal/lab/scale/stub_discovery_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// get asks the stand-in once.
+// getEndpoints calls the stub once and returns the status and the response.
 func getEndpoints(t *testing.T, addr, query string) (int, endpointsResponse) {
 	t.Helper()
 	resp, err := http.Get("http://" + addr + "/v1/endpoints" + query)
@@ -29,6 +29,7 @@
 	return resp.StatusCode, a
 }
 
+// startStubDiscovery starts a stub with the given number of servers in three zones.
 func startStubDiscovery(t *testing.T, servers int) (*StubDiscovery, string) {
 	t.Helper()
 	r := NewStubDiscovery(servers, 3, nil)
@@ -40,47 +41,50 @@
 	return r, addr
 }
 
+// A call gets the full list, a watch the changes since its version, and a watch whose version is unknown or dropped the
+// full list.
 func TestStubDiscoveryVersions(t *testing.T) {
 	r, addr := startStubDiscovery(t, 10)
 	_, a := getEndpoints(t, addr, "")
 	if a.Version != 1 || !a.Full || len(a.Servers) != 10 || a.Servers[4].Zone != "zone-01" {
-		t.Fatalf("the whole list: %+v", a)
+		t.Fatalf("the full list: %+v", a)
 	}
 	if _, a := getEndpoints(t, addr, "?since=1&timeout_ms=1"); a.Version != 1 || a.Full || len(a.Servers) != 0 {
-		t.Errorf("nothing new: %+v", a)
+		t.Errorf("a watch without changes: %+v", a)
 	}
 	if v := r.SetState("Terminating", false, 3); v != 2 {
-		t.Errorf("version %d", v)
+		t.Errorf("wrong version %d", v)
 	}
 	r.SetState("Gone", false, 3, 4)
 	_, a = getEndpoints(t, addr, "?since=1")
-	if a.Version != 4 || a.Full || len(a.Servers) != 3 || a.Servers[0].State != "Terminating" || a.Servers[2].ID != "web-00004" {
+	if a.Version != 4 || a.Full || len(a.Servers) != 3 ||
+		a.Servers[0].State != "Terminating" || a.Servers[2].ID != "web-00004" {
 		t.Errorf("the changes since 1: %+v", a)
 	}
 	if _, a := getEndpoints(t, addr, "?since=3"); len(a.Servers) != 1 || a.Full {
 		t.Errorf("the changes since 3: %+v", a)
 	}
 	if _, a := getEndpoints(t, addr, ""); len(a.Servers) != 8 {
-		t.Errorf("the whole list without two: %d", len(a.Servers))
+		t.Errorf("the full list without two servers has %d", len(a.Servers))
 	}
 	if _, a := getEndpoints(t, addr, "?since=9"); !a.Full || a.Version != 4 {
-		t.Errorf("a version that never was: %+v", a)
+		t.Errorf("a version that never existed: %+v", a)
 	}
 	if v := r.SetStateAsSnapshot("Ready", 3); v != 5 {
-		t.Errorf("version %d", v)
+		t.Errorf("wrong version %d", v)
 	}
 	if _, a := getEndpoints(t, addr, "?since=4"); !a.Full || a.Version != 5 || len(a.Servers) != 9 {
-		t.Errorf("a version that is not kept: %+v", a)
+		t.Errorf("a version that was dropped: %+v", a)
 	}
 	if v, _ := r.HighestSince(); v != 9 {
-		t.Errorf("heard of %d", v)
+		t.Errorf("highest version asked since: %d, want 9", v)
 	}
 	if calls, bytes := r.Totals(); calls != 7 || bytes < 7*100 {
-		t.Errorf("%d calls, %d bytes", calls, bytes)
+		t.Errorf("%d calls, %d bytes, want 7 calls of 100 bytes or more", calls, bytes)
 	}
 }
 
-// What is kept is bounded: behind it the whole list is told.
+// The number of kept changes is limited: a watch since an older version gets the full list.
 func TestStubDiscoveryKeepsBoundedChanges(t *testing.T) {
 	r, addr := startStubDiscovery(t, 2)
 	for range maxKeptChanges + 5 {
@@ -88,21 +92,22 @@
 	}
 	last := r.Version()
 	if _, a := getEndpoints(t, addr, "?since=6"); a.Full || len(a.Servers) != maxKeptChanges {
-		t.Errorf("the edge of what is kept: full %v, %d lines", a.Full, len(a.Servers))
+		t.Errorf("the oldest kept version: full %v, %d servers", a.Full, len(a.Servers))
 	}
 	if _, a := getEndpoints(t, addr, "?since=5"); !a.Full || a.Version != last {
-		t.Errorf("behind what is kept: full %v, version %d", a.Full, a.Version)
+		t.Errorf("a version older than what is kept: full %v, version %d", a.Full, a.Version)
 	}
 }
 
-// A watch waits until something is new; one that waits as discovery goes out is answered so.
+// A watch waits until there is a change, and gets status 503 if discovery becomes unavailable while it waits.
 func TestStubDiscoveryWatch(t *testing.T) {
 	r, addr := startStubDiscovery(t, 2)
 	for _, c := range []struct {
 		change func()
 		status int
 		lines  int
-	}{{func() { r.SetState("Gone", false, 0) }, http.StatusOK, 1}, {func() { r.SetDown(true) }, http.StatusServiceUnavailable, 0}} {
+	}{{func() { r.SetState("Gone", false, 0) }, http.StatusOK, 1}, {func() { r.SetDown(true) },
+		http.StatusServiceUnavailable, 0}} {
 		calls, _ := r.Totals()
 		type got struct {
 			status int
@@ -123,23 +128,23 @@
 		}()
 		for end := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 			if n, _ := r.Totals(); n > calls {
-				break // it is there
+				break // the watch has arrived
 			}
 			if time.Now().After(end) {
-				t.Fatal("the watch has not come")
+				t.Fatal("the watch has not arrived")
 			}
 		}
 		c.change()
 		if g := <-done; g.status != c.status || len(g.Servers) != c.lines {
-			t.Errorf("%+v, want %d", g, c.status)
+			t.Errorf("response %+v, want status %d", g, c.status)
 		}
 	}
 	if status, _ := getEndpoints(t, addr, ""); status != http.StatusServiceUnavailable {
-		t.Errorf("out: %d", status)
+		t.Errorf("unavailable: status %d", status)
 	}
 	r.SetDown(false)
 	if status, a := getEndpoints(t, addr, ""); status != http.StatusOK || len(a.Servers) != 1 {
-		t.Errorf("back: %d, %+v", status, a)
+		t.Errorf("available again: status %d, %+v", status, a)
 	}
 	big := NewStubDiscovery(600, 3, nil)
 	for kind, want := range map[string]int{"zone": 200, "rack": serversPerRack, "machine": 1} {
@@ -153,6 +158,6 @@
 		}
 	}
 	if r.PeakCalls(time.Now().Add(-time.Minute)) < 1 || len(r.FailureGroup("zone")) != 1 {
-		t.Error("calls a second, or a zone's servers")
+		t.Error("wrong number of calls per second or of servers in a zone")
 	}
 }
--- a/internal/lab/scale/stub_servers.go
+++ b/internal/lab/scale/stub_servers.go
@@ -15,7 +15,8 @@
 	"portstall/internal/lab/standin"
 )
 
-// web is stand-in web servers, all in one process: each answers after a while, tells its queue, and how long it took.
+// stubServers is a group of stub web servers in one process. Each takes a fixed time for a request, reports its queue
+// in a header, and responds with how long it took. The mutex guards the fields below it.
 type stubServers struct {
 	addrs    []string
 	server   *http.Server
@@ -24,14 +25,15 @@
 	requests atomic.Int64
 
 	mu          sync.Mutex
-	lastRequest map[string]time.Time   // by server: when it last had a request
-	recent      [len(reportAges)]int64 // requests that came so soon behind the one before at the same server
+	lastRequest map[string]time.Time   // time of the last request, by server
+	recent      [len(reportAges)]int64 // requests that followed the one before at the same server within each of reportAges
 }
 
-// freshFor is how old a report may be: the policy's memory of one, and how long a connection rests.
+// reportAges are the ages of load reports that are counted: how long the policy uses a report, and how long a
+// connection stays idle.
 var reportAges = [...]time.Duration{2 * time.Second, 9 * time.Second}
 
-// came notes a request at a server.
+// recordRequest records a request at a server.
 func (s *stubServers) recordRequest(server string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,20 +47,21 @@
 	s.lastRequest[server] = now
 }
 
-// startWeb starts so many. Service is what each takes over a request, idle how long it lets a connection rest.
+// startStubServers starts count servers. Service is how long each takes for a request, idle how long it keeps an idle
+// connection open.
 func startStubServers(count int, service, idle time.Duration) (*stubServers, error) {
 	s := &stubServers{lastRequest: map[string]time.Time{}}
 	s.server = &http.Server{IdleTimeout: idle, ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) {
-			begun := time.Now()
+			startedAt := time.Now()
 			s.requests.Add(1)
 			if at, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
-				s.recordRequest(at.String(), begun)
+				s.recordRequest(at.String(), startedAt)
 			}
 			io.Copy(io.Discard, r.Body)
 			time.Sleep(service)
 			w.Header().Set("X-Load", `{"queue":0}`)
-			io.WriteString(w, strconv.FormatInt(time.Since(begun).Nanoseconds(), 10))
+			io.WriteString(w, strconv.FormatInt(time.Since(startedAt).Nanoseconds(), 10))
 		}), ConnState: func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			s.conns.Add(1)
@@ -80,7 +83,7 @@
 	return s, nil
 }
 
-// counts are connections, requests, and those by freshFor.
+// counts returns the numbers of connections, of requests, and of requests by reportAges.
 func (s *stubServers) counts() map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,28 +94,30 @@
 	return f
 }
 
+// stop stops all servers.
 func (s *stubServers) stop() {
 	s.server.Close()
 	s.wg.Wait()
 }
 
-// took is what the clients of a node met.
+// clientStats counts the requests of one node's clients. The mutex guards the other fields.
 type clientStats struct {
 	mu           sync.Mutex
-	addedSeconds []float64 // seconds beyond what the web server took, of those that were served
+	addedSeconds []float64 // latency in seconds beyond the web server's own time, of requests that were served
 	requests     int
 	served       int
 }
 
-// clients sends requests to a node until ctx ends, at an even rate whatever comes of them, and waits for the last. Until count is
-// set nothing is counted.
+// runClients sends requests to a node until ctx ends, at a constant rate whatever their outcome, and waits for the last
+// response. Requests are counted once count is set.
 func (t *clientStats) runClients(ctx context.Context, addr, name string, rate float64, count *atomic.Bool) {
-	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
+	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256,
+		DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
-	begun := time.Now()
+	startedAt := time.Now()
 	for i := 0; ; i++ {
-		at := begun.Add(time.Duration(float64(i) / rate * float64(time.Second)))
+		at := startedAt.Add(time.Duration(float64(i) / rate * float64(time.Second)))
 		wait := time.NewTimer(time.Until(at))
 		select {
 		case <-wait.C:
@@ -138,7 +143,8 @@
 	}
 }
 
-// ask asks once, for a tenant or (empty) for nobody. Added is what the answer took beyond the time that the web server tells.
+// sendRequest sends one request for a tenant, or without a tenant if that is empty. It returns the seconds that the
+// response took beyond the time that the web server reports, and whether the request was served.
 func sendRequest(client *http.Client, addr, id, tenant string) (added float64, ok bool) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/api", nil)
 	if err != nil {
@@ -150,7 +156,7 @@
 		req.Header.Set("X-Tenant", tenant)
 	}
 	req.Header.Set("X-Deadline", "3000m")
-	begun := time.Now()
+	startedAt := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, false
@@ -160,6 +166,6 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return 0, false
 	}
-	ns, err := strconv.ParseInt(string(text), 10, 64)
-	return time.Since(begun).Seconds() - float64(ns)/1e9, err == nil
+	serverNS, err := strconv.ParseInt(string(text), 10, 64)
+	return time.Since(startedAt).Seconds() - float64(serverNS)/1e9, err == nil
 }
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -18,51 +18,54 @@
 	"portstall/internal/resource"
 )
 
-// order is what a worker is told to do: one line of JSON on its standard input, each answered by one line.
+// workerCommand is a command to a worker: one line of JSON on its standard input. The worker writes one line for each
+// as its reply.
 type workerCommand struct {
 	Do       string   `json:"do"`
-	Config   string   `json:"config,omitempty"`   // hollow: the configuration file of all
-	Names    []string `json:"names,omitempty"`    // hollow: of the nodes,
-	Sources  []string `json:"sources,omitempty"`  // hollow: where each asks for its list,
-	Zones    []string `json:"zones,omitempty"`    // where each is,
-	Products []string `json:"products,omitempty"` // and its product's file; not given: none has one
-	Which    []int    `json:"which,omitempty"`    // restart: by their places; reached: those of interest
-	Version  int64    `json:"version,omitempty"`  // reached: of the list, or
-	Changed  string   `json:"changed,omitempty"`  // of the configuration
-	Count    int      `json:"count,omitempty"`    // web, contracts, plan
-	IdleMS   int      `json:"idle_ms,omitempty"`
-	ServerUS int      `json:"server_us,omitempty"`
-	ForMS    int      `json:"for_ms,omitempty"` // members
-	LimitMS  int      `json:"limit_ms,omitempty"`
+	Config   string   `json:"config,omitempty"`    // hollow: configuration file of all nodes
+	Names    []string `json:"names,omitempty"`     // hollow: names of the nodes
+	Sources  []string `json:"sources,omitempty"`   // hollow: address from which each node gets its server list
+	Zones    []string `json:"zones,omitempty"`     // hollow: zone of each node
+	Products []string `json:"products,omitempty"`  // hollow: product file of each node; empty: no node has one
+	Which    []int    `json:"which,omitempty"`     // restart: indices of the nodes
+	Version  int64    `json:"version,omitempty"`   // reached: version of the server list
+	Changed  string   `json:"changed,omitempty"`   // reached: version of the configuration, instead of that of the list
+	Count    int      `json:"count,omitempty"`     // web, contracts, plan, members: number of servers, contracts or members
+	IdleMS   int      `json:"idle_ms,omitempty"`   // web: how long an idle connection stays open
+	ServerUS int      `json:"server_us,omitempty"` // web: how long a request takes
+	ForMS    int      `json:"for_ms,omitempty"`    // members: virtual time of each phase
+	LimitMS  int      `json:"limit_ms,omitempty"`  // members: limit on the real time
 }
 
-// reply is what it answers.
+// workerReply is the reply to a command.
 type workerReply struct {
-	Late    string             `json:"late,omitempty"` // members: why there is none
-	Err     string             `json:"err,omitempty"`
-	Addrs   []string           `json:"addrs,omitempty"`   // web
-	At      []int64            `json:"at,omitempty"`      // reached: by node, when (Unix time in ns); 0: not yet
-	Figures map[string]float64 `json:"figures,omitempty"` // of whatever was measured
+	Late  string   `json:"late,omitempty"`  // members: why there are no figures
+	Err   string   `json:"err,omitempty"`   // why the command failed
+	Addrs []string `json:"addrs,omitempty"` // web: addresses of the servers
+	// At is the reply to reached: by node, since when it has the version (Unix time in ns). 0: not yet.
+	At      []int64            `json:"at,omitempty"`
+	Figures map[string]float64 `json:"figures,omitempty"` // measurements by name
 }
 
-// seen is the first time that a node was seen with a version. Those of the list have no epoch.
+// seenVersion is a version and the time when a process was first seen with it. Versions of the server list have no
+// epoch.
 type seenVersion struct {
 	version resource.Version
 	at      time.Time
 }
 
 const (
-	maxSeenVersions      = 512                   // of each node; older ones are forgotten
-	versionCheckInterval = 10 * time.Millisecond // how exactly it is known when a node has a version
+	maxSeenVersions      = 512                   // limit on the versions recorded for each node; older ones are dropped
+	versionCheckInterval = 10 * time.Millisecond // resolution of the times at which nodes are known to have a version
 )
 
-// history is which versions were seen somewhere, in their order.
+// versionHistory records the versions that a process was seen with, in order of time.
 type versionHistory struct {
 	entries     []seenVersion
-	regressions int // times that a version was older than the one before
+	regressions int // how often a version was older than the one before
 }
 
-// note notes a version that is there now.
+// record records the version that the process has now.
 func (h *versionHistory) record(v resource.Version, now time.Time) {
 	if n := len(h.entries); n > 0 {
 		before := h.entries[n-1].version
@@ -79,32 +82,35 @@
 	h.entries = append(h.entries, seenVersion{v, now})
 }
 
-// since is when a version or a later one was first seen; zero: it was not.
+// firstSeen returns when a version or a later one was first seen; zero if none was.
 func (h *versionHistory) firstSeen(v resource.Version) time.Time {
-	if k := sort.Search(len(h.entries), func(k int) bool { return h.entries[k].version.Compare(v) >= 0 }); k < len(h.entries) {
+	if k := sort.Search(len(h.entries),
+		func(k int) bool { return h.entries[k].version.Compare(v) >= 0 }); k < len(h.entries) {
 		return h.entries[k].at
 	}
 	return time.Time{}
 }
 
-// hollowNode is one of a worker's.
+// hollowNode is a hollow node of a worker, which can be restarted.
 type hollowNode struct {
 	config             node.Config
 	node               *node.Hollow
-	history            [2]versionHistory // of the list, and of the configuration
-	earlierRegressions int               // in the configurations of its runs before this one
+	history            [2]versionHistory // of the server list (0) and of the configuration (1)
+	earlierRegressions int               // regressions of its configuration before its last restart
 }
 
-// worker is a child process of a run. It holds hollow nodes, stand-in web servers, or measures something by itself.
+// worker is the state of a child process of a run. It runs hollow nodes or stub web servers, or makes a measurement of
+// its own. Its mutex guards the nodes and what is recorded about them.
 type worker struct {
-	configTimeout time.Duration // that a hollow node's first configuration may take
+	configTimeout time.Duration // limit on the wait for a hollow node's first configuration
 
 	mu      sync.Mutex
 	nodes   []*hollowNode
 	servers *stubServers
 }
 
-// Work is a child process of a run: it carries out orders from in until that ends. Whatever it has started ends with it.
+// RunWorker is the main function of a child process of a run. It executes commands from in until that ends, and then
+// stops all that they started.
 func Work(in io.Reader, out io.Writer) error {
 	w := &worker{configTimeout: startTimeout}
 	stop := make(chan struct{})
@@ -135,6 +141,7 @@
 	return lines.Err()
 }
 
+// execute executes one command.
 func (w *worker) execute(o workerCommand) (workerReply, error) {
 	switch o.Do {
 	case "hollow":
@@ -150,7 +157,8 @@
 	case "back":
 		return workerReply{Figures: map[string]float64{"back": float64(w.regressions())}}, nil
 	case "web":
-		s, err := startStubServers(o.Count, time.Duration(o.ServerUS)*time.Microsecond, time.Duration(o.IdleMS)*time.Millisecond)
+		s, err := startStubServers(o.Count, time.Duration(o.ServerUS)*time.Microsecond,
+			time.Duration(o.IdleMS)*time.Millisecond)
 		if err != nil {
 			return workerReply{}, err
 		}
@@ -170,18 +178,21 @@
 	return workerReply{}, fmt.Errorf("order %q is not known", o.Do)
 }
 
-// usage is the live heap once all garbage is gone, and what is resident.
+// processUsage returns the live heap after a garbage collection, the resident memory, both in bytes, and the number of
+// goroutines.
 func processUsage() map[string]float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return map[string]float64{"heap": float64(m.HeapAlloc), "resident": float64(residentBytes(os.Getpid())), "goroutines": float64(runtime.NumGoroutine())}
+	return map[string]float64{"heap": float64(m.HeapAlloc), "resident": float64(residentBytes(os.Getpid())),
+		"goroutines": float64(runtime.NumGoroutine())}
 }
 
-// hollow starts hollow nodes.
+// startHollow starts hollow nodes one after the other, and waits until each of those that follow control has a
+// configuration.
 func (w *worker) startHollow(o workerCommand) error {
-	loaded := map[string]node.Config{} // by the product's file
+	loaded := map[string]node.Config{} // by product file
 	for i, name := range o.Names {
 		product := ""
 		if o.Products != nil {
@@ -216,20 +227,20 @@
 	return nil
 }
 
-// configured waits until a node has a configuration, for so long at most: as many as a process holds would take theirs at once otherwise, and what that
-// needs beside the configurations themselves counts for all of them.
-func (n *hollowNode) awaitConfiguration(most time.Duration) error {
-	for end := time.Now().Add(most); n.node.Figures().Configuration.IsZero(); time.Sleep(versionCheckInterval) {
+// awaitConfiguration waits until a node has a configuration. Without this wait all nodes of a process would load theirs
+// at the same time, and the memory for loading would be needed for all of them at once.
+func (n *hollowNode) awaitConfiguration(timeout time.Duration) error {
+	for end := time.Now().Add(timeout); n.node.Figures().Configuration.IsZero(); time.Sleep(versionCheckInterval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: no configuration within %v", errNotReady, most)
+			return fmt.Errorf("%w: no configuration within %v", errNotReady, timeout)
 		}
 	}
 	return nil
 }
 
-// restart ends some nodes and starts them again, all at once. Figures: how long the slowest took to be up.
+// restart stops the given nodes, then starts all of them again. It returns how long that took.
 func (w *worker) restart(which []int) (workerReply, error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, i := range which {
 		w.mu.Lock()
 		n := w.nodes[i]
@@ -251,10 +262,10 @@
 		n.node = run
 		w.mu.Unlock()
 	}
-	return workerReply{Figures: map[string]float64{"took": time.Since(begun).Seconds()}}, nil
+	return workerReply{Figures: map[string]float64{"took": time.Since(startedAt).Seconds()}}, nil
 }
 
-// watch looks again and again which versions the nodes have.
+// recordVersions polls which versions the nodes have until stop is closed.
 func (w *worker) recordVersions(stop <-chan struct{}) {
 	tick := time.NewTicker(versionCheckInterval)
 	defer tick.Stop()
@@ -279,7 +290,7 @@
 	}
 }
 
-// back is how often a node had a configuration older than the one before.
+// regressions returns how often a node changed to an older configuration than it had before.
 func (w *worker) regressions() (times int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -289,7 +300,8 @@
 	return times
 }
 
-// reached tells of each node when it was first seen with a version or a later one.
+// firstSeenTimes returns for each node when it was first seen with a version or a later one, in ns of Unix time; 0: not
+// yet. Of is 0 for the server list and 1 for the configuration.
 func (w *worker) firstSeenTimes(of int, version resource.Version) []int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -302,6 +314,7 @@
 	return at
 }
 
+// stop stops all nodes and servers.
 func (w *worker) stop() {
 	for _, n := range w.nodes {
 		if n.node != nil {
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -8,21 +8,23 @@
 	"portstall/internal/lab/standin"
 )
 
-// A hollow node that is to follow control is up once it has a configuration; one that gets none in time is an error that names it.
+// A hollow node that follows control counts as started once it has a configuration. If it gets none in time, that is an
+// error.
 func TestAwaitConfiguration(t *testing.T) {
-	text := &Plan{Size: Size{Nodes: 1, Servers: 1, Tenants: 1, Services: 1, Zones: 1, Regions: 1}, Bound: 4 * time.Minute, MemoryMB: 2048, Processes: 9}
-	r, ctx, end, err := startRun(t.Context(), text, Options{Binary: testBinary}, text.Bound)
+	plan := &Plan{Size: Size{Nodes: 1, Servers: 1, Tenants: 1, Services: 1, Zones: 1, Regions: 1},
+		Bound: 4 * time.Minute, MemoryMB: 2048, Processes: 9}
+	r, ctx, end, err := startRun(t.Context(), plan, Options{Binary: testBinary}, plan.Bound)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer end()
-	roster := NewStubDiscovery(1, 1, nil)
-	discovery, err := roster.Start()
+	discovery := NewStubDiscovery(1, 1, nil)
+	discoveryAddr, err := discovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer roster.Stop()
-	config, err := r.writeNodeConfig("hollow", "127.0.0.1:1", discovery, zoneName(0), roster.FullList(), time.Second)
+	defer discovery.Stop()
+	config, err := r.writeNodeConfig("hollow", "127.0.0.1:1", discoveryAddr, zoneName(0), discovery.FullList(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +36,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody, err := standin.FreeAddr()
+	unusedAddr, err := standin.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for addr, want := range map[string]error{controls[0].addr: nil, nobody: errNotReady} {
+	for addr, want := range map[string]error{controls[0].addr: nil, unusedAddr: errNotReady} {
 		product, err := r.writeControlProductFile("", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -47,13 +49,13 @@
 		if want != nil {
 			w.configTimeout = 50 * time.Millisecond
 		}
-		o := r.hollowCommand(0, 1, func(int) string { return discovery })
+		o := r.hollowCommand(0, 1, func(int) string { return discoveryAddr })
 		o.Config, o.Products = config, []string{product}
 		if err := w.startHollow(o); !errors.Is(err, want) {
-			t.Errorf("%v, want %v", err, want)
+			t.Errorf("error %v, want %v", err, want)
 		}
 		if has := !w.nodes[0].node.Figures().Configuration.IsZero(); has != (want == nil) {
-			t.Errorf("it has a configuration: %v", has)
+			t.Errorf("node has a configuration: %v", has)
 		}
 		w.stop()
 	}
