--- a/internal/lab/scale/machine_test.go
+++ b/internal/lab/scale/machine_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What the machine tells is read as its kernel words it; what it does not tell is none.
+// Load and steal time are read in the kernel's format, and are 0 if the files are missing.
 func TestMachine(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -17,20 +17,20 @@
 			t.Fatal(err)
 		}
 	}
-	if m := machineAt(dir); m.load() != 3.5 || m.stolen() != 12.5 {
+	if m := newMachine(dir); m.load() != 3.5 || m.stolen() != 12.5 {
 		t.Errorf("load %v, %v s stolen, want 3.5 and 12.5 s", m.load(), m.stolen())
 	}
 	for _, dir := range []string{t.TempDir(), filepath.Join(dir, "none")} {
-		if m := machineAt(dir); m.load() != 0 || m.stolen() != 0 {
-			t.Errorf("%s: load %v, %v s stolen", dir, m.load(), m.stolen())
+		if m := newMachine(dir); m.load() != 0 || m.stolen() != 0 {
+			t.Errorf("%s: load %v, %v s stolen, want 0 and 0", dir, m.load(), m.stolen())
 		}
 	}
 	for _, c := range []struct {
 		p    PartRow
 		want float64
 	}{{PartRow{Took: 10, Steal: 20}, 0.25}, {PartRow{Took: 10}, 0}, {PartRow{Steal: 1}, 0}} {
-		if got := c.p.Stolen(8); got != c.want {
-			t.Errorf("%+v: %v of 8 cores, want %v", c.p, got, c.want)
+		if got := c.p.StolenShare(8); got != c.want {
+			t.Errorf("%+v: stolen share of 8 cores %v, want %v", c.p, got, c.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/scale/stub_discovery.go
@@ -0,0 +1,295 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"portstall/internal/lab/standin"
+)
+
+// endpointsResponse is the body of a response to GET /v1/endpoints.
+type endpointsResponse struct {
+	Version int64            `json:"version"`
+	Full    bool             `json:"full"`
+	Servers []standin.Listed `json:"servers"`
+}
+
+// maxKeptChanges limits how many changes the stub keeps. A client that is further behind gets the full list.
+const maxKeptChanges = 20_000
+
+// StubDiscovery is a stub of the discovery service. Each change has a version. A watch since a version that is still
+// kept gets only the changes, any other call gets the full list. It counts calls and the bytes on their connections.
+// Its mutex guards all fields that change, other than the atomic one. It is safe for concurrent use.
+type StubDiscovery struct {
+	mu             sync.Mutex
+	entries        []standin.Listed
+	changes        []standin.Listed // the changes after baseVersion, one for each version
+	baseVersion    int64            // the version before the first change that is kept
+	changed        chan struct{}
+	down           bool
+	highestSince   int64 // highest version that a client named in a call
+	highestSinceAt time.Time
+	callsBySecond  map[int64]int // by Unix time in seconds
+	callCount      int
+	bytes          atomic.Int64
+	server         *http.Server
+	encoded        []byte // the full list as JSON at encodedVersion
+	encodedVersion int64
+	stopped        chan struct{}
+}
+
+// NewStubDiscovery returns a stub with the given number of servers. They are assigned to zones in turn, and within a
+// zone serversPerRack of them share a rack. Addrs are their addresses; if it is nil, they get addresses that must not
+// be called.
+func NewStubDiscovery(servers, zones int, addrs []string) *StubDiscovery {
+	r := &StubDiscovery{baseVersion: 1, changed: make(chan struct{}), callsBySecond: map[int64]int{},
+		stopped: make(chan struct{})}
+	for i := range servers {
+		addr := fmt.Sprintf("10.%d.%d.%d:8080", i/62500%250, i/250%250, i%250)
+		if addrs != nil {
+			addr = addrs[i]
+		}
+		r.entries = append(r.entries, standin.Listed{ID: fmt.Sprintf("web-%05d", i), Addr: addr,
+			Zone: zoneName(i % zones), Kind: "standard",
+			Cell: i / (serversPerRack * zones), State: "Ready", Weight: 1})
+	}
+	return r
+}
+
+// serversPerRack is an assumption: the size of racks is not specified.
+const serversPerRack = 40
+
+// zoneName returns the name of the i-th zone.
+func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i) }
+
+// Version returns the latest version.
+func (r *StubDiscovery) Version() int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.version()
+}
+
+// version returns the latest version. r.mu is held.
+func (r *StubDiscovery) version() int64 { return r.baseVersion + int64(len(r.changes)) }
+
+// SetState changes the state of servers at once, each in a version of its own, and returns the last version. If started
+// is set, the servers have been started just now.
+func (r *StubDiscovery) SetState(state string, started bool, which ...int) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	defer r.wakeWatches()
+	for _, i := range which {
+		e := &r.entries[i%len(r.entries)]
+		e.State = state
+		if started {
+			e.Started = time.Now().UnixMilli()
+		}
+		r.changes = append(r.changes, *e)
+	}
+	if excess := len(r.changes) - maxKeptChanges; excess > 0 {
+		r.changes, r.baseVersion = append([]standin.Listed(nil), r.changes[excess:]...), r.baseVersion+int64(excess)
+	}
+	return r.version()
+}
+
+// SetStateAsSnapshot changes a server's state and drops all changes that are kept, so that each client gets the full
+// list. It returns the new version.
+func (r *StubDiscovery) SetStateAsSnapshot(state string, which int) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	defer r.wakeWatches()
+	r.entries[which%len(r.entries)].State = state
+	r.baseVersion, r.changes = r.version()+1, nil
+	return r.baseVersion
+}
+
+// SetDown makes the stub unavailable, or available again. While it is unavailable all calls get status 503, waiting
+// watches included.
+func (r *StubDiscovery) SetDown(down bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.down = down
+	r.wakeWatches()
+}
+
+// FailureGroup returns the indices of servers that fail together: those of the last zone, of its last rack, or the last
+// server.
+func (r *StubDiscovery) FailureGroup(kind string) (servers []int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last := r.entries[len(r.entries)-1]
+	for i, e := range r.entries {
+		if e.Zone == last.Zone && (kind != "rack" || e.Cell == last.Cell) && (kind != "machine" || e.ID == last.ID) {
+			servers = append(servers, i)
+		}
+	}
+	return servers
+}
+
+// wakeWatches makes all waiting watches check for changes. r.mu is held.
+func (r *StubDiscovery) wakeWatches() {
+	close(r.changed)
+	r.changed = make(chan struct{})
+}
+
+// HighestSince returns the highest version since which any call asked for changes, and when that call came.
+func (r *StubDiscovery) HighestSince() (int64, time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.highestSince, r.highestSinceAt
+}
+
+// Totals returns how many calls there were, and how many bytes their connections carried in both directions.
+func (r *StubDiscovery) Totals() (calls int, bytes int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.callCount, r.bytes.Load()
+}
+
+// PeakCalls returns the highest number of calls in any second since the given time.
+func (r *StubDiscovery) PeakCalls(from time.Time) (peak int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for s, n := range r.callsBySecond {
+		if s >= from.Unix() {
+			peak = max(peak, n)
+		}
+	}
+	return peak
+}
+
+// FullList returns the full list as JSON.
+func (r *StubDiscovery) FullList() []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.fullList()
+}
+
+// fullList returns the full list as JSON, encoded once for each version. r.mu is held.
+func (r *StubDiscovery) fullList() []byte {
+	if r.encoded == nil || r.encodedVersion != r.version() {
+		resp := endpointsResponse{Version: r.version(), Full: true, Servers: make([]standin.Listed, 0, len(r.entries))}
+		for _, e := range r.entries {
+			if e.State != "Gone" {
+				resp.Servers = append(resp.Servers, e)
+			}
+		}
+		r.encoded, _ = json.Marshal(resp) // can't fail: it holds plain values only
+		r.encodedVersion = resp.Version
+	}
+	return r.encoded
+}
+
+// Start starts the HTTP server on a free port and returns its address.
+func (r *StubDiscovery) Start() (addr string, err error) {
+	ln, err := standin.Listen()
+	if err != nil {
+		return "", err
+	}
+	mux := http.NewServeMux()
+	mux.Handle("GET /v1/endpoints", r)
+	r.server = &http.Server{Handler: mux}
+	go r.server.Serve(countingListener{ln, &r.bytes}) // ends with Stop
+	return ln.Addr().String(), nil
+}
+
+// Stop stops the server and ends all calls.
+func (r *StubDiscovery) Stop() {
+	close(r.stopped)
+	if r.server != nil {
+		r.server.Close()
+	}
+}
+
+// countingListener counts the bytes of all connections that it accepts.
+type countingListener struct {
+	net.Listener
+	bytes *atomic.Int64
+}
+
+func (l countingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return countingConn{c, l.bytes}, nil
+}
+
+// countingConn adds the bytes that a connection reads and writes to a counter.
+type countingConn struct {
+	net.Conn
+	bytes *atomic.Int64
+}
+
+func (c countingConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+func (c countingConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+// ServeHTTP serves GET /v1/endpoints: at once without a since parameter, otherwise as soon as there are changes or the
+// timeout ends.
+func (r *StubDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	since, err := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64)
+	watch := err == nil
+	limit, _ := strconv.Atoi(req.URL.Query().Get("timeout_ms"))
+	timeout := time.NewTimer(time.Duration(min(limit, 60000)) * time.Millisecond)
+	defer timeout.Stop()
+	r.mu.Lock()
+	now := time.Now()
+	r.callsBySecond[now.Unix()]++
+	r.callCount++
+	if watch && since > r.highestSince {
+		r.highestSince, r.highestSinceAt = since, now
+	}
+	r.mu.Unlock()
+	for timedOut := false; ; {
+		r.mu.Lock()
+		changed, down := r.changed, r.down
+		if !down && (!watch || since != r.version() || timedOut) {
+			text := r.response(since, watch)
+			r.mu.Unlock()
+			w.Write(text)
+			return
+		}
+		r.mu.Unlock()
+		if down {
+			http.Error(w, "out of reach", http.StatusServiceUnavailable)
+			return
+		}
+		select {
+		case <-changed:
+		case <-timeout.C:
+			timedOut = true
+		case <-req.Context().Done():
+			return
+		case <-r.stopped:
+			return
+		}
+	}
+}
+
+// response returns the body for a client that has the version since. r.mu is held.
+func (r *StubDiscovery) response(since int64, watch bool) []byte {
+	if !watch || since < r.baseVersion || since > r.version() {
+		return r.fullList()
+	}
+	resp := endpointsResponse{Version: r.version(), Servers: r.changes[since-r.baseVersion:]}
+	if resp.Servers == nil {
+		resp.Servers = []standin.Listed{}
+	}
+	text, _ := json.Marshal(resp) // can't fail: it holds plain values only
+	return text
+}
