--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet holds what a web server of the model and one of the rig have in common: how it warms up and how it tells
-// of its queue. It has no clock: times are handed in, counted from the scenario's start.
+// Package fleet contains the behaviour that the model's web servers share with those of the rig on real sockets:
+// warm-up, load reports, and the effects of faults; and the retry rules of their clients. It has no clock: times are
+// passed in, counted from the scenario's start.
 package fleet
 
 import (
@@ -13,50 +14,52 @@
 	"portstall/internal/lab/scenario"
 )
 
-// Ramp is the part of its capacity that a server has, at the given time since its start and after so much work in seconds
-// on its own cores at full speed. Warming by work is as fast as the work allows, but never slower than in the stated time.
+// Ramp returns the share of its full capacity that a server has at an age since its start, after done seconds of work
+// on its own cores at full speed. A server that warms up by work is as fast as the work allows, but takes no longer
+// than the stated time or its ColdFor, whichever is longer.
 func Ramp(k *scenario.Kind, speed float64, age, stated time.Duration, done float64) float64 {
 	if k.ColdFor <= 0 {
 		return 1
 	}
-	part := float64(age) / float64(k.ColdFor)
+	progress := float64(age) / float64(k.ColdFor)
 	if k.WarmBy == "work" {
-		part = float64(age) / float64(max(k.ColdFor, stated))
-		part = math.Max(part, done/(0.5*float64(k.Cores)*speed*k.ColdFor.Seconds()))
+		progress = float64(age) / float64(max(k.ColdFor, stated))
+		progress = math.Max(progress, done/(0.5*float64(k.Cores)*speed*k.ColdFor.Seconds()))
 	}
-	if part >= 1 {
+	if progress >= 1 {
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*max(0, part)
+	return k.ColdFrom + (1-k.ColdFrom)*max(0, progress)
 }
 
-// Reports is what a server tells of its queue: its length at the latest tick, late. It remembers a bounded number of
-// ticks; one that is asked for more delay than they span tells of the oldest. Not safe for concurrent use.
+// Reports are a server's load reports: its queue length sampled at periodic ticks and reported with a delay. It stores
+// a bounded number of samples; for a delay beyond them it reports the oldest. Not safe for concurrent use.
 type Reports struct {
 	Period, Phase time.Duration
-	tick          int64
-	ring          [64]reading
-	next          int
+	tick          int64      // number of the latest tick
+	ring          [64]sample // the latest samples
+	next          int        // number of samples taken; the next one goes to next % len(ring)
 }
 
-type reading struct {
+// sample is the queue length at a tick.
+type sample struct {
 	at    time.Duration
 	queue int
 }
 
-// Start forgets all: the server has started with an empty queue.
+// Reset discards all samples, as the server has started with an empty queue.
 func (r *Reports) Start(now time.Duration) { r.tick, r.next = int64((now+r.Phase)/r.Period), 0 }
 
-// Note books the length at the ticks since the last call; to be called before each change.
+// Record records the queue length at the tick since the last call, if there was one. It is called before each change.
 func (r *Reports) Note(now time.Duration, queue int) {
 	if tick := int64((now + r.Phase) / r.Period); tick > r.tick {
-		r.ring[r.next%len(r.ring)] = reading{time.Duration(r.tick+1)*r.Period - r.Phase, queue}
+		r.ring[r.next%len(r.ring)] = sample{time.Duration(r.tick+1)*r.Period - r.Phase, queue}
 		r.next++
 		r.tick = tick
 	}
 }
 
-// Read is the length as it is known now, where news takes delay. Queue is the present one.
+// Read returns the queue length as a report with the given delay shows it now; queue is the present length.
 func (r *Reports) Read(now, delay time.Duration, queue int) int {
 	r.Note(now, queue)
 	oldest := 0
@@ -73,10 +76,12 @@
 	return 0
 }
 
-// Again tells whether a client tries once more, and after which wait. Promised: the try was refused, or no node took it,
-// so that any class may be tried again; else only one whose repeats do no harm. After is the node's Retry-After, storm
-// how much keener clients are than usual (1: as usual), roll a random number from 0 to 1.
-func Again(s *scenario.Scenario, a *scenario.Ask, tries int, promised bool, now, after time.Duration, storm, roll float64) (time.Duration, bool) {
+// RetryDelay reports whether a client retries, and after which delay. If promised, the try was refused or reached no
+// node, so that any class may be retried; otherwise only a class whose repeats are harmless. after is the response's
+// Retry-After, storm multiplies the number of retries (1: as usual); above 1 it also divides the delay by ten and
+// overrides Retry-After. roll is a random number from 0 to 1.
+func Again(s *scenario.Scenario, a *scenario.Ask, tries int, promised bool, now, after time.Duration, storm,
+	roll float64) (time.Duration, bool) {
 	c := &s.Classes[a.Class]
 	harmless := promised || c.Effect == "safe" || c.Effect == "keyed" && a.Stubborn ||
 		c.Effect == "keyed" && (c.Group == "" || c.Group == "all") && now < a.At+c.Window
@@ -95,34 +100,35 @@
 	return time.Duration(wait), true
 }
 
-// Trouble is what the faults in force do to one server.
+// ServerEffects are the effects of the faults in force on one server.
 type Trouble struct {
-	Slow    float64       // how much slower
-	Part    float64       // of its requests it is
-	Errors  float64       // share of requests answered with an error at once,
-	Resets  float64       // with a broken connection at once,
-	Cuts    float64       // and with half an answer
-	Lie     float64       // reports its queue times this
+	Slow    float64       // factor by which slowed requests take longer
+	Part    float64       // share of its requests that are slowed
+	Errors  float64       // share of requests that fail with an error response at once
+	Resets  float64       // share of requests whose connection is reset at once
+	Cuts    float64       // share of requests whose response is cut off
+	Lie     float64       // factor on the queue length that it reports
 	Backlog bool          // accepts no new connections
-	NoWay   bool          // the proxy before it opens none
-	WayLag  time.Duration // or takes so much longer over it
+	NoWay   bool          // the proxy in front of it opens no new connections
+	WayLag  time.Duration // additional time that the proxy takes to open a connection
 }
 
-// Weather is what they do to all.
+// FleetEffects are the effects of the faults in force on all servers and clients.
 type Weather struct {
-	Slowdown float64       // of every server
-	Lag      time.Duration // of every report, on top of the usual
-	Storm    float64       // how much keener clients are to try again
-	Cuts     int           // faults that cut the network
+	Slowdown float64       // factor by which every server is slower
+	Lag      time.Duration // additional delay of every load report
+	Storm    float64       // factor on the number of retries of clients
+	Cuts     int           // number of faults in force that cut the network
 }
 
-// InForce works out what the active faults do together, hits naming the servers of each: worse of two where they are of
-// one kind, slowdowns multiplied. The troubles stand by the servers' index.
+// ActiveEffects combines the effects of the active faults; hits has the indexes of the servers that each fault hits. Of
+// two faults of one kind the worse one counts, but factors of slowdowns and storms are multiplied. The second result is
+// by server index.
 func InForce(s *scenario.Scenario, active []bool, hits [][]int, servers int) (Weather, []Trouble) {
-	w := Weather{Slowdown: 1, Storm: 1}
-	troubles := make([]Trouble, servers)
-	for i := range troubles {
-		troubles[i] = Trouble{Slow: 1, Lie: 1}
+	all := Weather{Slowdown: 1, Storm: 1}
+	each := make([]Trouble, servers)
+	for i := range each {
+		each[i] = Trouble{Slow: 1, Lie: 1}
 	}
 	for i, on := range active {
 		if !on {
@@ -131,23 +137,24 @@
 		f := &s.Faults[i]
 		switch f.Kind {
 		case "shared_slow":
-			w.Slowdown *= f.Factor
+			all.Slowdown *= f.Factor
 		case "report_lag":
-			w.Lag = max(w.Lag, f.Delay)
+			all.Lag = max(all.Lag, f.Delay)
 		case "storm":
-			w.Storm *= f.Factor
+			all.Storm *= f.Factor
 		case "cut":
-			w.Cuts++
+			all.Cuts++
 		case "error", "slow", "reset", "cut_answer", "report_lie", "backlog", "proxy_down", "proxy_slow", "proxy_nonsense":
 			for _, k := range hits[i] {
-				troubles[k].take(f)
+				each[k].apply(f)
 			}
 		}
 	}
-	return w, troubles
+	return all, each
 }
 
-func (t *Trouble) take(f *scenario.Fault) {
+// apply adds the effect of one fault.
+func (t *Trouble) apply(f *scenario.Fault) {
 	switch f.Kind {
 	case "error":
 		t.Errors = max(t.Errors, f.Part)
@@ -168,13 +175,14 @@
 	}
 }
 
-// CheckOK is what a check finds where all is well.
+// CheckOK is the result of a check of a healthy server.
 const CheckOK = "ok"
 
-// Says is what the agent beside a server that is up says, or what a check of it finds; false: nothing comes. An agent knows
-// of its own server what a program beside it can: that it is told to finish, that it answers with errors, how much slower
-// it is. A check sees whether its page is answered, whatever becomes of requests.
-func Says(s *scenario.Scenario, active []bool, hits [][]int, server int, t *Trouble, agent bool, now time.Duration) (text string, answers bool) {
+// ProbeReply returns the reply of the agent of a server that is up, or the result of a check of the server; replies is
+// false if none comes. An agent knows about its server what a program on the same machine can know: that it drains,
+// that it responds with errors, and how much slower it is. A check only sees whether its own page gets a response.
+func Says(s *scenario.Scenario, active []bool, hits [][]int, server int, t *Trouble, agent bool,
+	now time.Duration) (text string, replies bool) {
 	drains := false
 	for i := range s.Faults {
 		f := &s.Faults[i]
@@ -205,18 +213,20 @@
 	return "up ready 100%", true
 }
 
-// Books opens the rules' books for a scenario and its servers. Slack lengthens the time limits: nothing in the model, on
-// sockets what can cross on the way.
-func Books(s *scenario.Scenario, servers []scenario.Server, slack time.Duration, stories bool) *oracle.Book {
+// NewRecords creates the oracles' records for a scenario and its servers. slack extends the time limits by the time that
+// messages on real sockets may take; it is 0 in the model.
+func Books(s *scenario.Scenario, servers []scenario.Server, slack time.Duration, traces bool) *oracle.Book {
 	var classes []oracle.Class
 	for _, c := range s.Classes {
 		classes = append(classes, oracle.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window})
 	}
-	f := s.Rules
-	book := oracle.New(oracle.Figures{MaxAttempts: f.MaxAttempts, AnswerSlack: f.AnswerSlack + slack, DrainGrace: f.DrainGrace + slack, TunnelDrain: f.TunnelDrain,
-		WindowSlack: slack, FallMultiple: f.FallMultiple, FallFor: f.FallFor, MeanWork: s.MeanWork()}, classes, s.Nodes, stories)
+	rules := s.Rules
+	records := oracle.New(oracle.Figures{MaxAttempts: rules.MaxAttempts, AnswerSlack: rules.AnswerSlack + slack,
+		DrainGrace: rules.DrainGrace + slack, TunnelDrain: rules.TunnelDrain,
+		WindowSlack: slack, FallMultiple: rules.FallMultiple, FallFor: rules.FallFor,
+		MeanWork: s.MeanWork()}, classes, s.Nodes, traces)
 	for _, v := range servers {
-		book.AddServer(oracle.Server{ID: v.ID, Zone: v.Zone, Pod: v.Pod})
+		records.AddServer(oracle.Server{ID: v.ID, Zone: v.Zone, Pod: v.Pod})
 	}
-	return book
+	return records
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -8,7 +8,8 @@
 	"portstall/internal/lab/scenario"
 )
 
-func TestRamp(t *testing.T) {
+// A server warms up linearly from ColdFrom to 1, by time or by work done.
+func TestRampByTimeAndByWork(t *testing.T) {
 	byTime := &scenario.Kind{Cores: 2, ColdFrom: 0.4, ColdFor: 4 * time.Second, WarmBy: "time"}
 	byWork := &scenario.Kind{Cores: 2, ColdFrom: 0.4, ColdFor: 4 * time.Second, WarmBy: "work"}
 	for _, c := range []struct {
@@ -19,7 +20,8 @@
 	}{
 		{byTime, 0, 0, 0.4}, {byTime, 2 * time.Second, 0, 0.7}, {byTime, 4 * time.Second, 0, 1}, {byTime, 0, 100, 0.4},
 		{byTime, -time.Second, 0, 0.4},
-		{byWork, 0, 0, 0.4}, {byWork, 4 * time.Second, 0, 0.7}, {byWork, 8 * time.Second, 0, 1}, {byWork, 0, 2, 0.7}, {byWork, 0, 4, 1},
+		{byWork, 0, 0, 0.4}, {byWork, 4 * time.Second, 0, 0.7}, {byWork, 8 * time.Second, 0, 1}, {byWork, 0, 2, 0.7}, {byWork,
+			0, 4, 1},
 		{&scenario.Kind{Cores: 1}, 0, 0, 1},
 	} {
 		if got := Ramp(c.k, 1, c.age, 8*time.Second, c.done); math.Abs(got-c.want) > 1e-9 {
@@ -28,39 +30,42 @@
 	}
 }
 
-func TestReports(t *testing.T) {
+// Load reports show the queue as it was at the latest tick before the delay, and are reset by a start.
+func TestReportsAreLateAndSampled(t *testing.T) {
 	const ms = time.Millisecond
 	r := Reports{Period: 100 * ms}
 	r.Start(0)
 	for _, c := range []struct {
 		at          time.Duration
-		before, now int // the queue until then, and what is told
+		before, now int // the queue until then, and the length that is reported
 		delay       time.Duration
 	}{
 		{50 * ms, 3, 0, 0},         // no tick has passed
 		{150 * ms, 5, 5, 0},        // as it was at 100 ms
-		{180 * ms, 9, 5, 0},        // a change between ticks is not told
+		{180 * ms, 9, 5, 0},        // a change between ticks is not reported
 		{250 * ms, 2, 2, 0},        // as at 200 ms
-		{260 * ms, 2, 5, 100 * ms}, // late: the tick before
+		{260 * ms, 2, 5, 100 * ms}, // delayed: the tick before
 		{270 * ms, 2, 0, time.Second},
 	} {
 		if got := r.Read(c.at, c.delay, c.before); got != c.now {
-			t.Errorf("at %v: told %d, want %d", c.at, got, c.now)
+			t.Errorf("at %v: reported %d, want %d", c.at, got, c.now)
 		}
 	}
-	for i := range 1000 { // bounded: the oldest that is remembered
+	for i := range 1000 { // more samples than are stored: the oldest one is reported
 		r.Note(time.Duration(300+100*i)*ms, i)
 	}
 	if got := r.Read(100400*ms, time.Hour, 0); got < 900 || got > 999 {
-		t.Errorf("told %d of a long past", got)
+		t.Errorf("reported %d for a delay beyond the stored samples, want one of the oldest stored, 900 to 999", got)
 	}
 	r.Start(200 * time.Second)
 	if got := r.Read(200*time.Second, 0, 7); got != 0 {
-		t.Errorf("told %d after a start", got)
+		t.Errorf("reported %d after a start, want 0", got)
 	}
 }
 
-func TestAgain(t *testing.T) {
+// A client retries only what is harmless to repeat, within its retries and its deadline, and honours backoff and
+// Retry-After.
+func TestRetryRules(t *testing.T) {
 	s := scenario.Default()
 	const search, join, accept = 0, 1, 2
 	for _, c := range []struct {
@@ -76,47 +81,49 @@
 		{"keyed by all after a failure", join, 1, false, 100 * time.Millisecond, 1, true},
 		{"keyed by pod after a failure", accept, 1, false, 100 * time.Millisecond, 1, false},
 		{"keyed by pod after a refusal", accept, 1, true, 100 * time.Millisecond, 1, true},
-		{"no try left", search, 2, true, 100 * time.Millisecond, 1, false},
-		{"no try left but for the storm", search, 2, true, 100 * time.Millisecond, 3, true},
+		{"no retry left", search, 2, true, 100 * time.Millisecond, 1, false},
+		{"no retry left without the storm", search, 2, true, 100 * time.Millisecond, 3, true},
 		{"no time left", search, 1, true, 2900 * time.Millisecond, 1, false},
 	} {
 		a := scenario.Ask{Class: c.class, Retries: 1}
 		if _, ok := Again(&s, &a, c.tries, c.promised, c.now, 0, c.storm, 0.5); ok != c.ok {
-			t.Errorf("%s: %v", c.name, ok)
+			t.Errorf("%s: retry allowed is %v, want the opposite", c.name, ok)
 		}
 	}
 	s.Clients.Exponential = true
 	a := scenario.Ask{Retries: 9, Honours: true}
 	if w, _ := Again(&s, &a, 3, true, 0, 0, 1, 0.5); w != 4*s.Clients.Backoff {
-		t.Errorf("the third wait is %v", w)
+		t.Errorf("the delay before the third retry is %v, want four times the backoff", w)
 	}
 	if w, _ := Again(&s, &a, 1, true, 0, time.Second, 1, 0.5); w != time.Second {
-		t.Errorf("a Retry-After of a second is honoured by %v", w)
+		t.Errorf("the delay is %v with a Retry-After of 1 s", w)
 	}
 }
 
-func TestInForce(t *testing.T) {
+// Overlapping faults combine: slowdowns are multiplied, of other effects of one kind the worse one counts.
+func TestOverlappingFaultsCombine(t *testing.T) {
 	s := scenario.Default()
-	s.Faults = []scenario.Fault{{Kind: "slow", Part: 0.2, Factor: 2}, {Kind: "slow", Part: 0.1, Factor: 3}, {Kind: "error", Part: 0.5},
+	s.Faults = []scenario.Fault{{Kind: "slow", Part: 0.2, Factor: 2}, {Kind: "slow", Part: 0.1, Factor: 3},
+		{Kind: "error", Part: 0.5},
 		{Kind: "shared_slow", Factor: 2}, {Kind: "shared_slow", Factor: 1.5}, {Kind: "report_lag", Delay: time.Second},
 		{Kind: "node_crash"}, {Kind: "cut"}, {Kind: "report_lie", Factor: 0}, {Kind: "backlog"}, {Kind: "storm", Factor: 4}}
 	hits := [][]int{{0}, {0, 1}, {1}, nil, nil, nil, {7}, {2}, {2}, {2}, nil}
 	all := make([]bool, len(s.Faults))
-	w, troubles := InForce(&s, all, hits, 3)
-	if w != (Weather{Slowdown: 1, Storm: 1}) || troubles[0] != (Trouble{Slow: 1, Lie: 1}) {
-		t.Errorf("with nothing in force: %+v %+v", w, troubles)
+	w, effects := InForce(&s, all, hits, 3)
+	if w != (Weather{Slowdown: 1, Storm: 1}) || effects[0] != (Trouble{Slow: 1, Lie: 1}) {
+		t.Errorf("without faults in force: %+v %+v", w, effects)
 	}
 	for i := range all {
 		all[i] = true
 	}
-	w, troubles = InForce(&s, all, hits, 3)
+	w, effects = InForce(&s, all, hits, 3)
 	if w != (Weather{Slowdown: 3, Lag: time.Second, Storm: 4, Cuts: 1}) {
 		t.Errorf("%+v", w)
 	}
 	want := []Trouble{{Slow: 6, Part: 0.2, Lie: 1}, {Slow: 3, Part: 0.1, Errors: 0.5, Lie: 1}, {Slow: 1, Lie: 0, Backlog: true}}
 	for i := range want {
-		if troubles[i] != want[i] {
-			t.Errorf("server %d: %+v, want %+v", i, troubles[i], want[i])
+		if effects[i] != want[i] {
+			t.Errorf("server %d: %+v, want %+v", i, effects[i], want[i])
 		}
 	}
 }
