--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -1,9 +1,10 @@
-// Package oracle checks the rules that bind every node, by books of its own that share nothing with what it checks. The
-// model hands in each event as it happens; the rig hands in what its stand-ins recorded, sorted by time.
+// Package oracle checks the rules that every node must keep. It has its own records, which share no state with the code
+// under check. The model reports each event as it happens; the rig reports what its stubs recorded, sorted by time.
 //
-// The rules: each request that a living node has taken gets one final answer, in time; no send beyond what the class
-// allows; never two attempts in flight; nothing new to a server that the node was told drains or is gone, past the grace;
-// no cold server is sent more than it bears; and nothing is left over at the end.
+// The rules: each request that a running node has accepted gets one final response, in time; a request is sent again
+// only as its class allows, and never while another attempt is in flight; a server that was announced as draining or
+// removed gets no new requests after the grace period; a key stays in its pod; a cold server gets no more work than its
+// budget; and nothing is left open at the end.
 package oracle
 
 import (
@@ -15,460 +16,493 @@
 	"time"
 )
 
-// Rule names what was broken.
+// Rule is the name of a rule. It is part of a run's result.
 type Rule string
 
+// The rules. FinalResponse is broken by a final response that is missing, repeated or late, and by a send after it;
+// Repeat by a send or a refusal that the class does not allow; Key by requests with one key in two pods within the
+// key's window; UnknownTarget by actions on requests or servers that do not exist.
 const (
-	Answer    Rule = "one final answer" // missing, doubled or late; or a send behind it
-	Repeat    Rule = "repeat rule"      // a send or a refusal that the class does not allow
-	InFlight  Rule = "one attempt in flight"
-	Drain     Rule = "drains kept"
-	Cold      Rule = "cold budget"
-	Key       Rule = "a key stays in its pod" // whatever requests carry it, within its window
-	Leak      Rule = "nothing leaked"
-	Malformed Rule = "known request and server" // acts on what does not exist
+	FinalResponse Rule = "one final answer"
+	Repeat        Rule = "repeat rule"
+	InFlight      Rule = "one attempt in flight"
+	Drain         Rule = "drains kept"
+	Cold          Rule = "cold budget"
+	Key           Rule = "a key stays in its pod"
+	Leak          Rule = "nothing leaked"
+	UnknownTarget Rule = "known request and server"
 )
 
-// Rules lists all of them.
-var Rules = []Rule{Answer, Repeat, InFlight, Drain, Cold, Key, Leak, Malformed}
+// Rules lists all rules.
+var Rules = []Rule{FinalResponse, Repeat, InFlight, Drain, Cold, Key, Leak, UnknownTarget}
 
-// Effect and Group are those of a class, as the operators state them.
+// Class is a request class with its effect and group, as the operators configure them.
 type Class struct {
 	Name   string
-	Effect string // safe, keyed or unsafe
-	Group  string // keyed: all, zone or pod
-	Window time.Duration
+	Effect string        // safe, keyed or unsafe
+	Group  string        // keyed: all, zone or pod
+	Window time.Duration // keyed: how long servers recognize repeats
 }
 
-// Figures bind the nodes.
+// Limits are the limits that the rules apply to the nodes.
 type Figures struct {
 	MaxAttempts  int
-	AnswerSlack  time.Duration // an answer may come this much after the client's time is up
-	DrainGrace   time.Duration
-	TunnelDrain  time.Duration // what a tunnel that stands may still have behind the grace
-	WindowSlack  time.Duration // clocks of a real run that don't tell more finely
-	FallMultiple float64
-	FallFor      time.Duration
-	// MeanWork is a request's mean work in seconds. A cold server's budget is N requests of it, N being what FallMultiple times
-	// its present capacity does in FallFor; 2 x root of N + 2 more are put down to chance. At 0 nothing is.
+	AnswerSlack  time.Duration // a response may come this much after the client's timeout
+	DrainGrace   time.Duration // new requests may be sent to a server for this long after its drain was announced
+	TunnelDrain  time.Duration // an open tunnel may last this much longer than the grace
+	WindowSlack  time.Duration // precision of the clocks of a real run, for the window of a key
+	FallMultiple float64       // a cold server's budget is this multiple of what its present capacity can do in ColdWindow
+	FallFor      time.Duration // the window of a cold server's budget
+	// MeanWork is the mean work of a request in seconds. It allows for random variation of a cold server's work: where its
+	// budget is N mean requests, 2 x root of N + 2 more are allowed. At 0 none are.
 	MeanWork float64
 }
 
-// Breach is one broken rule.
+// Breach is one breach of a rule.
 type Breach struct {
-	Rule  Rule
-	At    time.Duration
-	Node  int
-	ID    string // the request, where it is about one
-	What  string
-	Story []string // all that happened to the request
+	Rule   Rule
+	At     time.Duration
+	Node   int
+	ID     string // of the request; empty: the breach concerns none
+	Detail string
+	Trace  []string // the events of the request, if traces are recorded
 }
 
+// String returns the breach as text, followed by the trace of its request.
 func (b Breach) String() string {
-	s := fmt.Sprintf("%v node %d: %s: %s", b.At, b.Node, b.Rule, b.What)
-	if len(b.Story) > 0 {
-		s += "\n    " + strings.Join(b.Story, "\n    ")
+	s := fmt.Sprintf("%v node %d: %s: %s", b.At, b.Node, b.Rule, b.Detail)
+	if len(b.Trace) > 0 {
+		s += "\n    " + strings.Join(b.Trace, "\n    ")
 	}
 	return s
 }
 
-// Server is what the rules ask of a web server.
+// Server is a web server with the properties that the rules depend on.
 type Server struct {
 	ID        uint32
 	Zone, Pod int
 }
 
+// attempt is one send of a request to a server.
 type attempt struct {
-	server Server
-	at     time.Duration
-	open   bool
-	ran    bool // may have run
+	server     Server
+	at         time.Duration
+	open       bool
+	mayHaveRun bool // it has ended, and its outcome does not exclude that it ran
 }
 
+// request is the record of one request that is not over.
 type request struct {
-	class    *Class
-	node     int
-	key      string // that must stay in its pod; empty: none
-	until    time.Duration
-	attempts []attempt
-	open     int
-	answers  int
-	gone     bool
-	excused  bool // its node was stopped meanwhile
-	story    []line
-}
-
-// ran is an attempt with a key that may have run in a pod.
-type ran struct {
+	class      *Class
+	node       int
+	key        string        // must stay in one pod; empty: none
+	deadline   time.Duration // when its client's timeout expires
+	attempts   []attempt
+	open       int  // attempts in flight
+	responses  int  // final responses
+	clientLeft bool // the client has disconnected or timed out
+	excused    bool // its node was stopped meanwhile, so its response may be late
+	trace      []traceEntry
+}
+
+// keyedAttempt is an attempt with a key that may have run in a pod.
+type keyedAttempt struct {
 	pod     int
 	at      time.Duration
 	id      string
 	attempt int
 }
 
-type told struct {
-	at       time.Duration // when the node was told that it drains or is gone; 0: it was not
-	launched time.Duration // the last start that it was told of
+// notice is the latest state of a server that a node was notified of.
+type notice struct {
+	withdrawnAt time.Duration // when the node was notified that the server drains or is removed; 0: neither
+	launched    time.Duration // the latest start that the node was notified of
 }
 
-type pressure struct {
-	at    time.Duration
-	work  float64
-	knows bool // sent by a node that was told of the start
+// arrival is work that was sent to a cold server.
+type arrival struct {
+	at       time.Duration
+	work     float64 // in seconds
+	informed bool    // sent by a node that was notified of the server's start
 }
 
-type cold struct {
-	launched time.Duration
-	window   []pressure
-	sum      float64
-	known    float64
-	fell     bool
+// coldServer is a server that has started and was not seen warm yet.
+type coldServer struct {
+	launched    time.Duration
+	window      []arrival // within the window of the budget
+	sum         float64   // seconds of work in the window
+	informedSum float64   // seconds of work in the window from nodes that were notified of the start
+	overloaded  bool      // its budget was exceeded
 }
 
-// Book holds what has happened and what was broken. It keeps only open requests: its memory does not grow with time. Not
-// safe for concurrent use.
+// Records are the records of a run: its open requests, what the nodes were notified of, and the breaches found.
+// Requests are removed at their end, so that memory does not grow with time. Not safe for concurrent use.
 type Book struct {
-	fig      Figures
-	classes  []Class
-	servers  map[uint32]Server
-	requests map[string]*request
-	keys     map[string][]ran
-	keyed    int // attempts with one since old ones were dropped
-	told     []map[uint32]told
-	cold     map[uint32]*cold
-	counts   map[Rule]int
-	breaches []Breach
-	stories  bool
-}
-
-// MostBreaches is how many are kept with their story; all are counted.
-const MostBreaches = 20
-
-// New opens the books for a number of nodes.
-func New(fig Figures, classes []Class, nodes int, stories bool) *Book {
-	b := &Book{fig: fig, classes: classes, servers: map[uint32]Server{}, requests: map[string]*request{}, keys: map[string][]ran{},
-		cold: map[uint32]*cold{}, counts: map[Rule]int{}, stories: stories}
+	limits          Figures
+	classes         []Class
+	servers         map[uint32]Server
+	requests        map[string]*request
+	keys            map[string][]keyedAttempt
+	keyedSinceSweep int                 // attempts with a key since expired keys were removed
+	notices         []map[uint32]notice // by node, then by server
+	cold            map[uint32]*coldServer
+	counts          map[Rule]int
+	breaches        []Breach
+	traces          bool
+}
+
+// MaxBreaches is the number of breaches that are stored; all are counted.
+const MaxBreaches = 20
+
+// New creates records for a number of nodes. With traces, breaches include the events of their request.
+func New(limits Figures, classes []Class, nodes int, traces bool) *Book {
+	rec := &Book{limits: limits, classes: classes, servers: map[uint32]Server{}, requests: map[string]*request{},
+		keys: map[string][]keyedAttempt{},
+		cold: map[uint32]*coldServer{}, counts: map[Rule]int{}, traces: traces}
 	for range nodes {
-		b.told = append(b.told, map[uint32]told{})
+		rec.notices = append(rec.notices, map[uint32]notice{})
 	}
-	return b
+	return rec
 }
 
-// AddServer makes a server known.
-func (b *Book) AddServer(s Server) { b.servers[s.ID] = s }
+// AddServer adds a server to those that requests may be sent to.
+func (rec *Book) AddServer(s Server) { rec.servers[s.ID] = s }
 
-// Counts is how often each rule was broken.
-func (b *Book) Counts() map[Rule]int { return b.counts }
+// Counts returns the number of breaches of each rule.
+func (rec *Book) Counts() map[Rule]int { return rec.counts }
 
-// Breaches are the first ones, with their stories.
-func (b *Book) Breaches() []Breach { return b.breaches }
+// Breaches returns the first MaxBreaches breaches.
+func (rec *Book) Breaches() []Breach { return rec.breaches }
 
-// Broken is the number of breaches.
-func (b *Book) Broken() int {
+// BreachCount returns the number of breaches of all rules.
+func (rec *Book) BreachCount() int {
 	n := 0
-	for _, c := range b.counts {
+	for _, c := range rec.counts {
 		n += c
 	}
 	return n
 }
 
-func (b *Book) breach(rule Rule, at time.Duration, node int, id, format string, args ...any) {
-	b.counts[rule]++
-	if len(b.breaches) >= MostBreaches {
+// addBreach counts a breach, and stores it if there is room.
+func (rec *Book) addBreach(rule Rule, at time.Duration, node int, id, format string, args ...any) {
+	rec.counts[rule]++
+	if len(rec.breaches) >= MaxBreaches {
 		return
 	}
-	br := Breach{Rule: rule, At: at, Node: node, ID: id, What: fmt.Sprintf(format, args...)}
-	if r := b.requests[id]; r != nil {
-		for _, l := range r.story {
-			br.Story = append(br.Story, fmt.Sprintf("%v ", l.at)+fmt.Sprintf(l.format, l.args...))
+	breach := Breach{Rule: rule, At: at, Node: node, ID: id, Detail: fmt.Sprintf(format, args...)}
+	if r := rec.requests[id]; r != nil {
+		for _, l := range r.trace {
+			breach.Trace = append(breach.Trace, fmt.Sprintf("%v ", l.at)+fmt.Sprintf(l.format, l.args...))
 		}
 	}
-	b.breaches = append(b.breaches, br)
+	rec.breaches = append(rec.breaches, breach)
 }
 
-// line is one of a request's story. It is written out only for a breach, as hardly any request is ever in one.
-type line struct {
+// traceEntry is one event of a request. It is formatted only for a breach, since few requests are part of one.
+type traceEntry struct {
 	at     time.Duration
 	format string
 	args   []any
 }
 
-// note adds a line to a request's story where stories are kept.
-func (b *Book) note(r *request, at time.Duration, format string, args ...any) {
-	if b.stories && len(r.story) < 60 {
-		r.story = append(r.story, line{at, format, args})
+// addTrace adds an event to a request's trace if traces are recorded. A trace has at most 60 entries.
+func (rec *Book) addTrace(r *request, at time.Duration, format string, args ...any) {
+	if rec.traces && len(r.trace) < 60 {
+		r.trace = append(r.trace, traceEntry{at, format, args})
 	}
 }
 
-// Taken: a node has taken a request whose client gives up at until.
-func (b *Book) Taken(at time.Duration, node int, id string, class int, until time.Duration) {
-	if b.requests[id] != nil {
-		b.breach(Malformed, at, node, id, "id %s is taken twice", id)
+// Accepted records that a node has accepted a request whose client's timeout expires at until.
+func (rec *Book) Taken(at time.Duration, node int, id string, class int, until time.Duration) {
+	if rec.requests[id] != nil {
+		rec.addBreach(UnknownTarget, at, node, id, "id %s is taken twice", id)
 		return
 	}
-	r := &request{class: &b.classes[class], node: node, until: until}
-	b.requests[id] = r
-	b.note(r, at, "taken by node %d: class %s, client gives up at %v", node, r.class.Name, until)
+	r := &request{class: &rec.classes[class], node: node, deadline: until}
+	rec.requests[id] = r
+	rec.addTrace(r, at, "taken by node %d: class %s, client gives up at %v", node, r.class.Name, until)
 }
 
-// Sent: a node starts an attempt. Work is what such a request costs by its class, in seconds, and capacity what the
-// server does at this moment, in seconds a second; both count only for a cold server, 0 where it is warm.
-func (b *Book) Sent(at time.Duration, node int, id string, server uint32, work, capacity float64) {
-	r, s := b.requests[id], b.servers[server]
+// Sent records that a node starts an attempt. work is the mean work of the request's class in seconds, capacity the
+// work that the server can do now in seconds per second. Both matter only for a cold server; capacity is 0 for a warm
+// one.
+func (rec *Book) Sent(at time.Duration, node int, id string, server uint32, work, capacity float64) {
+	r, s := rec.requests[id], rec.servers[server]
 	if r == nil || r.node != node {
-		b.breach(Answer, at, node, id, "%s is sent though it has its final answer, or was never taken", id)
+		rec.addBreach(FinalResponse, at, node, id, "%s is sent though it has its final answer, or was never taken", id)
 		return
 	}
-	b.note(r, at, "sent to %d (zone %d, pod %d)", server, s.Zone, s.Pod)
+	rec.addTrace(r, at, "sent to %d (zone %d, pod %d)", server, s.Zone, s.Pod)
 	if s.ID != server {
-		b.breach(Malformed, at, node, id, "server %d is in no list", server)
+		rec.addBreach(UnknownTarget, at, node, id, "server %d is in no list", server)
 	}
-	if r.answers > 0 || r.gone {
-		b.breach(Answer, at, node, id, "sent after its end")
+	if r.responses > 0 || r.clientLeft {
+		rec.addBreach(FinalResponse, at, node, id, "sent after its end")
 	}
 	if r.open > 0 {
-		b.breach(InFlight, at, node, id, "sent while %d attempts are in flight", r.open)
+		rec.addBreach(InFlight, at, node, id, "sent while %d attempts are in flight", r.open)
 	}
-	if len(r.attempts) >= b.fig.MaxAttempts {
-		b.breach(Repeat, at, node, id, "attempt %d of at most %d", len(r.attempts)+1, b.fig.MaxAttempts)
+	if len(r.attempts) >= rec.limits.MaxAttempts {
+		rec.addBreach(Repeat, at, node, id, "attempt %d of at most %d", len(r.attempts)+1, rec.limits.MaxAttempts)
 	}
 	c := r.class
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if !a.ran {
+		if !a.mayHaveRun {
 			continue
 		}
 		switch {
 		case c.Effect == "unsafe":
-			b.breach(Repeat, at, node, id, "class %s may not run twice", c.Name)
-		case c.Effect == "keyed" && at > a.at+c.Window+b.fig.WindowSlack:
-			b.breach(Repeat, at, node, id, "class %s is sent again %v after an attempt that may have run; repeats are dropped for %v",
+			rec.addBreach(Repeat, at, node, id, "class %s may not run twice", c.Name)
+		case c.Effect == "keyed" && at > a.at+c.Window+rec.limits.WindowSlack:
+			rec.addBreach(Repeat, at, node, id,
+				"class %s is sent again %v after an attempt that may have run; repeats are dropped for %v",
 				c.Name, at-a.at, c.Window)
 		case c.Effect == "keyed" && c.Group == "zone" && a.server.Zone != s.Zone,
 			c.Effect == "keyed" && c.Group == "pod" && a.server.Pod != s.Pod:
-			b.breach(Repeat, at, node, id, "class %s is sent outside the %s in which it may have run", c.Name, c.Group)
+			rec.addBreach(Repeat, at, node, id, "class %s is sent outside the %s in which it may have run", c.Name, c.Group)
 		default:
 			continue
 		}
 		break
 	}
-	if t := b.told[node][server]; t.at > 0 && at > t.at+b.fig.DrainGrace {
-		b.breach(Drain, at, node, id, "sent to %d, which the node was told %v ago drains or is gone", server, at-t.at)
+	if last := rec.notices[node][server]; last.withdrawnAt > 0 && at > last.withdrawnAt+rec.limits.DrainGrace {
+		rec.addBreach(Drain, at, node, id, "sent to %d, which the node was told %v ago drains or is gone", server,
+			at-last.withdrawnAt)
 	}
 	if r.key != "" {
-		b.keep(at, node, id, r, s)
+		rec.checkKey(at, node, id, r, s)
 	}
 	r.attempts = append(r.attempts, attempt{server: s, at: at, open: true})
 	r.open++
-	b.press(at, node, server, work, capacity)
+	rec.recordColdWork(at, node, server, work, capacity)
 }
 
-// Keyed: a request that was taken carries a key that must stay in one pod for its class's window, also in other requests.
-func (b *Book) Keyed(id, key string) {
-	if r := b.requests[id]; r != nil {
+// SetKey records that an accepted request has a key, which must stay in one pod for the window of its class, also when
+// other requests have the same key.
+func (rec *Book) Keyed(id, key string) {
+	if r := rec.requests[id]; r != nil {
 		r.key = key
 	}
 }
 
-// keep checks that a key is in no other pod.
-func (b *Book) keep(at time.Duration, node int, id string, r *request, s Server) {
-	const every = 4096
-	if b.keyed++; b.keyed%every == 0 {
-		maps.DeleteFunc(b.keys, func(_ string, all []ran) bool { return at > all[len(all)-1].at+r.class.Window })
+// checkKey checks that a key was not sent to another pod, and records the attempt. Expired keys are removed from time
+// to time.
+func (rec *Book) checkKey(at time.Duration, node int, id string, r *request, s Server) {
+	const sweepInterval = 4096
+	if rec.keyedSinceSweep++; rec.keyedSinceSweep%sweepInterval == 0 {
+		maps.DeleteFunc(rec.keys, func(_ string, all []keyedAttempt) bool { return at > all[len(all)-1].at+r.class.Window })
 	}
-	all := b.keys[r.key]
+	all := rec.keys[r.key]
 	for _, o := range all {
-		if o.pod != s.Pod && at < o.at+r.class.Window-b.fig.WindowSlack {
-			b.breach(Key, at, node, id, "key %s goes to pod %d; %v before, as %s, it went to pod %d", r.key, s.Pod, at-o.at, o.id, o.pod)
+		if o.pod != s.Pod && at < o.at+r.class.Window-rec.limits.WindowSlack {
+			rec.addBreach(Key, at, node, id, "key %s goes to pod %d; %v before, as %s, it went to pod %d", r.key, s.Pod, at-o.at,
+				o.id, o.pod)
 			break
 		}
 	}
-	b.keys[r.key] = append(all, ran{s.Pod, at, id, len(r.attempts)})
+	rec.keys[r.key] = append(all, keyedAttempt{s.Pod, at, id, len(r.attempts)})
 }
 
-// press books work that arrives at a cold server.
-func (b *Book) press(at time.Duration, node int, server uint32, work, capacity float64) {
-	c := b.cold[server]
+// recordColdWork records work that is sent to a cold server and checks its budget. An overload counts as a breach only
+// if nodes that were notified of the start sent at least two thirds of the work: the others could not know that the
+// server is cold.
+func (rec *Book) recordColdWork(at time.Duration, node int, server uint32, work, capacity float64) {
+	c := rec.cold[server]
 	if c == nil {
 		return
 	}
-	if capacity <= 0 { // warm by now
-		delete(b.cold, server)
+	if capacity <= 0 { // the server is warm
+		delete(rec.cold, server)
 		return
 	}
-	knows := b.told[node][server].launched >= c.launched
-	c.window = append(c.window, pressure{at, work, knows})
+	knows := rec.notices[node][server].launched >= c.launched
+	c.window = append(c.window, arrival{at, work, knows})
 	c.sum += work
 	if knows {
-		c.known += work
+		c.informedSum += work
 	}
-	for len(c.window) > 0 && c.window[0].at < at-b.fig.FallFor {
+	for len(c.window) > 0 && c.window[0].at < at-rec.limits.FallFor {
 		c.sum -= c.window[0].work
-		if c.window[0].knows {
-			c.known -= c.window[0].work
+		if c.window[0].informed {
+			c.informedSum -= c.window[0].work
 		}
 		c.window = c.window[1:]
 	}
-	budget := b.fig.FallMultiple * capacity * b.fig.FallFor.Seconds()
-	budget += 2*math.Sqrt(budget*b.fig.MeanWork) + 2*b.fig.MeanWork // in requests: N + 2 x root of N + 2
-	if c.sum <= budget || c.fell {
+	budget := rec.limits.FallMultiple * capacity * rec.limits.FallFor.Seconds()
+	budget += 2*math.Sqrt(budget*rec.limits.MeanWork) + 2*rec.limits.MeanWork // in requests: N + 2 x root of N + 2
+	if c.sum <= budget || c.overloaded {
 		return
 	}
-	c.fell = true
-	if c.known >= c.sum*2/3 { // the others could not know better
-		b.breach(Cold, at, node, "", "server %d, cold since %v, was sent %.2f s of work within %v; it bears %.2f",
-			server, c.launched, c.sum, b.fig.FallFor, budget)
+	c.overloaded = true
+	if c.informedSum >= c.sum*2/3 {
+		rec.addBreach(Cold, at, node, "", "server %d, cold since %v, was sent %.2f s of work within %v; it bears %.2f",
+			server, c.launched, c.sum, rec.limits.FallFor, budget)
 	}
 }
 
-// Fell tells whether the work that was sent to a cold server exceeds what it bears: it falls over.
-func (b *Book) Fell(server uint32) bool { c := b.cold[server]; return c != nil && c.fell }
+// Overloaded reports whether the work that was sent to a cold server has exceeded its budget.
+func (rec *Book) Overloaded(server uint32) bool {
+	c := rec.cold[server]
+	return c != nil && c.overloaded
+}
 
-// Ended: an attempt has its outcome, which proves that it never ran, or does not. Served: the request has its final
-// answer with it.
-func (b *Book) Ended(at time.Duration, node int, id string, index int, outcome string, neverRan, served bool) {
-	r := b.requests[id]
+// AttemptEnded records the outcome of an attempt. neverRan is set if the outcome proves that the request did not run;
+// served is set if the outcome is the request's final response.
+func (rec *Book) Ended(at time.Duration, node int, id string, index int, outcome string, neverRan, served bool) {
+	r := rec.requests[id]
 	if r == nil || index >= len(r.attempts) || !r.attempts[index].open {
-		b.breach(Malformed, at, node, id, "attempt %d of %s ends, but it is not out", index, id)
+		rec.addBreach(UnknownTarget, at, node, id, "attempt %d of %s ends, but it is not out", index, id)
 		return
 	}
-	b.note(r, at, "attempt %d ended: %s", index, outcome)
+	rec.addTrace(r, at, "attempt %d ended: %s", index, outcome)
 	a := &r.attempts[index]
-	if t := b.told[node][a.server.ID]; r.answers > 0 && t.at > 0 && at > t.at+b.fig.DrainGrace+b.fig.TunnelDrain {
-		b.breach(Drain, at, node, id, "a tunnel outlives the drain of %d by %v", a.server.ID, at-t.at-b.fig.DrainGrace-b.fig.TunnelDrain)
+	if last := rec.notices[node][a.server.ID]; r.responses > 0 && last.withdrawnAt > 0 &&
+		at > last.withdrawnAt+rec.limits.DrainGrace+rec.limits.TunnelDrain {
+		rec.addBreach(Drain, at, node, id, "a tunnel outlives the drain of %d by %v", a.server.ID,
+			at-last.withdrawnAt-rec.limits.DrainGrace-rec.limits.TunnelDrain)
 	}
-	a.open, a.ran = false, !neverRan
+	a.open, a.mayHaveRun = false, !neverRan
 	if neverRan && r.key != "" {
-		all := slices.DeleteFunc(b.keys[r.key], func(o ran) bool { return o.id == id && o.attempt == index })
-		if b.keys[r.key] = all; len(all) == 0 {
-			delete(b.keys, r.key)
+		all := slices.DeleteFunc(rec.keys[r.key], func(o keyedAttempt) bool { return o.id == id && o.attempt == index })
+		if rec.keys[r.key] = all; len(all) == 0 {
+			delete(rec.keys, r.key)
 		}
 	}
 	r.open--
 	if served {
-		b.answer(at, r, id, "served")
+		rec.recordResponse(at, r, id, "served")
 	}
-	b.forget(id, r)
+	rec.removeClosed(id, r)
 }
 
-// Refused: the node's final answer is that another try is harmless.
-func (b *Book) Refused(at time.Duration, node int, id string) {
-	if r := b.requests[id]; r != nil {
+// Refused records a refusal, a final response that promises that another try is harmless.
+func (rec *Book) Refused(at time.Duration, node int, id string) {
+	if r := rec.requests[id]; r != nil {
 		c := r.class
-		once := c.Effect == "unsafe" || c.Effect == "keyed" && c.Group != "all" && c.Group != ""
-		if once && slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.ran || a.open }) {
-			b.note(r, at, "refused")
-			b.breach(Repeat, at, node, id, "refused, though it may have run and class %s does not bear another run", c.Name)
+		runsOnce := c.Effect == "unsafe" || c.Effect == "keyed" && c.Group != "all" && c.Group != ""
+		if runsOnce && slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun || a.open }) {
+			rec.addTrace(r, at, "refused")
+			rec.addBreach(Repeat, at, node, id, "refused, though it may have run and class %s does not bear another run", c.Name)
 		}
 	}
-	b.final(at, node, id, "refused")
+	rec.recordFinal(at, node, id, "refused")
 }
 
-// Failed: the node's final answer promises nothing.
-func (b *Book) Failed(at time.Duration, node int, id string) { b.final(at, node, id, "failed") }
+// Failed records a failure, a final response that promises nothing.
+func (rec *Book) Failed(at time.Duration, node int, id string) {
+	rec.recordFinal(at, node, id, "failed")
+}
 
-// Served: the client has the answer of a server. The model tells of it by Ended; the rig, which sees clients and servers
-// apart, by this.
-func (b *Book) Served(at time.Duration, node int, id string) { b.final(at, node, id, "served") }
+// Served records that the client has received a server's response. The model reports this with AttemptEnded, except for
+// tunnels; the rig observes clients and servers separately and reports it here.
+func (rec *Book) Served(at time.Duration, node int, id string) {
+	rec.recordFinal(at, node, id, "served")
+}
 
-// final books a final answer of a request that must be open.
-func (b *Book) final(at time.Duration, node int, id, what string) {
-	r := b.requests[id]
+// recordFinal records a final response to a request, which must be open.
+func (rec *Book) recordFinal(at time.Duration, node int, id, what string) {
+	r := rec.requests[id]
 	if r == nil {
-		b.breach(Answer, at, node, id, "%s is %s though it has its final answer, or was never taken", id, what)
+		rec.addBreach(FinalResponse, at, node, id, "%s is %s though it has its final answer, or was never taken", id, what)
 		return
 	}
-	b.answer(at, r, id, what)
-	b.forget(id, r)
+	rec.recordResponse(at, r, id, what)
+	rec.removeClosed(id, r)
 }
 
-func (b *Book) answer(at time.Duration, r *request, id, what string) {
-	b.note(r, at, "final answer: %s", what)
-	if r.answers++; r.answers > 1 || r.gone {
-		b.breach(Answer, at, r.node, id, "answered a second time (%s), or after its client had left", what)
+// recordResponse checks a final response: it must be the only one, and in time.
+func (rec *Book) recordResponse(at time.Duration, r *request, id, what string) {
+	rec.addTrace(r, at, "final answer: %s", what)
+	if r.responses++; r.responses > 1 || r.clientLeft {
+		rec.addBreach(FinalResponse, at, r.node, id, "answered a second time (%s), or after its client had left", what)
 	}
-	if at > r.until+b.fig.AnswerSlack && !r.excused {
-		b.breach(Answer, at, r.node, id, "%s %v after its client's time was up", what, at-r.until)
+	if at > r.deadline+rec.limits.AnswerSlack && !r.excused {
+		rec.addBreach(FinalResponse, at, r.node, id, "%s %v after its client's time was up", what, at-r.deadline)
 	}
 }
 
-// Left: the client has gone before its time was up. The node owes nothing more.
-func (b *Book) Left(at time.Duration, node int, id string) {
-	if r := b.requests[id]; r != nil {
-		b.note(r, at, "client has gone")
-		r.gone = true
-		b.forget(id, r)
+// ClientLeft records that the client disconnected before its timeout. The request needs no response any more.
+func (rec *Book) Left(at time.Duration, node int, id string) {
+	if r := rec.requests[id]; r != nil {
+		rec.addTrace(r, at, "client has gone")
+		r.clientLeft = true
+		rec.removeClosed(id, r)
 	}
 }
 
-// Overdue: the client's time is up and it has no answer.
-func (b *Book) Overdue(at time.Duration, node int, id string) {
-	if r := b.requests[id]; r != nil && r.answers == 0 && !r.gone {
+// ClientTimedOut records that the client's timeout expired without a response.
+func (rec *Book) Overdue(at time.Duration, node int, id string) {
+	if r := rec.requests[id]; r != nil && r.responses == 0 && !r.clientLeft {
 		if !r.excused {
-			b.breach(Answer, at, node, id, "no answer until its client gave up at %v", r.until)
+			rec.addBreach(FinalResponse, at, node, id, "no answer until its client gave up at %v", r.deadline)
 		}
-		r.gone = true
-		b.forget(id, r)
+		r.clientLeft = true
+		rec.removeClosed(id, r)
 	}
 }
 
-// forget drops a request that nothing more can come of.
-func (b *Book) forget(id string, r *request) {
-	if (r.answers > 0 || r.gone) && r.open == 0 {
-		delete(b.requests, id)
+// removeClosed removes a request that has its final response, or lost its client, and has no open attempts.
+func (rec *Book) removeClosed(id string, r *request) {
+	if (r.responses > 0 || r.clientLeft) && r.open == 0 {
+		delete(rec.requests, id)
 	}
 }
 
-// Told: a node has news of a server. Out: it drains or is gone; launched is its last start, 0 for long ago.
-func (b *Book) Told(at time.Duration, node int, server uint32, out bool, launched time.Duration) {
-	t := b.told[node][server]
+// Notified records that a node was notified of a server's state. out is set if the server drains or is removed;
+// launched is its last start, 0 for long ago.
+func (rec *Book) Told(at time.Duration, node int, server uint32, out bool, launched time.Duration) {
+	last := rec.notices[node][server]
 	switch {
 	case !out:
-		t.at = 0
-	case t.at == 0:
-		t.at = at
+		last.withdrawnAt = 0
+	case last.withdrawnAt == 0:
+		last.withdrawnAt = at
 	}
-	t.launched = max(t.launched, launched)
-	b.told[node][server] = t
+	last.launched = max(last.launched, launched)
+	rec.notices[node][server] = last
 }
 
-// Started: a server has started and is cold.
-func (b *Book) Started(at time.Duration, server uint32) { b.cold[server] = &cold{launched: at} }
+// ServerStarted records that a server has started and is cold.
+func (rec *Book) Started(at time.Duration, server uint32) {
+	rec.cold[server] = &coldServer{launched: at}
+}
 
-// Killed: a node has died, and with it all it had taken: it owes nothing of that. Ids are those that it held.
-func (b *Book) Killed(node int, ids []string) {
+// NodeKilled records that a node was killed. The requests ids that it held need no response any more.
+func (rec *Book) Killed(node int, ids []string) {
 	for _, id := range ids {
-		delete(b.requests, id)
+		delete(rec.requests, id)
 	}
 }
 
-// Stopped: a node does not run for a while. What it holds may be answered late.
-func (b *Book) Stopped(node int, id string) {
-	if r := b.requests[id]; r != nil && r.node == node {
+// NodeStopped records that the node of a request is stopped for some time. The request may get its response late.
+func (rec *Book) Stopped(node int, id string) {
+	if r := rec.requests[id]; r != nil && r.node == node {
 		r.excused = true
 	}
 }
 
-// Open is the number of requests that are not over.
-func (b *Book) Open() int { return len(b.requests) }
+// OpenRequests returns the number of requests that are not over.
+func (rec *Book) OpenRequests() int { return len(rec.requests) }
 
-// Close checks that nothing is left. What names other things that remained (timers, connections) by their number.
-func (b *Book) Close(at time.Duration, left map[string]int) {
-	if n := len(b.requests); n > 0 {
+// Close checks that no request is open at the end of a run. left has the numbers of other resources that must not
+// remain, such as timers and connections.
+func (rec *Book) Close(at time.Duration, left map[string]int) {
+	if n := len(rec.requests); n > 0 {
 		id, first := "", ""
-		for id = range b.requests {
-			if first == "" || id < first { // the same one on every run
+		for id = range rec.requests {
+			if first == "" || id < first { // the smallest ID, so that the result does not depend on the order of the map
 				first = id
 			}
 		}
-		b.breach(Leak, at, b.requests[first].node, first, "%d requests are still open, %s among them", n, first)
+		rec.addBreach(Leak, at, rec.requests[first].node, first, "%d requests are still open, %s among them", n, first)
 	}
 	for _, what := range slices.Sorted(maps.Keys(left)) {
 		if left[what] != 0 {
-			b.breach(Leak, at, 0, "", "%d %s are left over", left[what], what)
+			rec.addBreach(Leak, at, 0, "", "%d %s are left over", left[what], what)
 		}
 	}
 }
 
-// Holds tells whether a request is not over.
-func (b *Book) Holds(id string) bool { return b.requests[id] != nil }
+// IsOpen reports whether a request is not over.
+func (rec *Book) Holds(id string) bool { return rec.requests[id] != nil }
--- a/internal/lab/peer/peer.go
+++ b/internal/lab/peer/peer.go
@@ -1,6 +1,7 @@
-// Package peer has other ways to balance, from their public descriptions, to measure the policy against inside the model.
-// All share one body that keeps the rules on answers, repeats and drains; they differ in how a server is chosen. They are
-// yardsticks, not alternatives: none admits, ejects or budgets, except where its description says so.
+// Package peer implements other load-balancing policies from their public descriptions, to compare the real policy with
+// them in the model. All share one base that keeps the rules on final responses, repeats and drains; they differ in how
+// they select a server. They serve for comparison only: none has admission control, ejection or budgets, except where
+// its description says so.
 package peer
 
 import (
@@ -14,163 +15,167 @@
 	"portstall/policy"
 )
 
-// Makers by the names that experiments use.
-var Makers = map[string]model.Maker{
+// Factories are the policies' factories by the names that experiments use.
+var Factories = map[string]model.Factory{
 	"portstall":   model.Portstall,
-	"random":      maker(func(p *peer) chooser { return random{} }),
-	"round-robin": maker(func(p *peer) chooser { return &roundRobin{} }),
-	"p2c":         maker(func(p *peer) chooser { return twoChoices{} }),
-	"least":       maker(func(p *peer) chooser { return leastOutstanding{} }),
-	"prequal":     prequalMaker,
-	"naive":       naiveMaker,
+	"random":      newFactory(func(p *basePolicy) chooser { return random{} }),
+	"round-robin": newFactory(func(p *basePolicy) chooser { return &roundRobin{} }),
+	"p2c":         newFactory(func(p *basePolicy) chooser { return twoChoices{} }),
+	"least":       newFactory(func(p *basePolicy) chooser { return leastOutstanding{} }),
+	"prequal":     newPrequal,
+	"naive":       newNaive,
 }
 
-// Names in the order of tables.
+// Names are the policies' names in the order of tables.
 var Names = []string{"portstall", "random", "round-robin", "p2c", "least", "prequal", "naive"}
 
-// Lookup is the maker of that name, or an error that lists those there are.
-func Lookup(name string) (model.Maker, error) {
-	if m := Makers[name]; m != nil {
+// Lookup returns the factory of a policy, or an error that lists the known names.
+func Lookup(name string) (model.Factory, error) {
+	if m := Factories[name]; m != nil {
 		return m, nil
 	}
-	return nil, fmt.Errorf("policy %q is none of %q", name, Names)
+	return nil, fmt.Errorf("unknown policy %q, want one of %q", name, Names)
 }
 
-// chooser picks one of the servers that a request may go to; there is at least one.
+// chooser selects one of the servers that a request may be sent to; there is at least one.
 type chooser interface {
-	choose(p *peer, from []*server) *server
+	choose(p *basePolicy, from []*server) *server
 }
 
+// server is one web server as a peer policy knows it.
 type server struct {
 	policy.Entry
-	out     int     // own requests in flight
-	latency float64 // smoothed seconds an answer takes, 0 before the first
+	inFlight int     // local requests in flight
+	latency  float64 // smoothed response time in seconds, 0 before the first response
 }
 
+// request is one request that a peer policy has accepted and that has no final response yet.
 type request struct {
-	class    *policy.Class
-	until    time.Duration
-	attempts int
-	open     bool
-	server   *server
-	sentAt   time.Duration
-	mayRun   *server
-	mayRunAt time.Duration
-	over     bool
+	class      *policy.Class
+	deadline   time.Duration
+	attempts   int
+	open       bool    // an attempt is in flight
+	server     *server // of the latest attempt
+	sentAt     time.Duration
+	mayRun     *server // where the first attempt that may have run was sent; nil: none
+	mayRunAt   time.Duration
+	clientGone bool
 }
 
-// peer is the body that all share.
-type peer struct {
-	set      policy.Settings
-	rng      *rand.Rand
-	choice   chooser
-	servers  map[uint32]*server
-	order    []*server
-	requests map[string]*request
-	now      time.Duration
-	ramps    bool // sends a cold server a share of requests that grows with its age
-	retries  int  // attempts for a request at most
-	reckless bool // tries again whatever may have run
-	askAt    time.Duration
-	from     []*server
+// basePolicy is the part that all peer policies share. It is used by one goroutine at a time.
+type basePolicy struct {
+	settings    policy.Settings
+	rng         *rand.Rand
+	chooser     chooser
+	servers     map[uint32]*server
+	ordered     []*server
+	requests    map[string]*request
+	now         time.Duration
+	slowStart   bool // sends a cold server a share of requests that grows with its age
+	maxAttempts int  // attempts per request
+	alwaysRetry bool // retries even if that breaks the repeat rule
+	nextWatchAt time.Duration
+	candidates  []*server
 }
 
-func newPeer(set policy.Settings, seed uint64) *peer {
-	return &peer{set: set, rng: rand.New(rand.NewPCG(seed, 0x70656572)), servers: map[uint32]*server{},
-		requests: map[string]*request{}, ramps: true, retries: min(2, set.MaxAttempts)}
+// newBasePolicy creates a base policy without a chooser.
+func newBasePolicy(set policy.Settings, seed uint64) *basePolicy {
+	return &basePolicy{settings: set, rng: rand.New(rand.NewPCG(seed, 0x70656572)), servers: map[uint32]*server{},
+		requests: map[string]*request{}, slowStart: true, maxAttempts: min(2, set.MaxAttempts)}
 }
 
-func maker(choice func(p *peer) chooser) model.Maker {
+// newFactory returns the factory of a policy with the given chooser.
+func newFactory(choice func(p *basePolicy) chooser) model.Factory {
 	return func(set policy.Settings, seed uint64) (model.Decider, error) {
 		if err := set.Validate(); err != nil {
 			return nil, err
 		}
-		p := newPeer(set, seed)
-		p.choice = choice(p)
+		p := newBasePolicy(set, seed)
+		p.chooser = choice(p)
 		return p, nil
 	}
 }
 
-// naiveMaker is a proxy that looks at nothing: it deals out in turn and tries again on whatever goes wrong, as often as
-// it may, with no budget, and to servers just started. It breaks the rules on repeats and on cold servers, and is there to
-// show what that costs.
-func naiveMaker(set policy.Settings, seed uint64) (model.Decider, error) {
+// newNaive creates a policy like that of a naive proxy: round robin, also to servers that have just started, and a
+// retry after every failure, as often as permitted and without a budget. It breaks the rules on repeats and on cold
+// servers, and exists to show what that costs.
+func newNaive(set policy.Settings, seed uint64) (model.Decider, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	p := newPeer(set, seed)
-	p.choice, p.ramps, p.retries, p.reckless = &roundRobin{}, false, set.MaxAttempts, true
+	p := newBasePolicy(set, seed)
+	p.chooser, p.slowStart, p.maxAttempts, p.alwaysRetry = &roundRobin{}, false, set.MaxAttempts, true
 	return p, nil
 }
 
-// Handle takes an event, as policy.Balancer.Handle does.
-func (p *peer) Handle(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action {
+// Handle processes an event, as policy.Balancer.Handle does.
+func (p *basePolicy) Handle(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action {
 	p.now = now
 	switch ev.Kind {
 	case policy.EvRequest:
-		c := slices.IndexFunc(p.set.Classes, func(c policy.Class) bool { return c.Name == ev.Class })
+		c := slices.IndexFunc(p.settings.Classes, func(c policy.Class) bool { return c.Name == ev.Class })
 		if c < 0 || p.requests[ev.ID] != nil {
 			return out
 		}
-		r := &request{class: &p.set.Classes[c], until: now + ev.Left}
+		r := &request{class: &p.settings.Classes[c], deadline: now + ev.Left}
 		p.requests[ev.ID] = r
-		return p.try(ev.ID, r, nil, out)
+		return p.sendAttempt(ev.ID, r, nil, out)
 	case policy.EvOutcome:
-		return p.ended(ev, out)
+		return p.attemptEnded(ev, out)
 	case policy.EvGone:
 		if r := p.requests[ev.ID]; r != nil {
-			r.over = true
+			r.clientGone = true
 			if r.open {
 				return append(out, policy.Action{Kind: policy.ActCancel, ID: ev.ID, Attempt: r.attempts - 1})
 			}
 			delete(p.requests, ev.ID)
 		}
 	case policy.EvList:
-		return p.list(ev, out)
+		return p.updateServers(ev, out)
 	case policy.EvTimer:
-		if p.askAt > 0 && now >= p.askAt {
-			p.askAt = 0
+		if p.nextWatchAt > 0 && now >= p.nextWatchAt {
+			p.nextWatchAt = 0
 			return append(out, policy.Action{Kind: policy.ActWatch})
 		}
 	}
 	return out
 }
 
-// ramp is the part of its capacity that a server can be counted on to have.
-func (p *peer) ramp(s *server) float64 {
+// rampShare returns the share of its full capacity that a server is assumed to have.
+func (p *basePolicy) rampShare(s *server) float64 {
 	age := p.now - s.Launched
-	if !p.ramps || s.Launched == 0 || age >= p.set.ColdFor {
+	if !p.slowStart || s.Launched == 0 || age >= p.settings.ColdFor {
 		return 1
 	}
-	return p.set.ColdShare + (1-p.set.ColdShare)*max(0, age.Seconds())/p.set.ColdFor.Seconds()
+	return p.settings.ColdShare + (1-p.settings.ColdShare)*max(0, age.Seconds())/p.settings.ColdFor.Seconds()
 }
 
-// try sends a request, or refuses or fails it where no server may take it.
-func (p *peer) try(id string, r *request, avoid *server, out []policy.Action) []policy.Action {
-	p.from = p.from[:0]
-	for _, s := range p.order {
-		if s.State != policy.Active || s == avoid && len(p.order) > 1 || !p.allowed(r, s) {
+// sendAttempt sends a request to a server, or refuses or fails it if no server may take it.
+func (p *basePolicy) sendAttempt(id string, r *request, avoid *server, out []policy.Action) []policy.Action {
+	p.candidates = p.candidates[:0]
+	for _, s := range p.ordered {
+		if s.State != policy.Active || s == avoid && len(p.ordered) > 1 || !p.mayRunOn(r, s) {
 			continue
 		}
-		if p.ramp(s) < 1 && p.rng.Float64() > p.ramp(s)/2 {
-			continue // left out of this draw, so that it gets a part of what the others get
+		if p.rampShare(s) < 1 && p.rng.Float64() > p.rampShare(s)/2 {
+			continue // left out of this selection, so that it gets only a share of what the others get
 		}
-		p.from = append(p.from, s)
+		p.candidates = append(p.candidates, s)
 	}
-	if len(p.from) == 0 || p.now >= r.until {
+	if len(p.candidates) == 0 || p.now >= r.deadline {
 		return p.finish(id, r, out)
 	}
-	s := p.choice.choose(p, p.from)
+	s := p.chooser.choose(p, p.candidates)
 	r.attempts++
 	r.open, r.server, r.sentAt = true, s, p.now
-	s.out++
-	wait := r.until - p.now
+	s.inFlight++
+	wait := r.deadline - p.now
 	return append(out, policy.Action{Kind: policy.ActSend, ID: id, Server: s.ID, Wait: wait})
 }
 
-// allowed tells whether the class's repeat rule lets a request go to a server.
-func (p *peer) allowed(r *request, s *server) bool {
-	if r.mayRun == nil || p.reckless || r.class.Effect == policy.Safe {
+// mayRunOn reports whether the repeat rule of its class allows a request to be sent to a server.
+func (p *basePolicy) mayRunOn(r *request, s *server) bool {
+	if r.mayRun == nil || p.alwaysRetry || r.class.Effect == policy.Safe {
 		return true
 	}
 	if r.class.Effect == policy.Unsafe || p.now > r.mayRunAt+r.class.Window {
@@ -185,22 +190,25 @@
 	return true
 }
 
-func (p *peer) finish(id string, r *request, out []policy.Action) []policy.Action {
+// finish ends a request without a server's response: it is refused if another try is harmless, else failed.
+func (p *basePolicy) finish(id string, r *request, out []policy.Action) []policy.Action {
 	delete(p.requests, id)
 	kind := policy.ActRefuse
-	if r.mayRun != nil && (r.class.Effect == policy.Unsafe || r.class.Effect == policy.Keyed && r.class.Group != policy.GroupAll) {
+	if r.mayRun != nil && (r.class.Effect == policy.Unsafe || r.class.Effect == policy.Keyed &&
+		r.class.Group != policy.GroupAll) {
 		kind = policy.ActFail
 	}
 	return append(out, policy.Action{Kind: kind, ID: id})
 }
 
-func (p *peer) ended(ev *policy.Event, out []policy.Action) []policy.Action {
+// attemptEnded handles the outcome of an attempt.
+func (p *basePolicy) attemptEnded(ev *policy.Event, out []policy.Action) []policy.Action {
 	r := p.requests[ev.ID]
 	if r == nil || !r.open || ev.Attempt != r.attempts-1 {
 		return out
 	}
 	s := r.server
-	s.out--
+	s.inFlight--
 	r.open = false
 	if ev.Outcome == policy.OK {
 		if s.latency == 0 {
@@ -208,26 +216,27 @@
 		}
 		s.latency += (ev.Took.Seconds() - s.latency) * 0.1
 	}
-	if ev.Last || r.over {
+	if ev.Last || r.clientGone {
 		delete(p.requests, ev.ID)
 		return out
 	}
 	if r.mayRun == nil && ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.Moot {
 		r.mayRun, r.mayRunAt = s, r.sentAt
 	}
-	if r.attempts >= p.retries || ev.Spent {
+	if r.attempts >= p.maxAttempts || ev.Spent {
 		return p.finish(ev.ID, r, out)
 	}
-	return p.try(ev.ID, r, s, out)
+	return p.sendAttempt(ev.ID, r, s, out)
 }
 
-func (p *peer) list(ev *policy.Event, out []policy.Action) []policy.Action {
+// updateServers applies the server list or its changes. After a failed call it waits 0.5 to 1.5 s before the next one.
+func (p *basePolicy) updateServers(ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.List {
 	case policy.ListFailed:
-		p.askAt = p.now + time.Duration((0.5+p.rng.Float64())*float64(time.Second))
-		return append(out, policy.Action{Kind: policy.ActTimer, At: p.askAt, Token: "ask"})
+		p.nextWatchAt = p.now + time.Duration((0.5+p.rng.Float64())*float64(time.Second))
+		return append(out, policy.Action{Kind: policy.ActTimer, At: p.nextWatchAt, Token: "ask"})
 	case policy.ListCached:
-		if p.set.MustAsk {
+		if p.settings.MustAsk {
 			out = append(out, policy.Action{Kind: policy.ActWatch})
 		}
 	}
@@ -243,57 +252,58 @@
 			p.servers[e.ID] = &server{Entry: e}
 		}
 	}
-	p.order = p.order[:0]
+	p.ordered = p.ordered[:0]
 	for _, s := range p.servers {
-		if s.State != policy.Left || s.out > 0 {
-			p.order = append(p.order, s)
+		if s.State != policy.Left || s.inFlight > 0 {
+			p.ordered = append(p.ordered, s)
 		}
 	}
-	slices.SortFunc(p.order, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(p.ordered, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	return out
 }
 
-// random picks any server.
+// random selects any server with equal probability.
 type random struct{}
 
-func (random) choose(p *peer, from []*server) *server { return from[p.rng.IntN(len(from))] }
+func (random) choose(p *basePolicy, from []*server) *server { return from[p.rng.IntN(len(from))] }
 
-// roundRobin picks one after the other.
+// roundRobin selects the servers in turn.
 type roundRobin struct{ last uint32 }
 
-func (c *roundRobin) choose(_ *peer, from []*server) *server {
+func (c *roundRobin) choose(_ *basePolicy, from []*server) *server {
 	i, _ := slices.BinarySearchFunc(from, c.last+1, func(s *server, id uint32) int { return cmp.Compare(s.ID, id) })
 	s := from[i%len(from)]
 	c.last = s.ID
 	return s
 }
 
-// twoChoices picks the better of two random servers, by own requests in flight. Mitzenmacher, "The Power of Two Choices
-// in Randomized Load Balancing" (2001).
+// twoChoices selects the better of two random servers, by local requests in flight. Mitzenmacher, "The Power of Two
+// Choices in Randomized Load Balancing" (2001).
 type twoChoices struct{}
 
-func (twoChoices) choose(p *peer, from []*server) *server {
+func (twoChoices) choose(p *basePolicy, from []*server) *server {
 	a, b := from[p.rng.IntN(len(from))], from[p.rng.IntN(len(from))]
-	if b.out < a.out {
+	if b.inFlight < a.inFlight {
 		return b
 	}
 	return a
 }
 
-// leastOutstanding picks the server with the fewest own requests in flight for its speed, as known by the time that its
-// answers take; among equals at random. So do common proxies' weighted least-request modes, with weights learnt.
+// leastOutstanding selects the server with the fewest local requests in flight relative to its speed, which it
+// estimates by response time; among equals at random. Weighted least-request modes of common proxies do the same, here
+// with learned weights.
 type leastOutstanding struct{}
 
-func (leastOutstanding) choose(p *peer, from []*server) *server {
+func (leastOutstanding) choose(p *basePolicy, from []*server) *server {
 	var best *server
-	least, alike := 0.0, 0
+	lowest, equals := 0.0, 0
 	for _, s := range from {
-		cost := (float64(s.out) + 1) * max(s.latency, 1e-3)
+		cost := (float64(s.inFlight) + 1) * max(s.latency, 1e-3)
 		switch {
-		case best == nil || cost < least:
-			best, least, alike = s, cost, 1
-		case cost == least:
-			if alike++; p.rng.IntN(alike) == 0 {
+		case best == nil || cost < lowest:
+			best, lowest, equals = s, cost, 1
+		case cost == lowest:
+			if equals++; p.rng.IntN(equals) == 0 {
 				best = s
 			}
 		}
--- a/internal/lab/peer/peer_test.go
+++ b/internal/lab/peer/peer_test.go
@@ -12,13 +12,15 @@
 	"portstall/policy"
 )
 
-func day(faults ...scenario.Fault) scenario.Scenario {
+// dayScenario returns a short scenario on the default fleet with the given faults.
+func dayScenario(faults ...scenario.Fault) scenario.Scenario {
 	s := scenario.Default()
 	s.Name, s.Duration, s.Warmup, s.Faults = "day", 15*time.Second, time.Second, faults
 	return s
 }
 
-func play(t *testing.T, s scenario.Scenario, name string) measure.Result {
+// runScenario runs a scenario with a policy, by name.
+func runScenario(t *testing.T, s scenario.Scenario, name string) measure.Result {
 	t.Helper()
 	make, err := Lookup(name)
 	if err != nil {
@@ -31,8 +33,8 @@
 	return r
 }
 
-// Each peer keeps the rules through faults; the naive one is shown breaking the rule on repeats.
-func TestPeersAndTheRules(t *testing.T) {
+// Each peer policy keeps the rules under faults, except the naive one, which has to break the repeat rule.
+func TestPeersBreakNoRules(t *testing.T) {
 	faults := []scenario.Fault{
 		{Kind: "error", At: 2e9, For: 5e9, Share: 0.3, Part: 0.8},
 		{Kind: "vanish", At: 4e9, For: 3e9, Share: 0.2},
@@ -42,10 +44,10 @@
 	for _, name := range Names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, day(faults...), name)
+			r := runScenario(t, dayScenario(faults...), name)
 			if name == "naive" {
 				if r.Broken["repeat rule"] == 0 {
-					t.Errorf("broken is %v: it is there to break the rule on repeats", r.Broken)
+					t.Errorf("broken rules are %v, want the repeat rule among them", r.Broken)
 				}
 				return
 			}
@@ -53,20 +55,20 @@
 				t.Errorf("%v\n%s", r.Broken, r.Breaches[0])
 			}
 			if r.All.Share() < 0.3 {
-				t.Errorf("only %.2f of the worth is served", r.All.Share())
+				t.Errorf("only %.2f of the value is served in time", r.All.Share())
 			}
 		})
 	}
 }
 
-// The orders that the descriptions of the peers predict, on a quiet day of unlike machines.
-func TestPeersAreTold(t *testing.T) {
+// On a mixed fleet without faults the peer policies rank by requests served in time as their descriptions predict.
+func TestPeersRankAsPublished(t *testing.T) {
 	share := map[string]float64{}
 	for _, name := range Names {
 		for seed := uint64(1); seed <= 4; seed++ {
-			s := day()
+			s := dayScenario()
 			s.Seed, s.Clients.Load = seed, 0.75
-			r := play(t, s, name)
+			r := runScenario(t, s, name)
 			share[name] += float64(r.All.InTime) / float64(r.All.Asked) / 4
 		}
 	}
@@ -77,19 +79,21 @@
 	}
 }
 
-func TestLookup(t *testing.T) {
+// Unknown policy names and invalid settings are rejected.
+func TestLookupRejectsUnknownPolicy(t *testing.T) {
 	if _, err := Lookup("best"); err == nil {
-		t.Error("an unknown policy is taken")
+		t.Error("an unknown policy is accepted")
 	}
-	for name, make := range Makers {
+	for name, make := range Factories {
 		if _, err := make(policy.Settings{}, 1); err == nil {
-			t.Errorf("%s takes settings that make no sense", name)
+			t.Errorf("%s accepts invalid settings", name)
 		}
 	}
 }
 
-// A retry storm keeps two choices down after its trigger; a budget of attempts lets it recover, and portstall needs none.
-func TestStormAndBudgets(t *testing.T) {
+// With two choices a retry storm persists after its trigger has ended; a retry budget ends it. The budget must not
+// reduce what portstall serves.
+func TestRetryBudgetEndsStorm(t *testing.T) {
 	late := func(name string, budget bool) (before, after float64) {
 		const seeds = 1
 		for seed := uint64(1); seed <= seeds; seed++ {
@@ -103,26 +107,26 @@
 				s.File = config.File{Contracts: []config.Contract{{Name: "all", InFlight: 150,
 					Attempts: &config.Attempts{Ratio: 0.1, Window: 5 * time.Second}}}}
 			}
-			r := play(t, s, name)
-			part := func(from, to int) float64 {
+			r := runScenario(t, s, name)
+			share := func(from, to int) float64 {
 				earned, offered := 0.0, 0.0
 				for _, v := range r.Series[from:to] {
 					earned, offered = earned+v.Earned, offered+v.Offered
 				}
 				return earned / offered
 			}
-			before, after = before+part(5, 20)/seeds, after+part(35, 55)/seeds // the trigger lasts from 20 to 25 s
+			before, after = before+share(5, 20)/seeds, after+share(35, 55)/seeds // the trigger lasts from 20 to 25 s
 		}
-		t.Logf("%s, budget %v: %.3f of the worth before, %.3f from 10 s after the trigger", name, budget, before, after)
+		t.Logf("%s, budget %v: %.3f of the value before the trigger, %.3f from 10 s after it", name, budget, before, after)
 		return before, after
 	}
 	if before, after := late("p2c", false); after > 0.5*before {
-		t.Error("the storm does not outlive its trigger: it tests nothing")
+		t.Error("the storm ends with its trigger without a budget: the test has no effect to show")
 	}
 	if before, after := late("p2c", true); after < 0.95*before {
-		t.Error("the budget does not end the storm")
+		t.Error("the retry budget does not end the storm")
 	}
 	if before, after := late("portstall", true); after < 0.95*before {
-		t.Error("portstall is held back by the budget")
+		t.Error("the retry budget reduces what portstall serves")
 	}
 }
--- a/internal/lab/peer/prequal.go
+++ b/internal/lab/peer/prequal.go
@@ -8,76 +8,81 @@
 	"portstall/policy"
 )
 
-// Prequal's figures, after Wydrowski et al., "Load is not what you should balance: Introducing Prequal" (NSDI 2024): some
-// probes a request at random servers, a small pool of their answers, and the choice of the fastest among those with few
-// requests in flight (cold), or of the one with the fewest where all are busy (hot). Probes cost servers nothing here,
-// which flatters it.
+// Parameters of Prequal, after Wydrowski et al., "Load is not what you should balance: Introducing Prequal" (NSDI
+// 2024): each request sends some probes to random servers, their replies go to a small pool, and the policy selects the
+// fastest of the servers with few requests in flight (cold), or the one with the fewest where all have many (hot). In
+// the model probes cost servers nothing, which makes Prequal look better than it is.
 const (
-	probesEach = 3
-	poolMost   = 16
-	poolAge    = time.Second
-	hotAt      = 0.84 // quantile of requests in flight from which a server is hot
+	probesPerRequest = 3
+	maxPoolSize      = 16
+	maxProbeAge      = time.Second
+	hotQuantile      = 0.84 // a server is hot above this quantile of requests in flight
 )
 
-type probed struct {
+// probeResult is the reply of a server to a probe.
+type probeResult struct {
 	server   uint32
 	inFlight int
 	latency  time.Duration
 	at       time.Duration
-	uses     int
+	uses     int // number of requests sent because of it
 }
 
+// prequal is the Prequal policy.
 type prequal struct {
-	*peer
-	pool   []probed
-	wanted []uint32
-	recent []int // requests in flight of the latest probes, for the quantile
+	*basePolicy
+	pool           []probeResult
+	targets        []uint32
+	recentInFlight []int // requests in flight of the latest 128 replies, for the quantile
 }
 
-func prequalMaker(set policy.Settings, seed uint64) (model.Decider, error) {
+// newPrequal creates the Prequal policy.
+func newPrequal(set policy.Settings, seed uint64) (model.Decider, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	p := &prequal{peer: newPeer(set, seed)}
-	p.choice = p
+	p := &prequal{basePolicy: newBasePolicy(set, seed)}
+	p.chooser = p
 	return p, nil
 }
 
-// Probes are the servers to ask now.
-func (p *prequal) Probes() []uint32 {
-	w := p.wanted
-	p.wanted = p.wanted[:0]
-	return w
+// ProbeTargets returns the servers to probe now.
+func (p *prequal) ProbeTargets() []uint32 {
+	targets := p.targets
+	p.targets = p.targets[:0]
+	return targets
 }
 
-// Probed takes in a server's answer.
-func (p *prequal) Probed(now time.Duration, server uint32, inFlight int, latency time.Duration) {
-	if len(p.pool) >= poolMost {
+// ProbeReply adds the reply of a server to the pool.
+func (p *prequal) ProbeReply(now time.Duration, server uint32, inFlight int, latency time.Duration) {
+	if len(p.pool) >= maxPoolSize {
 		p.pool = p.pool[1:]
 	}
-	p.pool = append(p.pool, probed{server, inFlight, latency, now, 0})
-	if p.recent = append(p.recent, inFlight); len(p.recent) > 128 {
-		p.recent = p.recent[1:]
+	p.pool = append(p.pool, probeResult{server, inFlight, latency, now, 0})
+	if p.recentInFlight = append(p.recentInFlight, inFlight); len(p.recentInFlight) > 128 {
+		p.recentInFlight = p.recentInFlight[1:]
 	}
 }
 
-func (p *prequal) choose(_ *peer, from []*server) *server {
-	for range probesEach {
-		p.wanted = append(p.wanted, from[p.rng.IntN(len(from))].ID)
+// choose schedules probes and selects the best server of the pool, or a random one if the pool has none of from. A
+// reply is used for two requests at most.
+func (p *prequal) choose(_ *basePolicy, from []*server) *server {
+	for range probesPerRequest {
+		p.targets = append(p.targets, from[p.rng.IntN(len(from))].ID)
 	}
 	hot := 0
-	if len(p.recent) > 0 {
-		sorted := slices.Sorted(slices.Values(p.recent))
-		hot = sorted[int(hotAt*float64(len(sorted)-1))]
+	if len(p.recentInFlight) > 0 {
+		sorted := slices.Sorted(slices.Values(p.recentInFlight))
+		hot = sorted[int(hotQuantile*float64(len(sorted)-1))]
 	}
 	best := -1
-	kept := p.pool[:0]
+	fresh := p.pool[:0]
 	for _, e := range p.pool {
-		if p.now-e.at <= poolAge && e.uses < 2 {
-			kept = append(kept, e)
+		if p.now-e.at <= maxProbeAge && e.uses < 2 {
+			fresh = append(fresh, e)
 		}
 	}
-	p.pool = kept
+	p.pool = fresh
 	for i := range p.pool {
 		e := &p.pool[i]
 		if !slices.ContainsFunc(from, func(s *server) bool { return s.ID == e.server }) {
@@ -92,11 +97,12 @@
 	}
 	e := &p.pool[best]
 	e.uses++
-	e.inFlight++ // the request that goes there now
+	e.inFlight++ // counts the request that is sent now
 	return p.servers[e.server]
 }
 
-func (p *prequal) better(a, b *probed, hot int) bool {
+// better reports whether a is preferred to b: cold before hot, among cold ones the faster, among hot ones the less busy.
+func (p *prequal) better(a, b *probeResult, hot int) bool {
 	coldA, coldB := a.inFlight <= hot, b.inFlight <= hot
 	switch {
 	case coldA != coldB:
