--- a/internal/lab/model/cell_test.go
+++ b/internal/lab/model/cell_test.go
@@ -129,9 +129,9 @@
 	s.Faults = nil
 	calm := run(t, s, Portstall)
 	for name, v := range r.Tenants {
-		if kept := v.Earned / calm.Tenants[name].Earned; name != "t7" {
-			out.worstShare = min(out.worstShare, kept)
-			if kept < 0.95 {
+		if keptShare := v.Earned / calm.Tenants[name].Earned; name != "t7" {
+			out.worstShare = min(out.worstShare, keptShare)
+			if keptShare < 0.95 {
 				out.harmed++
 				if overlapping != nil && !overlapping[name] {
 					out.unrelated++
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -231,9 +231,9 @@
 	}
 	for _, srv := range sim.servers {
 		srv.advance(sim)
-		could := float64(srv.Kind.Cores) * srv.Speed * s.Duration.Seconds()
+		possible := float64(srv.Kind.Cores) * srv.Speed * s.Duration.Seconds()
 		res.Servers = append(res.Servers, measure.ServerLoad{ID: srv.ID, Kind: srv.Kind.Name, Sent: srv.sendCount,
-			Busy: srv.totalWork / could, Fallen: srv.collapsed})
+			Busy: srv.totalWork / possible, Fallen: srv.collapsed})
 	}
 	res.Wall = time.Since(begin).Seconds()
 	return res, nil
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -208,7 +208,7 @@
 		n.tries[t.id] = t
 		sim.recordAccepted(t)
 	}
-	tenant, class, repeat, borrowed := sim.tenantName(t), sim.scenario.Classes[t.request.Class].Name, t.request.tries > 1, false
+	tenant, class, repeat, overQuota := sim.tenantName(t), sim.scenario.Classes[t.request.Class].Name, t.request.tries > 1, false
 	if n.ledger != nil {
 		hint := 0.0
 		if t.request.Tenant >= 0 {
@@ -224,12 +224,12 @@
 				verdict.RetryAfter)
 			return
 		}
-		t.admitted, t.verdict, borrowed = true, verdict, verdict.Borrowed
+		t.admitted, t.verdict, overQuota = true, verdict, verdict.Borrowed
 	}
-	var among []uint32
+	var candidates []uint32
 	if n.cells != nil {
-		var doubt bool
-		if among, doubt = n.cells.Place(epoch+sim.now, sim.placementRequest(t)); doubt {
+		var inDoubt bool
+		if candidates, inDoubt = n.cells.Place(epoch+sim.now, sim.placementRequest(t)); inDoubt {
 			sim.records.Refused(sim.now, n.index, t.id)
 			t.closed = true
 			n.removeClosed(t)
@@ -238,17 +238,17 @@
 			return
 		}
 	}
-	sim.submit(t, among, borrowed)
+	sim.submit(t, candidates, overQuota)
 }
 
-// submit passes a request to the policy. The policy may send it to the servers among, or to all if among is nil.
-func (sim *simulation) submit(t *clientTry, among []uint32, borrowed bool) {
+// submit passes a request to the policy, which may send it to the candidates, or to all servers if there is no such list.
+func (sim *simulation) submit(t *clientTry, candidates []uint32, overQuota bool) {
 	if t.decider == nil {
 		t.decider = t.node.decider
 	}
 	sim.decide(t.node, t.decider, &policy.Event{Kind: policy.EvRequest, ID: t.id,
 		Class: sim.scenario.Classes[t.request.Class].Name, Tenant: sim.tenantName(t),
-		Left: max(0, t.deadline-sim.now), Repeat: t.request.tries > 1, Borrowed: borrowed, Among: among})
+		Left: max(0, t.deadline-sim.now), Repeat: t.request.tries > 1, Borrowed: overQuota, Among: candidates})
 }
 
 // tenantName returns the name of a try's tenant, or an empty string if it has none.
@@ -344,9 +344,9 @@
 	end, cause := measure.Failed, "failed: may have run, no attempt left"
 	if a.Kind == policy.ActRefuse {
 		if n.cells != nil && t != nil && len(t.attempts) == 0 && !t.spilled && !t.closed {
-			if among := n.cells.Spill(epoch+sim.now, sim.placementRequest(t)); among != nil {
+			if candidates := n.cells.Spill(epoch+sim.now, sim.placementRequest(t)); candidates != nil {
 				t.spilled = true
-				sim.submit(t, among, t.verdict.Borrowed)
+				sim.submit(t, candidates, t.verdict.Borrowed)
 				return
 			}
 		}
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -132,10 +132,10 @@
 	srv.workDone += did * float64(len(srv.running))
 	srv.totalWork += did * float64(len(srv.running))
 	srv.recordReports(sim)
-	kept := srv.running[:0]
+	remaining := srv.running[:0]
 	for _, att := range srv.running {
 		if att.workLeft -= did; att.workLeft > 1e-9 {
-			kept = append(kept, att)
+			remaining = append(remaining, att)
 			continue
 		}
 		out := policy.OK
@@ -145,10 +145,10 @@
 		srv.recordResponseTime(att, sim.now-att.sentAt)
 		srv.reply(sim, att, out)
 	}
-	for i := len(kept); i < len(srv.running); i++ {
+	for i := len(remaining); i < len(srv.running); i++ {
 		srv.running[i] = nil
 	}
-	srv.running = kept
+	srv.running = remaining
 	srv.startQueued(sim)
 }
 
