--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -136,22 +136,22 @@
 
 // Recorder counts one run. Not safe for concurrent use.
 type Recorder struct {
-	warmup time.Duration
-	hist   *hdrhistogram.Histogram
-	res    Result
+	warmup    time.Duration
+	latencies *hdrhistogram.Histogram
+	result    Result
 }
 
 // New counts what arrives from warmup on, for so many seconds in all.
 func New(warmup, duration time.Duration) *Recorder {
-	return &Recorder{warmup: warmup, hist: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
-		res: Result{Classes: map[string]*Tally{}, Tenants: map[string]*Tally{}, Split: map[string]*Tally{}, Endings: map[Ending]int{},
+	return &Recorder{warmup: warmup, latencies: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
+		result: Result{Classes: map[string]*Tally{}, Tenants: map[string]*Tally{}, Split: map[string]*Tally{}, Endings: map[Ending]int{},
 			Causes: map[string]int{}, Broken: map[string]int{}, Series: make([]Second, int(duration/time.Second)+1)}}
 }
 
 // Ask books one ask that is over. Took counts from its first try.
 func (r *Recorder) Ask(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, worth float64) {
-	if i := int(at / time.Second); i >= 0 && i < len(r.res.Series) {
-		s := &r.res.Series[i]
+	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
+		s := &r.result.Series[i]
 		s.Asked++
 		s.Offered += worth
 		switch end {
@@ -169,16 +169,16 @@
 	if at < r.warmup {
 		return
 	}
-	for _, t := range []*Tally{&r.res.All, tally(r.res.Classes, class), tally(r.res.Tenants, tenant), tally(r.res.Split, tenant+"/"+class)} {
+	for _, t := range []*Tally{&r.result.All, tallyOf(r.result.Classes, class), tallyOf(r.result.Tenants, tenant), tallyOf(r.result.Split, tenant+"/"+class)} {
 		t.add(end == Served, inTime, worth)
 	}
-	r.res.Endings[end]++
+	r.result.Endings[end]++
 	if end == Served {
-		r.hist.RecordValue(max(1, int64(took/time.Microsecond))) // one beyond the range is not counted
+		r.latencies.RecordValue(max(1, int64(took/time.Microsecond))) // one beyond the range is not counted
 	}
 }
 
-func tally(m map[string]*Tally, name string) *Tally {
+func tallyOf(m map[string]*Tally, name string) *Tally {
 	if m[name] == nil {
 		m[name] = &Tally{}
 	}
@@ -188,31 +188,31 @@
 // Try books a client's try at a node, and Cause why one was not served.
 func (r *Recorder) Try(at time.Duration) {
 	if at >= r.warmup {
-		r.res.Tries++
+		r.result.Tries++
 	}
 }
 
 func (r *Recorder) Cause(at time.Duration, cause string) {
 	if at >= r.warmup {
-		r.res.Causes[cause]++
+		r.result.Causes[cause]++
 	}
 }
 
 // Attempt books a send to a web server.
 func (r *Recorder) Attempt(at time.Duration) {
-	if i := int(at / time.Second); i >= 0 && i < len(r.res.Series) {
-		r.res.Series[i].Attempts++
+	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
+		r.result.Series[i].Attempts++
 	}
 	if at >= r.warmup {
-		r.res.Attempts++
+		r.result.Attempts++
 	}
 }
 
 // Result is what was counted so far.
 func (r *Recorder) Result() Result {
-	ms := func(q float64) float64 { return float64(r.hist.ValueAtQuantile(q)) / 1e3 }
-	res := r.res
-	res.Latency = Quantiles{P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(r.hist.Max()) / 1e3}
+	ms := func(q float64) float64 { return float64(r.latencies.ValueAtQuantile(q)) / 1e3 }
+	res := r.result
+	res.Latency = Quantiles{P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(r.latencies.Max()) / 1e3}
 	return res
 }
 
@@ -222,7 +222,7 @@
 	b, e := int(begin/time.Second), int(end/time.Second)
 	base, n := 0.0, 0
 	for i := max(0, b-10); i < b && i < len(r.Series); i++ {
-		base += share(r.Series[i])
+		base += earnedShare(r.Series[i])
 		n++
 	}
 	if n == 0 {
@@ -234,7 +234,7 @@
 		if r.Series[i].Asked == 0 {
 			continue
 		}
-		if share(r.Series[i]) >= part*base {
+		if earnedShare(r.Series[i]) >= part*base {
 			if run++; run >= hold {
 				return time.Duration(i-hold+1-e) * time.Second, true
 			}
@@ -262,7 +262,7 @@
 	return max(0, float64(len(r.Series))-r.Trigger[1]), false
 }
 
-func share(s Second) float64 {
+func earnedShare(s Second) float64 {
 	if s.Offered == 0 {
 		return 1
 	}
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -21,7 +21,7 @@
 )
 
 // routeName is what clients that come through tunnels ask for.
-const routeName = "placement.example.org"
+const routeHost = "placement.example.org"
 
 // newClient keeps the connections of clients to one node, or to its address for tunnels where they come via one.
 func newClient(via, tunnels string) *http.Client {
@@ -33,7 +33,7 @@
 			way.Kind = tunnel.Connect
 		}
 		dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return way.Dial(ctx, dialer, routeName+":80")
+			return way.Dial(ctx, dialer, routeHost+":80")
 		}
 	}
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: 5 * time.Second, DisableCompression: true,
@@ -41,34 +41,34 @@
 }
 
 // verdict is how one try ended.
-type verdict struct {
-	end   measure.Ending
-	cause string
-	after time.Duration // Retry-After
+type outcome struct {
+	ending     measure.Ending
+	cause      string
+	retryAfter time.Duration // Retry-After
 }
 
 // ask is one client: it tries, and tries again where that is allowed and still worth it.
-func (r *rig) ask(a scenario.Ask) {
-	c := &r.s.Classes[a.Class]
+func (r *rig) runOperation(a scenario.Ask) {
+	c := &r.scenario.Classes[a.Class]
 	for tries := 1; ; tries++ {
 		r.mu.Lock()
-		r.rec.Try(a.At)
+		r.recorder.Try(a.At)
 		r.mu.Unlock()
-		try := r.try
+		try := r.sendRequest
 		if c.Stands > 0 {
-			try = r.tunnel
+			try = r.requestTunnel
 		}
 		v := try(&a, tries)
 		now := r.now()
 		r.mu.Lock()
-		storm := r.weather.Storm
-		if v.end != measure.Served {
-			r.rec.Cause(a.At, v.cause)
+		storm := r.conditions.Storm
+		if v.ending != measure.Served {
+			r.recorder.Cause(a.At, v.cause)
 		}
 		r.mu.Unlock()
-		if v.end != measure.Served && v.end != measure.Left {
-			promised := v.end == measure.Refused || v.end == measure.Unreachable
-			if wait, ok := fleet.Again(r.s, &a, tries, promised, now, v.after, storm, rand.Float64()); ok {
+		if v.ending != measure.Served && v.ending != measure.Left {
+			promised := v.ending == measure.Refused || v.ending == measure.Unreachable
+			if wait, ok := fleet.Again(r.scenario, &a, tries, promised, now, v.retryAfter, storm, rand.Float64()); ok {
 				select {
 				case <-time.After(wait):
 					continue
@@ -78,22 +78,22 @@
 		}
 		tenant := ""
 		if a.Tenant >= 0 {
-			tenant = r.s.Tenants[a.Tenant].Name
+			tenant = r.scenario.Tenants[a.Tenant].Name
 		}
 		r.mu.Lock()
 		took := now - a.At
-		r.rec.Ask(a.At, c.Name, tenant, v.end, v.end == measure.Served && took <= c.Aim, took, c.Worth*a.Work.Seconds())
+		r.recorder.Ask(a.At, c.Name, tenant, v.ending, v.ending == measure.Served && took <= c.Aim, took, c.Worth*a.Work.Seconds())
 		r.mu.Unlock()
 		return
 	}
 }
 
 // pick is the node that the front deals a client to.
-func (r *rig) pick() *node {
+func (r *rig) selectNode() *node {
 	var seen []*node
 	for _, n := range r.nodes {
 		n.mu.Lock()
-		if n.seen {
+		if n.inRotation {
 			seen = append(seen, n)
 		}
 		n.mu.Unlock()
@@ -105,7 +105,7 @@
 }
 
 // request words an ask as clients do.
-func request(ctx context.Context, addr, id string, s *scenario.Scenario, a *scenario.Ask, tries int, patience time.Duration) (*http.Request, error) {
+func newRequest(ctx context.Context, addr, id string, s *scenario.Scenario, a *scenario.Ask, tries int, patience time.Duration) (*http.Request, error) {
 	c := &s.Classes[a.Class]
 	method, body := http.MethodGet, ""
 	if c.Effect != "safe" {
@@ -139,20 +139,20 @@
 }
 
 // try sends one request to a node and books what came of it.
-func (r *rig) try(a *scenario.Ask, tries int) verdict {
-	c := &r.s.Classes[a.Class]
+func (r *rig) sendRequest(a *scenario.Ask, tries int) outcome {
+	c := &r.scenario.Classes[a.Class]
 	begun := r.now()
 	patience := min(c.Deadline-(begun-a.At), time.Duration(a.TryShare*float64(c.Deadline)))
-	n := r.pick()
+	n := r.selectNode()
 	if n == nil {
-		return verdict{end: measure.Unreachable, cause: "node unreachable"}
+		return outcome{ending: measure.Unreachable, cause: "node unreachable"}
 	}
 	n.mu.Lock()
 	cmd := n.cmd
 	n.mu.Unlock()
-	id := fmt.Sprintf("%d-%d-%x", a.Index, tries, r.s.Seed)
+	id := fmt.Sprintf("%d-%d-%x", a.Index, tries, r.scenario.Seed)
 	until := begun + patience
-	wait := patience + r.s.Rules.AnswerSlack + r.opt.Slack
+	wait := patience + r.scenario.Rules.AnswerSlack + r.options.Slack
 	leaves := a.Leaves > 0
 	if leaves {
 		wait = time.Duration(a.Leaves * float64(patience))
@@ -163,14 +163,14 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(i httptrace.WroteRequestInfo) {
 		if i.Err == nil && !wrote.Swap(true) {
 			r.mu.Lock()
-			r.note(record{what: taken, at: begun, node: n.index, id: id, class: a.Class, key: r.s.Key(a), until: until})
+			r.appendRecord(record{kind: requestSent, at: begun, node: n.index, id: id, class: a.Class, key: r.scenario.Key(a), deadline: until})
 			r.mu.Unlock()
 		}
 	}})
-	req, err := request(ctx, n.addr, id, r.s, a, tries, patience)
+	req, err := newRequest(ctx, n.addr, id, r.scenario, a, tries, patience)
 	if err != nil {
-		r.fail(err)
-		return verdict{end: measure.Failed, cause: "the client is at fault"}
+		r.addError(err)
+		return outcome{ending: measure.Failed, cause: "the client is at fault"}
 	}
 	resp, err := n.client.Do(req)
 	status, text, after := 0, "", time.Duration(0)
@@ -183,49 +183,49 @@
 			after = time.Duration(f * float64(time.Second))
 		}
 	}
-	v, rec := judge(err, status, text == "made for "+id, leaves, ctx.Err() != nil, wrote.Load())
-	v.after = after
-	if err == nil && v.end == measure.Refused {
+	v, rec := classify(err, status, text == "made for "+id, leaves, ctx.Err() != nil, wrote.Load())
+	v.retryAfter = after
+	if err == nil && v.ending == measure.Refused {
 		rule, _, _ := strings.Cut(resp.Header.Get("Portstall-Refusal"), ";")
 		if rule = strings.TrimPrefix(rule, "rule="); rule != "" {
 			v.cause = "contract: " + rule
 		}
 	}
 	if status == http.StatusOK && err == nil && text != "made for "+id {
-		r.fail(fmt.Errorf("request %s was served with %q", id, text))
+		r.addError(fmt.Errorf("request %s was served with %q", id, text))
 	}
 	if !wrote.Load() {
 		return v
 	}
 	n.mu.Lock()
-	killed := n.cmd != cmd || !n.up
+	killed := n.cmd != cmd || !n.running
 	n.mu.Unlock()
-	if v.end == measure.Lost && !killed {
-		v = verdict{end: measure.Failed, cause: "the connection broke"}
+	if v.ending == measure.Lost && !killed {
+		v = outcome{ending: measure.Failed, cause: "the connection broke"}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(record{what: rec, at: r.now(), node: n.index, id: id, out: rec == broken && killed})
+	r.appendRecord(record{kind: rec, at: r.now(), node: n.index, id: id, flag: rec == connectionBroken && killed})
 	return v
 }
 
 // judge says how a try ended for its client, and which record that makes.
-func judge(err error, status int, right, leaves, timeUp, wrote bool) (verdict, what) {
+func classify(err error, status int, right, leaves, timeUp, wrote bool) (outcome, recordKind) {
 	switch {
 	case err == nil && status == http.StatusOK && right:
-		return verdict{end: measure.Served}, servedTo
+		return outcome{ending: measure.Served}, requestServed
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
-		return verdict{end: measure.Refused, cause: "refused"}, refused
+		return outcome{ending: measure.Refused, cause: "refused"}, requestRefused
 	case err == nil:
-		return verdict{end: measure.Failed, cause: "failed: answered " + strconv.Itoa(status)}, failed
+		return outcome{ending: measure.Failed, cause: "failed: answered " + strconv.Itoa(status)}, requestFailed
 	case timeUp && leaves:
-		return verdict{end: measure.Left, cause: "client left early"}, left
+		return outcome{ending: measure.Left, cause: "client left early"}, clientLeft
 	case errors.Is(err, context.DeadlineExceeded) || timeUp:
-		return verdict{end: measure.Overdue, cause: "no answer in time"}, overdue
+		return outcome{ending: measure.Overdue, cause: "no answer in time"}, clientTimedOut
 	case status == http.StatusOK: // begun and not finished, and the client can tell
-		return verdict{end: measure.Failed, cause: "failed: the answer broke off"}, failed
+		return outcome{ending: measure.Failed, cause: "failed: the answer broke off"}, requestFailed
 	case !wrote:
-		return verdict{end: measure.Unreachable, cause: "node unreachable"}, broken
+		return outcome{ending: measure.Unreachable, cause: "node unreachable"}, connectionBroken
 	}
-	return verdict{end: measure.Lost, cause: "node died"}, broken
+	return outcome{ending: measure.Lost, cause: "node died"}, connectionBroken
 }
--- a/internal/lab/rig/fault.go
+++ b/internal/lab/rig/fault.go
@@ -8,16 +8,16 @@
 )
 
 // fault lets a fault begin or end.
-func (r *rig) fault(i int, begin bool) {
+func (r *rig) applyFault(i int, begin bool) {
 	if r.ctx.Err() != nil {
 		return
 	}
-	f := &r.s.Faults[i]
+	f := &r.scenario.Faults[i]
 	r.mu.Lock()
-	r.active[i] = begin && f.For > 0
+	r.activeFaults[i] = begin && f.For > 0
 	r.mu.Unlock()
 	servers := func(do func(v *server)) {
-		for _, k := range r.hits[i] {
+		for _, k := range r.targets[i] {
 			do(r.servers[k])
 		}
 	}
@@ -25,73 +25,73 @@
 	case "vanish", "crash", "zone_loss":
 		servers(func(v *server) {
 			v.mu.Lock()
-			v.until = max(v.until, f.End())
-			away := !v.up || v.silent != nil
+			v.downUntil = max(v.downUntil, f.End())
+			away := !v.up || v.silence != nil
 			v.mu.Unlock()
 			switch {
 			case !begin && away:
-				r.fail(v.back())
+				r.addError(v.restartCold())
 			case begin && f.Kind == "crash":
 				v.crash()
 			case begin:
-				v.vanish()
+				v.goSilent()
 			}
 		})
 	case "cold":
-		servers(func(v *server) { r.fail(v.back()) })
+		servers(func(v *server) { r.addError(v.restartCold()) })
 	case "drain":
 		servers(func(v *server) {
 			v.mu.Lock()
-			serves := v.up && v.silent == nil
+			serves := v.up && v.silence == nil
 			if serves && begin {
-				r.roster.list(v, "Terminating", r.s.Roster.AddLag/4)
+				r.discovery.scheduleUpdate(v, "Terminating", r.scenario.Roster.AddLag/4)
 			}
 			v.mu.Unlock()
 			if serves && !begin {
-				r.fail(v.back())
+				r.addError(v.restartCold())
 			}
 		})
 	case "backlog":
-		r.effects()
+		r.updateEffects()
 		servers(func(v *server) {
 			if begin {
-				v.stuff()
+				v.fillBacklog()
 			} else {
-				v.unstuff()
+				v.clearBacklog()
 			}
 		})
 	case "node_roll":
 		if begin {
-			for k, index := range r.hits[i] {
+			for k, index := range r.targets[i] {
 				r.wg.Add(1)
 				go func() {
 					defer r.wg.Done()
-					time.Sleep(time.Duration(k) * f.For / time.Duration(len(r.hits[i])))
-					r.bounce(r.nodes[index], f.Delay)
+					time.Sleep(time.Duration(k) * f.For / time.Duration(len(r.targets[i])))
+					r.restartNode(r.nodes[index], f.Delay)
 				}()
 			}
 		}
 	case "node_crash":
 		if begin {
-			for _, index := range r.hits[i] {
+			for _, index := range r.targets[i] {
 				r.wg.Add(1)
 				go func() {
 					defer r.wg.Done()
-					r.bounce(r.nodes[index], f.For)
+					r.restartNode(r.nodes[index], f.For)
 				}()
 			}
 		}
 	case "node_stop":
-		for _, index := range r.hits[i] {
+		for _, index := range r.targets[i] {
 			r.mu.Lock()
 			if begin {
-				r.note(record{what: frozen, at: r.now(), node: index, out: true})
+				r.appendRecord(record{kind: nodeSuspended, at: r.now(), node: index, flag: true})
 			}
 			r.mu.Unlock()
-			r.nodes[index].freeze(begin)
+			r.nodes[index].setSuspended(begin)
 			if !begin { // what came just before it went on was held too
 				r.mu.Lock()
-				r.note(record{what: frozen, at: r.now() + 100*time.Millisecond, node: index})
+				r.appendRecord(record{kind: nodeSuspended, at: r.now() + 100*time.Millisecond, node: index})
 				r.mu.Unlock()
 			}
 		}
@@ -99,7 +99,7 @@
 		if begin {
 			r.proxies[0].Stop()
 		} else {
-			r.fail(r.proxies[0].Start())
+			r.addError(r.proxies[0].Start())
 		}
 	case "proxy_nonsense", "proxy_slow":
 		wrong, delay := standin.Nothing, time.Duration(0)
@@ -110,19 +110,19 @@
 		}
 		r.proxies[0].Trouble(wrong, delay)
 	case "roster_down":
-		r.roster.setDown(begin)
+		r.discovery.setDown(begin)
 	default:
-		r.effects()
+		r.updateEffects()
 	}
 }
 
 // bounce kills a node and brings it back.
-func (r *rig) bounce(n *node, gone time.Duration) {
+func (r *rig) restartNode(n *node, gone time.Duration) {
 	if r.ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
-	n.until = max(n.until, r.now()+gone)
+	n.downUntil = max(n.downUntil, r.now()+gone)
 	n.mu.Unlock()
 	n.kill()
 	select {
@@ -131,28 +131,28 @@
 		return
 	}
 	n.mu.Lock()
-	early := r.now() < n.until
+	early := r.now() < n.downUntil
 	if !early {
-		n.until = 1 << 62 // whoever else waits for it leaves it to this one
+		n.downUntil = 1 << 62 // whoever else waits for it leaves it to this one
 	}
 	n.mu.Unlock()
 	if !early {
-		r.fail(n.start(r.ctx))
+		r.addError(n.start(r.ctx))
 		n.mu.Lock()
-		n.until = 0
+		n.downUntil = 0
 		n.mu.Unlock()
 	}
 }
 
 // effects works out what the faults in force do to the servers and the load.
-func (r *rig) effects() {
+func (r *rig) updateEffects() {
 	r.mu.Lock()
 	var troubles []fleet.Trouble
-	r.weather, troubles = fleet.InForce(r.s, r.active, r.hits, len(r.servers))
+	r.conditions, troubles = fleet.InForce(r.scenario, r.activeFaults, r.targets, len(r.servers))
 	r.mu.Unlock()
 	for i, v := range r.servers {
 		v.mu.Lock()
-		v.trouble = troubles[i]
+		v.effects = troubles[i]
 		v.mu.Unlock()
 	}
 }
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -24,30 +24,30 @@
 			return measure.Result{}, fmt.Errorf("addr: %s is no loopback address", a)
 		}
 	}
-	r := &rig{s: &s, opt: Options{Slack: Slack}, ctx: ctx, begun: time.Now(), weather: fleet.Weather{Slowdown: 1, Storm: 1}, dead: true, // records nothing
-		rec: measure.New(s.Warmup, s.Duration)}
+	r := &rig{scenario: &s, options: Options{Slack: Slack}, ctx: ctx, startedAt: time.Now(), conditions: fleet.Weather{Slowdown: 1, Storm: 1}, finished: true, // records nothing
+		recorder: measure.New(s.Warmup, s.Duration)}
 	for i, a := range addrs {
-		n := &node{rig: r, index: i, addr: a, client: newClient("", ""), up: true, seen: true}
+		n := &node{rig: r, index: i, addr: a, client: newClient("", ""), running: true, inRotation: true}
 		defer n.client.CloseIdleConnections()
 		r.nodes = append(r.nodes, n)
 	}
 	var wg sync.WaitGroup
-	r.arrivals(func(a scenario.Ask) {
+	r.runArrivals(func(a scenario.Ask) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.ask(a)
+			r.runOperation(a)
 		}()
 	})
 	wg.Wait()
-	res := r.rec.Result()
+	res := r.recorder.Result()
 	res.Scenario, res.Policy, res.Seed, res.Engine, res.Wall = s.Name, "a running node", s.Seed, "load", r.now().Seconds()
 	return res, ctx.Err()
 }
 
 // arrivals calls do for each ask at its time, until there are no more or the run is given up; it tells which.
-func (r *rig) arrivals(do func(a scenario.Ask)) bool {
-	asks := r.s.Asks()
+func (r *rig) runArrivals(do func(a scenario.Ask)) bool {
+	asks := r.scenario.Asks()
 	for {
 		a, ok := asks.Next()
 		if !ok {
--- a/internal/lab/rig/node.go
+++ b/internal/lab/rig/node.go
@@ -21,32 +21,32 @@
 
 // node is one real node, as a process.
 type node struct {
-	rig     *rig
-	index   int
-	addr    string
-	client  *http.Client
-	opaque  string // where they ask for opaque tunnels, by CONNECT; empty: no class is of that kind
-	tunnels string // where clients ask for tunnels; empty: they don't
+	rig        *rig
+	index      int
+	addr       string
+	client     *http.Client
+	opaqueAddr string // where they ask for opaque tunnels, by CONNECT; empty: no class is of that kind
+	tunnelAddr string // where clients ask for tunnels; empty: they don't
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	up      bool
-	seen    bool // the front deals clients to it
-	stopped bool
-	until   time.Duration // it is not brought up before: faults overlap
-	log     bytes.Buffer
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	exited     chan struct{}
+	running    bool
+	inRotation bool // the front deals clients to it
+	suspended  bool
+	downUntil  time.Duration // it is not brought up before: faults overlap
+	stderr     bytes.Buffer
 }
 
 // start runs the node and returns once it takes clients.
 func (n *node) start(ctx context.Context) error {
 	rig := n.rig
-	known := rig.roster.known()
+	known := rig.discovery.fullList()
 	config := map[string]any{
-		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": rig.roster.addr[n.index],
-		"seed":   fmt.Sprintf("%x-%d-%d", rig.s.Seed, n.index, time.Now().UnixNano()),
+		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": rig.discovery.addrs[n.index],
+		"seed":   fmt.Sprintf("%x-%d-%d", rig.scenario.Seed, n.index, time.Now().UnixNano()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 4096},
-		"known":  known, "settings": rig.s.Wire(),
+		"known":  known, "settings": rig.scenario.Wire(),
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -56,9 +56,9 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(rig.opt.Binary, "node")
+	cmd := exec.Command(rig.options.Binary, "node")
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+rig.dir)
-	if file := n.file(); len(file.Contracts) > 0 || file.Tunnels != nil || file.Cells != nil || file.Health != nil {
+	if file := n.productFile(); len(file.Contracts) > 0 || file.Tunnels != nil || file.Cells != nil || file.Health != nil {
 		own := filepath.Join(rig.dir, fmt.Sprintf("portstall%d.yaml", n.index))
 		text, err := yaml.Marshal(file)
 		if err != nil {
@@ -69,8 +69,8 @@
 		}
 		cmd.Env = append(cmd.Env, "PORTSTALL_FILE="+own)
 	}
-	cmd.Stderr = &syncWriter{n: n}
-	rig.told(n.index, true, known.Servers)
+	cmd.Stderr = &stderrWriter{n: n}
+	rig.recordListSent(n.index, true, known.Servers)
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -91,31 +91,31 @@
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("node %d ended at its start: %s", n.index, n.text())
+			return fmt.Errorf("node %d ended at its start: %s", n.index, n.stderrText())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(5 * time.Millisecond):
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("node %d is not ready after 20 s: %s", n.index, n.text())
+			return fmt.Errorf("node %d is not ready after 20 s: %s", n.index, n.stderrText())
 		}
 	}
 	n.mu.Lock()
-	n.up, n.seen = true, true
+	n.running, n.inRotation = true, true
 	n.mu.Unlock()
 	return nil
 }
 
 // file is the node's own file: the scenario's, with the addresses of this run.
-func (n *node) file() config.File {
-	s, file := n.rig.s, n.rig.s.File
-	file.Cells = s.Cells.At(n.rig.zero)
-	if n.rig.agents {
+func (n *node) productFile() config.File {
+	s, file := n.rig.scenario, n.rig.scenario.File
+	file.Cells = s.Cells.At(n.rig.plannedStart)
+	if n.rig.usesAgents {
 		health, checks, agent := *file.Health, *file.Health.Checks, *file.Health.Checks.Agent
 		agent.Port = agentPort
 		checks.Agent, health.Checks, file.Health = &agent, &checks, &health
 	}
-	if n.tunnels == "" && n.opaque == "" && s.Servers.Via == "" {
+	if n.tunnelAddr == "" && n.opaqueAddr == "" && s.Servers.Via == "" {
 		return file
 	}
 	if len(file.Services) == 0 {
@@ -124,20 +124,20 @@
 	t := &config.Tunnels{}
 	switch s.Clients.Via {
 	case "socks5":
-		t.SOCKS5 = n.tunnels
+		t.SOCKS5 = n.tunnelAddr
 	case "connect":
-		t.Connect = n.tunnels
+		t.Connect = n.tunnelAddr
 	}
-	if n.opaque != "" {
-		t.Connect = n.opaque
+	if n.opaqueAddr != "" {
+		t.Connect = n.opaqueAddr
 	}
 	for i, c := range s.Classes {
 		if c.Stands > 0 {
-			t.Routes = append(t.Routes, config.Route{Host: opaqueName, Port: uint16(opaquePort(i)), Service: file.Services[0].Name, Kind: "opaque",
+			t.Routes = append(t.Routes, config.Route{Host: opaqueHost, Port: uint16(opaquePort(i)), Service: file.Services[0].Name, Kind: "opaque",
 				Class: c.Name, Drain: s.Rules.TunnelDrain, Idle: time.Hour, Total: 2 * time.Hour})
 		}
 	}
-	t.Routes = append(t.Routes, config.Route{Host: routeName, Port: 80, Service: file.Services[0].Name})
+	t.Routes = append(t.Routes, config.Route{Host: routeHost, Port: 80, Service: file.Services[0].Name})
 	for i, v := range n.rig.servers {
 		if s.Servers.Via == "" {
 			break
@@ -155,47 +155,47 @@
 }
 
 // syncWriter keeps the end of what a node logs.
-type syncWriter struct{ n *node }
+type stderrWriter struct{ n *node }
 
-func (w *syncWriter) Write(p []byte) (int, error) {
+func (w *stderrWriter) Write(p []byte) (int, error) {
 	w.n.mu.Lock()
 	defer w.n.mu.Unlock()
-	if w.n.log.Len() > 1<<20 {
-		w.n.log.Reset()
+	if w.n.stderr.Len() > 1<<20 {
+		w.n.stderr.Reset()
 	}
-	return w.n.log.Write(p)
+	return w.n.stderr.Write(p)
 }
 
-func (n *node) text() string {
+func (n *node) stderrText() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.log.String()
+	return n.stderr.String()
 }
 
 // kill ends the process at once. The front notices after a while.
 func (n *node) kill() {
 	n.mu.Lock()
-	cmd, exited, up := n.cmd, n.exited, n.up
-	n.up = false
+	cmd, exited, up := n.cmd, n.exited, n.running
+	n.running = false
 	n.mu.Unlock()
 	if !up {
 		return
 	}
-	n.rig.killed(n.index)
+	n.rig.recordNodeKilled(n.index)
 	cmd.Process.Kill()
 	<-exited
-	time.AfterFunc(n.rig.s.Front.Notice, func() {
+	time.AfterFunc(n.rig.scenario.Front.Notice, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.seen = n.up
+		n.inRotation = n.running
 	})
 }
 
 // leave ends the process as a planned restart would, and tells whether it went well.
-func (n *node) leave() error {
+func (n *node) terminate() error {
 	n.mu.Lock()
-	cmd, exited, up := n.cmd, n.exited, n.up
-	n.up = false
+	cmd, exited, up := n.cmd, n.exited, n.running
+	n.running = false
 	n.mu.Unlock()
 	if !up {
 		return nil
@@ -209,19 +209,19 @@
 		return fmt.Errorf("node %d did not end within 15 s of SIGTERM", n.index)
 	}
 	if code := cmd.ProcessState.ExitCode(); code != 0 {
-		return fmt.Errorf("node %d ended with code %d: %s", n.index, code, n.text())
+		return fmt.Errorf("node %d ended with code %d: %s", n.index, code, n.stderrText())
 	}
 	return nil
 }
 
 // freeze stops the process, or lets it go on.
-func (n *node) freeze(on bool) {
+func (n *node) setSuspended(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.up || n.stopped == on {
+	if !n.running || n.suspended == on {
 		return
 	}
-	n.stopped = on
+	n.suspended = on
 	sig := syscall.SIGCONT
 	if on {
 		sig = syscall.SIGSTOP
@@ -230,15 +230,15 @@
 }
 
 // died tells of a node that has ended by itself.
-func (n *node) died() error {
+func (n *node) exitError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.up {
+	if !n.running {
 		return nil
 	}
 	select {
 	case <-n.exited:
-		return errors.New("a node ended by itself: " + n.log.String())
+		return errors.New("a node ended by itself: " + n.stderr.String())
 	default:
 		return nil
 	}
--- a/internal/lab/rig/record.go
+++ b/internal/lab/rig/record.go
@@ -10,88 +10,88 @@
 	"portstall/internal/lab/oracle"
 )
 
-type what uint8
+type recordKind uint8
 
 const (
-	toldOf what = iota
-	startedUp
-	taken
-	sentTo
-	over // an attempt
-	servedTo
-	refused
-	failed
-	left
-	overdue
-	broken // the connection to the node ended without an answer
-	dead   // a node was killed
-	frozen // or stopped
+	serverListed recordKind = iota
+	serverStarted
+	requestSent
+	attemptArrived
+	attemptEnded // an attempt
+	requestServed
+	requestRefused
+	requestFailed
+	clientLeft
+	clientTimedOut
+	connectionBroken // the connection to the node ended without an answer
+	nodeKilled       // a node was killed
+	nodeSuspended    // or stopped
 )
 
 // record is one thing that a stand-in saw.
 type record struct {
-	what     what
-	at       time.Duration
-	node     int
-	id       string
-	server   int // index
-	attempt  int
-	class    int
-	key      string
-	until    time.Duration
-	notRun   bool
-	capacity float64
-	launched time.Duration
-	out      bool
+	kind       recordKind
+	at         time.Duration
+	node       int
+	id         string
+	server     int // index
+	attempt    int
+	class      int
+	key        string
+	deadline   time.Duration
+	notRun     bool
+	capacity   float64
+	launchedAt time.Duration
+	flag       bool
 }
 
 // note keeps a record. r.mu is held.
-func (r *rig) note(rec record) {
-	if !r.dead {
-		r.log = append(r.log, rec)
+func (r *rig) appendRecord(rec record) {
+	if !r.finished {
+		r.records = append(r.records, rec)
 	}
 }
 
 // told books what the roster has written to a node.
-func (r *rig) told(node int, full bool, servers []listed) {
+func (r *rig) recordListSent(node int, full bool, servers []listEntry) {
 	at := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	seen := map[int]bool{}
 	for _, e := range servers {
 		seen[e.index] = true
-		r.note(record{what: toldOf, at: at, node: node, server: e.index, out: e.State != "Ready", launched: max(0, e.launched)})
+		r.appendRecord(record{kind: serverListed, at: at, node: node, server: e.index, flag: e.State != "Ready", launchedAt: max(0, e.launchedAt)})
 	}
 	if full {
 		for _, v := range r.servers {
 			if !seen[v.index] {
-				r.note(record{what: toldOf, at: at, node: node, server: v.index, out: true})
+				r.appendRecord(record{kind: serverListed, at: at, node: node, server: v.index, flag: true})
 			}
 		}
 	}
 }
 
 // started books that a server has come up cold. Its lock is held.
-func (r *rig) started(v *server) {
+func (r *rig) recordServerStart(v *server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(record{what: startedUp, at: r.now(), server: v.index})
+	r.appendRecord(record{kind: serverStarted, at: r.now(), server: v.index})
 }
 
 // recorded books that the last byte of an attempt has reached a server, and returns the attempt's number.
-func (r *rig) recorded(id string, v *server, capacity float64) int {
-	return r.recordedAt(r.now(), id, v, capacity)
+func (r *rig) recordAttempt(id string, v *server, capacity float64) int {
+	return r.recordAttemptAt(r.now(), id, v, capacity)
 }
 
-func (r *rig) recordedAt(at time.Duration, id string, v *server, capacity float64) int {
+func (r *rig) recordAttemptAt(at time.Duration, id string, v *server, capacity float64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.nth[id]
-	r.nth[id]++
-	r.rec.Attempt(at)
-	r.note(record{what: sentTo, at: at, id: id, server: v.index, attempt: n, capacity: capacity})
-	if !r.dead {
-		r.open[attemptKey(id, n)] = true
+	n := r.attemptCounts[id]
+	r.attemptCounts[id]++
+	r.recorder.Attempt(at)
+	r.appendRecord(record{kind: attemptArrived, at: at, id: id, server: v.index, attempt: n, capacity: capacity})
+	if !r.finished {
+		r.openAttempts[attemptKey(id, n)] = true
 	}
 	return n
 }
@@ -99,29 +99,29 @@
 func attemptKey(id string, n int) string { return fmt.Sprintf("%s/%d", id, n) }
 
 // attemptOver books that a server is done with an attempt, or has seen its connection close.
-func (r *rig) attemptOver(id string, n int, notRun bool) {
+func (r *rig) recordAttemptEnd(id string, n int, notRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, attemptKey(id, n))
-	r.note(record{what: over, at: r.now(), id: id, attempt: n, notRun: notRun})
+	delete(r.openAttempts, attemptKey(id, n))
+	r.appendRecord(record{kind: attemptEnded, at: r.now(), id: id, attempt: n, notRun: notRun})
 }
 
 // killed books that a node was killed, and with it all that it held.
-func (r *rig) killed(node int) {
+func (r *rig) recordNodeKilled(node int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(record{what: dead, at: r.now(), node: node})
+	r.appendRecord(record{kind: nodeKilled, at: r.now(), node: node})
 }
 
 // check hands all records to the oracles in the order of their times. r.mu is held.
-func (r *rig) check(end time.Duration) *oracle.Book {
-	slack := r.opt.Slack
-	book := fleet.Books(r.s, r.s.Fleet(), slack, true)
-	settle(r.log, slack)
-	slices.SortStableFunc(r.log, func(a, b record) int { return cmp.Compare(a.at, b.at) })
+func (r *rig) checkRules(end time.Duration) *oracle.Book {
+	slack := r.options.Slack
+	book := fleet.Books(r.scenario, r.scenario.Fleet(), slack, true)
+	reorderCrossedEnds(r.records, slack)
+	slices.SortStableFunc(r.records, func(a, b record) int { return cmp.Compare(a.at, b.at) })
 	home := map[string]record{} // the taking of each request
-	for _, e := range r.log {
-		if e.what == taken {
+	for _, e := range r.records {
+		if e.kind == requestSent {
 			home[e.id] = e
 		}
 	}
@@ -132,51 +132,51 @@
 	stopped := map[int]bool{}
 	lost := map[string]bool{} // their node was killed, or their connection broke with it
 	outs := map[string]bool{} // attempts that are out
-	for _, e := range r.log {
+	for _, e := range r.records {
 		t, known := home[e.id]
-		switch e.what {
-		case toldOf:
-			book.Told(e.at, e.node, r.servers[e.server].ID, e.out, e.launched)
-		case startedUp:
+		switch e.kind {
+		case serverListed:
+			book.Told(e.at, e.node, r.servers[e.server].ID, e.flag, e.launchedAt)
+		case serverStarted:
 			book.Started(e.at, r.servers[e.server].ID)
-		case taken:
+		case requestSent:
 			held[e.node][e.id] = true
-			book.Taken(e.at, e.node, e.id, e.class, e.until)
+			book.Taken(e.at, e.node, e.id, e.class, e.deadline)
 			book.Keyed(e.id, e.key)
 			if stopped[e.node] {
 				book.Stopped(e.node, e.id)
 			}
-		case sentTo:
+		case attemptArrived:
 			if known && lost[e.id] {
 				continue
 			}
 			outs[attemptKey(e.id, e.attempt)] = true
-			book.Sent(e.at, t.node, e.id, r.servers[e.server].ID, r.s.Classes[t.class].Work.Seconds(), e.capacity)
-		case over:
+			book.Sent(e.at, t.node, e.id, r.servers[e.server].ID, r.scenario.Classes[t.class].Work.Seconds(), e.capacity)
+		case attemptEnded:
 			if !lost[e.id] && outs[attemptKey(e.id, e.attempt)] {
 				delete(outs, attemptKey(e.id, e.attempt))
 				if book.Holds(e.id) {
 					book.Ended(e.at, t.node, e.id, e.attempt, "over at its server", e.notRun, false)
 				}
 			}
-		case servedTo, failed, refused:
+		case requestServed, requestFailed, requestRefused:
 			if lost[e.id] {
 				continue
 			}
 			delete(held[t.node], e.id)
-			switch e.what {
-			case refused:
+			switch e.kind {
+			case requestRefused:
 				book.Refused(e.at, t.node, e.id)
-			case servedTo:
+			case requestServed:
 				book.Served(e.at, t.node, e.id)
 			default:
 				book.Failed(e.at, t.node, e.id)
 			}
-		case left:
+		case clientLeft:
 			delete(held[t.node], e.id)
 			book.Left(e.at, t.node, e.id)
-		case overdue, broken:
-			if e.out { // its node was killed meanwhile
+		case clientTimedOut, connectionBroken:
+			if e.flag { // its node was killed meanwhile
 				lost[e.id] = true
 				book.Killed(t.node, []string{e.id})
 			}
@@ -184,7 +184,7 @@
 				delete(held[t.node], e.id)
 				book.Overdue(e.at, t.node, e.id)
 			}
-		case dead:
+		case nodeKilled:
 			var ids []string
 			for id := range held[e.node] {
 				ids = append(ids, id)
@@ -192,14 +192,14 @@
 			}
 			held[e.node] = map[string]bool{}
 			book.Killed(e.node, ids)
-		case frozen:
-			stopped[e.node] = e.out
+		case nodeSuspended:
+			stopped[e.node] = e.flag
 			for id := range held[e.node] {
 				book.Stopped(e.node, id)
 			}
 		}
 	}
-	left := map[string]int{"attempts at servers": len(r.open)}
+	left := map[string]int{"attempts at servers": len(r.openAttempts)}
 	book.Close(end, left)
 	return book
 }
@@ -207,23 +207,23 @@
 // settle moves the end of an attempt before the next one's arrival where the two have crossed within slack: the node
 // closes the one connection before it writes to the next, but the one server may see it after the other has read. A client
 // that leaves is noticed within slack too.
-func settle(log []record, slack time.Duration) {
+func reorderCrossedEnds(log []record, slack time.Duration) {
 	type key struct {
 		id string
 		n  int
 	}
 	next := map[key]time.Duration{}
 	for _, e := range log {
-		if e.what == sentTo {
+		if e.kind == attemptArrived {
 			next[key{e.id, e.attempt - 1}] = e.at
 		}
 	}
 	for i := range log {
 		e := &log[i]
-		if e.what == left {
+		if e.kind == clientLeft {
 			e.at += slack
 		}
-		if e.what == over {
+		if e.kind == attemptEnded {
 			if at, ok := next[key{e.id, e.attempt}]; ok && e.at > at && e.at <= at+slack {
 				e.at = at - 1
 			}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -28,7 +28,7 @@
 const Slack = 50 * time.Millisecond
 
 // startTime is what all stand-ins and nodes have to come up in where nodes are told when the day begins.
-const startTime = 3 * time.Second
+const startupAllowance = 3 * time.Second
 
 // agentPort is where all agents listen, each on its server's host. It lies below the ports that kernels hand out.
 const agentPort = 9777
@@ -44,29 +44,29 @@
 
 // rig is one run.
 type rig struct {
-	s       *scenario.Scenario
-	opt     Options
-	ctx     context.Context
-	dir     string
-	begun   time.Time
-	zero    time.Time // when the day is to begin, where nodes are told times of it
-	servers []*server
-	nodes   []*node
-	agents  bool             // one beside each server
-	proxies []*standin.Proxy // before every other server each; none: servers are reached directly
-	roster  roster
-	hits    [][]int
-	wg      sync.WaitGroup
+	scenario     *scenario.Scenario
+	options      Options
+	ctx          context.Context
+	dir          string
+	startedAt    time.Time
+	plannedStart time.Time // when the day is to begin, where nodes are told times of it
+	servers      []*server
+	nodes        []*node
+	usesAgents   bool             // one beside each server
+	proxies      []*standin.Proxy // before every other server each; none: servers are reached directly
+	discovery    discovery
+	targets      [][]int
+	wg           sync.WaitGroup
 
-	mu      sync.Mutex
-	weather fleet.Weather
-	active  []bool
-	rec     *measure.Recorder
-	log     []record
-	open    map[string]bool // attempts at servers, by request and number
-	nth     map[string]int
-	errs    []error
-	dead    bool // the run is over: nothing more is recorded
+	mu            sync.Mutex
+	conditions    fleet.Weather
+	activeFaults  []bool
+	recorder      *measure.Recorder
+	records       []record
+	openAttempts  map[string]bool // attempts at servers, by request and number
+	attemptCounts map[string]int
+	errs          []error
+	finished      bool // the run is over: nothing more is recorded
 }
 
 // Run plays a scenario. The error is one of the stand-ins or the nodes; breaches are in the result.
@@ -89,31 +89,31 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &rig{s: &s, opt: opt, ctx: ctx, dir: dir, weather: fleet.Weather{Slowdown: 1, Storm: 1}, active: make([]bool, len(s.Faults)),
-		rec: measure.New(s.Warmup, s.Duration), open: map[string]bool{}, nth: map[string]int{}, begun: time.Now()}
-	r.roster.rig = r
-	defer r.stop()
+	r := &rig{scenario: &s, options: opt, ctx: ctx, dir: dir, conditions: fleet.Weather{Slowdown: 1, Storm: 1}, activeFaults: make([]bool, len(s.Faults)),
+		recorder: measure.New(s.Warmup, s.Duration), openAttempts: map[string]bool{}, attemptCounts: map[string]int{}, startedAt: time.Now()}
+	r.discovery.rig = r
+	defer r.cleanUp()
 	if err := r.start(); err != nil {
 		return measure.Result{}, err
 	}
-	r.play()
-	return r.finish()
+	r.runTimeline()
+	return r.stopNodesAndCheck()
 }
 
 // now is the time since the scenario's start.
-func (r *rig) now() time.Duration { return time.Since(r.begun) }
+func (r *rig) now() time.Duration { return time.Since(r.startedAt) }
 
 func (r *rig) start() error {
-	if r.s.Cells.Size > 0 {
-		r.zero = time.Now().Add(startTime)
+	if r.scenario.Cells.Size > 0 {
+		r.plannedStart = time.Now().Add(startupAllowance)
 	}
-	list := r.s.Fleet()
-	r.hits = r.s.Hits(list)
-	r.agents = r.asksAgents()
+	list := r.scenario.Fleet()
+	r.targets = r.scenario.Hits(list)
+	r.usesAgents = r.checksUseAgents()
 	for i, f := range list {
 		v := &server{Server: f, rig: r, index: i, slots: f.Kind.Cores * f.Kind.SlotsPerCore,
-			queueCap: f.Kind.Cores * f.Kind.QueuePerCore, launched: -1, trouble: fleet.Trouble{Slow: 1, Lie: 1},
-			reports: fleet.Reports{Period: r.s.Servers.Reports.Period, Phase: rand.N(r.s.Servers.Reports.Period)}}
+			queueCap: f.Kind.Cores * f.Kind.QueuePerCore, launchedAt: -1, effects: fleet.Trouble{Slow: 1, Lie: 1},
+			reports: fleet.Reports{Period: r.scenario.Servers.Reports.Period, Phase: rand.N(r.scenario.Servers.Reports.Period)}}
 		var err error
 		if v.host, err = standin.Host(); err != nil {
 			return err
@@ -122,40 +122,40 @@
 		if err := v.start(); err != nil {
 			return err
 		}
-		if r.agents {
+		if r.usesAgents {
 			if v.agent, err = standin.StartAgent(net.JoinHostPort(v.host, strconv.Itoa(agentPort))); err != nil {
 				return err
 			}
-			v.agent.Asks(func() (string, bool) { return v.says(true) })
+			v.agent.Asks(func() (string, bool) { return v.healthReply(true) })
 		}
-		r.roster.entries = append(r.roster.entries, r.entry(v, "Ready"))
+		r.discovery.entries = append(r.discovery.entries, r.listEntryOf(v, "Ready"))
 	}
-	if err := r.roster.start(r.s.Nodes); err != nil {
+	if err := r.discovery.start(r.scenario.Nodes); err != nil {
 		return err
 	}
-	for i := range r.s.Nodes {
+	for i := range r.scenario.Nodes {
 		addr, err := standin.FreeAddr()
 		if err != nil {
 			return err
 		}
 		n := &node{rig: r, index: i, addr: addr}
-		if r.s.Clients.Via != "" {
-			if n.tunnels, err = standin.FreeAddr(); err != nil {
+		if r.scenario.Clients.Via != "" {
+			if n.tunnelAddr, err = standin.FreeAddr(); err != nil {
 				return err
 			}
 		}
-		if slices.ContainsFunc(r.s.Classes, func(c scenario.Class) bool { return c.Stands > 0 }) {
-			if n.opaque, err = standin.FreeAddr(); err != nil {
+		if slices.ContainsFunc(r.scenario.Classes, func(c scenario.Class) bool { return c.Stands > 0 }) {
+			if n.opaqueAddr, err = standin.FreeAddr(); err != nil {
 				return err
 			}
-			if r.s.Clients.Via == "connect" { // one listener does for both
-				n.opaque = n.tunnels
+			if r.scenario.Clients.Via == "connect" { // one listener does for both
+				n.opaqueAddr = n.tunnelAddr
 			}
 		}
-		n.client = newClient(r.s.Clients.Via, n.tunnels)
+		n.client = newClient(r.scenario.Clients.Via, n.tunnelAddr)
 		r.nodes = append(r.nodes, n)
 	}
-	if via := r.s.Servers.Via; via != "" {
+	if via := r.scenario.Servers.Via; via != "" {
 		for range 2 {
 			p := &standin.Proxy{SOCKS5: via == "socks5", User: "node", Password: "node"}
 			r.proxies = append(r.proxies, p)
@@ -176,25 +176,25 @@
 }
 
 // asksAgents tells whether nodes ask agents.
-func (r *rig) asksAgents() bool {
-	h := r.s.Health
+func (r *rig) checksUseAgents() bool {
+	h := r.scenario.Health
 	return h != nil && h.Checks != nil && h.Checks.Agent != nil
 }
 
 // entry is a server as the roster lists it. The server's lock is held, or nobody else knows it yet.
-func (r *rig) entry(v *server, state string) listed {
-	e := listed{Listed: standin.Listed{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone), Kind: v.Kind.Name,
-		Cell: v.Pod, State: state, Weight: 1}, index: v.index, launched: v.launched}
-	if v.launched >= 0 {
-		e.Started = r.begun.Add(v.launched).UnixMilli()
+func (r *rig) listEntryOf(v *server, state string) listEntry {
+	e := listEntry{Listed: standin.Listed{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone), Kind: v.Kind.Name,
+		Cell: v.Pod, State: state, Weight: 1}, index: v.index, launchedAt: v.launchedAt}
+	if v.launchedAt >= 0 {
+		e.Started = r.startedAt.Add(v.launchedAt).UnixMilli()
 	}
 	return e
 }
 
 // play lets the day pass: arrivals and faults at their times.
-func (r *rig) play() {
-	time.Sleep(time.Until(r.zero)) // what the nodes were told of times counts from it
-	r.begun = time.Now()
+func (r *rig) runTimeline() {
+	time.Sleep(time.Until(r.plannedStart)) // what the nodes were told of times counts from it
+	r.startedAt = time.Now()
 	var timers []*time.Timer
 	at := func(t time.Duration, do func()) {
 		r.wg.Add(1)
@@ -203,28 +203,28 @@
 			do()
 		}))
 	}
-	for i := range r.s.Faults {
-		at(r.s.Faults[i].At, func() { r.fault(i, true) })
-		if !scenario.Kinds[r.s.Faults[i].Kind].Instant {
-			at(r.s.Faults[i].End(), func() { r.fault(i, false) })
+	for i := range r.scenario.Faults {
+		at(r.scenario.Faults[i].At, func() { r.applyFault(i, true) })
+		if !scenario.Kinds[r.scenario.Faults[i].Kind].Instant {
+			at(r.scenario.Faults[i].End(), func() { r.applyFault(i, false) })
 		}
 	}
-	if r.opt.Watch != nil {
-		for sec := 1; sec <= int(r.s.Duration/time.Second); sec++ {
+	if r.options.Watch != nil {
+		for sec := 1; sec <= int(r.scenario.Duration/time.Second); sec++ {
 			at(time.Duration(sec)*time.Second, func() {
 				r.mu.Lock()
-				res := r.rec.Result()
+				res := r.recorder.Result()
 				res.Series = slices.Clone(res.Series)
 				r.mu.Unlock()
-				r.opt.Watch(sec, res)
+				r.options.Watch(sec, res)
 			})
 		}
 	}
-	whole := r.arrivals(func(a scenario.Ask) {
+	whole := r.runArrivals(func(a scenario.Ask) {
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.ask(a)
+			r.runOperation(a)
 		}()
 	})
 	if !whole {
@@ -238,7 +238,7 @@
 }
 
 // fail keeps an error of the stand-ins, which spoils the run.
-func (r *rig) fail(err error) {
+func (r *rig) addError(err error) {
 	if err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -247,36 +247,36 @@
 }
 
 // finish lets the nodes leave and checks the rules.
-func (r *rig) finish() (measure.Result, error) {
+func (r *rig) stopNodesAndCheck() (measure.Result, error) {
 	for _, n := range r.nodes {
-		n.freeze(false)
-		r.fail(n.died())
+		n.setSuspended(false)
+		r.addError(n.exitError())
 	}
 	errs := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
-		go func() { errs <- n.leave() }()
+		go func() { errs <- n.terminate() }()
 	}
 	for range r.nodes {
-		r.fail(<-errs)
+		r.addError(<-errs)
 	}
 	end := r.now()
 	var loads []measure.ServerLoad
 	for _, v := range r.servers {
 		v.mu.Lock()
-		loads = append(loads, measure.ServerLoad{ID: v.ID, Kind: v.Kind.Name, Sent: v.sent,
-			Busy: v.total / (float64(v.Kind.Cores) * v.Speed * r.s.Duration.Seconds())})
+		loads = append(loads, measure.ServerLoad{ID: v.ID, Kind: v.Kind.Name, Sent: v.attempts,
+			Busy: v.totalWork / (float64(v.Kind.Cores) * v.Speed * r.scenario.Duration.Seconds())})
 		v.mu.Unlock()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dead = true
+	r.finished = true
 	if err := r.ctx.Err(); err != nil {
 		return measure.Result{}, err
 	}
-	res := r.rec.Result()
-	res.Scenario, res.Policy, res.Seed, res.Engine, res.Wall = r.s.Name, "portstall", r.s.Seed, "rig", end.Seconds()
-	res.Trigger = r.s.Trigger()
-	book := r.check(end)
+	res := r.recorder.Result()
+	res.Scenario, res.Policy, res.Seed, res.Engine, res.Wall = r.scenario.Name, "portstall", r.scenario.Seed, "rig", end.Seconds()
+	res.Trigger = r.scenario.Trigger()
+	book := r.checkRules(end)
 	for rule, n := range book.Counts() {
 		res.Broken[string(rule)] = n
 	}
@@ -288,26 +288,26 @@
 }
 
 // stop ends whatever still runs.
-func (r *rig) stop() {
+func (r *rig) cleanUp() {
 	for _, n := range r.nodes {
-		n.freeze(false)
+		n.setSuspended(false)
 		n.kill()
 		n.client.CloseIdleConnections()
 	}
 	for _, p := range r.proxies {
 		p.Stop()
 	}
-	if r.roster.end != nil {
-		r.roster.stop()
+	if r.discovery.stopped != nil {
+		r.discovery.stop()
 	}
 	for _, v := range r.servers {
 		v.mu.Lock()
-		if v.silent != nil {
-			close(v.silent)
-			v.silent = nil
+		if v.silence != nil {
+			close(v.silence)
+			v.silence = nil
 		}
 		if v.up {
-			v.end()
+			v.closeAll()
 		}
 		v.mu.Unlock()
 		if v.agent != nil {
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -19,7 +19,7 @@
 )
 
 // loose lengthens the rules' time limits where CI runs them: a verdict must not hang on how busy the machine is.
-const loose = 2 * time.Second
+const testSlack = 2 * time.Second
 
 var binary string
 
@@ -38,12 +38,12 @@
 	os.Exit(code)
 }
 
-func play(t *testing.T, s scenario.Scenario) measure.Result {
+func runRig(t *testing.T, s scenario.Scenario) measure.Result {
 	t.Helper()
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(context.Background(), s, Options{Binary: binary, Slack: loose})
+	r, err := Run(context.Background(), s, Options{Binary: binary, Slack: testSlack})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, s)
+	r := runRig(t, s)
 	m, err := model.Run(s, model.Options{Make: model.Portstall})
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 		{Kind: "shared_slow", At: 9 * time.Second, For: time.Second, Factor: 1.5},
 		{Kind: "storm", At: 9 * time.Second, For: time.Second, Factor: 2},
 	}
-	r := play(t, s)
+	r := runRig(t, s)
 	t.Logf("%v %v", r.Endings, r.Causes)
 	if r.All.Served < r.All.Asked/2 {
 		t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
@@ -119,7 +119,7 @@
 	}
 	s.Duration, s.Clients.Rate, s.Classes[0].Stands, s.Rules.TunnelDrain = 8*time.Second, 60, 4*time.Second, 500*time.Millisecond
 	s.Faults[0].At, s.Faults[0].For, s.Faults[1].At = 3*time.Second, 4*time.Second, 6*time.Second
-	if r := play(t, s); r.All.Served < r.All.Asked*8/10 {
+	if r := runRig(t, s); r.All.Served < r.All.Asked*8/10 {
 		t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
 	}
 }
@@ -163,7 +163,7 @@
 						scenario.Fault{Kind: "proxy_nonsense", At: 2 * time.Second, For: 500 * ms},
 						scenario.Fault{Kind: "proxy_slow", At: 3500 * ms, For: 500 * ms, Delay: 300 * ms})
 				}
-				r := play(t, s)
+				r := runRig(t, s)
 				t.Logf("%v %v", r.Endings, r.Causes)
 				if r.All.Served < r.All.Asked/2 {
 					t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
--- a/internal/lab/rig/roster.go
+++ b/internal/lab/rig/roster.go
@@ -12,61 +12,61 @@
 
 // roster is the stand-in discovery: the whole list, and watches that wait for changes. Each node has an address of its
 // own there, so that what each was told is known.
-type roster struct {
-	rig  *rig
-	http []*http.Server
-	addr []string
+type discovery struct {
+	rig     *rig
+	servers []*http.Server
+	addrs   []string
 
 	mu      sync.Mutex
-	entries []listed // by server's index
-	log     []listed // each change, its version being its place plus one
-	news    chan struct{}
+	entries []listEntry // by server's index
+	changes []listEntry // each change, its version being its place plus one
+	changed chan struct{}
 	down    bool
-	end     chan struct{}
+	stopped chan struct{}
 }
 
-type listed struct {
+type listEntry struct {
 	standin.Listed
 
-	index    int
-	launched time.Duration // scenario time; negative: long ago
+	index      int
+	launchedAt time.Duration // scenario time; negative: long ago
 }
 
-type answer struct {
-	Version int      `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []listed `json:"servers"`
+type listResponse struct {
+	Version int         `json:"version"`
+	Full    bool        `json:"full"`
+	Servers []listEntry `json:"servers"`
 }
 
 // start opens an address for each node.
-func (r *roster) start(nodes int) error {
-	r.news, r.end = make(chan struct{}), make(chan struct{})
+func (r *discovery) start(nodes int) error {
+	r.changed, r.stopped = make(chan struct{}), make(chan struct{})
 	for i := range nodes {
 		ln, err := standin.Listen()
 		if err != nil {
 			return err
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, q *http.Request) { r.answer(i, w, q) })
+		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, q *http.Request) { r.respond(i, w, q) })
 		h := &http.Server{Handler: mux}
-		r.http, r.addr = append(r.http, h), append(r.addr, ln.Addr().String())
+		r.servers, r.addrs = append(r.servers, h), append(r.addrs, ln.Addr().String())
 		go h.Serve(ln) // ends with Close
 	}
 	return nil
 }
 
-func (r *roster) stop() {
-	close(r.end)
-	for _, h := range r.http {
+func (r *discovery) stop() {
+	close(r.stopped)
+	for _, h := range r.servers {
 		h.Close()
 	}
 }
 
 // known is the whole list, in the form in which a node's configuration has it.
-func (r *roster) known() answer {
+func (r *discovery) fullList() listResponse {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := answer{Version: len(r.log) + 1, Full: true, Servers: []listed{}}
+	a := listResponse{Version: len(r.changes) + 1, Full: true, Servers: []listEntry{}}
 	for _, e := range r.entries {
 		if e.State != "Gone" {
 			a.Servers = append(a.Servers, e)
@@ -76,7 +76,7 @@
 }
 
 // answer answers one node's call. Down, it answers none.
-func (r *roster) answer(node int, w http.ResponseWriter, q *http.Request) {
+func (r *discovery) respond(node int, w http.ResponseWriter, q *http.Request) {
 	since, err := strconv.Atoi(q.URL.Query().Get("since"))
 	watch := err == nil
 	limit, _ := strconv.Atoi(q.URL.Query().Get("timeout_ms"))
@@ -84,7 +84,7 @@
 	defer timeout.Stop()
 	for {
 		r.mu.Lock()
-		news, down, version := r.news, r.down, len(r.log)+1
+		news, down, version := r.changed, r.down, len(r.changes)+1
 		r.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -99,30 +99,30 @@
 		case <-timeout.C:
 		case <-q.Context().Done():
 			return
-		case <-r.end:
+		case <-r.stopped:
 			return
 		}
 		break
 	}
-	a := r.known()
+	a := r.fullList()
 	if watch && since >= 1 && since <= a.Version {
 		r.mu.Lock()
-		a.Full, a.Servers = false, append([]listed{}, r.log[since-1:a.Version-1]...)
+		a.Full, a.Servers = false, append([]listEntry{}, r.changes[since-1:a.Version-1]...)
 		r.mu.Unlock()
 	}
 	text, _ := json.Marshal(a) // plain values
 	w.Write(text)
-	r.rig.told(node, a.Full, a.Servers)
+	r.rig.recordListSent(node, a.Full, a.Servers)
 }
 
 // list lets the roster tell of a server's state after a while, unless it changes again before.
-func (r *roster) list(v *server, state string, after time.Duration) {
-	v.listing++
-	listing := v.listing
-	e := r.rig.entry(v, state)
+func (r *discovery) scheduleUpdate(v *server, state string, after time.Duration) {
+	v.listUpdate++
+	listing := v.listUpdate
+	e := r.rig.listEntryOf(v, state)
 	time.AfterFunc(after, func() {
 		v.mu.Lock()
-		current := listing == v.listing
+		current := listing == v.listUpdate
 		v.mu.Unlock()
 		if !current {
 			return
@@ -133,21 +133,21 @@
 			return
 		}
 		r.entries[v.index] = e
-		r.log = append(r.log, e)
-		r.wake()
+		r.changes = append(r.changes, e)
+		r.wakeWatches()
 	})
 }
 
 // setDown takes the roster out of reach, or back.
-func (r *roster) setDown(down bool) {
+func (r *discovery) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
-	r.wake()
+	r.wakeWatches()
 }
 
 // wake lets all watches look again. r.mu is held.
-func (r *roster) wake() {
-	close(r.news)
-	r.news = make(chan struct{})
+func (r *discovery) wakeWatches() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -30,26 +30,26 @@
 	slots    int
 	queueCap int
 
-	mu       sync.Mutex
-	http     *http.Server
-	ln       *gate
-	up       bool
-	life     int           // counts its ends
-	silent   chan struct{} // closed when its machine is back; nil while it answers
-	until    time.Duration
-	launched time.Duration // scenario time; negative: long ago
-	done     float64
-	busy     int
-	queue    []chan bool
-	conns    map[net.Conn]bool // true once a request has come on it
-	reports  fleet.Reports
-	stuffed  []net.Conn // fill its backlog
-	tunnels  map[net.Conn]struct{}
-	listing  int
-	sent     int
-	total    float64
+	mu             sync.Mutex
+	http           *http.Server
+	listener       *pausableListener
+	up             bool
+	incarnation    int           // counts its ends
+	silence        chan struct{} // closed when its machine is back; nil while it answers
+	downUntil      time.Duration
+	launchedAt     time.Duration // scenario time; negative: long ago
+	workSinceStart float64
+	busySlots      int
+	queue          []chan bool
+	conns          map[net.Conn]bool // true once a request has come on it
+	reports        fleet.Reports
+	backlogConns   []net.Conn // fill its backlog
+	tunnels        map[net.Conn]struct{}
+	listUpdate     int
+	attempts       int
+	totalWork      float64
 
-	trouble fleet.Trouble
+	effects fleet.Trouble
 	agent   *standin.Agent // beside it; nil: there is none
 }
 
@@ -63,21 +63,21 @@
 	if err != nil {
 		return err
 	}
-	v.addr, v.ln = ln.Addr().String(), newGate(ln.(*net.TCPListener))
-	v.http = &http.Server{Handler: v, IdleTimeout: v.rig.s.Servers.Connections.Idle, ConnState: v.track,
+	v.addr, v.listener = ln.Addr().String(), newPausableListener(ln.(*net.TCPListener))
+	v.http = &http.Server{Handler: v, IdleTimeout: v.rig.scenario.Servers.Connections.Idle, ConnState: v.trackConn,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
 			return context.WithValue(ctx, acceptedKey{}, time.Now())
 		}}
 	v.conns = map[net.Conn]bool{}
 	v.up = true
-	go v.http.Serve(v.ln) // ends with Close
+	go v.http.Serve(v.listener) // ends with Close
 	return nil
 }
 
 // says is what the agent beside it says, or what a check of it finds.
-func (v *server) says(agent bool) (string, bool) {
+func (v *server) healthReply(agent bool) (string, bool) {
 	v.mu.Lock()
-	away, trouble := !v.up || v.silent != nil, v.trouble
+	away, trouble := !v.up || v.silence != nil, v.effects
 	v.mu.Unlock()
 	if away {
 		return "", false
@@ -85,17 +85,17 @@
 	r := v.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.Says(r.s, r.active, r.hits, v.index, &trouble, agent, r.now())
+	return fleet.Says(r.scenario, r.activeFaults, r.targets, v.index, &trouble, agent, r.now())
 }
 
 // track knows the server's connections and turns away those beyond its cap.
-func (v *server) track(c net.Conn, state http.ConnState) {
+func (v *server) trackConn(c net.Conn, state http.ConnState) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		v.conns[c] = false
-		if len(v.conns) > v.rig.s.Servers.Connections.CapPerCore*v.Kind.Cores {
+		if len(v.conns) > v.rig.scenario.Servers.Connections.CapPerCore*v.Kind.Cores {
 			reset(c)
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -112,14 +112,14 @@
 }
 
 var (
-	errTurnedAway = errors.New("the waiting room is full")
-	errGivenUp    = errors.New("the node has given up")
+	errQueueFull  = errors.New("the waiting room is full")
+	errNodeGaveUp = errors.New("the node has given up")
 )
 
 // ServeHTTP answers one request as the server's state has it.
 func (v *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
-		switch text, answers := v.says(false); {
+		switch text, answers := v.healthReply(false); {
 		case !answers:
 			<-r.Context().Done()
 		case text != fleet.CheckOK:
@@ -135,7 +135,7 @@
 		return
 	}
 	if r.URL.Path == "/tunnel" {
-		v.stands(w, r, id)
+		v.serveTunnel(w, r, id)
 		return
 	}
 	work, err := strconv.ParseFloat(r.URL.Query().Get("us"), 64)
@@ -147,59 +147,59 @@
 	io.Copy(io.Discard, r.Body)
 	rig := v.rig
 	v.mu.Lock()
-	v.sent++
-	silent := v.silent
-	warm := v.ramp() == 1
+	v.attempts++
+	silent := v.silence
+	warm := v.capacityShare() == 1
 	capacity := 0.0
 	if !warm {
-		capacity = float64(v.Kind.Cores) * v.Speed * v.ramp()
+		capacity = float64(v.Kind.Cores) * v.Speed * v.capacityShare()
 	}
 	v.mu.Unlock()
-	attempt := rig.recorded(id, v, capacity)
+	attempt := rig.recordAttempt(id, v, capacity)
 	if silent != nil {
 		select { // nothing comes back; the connection breaks once the machine is there again
 		case <-silent:
 		case <-r.Context().Done():
 		case <-rig.ctx.Done():
 		}
-		rig.attemptOver(id, attempt, false)
+		rig.recordAttemptEnd(id, attempt, false)
 		panic(http.ErrAbortHandler)
 	}
 	v.mu.Lock()
 	roll := func(part float64) bool { return part > 0 && rand.Float64() < part }
-	fails, resets, cuts := roll(v.trouble.Errors) || roll(v.Kind.ErrorRate), roll(v.trouble.Resets), roll(v.trouble.Cuts)
-	if roll(v.trouble.Part) {
-		work *= v.trouble.Slow
+	fails, resets, cuts := roll(v.effects.Errors) || roll(v.Kind.ErrorRate), roll(v.effects.Resets), roll(v.effects.Cuts)
+	if roll(v.effects.Part) {
+		work *= v.effects.Slow
 	}
 	v.mu.Unlock()
 	if fails {
-		v.report(w)
+		v.writeLoadReport(w)
 		w.WriteHeader(http.StatusInternalServerError)
-		rig.attemptOver(id, attempt, false)
+		rig.recordAttemptEnd(id, attempt, false)
 		return
 	}
 	if resets {
-		rig.attemptOver(id, attempt, false)
-		v.abort(w)
+		rig.recordAttemptEnd(id, attempt, false)
+		v.abortConn(w)
 		return
 	}
-	if v.firstOn(r.RemoteAddr) {
-		work += rig.s.Servers.Connections.HandshakeWork.Seconds()
+	if v.firstRequestOn(r.RemoteAddr) {
+		work += rig.scenario.Servers.Connections.HandshakeWork.Seconds()
 	}
-	err = v.work(r.Context(), work)
+	err = v.doWork(r.Context(), work)
 	switch {
-	case errors.Is(err, errTurnedAway):
-		v.report(w)
+	case errors.Is(err, errQueueFull):
+		v.writeLoadReport(w)
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		rig.attemptOver(id, attempt, true)
+		rig.recordAttemptEnd(id, attempt, true)
 		return
 	case err != nil:
-		rig.attemptOver(id, attempt, false)
+		rig.recordAttemptEnd(id, attempt, false)
 		panic(http.ErrAbortHandler)
 	}
 	v.mu.Lock()
-	silent = v.silent
+	silent = v.silence
 	v.mu.Unlock()
 	if silent != nil { // it vanished meanwhile
 		select {
@@ -207,26 +207,26 @@
 		case <-r.Context().Done():
 		case <-rig.ctx.Done():
 		}
-		rig.attemptOver(id, attempt, false)
+		rig.recordAttemptEnd(id, attempt, false)
 		panic(http.ErrAbortHandler)
 	}
 	body := "made for " + id
-	v.report(w)
+	v.writeLoadReport(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	rig.attemptOver(id, attempt, false)
+	rig.recordAttemptEnd(id, attempt, false)
 	if cuts {
 		io.WriteString(w, body[:len(body)/2])
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
 		}
-		v.abort(w)
+		v.abortConn(w)
 		return
 	}
 	io.WriteString(w, body)
 }
 
 // firstOn tells whether a request is the first on its connection, which costs the handshake.
-func (v *server) firstOn(remote string) bool {
+func (v *server) firstRequestOn(remote string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for c, used := range v.conns {
@@ -239,7 +239,7 @@
 }
 
 // abort breaks the connection.
-func (v *server) abort(w http.ResponseWriter) {
+func (v *server) abortConn(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			reset(c)
@@ -250,34 +250,34 @@
 }
 
 // report tells of the queue as it is known.
-func (v *server) report(w http.ResponseWriter) {
+func (v *server) writeLoadReport(w http.ResponseWriter) {
 	rig := v.rig
 	rig.mu.Lock()
-	lag := rig.weather.Lag
+	lag := rig.conditions.Lag
 	rig.mu.Unlock()
 	v.mu.Lock()
-	q := float64(v.reports.Read(rig.now(), rig.s.Servers.Reports.Delay+lag, len(v.queue))) * v.trouble.Lie
+	q := float64(v.reports.Read(rig.now(), rig.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.Lie
 	v.mu.Unlock()
-	if noise := rig.s.Servers.Reports.Noise; noise > 0 {
+	if noise := rig.scenario.Servers.Reports.Noise; noise > 0 {
 		q = max(0, q*(1+noise*rand.NormFloat64()))
 	}
 	w.Header().Set("X-Load", fmt.Sprintf(`{"queue":%d}`, int(math.Round(q))))
 }
 
 // ramp is the part of its capacity that it has. v.mu is held.
-func (v *server) ramp() float64 {
-	if v.launched < 0 {
+func (v *server) capacityShare() float64 {
+	if v.launchedAt < 0 {
 		return 1
 	}
-	return fleet.Ramp(v.Kind, v.Speed, v.rig.now()-v.launched, v.rig.s.Rules.ColdFor, v.done)
+	return fleet.Ramp(v.Kind, v.Speed, v.rig.now()-v.launchedAt, v.rig.scenario.Rules.ColdFor, v.workSinceStart)
 }
 
 // work waits for a slot and then for as long as the work takes, unless the node gives up.
-func (v *server) work(ctx context.Context, work float64) error {
+func (v *server) doWork(ctx context.Context, doWork float64) error {
 	v.mu.Lock()
-	life := v.life
-	if v.busy < v.slots {
-		v.busy++
+	life := v.incarnation
+	if v.busySlots < v.slots {
+		v.busySlots++
 	} else if len(v.queue) < v.queueCap {
 		v.reports.Note(v.rig.now(), len(v.queue))
 		turn := make(chan bool, 1)
@@ -286,29 +286,29 @@
 		select {
 		case ok := <-turn:
 			if !ok {
-				return errGivenUp
+				return errNodeGaveUp
 			}
 		case <-ctx.Done():
 			v.leaveQueue(turn, life)
-			return errGivenUp
+			return errNodeGaveUp
 		}
 		v.mu.Lock()
 	} else {
 		v.mu.Unlock()
-		return errTurnedAway
+		return errQueueFull
 	}
 	v.mu.Unlock()
 	begun := time.Now()
 	var err error
 	// In short pieces, as the speed changes while it warms up or the whole fleet is slow.
-	for left := work; left > 0 && err == nil; {
+	for left := doWork; left > 0 && err == nil; {
 		v.mu.Lock()
 		v.rig.mu.Lock()
-		factor := v.rig.weather.Slowdown
+		factor := v.rig.conditions.Slowdown
 		v.rig.mu.Unlock()
-		rate := v.Speed * v.ramp() / factor * min(1, float64(v.Kind.Cores)/float64(max(1, v.busy)))
-		held := float64(v.busy+len(v.queue)) / float64(v.Kind.Cores)
-		if c := v.rig.s.Servers.Choke; c.By > 0 && held > c.At {
+		rate := v.Speed * v.capacityShare() / factor * min(1, float64(v.Kind.Cores)/float64(max(1, v.busySlots)))
+		held := float64(v.busySlots+len(v.queue)) / float64(v.Kind.Cores)
+		if c := v.rig.scenario.Servers.Choke; c.By > 0 && held > c.At {
 			rate /= 1 + c.By*(held-c.At)
 		}
 		v.mu.Unlock()
@@ -318,7 +318,7 @@
 		case <-t.C:
 		case <-ctx.Done():
 			if !v.Kind.Keeps {
-				err = errGivenUp
+				err = errNodeGaveUp
 			}
 		}
 		t.Stop()
@@ -326,8 +326,8 @@
 		begun = time.Now()
 		left -= took * rate
 		v.mu.Lock()
-		v.done += took * rate
-		v.total += took * rate
+		v.workSinceStart += took * rate
+		v.totalWork += took * rate
 		v.mu.Unlock()
 	}
 	v.mu.Lock()
@@ -355,47 +355,47 @@
 // freeSlot hands a slot to the next that waits, unless the process that had it has ended. v.mu is held.
 func (v *server) freeSlot(life int) {
 	switch {
-	case life != v.life:
+	case life != v.incarnation:
 	case len(v.queue) > 0:
 		v.reports.Note(v.rig.now(), len(v.queue))
 		v.queue[0] <- true
 		v.queue = v.queue[1:]
 	default:
-		v.busy--
+		v.busySlots--
 	}
 }
 
 // vanish makes its machine fall silent: nothing is reset or answered, and new connections never come up.
-func (v *server) vanish() {
+func (v *server) goSilent() {
 	v.mu.Lock()
-	if !v.up || v.silent != nil {
+	if !v.up || v.silence != nil {
 		v.mu.Unlock()
 		return
 	}
-	v.silent = make(chan struct{})
-	v.rig.roster.list(v, "Gone", v.rig.s.Roster.SilentNotice)
+	v.silence = make(chan struct{})
+	v.rig.discovery.scheduleUpdate(v, "Gone", v.rig.scenario.Roster.SilentNotice)
 	v.mu.Unlock()
-	v.stuff()
+	v.fillBacklog()
 }
 
 // crash ends its process: connections are reset and new ones refused.
 func (v *server) crash() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.up || v.silent != nil {
+	if !v.up || v.silence != nil {
 		return
 	}
-	v.end()
-	v.rig.roster.list(v, "Gone", v.rig.s.Roster.Notice)
+	v.closeAll()
+	v.rig.discovery.scheduleUpdate(v, "Gone", v.rig.scenario.Roster.Notice)
 }
 
 // end closes all sockets. v.mu is held.
-func (v *server) end() {
+func (v *server) closeAll() {
 	v.up = false
-	for _, c := range v.stuffed {
+	for _, c := range v.backlogConns {
 		c.Close()
 	}
-	v.stuffed = nil
+	v.backlogConns = nil
 	for c := range v.tunnels {
 		reset(c)
 	}
@@ -411,23 +411,23 @@
 	for _, turn := range v.queue {
 		turn <- false
 	}
-	v.queue, v.busy = nil, 0
-	v.life++
+	v.queue, v.busySlots = nil, 0
+	v.incarnation++
 }
 
 // back starts it again, cold.
-func (v *server) back() error {
+func (v *server) restartCold() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.rig.now() < v.until {
+	if v.rig.now() < v.downUntil {
 		return nil
 	}
-	if v.silent != nil {
-		close(v.silent)
-		v.silent = nil
+	if v.silence != nil {
+		close(v.silence)
+		v.silence = nil
 	}
 	if v.up {
-		v.end()
+		v.closeAll()
 	}
 	var err error
 	for range 50 { // the kernel may hold the address for a moment
@@ -439,21 +439,21 @@
 	if err != nil {
 		return fmt.Errorf("stand-in server %d does not come back: %w", v.ID, err)
 	}
-	v.launched, v.done, v.busy = v.rig.now(), 0, 0
-	v.reports.Start(v.launched)
-	v.rig.started(v)
-	v.rig.roster.list(v, "Ready", v.rig.s.Roster.AddLag)
+	v.launchedAt, v.workSinceStart, v.busySlots = v.rig.now(), 0, 0
+	v.reports.Start(v.launchedAt)
+	v.rig.recordServerStart(v)
+	v.rig.discovery.scheduleUpdate(v, "Ready", v.rig.scenario.Roster.AddLag)
 	return nil
 }
 
 // stuff fills the kernel's queue of connections that nobody accepts, so that new ones never come up: the queue is made as
 // short as it can be and filled by connections of our own.
-func (v *server) stuff() {
+func (v *server) fillBacklog() {
 	v.mu.Lock()
-	ln, addr := v.ln, v.addr
+	ln, addr := v.listener, v.addr
 	v.mu.Unlock()
-	ln.hold(true)
-	ln.queue(0)
+	ln.setPaused(true)
+	ln.setBacklog(0)
 	var held []net.Conn
 	for range 8 {
 		c, err := net.DialTimeout("tcp", addr, 30*time.Millisecond)
@@ -463,65 +463,67 @@
 		held = append(held, c)
 	}
 	v.mu.Lock()
-	v.stuffed = append(v.stuffed, held...)
+	v.backlogConns = append(v.backlogConns, held...)
 	v.mu.Unlock()
 }
 
 // unstuff lets connections in again.
-func (v *server) unstuff() {
+func (v *server) clearBacklog() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, c := range v.stuffed {
+	for _, c := range v.backlogConns {
 		c.Close()
 	}
-	v.stuffed = nil
-	if v.up && v.silent == nil {
-		v.ln.queue(1024)
-		v.ln.hold(false)
+	v.backlogConns = nil
+	if v.up && v.silence == nil {
+		v.listener.setBacklog(1024)
+		v.listener.setPaused(false)
 	}
 }
 
 // gate is a listener that can stop accepting while its socket stays open.
-type gate struct {
+type pausableListener struct {
 	*net.TCPListener
-	mu   sync.Mutex
-	held chan struct{} // closed when it accepts again; nil while it does
-	end  chan struct{}
-	once sync.Once
+	mu        sync.Mutex
+	paused    chan struct{} // closed when it accepts again; nil while it does
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func newGate(ln *net.TCPListener) *gate { return &gate{TCPListener: ln, end: make(chan struct{})} }
+func newPausableListener(ln *net.TCPListener) *pausableListener {
+	return &pausableListener{TCPListener: ln, closed: make(chan struct{})}
+}
 
-func (g *gate) hold(on bool) {
+func (g *pausableListener) setPaused(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case on && g.held == nil:
-		g.held = make(chan struct{})
+	case on && g.paused == nil:
+		g.paused = make(chan struct{})
 		g.SetDeadline(time.Unix(1, 0)) // wakes whoever is accepting
-	case !on && g.held != nil:
+	case !on && g.paused != nil:
 		g.SetDeadline(time.Time{})
-		close(g.held)
-		g.held = nil
+		close(g.paused)
+		g.paused = nil
 	}
 }
 
 // queue sets how many connections the kernel keeps for accepting. Calling listen again on a socket changes it.
-func (g *gate) queue(n int) {
+func (g *pausableListener) setBacklog(n int) {
 	if raw, err := g.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
 
-func (g *gate) Accept() (net.Conn, error) {
+func (g *pausableListener) Accept() (net.Conn, error) {
 	for {
 		g.mu.Lock()
-		held := g.held
+		held := g.paused
 		g.mu.Unlock()
 		if held != nil {
 			select {
 			case <-held:
-			case <-g.end:
+			case <-g.closed:
 				return nil, net.ErrClosed
 			}
 		}
@@ -534,7 +536,7 @@
 	}
 }
 
-func (g *gate) Close() error {
-	g.once.Do(func() { close(g.end) })
+func (g *pausableListener) Close() error {
+	g.closeOnce.Do(func() { close(g.closed) })
 	return g.TCPListener.Close()
 }
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -26,7 +26,7 @@
 	var fleet []Server
 	for i := range s.Servers.Kinds {
 		k := &s.Servers.Kinds[i]
-		for range s.kindCount(i) {
+		for range s.typeCount(i) {
 			speed := k.Speed * math.Max(0.3, 1+k.SpeedCV*rng.NormFloat64())
 			fleet = append(fleet, Server{Kind: k, Speed: speed})
 		}
@@ -93,79 +93,79 @@
 // Asks draws the asks of a scenario one after the other, in the order of their times. What a flash crowd adds comes from
 // sources of its own: the others' asks are the same with it and without. Not safe for concurrent use.
 type Asks struct {
-	sources []*source
-	next    int
+	streams   []*operationStream
+	nextIndex int
 }
 
 // source draws one stream of asks.
-type source struct {
-	s       *Scenario
-	rng     *rand.Rand
-	now     time.Duration
-	end     time.Duration
-	factor  float64   // of the scenario's rate
-	classes []float64 // cumulated shares
-	tenants []float64
-	tenant  int  // the only one; -1: any
-	ask     Ask  // the next one,
-	ok      bool // if there is one
+type operationStream struct {
+	scenario     *Scenario
+	rng          *rand.Rand
+	now          time.Duration
+	end          time.Duration
+	rateFactor   float64   // of the scenario's rate
+	classShares  []float64 // cumulated shares
+	tenantShares []float64
+	onlyTenant   int  // the only one; -1: any
+	next         Ask  // the next one,
+	hasNext      bool // if there is one
 }
 
 // Asks begins the arrivals anew.
 func (s *Scenario) Asks() *Asks {
-	a := &Asks{sources: []*source{s.source(0x61736b73, 0, s.Duration, 1, "")}}
+	a := &Asks{streams: []*operationStream{s.newStream(0x61736b73, 0, s.Duration, 1, "")}}
 	for i := range s.Faults {
 		if f := &s.Faults[i]; f.Kind == "flash" && f.Factor > 1 {
-			a.sources = append(a.sources, s.source(0x666c617368<<8+uint64(i), f.At, min(f.End(), s.Duration), f.Factor-1, f.Tenant))
+			a.streams = append(a.streams, s.newStream(0x666c617368<<8+uint64(i), f.At, min(f.End(), s.Duration), f.Factor-1, f.Tenant))
 		}
 	}
 	return a
 }
 
-func (s *Scenario) source(stream uint64, from, to time.Duration, factor float64, tenant string) *source {
-	o := &source{s: s, rng: rand.New(rand.NewPCG(s.Seed, stream)), now: from, end: to, factor: factor, tenant: -1}
+func (s *Scenario) newStream(stream uint64, from, to time.Duration, factor float64, tenant string) *operationStream {
+	o := &operationStream{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, stream)), now: from, end: to, rateFactor: factor, onlyTenant: -1}
 	sum := 0.0
 	for _, c := range s.Classes {
 		sum += c.Share
-		o.classes = append(o.classes, sum)
+		o.classShares = append(o.classShares, sum)
 	}
 	sum = 0
 	for i, t := range s.Tenants {
 		sum += t.Share * t.Usage
-		o.tenants = append(o.tenants, sum)
+		o.tenantShares = append(o.tenantShares, sum)
 		if t.Name == tenant {
-			o.tenant = i
+			o.onlyTenant = i
 		}
 	}
-	if o.tenant >= 0 {
-		o.factor *= s.Tenants[o.tenant].Share * s.Tenants[o.tenant].Usage / sum
+	if o.onlyTenant >= 0 {
+		o.rateFactor *= s.Tenants[o.onlyTenant].Share * s.Tenants[o.onlyTenant].Usage / sum
 	}
-	o.draw()
+	o.generate()
 	return o
 }
 
 // Next is the next ask; false once the scenario has no more.
 func (a *Asks) Next() (Ask, bool) {
-	var first *source
-	for _, o := range a.sources {
-		if o.ok && (first == nil || o.ask.At < first.ask.At) {
+	var first *operationStream
+	for _, o := range a.streams {
+		if o.hasNext && (first == nil || o.next.At < first.next.At) {
 			first = o
 		}
 	}
 	if first == nil {
 		return Ask{}, false
 	}
-	ask := first.ask
-	ask.Index = a.next
-	a.next++
-	first.draw()
+	ask := first.next
+	ask.Index = a.nextIndex
+	a.nextIndex++
+	first.generate()
 	return ask, true
 }
 
 // draw makes a source's next ask.
-func (o *source) draw() {
-	s, l := o.s, &o.s.Clients
-	rate := s.Rate() * o.factor
+func (o *operationStream) generate() {
+	s, l := o.scenario, &o.scenario.Clients
+	rate := s.Rate() * o.rateFactor
 	if l.Wave > 0 {
 		rate *= 1 + l.Wave*math.Sin(2*math.Pi*o.now.Seconds()/l.WavePeriod.Seconds())
 	}
@@ -177,12 +177,12 @@
 		gap = gamma(o.rng, 1/(l.Burstiness*l.Burstiness)) * l.Burstiness * l.Burstiness
 	}
 	o.now += time.Duration(min(gap/max(rate, 1e-9), 1e9) * float64(time.Second))
-	if o.ok = o.now < o.end; !o.ok {
+	if o.hasNext = o.now < o.end; !o.hasNext {
 		return
 	}
-	ask := Ask{At: o.now, Class: draw(o.rng, o.classes), Tenant: o.tenant}
-	if o.tenant < 0 && len(s.Tenants) > 0 {
-		ask.Tenant = draw(o.rng, o.tenants)
+	ask := Ask{At: o.now, Class: sampleIndex(o.rng, o.classShares), Tenant: o.onlyTenant}
+	if o.onlyTenant < 0 && len(s.Tenants) > 0 {
+		ask.Tenant = sampleIndex(o.rng, o.tenantShares)
 	}
 	c := &s.Classes[ask.Class]
 	work := c.Work.Seconds() * lognormal(o.rng, c.CV)
@@ -208,11 +208,11 @@
 		}
 	}
 	ask.Work = max(time.Microsecond, time.Duration(work*float64(time.Second)))
-	o.ask = ask
+	o.next = ask
 }
 
 // draw is the index of one of the cumulated shares.
-func draw(rng *rand.Rand, cumulated []float64) int {
+func sampleIndex(rng *rand.Rand, cumulated []float64) int {
 	x := rng.Float64() * cumulated[len(cumulated)-1]
 	for i, upTo := range cumulated {
 		if x < upTo {
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -76,7 +76,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0x64726177))
 	span := s.Duration - s.Warmup
 	kinds := slices.DeleteFunc(KindNames(), func(kind string) bool {
-		return kind == "zone_loss" || kind == "poison" || kind == "node_upgrade" || ofChecks(kind) && (s.Health == nil || s.Health.Checks == nil) || ofProxies(kind) && s.Servers.Via == ""
+		return kind == "zone_loss" || kind == "poison" || kind == "node_upgrade" || needsChecks(kind) && (s.Health == nil || s.Health.Checks == nil) || needsProxies(kind) && s.Servers.Via == ""
 	}) // it may be the only zone, and a poison wants its tenant
 	s.Seed, s.Faults = seed, nil
 	for range 2 + rng.IntN(4) {
@@ -108,10 +108,10 @@
 }
 
 // ofProxies tells whether a kind is about the proxies before the servers.
-func ofProxies(kind string) bool { return strings.HasPrefix(kind, "proxy_") }
+func needsProxies(kind string) bool { return strings.HasPrefix(kind, "proxy_") }
 
 // ofChecks tells whether a kind is about what nodes are told by agents and checks.
-func ofChecks(kind string) bool { return kind == "agent_says" || kind == "check_fails" }
+func needsChecks(kind string) bool { return kind == "agent_says" || kind == "check_fails" }
 
 // KindNames lists all kinds in alphabetical order.
 func KindNames() []string { return Sorted(Kinds) }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -267,10 +267,10 @@
 		if f.Tenant != "" && !tenants[f.Tenant] {
 			bad(p+"tenant", "%q is no tenant of this scenario", f.Tenant)
 		}
-		if ofProxies(f.Kind) && v.Via == "" {
+		if needsProxies(f.Kind) && v.Via == "" {
 			bad(p+"kind", "%s is for scenarios whose servers are reached by way of proxies (servers.via)", f.Kind)
 		}
-		if ofChecks(f.Kind) && (s.Health == nil || s.Health.Checks == nil) {
+		if needsChecks(f.Kind) && (s.Health == nil || s.Health.Checks == nil) {
 			bad(p+"kind", "%s is for scenarios whose nodes check servers (health.checks)", f.Kind)
 		}
 		if f.Says != "" && f.Kind != "agent_says" {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -245,13 +245,13 @@
 	sum := 0.0
 	for i := range s.Servers.Kinds {
 		k := &s.Servers.Kinds[i]
-		sum += float64(s.kindCount(i)) * float64(k.Cores) * k.Speed
+		sum += float64(s.typeCount(i)) * float64(k.Cores) * k.Speed
 	}
 	return sum
 }
 
 // kindCount is how many servers are of the i-th kind: shares are filled in order, the last kind takes the rest.
-func (s *Scenario) kindCount(i int) int {
+func (s *Scenario) typeCount(i int) int {
 	kinds, total := s.Servers.Kinds, 0.0
 	for _, k := range kinds {
 		total += k.Share
@@ -284,8 +284,8 @@
 
 // Effects and groups by the names that scenarios give them.
 var (
-	effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groups  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "pod": policy.GroupCell}
+	effectsByName = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+	groupsByName  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "pod": policy.GroupCell}
 )
 
 // Settings is what the nodes are told.
@@ -298,7 +298,7 @@
 	}
 	for _, c := range s.Classes {
 		set.Classes = append(set.Classes, policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
-			Effect: effects[c.Effect], Group: groups[c.Group], Window: c.Window})
+			Effect: effectsByName[c.Effect], Group: groupsByName[c.Group], Window: c.Window})
 	}
 	full := s.Capacity() / s.MeanWork()
 	for _, t := range s.Tenants {
--- a/internal/lab/standin/addr.go
+++ b/internal/lab/standin/addr.go
@@ -17,7 +17,7 @@
 // multiple of 16; whoever listens at its claimPort has all of it, until its end. Two runs of the tests side by side, in
 // whatever folders, therefore never share a host, and as connections on loopback leave from 127.0.0.1, no connection takes a
 // port of one either: an address of a stand-in stays its own while the stand-in is down.
-var hosts struct {
+var hostPool struct {
 	sync.Mutex
 	block int
 	left  int            // hosts of the block that were not yet given out
@@ -25,38 +25,38 @@
 }
 
 const (
-	blocks   = 64 << 4
-	hostsPer = 16 * 250
+	blockCount    = 64 << 4
+	hostsPerBlock = 16 * 250
 )
 
 // Host is a host on loopback, such as 127.80.3.7, that nobody else on this machine is given. Safe for concurrent use.
 func Host() (string, error) {
-	hosts.Lock()
-	defer hosts.Unlock()
-	if hosts.left == 0 {
-		if err := claim(); err != nil {
+	hostPool.Lock()
+	defer hostPool.Unlock()
+	if hostPool.left == 0 {
+		if err := claimBlock(); err != nil {
 			return "", err
 		}
 	}
-	hosts.left--
-	return inBlock(hosts.left/250, 1+hosts.left%250), nil
+	hostPool.left--
+	return hostInBlock(hostPool.left/250, 1+hostPool.left%250), nil
 }
 
 // inBlock is a host of the block in use.
-func inBlock(net, host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 64+hosts.block>>4, hosts.block&15<<4+net, host)
+func hostInBlock(net, host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 64+hostPool.block>>4, hostPool.block&15<<4+net, host)
 }
 
 // claim takes the first free block, looked for from the process's number on so that runs seldom meet. hosts is locked.
-func claim() error {
-	if hosts.held == nil {
-		hosts.block = os.Getpid() % blocks
+func claimBlock() error {
+	if hostPool.held == nil {
+		hostPool.block = os.Getpid() % blockCount
 	}
-	for range blocks {
-		hosts.block = (hosts.block + 1) % blocks
-		ln, err := net.Listen("tcp", net.JoinHostPort(inBlock(0, 254), strconv.Itoa(claimPort)))
+	for range blockCount {
+		hostPool.block = (hostPool.block + 1) % blockCount
+		ln, err := net.Listen("tcp", net.JoinHostPort(hostInBlock(0, 254), strconv.Itoa(claimPort)))
 		if err == nil {
-			hosts.held, hosts.left = append(hosts.held, ln), hostsPer
+			hostPool.held, hostPool.left = append(hostPool.held, ln), hostsPerBlock
 			return nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
@@ -76,7 +76,7 @@
 }
 
 // listen listens at an address; "" is one of its own.
-func listen(addr string) (net.Listener, error) {
+func listenAt(addr string) (net.Listener, error) {
 	if addr == "" {
 		return Listen()
 	}
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -15,18 +15,18 @@
 type Control struct {
 	Addr string
 
-	mu      sync.Mutex
-	set     *resource.Set
-	history *resource.History
-	changed chan struct{} // closed at the next change
-	next    []http.HandlerFunc
-	wholes  int
-	deltas  int
-	calls   int
-	acked   resource.Version
-	refused map[resource.Version]string
-	srv     *http.Server // nil: it is down
-	done    chan struct{}
+	mu            sync.Mutex
+	set           *resource.Set
+	history       *resource.History
+	changed       chan struct{} // closed at the next change
+	scripted      []http.HandlerFunc
+	snapshots     int
+	deltas        int
+	calls         int
+	callerVersion resource.Version
+	refusals      map[resource.Version]string
+	server        *http.Server // nil: it is down
+	serveDone     chan struct{}
 }
 
 // NewControl serves a first configuration on an address of its own; with no resources it has none yet. It is to be stopped.
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	c := &Control{Addr: ln.Addr().String(), set: resource.NewSet(true), history: resource.NewHistory(resource.HistoryLimits{}),
-		changed: make(chan struct{}), refused: map[resource.Version]string{}}
+		changed: make(chan struct{}), refusals: map[resource.Version]string{}}
 	if len(first) > 0 {
 		if _, err := c.Change(first); err != nil {
 			ln.Close()
@@ -50,7 +50,7 @@
 func (c *Control) serve(ln net.Listener) {
 	srv, done := &http.Server{Handler: c}, make(chan struct{})
 	c.mu.Lock()
-	c.srv, c.done = srv, done
+	c.server, c.serveDone = srv, done
 	c.mu.Unlock()
 	go func() {
 		defer close(done)
@@ -61,8 +61,8 @@
 // Stop is what SIGKILL does; Start serves again at the same address.
 func (c *Control) Stop() {
 	c.mu.Lock()
-	srv, done := c.srv, c.done
-	c.srv = nil
+	srv, done := c.server, c.serveDone
+	c.server = nil
 	c.mu.Unlock()
 	if srv != nil {
 		srv.Close()
@@ -99,12 +99,12 @@
 	if err := c.set.Apply(delta); err != nil {
 		return resource.Version{}, err
 	}
-	c.wake()
+	c.wakeCalls()
 	return to, nil
 }
 
 // wake lets the calls that are held look again. c.mu is held.
-func (c *Control) wake() {
+func (c *Control) wakeCalls() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -116,7 +116,7 @@
 	o.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.wake()
+	defer c.wakeCalls()
 	return c.set.Apply(whole)
 }
 
@@ -124,8 +124,8 @@
 func (c *Control) Say(h http.HandlerFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next = append(c.next, h)
-	c.wake()
+	c.scripted = append(c.scripted, h)
+	c.wakeCalls()
 }
 
 // Version is what it has.
@@ -139,21 +139,21 @@
 func (c *Control) Counts() (wholes, deltas int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wholes, c.deltas
+	return c.snapshots, c.deltas
 }
 
 // Why is what it was told of a version that was refused; empty: nothing.
 func (c *Control) Why(v resource.Version) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refused[v]
+	return c.refusals[v]
 }
 
 // Acked is the version that its latest caller had.
 func (c *Control) Acked() resource.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.acked
+	return c.callerVersion
 }
 
 // Calls is how often it was asked.
@@ -182,15 +182,15 @@
 		c.mu.Lock()
 		if first {
 			c.calls++
-			c.acked = since
+			c.callerVersion = since
 			if v, err := resource.ParseVersion(q.Get("refused")); err == nil {
-				c.refused[v] = q.Get("why")
+				c.refusals[v] = q.Get("why")
 			}
 			first = false
 		}
-		if len(c.next) > 0 {
-			h := c.next[0]
-			c.next = c.next[1:]
+		if len(c.scripted) > 0 {
+			h := c.scripted[0]
+			c.scripted = c.scripted[1:]
 			c.mu.Unlock()
 			h(w, r)
 			return
@@ -223,7 +223,7 @@
 		if done {
 			switch {
 			case answer.Whole():
-				c.wholes++
+				c.snapshots++
 			case answer.From != answer.To:
 				c.deltas++
 			}
--- a/internal/lab/standin/health.go
+++ b/internal/lab/standin/health.go
@@ -15,38 +15,38 @@
 // Agent stands in for an agent beside a web server, by HAProxy's agent-check. What it does can change at any time. Safe for
 // concurrent use.
 type Agent struct {
-	ln net.Listener
-	wg sync.WaitGroup
+	listener net.Listener
+	wg       sync.WaitGroup
 
-	mu    sync.Mutex
-	does  func(nth int, c net.Conn)
-	asked int
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	behavior func(nth int, c net.Conn)
+	queries  int
+	conns    map[net.Conn]bool
 }
 
 // StartAgent brings one up at an address; "" is one of its own. It says that its server is up.
 func StartAgent(addr string) (*Agent, error) {
-	ln, err := listen(addr)
+	ln, err := listenAt(addr)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{ln: ln, conns: map[net.Conn]bool{}}
+	a := &Agent{listener: ln, conns: map[net.Conn]bool{}}
 	a.Says("up ready 100%\n")
 	a.wg.Add(1)
-	go a.run()
+	go a.acceptLoop()
 	return a, nil
 }
 
-func (a *Agent) run() {
+func (a *Agent) acceptLoop() {
 	defer a.wg.Done()
 	for {
-		c, err := a.ln.Accept()
+		c, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
 		a.mu.Lock()
-		does, nth := a.does, a.asked
-		a.asked++
+		does, nth := a.behavior, a.queries
+		a.queries++
 		a.conns[c] = true
 		a.mu.Unlock()
 		a.wg.Add(1)
@@ -62,29 +62,29 @@
 }
 
 // Addr is where it listens.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
 // Asked is how often it was, since its start.
 func (a *Agent) Asked() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asked
+	return a.queries
 }
 
-func (a *Agent) will(does func(nth int, c net.Conn)) {
+func (a *Agent) setBehavior(does func(nth int, c net.Conn)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.does = does
+	a.behavior = does
 }
 
 // Says makes it write a text and close; of several texts one after the other, round and round.
 func (a *Agent) Says(texts ...string) {
-	a.will(func(nth int, c net.Conn) { io.WriteString(c, texts[nth%len(texts)]) })
+	a.setBehavior(func(nth int, c net.Conn) { io.WriteString(c, texts[nth%len(texts)]) })
 }
 
 // Asks makes it write what a function says each time, or stall where that says nothing.
 func (a *Agent) Asks(says func() (text string, answers bool)) {
-	a.will(func(_ int, c net.Conn) {
+	a.setBehavior(func(_ int, c net.Conn) {
 		if text, answers := says(); answers {
 			io.WriteString(c, text)
 		} else {
@@ -95,7 +95,7 @@
 
 // Stalls makes it accept and say nothing, beyond the beginning that is given.
 func (a *Agent) Stalls(beginning string) {
-	a.will(func(_ int, c net.Conn) {
+	a.setBehavior(func(_ int, c net.Conn) {
 		io.WriteString(c, beginning)
 		io.Copy(io.Discard, c)
 	})
@@ -103,7 +103,7 @@
 
 // Rambles makes it write without end.
 func (a *Agent) Rambles() {
-	a.will(func(_ int, c net.Conn) {
+	a.setBehavior(func(_ int, c net.Conn) {
 		text := make([]byte, 4096)
 		for i := range text {
 			text[i] = 'x'
@@ -118,7 +118,7 @@
 
 // Resets makes it break the connection after the beginning that is given.
 func (a *Agent) Resets(beginning string) {
-	a.will(func(_ int, c net.Conn) {
+	a.setBehavior(func(_ int, c net.Conn) {
 		io.WriteString(c, beginning)
 		c.(*net.TCPConn).SetLinger(0)
 	})
@@ -126,7 +126,7 @@
 
 // Stop ends it and what is open.
 func (a *Agent) Stop() {
-	a.ln.Close()
+	a.listener.Close()
 	a.mu.Lock()
 	for c := range a.conns {
 		c.Close()
@@ -144,7 +144,7 @@
 
 // StartHealth brings one up at an address; "" is one of its own. It serves as a whole, and no service by name.
 func StartHealth(addr string) (*Health, error) {
-	ln, err := listen(addr)
+	ln, err := listenAt(addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -24,16 +24,16 @@
 	User     string // empty: nobody is asked
 	Password string
 
-	order sync.Mutex // held for the whole of Start and Stop: they come one after the other
+	lifecycle sync.Mutex // held for the whole of Start and Stop: they come one after the other
 
-	mu     sync.Mutex
-	addr   string
-	ln     net.Listener
-	wg     sync.WaitGroup
-	conns  map[net.Conn]struct{}
-	wrong  Wrong
-	delay  time.Duration
-	dialed int
+	mu       sync.Mutex
+	addr     string
+	listener net.Listener
+	wg       sync.WaitGroup
+	conns    map[net.Conn]struct{}
+	fault    Wrong
+	delay    time.Duration
+	dials    int
 }
 
 // Wrong is what is the matter with a proxy.
@@ -48,29 +48,29 @@
 
 // Start opens the proxy, at the same address each time.
 func (p *Proxy) Start() error {
-	p.order.Lock()
-	defer p.order.Unlock()
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ln != nil {
+	if p.listener != nil {
 		return nil
 	}
-	ln, err := listen(p.addr)
+	ln, err := listenAt(p.addr)
 	if err != nil {
 		return err
 	}
-	p.addr, p.ln, p.conns = ln.Addr().String(), ln, map[net.Conn]struct{}{}
+	p.addr, p.listener, p.conns = ln.Addr().String(), ln, map[net.Conn]struct{}{}
 	p.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if !p.keep(c) {
+			if !p.track(c) {
 				return
 			}
 			p.wg.Go(func() {
-				defer p.drop(c)
+				defer p.untrack(c)
 				p.serve(c)
 			})
 		}
@@ -87,12 +87,12 @@
 
 // Stop ends the proxy as its process's death would: all its connections break.
 func (p *Proxy) Stop() {
-	p.order.Lock()
-	defer p.order.Unlock()
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
 	p.mu.Lock()
-	if p.ln != nil {
-		p.ln.Close()
-		p.ln = nil
+	if p.listener != nil {
+		p.listener.Close()
+		p.listener = nil
 	}
 	for c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -108,20 +108,20 @@
 func (p *Proxy) Trouble(w Wrong, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wrong, p.delay = w, delay
+	p.fault, p.delay = w, delay
 }
 
 // Dialed counts the connections to servers.
 func (p *Proxy) Dialed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dialed
+	return p.dials
 }
 
-func (p *Proxy) keep(c net.Conn) bool {
+func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ln == nil {
+	if p.listener == nil {
 		c.Close()
 		return false
 	}
@@ -129,7 +129,7 @@
 	return true
 }
 
-func (p *Proxy) drop(c net.Conn) {
+func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,13 +139,13 @@
 // serve takes one client to its server.
 func (p *Proxy) serve(c net.Conn) {
 	p.mu.Lock()
-	wrong, delay := p.wrong, p.delay
+	wrong, delay := p.fault, p.delay
 	p.mu.Unlock()
 	in := bufio.NewReader(c)
-	ask, refuse := p.connect, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
+	ask, refuse := p.readConnect, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
 	stands := "HTTP/1.1 200 OK\r\nServer: stand-in\r\n\r\n"
 	if p.SOCKS5 {
-		ask, refuse, stands = p.socks5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00", "\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
+		ask, refuse, stands = p.readSOCKS5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00", "\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
 	}
 	if wrong == Nonsense {
 		io.WriteString(c, "220 what would you like to send?\r\n\r\n")
@@ -170,24 +170,24 @@
 		io.WriteString(c, refuse)
 		return
 	}
-	if !p.keep(server) {
+	if !p.track(server) {
 		return
 	}
-	defer p.drop(server)
+	defer p.untrack(server)
 	p.mu.Lock()
-	p.dialed++
+	p.dials++
 	p.mu.Unlock()
 	if _, err := io.WriteString(c, stands); err != nil {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { half(server, in, server) })
-	half(c, server, c)
+	wg.Go(func() { copyHalf(server, in, server) })
+	copyHalf(c, server, c)
 	wg.Wait()
 }
 
 // half copies one direction to its end. Where it breaks, so does all.
-func half(dst net.Conn, src io.Reader, both net.Conn) {
+func copyHalf(dst net.Conn, src io.Reader, both net.Conn) {
 	if _, err := io.Copy(dst, src); err != nil {
 		both.Close()
 	}
@@ -196,23 +196,23 @@
 	}
 }
 
-var errAsked = errors.New("not what a client of this proxy asks")
+var errBadRequest = errors.New("not what a client of this proxy asks")
 
-func (p *Proxy) connect(in *bufio.Reader, out io.Writer) (string, error) {
+func (p *Proxy) readConnect(in *bufio.Reader, out io.Writer) (string, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil || req.Method != http.MethodConnect {
 		io.WriteString(out, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
-		return "", errAsked
+		return "", errBadRequest
 	}
 	want := "Basic " + base64.StdEncoding.EncodeToString([]byte(p.User+":"+p.Password))
 	if p.User != "" && req.Header.Get("Proxy-Authorization") != want {
 		io.WriteString(out, "HTTP/1.1 407 Proxy Authentication Required\r\nContent-Length: 0\r\n\r\n")
-		return "", errAsked
+		return "", errBadRequest
 	}
 	return req.Host, nil
 }
 
-func (p *Proxy) socks5(in *bufio.Reader, out io.Writer) (string, error) {
+func (p *Proxy) readSOCKS5(in *bufio.Reader, out io.Writer) (string, error) {
 	read := func(n int) []byte {
 		b := make([]byte, n)
 		if _, err := io.ReadFull(in, b); err != nil {
@@ -228,7 +228,7 @@
 	}
 	if head[0] != 5 || !strings.ContainsRune(methods, rune(method)) {
 		out.Write([]byte{5, 0xff})
-		return "", errAsked
+		return "", errBadRequest
 	}
 	out.Write([]byte{5, method})
 	if method == 2 {
@@ -237,7 +237,7 @@
 		password := string(read(int(read(1)[0])))
 		if user != p.User || password != p.Password {
 			out.Write([]byte{1, 1})
-			return "", errAsked
+			return "", errBadRequest
 		}
 		out.Write([]byte{1, 0})
 	}
@@ -252,7 +252,7 @@
 	}
 	port := binary.BigEndian.Uint16(read(2))
 	if req[0] != 5 || req[1] != 1 || host == "" {
-		return "", errAsked
+		return "", errBadRequest
 	}
 	return net.JoinHostPort(host, fmt.Sprint(port)), nil
 }
