--- a/internal/lab/standin/addr.go
+++ b/internal/lab/standin/addr.go
@@ -10,26 +10,28 @@
 	"syscall"
 )
 
-// claimPort marks a block of hosts as taken. It lies below the ports that kernels hand out by themselves.
+// claimPort marks a block of hosts as in use. It lies below the range of ephemeral ports, so that the kernel never assigns it.
 const claimPort = 20254
 
-// hosts are those that this process may use. A block is 4,096 addresses, from 127.a.b.0 on with a from 64 to 127 and b a
-// multiple of 16; whoever listens at its claimPort has all of it, until its end. Two runs of the tests side by side, in
-// whatever folders, therefore never share a host, and as connections on loopback leave from 127.0.0.1, no connection takes a
-// port of one either: an address of a stand-in stays its own while the stand-in is down.
+// hostPool holds the loopback hosts that this process may use; its mutex guards its fields. A block is 4,096 addresses,
+// from 127.a.b.0 on with a from 64 to 127 and b a multiple of 16. The process that listens at a block's claimPort owns the
+// whole block until it exits. Two concurrent test runs therefore never share a host, whatever folders they run in. As
+// connections on loopback use 127.0.0.1 as their source address, no connection uses a port of such a host either: the
+// address of a stand-in stays reserved while the stand-in is down.
 var hostPool struct {
 	sync.Mutex
 	block int
-	left  int            // hosts of the block that were not yet given out
-	held  []net.Listener // one for each block; never accepted from
+	left  int            // hosts of the block that are not yet assigned
+	held  []net.Listener // one for each claimed block; none ever accepts
 }
 
 const (
-	blockCount    = 64 << 4
-	hostsPerBlock = 16 * 250
+	blockCount    = 64 << 4  // blocks of hosts in the range 127.64.0.0 to 127.127.255.255
+	hostsPerBlock = 16 * 250 // hosts of a block that are assigned
 )
 
-// Host is a host on loopback, such as 127.80.3.7, that nobody else on this machine is given. Safe for concurrent use.
+// ReserveHost returns a loopback host, such as 127.80.3.7, that no other caller in any process of this machine gets. It is
+// safe for concurrent use.
 func Host() (string, error) {
 	hostPool.Lock()
 	defer hostPool.Unlock()
@@ -42,12 +44,13 @@
 	return hostInBlock(hostPool.left/250, 1+hostPool.left%250), nil
 }
 
-// inBlock is a host of the block in use.
-func hostInBlock(net, host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 64+hostPool.block>>4, hostPool.block&15<<4+net, host)
+// hostInBlock returns a host of the current block.
+func hostInBlock(network, host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 64+hostPool.block>>4, hostPool.block&15<<4+network, host)
 }
 
-// claim takes the first free block, looked for from the process's number on so that runs seldom meet. hosts is locked.
+// claimBlock claims the first free block. The search starts at the process id, so that concurrent runs seldom collide. The
+// caller holds the lock of hostPool.
 func claimBlock() error {
 	if hostPool.held == nil {
 		hostPool.block = os.Getpid() % blockCount
@@ -60,13 +63,13 @@
 			return nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			return fmt.Errorf("hosts on loopback: %w", err)
+			return fmt.Errorf("reserving a loopback host: %w", err)
 		}
 	}
-	return errors.New("hosts on loopback: all blocks are taken")
+	return errors.New("reserving a loopback host: all blocks are in use")
 }
 
-// Listen listens on a host of its own.
+// Listen listens at a free port of a newly reserved host.
 func Listen() (net.Listener, error) {
 	host, err := Host()
 	if err != nil {
@@ -75,7 +78,7 @@
 	return net.Listen("tcp", net.JoinHostPort(host, "0"))
 }
 
-// listen listens at an address; "" is one of its own.
+// listenAt listens at an address, or, where that is empty, at a free port of a newly reserved host.
 func listenAt(addr string) (net.Listener, error) {
 	if addr == "" {
 		return Listen()
@@ -83,7 +86,7 @@
 	return net.Listen("tcp", addr)
 }
 
-// FreeAddr is an address on a host of its own, on which nothing listens.
+// FreeAddr returns an address on a newly reserved host at which nothing listens.
 func FreeAddr() (string, error) {
 	ln, err := Listen()
 	if err != nil {
--- a/internal/lab/standin/conn.go
+++ b/internal/lab/standin/conn.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// Pair is a connection on loopback: the end that dialled, and the other. The caller closes both. An error means that neither is open.
+// NewConnPair opens a TCP connection on loopback and returns the end that dialled and the accepted end. The caller closes
+// both. After an error neither is open.
 func Pair() (far, near *net.TCPConn, err error) {
 	ln, err := Listen()
 	if err != nil {
@@ -16,22 +17,22 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	taken, err := ln.Accept()
+	accepted, err := ln.Accept()
 	if err != nil {
 		dialled.Close()
 		return nil, nil, err
 	}
-	return dialled.(*net.TCPConn), taken.(*net.TCPConn), nil
+	return dialled.(*net.TCPConn), accepted.(*net.TCPConn), nil
 }
 
-// Test is a test or a benchmark, which gives a helper its failures and what is to be closed behind it.
+// TB is the part of testing.TB that the helpers of this package need. It keeps the package testing out of binaries.
 type Test interface {
 	Helper()
 	Fatal(args ...any)
 	Cleanup(f func())
 }
 
-// Ends is a Pair of a test's. Both are closed behind it.
+// TestConnPair is NewConnPair for a test: it fails the test on an error and closes both ends when the test ends.
 func Ends(t Test) (far, near *net.TCPConn) {
 	t.Helper()
 	far, near, err := Pair()
@@ -45,8 +46,8 @@
 	return far, near
 }
 
-// Pour writes as much of a text as the two kernels take at once, in pieces of at most so many bytes, and tells how much that is. It
-// does not wait for room.
+// FillSendBuffer writes a text in pieces of at most piece bytes until the socket buffers of both ends are full, and returns
+// how many bytes were written. It does not wait for the peer to read.
 func Pour(c *net.TCPConn, text string, piece int) (sent int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -56,7 +57,7 @@
 		for sent < len(text) {
 			n, err := syscall.Write(int(fd), []byte(text[sent:min(len(text), sent+piece)]))
 			if err != nil {
-				break // its kernel and the other one are full
+				break // the socket buffers of both ends are full
 			}
 			sent += n
 		}
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -10,26 +10,27 @@
 	"portstall/internal/resource"
 )
 
-// Control is a control process of a test's own: it serves watches from a set and its history, and tells what the test puts in the place of
-// its next answers. It counts what it tells. It is safe for concurrent use.
+// Control is a control process for tests. It serves watches from a resource set and its history, except for calls for which
+// the test has scripted a response, and counts its responses. It is safe for concurrent use; mu guards its unexported fields.
 type Control struct {
 	Addr string
 
 	mu            sync.Mutex
 	set           *resource.Set
 	history       *resource.History
-	changed       chan struct{} // closed at the next change
+	changed       chan struct{} // closed and replaced at each change
 	scripted      []http.HandlerFunc
 	snapshots     int
 	deltas        int
 	calls         int
 	callerVersion resource.Version
 	refusals      map[resource.Version]string
-	server        *http.Server // nil: it is down
+	server        *http.Server // nil while it is stopped
 	serveDone     chan struct{}
 }
 
-// NewControl serves a first configuration on an address of its own; with no resources it has none yet. It is to be stopped.
+// NewControl starts a control process at an address of its own. With no resources it has no configuration yet. The caller
+// stops it.
 func NewControl(first ...resource.Resource) (*Control, error) {
 	ln, err := Listen()
 	if err != nil {
@@ -47,6 +48,7 @@
 	return c, nil
 }
 
+// serve handles calls on the listener until Stop.
 func (c *Control) serve(ln net.Listener) {
 	srv, done := &http.Server{Handler: c}, make(chan struct{})
 	c.mu.Lock()
@@ -58,7 +60,7 @@
 	}()
 }
 
-// Stop is what SIGKILL does; Start serves again at the same address.
+// Stop closes the listener and all connections, as SIGKILL would. Start serves again at the same address.
 func (c *Control) Stop() {
 	c.mu.Lock()
 	srv, done := c.server, c.serveDone
@@ -70,7 +72,7 @@
 	}
 }
 
-// Start serves again after Stop.
+// Start serves again, at the same address, after Stop.
 func (c *Control) Start() error {
 	ln, err := net.Listen("tcp", c.Addr)
 	if err != nil {
@@ -80,8 +82,8 @@
 	return nil
 }
 
-// Change puts resources and takes others away, as the next version, and returns that.
-func (c *Control) Change(put []resource.Resource, gone ...resource.Key) (resource.Version, error) {
+// ApplyChange adds or replaces resources and removes others as the next version, which it returns.
+func (c *Control) Change(put []resource.Resource, removed ...resource.Key) (resource.Version, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	to := c.set.Version()
@@ -89,7 +91,7 @@
 		to.Epoch = uint64(time.Now().UnixMilli())
 	}
 	to.Number++
-	delta := c.set.Next(to, put, gone)
+	delta := c.set.Next(to, put, removed)
 	if err := c.set.Check(delta); err != nil {
 		return resource.Version{}, err
 	}
@@ -103,24 +105,24 @@
 	return to, nil
 }
 
-// wake lets the calls that are held look again. c.mu is held.
+// wakeCalls makes all waiting calls check for changes again. The caller holds c.mu.
 func (c *Control) wakeCalls() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Become has another one's configuration, and none of its history.
-func (c *Control) Become(o *Control) error {
-	o.mu.Lock()
-	whole := o.set.Snapshot()
-	o.mu.Unlock()
+// CopyFrom takes over the configuration of another control process, but not its history.
+func (c *Control) Become(other *Control) error {
+	other.mu.Lock()
+	snapshot := other.set.Snapshot()
+	other.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.wakeCalls()
-	return c.set.Apply(whole)
+	return c.set.Apply(snapshot)
 }
 
-// Say puts an answer in the place of the next one that has none yet. A call that is held gets it at once.
+// RespondOnce scripts the response to the next call for which none is scripted yet. A call that is waiting gets it at once.
 func (c *Control) Say(h http.HandlerFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,46 +130,46 @@
 	c.wakeCalls()
 }
 
-// Version is what it has.
+// Version returns the version of the current configuration.
 func (c *Control) Version() resource.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.set.Version()
 }
 
-// Counts are how often the whole was told, and how often a delta.
-func (c *Control) Counts() (wholes, deltas int) {
+// ResponseCounts returns how many responses were full snapshots and how many were non-empty deltas.
+func (c *Control) Counts() (snapshots, deltas int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshots, c.deltas
 }
 
-// Why is what it was told of a version that was refused; empty: nothing.
+// RefusalReason returns the reason that a caller gave for refusing a version; empty if no caller refused it.
 func (c *Control) Why(v resource.Version) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusals[v]
 }
 
-// Acked is the version that its latest caller had.
+// CallerVersion returns the version that the latest caller reported to have.
 func (c *Control) Acked() resource.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.callerVersion
 }
 
-// Calls is how often it was asked.
+// CallCount returns the number of calls since the start.
 func (c *Control) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// ServeHTTP answers a call as docs/design/configuration.md has it.
+// ServeHTTP responds to a call as docs/design/configuration.md defines it.
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
+	query := r.URL.Query()
 	var since resource.Version
-	if s := q.Get("since"); s != "" {
+	if s := query.Get("since"); s != "" {
 		var err error
 		if since, err = resource.ParseVersion(s); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -175,16 +177,16 @@
 		}
 	}
 	var wait time.Duration
-	fmt.Sscan(q.Get("timeout_ms"), &wait)
-	over := time.After(wait * time.Millisecond)
+	fmt.Sscan(query.Get("timeout_ms"), &wait)
+	timeout := time.After(wait * time.Millisecond)
 	first := true
 	for {
 		c.mu.Lock()
 		if first {
 			c.calls++
 			c.callerVersion = since
-			if v, err := resource.ParseVersion(q.Get("refused")); err == nil {
-				c.refusals[v] = q.Get("why")
+			if v, err := resource.ParseVersion(query.Get("refused")); err == nil {
+				c.refusals[v] = query.Get("why")
 			}
 			first = false
 		}
@@ -195,40 +197,40 @@
 			h(w, r)
 			return
 		}
-		now, changed := c.set.Version(), c.changed
-		answer := &resource.Delta{From: since, To: since}
-		if s := q.Get("sum"); s != "" {
-			answer.Sum.UnmarshalText([]byte(s)) // of another version than this one's it is not known here
+		current, changed := c.set.Version(), c.changed
+		delta := &resource.Delta{From: since, To: since}
+		if s := query.Get("sum"); s != "" {
+			delta.Sum.UnmarshalText([]byte(s)) // the caller's, for an empty delta: that of an older version is not known here
 		}
 		done := true
 		switch {
-		case now.IsZero():
+		case current.IsZero():
 			c.mu.Unlock()
 			http.Error(w, "no configuration", http.StatusServiceUnavailable)
 			return
-		case since.Compare(now) > 0:
+		case since.Compare(current) > 0:
 			c.mu.Unlock()
 			http.Error(w, "behind", http.StatusConflict)
 			return
 		case since.IsZero():
-			answer = c.set.Snapshot()
-		case since != now && q.Get("refused") != now.String():
-			var kept bool
-			if answer, kept = c.history.Since(since); !kept {
-				answer = c.set.Snapshot()
+			delta = c.set.Snapshot()
+		case since != current && query.Get("refused") != current.String():
+			var stored bool
+			if delta, stored = c.history.Since(since); !stored {
+				delta = c.set.Snapshot()
 			}
 		default:
 			done = wait <= 0
 		}
 		if done {
 			switch {
-			case answer.Whole():
+			case delta.Whole():
 				c.snapshots++
-			case answer.From != answer.To:
+			case delta.From != delta.To:
 				c.deltas++
 			}
 			c.mu.Unlock()
-			text, err := resource.Encode(answer)
+			text, err := resource.Encode(delta)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return
@@ -239,7 +241,7 @@
 		c.mu.Unlock()
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			wait = 0
 		case <-r.Context().Done():
 			return
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -1,6 +1,6 @@
 package standin
 
-// Listed is a line of discovery's list, as the platform words it.
+// ServerEntry is an entry of discovery's server list, in the platform's wire format.
 type Listed struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
--- a/internal/lab/standin/health.go
+++ b/internal/lab/standin/health.go
@@ -12,8 +12,8 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 )
 
-// Agent stands in for an agent beside a web server, by HAProxy's agent-check. What it does can change at any time. Safe for
-// concurrent use.
+// Agent stands in for a health agent next to a web server; it speaks HAProxy's agent-check protocol. Its behavior can change
+// at any time and applies to connections accepted from then on. It is safe for concurrent use.
 type Agent struct {
 	listener net.Listener
 	wg       sync.WaitGroup
@@ -24,7 +24,7 @@
 	conns    map[net.Conn]bool
 }
 
-// StartAgent brings one up at an address; "" is one of its own. It says that its server is up.
+// StartAgent starts an agent at an address, or at one of its own where that is empty. It reports its server as up.
 func StartAgent(addr string) (*Agent, error) {
 	ln, err := listenAt(addr)
 	if err != nil {
@@ -45,14 +45,14 @@
 			return
 		}
 		a.mu.Lock()
-		does, nth := a.behavior, a.queries
+		behavior, nth := a.behavior, a.queries
 		a.queries++
 		a.conns[c] = true
 		a.mu.Unlock()
 		a.wg.Add(1)
 		go func() {
 			defer a.wg.Done()
-			does(nth, c)
+			behavior(nth, c)
 			c.Close()
 			a.mu.Lock()
 			delete(a.conns, c)
@@ -61,31 +61,31 @@
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the address at which it listens.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Asked is how often it was, since its start.
+// QueryCount returns the number of connections accepted since the start.
 func (a *Agent) Asked() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queries
 }
 
-func (a *Agent) setBehavior(does func(nth int, c net.Conn)) {
+func (a *Agent) setBehavior(behavior func(nth int, c net.Conn)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.behavior = does
+	a.behavior = behavior
 }
 
-// Says makes it write a text and close; of several texts one after the other, round and round.
+// Reply makes it write a text and close the connection. Several texts are used in turn, starting over after the last.
 func (a *Agent) Says(texts ...string) {
 	a.setBehavior(func(nth int, c net.Conn) { io.WriteString(c, texts[nth%len(texts)]) })
 }
 
-// Asks makes it write what a function says each time, or stall where that says nothing.
-func (a *Agent) Asks(says func() (text string, answers bool)) {
+// ReplyWith makes it write the text that a function returns for each connection, or stall where that returns false.
+func (a *Agent) Asks(reply func() (text string, answers bool)) {
 	a.setBehavior(func(_ int, c net.Conn) {
-		if text, answers := says(); answers {
+		if text, answers := reply(); answers {
 			io.WriteString(c, text)
 		} else {
 			io.Copy(io.Discard, c)
@@ -93,7 +93,7 @@
 	})
 }
 
-// Stalls makes it accept and say nothing, beyond the beginning that is given.
+// Stall makes it accept, write the given beginning and nothing more, and keep the connection open.
 func (a *Agent) Stalls(beginning string) {
 	a.setBehavior(func(_ int, c net.Conn) {
 		io.WriteString(c, beginning)
@@ -101,7 +101,7 @@
 	})
 }
 
-// Rambles makes it write without end.
+// WriteEndlessly makes it write until the peer closes the connection.
 func (a *Agent) Rambles() {
 	a.setBehavior(func(_ int, c net.Conn) {
 		text := make([]byte, 4096)
@@ -116,7 +116,7 @@
 	})
 }
 
-// Resets makes it break the connection after the beginning that is given.
+// ResetAfter makes it reset the connection after writing the given beginning.
 func (a *Agent) Resets(beginning string) {
 	a.setBehavior(func(_ int, c net.Conn) {
 		io.WriteString(c, beginning)
@@ -124,7 +124,7 @@
 	})
 }
 
-// Stop ends it and what is open.
+// Stop closes the listener and all connections and waits for their goroutines.
 func (a *Agent) Stop() {
 	a.listener.Close()
 	a.mu.Lock()
@@ -135,14 +135,15 @@
 	a.wg.Wait()
 }
 
-// Health stands in for a server that speaks the gRPC health protocol, by grpc-go's own service.
+// HealthServer stands in for a server that speaks the gRPC health protocol. It uses the implementation of grpc-go.
 type Health struct {
 	*grpchealth.Server
 	server *grpc.Server
 	addr   string
 }
 
-// StartHealth brings one up at an address; "" is one of its own. It serves as a whole, and no service by name.
+// StartHealthServer starts a server at an address, or at one of its own where that is empty. It reports the server as a
+// whole as serving, and knows no service by name.
 func StartHealth(addr string) (*Health, error) {
 	ln, err := listenAt(addr)
 	if err != nil {
@@ -154,20 +155,20 @@
 	return h, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which it listens.
 func (h *Health) Addr() string { return h.addr }
 
-// Stop ends it and all streams.
+// Stop closes the listener, all connections and all streams.
 func (h *Health) Stop() { h.server.Stop() }
 
-// Page stands in for a page that is checked.
+// CheckedPage stands in for the HTTP page that a health check requests.
 type Page struct {
 	Status int
 	Body   string
-	After  time.Duration // it waits this long before it answers
+	After  time.Duration // pause before the response
 }
 
-// ServeHTTP makes it an http.Handler.
+// ServeHTTP responds with the status and body; a status of redirection also gets a Location.
 func (p *Page) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-time.After(p.After):
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -1,5 +1,5 @@
-// Package standin holds stand-ins for outside systems that both the rig and the tests use, each written from its public
-// specification.
+// Package standin holds stand-ins for external systems (proxies, health agents, control processes) that both the rig and
+// the tests use. Each is written from the public specification of its protocol.
 package standin
 
 import (
@@ -17,14 +17,14 @@
 	"time"
 )
 
-// Proxy is a SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC 9110, 9.3.6) proxy on loopback, with switches for what can be
-// wrong with one. Safe for concurrent use.
+// Proxy is a SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC 9110, 9.3.6) proxy on loopback with injectable faults. Its exported
+// fields are set before Start; mu guards the rest. It is safe for concurrent use.
 type Proxy struct {
-	SOCKS5   bool   // else CONNECT
-	User     string // empty: nobody is asked
+	SOCKS5   bool   // SOCKS5 if true, else CONNECT
+	User     string // empty: clients need no authentication
 	Password string
 
-	lifecycle sync.Mutex // held for the whole of Start and Stop: they come one after the other
+	lifecycle sync.Mutex // held for the duration of Start and Stop, which therefore never overlap
 
 	mu       sync.Mutex
 	addr     string
@@ -36,17 +36,17 @@
 	dials    int
 }
 
-// Wrong is what is the matter with a proxy.
+// ProxyFault is a fault of a proxy.
 type Wrong uint8
 
 const (
-	Nothing  Wrong = iota
-	Nonsense       // it answers what no proxy answers
-	Refuses        // every server, in its protocol's words
-	Silent         // it accepts and says nothing
+	Nothing  Wrong = iota // works
+	Nonsense              // replies with text of no proxy protocol
+	Refuses               // refuses every server, as its protocol does
+	Silent                // accepts connections and never replies
 )
 
-// Start opens the proxy, at the same address each time.
+// Start opens the listener, at the same address each time. It does nothing while the proxy runs.
 func (p *Proxy) Start() error {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -78,14 +78,14 @@
 	return nil
 }
 
-// Addr is where it listens, or did.
+// Addr returns the address at which it listens, or listened before Stop.
 func (p *Proxy) Addr() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr
 }
 
-// Stop ends the proxy as its process's death would: all its connections break.
+// Stop closes the listener and resets all connections, as the death of its process would, and waits for its goroutines.
 func (p *Proxy) Stop() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -104,20 +104,21 @@
 	p.wg.Wait()
 }
 
-// Trouble sets what is wrong from now on, and how long each client waits for its tunnel.
-func (p *Proxy) Trouble(w Wrong, delay time.Duration) {
+// SetFault sets the fault, and the delay before each tunnel is opened, for connections accepted from now on.
+func (p *Proxy) Trouble(fault Wrong, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fault, p.delay = w, delay
+	p.fault, p.delay = fault, delay
 }
 
-// Dialed counts the connections to servers.
+// DialCount returns the number of connections opened to servers.
 func (p *Proxy) Dialed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
+// track registers a connection, or closes it and returns false if the proxy is stopped.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,6 +130,7 @@
 	return true
 }
 
+// untrack closes a connection and forgets it.
 func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
@@ -136,32 +138,33 @@
 	delete(p.conns, c)
 }
 
-// serve takes one client to its server.
+// serve handles one client connection: it reads the request, dials the server and copies data in both directions.
 func (p *Proxy) serve(c net.Conn) {
 	p.mu.Lock()
-	wrong, delay := p.fault, p.delay
+	fault, delay := p.fault, p.delay
 	p.mu.Unlock()
 	in := bufio.NewReader(c)
-	ask, refuse := p.readConnect, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
-	stands := "HTTP/1.1 200 OK\r\nServer: stand-in\r\n\r\n"
+	readRequest, refuse := p.readConnect, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
+	established := "HTTP/1.1 200 OK\r\nServer: stand-in\r\n\r\n"
 	if p.SOCKS5 {
-		ask, refuse, stands = p.readSOCKS5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00", "\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
+		readRequest, refuse, established = p.readSOCKS5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00",
+			"\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
 	}
-	if wrong == Nonsense {
+	if fault == Nonsense {
 		io.WriteString(c, "220 what would you like to send?\r\n\r\n")
 		return
 	}
-	if wrong == Silent {
+	if fault == Silent {
 		in.ReadByte()
 		io.Copy(io.Discard, in)
 		return
 	}
-	addr, err := ask(in, c)
+	addr, err := readRequest(in, c)
 	if err != nil {
 		return
 	}
 	time.Sleep(delay)
-	if wrong == Refuses {
+	if fault == Refuses {
 		io.WriteString(c, refuse)
 		return
 	}
@@ -177,7 +180,7 @@
 	p.mu.Lock()
 	p.dials++
 	p.mu.Unlock()
-	if _, err := io.WriteString(c, stands); err != nil {
+	if _, err := io.WriteString(c, established); err != nil {
 		return
 	}
 	var wg sync.WaitGroup
@@ -186,7 +189,7 @@
 	wg.Wait()
 }
 
-// half copies one direction to its end. Where it breaks, so does all.
+// copyHalf copies one direction until its end. An error closes both, so that the other direction ends too.
 func copyHalf(dst net.Conn, src io.Reader, both net.Conn) {
 	if _, err := io.Copy(dst, src); err != nil {
 		both.Close()
@@ -196,8 +199,9 @@
 	}
 }
 
-var errBadRequest = errors.New("not what a client of this proxy asks")
+var errBadRequest = errors.New("malformed or unauthorized proxy request")
 
+// readConnect reads a CONNECT request and returns the address of its server. It replies to requests that it rejects.
 func (p *Proxy) readConnect(in *bufio.Reader, out io.Writer) (string, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil || req.Method != http.MethodConnect {
@@ -212,11 +216,13 @@
 	return req.Host, nil
 }
 
+// readSOCKS5 reads a SOCKS5 handshake and returns the address of the requested server. It replies where it rejects the
+// authentication.
 func (p *Proxy) readSOCKS5(in *bufio.Reader, out io.Writer) (string, error) {
 	read := func(n int) []byte {
 		b := make([]byte, n)
 		if _, err := io.ReadFull(in, b); err != nil {
-			return make([]byte, n) // noughts are no version of anything
+			return make([]byte, n) // zeros: no valid protocol version
 		}
 		return b
 	}
