--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,4 +1,7 @@
-// Package measure counts what a lab run shows, in the same way for the model and for the rig.
+// Package measure collects the results of a lab run, in the same way for the model and for the rig.
+//
+// An operation is what a client wants: it makes one or more tries, each a request to a node, and a node makes one or more
+// attempts at web servers for a try. Times are counted from the start of the scenario.
 package measure
 
 import (
@@ -7,33 +10,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Ending is how an ask ended for its client.
+// Ending says how an operation ended for its client. The values are written into results.
 type Ending string
 
 const (
 	Served      Ending = "served"
-	Refused     Ending = "refused"     // another try would have been harmless
-	Failed      Ending = "failed"      // answered without a promise
-	Overdue     Ending = "overdue"     // no answer while the client waited
-	Unreachable Ending = "unreachable" // no node took it
-	Lost        Ending = "lost"        // its node died with it
-	Left        Ending = "left"        // the client left early
+	Refused     Ending = "refused"     // rejected with the promise that a repeat does no harm
+	Failed      Ending = "failed"      // a response that is no success and promises nothing about repeats
+	Overdue     Ending = "overdue"     // no response within the time that the client waits
+	Unreachable Ending = "unreachable" // no node accepted the request
+	Lost        Ending = "lost"        // the node died while it held the request
+	Left        Ending = "left"        // the client disconnected before its time was up
 )
 
-// Endings lists them in the order of reports.
+// Endings lists all endings in the order in which reports print them.
 var Endings = []Ending{Served, Refused, Failed, Overdue, Unreachable, Lost, Left}
 
-// Tally is what became of some asks. Worth is that of the class for each second of work, so that a heavy request is worth
-// more than a light one.
+// Tally counts the operations of a group, and their value. The value of an operation is the value of its class times its
+// work in seconds, so that a heavy request counts for more than a light one.
 type Tally struct {
-	Asked   int     `json:"asked"`
-	Served  int     `json:"served"`
-	InTime  int     `json:"in_time"` // served within the aim, counted from the first try
-	Offered float64 `json:"offered"` // worth
-	Earned  float64 `json:"earned"`  // worth of those in time
+	Asked   int     `json:"asked"`   // operations
+	Served  int     `json:"served"`  // operations that were served
+	InTime  int     `json:"in_time"` // operations that were served within the target latency, counted from the first try
+	Offered float64 `json:"offered"` // value of all operations
+	Earned  float64 `json:"earned"`  // value of the operations that were served in time
 }
 
-// Share is the part of the worth that was served in time.
+// EarnedShare returns the share of the offered value that was served in time; 1 where nothing was offered.
 func (t *Tally) Share() float64 {
 	if t.Offered == 0 {
 		return 1
@@ -41,39 +44,41 @@
 	return t.Earned / t.Offered
 }
 
-func (t *Tally) add(served, inTime bool, worth float64) {
+// add counts one operation.
+func (t *Tally) add(served, inTime bool, value float64) {
 	t.Asked++
-	t.Offered += worth
+	t.Offered += value
 	if served {
 		t.Served++
 	}
 	if inTime {
 		t.InTime++
-		t.Earned += worth
+		t.Earned += value
 	}
 }
 
-// Second is what arrived in one second, and what became of it.
+// Second counts the operations that started within one second, by their endings.
 type Second struct {
 	Asked    int     `json:"asked"`
 	Served   int     `json:"served"`
 	Refused  int     `json:"refused"`
-	Failed   int     `json:"failed"` // all other endings
-	Attempts int     `json:"attempts"`
+	Failed   int     `json:"failed"`   // all other endings
+	Attempts int     `json:"attempts"` // attempts that were sent within the second
 	Offered  float64 `json:"offered"`
 	Earned   float64 `json:"earned"`
 }
 
-// ServerLoad is what one web server bore.
+// ServerLoad describes the load of one web server.
 type ServerLoad struct {
 	ID     uint32  `json:"id"`
 	Kind   string  `json:"kind"`
-	Sent   int     `json:"sent"`
-	Busy   float64 `json:"busy"` // work done as a part of what it could have done warm
-	Fallen bool    `json:"fallen,omitempty"`
+	Sent   int     `json:"sent"`             // attempts that reached it
+	Busy   float64 `json:"busy"`             // work done, as a share of what it could have done if warm throughout
+	Fallen bool    `json:"fallen,omitempty"` // it collapsed under load while it was cold
 }
 
-// Quantiles of the time from an ask's first try to its answer, of those served, in milliseconds.
+// Quantiles describes the time from an operation's first try to its response, in milliseconds, for operations that were
+// served.
 type Quantiles struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -82,33 +87,33 @@
 	Max  float64 `json:"max"`
 }
 
-// Result is one run, ready to be written as JSON.
+// Result holds the results of one run. It is written as JSON.
 type Result struct {
 	Scenario string            `json:"scenario"`
 	Policy   string            `json:"policy"`
 	Seed     uint64            `json:"seed"`
-	Params   map[string]string `json:"params,omitempty"` // what a sweep set
-	Engine   string            `json:"engine"`           // model or rig
+	Params   map[string]string `json:"params,omitempty"` // parameters set by a sweep
+	Engine   string            `json:"engine"`           // model, rig or load
 	All      Tally             `json:"all"`
 	Classes  map[string]*Tally `json:"classes"`
 	Tenants  map[string]*Tally `json:"tenants"`
-	Split    map[string]*Tally `json:"split"` // by tenant and class, as in app/search
+	Split    map[string]*Tally `json:"split"` // by tenant and class; the key is tenant/class
 	Endings  map[Ending]int    `json:"endings"`
-	Causes   map[string]int    `json:"causes"` // of refusals and failures, by tries
+	Causes   map[string]int    `json:"causes"` // tries that were not served, by cause
 	Tries    int               `json:"tries"`
 	Attempts int               `json:"attempts"`
 	Latency  Quantiles         `json:"latency_ms"`
-	Series   []Second          `json:"series"`
+	Series   []Second          `json:"series"` // one entry a second
 	Servers  []ServerLoad      `json:"servers"`
-	Trigger  [2]float64        `json:"trigger_s"` // when the first fault begins and ends; both 0 where there is none
-	Broken   map[string]int    `json:"broken"`    // breaches by rule; empty where all were kept
-	Breaches []string          `json:"breaches,omitempty"`
-	Digest   string            `json:"digest,omitempty"` // of all events; model only
-	Events   int64             `json:"events,omitempty"`
-	Wall     float64           `json:"wall_s"` // real seconds that the run took
+	Trigger  [2]float64        `json:"trigger_s"`          // start and end of the first fault, in seconds; both 0 where there is none
+	Broken   map[string]int    `json:"broken"`             // number of breaches by rule; empty where no rule was broken
+	Breaches []string          `json:"breaches,omitempty"` // the first breaches, with the trace of their requests
+	Digest   string            `json:"digest,omitempty"`   // checksum of all events; model only
+	Events   int64             `json:"events,omitempty"`   // number of events; model only
+	Wall     float64           `json:"wall_s"`             // wall-clock duration of the run in seconds
 }
 
-// AttemptsPerAsk is how many attempts each ask cost.
+// AttemptsPerOperation returns the mean number of attempts for an operation.
 func (r *Result) AttemptsPerAsk() float64 {
 	if r.All.Asked == 0 {
 		return 0
@@ -116,7 +121,7 @@
 	return float64(r.Attempts) / float64(r.All.Asked)
 }
 
-// BrokenTotal is the number of breaches.
+// BreachTotal returns the number of breaches of all rules.
 func (r *Result) BrokenTotal() int {
 	n := 0
 	for _, c := range r.Broken {
@@ -125,7 +130,7 @@
 	return n
 }
 
-// Worst is the part served of the worst class.
+// WorstClassShare returns the lowest EarnedShare of all classes.
 func (r *Result) Worst() float64 {
 	worst := 1.0
 	for _, t := range r.Classes {
@@ -134,50 +139,54 @@
 	return worst
 }
 
-// Recorder counts one run. Not safe for concurrent use.
+// Recorder collects the results of one run. It is not safe for concurrent use.
 type Recorder struct {
 	warmup    time.Duration
-	latencies *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram // of served operations, in microseconds
 	result    Result
 }
 
-// New counts what arrives from warmup on, for so many seconds in all.
+// NewRecorder returns a recorder for a run of the given duration. Totals exclude what happens before warmup; the series does
+// not.
 func New(warmup, duration time.Duration) *Recorder {
 	return &Recorder{warmup: warmup, latencies: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
-		result: Result{Classes: map[string]*Tally{}, Tenants: map[string]*Tally{}, Split: map[string]*Tally{}, Endings: map[Ending]int{},
-			Causes: map[string]int{}, Broken: map[string]int{}, Series: make([]Second, int(duration/time.Second)+1)}}
+		result: Result{Classes: map[string]*Tally{}, Tenants: map[string]*Tally{}, Split: map[string]*Tally{},
+			Endings: map[Ending]int{}, Causes: map[string]int{}, Broken: map[string]int{}, Series: make([]Second, int(duration/time.Second)+1)}}
 }
 
-// Ask books one ask that is over. Took counts from its first try.
-func (r *Recorder) Ask(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, worth float64) {
+// RecordOperation records an operation that has ended. It started at the given time and took as long, counted from its first
+// try.
+func (r *Recorder) Ask(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, value float64) {
 	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
-		s := &r.result.Series[i]
-		s.Asked++
-		s.Offered += worth
+		second := &r.result.Series[i]
+		second.Asked++
+		second.Offered += value
 		switch end {
 		case Served:
-			s.Served++
+			second.Served++
 		case Refused:
-			s.Refused++
+			second.Refused++
 		default:
-			s.Failed++
+			second.Failed++
 		}
 		if inTime {
-			s.Earned += worth
+			second.Earned += value
 		}
 	}
 	if at < r.warmup {
 		return
 	}
-	for _, t := range []*Tally{&r.result.All, tallyOf(r.result.Classes, class), tallyOf(r.result.Tenants, tenant), tallyOf(r.result.Split, tenant+"/"+class)} {
-		t.add(end == Served, inTime, worth)
+	for _, t := range []*Tally{&r.result.All, tallyOf(r.result.Classes, class), tallyOf(r.result.Tenants, tenant),
+		tallyOf(r.result.Split, tenant+"/"+class)} {
+		t.add(end == Served, inTime, value)
 	}
 	r.result.Endings[end]++
 	if end == Served {
-		r.latencies.RecordValue(max(1, int64(took/time.Microsecond))) // one beyond the range is not counted
+		r.latencies.RecordValue(max(1, int64(took/time.Microsecond))) // a value beyond the histogram'second range is not counted
 	}
 }
 
+// tallyOf returns the tally of a name and creates it where needed.
 func tallyOf(m map[string]*Tally, name string) *Tally {
 	if m[name] == nil {
 		m[name] = &Tally{}
@@ -185,20 +194,21 @@
 	return m[name]
 }
 
-// Try books a client's try at a node, and Cause why one was not served.
+// RecordTry records a client's try, which is a request to a node.
 func (r *Recorder) Try(at time.Duration) {
 	if at >= r.warmup {
 		r.result.Tries++
 	}
 }
 
+// RecordCause records why a try was not served.
 func (r *Recorder) Cause(at time.Duration, cause string) {
 	if at >= r.warmup {
 		r.result.Causes[cause]++
 	}
 }
 
-// Attempt books a send to a web server.
+// RecordAttempt records an attempt at a web server.
 func (r *Recorder) Attempt(at time.Duration) {
 	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
 		r.result.Series[i].Attempts++
@@ -208,52 +218,52 @@
 	}
 }
 
-// Result is what was counted so far.
+// Result returns the results so far. It shares its maps and the series with the recorder.
 func (r *Recorder) Result() Result {
 	ms := func(q float64) float64 { return float64(r.latencies.ValueAtQuantile(q)) / 1e3 }
-	res := r.result
-	res.Latency = Quantiles{P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(r.latencies.Max()) / 1e3}
-	return res
+	result := r.result
+	result.Latency = Quantiles{P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(r.latencies.Max()) / 1e3}
+	return result
 }
 
-// Recovery is how long after a trigger's end goodput stays below a part of what it was in the seconds before the
-// trigger began: the time to the first second from which it holds for hold seconds. False: it never does.
-func (r *Result) Recovery(begin, end time.Duration, part float64, hold int) (time.Duration, bool) {
-	b, e := int(begin/time.Second), int(end/time.Second)
-	base, n := 0.0, 0
-	for i := max(0, b-10); i < b && i < len(r.Series); i++ {
-		base += earnedShare(r.Series[i])
-		n++
+// RecoveryTime returns how long after a fault's end goodput needs to recover: the time until the first of hold successive
+// seconds in which it is at least the given share of the mean of the ten seconds before the fault began. Seconds without
+// operations are skipped. It returns false if goodput never recovers, or if there is no second before the fault.
+func (r *Result) Recovery(begin, end time.Duration, share float64, hold int) (time.Duration, bool) {
+	beginSecond, endSecond := int(begin/time.Second), int(end/time.Second)
+	baseline, seconds := 0.0, 0
+	for i := max(0, beginSecond-10); i < beginSecond && i < len(r.Series); i++ {
+		baseline += earnedShare(r.Series[i])
+		seconds++
 	}
-	if n == 0 {
+	if seconds == 0 {
 		return 0, false
 	}
-	base /= float64(n)
-	run := 0
-	for i := e; i < len(r.Series); i++ {
+	baseline /= float64(seconds)
+	held := 0
+	for i := endSecond; i < len(r.Series); i++ {
 		if r.Series[i].Asked == 0 {
 			continue
 		}
-		if earnedShare(r.Series[i]) >= part*base {
-			if run++; run >= hold {
-				return time.Duration(i-hold+1-e) * time.Second, true
+		if earnedShare(r.Series[i]) >= share*baseline {
+			if held++; held >= hold {
+				return time.Duration(i-hold+1-endSecond) * time.Second, true
 			}
 		} else {
-			run = 0
+			held = 0
 		}
 	}
 	return 0, false
 }
 
-// RecoveryPart and RecoveryHold say what counts as recovered: so much of the goodput before the trigger, for so many
-// seconds on end.
+// What counts as recovered.
 const (
-	RecoveryPart = 0.9
-	RecoveryHold = 5
+	RecoveryPart = 0.9 // share of the goodput before the fault that has to be reached
+	RecoveryHold = 5   // successive seconds for which it has to be reached
 )
 
-// Recovered is the time from the first fault's end until the fleet serves as before, in seconds; false where it never
-// does, with the rest of the day as the time.
+// RecoverySeconds returns the time from the first fault's end until goodput has recovered, in seconds. Where it never does,
+// it returns false and the time from the fault's end to the end of the run.
 func (r *Result) Recovered() (float64, bool) {
 	begin, end := time.Duration(r.Trigger[0]*float64(time.Second)), time.Duration(r.Trigger[1]*float64(time.Second))
 	if took, ok := r.Recovery(begin, end, RecoveryPart, RecoveryHold); ok {
@@ -262,6 +272,7 @@
 	return max(0, float64(len(r.Series))-r.Trigger[1]), false
 }
 
+// earnedShare returns the share of the offered value that was served in time; 1 where nothing was offered.
 func earnedShare(s Second) float64 {
 	if s.Offered == 0 {
 		return 1
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
+// Operations before the warm-up count in the series only, those beyond the series in the totals only.
 func TestRecorder(t *testing.T) {
 	r := New(time.Second, 10*time.Second)
-	r.Ask(500*time.Millisecond, "a", "x", Served, true, time.Millisecond, 5) // before the count begins
+	r.Ask(500*time.Millisecond, "a", "x", Served, true, time.Millisecond, 5) // before the end of the warm-up
 	for i := range 100 {
 		r.Try(2 * time.Second)
 		r.Attempt(2 * time.Second)
@@ -17,29 +18,30 @@
 	r.Cause(2*time.Second, "full")
 	r.Ask(3*time.Second, "b", "", Refused, false, 0, 100)
 	r.Ask(time.Hour, "b", "", Lost, false, 0, 0) // beyond the series
-	res := r.Result()
-	if res.All.Asked != 102 || res.All.Served != 100 || res.All.InTime != 60 || res.All.Offered != 200 || res.All.Earned != 60 {
-		t.Errorf("%+v", res.All)
+	result := r.Result()
+	if result.All.Asked != 102 || result.All.Served != 100 || result.All.InTime != 60 || result.All.Offered != 200 || result.All.Earned != 60 {
+		t.Errorf("totals: %+v", result.All)
 	}
-	if res.Classes["a"].Share() != 0.6 || res.Worst() != 0 || res.Endings[Lost] != 1 || res.Causes["full"] != 1 {
-		t.Errorf("%+v", res)
+	if result.Classes["a"].Share() != 0.6 || result.Worst() != 0 || result.Endings[Lost] != 1 || result.Causes["full"] != 1 {
+		t.Errorf("results by class, ending and cause: %+v", result)
 	}
-	if res.Latency.P50 < 49 || res.Latency.P50 > 51 || res.Latency.P99 < 98 || res.Latency.Max < 99.9 {
-		t.Errorf("%+v", res.Latency)
+	if result.Latency.P50 < 49 || result.Latency.P50 > 51 || result.Latency.P99 < 98 || result.Latency.Max < 99.9 {
+		t.Errorf("latency quantiles: %+v", result.Latency)
 	}
-	if s := res.Series[0]; s.Asked != 1 || s.Earned != 5 {
-		t.Errorf("the first second: %+v", s)
+	if s := result.Series[0]; s.Asked != 1 || s.Earned != 5 {
+		t.Errorf("first second of the series: %+v", s)
 	}
-	if got := res.AttemptsPerAsk(); got != 101.0/102 {
-		t.Errorf("%v attempts an ask", got)
+	if got := result.AttemptsPerAsk(); got != 101.0/102 {
+		t.Errorf("%v attempts an operation, want 101/102", got)
 	}
 	if (&Result{}).AttemptsPerAsk() != 0 || (&Tally{}).Share() != 1 {
-		t.Error("nothing asked")
+		t.Error("without operations: want 0 attempts an operation and a share of 1")
 	}
 }
 
-func TestRecovery(t *testing.T) {
-	day := func(shares ...float64) *Result {
+// Recovery is the first second from which goodput holds; a single good second between bad ones does not count.
+func TestRecoveryTime(t *testing.T) {
+	runOf := func(shares ...float64) *Result {
 		r := &Result{}
 		for _, s := range shares {
 			r.Series = append(r.Series, Second{Asked: 1, Offered: 1, Earned: s})
@@ -47,27 +49,28 @@
 		return r
 	}
 	for _, c := range []struct {
-		day  *Result
+		run  *Result
 		want time.Duration
 		ok   bool
 	}{
-		{day(1, 1, 0, 0, 1, 1, 1), 0, true},
-		{day(1, 1, 0, 0, 0.2, 0.9, 0.3, 0.95, 1, 1), 3 * time.Second, true},
-		{day(1, 1, 0, 0, 0, 0, 0), 0, false},
-		{day(1, 1, 0, 0, 1), 0, false}, // it has to hold
-		{day(0.5, 0.5, 0, 0, 0.5, 0.5), 0, true},
+		{runOf(1, 1, 0, 0, 1, 1, 1), 0, true},
+		{runOf(1, 1, 0, 0, 0.2, 0.9, 0.3, 0.95, 1, 1), 3 * time.Second, true},
+		{runOf(1, 1, 0, 0, 0, 0, 0), 0, false},
+		{runOf(1, 1, 0, 0, 1), 0, false}, // the run ends before it has held for two seconds
+		{runOf(0.5, 0.5, 0, 0, 0.5, 0.5), 0, true},
 	} {
-		got, ok := c.day.Recovery(2*time.Second, 4*time.Second, 0.9, 2)
+		got, ok := c.run.Recovery(2*time.Second, 4*time.Second, 0.9, 2)
 		if got != c.want || ok != c.ok {
-			t.Errorf("%+v: %v %v, want %v %v", c.day.Series, got, ok, c.want, c.ok)
+			t.Errorf("%+v: %v %v, want %v %v", c.run.Series, got, ok, c.want, c.ok)
 		}
 	}
-	if _, ok := day(1, 1).Recovery(0, 1, 0.9, 1); ok {
-		t.Error("recovered to nothing known")
+	if _, ok := runOf(1, 1).Recovery(0, 1, 0.9, 1); ok {
+		t.Error("recovered, although nothing is known of the time before the fault")
 	}
 }
 
-func TestRecovered(t *testing.T) {
+// A fleet that never recovers counts with the rest of the run.
+func TestRecoverySeconds(t *testing.T) {
 	r := &Result{Trigger: [2]float64{2, 4}}
 	for i := range 20 {
 		s := Second{Asked: 1, Offered: 1, Earned: 1}
@@ -77,12 +80,12 @@
 		r.Series = append(r.Series, s)
 	}
 	if took, ok := r.Recovered(); !ok || took != 3 {
-		t.Errorf("%v %v, want 3 s", took, ok)
+		t.Errorf("%v %v, want a recovery after 3 s", took, ok)
 	}
 	for i := 7; i < 20; i++ {
 		r.Series[i].Earned = 0.2
 	}
 	if took, ok := r.Recovered(); ok || took != 16 {
-		t.Errorf("%v %v, want never, and the 16 s that were left", took, ok)
+		t.Errorf("%v %v, want no recovery, and the 16 s that remain of the run", took, ok)
 	}
 }
