--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -8,8 +8,8 @@
 	"portstall/internal/config"
 )
 
-// Default is the fleet that a scenario has where its file says nothing: one data centre of thirteen mixed servers behind
-// two nodes, with middles of the ranges that the operators state.
+// Default returns the values of fields that a scenario file does not set: one data center of thirteen servers of two types
+// behind two nodes. Figures for which the operators state a range are in its middle.
 func Default() Scenario {
 	return Scenario{
 		Seed: 1, Duration: 40 * time.Second, Warmup: 2 * time.Second, Nodes: 2,
@@ -42,11 +42,12 @@
 		Tenants: []Tenant{{Name: "gulf-coast", Share: 0.72, Usage: 1}, {Name: "central-tx", Share: 0.15, Usage: 1},
 			{Name: "panhandle", Share: 0.13, Usage: 1}},
 		Rules: Rules{MaxAttempts: 6, DrainGrace: time.Second, FallMultiple: 2.5, FallFor: 1500 * time.Millisecond,
-			ColdShare: 0.3, ColdFor: 8300 * time.Millisecond, AnswerSlack: 20 * time.Millisecond, TunnelDrain: 3 * time.Second, OverShare: 0.2},
+			ColdShare: 0.3, ColdFor: 8300 * time.Millisecond, AnswerSlack: 20 * time.Millisecond, TunnelDrain: 3 * time.Second,
+			OverShare: 0.2},
 	}
 }
 
-// Parse reads a scenario; name stands for the text in errors.
+// Parse parses and checks the text of a scenario file; errors begin with the name.
 func Parse(name string, text []byte) (Scenario, error) {
 	s := Default()
 	if err := config.Decode(name, text, &s, s.check); err != nil {
@@ -55,152 +56,153 @@
 	return s, nil
 }
 
-// Check reports the first field that makes no sense, as a *config.FieldError.
+// Check returns the first invalid field as a *config.FieldError.
 func (s *Scenario) Check() error { return s.check() }
 
+// check is Check. It also sets the size of cells to 1 where only their tenants are given.
 func (s *Scenario) check() error {
 	var first error
-	bad := func(path, why string, args ...any) {
+	reject := func(path, format string, args ...any) {
 		if first == nil {
-			first = &config.FieldError{Path: path, Why: fmt.Sprintf(why, args...)}
+			first = &config.FieldError{Path: path, Why: fmt.Sprintf(format, args...)}
 		}
 	}
-	count := func(path string, v, least, most int) {
-		if v < least || v > most {
-			bad(path, "%d is outside %d to %d", v, least, most)
+	checkInt := func(path string, v, lower, upper int) {
+		if v < lower || v > upper {
+			reject(path, "%d is outside %d to %d", v, lower, upper)
 		}
 	}
-	number := func(path string, v, least, most float64) {
-		if !(v >= least && v <= most) {
-			bad(path, "%v is outside %v to %v", v, least, most)
+	checkFloat := func(path string, v, lower, upper float64) {
+		if !(v >= lower && v <= upper) {
+			reject(path, "%v is outside %v to %v", v, lower, upper)
 		}
 	}
-	span := func(path string, v, least time.Duration) {
-		if v < least || v > 24*time.Hour {
-			bad(path, "%v is outside %v to 24h", v, least)
+	checkDuration := func(path string, v, lower time.Duration) {
+		if v < lower || v > 24*time.Hour {
+			reject(path, "%v is outside %v to 24h", v, lower)
 		}
 	}
-	word := func(path, v string, allowed ...string) {
+	checkWord := func(path, v string, allowed ...string) {
 		for _, a := range allowed {
 			if v == a {
 				return
 			}
 		}
-		bad(path, "%q is none of %q", v, allowed)
+		reject(path, "%q is none of %q", v, allowed)
 	}
 	if s.Name == "" {
-		bad("name", "missing")
+		reject("name", "missing")
 	}
-	span("duration", s.Duration, time.Second)
-	span("warmup", s.Warmup, 0)
+	checkDuration("duration", s.Duration, time.Second)
+	checkDuration("warmup", s.Warmup, 0)
 	if s.Warmup >= s.Duration {
-		bad("warmup", "%v leaves nothing of the %v that the scenario lasts", s.Warmup, s.Duration)
+		reject("warmup", "%v is not shorter than the duration of %v", s.Warmup, s.Duration)
 	}
-	count("nodes", s.Nodes, 1, 100)
-	v := &s.Servers
-	count("servers.count", v.Count, 1, 10000)
-	count("servers.zones", v.Zones, 1, 20)
-	word("servers.via", v.Via, "", "socks5", "connect")
-	word("clients.via", s.Clients.Via, "", "socks5", "connect")
-	count("servers.pod_size", v.PodSize, 0, 10000)
-	if len(v.Kinds) == 0 {
-		bad("servers.kinds", "at least one is needed")
+	checkInt("nodes", s.Nodes, 1, 100)
+	servers := &s.Servers
+	checkInt("servers.count", servers.Count, 1, 10000)
+	checkInt("servers.zones", servers.Zones, 1, 20)
+	checkWord("servers.via", servers.Via, "", "socks5", "connect")
+	checkWord("clients.via", s.Clients.Via, "", "socks5", "connect")
+	checkInt("servers.pod_size", servers.PodSize, 0, 10000)
+	if len(servers.Kinds) == 0 {
+		reject("servers.kinds", "at least one is needed")
 	}
-	for i, k := range v.Kinds {
-		p := fmt.Sprintf("servers.kinds[%d].", i)
+	for i, k := range servers.Kinds {
+		prefix := fmt.Sprintf("servers.kinds[%d].", i)
 		if k.Name == "" {
-			bad(p+"name", "missing")
+			reject(prefix+"name", "missing")
 		}
-		number(p+"share", k.Share, 1e-6, math.MaxFloat64)
-		count(p+"cores", k.Cores, 1, 256)
-		number(p+"speed", k.Speed, 0.01, 100)
-		number(p+"speed_cv", k.SpeedCV, 0, 1)
-		count(p+"slots_per_core", k.SlotsPerCore, 1, 1000)
-		count(p+"queue_per_core", k.QueuePerCore, 0, 10000)
-		number(p+"cold_from", k.ColdFrom, 0.01, 1)
-		span(p+"cold_for", k.ColdFor, 0)
-		word(p+"warm_by", k.WarmBy, "time", "work")
-		number(p+"error_rate", k.ErrorRate, 0, 1)
+		checkFloat(prefix+"share", k.Share, 1e-6, math.MaxFloat64)
+		checkInt(prefix+"cores", k.Cores, 1, 256)
+		checkFloat(prefix+"speed", k.Speed, 0.01, 100)
+		checkFloat(prefix+"speed_cv", k.SpeedCV, 0, 1)
+		checkInt(prefix+"slots_per_core", k.SlotsPerCore, 1, 1000)
+		checkInt(prefix+"queue_per_core", k.QueuePerCore, 0, 10000)
+		checkFloat(prefix+"cold_from", k.ColdFrom, 0.01, 1)
+		checkDuration(prefix+"cold_for", k.ColdFor, 0)
+		checkWord(prefix+"warm_by", k.WarmBy, "time", "work")
+		checkFloat(prefix+"error_rate", k.ErrorRate, 0, 1)
 	}
-	c := &v.Connections
-	count("servers.connections.cap_per_core", c.CapPerCore, 1, 1<<20)
-	span("servers.connections.handshake_work", c.HandshakeWork, 0)
-	count("servers.connections.handshake_rtts", c.HandshakeRTTs, 0, 10)
-	span("servers.connections.idle", c.Idle, time.Millisecond)
-	span("servers.connections.connect_timeout", c.ConnectTimeout, time.Millisecond)
-	number("servers.choke.at", v.Choke.At, 0, math.MaxFloat64)
-	number("servers.choke.by", v.Choke.By, 0, 100)
-	span("servers.reports.period", v.Reports.Period, time.Millisecond)
-	span("servers.reports.delay", v.Reports.Delay, 0)
-	number("servers.reports.noise", v.Reports.Noise, 0, 10)
-	span("network.one_way", s.Network.OneWay, 0)
-	span("network.client", s.Network.Client, 0)
-	number("network.jitter", s.Network.Jitter, 0, 10)
-	span("roster.add_lag", s.Roster.AddLag, 0)
-	span("roster.notice", s.Roster.Notice, 0)
-	span("roster.silent_notice", s.Roster.SilentNotice, 0)
-	span("roster.call_time", s.Roster.CallTime, 0)
-	span("roster.timeout", s.Roster.Timeout, time.Millisecond)
-	span("front.notice", s.Front.Notice, 0)
-	span("front.moves", s.Front.Moves, 0)
+	connections := &servers.Connections
+	checkInt("servers.connections.cap_per_core", connections.CapPerCore, 1, 1<<20)
+	checkDuration("servers.connections.handshake_work", connections.HandshakeWork, 0)
+	checkInt("servers.connections.handshake_rtts", connections.HandshakeRTTs, 0, 10)
+	checkDuration("servers.connections.idle", connections.Idle, time.Millisecond)
+	checkDuration("servers.connections.connect_timeout", connections.ConnectTimeout, time.Millisecond)
+	checkFloat("servers.choke.at", servers.Choke.At, 0, math.MaxFloat64)
+	checkFloat("servers.choke.by", servers.Choke.By, 0, 100)
+	checkDuration("servers.reports.period", servers.Reports.Period, time.Millisecond)
+	checkDuration("servers.reports.delay", servers.Reports.Delay, 0)
+	checkFloat("servers.reports.noise", servers.Reports.Noise, 0, 10)
+	checkDuration("network.one_way", s.Network.OneWay, 0)
+	checkDuration("network.client", s.Network.Client, 0)
+	checkFloat("network.jitter", s.Network.Jitter, 0, 10)
+	checkDuration("roster.add_lag", s.Roster.AddLag, 0)
+	checkDuration("roster.notice", s.Roster.Notice, 0)
+	checkDuration("roster.silent_notice", s.Roster.SilentNotice, 0)
+	checkDuration("roster.call_time", s.Roster.CallTime, 0)
+	checkDuration("roster.timeout", s.Roster.Timeout, time.Millisecond)
+	checkDuration("front.notice", s.Front.Notice, 0)
+	checkDuration("front.moves", s.Front.Moves, 0)
 	if n := len(s.Front.Split); n > 0 && n != s.Nodes {
-		bad("front.split", "%d shares for %d nodes", n, s.Nodes)
+		reject("front.split", "%d shares for %d nodes", n, s.Nodes)
 	}
 	for i, v := range s.Front.Split {
-		number(fmt.Sprintf("front.split[%d]", i), v, 1e-6, math.MaxFloat64)
+		checkFloat(fmt.Sprintf("front.split[%d]", i), v, 1e-6, math.MaxFloat64)
 	}
-	l := &s.Clients
-	word("clients.arrivals", l.Arrivals, "poisson", "constant", "bursty")
-	number("clients.burstiness", l.Burstiness, 0.1, 20)
-	number("clients.rate", l.Rate, 0, 1e7)
-	if l.Rate == 0 {
-		number("clients.load", l.Load, 0.001, 100)
+	clients := &s.Clients
+	checkWord("clients.arrivals", clients.Arrivals, "poisson", "constant", "bursty")
+	checkFloat("clients.burstiness", clients.Burstiness, 0.1, 20)
+	checkFloat("clients.rate", clients.Rate, 0, 1e7)
+	if clients.Rate == 0 {
+		checkFloat("clients.load", clients.Load, 0.001, 100)
 	}
-	number("clients.wave", l.Wave, 0, 1)
-	span("clients.wave_period", l.WavePeriod, time.Millisecond)
-	number("clients.retries", l.Retries, 0, 100)
-	span("clients.backoff", l.Backoff, 0)
-	number("clients.honour", l.Honour, 0, 1)
-	number("clients.try_share", l.TryShare, 0.01, 1)
-	number("clients.stubborn", l.Stubborn, 0, 1)
-	number("clients.impatient", l.Impatient, 0, 1)
+	checkFloat("clients.wave", clients.Wave, 0, 1)
+	checkDuration("clients.wave_period", clients.WavePeriod, time.Millisecond)
+	checkFloat("clients.retries", clients.Retries, 0, 100)
+	checkDuration("clients.backoff", clients.Backoff, 0)
+	checkFloat("clients.honour", clients.Honour, 0, 1)
+	checkFloat("clients.try_share", clients.TryShare, 0.01, 1)
+	checkFloat("clients.stubborn", clients.Stubborn, 0, 1)
+	checkFloat("clients.impatient", clients.Impatient, 0, 1)
 	if len(s.Classes) == 0 {
-		bad("classes", "at least one is needed")
+		reject("classes", "at least one is needed")
 	}
-	names := map[string]bool{}
+	classes := map[string]bool{}
 	for i, c := range s.Classes {
-		p := fmt.Sprintf("classes[%d].", i)
-		if c.Name == "" || names[c.Name] {
-			bad(p+"name", "%q is missing or used twice", c.Name)
+		prefix := fmt.Sprintf("classes[%d].", i)
+		if c.Name == "" || classes[c.Name] {
+			reject(prefix+"name", "%q is missing or used twice", c.Name)
 		}
-		names[c.Name] = true
-		number(p+"share", c.Share, 1e-6, math.MaxFloat64)
-		span(p+"work", c.Work, time.Microsecond)
-		number(p+"cv", c.CV, 0, 20)
-		span(p+"deadline", c.Deadline, time.Millisecond)
-		span(p+"aim", c.Aim, time.Millisecond)
+		classes[c.Name] = true
+		checkFloat(prefix+"share", c.Share, 1e-6, math.MaxFloat64)
+		checkDuration(prefix+"work", c.Work, time.Microsecond)
+		checkFloat(prefix+"cv", c.CV, 0, 20)
+		checkDuration(prefix+"deadline", c.Deadline, time.Millisecond)
+		checkDuration(prefix+"aim", c.Aim, time.Millisecond)
 		if c.Aim > c.Deadline {
-			bad(p+"aim", "%v is past the deadline of %v", c.Aim, c.Deadline)
+			reject(prefix+"aim", "%v is longer than the deadline of %v", c.Aim, c.Deadline)
 		}
-		number(p+"worth", c.Worth, 0, 1e9)
-		word(p+"effect", c.Effect, "safe", "keyed", "unsafe")
-		word(p+"group", c.Group, "", "all", "zone", "pod")
-		span(p+"window", c.Window, 0)
-		span(p+"stands", c.Stands, 0)
+		checkFloat(prefix+"worth", c.Worth, 0, 1e9)
+		checkWord(prefix+"effect", c.Effect, "safe", "keyed", "unsafe")
+		checkWord(prefix+"group", c.Group, "", "all", "zone", "pod")
+		checkDuration(prefix+"window", c.Window, 0)
+		checkDuration(prefix+"stands", c.Stands, 0)
 		if c.Effect == "keyed" && c.Window == 0 {
-			bad(p+"window", "missing: a keyed class says how long repeats are dropped")
+			reject(prefix+"window", "missing: a keyed class needs the time for which repeats are dropped")
 		}
 	}
 	tenants := map[string]bool{}
 	for i, t := range s.Tenants {
-		p := fmt.Sprintf("tenants[%d].", i)
+		prefix := fmt.Sprintf("tenants[%d].", i)
 		if t.Name == "" || tenants[t.Name] {
-			bad(p+"name", "%q is missing or used twice", t.Name)
+			reject(prefix+"name", "%q is missing or used twice", t.Name)
 		}
 		tenants[t.Name] = true
-		number(p+"share", t.Share, 1e-6, 1)
-		number(p+"usage", t.Usage, 0, 1000)
-		number(p+"hints", t.Hints, 0, 1000)
+		checkFloat(prefix+"share", t.Share, 1e-6, 1)
+		checkFloat(prefix+"usage", t.Usage, 0, 1000)
+		checkFloat(prefix+"hints", t.Hints, 0, 1000)
 	}
 	if s.Cells.Size != 0 || len(s.Cells.Tenants) > 0 {
 		s.Cells.Size = max(s.Cells.Size, 1)
@@ -210,19 +212,19 @@
 	}
 	for i, v := range s.Cells.Tenants {
 		if !tenants[v.Tenant] {
-			bad(fmt.Sprintf("cells.tenants[%d].tenant", i), "%q is no tenant of this scenario", v.Tenant)
+			reject(fmt.Sprintf("cells.tenants[%d].tenant", i), "%q is not a tenant of this scenario", v.Tenant)
 		}
 	}
-	r := &s.Rules
-	count("rules.max_attempts", r.MaxAttempts, 1, 100)
-	span("rules.drain_grace", r.DrainGrace, 0)
-	number("rules.fall_multiple", r.FallMultiple, 1, 100)
-	span("rules.fall_for", r.FallFor, time.Millisecond)
-	number("rules.cold_share", r.ColdShare, 0.01, 1)
-	span("rules.cold_for", r.ColdFor, 0)
-	number("rules.tunnel_drain", r.TunnelDrain.Seconds(), 0.001, 60)
-	span("rules.answer_slack", r.AnswerSlack, 0)
-	number("rules.over_share", r.OverShare, 0, 1)
+	rules := &s.Rules
+	checkInt("rules.max_attempts", rules.MaxAttempts, 1, 100)
+	checkDuration("rules.drain_grace", rules.DrainGrace, 0)
+	checkFloat("rules.fall_multiple", rules.FallMultiple, 1, 100)
+	checkDuration("rules.fall_for", rules.FallFor, time.Millisecond)
+	checkFloat("rules.cold_share", rules.ColdShare, 0.01, 1)
+	checkDuration("rules.cold_for", rules.ColdFor, 0)
+	checkFloat("rules.tunnel_drain", rules.TunnelDrain.Seconds(), 0.001, 60)
+	checkDuration("rules.answer_slack", rules.AnswerSlack, 0)
+	checkFloat("rules.over_share", rules.OverShare, 0, 1)
 	if s.Health != nil && s.Health.Checks != nil {
 		if _, err := s.Health.Checks.Ready(); err != nil && first == nil {
 			first = err
@@ -234,53 +236,53 @@
 		}
 	}
 	for i, f := range s.Faults {
-		p := fmt.Sprintf("faults[%d].", i)
-		use, ok := Kinds[f.Kind]
+		prefix := fmt.Sprintf("faults[%d].", i)
+		kind, ok := Kinds[f.Kind]
 		if !ok {
-			bad(p+"kind", "%q is no kind of fault; `portstall lab faults` lists them", f.Kind)
+			reject(prefix+"kind", "%q is not a kind of fault; `portstall lab faults` lists them", f.Kind)
 			continue
 		}
-		span(p+"at", f.At, 0)
+		checkDuration(prefix+"at", f.At, 0)
 		if f.At > s.Duration {
-			bad(p+"at", "%v is after the end at %v", f.At, s.Duration)
+			reject(prefix+"at", "%v is after the scenario's end at %v", f.At, s.Duration)
 		}
-		if !use.Instant {
-			span(p+"for", f.For, time.Millisecond)
+		if !kind.Instant {
+			checkDuration(prefix+"for", f.For, time.Millisecond)
 		}
 		for _, v := range []struct {
 			name  string
 			reads bool
 			value float64
-			most  float64
-		}{{"share", use.Share, f.Share, 1}, {"part", use.Part, f.Part, 1}, {"factor", use.Factor, f.Factor, 1e6},
-			{"nodes", use.Nodes, f.Nodes, 1}, {"delay", use.Delay, f.Delay.Seconds(), 3600}} {
+			upper float64
+		}{{"share", kind.Share, f.Share, 1}, {"part", kind.Part, f.Part, 1}, {"factor", kind.Factor, f.Factor, 1e6},
+			{"nodes", kind.Nodes, f.Nodes, 1}, {"delay", kind.Delay, f.Delay.Seconds(), 3600}} {
 			if !v.reads && v.value != 0 {
-				bad(p+v.name, "a fault of kind %s does not read it", f.Kind)
+				reject(prefix+v.name, "faults of kind %s do not use it", f.Kind)
 			}
-			if v.reads && !(v.value > 0 && v.value <= v.most) && !(f.Kind == "report_lie" && v.name == "factor" && v.value == 0) {
-				bad(p+v.name, "%v is outside 0 (not included) to %v", v.value, v.most)
+			if v.reads && !(v.value > 0 && v.value <= v.upper) && !(f.Kind == "report_lie" && v.name == "factor" && v.value == 0) {
+				reject(prefix+v.name, "%v is outside 0 (not included) to %v", v.value, v.upper)
 			}
 		}
-		if f.Class != "" && !names[f.Class] {
-			bad(p+"class", "%q is no class of this scenario", f.Class)
+		if f.Class != "" && !classes[f.Class] {
+			reject(prefix+"class", "%q is not a class of this scenario", f.Class)
 		}
 		if f.Tenant != "" && !tenants[f.Tenant] {
-			bad(p+"tenant", "%q is no tenant of this scenario", f.Tenant)
+			reject(prefix+"tenant", "%q is not a tenant of this scenario", f.Tenant)
 		}
-		if needsProxies(f.Kind) && v.Via == "" {
-			bad(p+"kind", "%s is for scenarios whose servers are reached by way of proxies (servers.via)", f.Kind)
+		if needsProxies(f.Kind) && servers.Via == "" {
+			reject(prefix+"kind", "%s needs servers that are reached through proxies (servers.via)", f.Kind)
 		}
 		if needsChecks(f.Kind) && (s.Health == nil || s.Health.Checks == nil) {
-			bad(p+"kind", "%s is for scenarios whose nodes check servers (health.checks)", f.Kind)
+			reject(prefix+"kind", "%s needs nodes that check the health of servers (health.checks)", f.Kind)
 		}
 		if f.Says != "" && f.Kind != "agent_says" {
-			bad(p+"says", "a fault of kind %s does not read it", f.Kind)
+			reject(prefix+"says", "faults of kind %s do not use it", f.Kind)
 		}
 		if f.Kind == "poison" && f.Tenant == "" {
-			bad(p+"tenant", "missing: poison is a tenant's")
+			reject(prefix+"tenant", "missing: a poison fault needs one")
 		}
 		if f.Kind == "zone_loss" {
-			count(p+"zone", f.Zone, 0, v.Zones-1)
+			checkInt(prefix+"zone", f.Zone, 0, servers.Zones-1)
 		}
 	}
 	return first
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario says what a lab run plays: a fleet, its clients, what goes wrong and when. The model in virtual time
-// and the rig on real sockets play the same value. It has no I/O beyond reading a file, no clock, and all randomness
-// comes from the scenario's seed.
+// Package scenario describes a lab run: a fleet of servers, its clients, and the faults that are injected. The model in
+// virtual time and the rig on real sockets run the same scenario. The package does no I/O and reads no clock, and all
+// randomness derives from the scenario's seed.
 package scenario
 
 import (
@@ -12,14 +12,14 @@
 	"portstall/policy"
 )
 
-// Scenario is one day in the life of a fleet. All times count from its start. The zero value is not usable: Parse fills
-// in defaults and checks.
+// Scenario is the description of one run. All times count from its start. The zero value is not usable: Parse fills in
+// the defaults and checks the fields.
 type Scenario struct {
 	Name     string        `yaml:"name"`
-	About    string        `yaml:"about"`
-	Seed     uint64        `yaml:"seed"`     // all that is drawn comes from it
-	Duration time.Duration `yaml:"duration"` // arrivals end then; what was taken is still answered
-	Warmup   time.Duration `yaml:"warmup"`   // what arrives before this is not counted
+	About    string        `yaml:"about"`    // one line of text for people
+	Seed     uint64        `yaml:"seed"`     // all random numbers derive from it
+	Duration time.Duration `yaml:"duration"` // arrivals end then; accepted requests still get their responses
+	Warmup   time.Duration `yaml:"warmup"`   // operations that start before this are excluded from the totals
 	Nodes    int           `yaml:"nodes"`
 	Servers  Servers       `yaml:"servers"`
 	Network  Network       `yaml:"network"`
@@ -31,144 +31,148 @@
 	Rules    Rules         `yaml:"rules"`
 	Cells    Cells         `yaml:"cells"`
 	Faults   []Fault       `yaml:"faults"`
-	Forgets  bool          `yaml:"forgets"` // successors begin with nothing that was learnt, for comparison; in the model only
+	Forgets  bool          `yaml:"forgets"` // successors start without learned state, for comparison; model only
 
-	config.File `yaml:",inline"` // what the nodes' own file says: services and contracts
+	config.File `yaml:",inline"` // the nodes' product file: services, contracts and so on
 }
 
 // Servers is the fleet of web servers.
 type Servers struct {
 	Count       int         `yaml:"count"`
-	Zones       int         `yaml:"zones"`    // servers are dealt over them in turn
-	PodSize     int         `yaml:"pod_size"` // servers that share the memory of place-like keys; 0: one pod
+	Zones       int         `yaml:"zones"`    // servers are assigned to them round-robin
+	PodSize     int         `yaml:"pod_size"` // servers that share their memory of idempotency keys of group pod; 0: one pod
 	Kinds       []Kind      `yaml:"kinds"`
 	Connections Connections `yaml:"connections"`
 	Choke       Choke       `yaml:"choke"`
 	Reports     Reports     `yaml:"reports"`
-	Via         string      `yaml:"via"` // socks5 or connect: two proxies stand before them, each before every other one; none: reached directly
+
+	// Via is the protocol, socks5 or connect, of two proxies in front of the servers, each for every other server. Empty:
+	// the servers are reached directly.
+	Via string `yaml:"via"`
 }
 
-// Kind is a sort of machine.
+// ServerType is a type of machine that web servers run on.
 type Kind struct {
 	Name         string        `yaml:"name"`
-	Share        float64       `yaml:"share"` // of the fleet
+	Share        float64       `yaml:"share"` // of the fleet, relative to the other types' shares
 	Cores        int           `yaml:"cores"`
 	Speed        float64       `yaml:"speed"`          // of a core; 1 does a second of work a second
-	SpeedCV      float64       `yaml:"speed_cv"`       // how much machines of the kind differ
-	SlotsPerCore int           `yaml:"slots_per_core"` // requests in work at once
-	QueuePerCore int           `yaml:"queue_per_core"` // and waiting; more are turned away
-	ColdFrom     float64       `yaml:"cold_from"`      // part of its capacity that it starts with
-	ColdFor      time.Duration `yaml:"cold_for"`       // until it has all of it, at the latest
-	WarmBy       string        `yaml:"warm_by"`        // time or work
-	ErrorRate    float64       `yaml:"error_rate"`     // share of requests answered with an error
-	Keeps        bool          `yaml:"keeps"`          // goes on with work whose request was cancelled
+	SpeedCV      float64       `yaml:"speed_cv"`       // coefficient of variation of the speed among machines of the type
+	SlotsPerCore int           `yaml:"slots_per_core"` // concurrent requests in work
+	QueuePerCore int           `yaml:"queue_per_core"` // requests that wait; further ones are rejected
+	ColdFrom     float64       `yaml:"cold_from"`      // share of its capacity with which it starts
+	ColdFor      time.Duration `yaml:"cold_for"`       // time until it has its whole capacity, at the latest
+	WarmBy       string        `yaml:"warm_by"`        // time or work: what raises the capacity of a cold server
+	ErrorRate    float64       `yaml:"error_rate"`     // share of requests that it responds to with an error
+	Keeps        bool          `yaml:"keeps"`          // it completes the work of cancelled requests
 }
 
-// Connections is what connections cost a web server.
+// Connections describes the limits and costs of connections to web servers.
 type Connections struct {
-	CapPerCore     int           `yaml:"cap_per_core"`
+	CapPerCore     int           `yaml:"cap_per_core"`   // open connections; further ones are reset
 	HandshakeWork  time.Duration `yaml:"handshake_work"` // on a standard core
-	HandshakeRTTs  int           `yaml:"handshake_rtts"`
-	Idle           time.Duration `yaml:"idle"` // closed after standing idle for this
+	HandshakeRTTs  int           `yaml:"handshake_rtts"` // round trips
+	Idle           time.Duration `yaml:"idle"`           // idle time after which the server closes a connection
 	ConnectTimeout time.Duration `yaml:"connect_timeout"`
 }
 
-// Choke is how a crowded server slows down: beyond At requests held a core each further one costs By of its speed.
+// Contention describes how a server slows down under load: above At requests per core, in work or waiting, its speed is
+// divided by 1 plus By times the excess.
 type Choke struct {
 	At float64 `yaml:"at"`
 	By float64 `yaml:"by"`
 }
 
-// Reports is how servers tell of their queues: in every answer, as it was at the latest refresh.
+// Reports describes the load reports of servers. Each response carries the queue length as of the latest refresh.
 type Reports struct {
-	Period time.Duration `yaml:"period"`
-	Delay  time.Duration `yaml:"delay"`
-	Noise  float64       `yaml:"noise"` // standard deviation as a part of the figure
-	Held   bool          `yaml:"held"`  // tell also how many requests they hold; in the model only
+	Period time.Duration `yaml:"period"` // between refreshes
+	Delay  time.Duration `yaml:"delay"`  // until a refreshed value is reported
+	Noise  float64       `yaml:"noise"`  // relative standard deviation of the reported value
+	Held   bool          `yaml:"held"`   // reports also include the number of requests held; model only
 }
 
-// Network is the way between machines.
+// Network describes the network delays between machines.
 type Network struct {
-	OneWay time.Duration `yaml:"one_way"` // between nodes and servers
-	Client time.Duration `yaml:"client"`  // between clients and nodes
-	Jitter float64       `yaml:"jitter"`  // exponential, as a part of the delay
+	OneWay time.Duration `yaml:"one_way"` // one way between nodes and servers
+	Client time.Duration `yaml:"client"`  // one way between clients and nodes
+	Jitter float64       `yaml:"jitter"`  // mean of an exponentially distributed extra delay, as a share of the delay
 }
 
-// Roster is what tells the nodes of servers.
+// Discovery describes the discovery service, which sends the server list to the nodes.
 type Roster struct {
-	Push         bool          `yaml:"push"`          // unasked; else nodes watch
+	Push         bool          `yaml:"push"`          // it sends changes unasked; otherwise nodes watch it
 	AddLag       time.Duration `yaml:"add_lag"`       // from a server's start until it is listed
-	Notice       time.Duration `yaml:"notice"`        // from a process's end until the list tells
-	SilentNotice time.Duration `yaml:"silent_notice"` // the same where the machine says nothing
-	CallTime     time.Duration `yaml:"call_time"`     // one call keeps it busy for this, a line for a hundredth of it
-	Timeout      time.Duration `yaml:"timeout"`       // a call that waits for longer fails
+	Notice       time.Duration `yaml:"notice"`        // from a process's exit until it is removed from the list
+	SilentNotice time.Duration `yaml:"silent_notice"` // the same where its machine stops responding
+	CallTime     time.Duration `yaml:"call_time"`     // processing time of one call; an entry takes a hundredth of it
+	Timeout      time.Duration `yaml:"timeout"`       // calls that wait for longer fail
 }
 
-// Front deals clients over the nodes.
+// FrontBalancer describes the load balancer that distributes the clients over the nodes.
 type Front struct {
-	Notice time.Duration `yaml:"notice"` // goes on sending to a dead node for this
-	Split  []float64     `yaml:"split"`  // shares of the nodes; evenly where it is not given
-	Moves  time.Duration `yaml:"moves"`  // the shares go round by one node in this time; 0: they stay
+	Notice time.Duration `yaml:"notice"` // time for which it keeps sending to a dead node
+	Split  []float64     `yaml:"split"`  // relative shares of the nodes; empty: equal shares
+	Moves  time.Duration `yaml:"moves"`  // period after which the shares rotate by one node; 0: they stay
 }
 
-// Clients is the load. Arrivals don't wait for answers.
+// Clients describes the load. It is open-loop: arrivals do not wait for responses.
 type Clients struct {
-	Via         string        `yaml:"via"`         // socks5 or connect: they come through tunnels; in the model that costs nothing
+	Via         string        `yaml:"via"`         // socks5 or connect: tunnels to nodes, free in the model; empty: none
 	Arrivals    string        `yaml:"arrivals"`    // poisson, constant or bursty
-	Burstiness  float64       `yaml:"burstiness"`  // bursty: coefficient of variation of the gaps
-	Load        float64       `yaml:"load"`        // offered work as a part of what the warm fleet can do
-	Rate        float64       `yaml:"rate"`        // requests a second; goes before load
-	Wave        float64       `yaml:"wave"`        // the rate swings by this part
-	WavePeriod  time.Duration `yaml:"wave_period"` // over this time
-	Retries     float64       `yaml:"retries"`     // further tries of a client at most; 0.5: half of them try again
-	Backoff     time.Duration `yaml:"backoff"`
-	Exponential bool          `yaml:"exponential"` // the back-off doubles with each try
+	Burstiness  float64       `yaml:"burstiness"`  // bursty: coefficient of variation of the interarrival times
+	Load        float64       `yaml:"load"`        // offered work as a share of the warm fleet's capacity
+	Rate        float64       `yaml:"rate"`        // operations a second; takes precedence over load
+	Wave        float64       `yaml:"wave"`        // relative amplitude of a sinusoidal variation of the rate
+	WavePeriod  time.Duration `yaml:"wave_period"` // period of this variation
+	Retries     float64       `yaml:"retries"`     // maximum retries of an operation; 0.5: one retry for half of them
+	Backoff     time.Duration `yaml:"backoff"`     // mean pause before a retry
+	Exponential bool          `yaml:"exponential"` // the backoff doubles with each try
 	Honour      float64       `yaml:"honour"`      // share of clients that honour a Retry-After
-	TryShare    float64       `yaml:"try_share"`   // a try is given up after this part of the deadline
-	Stubborn    float64       `yaml:"stubborn"`    // share that repeat a keyed request though its answer promised nothing
-	Impatient   float64       `yaml:"impatient"`   // share of tries that the client leaves early
+	TryShare    float64       `yaml:"try_share"`   // lowest share of the deadline after which a try is given up
+	Stubborn    float64       `yaml:"stubborn"`    // share that repeat keyed requests without a promise
+	Impatient   float64       `yaml:"impatient"`   // share of operations whose client disconnects early
 }
 
-// Class is one kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name     string        `yaml:"name"`
-	Share    float64       `yaml:"share"`
-	Work     time.Duration `yaml:"work"` // mean, on a standard core
-	CV       float64       `yaml:"cv"`   // lognormal
-	Aim      time.Duration `yaml:"aim"`
-	Deadline time.Duration `yaml:"deadline"`
-	Worth    float64       `yaml:"worth"`
-	Effect   string        `yaml:"effect"` // safe, keyed or unsafe
-	Group    string        `yaml:"group"`  // keyed: all, zone or pod
-	Window   time.Duration `yaml:"window"` // keyed
-	Stands   time.Duration `yaml:"stands"` // an opaque tunnel, which stands for this long on average; 0: a request
+	Share    float64       `yaml:"share"`    // of all operations, relative to the other classes' shares
+	Work     time.Duration `yaml:"work"`     // mean, on a standard core
+	CV       float64       `yaml:"cv"`       // coefficient of variation of the work, which is lognormally distributed
+	Aim      time.Duration `yaml:"aim"`      // target latency, from the first try
+	Deadline time.Duration `yaml:"deadline"` // from the first try
+	Worth    float64       `yaml:"worth"`    // value of a second of work that is served in time
+	Effect   string        `yaml:"effect"`   // safe, keyed or unsafe
+	Group    string        `yaml:"group"`    // keyed: the servers that recognize repeats of a key: all, zone or pod
+	Window   time.Duration `yaml:"window"`   // keyed: time for which they recognize them
+	Stands   time.Duration `yaml:"stands"`   // an opaque tunnel with this mean duration; 0: a request
 }
 
-// Holds is how long an ask's tunnel stands that comes to stand at the given time: as its work is to its class's, and not
-// beyond the scenario's end.
-func (s *Scenario) Holds(a *Ask, at time.Duration) time.Duration {
-	c := &s.Classes[a.Class]
-	return max(0, min(time.Duration(float64(c.Stands)*a.Work.Seconds()/c.Work.Seconds()), s.Duration-at))
+// TunnelDuration returns how long an operation's tunnel stays open that is established at the given time: the mean
+// duration of its class times its work relative to the class's mean, but not beyond the scenario's end.
+func (s *Scenario) Holds(op *Ask, at time.Duration) time.Duration {
+	class := &s.Classes[op.Class]
+	return max(0, min(time.Duration(float64(class.Stands)*op.Work.Seconds()/class.Work.Seconds()), s.Duration-at))
 }
 
-// Cells give each tenant a subset of the servers of its own, as config.Cells do; times count from the scenario's start.
+// Cells assigns each tenant a subset of the servers, like config.Cells; times count from the scenario's start.
 type Cells struct {
-	Size    int           `yaml:"size"` // servers a tenant; 0: all share all
-	Spill   float64       `yaml:"spill"`
-	Memory  int           `yaml:"memory"`
-	Marked  bool          `yaml:"marked"`
-	Skew    time.Duration `yaml:"skew"`
-	Tenants []Pinned      `yaml:"tenants"`
+	Size    int           `yaml:"size"`    // servers of a tenant; 0: all tenants share all servers
+	Spill   float64       `yaml:"spill"`   // as in config.Cells, like the following
+	Memory  int           `yaml:"memory"`  // maximum number of stored keys
+	Marked  bool          `yaml:"marked"`  // clients mark repeats
+	Skew    time.Duration `yaml:"skew"`    // maximum clock skew among nodes
+	Tenants []Pinned      `yaml:"tenants"` // tenants with servers of chosen pods
 }
 
-// Pinned is a tenant whose servers are those of some pods.
+// PinnedTenant is a tenant whose servers are those of the given pods.
 type Pinned struct {
 	Tenant string  `yaml:"tenant"`
 	Pods   []int64 `yaml:"pods"`
 	Moves  []Move  `yaml:"moves"`
 }
 
-// Move takes a pinned tenant to other pods.
+// Move moves a pinned tenant to other pods in steps; config.Move describes them.
 type Move struct {
 	To      []int64       `yaml:"to"`
 	Keys    []float64     `yaml:"keys"`
@@ -179,13 +183,14 @@
 	Back    time.Duration `yaml:"back"`
 }
 
-// At is what nodes are told of cells where the scenario starts at the given time; nil where there are none.
+// ConfigAt returns the cells in the nodes' product file if the scenario starts at the given time, or nil if there are
+// none.
 func (c *Cells) At(start time.Time) *config.Cells {
 	if c.Size == 0 {
 		return nil
 	}
-	out := &config.Cells{Size: c.Size, Spill: c.Spill, Memory: c.Memory, Marked: c.Marked, Skew: c.Skew}
-	at := func(d time.Duration) (t time.Time) {
+	cells := &config.Cells{Size: c.Size, Spill: c.Spill, Memory: c.Memory, Marked: c.Marked, Skew: c.Skew}
+	absolute := func(d time.Duration) (t time.Time) {
 		if d != 0 {
 			t = start.Add(d)
 		}
@@ -194,53 +199,54 @@
 	for _, v := range c.Tenants {
 		p := config.Pinned{Tenant: v.Tenant, Pods: v.Pods}
 		for _, m := range v.Moves {
-			p.Moves = append(p.Moves, config.Move{To: m.To, Keys: m.Keys, Start: start.Add(m.Start), Prepare: m.Prepare, Both: m.Both,
-				Stop: at(m.Stop), Back: at(m.Back)})
+			p.Moves = append(p.Moves, config.Move{To: m.To, Keys: m.Keys, Start: start.Add(m.Start), Prepare: m.Prepare,
+				Both: m.Both, Stop: absolute(m.Stop), Back: absolute(m.Back)})
 		}
-		out.Tenants = append(out.Tenants, p)
+		cells.Tenants = append(cells.Tenants, p)
 	}
-	return out
+	return cells
 }
 
-// Key is an ask's key where it must stay in one pod, whatever request carries it; empty where nothing says so.
-func (s *Scenario) Key(a *Ask) string {
-	c := &s.Classes[a.Class]
-	if s.Cells.Size == 0 || a.Tenant < 0 || c.Effect != "keyed" || c.Group != "pod" {
+// PodKey returns the idempotency key of an operation if all requests with this key must go to one pod, and the empty
+// string otherwise.
+func (s *Scenario) Key(op *Ask) string {
+	class := &s.Classes[op.Class]
+	if s.Cells.Size == 0 || op.Tenant < 0 || class.Effect != "keyed" || class.Group != "pod" {
 		return ""
 	}
 	for i := range s.Cells.Tenants {
-		if s.Cells.Tenants[i].Tenant == s.Tenants[a.Tenant].Name {
-			return IdempotencyKey(s, a)
+		if s.Cells.Tenants[i].Tenant == s.Tenants[op.Tenant].Name {
+			return IdempotencyKey(s, op)
 		}
 	}
 	return ""
 }
 
-// IdempotencyKey is the key that all tries of an ask carry where its class is keyed.
-func IdempotencyKey(s *Scenario, a *Ask) string { return fmt.Sprintf("k-%d-%d", s.Seed, a.Index) }
+// IdempotencyKey returns the key that all tries of an operation of a keyed class carry.
+func IdempotencyKey(s *Scenario, op *Ask) string { return fmt.Sprintf("k-%d-%d", s.Seed, op.Index) }
 
-// Tenant is one part of the clients.
+// Tenant describes a group of clients.
 type Tenant struct {
 	Name  string  `yaml:"name"`
-	Share float64 `yaml:"share"` // that it is entitled to, of what the fleet can do
-	Usage float64 `yaml:"usage"` // what it sends, as a multiple of its part of the load
-	Hints float64 `yaml:"hints"` // its requests' hints say this part of their cost; 0: no hints
+	Share float64 `yaml:"share"` // of the fleet's capacity to which it is entitled
+	Usage float64 `yaml:"usage"` // its load, as a multiple of its share of the load
+	Hints float64 `yaml:"hints"` // cost hint of its requests, as a multiple of their work; 0: no hints
 }
 
-// Rules are the figures that bind the nodes.
+// Rules holds the limits that the nodes have to keep.
 type Rules struct {
-	MaxAttempts  int           `yaml:"max_attempts"`
-	DrainGrace   time.Duration `yaml:"drain_grace"`
-	FallMultiple float64       `yaml:"fall_multiple"`
-	FallFor      time.Duration `yaml:"fall_for"`
-	ColdShare    float64       `yaml:"cold_share"` // told to nodes: servers start with this part or more
-	ColdFor      time.Duration `yaml:"cold_for"`   // told to nodes: and are warm by then
-	AnswerSlack  time.Duration `yaml:"answer_slack"`
-	TunnelDrain  time.Duration `yaml:"tunnel_drain"` // a tunnel that stands ends so long after its server's grace
-	OverShare    float64       `yaml:"over_share"`   // worth of what exceeds a tenant's share
+	MaxAttempts  int           `yaml:"max_attempts"`  // for one request
+	DrainGrace   time.Duration `yaml:"drain_grace"`   // attempts may still go to a draining or removed server for this time
+	FallMultiple float64       `yaml:"fall_multiple"` // a cold server collapses above this multiple of its capacity
+	FallFor      time.Duration `yaml:"fall_for"`      // if it is exceeded for this time
+	ColdShare    float64       `yaml:"cold_share"`    // configured at nodes: the least capacity share of a started server
+	ColdFor      time.Duration `yaml:"cold_for"`      // configured at nodes: servers are warm after this time
+	AnswerSlack  time.Duration `yaml:"answer_slack"`  // a response may come this long after the deadline
+	TunnelDrain  time.Duration `yaml:"tunnel_drain"`  // open tunnels end this long after the drain grace of their server
+	OverShare    float64       `yaml:"over_share"`    // relative value of load that exceeds a tenant's share
 }
 
-// Capacity is the work that the warm fleet does, in seconds a second.
+// Capacity returns the work that the warm fleet can do, in seconds of work a second.
 func (s *Scenario) Capacity() float64 {
 	sum := 0.0
 	for i := range s.Servers.Kinds {
@@ -250,21 +256,22 @@
 	return sum
 }
 
-// kindCount is how many servers are of the i-th kind: shares are filled in order, the last kind takes the rest.
+// typeCount returns how many servers are of the i-th type. Cumulative shares are rounded, so that the counts of all types
+// add up to the number of servers.
 func (s *Scenario) typeCount(i int) int {
-	kinds, total := s.Servers.Kinds, 0.0
-	for _, k := range kinds {
+	types, total := s.Servers.Kinds, 0.0
+	for _, k := range types {
 		total += k.Share
 	}
-	before, upTo := 0.0, 0.0
+	lower, upper := 0.0, 0.0
 	for j := 0; j <= i; j++ {
-		before, upTo = upTo, upTo+kinds[j].Share/total
+		lower, upper = upper, upper+types[j].Share/total
 	}
-	at := func(part float64) int { return int(part*float64(s.Servers.Count) + 0.5) }
-	return at(upTo) - at(before)
+	at := func(share float64) int { return int(share*float64(s.Servers.Count) + 0.5) }
+	return at(upper) - at(lower)
 }
 
-// MeanWork is the mean work of a request, in seconds on a standard core.
+// MeanWork returns the mean work of a request, in seconds on a standard core.
 func (s *Scenario) MeanWork() float64 {
 	sum, shares := 0.0, 0.0
 	for _, c := range s.Classes {
@@ -274,7 +281,7 @@
 	return sum / shares
 }
 
-// Rate is the mean number of first tries a second, over all nodes.
+// Rate returns the mean number of operations that start a second, over all nodes.
 func (s *Scenario) Rate() float64 {
 	if s.Clients.Rate > 0 {
 		return s.Clients.Rate
@@ -282,32 +289,33 @@
 	return s.Clients.Load * s.Capacity() / s.MeanWork()
 }
 
-// Effects and groups by the names that scenarios give them.
+// The policy's values for the words of scenario files.
 var (
 	effectsByName = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groupsByName  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "pod": policy.GroupCell}
+	groupsByName  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
+		"pod": policy.GroupCell}
 )
 
-// Settings is what the nodes are told.
+// Settings returns the policy settings of the nodes.
 func (s *Scenario) Settings() policy.Settings {
-	set := policy.Settings{Zone: ZoneName(0), Nodes: s.Nodes, MustAsk: !s.Roster.Push, MustAskIn: 10 * time.Second,
+	settings := policy.Settings{Zone: ZoneName(0), Nodes: s.Nodes, MustAsk: !s.Roster.Push, MustAskIn: 10 * time.Second,
 		OverShare: s.Rules.OverShare, MaxAttempts: s.Rules.MaxAttempts, Cancel: true, DrainGrace: s.Rules.DrainGrace,
 		ColdShare: s.Rules.ColdShare, ColdFor: s.Rules.ColdFor, FallFactor: s.Rules.FallMultiple, FallFor: s.Rules.FallFor}
 	if s.Clients.Honour > 0 {
-		set.RetryAfter = 2 * time.Second
+		settings.RetryAfter = 2 * time.Second
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
+		settings.Classes = append(settings.Classes, policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
 			Effect: effectsByName[c.Effect], Group: groupsByName[c.Group], Window: c.Window})
 	}
-	full := s.Capacity() / s.MeanWork()
+	capacity := s.Capacity() / s.MeanWork()
 	for _, t := range s.Tenants {
-		set.Tenants = append(set.Tenants, policy.Tenant{Name: t.Name, QuotaPerS: t.Share * full * 0.8})
+		settings.Tenants = append(settings.Tenants, policy.Tenant{Name: t.Name, QuotaPerS: t.Share * capacity * 0.8})
 	}
-	return set
+	return settings
 }
 
-// Trigger is when the first of the faults begins and ends, in seconds; both 0 where there is none.
+// FirstFaultSpan returns the start and end of the fault that begins first, in seconds; both 0 where there is none.
 func (s *Scenario) Trigger() [2]float64 {
 	if len(s.Faults) == 0 {
 		return [2]float64{}
@@ -321,11 +329,11 @@
 	return [2]float64{first.At.Seconds(), first.End().Seconds()}
 }
 
-// Contracts is the table of the scenario's contracts, nil where it has none. A tenant is known by its name.
+// ContractTable compiles the scenario's contracts; it returns nil where there are none. Tenants are identified by name.
 func (s *Scenario) Contracts() (*contract.Table, error) {
-	known := map[string]string{}
+	effectOf := map[string]string{}
 	for _, c := range s.Classes {
-		known[c.Name] = c.Effect
+		effectOf[c.Name] = c.Effect
 	}
-	return config.Compile(&s.File, known)
+	return config.Compile(&s.File, effectOf)
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -10,10 +10,11 @@
 	deploylab "portstall/deploy/lab"
 )
 
-func TestLibraryIsSound(t *testing.T) {
+// The scenarios that come with the program parse, and each carries its file's name and a description.
+func TestBuiltInScenariosAreValid(t *testing.T) {
 	names := deploylab.Names()
 	if len(names) < 12 {
-		t.Fatalf("only %q", names)
+		t.Fatalf("only the scenarios %q, want 12 or more", names)
 	}
 	for _, name := range names {
 		text, _ := deploylab.Read(name)
@@ -22,13 +23,13 @@
 			t.Error(err)
 		}
 		if s.Name != name || s.About == "" {
-			t.Errorf("%s: calls itself %q, about %q", name, s.Name, s.About)
+			t.Errorf("%s: name %q, about %q; want the file's name and a text", name, s.Name, s.About)
 		}
 	}
 }
 
-// Each kind of mistake names the file, the line and the field.
-func TestMistakes(t *testing.T) {
+// An error of a scenario file is one line that names the file, the line and the field.
+func TestParseErrorsNameFileLineAndField(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name: [", "day.yaml:1:"},
 		{"name: x\nduration: soon\n", "day.yaml:2:"},
@@ -54,7 +55,7 @@
 		{"name: x\nfaults:\n- {kind: vanish, at: 1s, share: 0.1}\n", "faults[0].for"},
 		{"name: x\nfaults:\n- {kind: vanish, at: 1h, for: 1s, share: 0.1}\n", "faults[0].at"},
 		{"name: x\nfaults:\n- {kind: vanish, at: 1s, for: 1s, share: 1.1}\n", "faults[0].share"},
-		{"name: x\nfaults:\n- {kind: vanish, at: 1s, for: 1s, share: 0.1, factor: 3}\n", "faults[0].factor: a fault of kind vanish does not read it"},
+		{"name: x\nfaults:\n- {kind: vanish, at: 1s, for: 1s, share: 0.1, factor: 3}\n", "faults[0].factor: faults of kind vanish do not use it"},
 		{"name: x\nfaults:\n- {kind: heavy, at: 1s, for: 1s, part: 0.1, factor: 3, class: none}\n", "faults[0].class"},
 		{"name: x\nfaults:\n- {kind: zone_loss, at: 1s, for: 1s, zone: 1}\n", "faults[0].zone"},
 		{"name: x\ntenants:\n- {name: a, share: 0.5}\n- {name: a, share: 0.5}\n", "tenants[1].name"},
@@ -62,18 +63,19 @@
 	} {
 		_, err := Parse("day.yaml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want one line with %q", c.text, err, c.want)
+			t.Errorf("%q: error %v, want one line with %q", c.text, err, c.want)
 		}
 	}
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+// Operations and random faults depend on the seed alone, and random faults pass the checks of a scenario.
+func TestSeedDeterminesOperationsAndFaults(t *testing.T) {
 	s := Default()
 	s.Name = "x"
 	list := func(s *Scenario) []Ask {
 		var all []Ask
-		for src := s.Asks(); ; {
-			a, ok := src.Next()
+		for workload := s.Asks(); ; {
+			a, ok := workload.Next()
 			if !ok {
 				return all
 			}
@@ -81,15 +83,15 @@
 		}
 	}
 	if a := list(&s); len(a) < 1000 || !reflect.DeepEqual(a, list(&s)) {
-		t.Errorf("two readings of %d asks differ", len(a))
+		t.Errorf("%d operations; want 1000 or more, the same twice", len(a))
 	}
 	other := s
 	other.Seed = 2
 	if reflect.DeepEqual(list(&s)[:10], list(&other)[:10]) {
-		t.Error("another seed gives the same asks")
+		t.Error("another seed gives the same operations")
 	}
 	if !reflect.DeepEqual(Draw(s, 7), Draw(s, 7)) || reflect.DeepEqual(Draw(s, 7).Faults, Draw(s, 8).Faults) {
-		t.Error("drawn faults do not follow the seed")
+		t.Error("random faults: want the same for one seed, others for another")
 	}
 	for seed := range uint64(200) {
 		d := Draw(s, seed)
@@ -99,89 +101,91 @@
 	}
 }
 
-// What is drawn has the means that the scenario states.
-func TestLoadIsAsStated(t *testing.T) {
+// Generated operations have the rate, mean work, tenants' shares and variation of gaps that the scenario states.
+func TestWorkloadMatchesScenario(t *testing.T) {
 	for _, arrivals := range []string{"poisson", "constant", "bursty"} {
 		s := Default()
 		s.Name, s.Duration, s.Clients.Arrivals, s.Clients.Wave = "x", 2000*time.Second, arrivals, 0.2
 		n, work, tenants := 0, 0.0, map[int]int{}
 		gaps, squares, last := 0.0, 0.0, time.Duration(0)
-		for src := s.Asks(); ; {
-			a, ok := src.Next()
+		for workload := s.Asks(); ; {
+			op, ok := workload.Next()
 			if !ok {
 				break
 			}
 			n++
-			work += a.Work.Seconds()
-			tenants[a.Tenant]++
-			g := (a.At - last).Seconds()
-			last, gaps, squares = a.At, gaps+g, squares+g*g
+			work += op.Work.Seconds()
+			tenants[op.Tenant]++
+			gap := (op.At - last).Seconds()
+			last, gaps, squares = op.At, gaps+gap, squares+gap*gap
 		}
 		if got, want := float64(n)/s.Duration.Seconds(), s.Rate(); math.Abs(got/want-1) > 0.03 {
-			t.Errorf("%s: %.1f a second, want %.1f", arrivals, got, want)
+			t.Errorf("%s: %.1f operations a second, want %.1f", arrivals, got, want)
 		}
 		if got := work / float64(n) / s.MeanWork(); math.Abs(got-1) > 0.03 {
-			t.Errorf("%s: mean work is %.3f of what is stated", arrivals, got)
+			t.Errorf("%s: mean work is %.3f of the stated mean, want 1", arrivals, got)
 		}
 		if got := float64(tenants[0]) / float64(n); math.Abs(got-0.72) > 0.01 {
-			t.Errorf("%s: the first tenant sends %.3f", arrivals, got)
+			t.Errorf("%s: the first tenant's share is %.3f, want 0.72", arrivals, got)
 		}
 		mean := gaps / float64(n)
 		cv := math.Sqrt(squares/float64(n)-mean*mean) / mean
 		if want := map[string]float64{"poisson": 1, "constant": 0.14, "bursty": 2}[arrivals]; math.Abs(cv-want) > 0.15 {
-			t.Errorf("%s: the gaps vary by %.2f, want %.2f", arrivals, cv, want)
+			t.Errorf("%s: coefficient of variation of the gaps is %.2f, want %.2f", arrivals, cv, want)
 		}
 	}
 }
 
-// A tenant's flash crowd leaves the others' rates as they are; one of all multiplies them all.
-func TestFlash(t *testing.T) {
+// A flash crowd of one tenant leaves the rates of the others unchanged; one without a tenant multiplies all rates.
+func TestFlashCrowdMultipliesArrivals(t *testing.T) {
 	count := func(tenant string) map[int]int {
 		s := Default()
 		s.Name, s.Duration = "x", 200*time.Second
 		s.Faults = []Fault{{Kind: "flash", At: 100 * time.Second, For: 100 * time.Second, Factor: 3, Tenant: tenant}}
-		n := map[int]int{}
-		for src := s.Asks(); ; {
-			a, ok := src.Next()
+		arrivals := map[int]int{}
+		for workload := s.Asks(); ; {
+			op, ok := workload.Next()
 			if !ok {
-				return n
+				return arrivals
 			}
 			half := 0
-			if a.At >= 100*time.Second {
+			if op.At >= 100*time.Second {
 				half = 10
 			}
-			n[a.Tenant+half]++
+			arrivals[op.Tenant+half]++
 		}
 	}
 	near := func(what string, got, want float64) {
 		if math.Abs(got/want-1) > 0.1 {
-			t.Errorf("%s: times %.2f, want %.2f", what, got, want)
+			t.Errorf("rate of %s: times %.2f, want %.2f", what, got, want)
 		}
 	}
-	n := count("panhandle")
-	near("the tenant", float64(n[12])/float64(n[2]), 3)
-	near("another", float64(n[10])/float64(n[0]), 1)
-	n = count("")
-	near("all", float64(n[10]+n[11]+n[12])/float64(n[0]+n[1]+n[2]), 3)
+	arrivals := count("panhandle")
+	near("the tenant of the flash crowd", float64(arrivals[12])/float64(arrivals[2]), 3)
+	near("another tenant", float64(arrivals[10])/float64(arrivals[0]), 1)
+	arrivals = count("")
+	near("all tenants", float64(arrivals[10]+arrivals[11]+arrivals[12])/float64(arrivals[0]+arrivals[1]+arrivals[2]), 3)
 }
 
-func TestFleet(t *testing.T) {
+// The fleet has the stated numbers of servers by type, zone and pod. A fault affects its share of them, at least one, the
+// same each time, and another fault affects others.
+func TestFleetAndFaultTargets(t *testing.T) {
 	s := Default()
 	s.Name, s.Servers.Count, s.Servers.Zones, s.Servers.PodSize = "x", 100, 4, 10
-	ids, kinds, zones, pods := map[uint32]bool{}, map[string]int{}, map[int]int{}, map[int]int{}
+	ids, types, zones, pods := map[uint32]bool{}, map[string]int{}, map[int]int{}, map[int]int{}
 	for _, v := range s.Fleet() {
 		ids[v.ID] = true
-		kinds[v.Kind.Name]++
+		types[v.Kind.Name]++
 		zones[v.Zone]++
 		pods[v.Pod]++
 	}
-	if len(ids) != 100 || kinds["std-2c"] != 36 || zones[3] != 25 || len(pods) != 10 || pods[9] != 10 {
-		t.Errorf("%d ids, %v, %v, %v", len(ids), kinds, zones, pods)
+	if len(ids) != 100 || types["std-2c"] != 36 || zones[3] != 25 || len(pods) != 10 || pods[9] != 10 {
+		t.Errorf("%d ids, types %v, zones %v, pods %v", len(ids), types, zones, pods)
 	}
-	if h := s.Hit(0, 100, 0.1); len(h) != 10 || !reflect.DeepEqual(h, s.Hit(0, 100, 0.1)) || reflect.DeepEqual(h, s.Hit(1, 100, 0.1)) {
-		t.Errorf("a fault hits %v", h)
+	if targets := s.Hit(0, 100, 0.1); len(targets) != 10 || !reflect.DeepEqual(targets, s.Hit(0, 100, 0.1)) || reflect.DeepEqual(targets, s.Hit(1, 100, 0.1)) {
+		t.Errorf("targets of the first fault: %v, want the same 10 each time, and others for the second", targets)
 	}
-	if h := s.Hit(0, 3, 0.01); len(h) != 1 {
-		t.Errorf("a small share hits %v", h)
+	if targets := s.Hit(0, 3, 0.01); len(targets) != 1 {
+		t.Errorf("targets of a fault with a small share: %v, want 1", targets)
 	}
 }
