--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -20,55 +20,57 @@
 	"portstall/internal/lab/scenario"
 )
 
-// routeName is what clients that come through tunnels ask for.
+// routeHost is the host name of the route that tunnelled clients request.
 const routeHost = "placement.example.org"
 
-// newClient keeps the connections of clients to one node, or to its address for tunnels where they come via one.
-func newClient(via, tunnels string) *http.Client {
+// newClient returns the HTTP client for one node, which pools its connections. Protocol is that of the tunnels through
+// which clients connect at tunnelAddr; empty: they connect directly.
+func newClient(protocol, tunnelAddr string) *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	dial := dialer.DialContext
-	if via != "" {
-		way := tunnel.Proxy{Kind: tunnel.SOCKS5, Addr: tunnels}
-		if via == "connect" {
-			way.Kind = tunnel.Connect
+	if protocol != "" {
+		proxy := tunnel.Proxy{Kind: tunnel.SOCKS5, Addr: tunnelAddr}
+		if protocol == "connect" {
+			proxy.Kind = tunnel.Connect
 		}
 		dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return way.Dial(ctx, dialer, routeHost+":80")
+			return proxy.Dial(ctx, dialer, routeHost+":80")
 		}
 	}
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: 5 * time.Second, DisableCompression: true,
-		DialContext: dial}}
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: 5 * time.Second,
+		DisableCompression: true, DialContext: dial}}
 }
 
-// verdict is how one try ended.
+// outcome says how one try ended.
 type outcome struct {
 	ending     measure.Ending
-	cause      string
-	retryAfter time.Duration // Retry-After
+	cause      string        // written into results; empty if served
+	retryAfter time.Duration // of a Retry-After; 0: none
 }
 
-// ask is one client: it tries, and tries again where that is allowed and still worth it.
-func (r *rig) runOperation(a scenario.Ask) {
-	c := &r.scenario.Classes[a.Class]
+// runOperation makes the tries of one operation, for as long as a retry is allowed and can still be in time, and
+// records its ending.
+func (r *rig) runOperation(op scenario.Ask) {
+	class := &r.scenario.Classes[op.Class]
 	for tries := 1; ; tries++ {
 		r.mu.Lock()
-		r.recorder.Try(a.At)
+		r.recorder.Try(op.At)
 		r.mu.Unlock()
-		try := r.sendRequest
-		if c.Stands > 0 {
-			try = r.requestTunnel
+		send := r.sendRequest
+		if class.Stands > 0 {
+			send = r.requestTunnel
 		}
-		v := try(&a, tries)
+		result := send(&op, tries)
 		now := r.now()
 		r.mu.Lock()
 		storm := r.conditions.Storm
-		if v.ending != measure.Served {
-			r.recorder.Cause(a.At, v.cause)
+		if result.ending != measure.Served {
+			r.recorder.Cause(op.At, result.cause)
 		}
 		r.mu.Unlock()
-		if v.ending != measure.Served && v.ending != measure.Left {
-			promised := v.ending == measure.Refused || v.ending == measure.Unreachable
-			if wait, ok := fleet.Again(r.scenario, &a, tries, promised, now, v.retryAfter, storm, rand.Float64()); ok {
+		if result.ending != measure.Served && result.ending != measure.Left {
+			promised := result.ending == measure.Refused || result.ending == measure.Unreachable
+			if wait, ok := fleet.Again(r.scenario, &op, tries, promised, now, result.retryAfter, storm, rand.Float64()); ok {
 				select {
 				case <-time.After(wait):
 					continue
@@ -77,41 +79,43 @@
 			}
 		}
 		tenant := ""
-		if a.Tenant >= 0 {
-			tenant = r.scenario.Tenants[a.Tenant].Name
+		if op.Tenant >= 0 {
+			tenant = r.scenario.Tenants[op.Tenant].Name
 		}
 		r.mu.Lock()
-		took := now - a.At
-		r.recorder.Ask(a.At, c.Name, tenant, v.ending, v.ending == measure.Served && took <= c.Aim, took, c.Worth*a.Work.Seconds())
+		took := now - op.At
+		r.recorder.Ask(op.At, class.Name, tenant, result.ending, result.ending == measure.Served && took <= class.Aim, took,
+			class.Worth*op.Work.Seconds())
 		r.mu.Unlock()
 		return
 	}
 }
 
-// pick is the node that the front deals a client to.
+// selectNode returns a random node in rotation, as the front balancer does, or nil if there is none.
 func (r *rig) selectNode() *node {
-	var seen []*node
+	var candidates []*node
 	for _, n := range r.nodes {
 		n.mu.Lock()
 		if n.inRotation {
-			seen = append(seen, n)
+			candidates = append(candidates, n)
 		}
 		n.mu.Unlock()
 	}
-	if len(seen) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return seen[rand.IntN(len(seen))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// request words an ask as clients do.
-func newRequest(ctx context.Context, addr, id string, s *scenario.Scenario, a *scenario.Ask, tries int, patience time.Duration) (*http.Request, error) {
-	c := &s.Classes[a.Class]
+// newRequest returns the HTTP request of one try.
+func newRequest(ctx context.Context, addr, id string, s *scenario.Scenario, op *scenario.Ask, tries int,
+	timeout time.Duration) (*http.Request, error) {
+	class := &s.Classes[op.Class]
 	method, body := http.MethodGet, ""
-	if c.Effect != "safe" {
-		method, body = http.MethodPost, "ask "+strconv.Itoa(a.Index)
+	if class.Effect != "safe" {
+		method, body = http.MethodPost, "ask "+strconv.Itoa(op.Index)
 	}
-	url := fmt.Sprintf("http://%s/api?us=%d", addr, a.Work.Microseconds())
+	url := fmt.Sprintf("http://%s/api?us=%d", addr, op.Work.Microseconds())
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -119,112 +123,115 @@
 	if body == "" {
 		req.Body, req.ContentLength = http.NoBody, 0
 	}
-	h := req.Header
-	h.Set("X-Request-Id", id)
-	h.Set("X-Class", c.Name)
-	h.Set("X-Deadline", fmt.Sprintf("%du", patience.Microseconds()))
-	if a.Tenant >= 0 {
-		h.Set("X-Tenant", s.Tenants[a.Tenant].Name)
-		if part := s.Tenants[a.Tenant].Hints; part > 0 {
-			h.Set("X-Cost-Hint", strconv.FormatInt(int64(part*float64(a.Work.Microseconds())), 10))
+	header := req.Header
+	header.Set("X-Request-Id", id)
+	header.Set("X-Class", class.Name)
+	header.Set("X-Deadline", fmt.Sprintf("%du", timeout.Microseconds()))
+	if op.Tenant >= 0 {
+		header.Set("X-Tenant", s.Tenants[op.Tenant].Name)
+		if factor := s.Tenants[op.Tenant].Hints; factor > 0 {
+			header.Set("X-Cost-Hint", strconv.FormatInt(int64(factor*float64(op.Work.Microseconds())), 10))
 		}
 	}
-	if c.Effect == "keyed" {
-		h.Set("Idempotency-Key", scenario.IdempotencyKey(s, a))
+	if class.Effect == "keyed" {
+		header.Set("Idempotency-Key", scenario.IdempotencyKey(s, op))
 	}
 	if tries > 1 {
-		h.Set("X-Retry", "1")
+		header.Set("X-Retry", "1")
 	}
 	return req, nil
 }
 
-// try sends one request to a node and books what came of it.
-func (r *rig) sendRequest(a *scenario.Ask, tries int) outcome {
-	c := &r.scenario.Classes[a.Class]
-	begun := r.now()
-	patience := min(c.Deadline-(begun-a.At), time.Duration(a.TryShare*float64(c.Deadline)))
+// sendRequest is one try of an operation: it sends one request to a node and records the outcome.
+func (r *rig) sendRequest(op *scenario.Ask, tries int) outcome {
+	class := &r.scenario.Classes[op.Class]
+	startedAt := r.now()
+	timeout := min(class.Deadline-(startedAt-op.At), time.Duration(op.TryShare*float64(class.Deadline)))
 	n := r.selectNode()
 	if n == nil {
 		return outcome{ending: measure.Unreachable, cause: "node unreachable"}
 	}
 	n.mu.Lock()
-	cmd := n.cmd
+	process := n.cmd
 	n.mu.Unlock()
-	id := fmt.Sprintf("%d-%d-%x", a.Index, tries, r.scenario.Seed)
-	until := begun + patience
-	wait := patience + r.scenario.Rules.AnswerSlack + r.options.Slack
-	leaves := a.Leaves > 0
-	if leaves {
-		wait = time.Duration(a.Leaves * float64(patience))
+	id := fmt.Sprintf("%d-%d-%x", op.Index, tries, r.scenario.Seed)
+	deadline := startedAt + timeout
+	wait := timeout + r.scenario.Rules.AnswerSlack + r.options.Slack
+	leavesEarly := op.Leaves > 0
+	if leavesEarly {
+		wait = time.Duration(op.Leaves * float64(timeout))
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, wait)
 	defer cancel()
-	var wrote atomic.Bool
+	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(i httptrace.WroteRequestInfo) {
-		if i.Err == nil && !wrote.Swap(true) {
+		if i.Err == nil && !sent.Swap(true) {
 			r.mu.Lock()
-			r.appendRecord(record{kind: requestSent, at: begun, node: n.index, id: id, class: a.Class, key: r.scenario.Key(a), deadline: until})
+			r.appendRecord(record{kind: requestSent, at: startedAt, node: n.index, id: id, class: op.Class,
+				key: r.scenario.Key(op), deadline: deadline})
 			r.mu.Unlock()
 		}
 	}})
-	req, err := newRequest(ctx, n.addr, id, r.scenario, a, tries, patience)
+	req, err := newRequest(ctx, n.addr, id, r.scenario, op, tries, timeout)
 	if err != nil {
 		r.addError(err)
 		return outcome{ending: measure.Failed, cause: "the client is at fault"}
 	}
 	resp, err := n.client.Do(req)
-	status, text, after := 0, "", time.Duration(0)
+	status, text, retryAfter := 0, "", time.Duration(0)
 	if err == nil {
 		var body []byte
 		body, err = io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 		resp.Body.Close()
 		status, text = resp.StatusCode, string(body)
-		if f, e := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); e == nil && f > 0 {
-			after = time.Duration(f * float64(time.Second))
+		if seconds, parseErr := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); parseErr == nil && seconds > 0 {
+			retryAfter = time.Duration(seconds * float64(time.Second))
 		}
 	}
-	v, rec := classify(err, status, text == "made for "+id, leaves, ctx.Err() != nil, wrote.Load())
-	v.retryAfter = after
-	if err == nil && v.ending == measure.Refused {
+	result, kind := classify(err, status, text == "made for "+id, leavesEarly, ctx.Err() != nil, sent.Load())
+	result.retryAfter = retryAfter
+	if err == nil && result.ending == measure.Refused {
 		rule, _, _ := strings.Cut(resp.Header.Get("Portstall-Refusal"), ";")
 		if rule = strings.TrimPrefix(rule, "rule="); rule != "" {
-			v.cause = "contract: " + rule
+			result.cause = "contract: " + rule
 		}
 	}
 	if status == http.StatusOK && err == nil && text != "made for "+id {
 		r.addError(fmt.Errorf("request %s was served with %q", id, text))
 	}
-	if !wrote.Load() {
-		return v
+	if !sent.Load() {
+		return result
 	}
 	n.mu.Lock()
-	killed := n.cmd != cmd || !n.running
+	killed := n.cmd != process || !n.running
 	n.mu.Unlock()
-	if v.ending == measure.Lost && !killed {
-		v = outcome{ending: measure.Failed, cause: "the connection broke"}
+	if result.ending == measure.Lost && !killed {
+		result = outcome{ending: measure.Failed, cause: "the connection broke"}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.appendRecord(record{kind: rec, at: r.now(), node: n.index, id: id, flag: rec == connectionBroken && killed})
-	return v
+	r.appendRecord(record{kind: kind, at: r.now(), node: n.index, id: id, flag: kind == connectionBroken && killed})
+	return result
 }
 
-// judge says how a try ended for its client, and which record that makes.
-func classify(err error, status int, right, leaves, timeUp, wrote bool) (outcome, recordKind) {
+// classify returns how a try ended for its client, and the kind of its record. BodyOK: the body is that of this
+// request. LeavesEarly: the client disconnects early. Expired: the client's time is up. Sent: the request was written
+// completely.
+func classify(err error, status int, bodyOK, leavesEarly, expired, sent bool) (outcome, recordKind) {
 	switch {
-	case err == nil && status == http.StatusOK && right:
+	case err == nil && status == http.StatusOK && bodyOK:
 		return outcome{ending: measure.Served}, requestServed
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
 		return outcome{ending: measure.Refused, cause: "refused"}, requestRefused
 	case err == nil:
 		return outcome{ending: measure.Failed, cause: "failed: answered " + strconv.Itoa(status)}, requestFailed
-	case timeUp && leaves:
+	case expired && leavesEarly:
 		return outcome{ending: measure.Left, cause: "client left early"}, clientLeft
-	case errors.Is(err, context.DeadlineExceeded) || timeUp:
+	case errors.Is(err, context.DeadlineExceeded) || expired:
 		return outcome{ending: measure.Overdue, cause: "no answer in time"}, clientTimedOut
-	case status == http.StatusOK: // begun and not finished, and the client can tell
+	case status == http.StatusOK: // a truncated response, which the client recognizes
 		return outcome{ending: measure.Failed, cause: "failed: the answer broke off"}, requestFailed
-	case !wrote:
+	case !sent:
 		return outcome{ending: measure.Unreachable, cause: "node unreachable"}, connectionBroken
 	}
 	return outcome{ending: measure.Lost, cause: "node died"}, connectionBroken
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -10,21 +10,22 @@
 	"portstall/internal/lab/standin"
 )
 
-// roster is the stand-in discovery: the whole list, and watches that wait for changes. Each node has an address of its
-// own there, so that what each was told is known.
+// discovery is a stub discovery: it serves the full server list, and watches that wait for changes. Each node has its
+// own address there, so that what was sent to each node is known. Mu guards the fields below it.
 type discovery struct {
 	rig     *rig
 	servers []*http.Server
 	addrs   []string
 
 	mu      sync.Mutex
-	entries []listEntry // by server's index
-	changes []listEntry // each change, its version being its place plus one
-	changed chan struct{}
-	down    bool
+	entries []listEntry   // by the server's index
+	changes []listEntry   // the change at index i leads to version i+2
+	changed chan struct{} // closed and replaced at each change
+	down    bool          // calls are rejected
 	stopped chan struct{}
 }
 
+// listEntry is an entry of the server list. Only its exported part is sent.
 type listEntry struct {
 	standin.Listed
 
@@ -32,122 +33,125 @@
 	launchedAt time.Duration // scenario time; negative: long ago
 }
 
+// listResponse is the body of a response, in the platform's wire format.
 type listResponse struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []listEntry `json:"servers"`
 }
 
-// start opens an address for each node.
-func (r *discovery) start(nodes int) error {
-	r.changed, r.stopped = make(chan struct{}), make(chan struct{})
+// start opens a listener for each node.
+func (d *discovery) start(nodes int) error {
+	d.changed, d.stopped = make(chan struct{}), make(chan struct{})
 	for i := range nodes {
 		ln, err := standin.Listen()
 		if err != nil {
 			return err
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, q *http.Request) { r.respond(i, w, q) })
-		h := &http.Server{Handler: mux}
-		r.servers, r.addrs = append(r.servers, h), append(r.addrs, ln.Addr().String())
-		go h.Serve(ln) // ends with Close
+		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, req *http.Request) { d.respond(i, w, req) })
+		server := &http.Server{Handler: mux}
+		d.servers, d.addrs = append(d.servers, server), append(d.addrs, ln.Addr().String())
+		go server.Serve(ln) // ends with Close
 	}
 	return nil
 }
 
-func (r *discovery) stop() {
-	close(r.stopped)
-	for _, h := range r.servers {
-		h.Close()
+// stop closes the listeners and all connections.
+func (d *discovery) stop() {
+	close(d.stopped)
+	for _, server := range d.servers {
+		server.Close()
 	}
 }
 
-// known is the whole list, in the form in which a node's configuration has it.
-func (r *discovery) fullList() listResponse {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	a := listResponse{Version: len(r.changes) + 1, Full: true, Servers: []listEntry{}}
-	for _, e := range r.entries {
+// fullList returns the full server list. A node's configuration has it in the same form.
+func (d *discovery) fullList() listResponse {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := listResponse{Version: len(d.changes) + 1, Full: true, Servers: []listEntry{}}
+	for _, e := range d.entries {
 		if e.State != "Gone" {
-			a.Servers = append(a.Servers, e)
+			list.Servers = append(list.Servers, e)
 		}
 	}
-	return a
+	return list
 }
 
-// answer answers one node's call. Down, it answers none.
-func (r *discovery) respond(node int, w http.ResponseWriter, q *http.Request) {
-	since, err := strconv.Atoi(q.URL.Query().Get("since"))
-	watch := err == nil
-	limit, _ := strconv.Atoi(q.URL.Query().Get("timeout_ms"))
+// respond responds to a call of a node. While discovery is down, it responds with 503 (Service Unavailable).
+func (d *discovery) respond(node int, w http.ResponseWriter, req *http.Request) {
+	since, err := strconv.Atoi(req.URL.Query().Get("since"))
+	isWatch := err == nil
+	limit, _ := strconv.Atoi(req.URL.Query().Get("timeout_ms"))
 	timeout := time.NewTimer(time.Duration(min(limit, 60000)) * time.Millisecond)
 	defer timeout.Stop()
 	for {
-		r.mu.Lock()
-		news, down, version := r.changed, r.down, len(r.changes)+1
-		r.mu.Unlock()
+		d.mu.Lock()
+		changed, down, version := d.changed, d.down, len(d.changes)+1
+		d.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if !watch || since != version {
+		if !isWatch || since != version {
 			break
 		}
 		select {
-		case <-news:
+		case <-changed:
 			continue
 		case <-timeout.C:
-		case <-q.Context().Done():
+		case <-req.Context().Done():
 			return
-		case <-r.stopped:
+		case <-d.stopped:
 			return
 		}
 		break
 	}
-	a := r.fullList()
-	if watch && since >= 1 && since <= a.Version {
-		r.mu.Lock()
-		a.Full, a.Servers = false, append([]listEntry{}, r.changes[since-1:a.Version-1]...)
-		r.mu.Unlock()
+	list := d.fullList()
+	if isWatch && since >= 1 && since <= list.Version {
+		d.mu.Lock()
+		list.Full, list.Servers = false, append([]listEntry{}, d.changes[since-1:list.Version-1]...)
+		d.mu.Unlock()
 	}
-	text, _ := json.Marshal(a) // plain values
+	text, _ := json.Marshal(list) // cannot fail: plain values
 	w.Write(text)
-	r.rig.recordListSent(node, a.Full, a.Servers)
+	d.rig.recordListSent(node, list.Full, list.Servers)
 }
 
-// list lets the roster tell of a server's state after a while, unless it changes again before.
-func (r *discovery) scheduleUpdate(v *server, state string, after time.Duration) {
+// scheduleUpdate changes a server's state in the list after a delay, unless another update is scheduled before. The
+// caller holds the server's lock.
+func (d *discovery) scheduleUpdate(v *server, state string, delay time.Duration) {
 	v.listUpdate++
-	listing := v.listUpdate
-	e := r.rig.listEntryOf(v, state)
-	time.AfterFunc(after, func() {
+	update := v.listUpdate
+	entry := d.rig.listEntryOf(v, state)
+	time.AfterFunc(delay, func() {
 		v.mu.Lock()
-		current := listing == v.listUpdate
+		current := update == v.listUpdate
 		v.mu.Unlock()
 		if !current {
 			return
 		}
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		if r.entries[v.index] == e {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		if d.entries[v.index] == entry {
 			return
 		}
-		r.entries[v.index] = e
-		r.changes = append(r.changes, e)
-		r.wakeWatches()
+		d.entries[v.index] = entry
+		d.changes = append(d.changes, entry)
+		d.wakeWatches()
 	})
 }
 
-// setDown takes the roster out of reach, or back.
-func (r *discovery) setDown(down bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.down = down
-	r.wakeWatches()
+// setDown makes discovery unavailable or available again.
+func (d *discovery) setDown(down bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.down = down
+	d.wakeWatches()
 }
 
-// wake lets all watches look again. r.mu is held.
-func (r *discovery) wakeWatches() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+// wakeWatches makes all waiting watches check for changes again. The caller holds d.mu.
+func (d *discovery) wakeWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
--- a/internal/lab/rig/fault.go
+++ b/internal/lab/rig/fault.go
@@ -7,7 +7,7 @@
 	"portstall/internal/lab/standin"
 )
 
-// fault lets a fault begin or end.
+// applyFault begins or ends the i-th fault.
 func (r *rig) applyFault(i int, begin bool) {
 	if r.ctx.Err() != nil {
 		return
@@ -16,20 +16,20 @@
 	r.mu.Lock()
 	r.activeFaults[i] = begin && f.For > 0
 	r.mu.Unlock()
-	servers := func(do func(v *server)) {
+	forEachTarget := func(do func(v *server)) {
 		for _, k := range r.targets[i] {
 			do(r.servers[k])
 		}
 	}
 	switch f.Kind {
 	case "vanish", "crash", "zone_loss":
-		servers(func(v *server) {
+		forEachTarget(func(v *server) {
 			v.mu.Lock()
 			v.downUntil = max(v.downUntil, f.End())
-			away := !v.up || v.silence != nil
+			down := !v.up || v.silence != nil
 			v.mu.Unlock()
 			switch {
-			case !begin && away:
+			case !begin && down:
 				r.addError(v.restartCold())
 			case begin && f.Kind == "crash":
 				v.crash()
@@ -38,22 +38,22 @@
 			}
 		})
 	case "cold":
-		servers(func(v *server) { r.addError(v.restartCold()) })
+		forEachTarget(func(v *server) { r.addError(v.restartCold()) })
 	case "drain":
-		servers(func(v *server) {
+		forEachTarget(func(v *server) {
 			v.mu.Lock()
-			serves := v.up && v.silence == nil
-			if serves && begin {
+			serving := v.up && v.silence == nil
+			if serving && begin {
 				r.discovery.scheduleUpdate(v, "Terminating", r.scenario.Roster.AddLag/4)
 			}
 			v.mu.Unlock()
-			if serves && !begin {
+			if serving && !begin {
 				r.addError(v.restartCold())
 			}
 		})
 	case "backlog":
 		r.updateEffects()
-		servers(func(v *server) {
+		forEachTarget(func(v *server) {
 			if begin {
 				v.fillBacklog()
 			} else {
@@ -89,7 +89,7 @@
 			}
 			r.mu.Unlock()
 			r.nodes[index].setSuspended(begin)
-			if !begin { // what came just before it went on was held too
+			if !begin { // requests that came just before it resumed were delayed too
 				r.mu.Lock()
 				r.appendRecord(record{kind: nodeSuspended, at: r.now() + 100*time.Millisecond, node: index})
 				r.mu.Unlock()
@@ -102,13 +102,13 @@
 			r.addError(r.proxies[0].Start())
 		}
 	case "proxy_nonsense", "proxy_slow":
-		wrong, delay := standin.Nothing, time.Duration(0)
+		proxyFault, delay := standin.Nothing, time.Duration(0)
 		if begin && f.Kind == "proxy_slow" {
 			delay = f.Delay
 		} else if begin {
-			wrong = standin.Nonsense
+			proxyFault = standin.Nonsense
 		}
-		r.proxies[0].Trouble(wrong, delay)
+		r.proxies[0].Trouble(proxyFault, delay)
 	case "roster_down":
 		r.discovery.setDown(begin)
 	default:
@@ -116,27 +116,28 @@
 	}
 }
 
-// bounce kills a node and brings it back.
-func (r *rig) restartNode(n *node, gone time.Duration) {
+// restartNode kills a node and starts it again after the given time. Where such faults overlap, the node starts at the
+// end of the last one.
+func (r *rig) restartNode(n *node, downtime time.Duration) {
 	if r.ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
-	n.downUntil = max(n.downUntil, r.now()+gone)
+	n.downUntil = max(n.downUntil, r.now()+downtime)
 	n.mu.Unlock()
 	n.kill()
 	select {
-	case <-time.After(gone):
+	case <-time.After(downtime):
 	case <-r.ctx.Done():
 		return
 	}
 	n.mu.Lock()
-	early := r.now() < n.downUntil
-	if !early {
-		n.downUntil = 1 << 62 // whoever else waits for it leaves it to this one
+	superseded := r.now() < n.downUntil
+	if !superseded {
+		n.downUntil = 1 << 62 // concurrent calls leave the start to this one
 	}
 	n.mu.Unlock()
-	if !early {
+	if !superseded {
 		r.addError(n.start(r.ctx))
 		n.mu.Lock()
 		n.downUntil = 0
@@ -144,15 +145,15 @@
 	}
 }
 
-// effects works out what the faults in force do to the servers and the load.
+// updateEffects computes the effects of all active faults on the servers and the load, and sets them.
 func (r *rig) updateEffects() {
 	r.mu.Lock()
-	var troubles []fleet.Trouble
-	r.conditions, troubles = fleet.InForce(r.scenario, r.activeFaults, r.targets, len(r.servers))
+	var effects []fleet.Trouble
+	r.conditions, effects = fleet.InForce(r.scenario, r.activeFaults, r.targets, len(r.servers))
 	r.mu.Unlock()
 	for i, v := range r.servers {
 		v.mu.Lock()
-		v.effects = troubles[i]
+		v.effects = effects[i]
 		v.mu.Unlock()
 	}
 }
--- a/internal/lab/rig/node.go
+++ b/internal/lab/rig/node.go
@@ -19,34 +19,34 @@
 	"portstall/internal/config"
 )
 
-// node is one real node, as a process.
+// node is a node, which runs as a process of its own. Mu guards the fields below it.
 type node struct {
 	rig        *rig
 	index      int
 	addr       string
 	client     *http.Client
-	opaqueAddr string // where they ask for opaque tunnels, by CONNECT; empty: no class is of that kind
-	tunnelAddr string // where clients ask for tunnels; empty: they don't
+	opaqueAddr string // where clients request opaque tunnels by CONNECT; empty: no class uses them
+	tunnelAddr string // where clients request tunnels; empty: they connect directly
 
 	mu         sync.Mutex
 	cmd        *exec.Cmd
 	exited     chan struct{}
 	running    bool
-	inRotation bool // the front deals clients to it
+	inRotation bool // the front balancer sends clients to it
 	suspended  bool
-	downUntil  time.Duration // it is not brought up before: faults overlap
+	downUntil  time.Duration // it is not restarted earlier, as overlapping faults may keep it down
 	stderr     bytes.Buffer
 }
 
-// start runs the node and returns once it takes clients.
+// start starts the process and returns once it reports ready.
 func (n *node) start(ctx context.Context) error {
 	rig := n.rig
-	known := rig.discovery.fullList()
+	list := rig.discovery.fullList()
 	config := map[string]any{
 		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": rig.discovery.addrs[n.index],
 		"seed":   fmt.Sprintf("%x-%d-%d", rig.scenario.Seed, n.index, time.Now().UnixNano()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 4096},
-		"known":  known, "settings": rig.scenario.Wire(),
+		"known":  list, "settings": rig.scenario.Wire(),
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -59,18 +59,18 @@
 	cmd := exec.Command(rig.options.Binary, "node")
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+rig.dir)
 	if file := n.productFile(); len(file.Contracts) > 0 || file.Tunnels != nil || file.Cells != nil || file.Health != nil {
-		own := filepath.Join(rig.dir, fmt.Sprintf("portstall%d.yaml", n.index))
+		productPath := filepath.Join(rig.dir, fmt.Sprintf("portstall%d.yaml", n.index))
 		text, err := yaml.Marshal(file)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(own, text, 0o600); err != nil {
+		if err := os.WriteFile(productPath, text, 0o600); err != nil {
 			return err
 		}
-		cmd.Env = append(cmd.Env, "PORTSTALL_FILE="+own)
+		cmd.Env = append(cmd.Env, "PORTSTALL_FILE="+productPath)
 	}
 	cmd.Stderr = &stderrWriter{n: n}
-	rig.recordListSent(n.index, true, known.Servers)
+	rig.recordListSent(n.index, true, list.Servers)
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -91,13 +91,13 @@
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("node %d ended at its start: %s", n.index, n.stderrText())
+			return fmt.Errorf("node %d exited during start: %s", n.index, n.stderrText())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(5 * time.Millisecond):
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("node %d is not ready after 20 s: %s", n.index, n.stderrText())
+			return fmt.Errorf("node %d not ready after 20 s: %s", n.index, n.stderrText())
 		}
 	}
 	n.mu.Lock()
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// file is the node's own file: the scenario's, with the addresses of this run.
+// productFile returns the node's product file: the scenario's, completed with the addresses of this run.
 func (n *node) productFile() config.File {
 	s, file := n.rig.scenario, n.rig.scenario.File
 	file.Cells = s.Cells.At(n.rig.plannedStart)
@@ -121,23 +121,24 @@
 	if len(file.Services) == 0 {
 		file.Services = []config.Service{{Name: "placement"}}
 	}
-	t := &config.Tunnels{}
+	tunnels := &config.Tunnels{}
 	switch s.Clients.Via {
 	case "socks5":
-		t.SOCKS5 = n.tunnelAddr
+		tunnels.SOCKS5 = n.tunnelAddr
 	case "connect":
-		t.Connect = n.tunnelAddr
+		tunnels.Connect = n.tunnelAddr
 	}
 	if n.opaqueAddr != "" {
-		t.Connect = n.opaqueAddr
+		tunnels.Connect = n.opaqueAddr
 	}
 	for i, c := range s.Classes {
 		if c.Stands > 0 {
-			t.Routes = append(t.Routes, config.Route{Host: opaqueHost, Port: uint16(opaquePort(i)), Service: file.Services[0].Name, Kind: "opaque",
-				Class: c.Name, Drain: s.Rules.TunnelDrain, Idle: time.Hour, Total: 2 * time.Hour})
+			tunnels.Routes = append(tunnels.Routes, config.Route{Host: opaqueHost, Port: uint16(opaquePort(i)),
+				Service: file.Services[0].Name, Kind: "opaque", Class: c.Name, Drain: s.Rules.TunnelDrain,
+				Idle: time.Hour, Total: 2 * time.Hour})
 		}
 	}
-	t.Routes = append(t.Routes, config.Route{Host: routeHost, Port: 80, Service: file.Services[0].Name})
+	tunnels.Routes = append(tunnels.Routes, config.Route{Host: routeHost, Port: 80, Service: file.Services[0].Name})
 	for i, v := range n.rig.servers {
 		if s.Servers.Via == "" {
 			break
@@ -148,13 +149,13 @@
 		} else {
 			p.Connect = addr
 		}
-		t.Proxies = append(t.Proxies, p)
+		tunnels.Proxies = append(tunnels.Proxies, p)
 	}
-	file.Tunnels = t
+	file.Tunnels = tunnels
 	return file
 }
 
-// syncWriter keeps the end of what a node logs.
+// stderrWriter stores what a node logs. It drops what it has whenever that exceeds 1 MiB.
 type stderrWriter struct{ n *node }
 
 func (w *stderrWriter) Write(p []byte) (int, error) {
@@ -166,19 +167,20 @@
 	return w.n.stderr.Write(p)
 }
 
+// stderrText returns the stored log of the node.
 func (n *node) stderrText() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stderr.String()
 }
 
-// kill ends the process at once. The front notices after a while.
+// kill kills the process. The front balancer notices after the scenario's delay.
 func (n *node) kill() {
 	n.mu.Lock()
-	cmd, exited, up := n.cmd, n.exited, n.running
+	cmd, exited, running := n.cmd, n.exited, n.running
 	n.running = false
 	n.mu.Unlock()
-	if !up {
+	if !running {
 		return
 	}
 	n.rig.recordNodeKilled(n.index)
@@ -191,13 +193,14 @@
 	})
 }
 
-// leave ends the process as a planned restart would, and tells whether it went well.
+// terminate stops the process by SIGTERM, as a planned restart does, and returns an error if it does not exit in time
+// and with code 0.
 func (n *node) terminate() error {
 	n.mu.Lock()
-	cmd, exited, up := n.cmd, n.exited, n.running
+	cmd, exited, running := n.cmd, n.exited, n.running
 	n.running = false
 	n.mu.Unlock()
-	if !up {
+	if !running {
 		return nil
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -206,15 +209,15 @@
 	case <-time.After(15 * time.Second):
 		cmd.Process.Kill()
 		<-exited
-		return fmt.Errorf("node %d did not end within 15 s of SIGTERM", n.index)
+		return fmt.Errorf("node %d did not exit within 15 s of SIGTERM", n.index)
 	}
 	if code := cmd.ProcessState.ExitCode(); code != 0 {
-		return fmt.Errorf("node %d ended with code %d: %s", n.index, code, n.stderrText())
+		return fmt.Errorf("node %d exited with code %d: %s", n.index, code, n.stderrText())
 	}
 	return nil
 }
 
-// freeze stops the process, or lets it go on.
+// setSuspended suspends the process (SIGSTOP) or resumes it (SIGCONT).
 func (n *node) setSuspended(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -222,14 +225,14 @@
 		return
 	}
 	n.suspended = on
-	sig := syscall.SIGCONT
+	signal := syscall.SIGCONT
 	if on {
-		sig = syscall.SIGSTOP
+		signal = syscall.SIGSTOP
 	}
-	n.cmd.Process.Signal(sig)
+	n.cmd.Process.Signal(signal)
 }
 
-// died tells of a node that has ended by itself.
+// exitError returns an error if the process has exited unexpectedly.
 func (n *node) exitError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -238,7 +241,7 @@
 	}
 	select {
 	case <-n.exited:
-		return errors.New("a node ended by itself: " + n.stderr.String())
+		return errors.New("a node exited unexpectedly: " + n.stderr.String())
 	default:
 		return nil
 	}
--- a/internal/lab/rig/record.go
+++ b/internal/lab/rig/record.go
@@ -10,79 +10,87 @@
 	"portstall/internal/lab/oracle"
 )
 
+// recordKind is the kind of a record.
 type recordKind uint8
 
 const (
-	serverListed recordKind = iota
-	serverStarted
-	requestSent
-	attemptArrived
-	attemptEnded // an attempt
-	requestServed
-	requestRefused
-	requestFailed
-	clientLeft
-	clientTimedOut
-	connectionBroken // the connection to the node ended without an answer
-	nodeKilled       // a node was killed
-	nodeSuspended    // or stopped
+	serverListed     recordKind = iota // discovery sent a node an entry of the server list
+	serverStarted                      // a server has started, cold
+	requestSent                        // a client has written a request to a node
+	attemptArrived                     // the last byte of an attempt has reached a server
+	attemptEnded                       // a server has finished an attempt, or its connection was closed
+	requestServed                      // a client received the response of a server
+	requestRefused                     // a client received a rejection that allows retries
+	requestFailed                      // a client received any other response
+	clientLeft                         // a client disconnected early
+	clientTimedOut                     // a client's time was up without a response
+	connectionBroken                   // the connection to the node ended without a response
+	nodeKilled                         // a node was killed
+	nodeSuspended                      // a node was suspended or resumed
 )
 
-// record is one thing that a stand-in saw.
+// record is one event as a stand-in or a client saw it. Which fields are set depends on its kind.
 type record struct {
 	kind       recordKind
 	at         time.Duration
-	node       int
-	id         string
-	server     int // index
-	attempt    int
-	class      int
-	key        string
-	deadline   time.Duration
-	notRun     bool
-	capacity   float64
-	launchedAt time.Duration
-	flag       bool
+	node       int           // index of the node
+	id         string        // of the request
+	server     int           // index of the server
+	attempt    int           // number of the attempt within its request
+	class      int           // index of the class
+	key        string        // idempotency key that must stay in one pod; empty: none
+	deadline   time.Duration // of the client
+	notRun     bool          // the server rejected the attempt without running it
+	capacity   float64       // of the server, in seconds of work a second, if it is cold; 0: it is warm
+	launchedAt time.Duration // last start of the server; 0: long ago
+
+	// flag says: the server is draining or removed (serverListed); the node was killed meanwhile (connectionBroken); it
+	// was suspended rather than resumed (nodeSuspended).
+	flag bool
 }
 
-// note keeps a record. r.mu is held.
+// appendRecord stores a record until the run has finished. The caller holds r.mu.
 func (r *rig) appendRecord(rec record) {
 	if !r.finished {
 		r.records = append(r.records, rec)
 	}
 }
 
-// told books what the roster has written to a node.
+// recordListSent records the entries that discovery has sent to a node, as a full list or as changes. A full list
+// without a server says that this server is removed.
 func (r *rig) recordListSent(node int, full bool, servers []listEntry) {
 	at := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := map[int]bool{}
-	for _, e := range servers {
-		seen[e.index] = true
-		r.appendRecord(record{kind: serverListed, at: at, node: node, server: e.index, flag: e.State != "Ready", launchedAt: max(0, e.launchedAt)})
+	listed := map[int]bool{}
+	for _, entry := range servers {
+		listed[entry.index] = true
+		r.appendRecord(record{kind: serverListed, at: at, node: node, server: entry.index, flag: entry.State != "Ready",
+			launchedAt: max(0, entry.launchedAt)})
 	}
 	if full {
 		for _, v := range r.servers {
-			if !seen[v.index] {
+			if !listed[v.index] {
 				r.appendRecord(record{kind: serverListed, at: at, node: node, server: v.index, flag: true})
 			}
 		}
 	}
 }
 
-// started books that a server has come up cold. Its lock is held.
+// recordServerStart records that a server has started, cold. The caller holds the server's lock.
 func (r *rig) recordServerStart(v *server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.appendRecord(record{kind: serverStarted, at: r.now(), server: v.index})
 }
 
-// recorded books that the last byte of an attempt has reached a server, and returns the attempt's number.
+// recordAttempt records that the last byte of an attempt has reached a server, and returns the attempt's number within
+// its request.
 func (r *rig) recordAttempt(id string, v *server, capacity float64) int {
 	return r.recordAttemptAt(r.now(), id, v, capacity)
 }
 
+// recordAttemptAt is recordAttempt for an attempt that arrived at the given time.
 func (r *rig) recordAttemptAt(at time.Duration, id string, v *server, capacity float64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,9 +104,10 @@
 	return n
 }
 
+// attemptKey returns the key of a request's n-th attempt in maps.
 func attemptKey(id string, n int) string { return fmt.Sprintf("%s/%d", id, n) }
 
-// attemptOver books that a server is done with an attempt, or has seen its connection close.
+// recordAttemptEnd records that a server has finished an attempt, or that its connection was closed.
 func (r *rig) recordAttemptEnd(id string, n int, notRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,126 +115,128 @@
 	r.appendRecord(record{kind: attemptEnded, at: r.now(), id: id, attempt: n, notRun: notRun})
 }
 
-// killed books that a node was killed, and with it all that it held.
+// recordNodeKilled records that a node was killed, with all requests that it held.
 func (r *rig) recordNodeKilled(node int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.appendRecord(record{kind: nodeKilled, at: r.now(), node: node})
 }
 
-// check hands all records to the oracles in the order of their times. r.mu is held.
+// checkRules passes all records in the order of their times to the rule checker, and returns it. The caller holds r.mu.
 func (r *rig) checkRules(end time.Duration) *oracle.Book {
 	slack := r.options.Slack
-	book := fleet.Books(r.scenario, r.scenario.Fleet(), slack, true)
+	checker := fleet.Books(r.scenario, r.scenario.Fleet(), slack, true)
 	reorderCrossedEnds(r.records, slack)
 	slices.SortStableFunc(r.records, func(a, b record) int { return cmp.Compare(a.at, b.at) })
-	home := map[string]record{} // the taking of each request
-	for _, e := range r.records {
-		if e.kind == requestSent {
-			home[e.id] = e
+	sent := map[string]record{} // requestSent record of each request
+	for _, rec := range r.records {
+		if rec.kind == requestSent {
+			sent[rec.id] = rec
 		}
 	}
-	held := make([]map[string]bool, len(r.nodes)) // open requests of each node
+	held := make([]map[string]bool, len(r.nodes)) // ids of the open requests of each node
 	for i := range held {
 		held[i] = map[string]bool{}
 	}
-	stopped := map[int]bool{}
-	lost := map[string]bool{} // their node was killed, or their connection broke with it
-	outs := map[string]bool{} // attempts that are out
-	for _, e := range r.records {
-		t, known := home[e.id]
-		switch e.kind {
+	suspended := map[int]bool{}
+	lost := map[string]bool{}         // requests whose node was killed, or whose connection broke with it
+	openAttempts := map[string]bool{} // attempts that have not ended
+	for _, rec := range r.records {
+		request, known := sent[rec.id]
+		switch rec.kind {
 		case serverListed:
-			book.Told(e.at, e.node, r.servers[e.server].ID, e.flag, e.launchedAt)
+			checker.Told(rec.at, rec.node, r.servers[rec.server].ID, rec.flag, rec.launchedAt)
 		case serverStarted:
-			book.Started(e.at, r.servers[e.server].ID)
+			checker.Started(rec.at, r.servers[rec.server].ID)
 		case requestSent:
-			held[e.node][e.id] = true
-			book.Taken(e.at, e.node, e.id, e.class, e.deadline)
-			book.Keyed(e.id, e.key)
-			if stopped[e.node] {
-				book.Stopped(e.node, e.id)
+			held[rec.node][rec.id] = true
+			checker.Taken(rec.at, rec.node, rec.id, rec.class, rec.deadline)
+			checker.Keyed(rec.id, rec.key)
+			if suspended[rec.node] {
+				checker.Stopped(rec.node, rec.id)
 			}
 		case attemptArrived:
-			if known && lost[e.id] {
+			if known && lost[rec.id] {
 				continue
 			}
-			outs[attemptKey(e.id, e.attempt)] = true
-			book.Sent(e.at, t.node, e.id, r.servers[e.server].ID, r.scenario.Classes[t.class].Work.Seconds(), e.capacity)
+			openAttempts[attemptKey(rec.id, rec.attempt)] = true
+			checker.Sent(rec.at, request.node, rec.id, r.servers[rec.server].ID,
+				r.scenario.Classes[request.class].Work.Seconds(), rec.capacity)
 		case attemptEnded:
-			if !lost[e.id] && outs[attemptKey(e.id, e.attempt)] {
-				delete(outs, attemptKey(e.id, e.attempt))
-				if book.Holds(e.id) {
-					book.Ended(e.at, t.node, e.id, e.attempt, "over at its server", e.notRun, false)
+			if !lost[rec.id] && openAttempts[attemptKey(rec.id, rec.attempt)] {
+				delete(openAttempts, attemptKey(rec.id, rec.attempt))
+				if checker.Holds(rec.id) {
+					checker.Ended(rec.at, request.node, rec.id, rec.attempt, "over at its server", rec.notRun, false)
 				}
 			}
 		case requestServed, requestFailed, requestRefused:
-			if lost[e.id] {
+			if lost[rec.id] {
 				continue
 			}
-			delete(held[t.node], e.id)
-			switch e.kind {
+			delete(held[request.node], rec.id)
+			switch rec.kind {
 			case requestRefused:
-				book.Refused(e.at, t.node, e.id)
+				checker.Refused(rec.at, request.node, rec.id)
 			case requestServed:
-				book.Served(e.at, t.node, e.id)
+				checker.Served(rec.at, request.node, rec.id)
 			default:
-				book.Failed(e.at, t.node, e.id)
+				checker.Failed(rec.at, request.node, rec.id)
 			}
 		case clientLeft:
-			delete(held[t.node], e.id)
-			book.Left(e.at, t.node, e.id)
+			delete(held[request.node], rec.id)
+			checker.Left(rec.at, request.node, rec.id)
 		case clientTimedOut, connectionBroken:
-			if e.flag { // its node was killed meanwhile
-				lost[e.id] = true
-				book.Killed(t.node, []string{e.id})
+			if rec.flag { // the node was killed meanwhile
+				lost[rec.id] = true
+				checker.Killed(request.node, []string{rec.id})
 			}
-			if !lost[e.id] {
-				delete(held[t.node], e.id)
-				book.Overdue(e.at, t.node, e.id)
+			if !lost[rec.id] {
+				delete(held[request.node], rec.id)
+				checker.Overdue(rec.at, request.node, rec.id)
 			}
 		case nodeKilled:
 			var ids []string
-			for id := range held[e.node] {
+			for id := range held[rec.node] {
 				ids = append(ids, id)
 				lost[id] = true
 			}
-			held[e.node] = map[string]bool{}
-			book.Killed(e.node, ids)
+			held[rec.node] = map[string]bool{}
+			checker.Killed(rec.node, ids)
 		case nodeSuspended:
-			stopped[e.node] = e.flag
-			for id := range held[e.node] {
-				book.Stopped(e.node, id)
+			suspended[rec.node] = rec.flag
+			for id := range held[rec.node] {
+				checker.Stopped(rec.node, id)
 			}
 		}
 	}
-	left := map[string]int{"attempts at servers": len(r.openAttempts)}
-	book.Close(end, left)
-	return book
+	remaining := map[string]int{"attempts at servers": len(r.openAttempts)}
+	checker.Close(end, remaining)
+	return checker
 }
 
-// settle moves the end of an attempt before the next one's arrival where the two have crossed within slack: the node
-// closes the one connection before it writes to the next, but the one server may see it after the other has read. A client
-// that leaves is noticed within slack too.
-func reorderCrossedEnds(log []record, slack time.Duration) {
+// reorderCrossedEnds moves the end of an attempt before the arrival of the next one if it was seen at most slack later.
+// The node closes the first connection before it writes to the next server, but the first server may notice only after
+// the other one has read the request. As a node notices a client's disconnection up to slack later, such a record moves
+// to slack later.
+func reorderCrossedEnds(records []record, slack time.Duration) {
 	type key struct {
 		id string
 		n  int
 	}
-	next := map[key]time.Duration{}
-	for _, e := range log {
-		if e.kind == attemptArrived {
-			next[key{e.id, e.attempt - 1}] = e.at
+	nextArrival := map[key]time.Duration{}
+	for _, rec := range records {
+		if rec.kind == attemptArrived {
+			nextArrival[key{rec.id, rec.attempt - 1}] = rec.at
 		}
 	}
-	for i := range log {
-		e := &log[i]
-		if e.kind == clientLeft {
-			e.at += slack
+	for i := range records {
+		rec := &records[i]
+		if rec.kind == clientLeft {
+			rec.at += slack
 		}
-		if e.kind == attemptEnded {
-			if at, ok := next[key{e.id, e.attempt}]; ok && e.at > at && e.at <= at+slack {
-				e.at = at - 1
+		if rec.kind == attemptEnded {
+			if at, ok := nextArrival[key{rec.id, rec.attempt}]; ok && rec.at > at && rec.at <= at+slack {
+				rec.at = at - 1
 			}
 		}
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -1,9 +1,9 @@
-// Package rig plays a scenario on real loopback sockets in real time: stand-in web servers, a stand-in roster, clients and
-// a front, and real nodes as processes. What it counts and the rules it checks are the model's.
+// Package rig runs a scenario in real time on loopback sockets: stub web servers, a stub discovery, clients with a
+// front balancer, and real nodes as processes. It measures the same results and checks the same rules as the model.
 //
-// All records are taken at the stand-ins, so that times are those that the node's peers see. They are put in order and
-// handed to the oracles at the end; a connection's end and the next attempt's begin can cross on the way, so an attempt
-// that ends within Slack of the next one's arrival counts as ended before it.
+// All events are recorded at the stand-ins and the clients, so that their times are those that the node's peers see.
+// They are sorted and checked at the end of the run. The end of one attempt and the arrival of the next may be seen in
+// reverse order, so an attempt that ends at most Options.Slack after the next one's arrival counts as ended before it.
 package rig
 
 import (
@@ -24,38 +24,40 @@
 	"portstall/internal/lab/standin"
 )
 
-// Slack is added to the rules' time limits: what is seen from outside crosses sockets and goroutines.
+// DefaultSlack is added to the time limits of the rules: events are seen late, as they pass through sockets and
+// goroutines.
 const Slack = 50 * time.Millisecond
 
-// startTime is what all stand-ins and nodes have to come up in where nodes are told when the day begins.
+// startupAllowance is the time in which all stand-ins and nodes have to start where the nodes' configuration depends on
+// the time at which the scenario starts.
 const startupAllowance = 3 * time.Second
 
-// agentPort is where all agents listen, each on its server's host. It lies below the ports that kernels hand out.
+// agentPort is the port of all agents, each on the host of its server. It lies below the range of ephemeral ports.
 const agentPort = 9777
 
-// Options of a run.
+// Options holds the options of a run.
 type Options struct {
-	Binary string // portstall itself
-	// Watch is called each second with what was counted so far. May be nil.
+	Binary string // path of the portstall binary
+	// Progress is called every second with the results so far; may be nil.
 	Watch func(second int, r measure.Result)
-	// Slack is what the rules' time limits are lengthened by; 0 means the package's own.
+	// Slack is added to the time limits of the rules; 0 means DefaultSlack.
 	Slack time.Duration
 }
 
-// rig is one run.
+// rig is one run. Mu guards the fields below it.
 type rig struct {
 	scenario     *scenario.Scenario
 	options      Options
 	ctx          context.Context
 	dir          string
 	startedAt    time.Time
-	plannedStart time.Time // when the day is to begin, where nodes are told times of it
+	plannedStart time.Time // time at which the scenario is to start, if the nodes' configuration depends on it
 	servers      []*server
 	nodes        []*node
-	usesAgents   bool             // one beside each server
-	proxies      []*standin.Proxy // before every other server each; none: servers are reached directly
+	usesAgents   bool             // each server has a health agent
+	proxies      []*standin.Proxy // each in front of every other server; empty: servers are reached directly
 	discovery    discovery
-	targets      [][]int
+	targets      [][]int // of each fault, by index
 	wg           sync.WaitGroup
 
 	mu            sync.Mutex
@@ -63,24 +65,26 @@
 	activeFaults  []bool
 	recorder      *measure.Recorder
 	records       []record
-	openAttempts  map[string]bool // attempts at servers, by request and number
-	attemptCounts map[string]int
+	openAttempts  map[string]bool // attempts at servers, by attemptKey
+	attemptCounts map[string]int  // by request
 	errs          []error
 	finished      bool // the run is over: nothing more is recorded
 }
 
-// Run plays a scenario. The error is one of the stand-ins or the nodes; breaches are in the result.
-func Run(ctx context.Context, s scenario.Scenario, opt Options) (measure.Result, error) {
+// Run runs a scenario. The error is one of the stand-ins or the nodes; breaches of rules are part of the result.
+func Run(ctx context.Context, s scenario.Scenario, options Options) (measure.Result, error) {
 	for i, f := range s.Faults {
 		if !scenario.Kinds[f.Kind].Rig {
-			return measure.Result{}, fmt.Errorf("faults[%d].kind: the rig can't play %s: all its nodes and servers share one address", i, f.Kind)
+			return measure.Result{}, fmt.Errorf(
+				"faults[%d].kind: the rig does not support %s: all its nodes and servers share one address", i, f.Kind)
 		}
 	}
 	if s.Servers.Count > 200 || s.Nodes > 10 {
-		return measure.Result{}, fmt.Errorf("%d servers and %d nodes are more than one machine plays; the model does", s.Servers.Count, s.Nodes)
+		return measure.Result{}, fmt.Errorf("%d servers and %d nodes are too many for one machine; run the model instead",
+			s.Servers.Count, s.Nodes)
 	}
-	if opt.Slack == 0 {
-		opt.Slack = Slack
+	if options.Slack == 0 {
+		options.Slack = Slack
 	}
 	dir, err := os.MkdirTemp("", "portstall-rig")
 	if err != nil {
@@ -89,8 +93,9 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &rig{scenario: &s, options: opt, ctx: ctx, dir: dir, conditions: fleet.Weather{Slowdown: 1, Storm: 1}, activeFaults: make([]bool, len(s.Faults)),
-		recorder: measure.New(s.Warmup, s.Duration), openAttempts: map[string]bool{}, attemptCounts: map[string]int{}, startedAt: time.Now()}
+	r := &rig{scenario: &s, options: options, ctx: ctx, dir: dir, conditions: fleet.Weather{Slowdown: 1, Storm: 1},
+		activeFaults: make([]bool, len(s.Faults)), recorder: measure.New(s.Warmup, s.Duration),
+		openAttempts: map[string]bool{}, attemptCounts: map[string]int{}, startedAt: time.Now()}
 	r.discovery.rig = r
 	defer r.cleanUp()
 	if err := r.start(); err != nil {
@@ -100,19 +105,20 @@
 	return r.stopNodesAndCheck()
 }
 
-// now is the time since the scenario's start.
+// now returns the time since the scenario's start.
 func (r *rig) now() time.Duration { return time.Since(r.startedAt) }
 
+// start starts the stand-ins and then all nodes, and returns once the nodes are ready.
 func (r *rig) start() error {
 	if r.scenario.Cells.Size > 0 {
 		r.plannedStart = time.Now().Add(startupAllowance)
 	}
-	list := r.scenario.Fleet()
-	r.targets = r.scenario.Hits(list)
+	generatedServers := r.scenario.Fleet()
+	r.targets = r.scenario.Hits(generatedServers)
 	r.usesAgents = r.checksUseAgents()
-	for i, f := range list {
-		v := &server{Server: f, rig: r, index: i, slots: f.Kind.Cores * f.Kind.SlotsPerCore,
-			queueCap: f.Kind.Cores * f.Kind.QueuePerCore, launchedAt: -1, effects: fleet.Trouble{Slow: 1, Lie: 1},
+	for i, generated := range generatedServers {
+		v := &server{Server: generated, rig: r, index: i, slots: generated.Kind.Cores * generated.Kind.SlotsPerCore,
+			queueCap: generated.Kind.Cores * generated.Kind.QueuePerCore, launchedAt: -1, effects: fleet.Trouble{Slow: 1, Lie: 1},
 			reports: fleet.Reports{Period: r.scenario.Servers.Reports.Period, Phase: rand.N(r.scenario.Servers.Reports.Period)}}
 		var err error
 		if v.host, err = standin.Host(); err != nil {
@@ -148,7 +154,7 @@
 			if n.opaqueAddr, err = standin.FreeAddr(); err != nil {
 				return err
 			}
-			if r.scenario.Clients.Via == "connect" { // one listener does for both
+			if r.scenario.Clients.Via == "connect" { // one listener serves both
 				n.opaqueAddr = n.tunnelAddr
 			}
 		}
@@ -175,28 +181,29 @@
 	return err
 }
 
-// asksAgents tells whether nodes ask agents.
+// checksUseAgents reports whether nodes query health agents.
 func (r *rig) checksUseAgents() bool {
-	h := r.scenario.Health
-	return h != nil && h.Checks != nil && h.Checks.Agent != nil
+	health := r.scenario.Health
+	return health != nil && health.Checks != nil && health.Checks.Agent != nil
 }
 
-// entry is a server as the roster lists it. The server's lock is held, or nobody else knows it yet.
+// listEntryOf returns the entry of a server in discovery's list. The caller holds the server's lock, or the server is
+// not yet known to others.
 func (r *rig) listEntryOf(v *server, state string) listEntry {
-	e := listEntry{Listed: standin.Listed{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone), Kind: v.Kind.Name,
-		Cell: v.Pod, State: state, Weight: 1}, index: v.index, launchedAt: v.launchedAt}
+	entry := listEntry{Listed: standin.Listed{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone),
+		Kind: v.Kind.Name, Cell: v.Pod, State: state, Weight: 1}, index: v.index, launchedAt: v.launchedAt}
 	if v.launchedAt >= 0 {
-		e.Started = r.startedAt.Add(v.launchedAt).UnixMilli()
+		entry.Started = r.startedAt.Add(v.launchedAt).UnixMilli()
 	}
-	return e
+	return entry
 }
 
-// play lets the day pass: arrivals and faults at their times.
+// runTimeline runs the scenario: it starts operations, begins and ends faults at their times, and waits for their end.
 func (r *rig) runTimeline() {
-	time.Sleep(time.Until(r.plannedStart)) // what the nodes were told of times counts from it
+	time.Sleep(time.Until(r.plannedStart)) // times in the nodes' configuration count from it
 	r.startedAt = time.Now()
 	var timers []*time.Timer
-	at := func(t time.Duration, do func()) {
+	schedule := func(t time.Duration, do func()) {
 		r.wg.Add(1)
 		timers = append(timers, time.AfterFunc(t-r.now(), func() {
 			defer r.wg.Done()
@@ -204,30 +211,30 @@
 		}))
 	}
 	for i := range r.scenario.Faults {
-		at(r.scenario.Faults[i].At, func() { r.applyFault(i, true) })
+		schedule(r.scenario.Faults[i].At, func() { r.applyFault(i, true) })
 		if !scenario.Kinds[r.scenario.Faults[i].Kind].Instant {
-			at(r.scenario.Faults[i].End(), func() { r.applyFault(i, false) })
+			schedule(r.scenario.Faults[i].End(), func() { r.applyFault(i, false) })
 		}
 	}
 	if r.options.Watch != nil {
-		for sec := 1; sec <= int(r.scenario.Duration/time.Second); sec++ {
-			at(time.Duration(sec)*time.Second, func() {
+		for second := 1; second <= int(r.scenario.Duration/time.Second); second++ {
+			schedule(time.Duration(second)*time.Second, func() {
 				r.mu.Lock()
-				res := r.recorder.Result()
-				res.Series = slices.Clone(res.Series)
+				result := r.recorder.Result()
+				result.Series = slices.Clone(result.Series)
 				r.mu.Unlock()
-				r.options.Watch(sec, res)
+				r.options.Watch(second, result)
 			})
 		}
 	}
-	whole := r.runArrivals(func(a scenario.Ask) {
+	completed := r.runArrivals(func(op scenario.Ask) {
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.runOperation(a)
+			r.runOperation(op)
 		}()
 	})
-	if !whole {
+	if !completed {
 		for _, t := range timers {
 			if t.Stop() {
 				r.wg.Done()
@@ -237,7 +244,7 @@
 	r.wg.Wait()
 }
 
-// fail keeps an error of the stand-ins, which spoils the run.
+// addError stores an error of the stand-ins or nodes, which invalidates the run; nil is ignored.
 func (r *rig) addError(err error) {
 	if err != nil {
 		r.mu.Lock()
@@ -246,7 +253,7 @@
 	}
 }
 
-// finish lets the nodes leave and checks the rules.
+// stopNodesAndCheck terminates the nodes, checks the rules and returns the results.
 func (r *rig) stopNodesAndCheck() (measure.Result, error) {
 	for _, n := range r.nodes {
 		n.setSuspended(false)
@@ -273,21 +280,22 @@
 	if err := r.ctx.Err(); err != nil {
 		return measure.Result{}, err
 	}
-	res := r.recorder.Result()
-	res.Scenario, res.Policy, res.Seed, res.Engine, res.Wall = r.scenario.Name, "portstall", r.scenario.Seed, "rig", end.Seconds()
-	res.Trigger = r.scenario.Trigger()
-	book := r.checkRules(end)
-	for rule, n := range book.Counts() {
-		res.Broken[string(rule)] = n
+	result := r.recorder.Result()
+	result.Scenario, result.Policy, result.Seed, result.Engine, result.Wall = r.scenario.Name, "portstall", r.scenario.Seed,
+		"rig", end.Seconds()
+	result.Trigger = r.scenario.Trigger()
+	checker := r.checkRules(end)
+	for rule, n := range checker.Counts() {
+		result.Broken[string(rule)] = n
 	}
-	for _, b := range book.Breaches() {
-		res.Breaches = append(res.Breaches, b.String())
+	for _, b := range checker.Breaches() {
+		result.Breaches = append(result.Breaches, b.String())
 	}
-	res.Servers = loads
-	return res, errors.Join(r.errs...)
+	result.Servers = loads
+	return result, errors.Join(r.errs...)
 }
 
-// stop ends whatever still runs.
+// cleanUp stops everything that still runs.
 func (r *rig) cleanUp() {
 	for _, n := range r.nodes {
 		n.setSuspended(false)
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -18,9 +18,10 @@
 	deploylab "portstall/deploy/lab"
 )
 
-// loose lengthens the rules' time limits where CI runs them: a verdict must not hang on how busy the machine is.
+// testSlack is added to the rules' time limits in tests, so that the result does not depend on the load of the machine.
 const testSlack = 2 * time.Second
 
+// binary is the path of the program, which TestMain builds.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -32,12 +33,13 @@
 	if out, err := exec.Command("go", "build", "-o", binary, "portstall/cmd/portstall").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	flag.Set("test.parallel", "6") // the days wait far more than they work
+	flag.Set("test.parallel", "6") // runs mostly wait
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
+// runRig runs a scenario and fails the test if a rule is broken.
 func runRig(t *testing.T, s scenario.Scenario) measure.Result {
 	t.Helper()
 	if err := s.Check(); err != nil {
@@ -48,13 +50,14 @@
 		t.Fatal(err)
 	}
 	if r.BrokenTotal() > 0 {
-		t.Errorf("%v\n%s", r.Broken, strings.Join(r.Breaches, "\n"))
+		t.Errorf("rules broken: %v\n%s", r.Broken, strings.Join(r.Breaches, "\n"))
 	}
 	return r
 }
 
-// The smoke scenario on real sockets: the rules are kept, and what can't hang on the machine's speed agrees with the model.
-func TestSmoke(t *testing.T) {
+// The smoke scenario on real sockets breaks no rule, and results that do not depend on the machine's speed are those of
+// the model.
+func TestSmokeScenarioAgreesWithModel(t *testing.T) {
 	t.Parallel()
 	text, _ := deploylab.Read("smoke")
 	s, err := scenario.Parse("smoke", text)
@@ -68,18 +71,18 @@
 	}
 	t.Logf("rig %.3f in time, p50 %.0f ms; model %.3f, %.0f ms; %v", r.All.Share(), r.Latency.P50, m.All.Share(), m.Latency.P50, r.Endings)
 	if r.All.Asked != m.All.Asked || math.Abs(r.All.Offered-m.All.Offered) > 1e-6 {
-		t.Errorf("the rig was asked %+v, the model %+v", r.All, m.All)
+		t.Errorf("the rig counts %+v, the model %+v; want the same operations and offered value", r.All, m.All)
 	}
 	if r.All.Served < r.All.Asked/2 {
-		t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
+		t.Errorf("only %d of %d operations were served: %v", r.All.Served, r.All.Asked, r.Causes)
 	}
 	if r.Attempts < r.All.Served {
-		t.Errorf("%d attempts served %d asks", r.Attempts, r.All.Served)
+		t.Errorf("%d attempts for %d served operations", r.Attempts, r.All.Served)
 	}
 }
 
-// Faults that the smoke scenario does not have, one after the other on a small fleet; the rules are kept.
-func TestFaults(t *testing.T) {
+// No rule is broken under faults that the smoke scenario does not have, on a small fleet.
+func TestFaultsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	s := scenario.Default()
 	s.Name, s.Duration, s.Warmup, s.Servers.Count, s.Clients.Load = "faults", 11*time.Second, 0, 8, 0.3
@@ -104,13 +107,13 @@
 	r := runRig(t, s)
 	t.Logf("%v %v", r.Endings, r.Causes)
 	if r.All.Served < r.All.Asked/2 {
-		t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
+		t.Errorf("only %d of %d operations were served: %v", r.All.Served, r.All.Asked, r.Causes)
 	}
 }
 
-// Opaque tunnels stand while their servers are told to drain and a node is restarted: the rules are kept, the one on how long
-// a tunnel may outlive the word among them.
-func TestTunnels(t *testing.T) {
+// Open opaque tunnels break no rule while their servers drain and a node is restarted, including the limit on how long
+// a tunnel may outlive the announcement of the drain.
+func TestOpaqueTunnelsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	text, _ := deploylab.Read("tunnels")
 	s, err := scenario.Parse("tunnels", text)
@@ -120,34 +123,36 @@
 	s.Duration, s.Clients.Rate, s.Classes[0].Stands, s.Rules.TunnelDrain = 8*time.Second, 60, 4*time.Second, 500*time.Millisecond
 	s.Faults[0].At, s.Faults[0].For, s.Faults[1].At = 3*time.Second, 4*time.Second, 6*time.Second
 	if r := runRig(t, s); r.All.Served < r.All.Asked*8/10 {
-		t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
+		t.Errorf("only %d of %d operations were served: %v", r.All.Served, r.All.Asked, r.Causes)
 	}
 }
 
-func TestWhatTheRigCannotPlay(t *testing.T) {
+// The rig rejects faults and fleets that it does not support.
+func TestUnsupportedScenariosAreRejected(t *testing.T) {
 	s := scenario.Default()
 	s.Faults = []scenario.Fault{{Kind: "cut", At: 1, For: 1, Share: 1, Nodes: 0.5}}
 	if _, err := Run(context.Background(), s, Options{}); err == nil || !strings.Contains(err.Error(), "faults[0].kind") {
-		t.Errorf("a cut: %v", err)
+		t.Errorf("fault of kind cut: %v, want an error that names faults[0].kind", err)
 	}
 	s = scenario.Default()
 	s.Servers.Count = 1000
 	if _, err := Run(context.Background(), s, Options{}); err == nil || !strings.Contains(err.Error(), "1000 servers") {
-		t.Errorf("a thousand servers: %v", err)
+		t.Errorf("1000 servers: %v, want an error that says so", err)
 	}
 }
 
-// Every way in and every way to the servers, with what can go wrong on either: the rules are kept, and most are served. A
-// tunnelled client gets through no repeat that a plain one does not, and behind a proxy in trouble nothing runs twice.
-func TestWaysInAndOut(t *testing.T) {
+// For every protocol of clients and of proxies in front of the servers, faults on either side break no rule and at
+// least half of the operations are served. Clients in tunnels get no repeats that direct clients do not get, and
+// nothing runs twice behind a faulty proxy.
+func TestClientAndProxyProtocols(t *testing.T) {
 	ms := time.Millisecond
-	for _, front := range []string{"", "socks5", "connect"} {
-		for _, back := range []string{"", "socks5", "connect"} {
-			t.Run("clients "+front+" servers "+back, func(t *testing.T) {
+	for _, clientProtocol := range []string{"", "socks5", "connect"} {
+		for _, proxyProtocol := range []string{"", "socks5", "connect"} {
+			t.Run("client protocol "+clientProtocol+", proxy protocol "+proxyProtocol, func(t *testing.T) {
 				t.Parallel()
 				s := scenario.Default()
 				s.Name, s.Duration, s.Warmup, s.Servers.Count, s.Clients.Rate = "ways", 6*time.Second, 0, 8, 25
-				s.Clients.Via, s.Servers.Via = front, back
+				s.Clients.Via, s.Servers.Via = clientProtocol, proxyProtocol
 				s.Faults = []scenario.Fault{
 					{Kind: "error", At: 300 * ms, For: 700 * ms, Share: 0.25, Part: 0.5},
 					{Kind: "reset", At: 300 * ms, For: 700 * ms, Share: 0.25, Part: 0.5},
@@ -157,7 +162,7 @@
 					{Kind: "drain", At: 3 * time.Second, For: 1500 * ms, Share: 0.25},
 					{Kind: "node_roll", At: 5 * time.Second, For: 500 * ms, Share: 0.5, Delay: 200 * ms},
 				}
-				if back != "" {
+				if proxyProtocol != "" {
 					s.Faults = append(s.Faults,
 						scenario.Fault{Kind: "proxy_down", At: 1200 * ms, For: 300 * ms},
 						scenario.Fault{Kind: "proxy_nonsense", At: 2 * time.Second, For: 500 * ms},
@@ -166,14 +171,14 @@
 				r := runRig(t, s)
 				t.Logf("%v %v", r.Endings, r.Causes)
 				if r.All.Served < r.All.Asked/2 {
-					t.Errorf("only %d of %d were served: %v", r.All.Served, r.All.Asked, r.Causes)
+					t.Errorf("only %d of %d operations were served: %v", r.All.Served, r.All.Asked, r.Causes)
 				}
 				m, err := model.Run(s, model.Options{Make: model.Portstall})
 				if err != nil {
 					t.Fatal(err)
 				}
 				if m.BrokenTotal() > 0 {
-					t.Errorf("model: %v\n%s", m.Broken, strings.Join(m.Breaches, "\n"))
+					t.Errorf("model: rules broken: %v\n%s", m.Broken, strings.Join(m.Breaches, "\n"))
 				}
 				t.Logf("rig %.3f in time, model %.3f", r.All.Share(), m.All.Share())
 			})
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -19,41 +19,42 @@
 	"portstall/internal/lab/standin"
 )
 
-// server is a stand-in web server on a loopback socket. It does no work: a request in work waits for as long as the work
-// would take, and cores, waiting room, ramp and reports bound it as they bound one of the model.
+// server is a stub web server on a loopback socket. It does no real work: a request waits for as long as its work would
+// take. Cores, queue, warm-up and load reports behave as those of the model's servers. Mu guards the fields below it,
+// except agent. Rig.mu may be acquired while mu is held, but not the reverse.
 type server struct {
 	scenario.Server
 	rig      *rig
 	index    int
-	host     string // its own, so that the address stays its while it is down, and agents are asked at one port
+	host     string // reserved, so that the address stays its own while it is down, and all agents can use one port
 	addr     string
 	slots    int
-	queueCap int
+	queueCap int // maximum number of waiting requests
 
 	mu             sync.Mutex
 	http           *http.Server
 	listener       *pausableListener
 	up             bool
-	incarnation    int           // counts its ends
-	silence        chan struct{} // closed when its machine is back; nil while it answers
-	downUntil      time.Duration
+	incarnation    int           // incremented at each end of its process
+	silence        chan struct{} // closed when its machine is back; nil while it responds
+	downUntil      time.Duration // it is not restarted earlier, as overlapping faults may keep it down
 	launchedAt     time.Duration // scenario time; negative: long ago
-	workSinceStart float64
+	workSinceStart float64       // seconds of work
 	busySlots      int
-	queue          []chan bool
-	conns          map[net.Conn]bool // true once a request has come on it
+	queue          []chan bool       // requests that wait; they get true with a slot, false at the end of the process
+	conns          map[net.Conn]bool // true once a request has arrived on it
 	reports        fleet.Reports
-	backlogConns   []net.Conn // fill its backlog
+	backlogConns   []net.Conn // connections that fill its accept queue
 	tunnels        map[net.Conn]struct{}
-	listUpdate     int
-	attempts       int
-	totalWork      float64
+	listUpdate     int     // number of scheduled updates of its list entry
+	attempts       int     // attempts that arrived
+	totalWork      float64 // seconds of work
 
-	effects fleet.Trouble
-	agent   *standin.Agent // beside it; nil: there is none
+	effects fleet.Trouble  // of the active faults
+	agent   *standin.Agent // nil: there is none
 }
 
-// start opens the server's socket, at the same address each time.
+// start opens the listener, at the same address each time, and serves.
 func (v *server) start() error {
 	addr := v.addr
 	if addr == "" {
@@ -74,21 +75,21 @@
 	return nil
 }
 
-// says is what the agent beside it says, or what a check of it finds.
+// healthReply returns the reply of its agent, or else of a health check, and false if there is none.
 func (v *server) healthReply(agent bool) (string, bool) {
 	v.mu.Lock()
-	away, trouble := !v.up || v.silence != nil, v.effects
+	down, effects := !v.up || v.silence != nil, v.effects
 	v.mu.Unlock()
-	if away {
+	if down {
 		return "", false
 	}
 	r := v.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.Says(r.scenario, r.activeFaults, r.targets, v.index, &trouble, agent, r.now())
+	return fleet.Says(r.scenario, r.activeFaults, r.targets, v.index, &effects, agent, r.now())
 }
 
-// track knows the server's connections and turns away those beyond its cap.
+// trackConn registers open connections and resets those above the server's limit.
 func (v *server) trackConn(c net.Conn, state http.ConnState) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// reset closes a connection so that its peer sees it break.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -111,16 +112,17 @@
 	c.Close()
 }
 
+// Reasons for which a request does not get or complete its work.
 var (
-	errQueueFull  = errors.New("the waiting room is full")
-	errNodeGaveUp = errors.New("the node has given up")
+	errQueueFull = errors.New("request queue is full")
+	errAborted   = errors.New("request cancelled, or server process ended")
 )
 
-// ServeHTTP answers one request as the server's state has it.
+// ServeHTTP handles one request according to the server's state and the active faults.
 func (v *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
-		switch text, answers := v.healthReply(false); {
-		case !answers:
+		switch text, responds := v.healthReply(false); {
+		case !responds:
 			<-r.Context().Done()
 		case text != fleet.CheckOK:
 			http.Error(w, text, http.StatusInternalServerError)
@@ -148,7 +150,7 @@
 	rig := v.rig
 	v.mu.Lock()
 	v.attempts++
-	silent := v.silence
+	silence := v.silence
 	warm := v.capacityShare() == 1
 	capacity := 0.0
 	if !warm {
@@ -156,9 +158,9 @@
 	}
 	v.mu.Unlock()
 	attempt := rig.recordAttempt(id, v, capacity)
-	if silent != nil {
-		select { // nothing comes back; the connection breaks once the machine is there again
-		case <-silent:
+	if silence != nil {
+		select { // no response; the connection is broken once the machine is back
+		case <-silence:
 		case <-r.Context().Done():
 		case <-rig.ctx.Done():
 		}
@@ -166,19 +168,20 @@
 		panic(http.ErrAbortHandler)
 	}
 	v.mu.Lock()
-	roll := func(part float64) bool { return part > 0 && rand.Float64() < part }
-	fails, resets, cuts := roll(v.effects.Errors) || roll(v.Kind.ErrorRate), roll(v.effects.Resets), roll(v.effects.Cuts)
-	if roll(v.effects.Part) {
+	occurs := func(probability float64) bool { return probability > 0 && rand.Float64() < probability }
+	failing, resetting, truncating := occurs(v.effects.Errors) || occurs(v.Kind.ErrorRate), occurs(v.effects.Resets),
+		occurs(v.effects.Cuts)
+	if occurs(v.effects.Part) {
 		work *= v.effects.Slow
 	}
 	v.mu.Unlock()
-	if fails {
+	if failing {
 		v.writeLoadReport(w)
 		w.WriteHeader(http.StatusInternalServerError)
 		rig.recordAttemptEnd(id, attempt, false)
 		return
 	}
-	if resets {
+	if resetting {
 		rig.recordAttemptEnd(id, attempt, false)
 		v.abortConn(w)
 		return
@@ -199,11 +202,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	v.mu.Lock()
-	silent = v.silence
+	silence = v.silence
 	v.mu.Unlock()
-	if silent != nil { // it vanished meanwhile
+	if silence != nil { // the machine stopped responding meanwhile
 		select {
-		case <-silent:
+		case <-silence:
 		case <-r.Context().Done():
 		case <-rig.ctx.Done():
 		}
@@ -214,7 +217,7 @@
 	v.writeLoadReport(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	rig.recordAttemptEnd(id, attempt, false)
-	if cuts {
+	if truncating {
 		io.WriteString(w, body[:len(body)/2])
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
@@ -225,7 +228,8 @@
 	io.WriteString(w, body)
 }
 
-// firstOn tells whether a request is the first on its connection, which costs the handshake.
+// firstRequestOn reports whether a request is the first on its connection; such a request has the cost of the
+// handshake.
 func (v *server) firstRequestOn(remote string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -238,7 +242,7 @@
 	return false
 }
 
-// abort breaks the connection.
+// abortConn resets the connection of a request.
 func (v *server) abortConn(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
@@ -249,22 +253,23 @@
 	panic(http.ErrAbortHandler)
 }
 
-// report tells of the queue as it is known.
+// writeLoadReport adds the load report to the response: the queue length with the delay, noise and faults of reports.
 func (v *server) writeLoadReport(w http.ResponseWriter) {
 	rig := v.rig
 	rig.mu.Lock()
 	lag := rig.conditions.Lag
 	rig.mu.Unlock()
 	v.mu.Lock()
-	q := float64(v.reports.Read(rig.now(), rig.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.Lie
+	queueLength := float64(v.reports.Read(rig.now(), rig.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.Lie
 	v.mu.Unlock()
 	if noise := rig.scenario.Servers.Reports.Noise; noise > 0 {
-		q = max(0, q*(1+noise*rand.NormFloat64()))
+		queueLength = max(0, queueLength*(1+noise*rand.NormFloat64()))
 	}
-	w.Header().Set("X-Load", fmt.Sprintf(`{"queue":%d}`, int(math.Round(q))))
+	w.Header().Set("X-Load", fmt.Sprintf(`{"queue":%d}`, int(math.Round(queueLength))))
 }
 
-// ramp is the part of its capacity that it has. v.mu is held.
+// capacityShare returns the share of its capacity that the server has, which is below 1 while it is cold. The caller
+// holds v.mu.
 func (v *server) capacityShare() float64 {
 	if v.launchedAt < 0 {
 		return 1
@@ -272,10 +277,10 @@
 	return fleet.Ramp(v.Kind, v.Speed, v.rig.now()-v.launchedAt, v.rig.scenario.Rules.ColdFor, v.workSinceStart)
 }
 
-// work waits for a slot and then for as long as the work takes, unless the node gives up.
-func (v *server) doWork(ctx context.Context, doWork float64) error {
+// doWork waits for a slot and then for as long as the work takes, unless the node cancels the request.
+func (v *server) doWork(ctx context.Context, work float64) error {
 	v.mu.Lock()
-	life := v.incarnation
+	incarnation := v.incarnation
 	if v.busySlots < v.slots {
 		v.busySlots++
 	} else if len(v.queue) < v.queueCap {
@@ -286,11 +291,11 @@
 		select {
 		case ok := <-turn:
 			if !ok {
-				return errNodeGaveUp
+				return errAborted
 			}
 		case <-ctx.Done():
-			v.leaveQueue(turn, life)
-			return errNodeGaveUp
+			v.leaveQueue(turn, incarnation)
+			return errAborted
 		}
 		v.mu.Lock()
 	} else {
@@ -298,64 +303,65 @@
 		return errQueueFull
 	}
 	v.mu.Unlock()
-	begun := time.Now()
+	pieceStart := time.Now()
 	var err error
-	// In short pieces, as the speed changes while it warms up or the whole fleet is slow.
-	for left := doWork; left > 0 && err == nil; {
+	// In pieces of up to 50 ms, as the speed changes while the server warms up or a fault slows down the whole fleet.
+	for remaining := work; remaining > 0 && err == nil; {
 		v.mu.Lock()
 		v.rig.mu.Lock()
 		factor := v.rig.conditions.Slowdown
 		v.rig.mu.Unlock()
 		rate := v.Speed * v.capacityShare() / factor * min(1, float64(v.Kind.Cores)/float64(max(1, v.busySlots)))
-		held := float64(v.busySlots+len(v.queue)) / float64(v.Kind.Cores)
-		if c := v.rig.scenario.Servers.Choke; c.By > 0 && held > c.At {
-			rate /= 1 + c.By*(held-c.At)
+		heldPerCore := float64(v.busySlots+len(v.queue)) / float64(v.Kind.Cores)
+		if contention := v.rig.scenario.Servers.Choke; contention.By > 0 && heldPerCore > contention.At {
+			rate /= 1 + contention.By*(heldPerCore-contention.At)
 		}
 		v.mu.Unlock()
-		piece := min(left/rate, 0.05)
-		t := time.NewTimer(time.Duration(piece * float64(time.Second)))
+		piece := min(remaining/rate, 0.05)
+		timer := time.NewTimer(time.Duration(piece * float64(time.Second)))
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			if !v.Kind.Keeps {
-				err = errNodeGaveUp
+				err = errAborted
 			}
 		}
-		t.Stop()
-		took := time.Since(begun).Seconds() // a timer that came late has worked for longer
-		begun = time.Now()
-		left -= took * rate
+		timer.Stop()
+		elapsed := time.Since(pieceStart).Seconds() // a timer may fire late: more work is done then
+		pieceStart = time.Now()
+		remaining -= elapsed * rate
 		v.mu.Lock()
-		v.workSinceStart += took * rate
-		v.totalWork += took * rate
+		v.workSinceStart += elapsed * rate
+		v.totalWork += elapsed * rate
 		v.mu.Unlock()
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.freeSlot(life)
+	v.freeSlot(incarnation)
 	return err
 }
 
-// leaveQueue gives up a place in the queue, or the slot that was handed over meanwhile.
-func (v *server) leaveQueue(turn chan bool, life int) {
+// leaveQueue removes a request from the queue, or frees the slot that it got meanwhile.
+func (v *server) leaveQueue(turn chan bool, incarnation int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for i, t := range v.queue {
-		if t == turn {
+	for i, waiting := range v.queue {
+		if waiting == turn {
 			v.reports.Note(v.rig.now(), len(v.queue))
 			v.queue = append(v.queue[:i], v.queue[i+1:]...)
 			return
 		}
 	}
 	if ok := <-turn; ok {
-		v.freeSlot(life)
+		v.freeSlot(incarnation)
 	}
 }
 
-// freeSlot hands a slot to the next that waits, unless the process that had it has ended. v.mu is held.
-func (v *server) freeSlot(life int) {
+// freeSlot passes a slot to the next waiting request, unless the process to which it belonged has ended. The caller
+// holds v.mu.
+func (v *server) freeSlot(incarnation int) {
 	switch {
-	case life != v.incarnation:
+	case incarnation != v.incarnation:
 	case len(v.queue) > 0:
 		v.reports.Note(v.rig.now(), len(v.queue))
 		v.queue[0] <- true
@@ -365,7 +371,8 @@
 	}
 }
 
-// vanish makes its machine fall silent: nothing is reset or answered, and new connections never come up.
+// goSilent makes its machine stop responding: it resets no connection and sends no response, and new connections are
+// never established.
 func (v *server) goSilent() {
 	v.mu.Lock()
 	if !v.up || v.silence != nil {
@@ -389,7 +396,8 @@
 	v.rig.discovery.scheduleUpdate(v, "Gone", v.rig.scenario.Roster.Notice)
 }
 
-// end closes all sockets. v.mu is held.
+// closeAll closes the listener and all connections, and fails the waiting requests. The caller holds v.mu, which is
+// released for a moment.
 func (v *server) closeAll() {
 	v.up = false
 	for _, c := range v.backlogConns {
@@ -404,9 +412,9 @@
 			t.SetLinger(0)
 		}
 	}
-	h := v.http
+	httpServer := v.http
 	v.mu.Unlock()
-	h.Close() // asks track, which locks
+	httpServer.Close() // calls trackConn, which locks v.mu
 	v.mu.Lock()
 	for _, turn := range v.queue {
 		turn <- false
@@ -415,7 +423,7 @@
 	v.incarnation++
 }
 
-// back starts it again, cold.
+// restartCold starts the server again, cold, unless a fault keeps it down for longer.
 func (v *server) restartCold() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -430,14 +438,14 @@
 		v.closeAll()
 	}
 	var err error
-	for range 50 { // the kernel may hold the address for a moment
+	for range 50 { // the kernel may keep the address for a moment
 		if err = v.start(); err == nil {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if err != nil {
-		return fmt.Errorf("stand-in server %d does not come back: %w", v.ID, err)
+		return fmt.Errorf("stub web server %d does not restart: %w", v.ID, err)
 	}
 	v.launchedAt, v.workSinceStart, v.busySlots = v.rig.now(), 0, 0
 	v.reports.Start(v.launchedAt)
@@ -446,28 +454,28 @@
 	return nil
 }
 
-// stuff fills the kernel's queue of connections that nobody accepts, so that new ones never come up: the queue is made as
-// short as it can be and filled by connections of our own.
+// fillBacklog fills the kernel's accept queue, so that new connections are never established: it stops accepting, makes
+// the queue as short as possible and fills it with connections of its own.
 func (v *server) fillBacklog() {
 	v.mu.Lock()
-	ln, addr := v.listener, v.addr
+	listener, addr := v.listener, v.addr
 	v.mu.Unlock()
-	ln.setPaused(true)
-	ln.setBacklog(0)
-	var held []net.Conn
+	listener.setPaused(true)
+	listener.setBacklog(0)
+	var conns []net.Conn
 	for range 8 {
 		c, err := net.DialTimeout("tcp", addr, 30*time.Millisecond)
 		if err != nil {
 			break
 		}
-		held = append(held, c)
+		conns = append(conns, c)
 	}
 	v.mu.Lock()
-	v.backlogConns = append(v.backlogConns, held...)
+	v.backlogConns = append(v.backlogConns, conns...)
 	v.mu.Unlock()
 }
 
-// unstuff lets connections in again.
+// clearBacklog accepts connections again.
 func (v *server) clearBacklog() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -481,53 +489,56 @@
 	}
 }
 
-// gate is a listener that can stop accepting while its socket stays open.
+// pausableListener is a listener that can stop accepting while its socket stays open.
 type pausableListener struct {
 	*net.TCPListener
 	mu        sync.Mutex
-	paused    chan struct{} // closed when it accepts again; nil while it does
-	closed    chan struct{}
+	paused    chan struct{} // closed when it accepts again; nil while it accepts
+	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 }
 
+// newPausableListener returns a listener that accepts.
 func newPausableListener(ln *net.TCPListener) *pausableListener {
 	return &pausableListener{TCPListener: ln, closed: make(chan struct{})}
 }
 
-func (g *pausableListener) setPaused(on bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// setPaused pauses accepting connections, or resumes it.
+func (l *pausableListener) setPaused(on bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
-	case on && g.paused == nil:
-		g.paused = make(chan struct{})
-		g.SetDeadline(time.Unix(1, 0)) // wakes whoever is accepting
-	case !on && g.paused != nil:
-		g.SetDeadline(time.Time{})
-		close(g.paused)
-		g.paused = nil
+	case on && l.paused == nil:
+		l.paused = make(chan struct{})
+		l.SetDeadline(time.Unix(1, 0)) // ends a pending Accept
+	case !on && l.paused != nil:
+		l.SetDeadline(time.Time{})
+		close(l.paused)
+		l.paused = nil
 	}
 }
 
-// queue sets how many connections the kernel keeps for accepting. Calling listen again on a socket changes it.
-func (g *pausableListener) setBacklog(n int) {
-	if raw, err := g.SyscallConn(); err == nil {
+// setBacklog sets the length of the kernel's accept queue, which another call of listen on the socket changes.
+func (l *pausableListener) setBacklog(n int) {
+	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
 
-func (g *pausableListener) Accept() (net.Conn, error) {
+// Accept implements net.Listener. It blocks while the listener is paused.
+func (l *pausableListener) Accept() (net.Conn, error) {
 	for {
-		g.mu.Lock()
-		held := g.paused
-		g.mu.Unlock()
-		if held != nil {
+		l.mu.Lock()
+		paused := l.paused
+		l.mu.Unlock()
+		if paused != nil {
 			select {
-			case <-held:
-			case <-g.closed:
+			case <-paused:
+			case <-l.closed:
 				return nil, net.ErrClosed
 			}
 		}
-		c, err := g.TCPListener.Accept()
+		c, err := l.TCPListener.Accept()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			continue
@@ -536,7 +547,8 @@
 	}
 }
 
-func (g *pausableListener) Close() error {
-	g.closeOnce.Do(func() { close(g.closed) })
-	return g.TCPListener.Close()
+// Close implements net.Listener and ends a pending Accept, also while paused.
+func (l *pausableListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.TCPListener.Close()
 }
--- a/internal/lab/rig/tunnel.go
+++ b/internal/lab/rig/tunnel.go
@@ -14,74 +14,78 @@
 	"portstall/internal/lab/scenario"
 )
 
-// opaqueName is what clients of opaque tunnels ask for; each class of them has a port.
+// opaqueHost is the host name that clients of opaque tunnels request; each such class has a port.
 const opaqueHost = "lines.example.org"
 
+// opaquePort returns the port that clients of the class with the given index request.
 func opaquePort(class int) int { return 7000 + class }
 
-// tunnel is one try of an ask for an opaque tunnel: the reply is the final answer. What the client says inside tells the
-// stand-in server which tunnel that is; it stands until the client has done, or somebody ends it.
-func (r *rig) requestTunnel(a *scenario.Ask, tries int) outcome {
-	c := &r.scenario.Classes[a.Class]
-	begun := r.now()
+// requestTunnel is one try of an operation that requests an opaque tunnel; the reply to CONNECT is the final response.
+// The request that the client sends inside tells the stub web server which tunnel it is. The tunnel stays open until
+// the client is done or another party closes it.
+func (r *rig) requestTunnel(op *scenario.Ask, tries int) outcome {
+	class := &r.scenario.Classes[op.Class]
+	startedAt := r.now()
 	n := r.selectNode()
 	if n == nil {
 		return outcome{ending: measure.Unreachable, cause: "node unreachable"}
 	}
-	id := fmt.Sprintf("%d-%d-%x", a.Index, tries, r.scenario.Seed)
-	until := begun + c.Deadline - (begun - a.At)
-	note := func(w recordKind, at time.Duration) {
+	id := fmt.Sprintf("%d-%d-%x", op.Index, tries, r.scenario.Seed)
+	deadline := startedAt + class.Deadline - (startedAt - op.At)
+	addRecord := func(kind recordKind, at time.Duration) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.appendRecord(record{kind: w, at: at, node: n.index, id: id, class: a.Class, deadline: until})
+		r.appendRecord(record{kind: kind, at: at, node: n.index, id: id, class: op.Class, deadline: deadline})
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, until-begun+r.scenario.Rules.AnswerSlack+r.options.Slack)
+	ctx, cancel := context.WithTimeout(r.ctx, deadline-startedAt+r.scenario.Rules.AnswerSlack+r.options.Slack)
 	defer cancel()
-	way := tunnel.Proxy{Kind: tunnel.Connect, Addr: n.opaqueAddr}
-	conn, err := way.Dial(ctx, &net.Dialer{}, fmt.Sprintf("%s:%d", opaqueHost, opaquePort(a.Class)))
+	proxy := tunnel.Proxy{Kind: tunnel.Connect, Addr: n.opaqueAddr}
+	conn, err := proxy.Dial(ctx, &net.Dialer{}, fmt.Sprintf("%s:%d", opaqueHost, opaquePort(op.Class)))
 	var refusal tunnel.Refusal
-	var op *net.OpError
+	var dialErr *net.OpError
 	switch {
 	case errors.As(err, &refusal):
-		note(requestSent, begun)
-		v, w := classify(nil, refusal.Status, false, false, false, true)
-		note(w, r.now())
-		return v
-	case errors.As(err, &op) && op.Op == "dial":
+		addRecord(requestSent, startedAt)
+		result, kind := classify(nil, refusal.Status, false, false, false, true)
+		addRecord(kind, r.now())
+		return result
+	case errors.As(err, &dialErr) && dialErr.Op == "dial":
 		return outcome{ending: measure.Unreachable, cause: "node unreachable"}
-	case err != nil: // cut off while it asked, or never answered: the node may not have read it
+	case err != nil: // broken while requesting, or no response: the node may not have read it
 		if ctx.Err() != nil && r.ctx.Err() == nil {
-			note(requestSent, begun)
-			note(clientTimedOut, r.now())
+			addRecord(requestSent, startedAt)
+			addRecord(clientTimedOut, r.now())
 			return outcome{ending: measure.Overdue, cause: "no answer in time"}
 		}
 		return outcome{ending: measure.Unreachable, cause: "node unreachable"}
 	}
-	note(requestSent, begun)
-	holds := r.scenario.Holds(a, r.now())
-	// The reply can be here before the server's process has taken the connection from its kernel: it counts from the
-	// server's first byte.
+	addRecord(requestSent, startedAt)
+	duration := r.scenario.Holds(op, r.now())
+	// The reply can arrive before the server's process has accepted the connection from its kernel, so the tunnel counts
+	// as served from the server's first byte.
 	fmt.Fprintf(conn, "GET /tunnel HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n\r\n", opaqueHost, id)
 	conn.SetReadDeadline(time.Now().Add(time.Second))
-	conn.Read(make([]byte, 1)) // or its end, or silence: the answer stands
-	note(requestServed, r.now())
+	conn.Read(make([]byte, 1)) // an error or timeout changes nothing: the response is final
+	addRecord(requestServed, r.now())
 	r.wg.Go(func() {
 		defer conn.Close()
-		conn.SetReadDeadline(time.Now().Add(holds))
+		conn.SetReadDeadline(time.Now().Add(duration))
 		io.Copy(io.Discard, conn)
 	})
 	return outcome{ending: measure.Served}
 }
 
+// acceptedKey is the context key of the time at which a connection was accepted.
 type acceptedKey struct{}
 
-// accepted is when a server accepted the connection of a request.
+// acceptTime returns when the server accepted the connection of a request.
 func (r *rig) acceptTime(ctx context.Context) time.Duration {
 	at, _ := ctx.Value(acceptedKey{}).(time.Time)
 	return at.Sub(r.startedAt)
 }
 
-// stands lets a tunnel stand at the server until it ends. It counts from its connection on.
+// serveTunnel keeps a tunnel open at the server until the other side closes it. The attempt counts from the accepted
+// connection on.
 func (v *server) serveTunnel(w http.ResponseWriter, r *http.Request, id string) {
 	attempt := v.rig.recordAttemptAt(v.rig.acceptTime(r.Context()), id, v, 0)
 	defer v.rig.recordAttemptEnd(id, attempt, false)
