--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,7 +1,7 @@
 // Package measure collects the results of a lab run, in the same way for the model and for the rig.
 //
-// An operation is what a client wants: it makes one or more tries, each a request to a node, and a node makes one or more
-// attempts at web servers for a try. Times are counted from the start of the scenario.
+// An operation is what a client wants: it makes one or more tries, each a request to a node, and a node makes one or
+// more attempts at web servers for a try. Times are counted from the start of the scenario.
 package measure
 
 import (
@@ -26,8 +26,8 @@
 // Endings lists all endings in the order in which reports print them.
 var Endings = []Ending{Served, Refused, Failed, Overdue, Unreachable, Lost, Left}
 
-// Tally counts the operations of a group, and their value. The value of an operation is the value of its class times its
-// work in seconds, so that a heavy request counts for more than a light one.
+// Tally counts the operations of a group, and their value. The value of an operation is the value of its class times
+// its work in seconds, so that a heavy request counts for more than a light one.
 type Tally struct {
 	Asked   int     `json:"asked"`   // operations
 	Served  int     `json:"served"`  // operations that were served
@@ -146,16 +146,17 @@
 	result    Result
 }
 
-// NewRecorder returns a recorder for a run of the given duration. Totals exclude what happens before warmup; the series does
-// not.
+// NewRecorder returns a recorder for a run of the given duration. Totals exclude what happens before warmup; the series
+// does not.
 func New(warmup, duration time.Duration) *Recorder {
 	return &Recorder{warmup: warmup, latencies: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
 		result: Result{Classes: map[string]*Tally{}, Tenants: map[string]*Tally{}, Split: map[string]*Tally{},
-			Endings: map[Ending]int{}, Causes: map[string]int{}, Broken: map[string]int{}, Series: make([]Second, int(duration/time.Second)+1)}}
+			Endings: map[Ending]int{}, Causes: map[string]int{}, Broken: map[string]int{},
+			Series: make([]Second, int(duration/time.Second)+1)}}
 }
 
-// RecordOperation records an operation that has ended. It started at the given time and took as long, counted from its first
-// try.
+// RecordOperation records an operation that has ended. It started at the given time and took as long, counted from its
+// first try.
 func (r *Recorder) Ask(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, value float64) {
 	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
 		second := &r.result.Series[i]
@@ -182,7 +183,7 @@
 	}
 	r.result.Endings[end]++
 	if end == Served {
-		r.latencies.RecordValue(max(1, int64(took/time.Microsecond))) // a value beyond the histogram'second range is not counted
+		r.latencies.RecordValue(max(1, int64(took/time.Microsecond))) // a value beyond the histogram's range is not counted
 	}
 }
 
@@ -226,9 +227,10 @@
 	return result
 }
 
-// RecoveryTime returns how long after a fault's end goodput needs to recover: the time until the first of hold successive
-// seconds in which it is at least the given share of the mean of the ten seconds before the fault began. Seconds without
-// operations are skipped. It returns false if goodput never recovers, or if there is no second before the fault.
+// RecoveryTime returns how long after a fault's end goodput needs to recover: the time until the first of hold
+// successive seconds in which it is at least the given share of the mean of the ten seconds before the fault began.
+// Seconds without operations are skipped. It returns false if goodput never recovers, or if there is no second before
+// the fault.
 func (r *Result) Recovery(begin, end time.Duration, share float64, hold int) (time.Duration, bool) {
 	beginSecond, endSecond := int(begin/time.Second), int(end/time.Second)
 	baseline, seconds := 0.0, 0
@@ -262,8 +264,8 @@
 	RecoveryHold = 5   // successive seconds for which it has to be reached
 )
 
-// RecoverySeconds returns the time from the first fault's end until goodput has recovered, in seconds. Where it never does,
-// it returns false and the time from the fault's end to the end of the run.
+// RecoverySeconds returns the time from the first fault's end until goodput has recovered, in seconds. Where it never
+// does, it returns false and the time from the fault's end to the end of the run.
 func (r *Result) Recovered() (float64, bool) {
 	begin, end := time.Duration(r.Trigger[0]*float64(time.Second)), time.Duration(r.Trigger[1]*float64(time.Second))
 	if took, ok := r.Recovery(begin, end, RecoveryPart, RecoveryHold); ok {
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -19,7 +19,8 @@
 	r.Ask(3*time.Second, "b", "", Refused, false, 0, 100)
 	r.Ask(time.Hour, "b", "", Lost, false, 0, 0) // beyond the series
 	result := r.Result()
-	if result.All.Asked != 102 || result.All.Served != 100 || result.All.InTime != 60 || result.All.Offered != 200 || result.All.Earned != 60 {
+	if result.All.Asked != 102 || result.All.Served != 100 || result.All.InTime != 60 ||
+		result.All.Offered != 200 || result.All.Earned != 60 {
 		t.Errorf("totals: %+v", result.All)
 	}
 	if result.Classes["a"].Share() != 0.6 || result.Worst() != 0 || result.Endings[Lost] != 1 || result.Causes["full"] != 1 {
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -90,9 +90,9 @@
 	"zone_loss":   {About: "all servers of one zone stop responding; they return cold", Rig: true},
 }
 
-// WithRandomFaults returns the scenario with the given seed and a few random faults in place of its own. They may overlap
-// and are of any kind that the scenario supports, except zone_loss, poison and node_upgrade. The same scenario and seed
-// give the same faults.
+// WithRandomFaults returns the scenario with the given seed and a few random faults in place of its own. They may
+// overlap and are of any kind that the scenario supports, except zone_loss, poison and node_upgrade. The same scenario
+// and seed give the same faults.
 func Draw(s Scenario, seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0x64726177))
 	length := s.Duration - s.Warmup
--- a/internal/lab/scenario/generate.go
+++ b/internal/lab/scenario/generate.go
@@ -93,7 +93,8 @@
 }
 
 // Workload generates the operations of a scenario in the order of their start. Those that a flash crowd adds come from
-// random streams of their own: all other operations are the same with and without it. It is not safe for concurrent use.
+// random streams of their own: all other operations are the same with and without it. It is not safe for concurrent
+// use.
 type Asks struct {
 	streams   []*operationStream
 	nextIndex int
@@ -239,8 +240,8 @@
 	return math.Exp(math.Sqrt(v)*rng.NormFloat64() - v/2)
 }
 
-// gamma returns a gamma-distributed random number with the given shape and scale 1, by the method of Marsaglia and Tsang
-// (2000).
+// gamma returns a gamma-distributed random number with the given shape and scale 1, by the method of Marsaglia and
+// Tsang (2000).
 func gamma(rng *rand.Rand, shape float64) float64 {
 	if shape < 1 {
 		return gamma(rng, shape+1) * math.Pow(rng.Float64(), 1/shape)
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -8,8 +8,8 @@
 	"portstall/internal/config"
 )
 
-// Default returns the values of fields that a scenario file does not set: one data center of thirteen servers of two types
-// behind two nodes. Figures for which the operators state a range are in its middle.
+// Default returns the values of fields that a scenario file does not set: one data center of thirteen servers of two
+// types behind two nodes. Figures for which the operators state a range are in its middle.
 func Default() Scenario {
 	return Scenario{
 		Seed: 1, Duration: 40 * time.Second, Warmup: 2 * time.Second, Nodes: 2,
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -256,8 +256,8 @@
 	return sum
 }
 
-// typeCount returns how many servers are of the i-th type. Cumulative shares are rounded, so that the counts of all types
-// add up to the number of servers.
+// typeCount returns how many servers are of the i-th type. Cumulative shares are rounded, so that the counts of all
+// types add up to the number of servers.
 func (s *Scenario) typeCount(i int) int {
 	types, total := s.Servers.Kinds, 0.0
 	for _, k := range types {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -167,8 +167,8 @@
 	near("all tenants", float64(arrivals[10]+arrivals[11]+arrivals[12])/float64(arrivals[0]+arrivals[1]+arrivals[2]), 3)
 }
 
-// The fleet has the stated numbers of servers by type, zone and pod. A fault affects its share of them, at least one, the
-// same each time, and another fault affects others.
+// The fleet has the stated numbers of servers by type, zone and pod. A fault affects its share of them, at least one,
+// the same each time, and another fault affects others.
 func TestFleetAndFaultTargets(t *testing.T) {
 	s := Default()
 	s.Name, s.Servers.Count, s.Servers.Zones, s.Servers.PodSize = "x", 100, 4, 10
@@ -182,7 +182,8 @@
 	if len(ids) != 100 || types["std-2c"] != 36 || zones[3] != 25 || len(pods) != 10 || pods[9] != 10 {
 		t.Errorf("%d ids, types %v, zones %v, pods %v", len(ids), types, zones, pods)
 	}
-	if targets := s.Hit(0, 100, 0.1); len(targets) != 10 || !reflect.DeepEqual(targets, s.Hit(0, 100, 0.1)) || reflect.DeepEqual(targets, s.Hit(1, 100, 0.1)) {
+	if targets := s.Hit(0, 100, 0.1); len(targets) != 10 || !reflect.DeepEqual(targets, s.Hit(0, 100, 0.1)) ||
+		reflect.DeepEqual(targets, s.Hit(1, 100, 0.1)) {
 		t.Errorf("targets of the first fault: %v, want the same 10 each time, and others for the second", targets)
 	}
 	if targets := s.Hit(0, 3, 0.01); len(targets) != 1 {
--- a/internal/lab/standin/addr.go
+++ b/internal/lab/standin/addr.go
@@ -10,14 +10,15 @@
 	"syscall"
 )
 
-// claimPort marks a block of hosts as in use. It lies below the range of ephemeral ports, so that the kernel never assigns it.
+// claimPort marks a block of hosts as in use. It lies below the range of ephemeral ports, so that the kernel never
+// assigns it.
 const claimPort = 20254
 
 // hostPool holds the loopback hosts that this process may use; its mutex guards its fields. A block is 4,096 addresses,
-// from 127.a.b.0 on with a from 64 to 127 and b a multiple of 16. The process that listens at a block's claimPort owns the
-// whole block until it exits. Two concurrent test runs therefore never share a host, whatever folders they run in. As
-// connections on loopback use 127.0.0.1 as their source address, no connection uses a port of such a host either: the
-// address of a stand-in stays reserved while the stand-in is down.
+// from 127.a.b.0 on with a from 64 to 127 and b a multiple of 16. The process that listens at a block's claimPort owns
+// the whole block until it exits. Two concurrent test runs therefore never share a host, whatever folders they run in.
+// As connections on loopback use 127.0.0.1 as their source address, no connection uses a port of such a host either:
+// the address of a stand-in stays reserved while the stand-in is down.
 var hostPool struct {
 	sync.Mutex
 	block int
@@ -30,8 +31,8 @@
 	hostsPerBlock = 16 * 250 // hosts of a block that are assigned
 )
 
-// ReserveHost returns a loopback host, such as 127.80.3.7, that no other caller in any process of this machine gets. It is
-// safe for concurrent use.
+// ReserveHost returns a loopback host, such as 127.80.3.7, that no other caller in any process of this machine gets. It
+// is safe for concurrent use.
 func Host() (string, error) {
 	hostPool.Lock()
 	defer hostPool.Unlock()
@@ -49,8 +50,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+hostPool.block>>4, hostPool.block&15<<4+network, host)
 }
 
-// claimBlock claims the first free block. The search starts at the process id, so that concurrent runs seldom collide. The
-// caller holds the lock of hostPool.
+// claimBlock claims the first free block. The search starts at the process id, so that concurrent runs seldom collide.
+// The caller holds the lock of hostPool.
 func claimBlock() error {
 	if hostPool.held == nil {
 		hostPool.block = os.Getpid() % blockCount
--- a/internal/lab/standin/conn.go
+++ b/internal/lab/standin/conn.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// NewConnPair opens a TCP connection on loopback and returns the end that dialled and the accepted end. The caller closes
-// both. After an error neither is open.
+// NewConnPair opens a TCP connection on loopback and returns the end that dialled and the accepted end. The caller
+// closes both. After an error neither is open.
 func Pair() (far, near *net.TCPConn, err error) {
 	ln, err := Listen()
 	if err != nil {
@@ -46,8 +46,8 @@
 	return far, near
 }
 
-// FillSendBuffer writes a text in pieces of at most piece bytes until the socket buffers of both ends are full, and returns
-// how many bytes were written. It does not wait for the peer to read.
+// FillSendBuffer writes a text in pieces of at most piece bytes until the socket buffers of both ends are full, and
+// returns how many bytes were written. It does not wait for the peer to read.
 func Pour(c *net.TCPConn, text string, piece int) (sent int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -10,8 +10,9 @@
 	"portstall/internal/resource"
 )
 
-// Control is a control process for tests. It serves watches from a resource set and its history, except for calls for which
-// the test has scripted a response, and counts its responses. It is safe for concurrent use; mu guards its unexported fields.
+// Control is a control process for tests. It serves watches from a resource set and its history, except for calls for
+// which the test has scripted a response, and counts its responses. It is safe for concurrent use; mu guards its
+// unexported fields.
 type Control struct {
 	Addr string
 
@@ -29,8 +30,8 @@
 	serveDone     chan struct{}
 }
 
-// NewControl starts a control process at an address of its own. With no resources it has no configuration yet. The caller
-// stops it.
+// NewControl starts a control process at an address of its own. With no resources it has no configuration yet. The
+// caller stops it.
 func NewControl(first ...resource.Resource) (*Control, error) {
 	ln, err := Listen()
 	if err != nil {
@@ -122,7 +123,8 @@
 	return c.set.Apply(snapshot)
 }
 
-// RespondOnce scripts the response to the next call for which none is scripted yet. A call that is waiting gets it at once.
+// RespondOnce scripts the response to the next call for which none is scripted yet. A call that is waiting gets it at
+// once.
 func (c *Control) Say(h http.HandlerFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/standin/health.go
+++ b/internal/lab/standin/health.go
@@ -12,8 +12,8 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 )
 
-// Agent stands in for a health agent next to a web server; it speaks HAProxy's agent-check protocol. Its behavior can change
-// at any time and applies to connections accepted from then on. It is safe for concurrent use.
+// Agent stands in for a health agent next to a web server; it speaks HAProxy's agent-check protocol. Its behavior can
+// change at any time and applies to connections accepted from then on. It is safe for concurrent use.
 type Agent struct {
 	listener net.Listener
 	wg       sync.WaitGroup
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -1,5 +1,5 @@
-// Package standin holds stand-ins for external systems (proxies, health agents, control processes) that both the rig and
-// the tests use. Each is written from the public specification of its protocol.
+// Package standin holds stand-ins for external systems (proxies, health agents, control processes) that both the rig
+// and the tests use. Each is written from the public specification of its protocol.
 package standin
 
 import (
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Proxy is a SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC 9110, 9.3.6) proxy on loopback with injectable faults. Its exported
-// fields are set before Start; mu guards the rest. It is safe for concurrent use.
+// Proxy is a SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC 9110, 9.3.6) proxy on loopback with injectable faults. Its
+// exported fields are set before Start; mu guards the rest. It is safe for concurrent use.
 type Proxy struct {
 	SOCKS5   bool   // SOCKS5 if true, else CONNECT
 	User     string // empty: clients need no authentication
