--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -1,5 +1,5 @@
-// Package standin holds stand-ins for outside systems that both the rig and the tests use, each written from its public
-// specification.
+// Package standin holds stand-ins for external systems (proxies, health agents, control processes) that both the rig
+// and the tests use. Each is written from the public specification of its protocol.
 package standin
 
 import (
@@ -17,60 +17,60 @@
 	"time"
 )
 
-// Proxy is a SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC 9110, 9.3.6) proxy on loopback, with switches for what can be
-// wrong with one. Safe for concurrent use.
+// Proxy is a SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC 9110, 9.3.6) proxy on loopback with injectable faults. Its
+// exported fields are set before Start; mu guards the rest. It is safe for concurrent use.
 type Proxy struct {
-	SOCKS5   bool   // else CONNECT
-	User     string // empty: nobody is asked
+	SOCKS5   bool   // SOCKS5 if true, else CONNECT
+	User     string // empty: clients need no authentication
 	Password string
 
-	order sync.Mutex // held for the whole of Start and Stop: they come one after the other
+	lifecycle sync.Mutex // held for the duration of Start and Stop, which therefore never overlap
 
-	mu     sync.Mutex
-	addr   string
-	ln     net.Listener
-	wg     sync.WaitGroup
-	conns  map[net.Conn]struct{}
-	wrong  Wrong
-	delay  time.Duration
-	dialed int
+	mu       sync.Mutex
+	addr     string
+	listener net.Listener
+	wg       sync.WaitGroup
+	conns    map[net.Conn]struct{}
+	fault    Wrong
+	delay    time.Duration
+	dials    int
 }
 
-// Wrong is what is the matter with a proxy.
+// ProxyFault is a fault of a proxy.
 type Wrong uint8
 
 const (
-	Nothing  Wrong = iota
-	Nonsense       // it answers what no proxy answers
-	Refuses        // every server, in its protocol's words
-	Silent         // it accepts and says nothing
+	Nothing  Wrong = iota // works
+	Nonsense              // replies with text of no proxy protocol
+	Refuses               // refuses every server, as its protocol does
+	Silent                // accepts connections and never replies
 )
 
-// Start opens the proxy, at the same address each time.
+// Start opens the listener, at the same address each time. It does nothing while the proxy runs.
 func (p *Proxy) Start() error {
-	p.order.Lock()
-	defer p.order.Unlock()
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ln != nil {
+	if p.listener != nil {
 		return nil
 	}
-	ln, err := listen(p.addr)
+	ln, err := listenAt(p.addr)
 	if err != nil {
 		return err
 	}
-	p.addr, p.ln, p.conns = ln.Addr().String(), ln, map[net.Conn]struct{}{}
+	p.addr, p.listener, p.conns = ln.Addr().String(), ln, map[net.Conn]struct{}{}
 	p.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if !p.keep(c) {
+			if !p.track(c) {
 				return
 			}
 			p.wg.Go(func() {
-				defer p.drop(c)
+				defer p.untrack(c)
 				p.serve(c)
 			})
 		}
@@ -78,21 +78,21 @@
 	return nil
 }
 
-// Addr is where it listens, or did.
+// Addr returns the address at which it listens, or listened before Stop.
 func (p *Proxy) Addr() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr
 }
 
-// Stop ends the proxy as its process's death would: all its connections break.
+// Stop closes the listener and resets all connections, as the death of its process would, and waits for its goroutines.
 func (p *Proxy) Stop() {
-	p.order.Lock()
-	defer p.order.Unlock()
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
 	p.mu.Lock()
-	if p.ln != nil {
-		p.ln.Close()
-		p.ln = nil
+	if p.listener != nil {
+		p.listener.Close()
+		p.listener = nil
 	}
 	for c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -104,24 +104,25 @@
 	p.wg.Wait()
 }
 
-// Trouble sets what is wrong from now on, and how long each client waits for its tunnel.
-func (p *Proxy) Trouble(w Wrong, delay time.Duration) {
+// SetFault sets the fault, and the delay before each tunnel is opened, for connections accepted from now on.
+func (p *Proxy) Trouble(fault Wrong, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wrong, p.delay = w, delay
+	p.fault, p.delay = fault, delay
 }
 
-// Dialed counts the connections to servers.
+// DialCount returns the number of connections opened to servers.
 func (p *Proxy) Dialed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dialed
+	return p.dials
 }
 
-func (p *Proxy) keep(c net.Conn) bool {
+// track registers a connection, or closes it and returns false if the proxy is stopped.
+func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ln == nil {
+	if p.listener == nil {
 		c.Close()
 		return false
 	}
@@ -129,39 +130,41 @@
 	return true
 }
 
-func (p *Proxy) drop(c net.Conn) {
+// untrack closes a connection and forgets it.
+func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// serve takes one client to its server.
+// serve handles one client connection: it reads the request, dials the server and copies data in both directions.
 func (p *Proxy) serve(c net.Conn) {
 	p.mu.Lock()
-	wrong, delay := p.wrong, p.delay
+	fault, delay := p.fault, p.delay
 	p.mu.Unlock()
 	in := bufio.NewReader(c)
-	ask, refuse := p.connect, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
-	stands := "HTTP/1.1 200 OK\r\nServer: stand-in\r\n\r\n"
+	readRequest, refuse := p.readConnect, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
+	established := "HTTP/1.1 200 OK\r\nServer: stand-in\r\n\r\n"
 	if p.SOCKS5 {
-		ask, refuse, stands = p.socks5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00", "\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
+		readRequest, refuse, established = p.readSOCKS5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00",
+			"\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
 	}
-	if wrong == Nonsense {
+	if fault == Nonsense {
 		io.WriteString(c, "220 what would you like to send?\r\n\r\n")
 		return
 	}
-	if wrong == Silent {
+	if fault == Silent {
 		in.ReadByte()
 		io.Copy(io.Discard, in)
 		return
 	}
-	addr, err := ask(in, c)
+	addr, err := readRequest(in, c)
 	if err != nil {
 		return
 	}
 	time.Sleep(delay)
-	if wrong == Refuses {
+	if fault == Refuses {
 		io.WriteString(c, refuse)
 		return
 	}
@@ -170,24 +173,24 @@
 		io.WriteString(c, refuse)
 		return
 	}
-	if !p.keep(server) {
+	if !p.track(server) {
 		return
 	}
-	defer p.drop(server)
+	defer p.untrack(server)
 	p.mu.Lock()
-	p.dialed++
+	p.dials++
 	p.mu.Unlock()
-	if _, err := io.WriteString(c, stands); err != nil {
+	if _, err := io.WriteString(c, established); err != nil {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { half(server, in, server) })
-	half(c, server, c)
+	wg.Go(func() { copyHalf(server, in, server) })
+	copyHalf(c, server, c)
 	wg.Wait()
 }
 
-// half copies one direction to its end. Where it breaks, so does all.
-func half(dst net.Conn, src io.Reader, both net.Conn) {
+// copyHalf copies one direction until its end. An error closes both, so that the other direction ends too.
+func copyHalf(dst net.Conn, src io.Reader, both net.Conn) {
 	if _, err := io.Copy(dst, src); err != nil {
 		both.Close()
 	}
@@ -196,27 +199,30 @@
 	}
 }
 
-var errAsked = errors.New("not what a client of this proxy asks")
+var errBadRequest = errors.New("malformed or unauthorized proxy request")
 
-func (p *Proxy) connect(in *bufio.Reader, out io.Writer) (string, error) {
+// readConnect reads a CONNECT request and returns the address of its server. It replies to requests that it rejects.
+func (p *Proxy) readConnect(in *bufio.Reader, out io.Writer) (string, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil || req.Method != http.MethodConnect {
 		io.WriteString(out, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
-		return "", errAsked
+		return "", errBadRequest
 	}
 	want := "Basic " + base64.StdEncoding.EncodeToString([]byte(p.User+":"+p.Password))
 	if p.User != "" && req.Header.Get("Proxy-Authorization") != want {
 		io.WriteString(out, "HTTP/1.1 407 Proxy Authentication Required\r\nContent-Length: 0\r\n\r\n")
-		return "", errAsked
+		return "", errBadRequest
 	}
 	return req.Host, nil
 }
 
-func (p *Proxy) socks5(in *bufio.Reader, out io.Writer) (string, error) {
+// readSOCKS5 reads a SOCKS5 handshake and returns the address of the requested server. It replies where it rejects the
+// authentication.
+func (p *Proxy) readSOCKS5(in *bufio.Reader, out io.Writer) (string, error) {
 	read := func(n int) []byte {
 		b := make([]byte, n)
 		if _, err := io.ReadFull(in, b); err != nil {
-			return make([]byte, n) // noughts are no version of anything
+			return make([]byte, n) // zeros: no valid protocol version
 		}
 		return b
 	}
@@ -228,7 +234,7 @@
 	}
 	if head[0] != 5 || !strings.ContainsRune(methods, rune(method)) {
 		out.Write([]byte{5, 0xff})
-		return "", errAsked
+		return "", errBadRequest
 	}
 	out.Write([]byte{5, method})
 	if method == 2 {
@@ -237,7 +243,7 @@
 		password := string(read(int(read(1)[0])))
 		if user != p.User || password != p.Password {
 			out.Write([]byte{1, 1})
-			return "", errAsked
+			return "", errBadRequest
 		}
 		out.Write([]byte{1, 0})
 	}
@@ -252,7 +258,7 @@
 	}
 	port := binary.BigEndian.Uint16(read(2))
 	if req[0] != 5 || req[1] != 1 || host == "" {
-		return "", errAsked
+		return "", errBadRequest
 	}
 	return net.JoinHostPort(host, fmt.Sprint(port)), nil
 }
