--- a/cmd/portstall/control.go
+++ b/cmd/portstall/control.go
@@ -98,8 +98,8 @@
 		}
 	}()
 	log.Info("control process listening", "address", ln.Addr(), "files", c.Files, "from", c.From)
-	err = control.Serve(ctx, control.ServeOptions{Listener: ln, Name: name, Files: c.Files, From: c.From, Peers: c.Peers, Reload: reload, Log: log,
-		Limits: control.Limits{History: resource.HistoryLimits{Age: c.Keep}, Watches: c.MostWatches}})
+	err = control.Serve(ctx, control.ServeOptions{Listener: ln, Name: name, Files: c.Files, Upstreams: c.From, Peers: c.Peers, Reload: reload, Log: log,
+		Limits: control.Limits{History: resource.HistoryLimits{Age: c.Keep}, MaxWatches: c.MostWatches}})
 	if filesError := (*control.FilesError)(nil); errors.As(err, &filesError) {
 		return usageError{err}
 	}
--- a/cmd/portstall/control_node_test.go
+++ b/cmd/portstall/control_node_test.go
@@ -89,7 +89,7 @@
 // changeResources publishes changed resources and returns their version.
 func changeResources(t *testing.T, c *standin.Control, put ...resource.Resource) resource.Version {
 	t.Helper()
-	v, err := c.Change(put)
+	v, err := c.ApplyChange(put)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 	successor := next("PORTSTALL_FILE=" + newProductFile(t, control.Addr, ""))
 	successor.waitUntil(t, "the reason why it is not ready", func() bool {
 		status, text := successor.operatorGet(t, "/-/ready")
-		return status == 503 && strings.HasPrefix(text, "no configuration yet: ") && control.Calls() > 2
+		return status == 503 && strings.HasPrefix(text, "no configuration yet: ") && control.CallCount() > 2
 	})
 	select {
 	case <-predecessor.exited:
@@ -150,7 +150,7 @@
 	successor.request(t, "first")
 
 	v := changeResources(t, control, newResource(resource.Contract, "none", `{"name":"none","match":[{"header":"X-None: 1"}],"rate":0.001,"burst":1}`))
-	successor.waitUntil(t, "the change to be acknowledged", func() bool { return control.Acked() == v })
+	successor.waitUntil(t, "the change to be acknowledged", func() bool { return control.CallerVersion() == v })
 	changeResources(t, control, newResource(resource.Contract, "bad", `{"name":"bad","match":[{"from":"nowhere"}]}`))
 	successor.waitUntil(t, "the log line on the rejected change", func() bool {
 		for _, line := range strings.Split(successor.log.String(), "\n") {
@@ -304,7 +304,7 @@
 		begin := time.Now()
 		for i := range changes {
 			v := changeResources(t, control, contractOfSize(i*7%contracts, services, 6+i))
-			for control.Acked() != v { // a node acknowledges a version in its next call
+			for control.CallerVersion() != v { // a node acknowledges a version in its next call
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
@@ -316,7 +316,7 @@
 		t.Logf("%d contracts: %d changes in %v: processor %v per change, %d bytes in and %d out per change, full snapshot %d bytes; peak %.1f MB, resident %.1f MB",
 			contracts, changes, time.Since(begin).Round(time.Millisecond), (to.cpu-from.cpu)/changes, (after.Calls.In-before.Calls.In)/changes,
 			(after.Calls.Out-before.Calls.Out)/changes, before.Calls.In, megabytes(to.peak), megabytes(to.rss))
-		if snapshots, deltas := control.Counts(); snapshots != 1 || deltas != changes {
+		if snapshots, deltas := control.ResponseCounts(); snapshots != 1 || deltas != changes {
 			t.Errorf("control sent %d full snapshots and %d deltas, want one snapshot and one delta per change", snapshots, deltas)
 		}
 		p.terminate(t)
--- a/cmd/portstall/demo.go
+++ b/cmd/portstall/demo.go
@@ -31,7 +31,7 @@
 	fmt.Printf("%s: %d real nodes, %d stub servers, %.0f requests per second for %v, all on loopback.\n%s\n\n", s.Name, s.Nodes,
 		s.Servers.Count, s.Rate(), s.Duration, s.About)
 	fmt.Printf("%6s %8s %8s %8s %8s %8s %8s\n", "second", "asked", "served", "refused", "failed", "attempts", "p99 ms")
-	r, err := rig.Run(ctx, s, rig.Options{Binary: self, Watch: func(second int, r measure.Result) {
+	r, err := rig.Run(ctx, s, rig.Options{Binary: self, Progress: func(second int, r measure.Result) {
 		// Responses to requests of the last second may still be under way: the second before it is printed.
 		i := second - 2
 		if i < 0 {
@@ -44,7 +44,7 @@
 		return err
 	}
 	printSummary(os.Stdout, &r)
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		return errRuleBroken
 	}
 	fmt.Println("All rules were kept: one final response for each request, no forbidden retry, drains and cold servers respected.")
@@ -57,9 +57,9 @@
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		if int(f.At/time.Second) == second {
-			text += "  <- " + f.Kind + ": " + scenario.Kinds[f.Kind].About
+			text += "  <- " + f.Kind + ": " + scenario.FaultKinds[f.Kind].About
 		}
-		if !scenario.Kinds[f.Kind].Instant && int(f.End()/time.Second) == second {
+		if !scenario.FaultKinds[f.Kind].Instant && int(f.End()/time.Second) == second {
 			text += "  <- " + f.Kind + " is over"
 		}
 	}
--- a/cmd/portstall/keys.go
+++ b/cmd/portstall/keys.go
@@ -47,7 +47,7 @@
 func (c keysNextCmd) Run() error { return printPublic(member.NextKey(c.File)) }
 
 // Run replaces the key by the next one.
-func (c keysRollCmd) Run() error { return printPublic(member.UseNext(c.File)) }
+func (c keysRollCmd) Run() error { return printPublic(member.ActivateNextKey(c.File)) }
 
 // Run prints the public key of a key file.
 func (c keysShowCmd) Run() error {
--- a/cmd/portstall/lab.go
+++ b/cmd/portstall/lab.go
@@ -78,14 +78,14 @@
 			bar = progressbar.NewOptions(len(runs), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionShowCount(),
 				progressbar.OptionSetDescription(e.Name), progressbar.OptionClearOnFinish())
 		}
-		results, err = experiment.Play(runs, workers, func(int, *measure.Result) { bar.Add(1) })
+		results, err = experiment.RunAll(runs, workers, func(int, *measure.Result) { bar.Add(1) })
 		bar.Finish()
 	}
 	if err != nil {
 		return err
 	}
-	experiment.Table(os.Stdout, results)
-	broken := e.Broken(results)
+	experiment.WriteTable(os.Stdout, results)
+	broken := e.Violations(results)
 	if err := c.writeResults(e.Name, results, broken); err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	runs, err := e.Runs()
 	if c.Draw != "" {
 		for i := range runs {
-			runs[i].Scenario = scenario.Draw(runs[i].Scenario, runs[i].Scenario.Seed)
+			runs[i].Scenario = scenario.WithRandomFaults(runs[i].Scenario, runs[i].Scenario.Seed)
 		}
 	}
 	return e, runs, err
@@ -186,7 +186,7 @@
 		}
 	}
 	if c.HTML != "" {
-		return writeFile(c.HTML, func(w io.Writer) error { return experiment.Report(w, name, results, broken) })
+		return writeFile(c.HTML, func(w io.Writer) error { return experiment.WriteReport(w, name, results, broken) })
 	}
 	return nil
 }
@@ -228,7 +228,7 @@
 	fmt.Fprintf(w, "measure\t%s\t%s\tdifference\tfrom\tto\t\t\n", c.A, c.B)
 	for _, d := range differences {
 		mark := ""
-		if d.Clear() {
+		if d.ExcludesZero() {
 			mark = "clear"
 		}
 		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.4g\t%+.4g\t%+.4g\t%s\t\n", d.Measure, d.A, d.B, d.Mean, d.Low, d.High, mark)
@@ -248,7 +248,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return experiment.Play(runs, runtime.GOMAXPROCS(0), nil)
+	return experiment.RunAll(runs, runtime.GOMAXPROCS(0), nil)
 }
 
 // labReplayCmd is the lab replay command.
@@ -274,17 +274,17 @@
 		s.Seed = c.Seed
 	}
 	if c.Draw {
-		s = scenario.Draw(s, s.Seed)
+		s = scenario.WithRandomFaults(s, s.Seed)
 	}
 	play := func(s scenario.Scenario) (measure.Result, error) {
-		return model.Run(s, model.Options{Policy: c.Policy, Make: newPolicy, Stories: true})
+		return model.Run(s, model.Options{Policy: c.Policy, NewDecider: newPolicy, Traces: true})
 	}
 	r, err := play(s)
 	if err != nil {
 		return err
 	}
-	if r.BrokenTotal() == 0 {
-		fmt.Printf("%s, seed %d: all rules are kept; %.3f of the value is served; digest %s\n", s.Name, s.Seed, r.All.Share(), r.Digest)
+	if r.BreachTotal() == 0 {
+		fmt.Printf("%s, seed %d: all rules are kept; %.3f of the value is served; digest %s\n", s.Name, s.Seed, r.All.EarnedShare(), r.Digest)
 		return nil
 	}
 	if c.Shrink {
@@ -292,7 +292,7 @@
 		var runs int
 		s, runs = experiment.Shrink(s, func(s scenario.Scenario) bool {
 			r, err := play(s)
-			return err == nil && r.BrokenTotal() > 0
+			return err == nil && r.BreachTotal() > 0
 		})
 		fmt.Printf("%d of %d faults are enough to break a rule (%d runs):\n", len(s.Faults), before, runs)
 		for _, f := range s.Faults {
@@ -365,8 +365,8 @@
 // Run prints one line per kind of fault: its settings, and whether the model alone or also the rig can inject it.
 func (labFaultsCmd) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	for _, kind := range scenario.KindNames() {
-		use := scenario.Kinds[kind]
+	for _, kind := range scenario.FaultKindNames() {
+		use := scenario.FaultKinds[kind]
 		fields := []string{"at"}
 		for _, f := range []struct {
 			name  string
@@ -388,19 +388,19 @@
 // printSummary prints the totals of a run, its endings and classes, and the broken rules.
 func printSummary(w io.Writer, r *measure.Result) {
 	fmt.Fprintf(w, "\n%d asked, %d served (%d in time), %.1f%% of the value; p50 %.0f ms, p99 %.0f ms\n", r.All.Asked, r.All.Served,
-		r.All.InTime, 100*r.All.Share(), r.Latency.P50, r.Latency.P99)
+		r.All.InTime, 100*r.All.EarnedShare(), r.Latency.P50, r.Latency.P99)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, end := range measure.Endings {
 		if n := r.Endings[end]; n > 0 {
 			fmt.Fprintf(tw, "  %s\t%d\n", end, n)
 		}
 	}
-	for _, name := range scenario.Sorted(r.Classes) {
+	for _, name := range scenario.SortedKeys(r.Classes) {
 		t := r.Classes[name]
-		fmt.Fprintf(tw, "  class %s\t%d asked\t%.1f%% of the value in time\n", name, t.Asked, 100*t.Share())
+		fmt.Fprintf(tw, "  class %s\t%d asked\t%.1f%% of the value in time\n", name, t.Asked, 100*t.EarnedShare())
 	}
 	tw.Flush()
-	if r.BrokenTotal() == 0 {
+	if r.BreachTotal() == 0 {
 		return
 	}
 	fmt.Fprintf(w, "rules broken: %v\n", r.Broken)
--- a/cmd/portstall/node.go
+++ b/cmd/portstall/node.go
@@ -46,7 +46,7 @@
 		}
 		applied := make(chan error, 1)
 		select {
-		case reload <- node.Change{Config: cfg, Taken: applied}:
+		case reload <- node.Change{Config: cfg, Applied: applied}:
 		case <-ctx.Done():
 			return
 		}
--- a/cmd/portstall/reload_test.go
+++ b/cmd/portstall/reload_test.go
@@ -47,7 +47,7 @@
 		hup <- syscall.SIGHUP
 		select {
 		case c := <-reload:
-			c.Taken <- step.result
+			c.Applied <- step.result
 		case <-ctx.Done():
 			t.Fatal("a valid configuration is not passed to the node")
 		}
--- a/cmd/portstall/scale.go
+++ b/cmd/portstall/scale.go
@@ -52,7 +52,7 @@
 	if c.Beside != "" {
 		return c.compareBuilds(ctx, plan, self)
 	}
-	report, err := scale.Run(ctx, plan, scale.Options{Binary: self, Tell: os.Stderr})
+	report, err := scale.Run(ctx, plan, scale.Options{Binary: self, Progress: os.Stderr})
 	if report != nil { // also if the run ended early
 		if c.JSON != "" {
 			err = errors.Join(err, writeFile(c.JSON, func(w io.Writer) error { return report.WriteJSON(w) }))
@@ -77,8 +77,8 @@
 	if c.Rounds < 1 || c.Rounds > 100 || c.Round < time.Second || c.Round > time.Minute {
 		return usageError{errors.New("--rounds is outside 1 to 100, or --round outside 1s to 1m")}
 	}
-	rows, err := scale.Beside(ctx, plan, scale.Options{Binary: self, Tell: os.Stderr}, scale.BesideOptions{Old: c.Beside,
-		Contracts: cmp.Or(c.Tenants, plan.Size.Tenants), Round: c.Round, Rounds: c.Rounds, Changes: 10})
+	rows, err := scale.CompareBuilds(ctx, plan, scale.Options{Binary: self, Progress: os.Stderr}, scale.CompareOptions{OldBinary: c.Beside,
+		Contracts: cmp.Or(c.Tenants, plan.Size.Tenants), RoundLength: c.Round, Rounds: c.Rounds, ChangesPerSecond: 10})
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 			return err
 		}
 	}
-	if err := scale.PrintBeside(os.Stdout, rows); err != nil {
+	if err := scale.PrintComparison(os.Stdout, rows); err != nil {
 		return err
 	}
 	for _, r := range rows {
@@ -102,4 +102,4 @@
 type labScaleWorkerCmd struct{}
 
 // Run executes the orders on standard input.
-func (labScaleWorkerCmd) Run() error { return scale.Work(os.Stdin, os.Stdout) }
+func (labScaleWorkerCmd) Run() error { return scale.RunWorker(os.Stdin, os.Stdout) }
--- a/cmd/portstall/state.go
+++ b/cmd/portstall/state.go
@@ -53,17 +53,17 @@
 		return err
 	}
 	fmt.Printf("%s, taken %s (%v ago)\nfleet %s, list %d, drained by an operator: %v\n", name, unixTime(s.Taken).Format(time.RFC3339Nano),
-		time.Since(unixTime(s.Taken)).Round(time.Millisecond), s.Fleet, s.Version, s.Drained)
-	fmt.Printf("disabled by operators: %v\n", s.Out)
-	for _, r := range s.Returned {
+		time.Since(unixTime(s.Taken)).Round(time.Millisecond), s.Fleet, s.ListVersion, s.Drained)
+	fmt.Printf("disabled by operators: %v\n", s.Disabled)
+	for _, r := range s.Enabled {
 		fmt.Printf("enabled by an operator: %s at %s\n", r.ID, unixTime(r.At).Format(time.RFC3339Nano))
 	}
-	fmt.Printf("%d open requests, %d remembered keys, %.1f retries allowed\n", len(s.Open), len(s.Keys), s.Totals.Retries)
+	fmt.Printf("%d open requests, %d remembered keys, %.1f retries allowed\n", len(s.OpenRequests), len(s.Keys), s.Totals.Retries)
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "server\taddress\tstate\tstarted\trecent responses\tseconds per request\tremote load\tfailing")
 	for _, v := range s.Servers {
-		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t", v.ID, v.Addr, v.State, v.Started)
-		if e := v.Known; e != nil && e.Occupancy > 0 {
+		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t", v.ID, v.Addr, v.State, v.StartedMS)
+		if e := v.Stats; e != nil && e.Occupancy > 0 {
 			fmt.Fprintf(out, "%.1f\t%.4f\t%.1f\t%.0f%%\n", e.Served, e.Latency/e.Occupancy, e.Others, 100*e.Bad)
 		} else {
 			fmt.Fprintln(out, "-\t-\t-\t-")
@@ -92,10 +92,10 @@
 		fleet = s.Fleet
 	}
 	s.Exact = false
-	dropped := s.Age(state.Reader{Now: time.Duration(time.Now().UnixNano()), Fleet: fleet, ColdFor: time.Minute})
-	fmt.Printf("%s: valid, %d web servers, %d disabled by operators\n", name, len(s.Servers), len(s.Out))
+	dropped := s.Age(state.LoadContext{Now: time.Duration(time.Now().UnixNano()), Fleet: fleet, ColdFor: time.Minute})
+	fmt.Printf("%s: valid, %d web servers, %d disabled by operators\n", name, len(s.Servers), len(s.Disabled))
 	for _, d := range dropped {
-		fmt.Printf("not used: %s: %s\n", d.Field, d.Why)
+		fmt.Printf("not used: %s: %s\n", d.Field, d.Reason)
 	}
 	return nil
 }
--- a/internal/back/http/attempt.go
+++ b/internal/back/http/attempt.go
@@ -41,34 +41,34 @@
 )
 
 // Sender sends requests to web servers and is a core.Sender. It is safe for concurrent use.
-type Back struct {
-	Core    *core.Core
-	Pool    *back.Pool
-	Budget  *flow.Budget
-	Reports func() bool // whether responses hold load reports
-	Log     *slog.Logger
-	Slack   time.Duration // added to bufferedStallTimeout, for tests that run many nodes on a busy machine
+type Sender struct {
+	Core        *core.Core
+	Pool        *back.Pool
+	Budget      *flow.Budget
+	LoadReports func() bool // whether responses hold load reports
+	Log         *slog.Logger
+	StallSlack  time.Duration // added to bufferedStallTimeout, for tests that run many nodes on a busy machine
 }
 
 // Attempt sends the request once and waits for the response. An attempt that is given up returns only after its
 // connection is closed, so that a following attempt never runs beside it as a second copy.
-func (s *Back) Attempt(ctx context.Context, a *core.Attempt) core.Result {
+func (s *Sender) Attempt(ctx context.Context, a *core.Attempt) core.Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := time.AfterFunc(a.Wait, func() { cancel(errTimeout) })
+	timer := time.AfterFunc(a.Timeout, func() { cancel(errTimeout) })
 	defer timer.Stop()
 	server := a.Server.(*back.Server)
 	in, upload := a.Request.Message.(*stdhttp.Request), a.Request.Body.(*flow.Upload)
 	responsesBefore := server.Responses.Load()
 	c, err := s.Pool.Get(ctx, server)
 	switch {
-	case errors.Is(err, back.ErrSockets):
-		return core.Result{Outcome: policy.Moot} // not the web server's failure, and not held against it
-	case errors.Is(context.Cause(ctx), errTimeout) && (err == nil || a.Wait < minConnectTimeout):
+	case errors.Is(err, back.ErrNoSockets):
+		return core.Result{Outcome: policy.NeverSent} // not the web server's failure, and not held against it
+	case errors.Is(context.Cause(ctx), errTimeout) && (err == nil || a.Timeout < minConnectTimeout):
 		if err == nil {
 			s.Pool.Put(c)
 		}
-		return core.Result{Outcome: policy.Moot} // the client's timeout was too short for any web server
+		return core.Result{Outcome: policy.NeverSent} // the client's timeout was too short for any web server
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return core.Result{Outcome: policy.ConnectFailed}
 	case err != nil:
@@ -79,21 +79,21 @@
 		return core.Result{Outcome: policy.Canceled}
 	}
 	stopWatch := context.AfterFunc(ctx, func() { c.Close() })
-	if !upload.Whole() {
+	if !upload.Complete() {
 		timer.Stop() // a request's time runs from its last byte
 	}
 	sent, err := s.write(a, in, upload, c)
-	if errors.Is(err, back.ErrShut) || errors.Is(err, back.ErrClientGone) {
+	if errors.Is(err, back.ErrNoNewRequests) || errors.Is(err, back.ErrClientGone) {
 		if stopWatch() {
 			s.Pool.Put(c)
 		} else {
 			s.Pool.Close(c)
 		}
-		return core.Result{Outcome: policy.Moot}
+		return core.Result{Outcome: policy.NeverSent}
 	}
-	if !upload.Whole() {
+	if !upload.Complete() {
 		s.Core.Uploaded(a)
-		timer.Reset(a.Wait)
+		timer.Reset(a.Timeout)
 	}
 	var got response
 	if err == nil {
@@ -101,7 +101,7 @@
 	}
 	alive := stopWatch() // a complete response is valid however its connection ends
 	if err == nil && got.streamed && !alive {
-		s.Budget.AnswerDone(got.heldBytes)
+		s.Budget.ReleaseResponse(got.heldBytes)
 		err = errMalformed
 	}
 	switch {
@@ -130,21 +130,21 @@
 		if outcome == policy.TimedOut && server.Responses.Load() == responsesBefore {
 			// This server has not responded to anything during the attempt. If its machine was cut off, each idle
 			// connection from before would lose one more request, and would reset one once the machine is back.
-			s.Pool.Clear(server, false)
+			s.Pool.CloseIdle(server, false)
 		}
 		s.Log.Debug("attempt failed", "backend", server.ID, "err", err)
 		return core.Result{Outcome: outcome}
 	}
 	res := s.classify(server, got)
-	full := &message.Answer{Body: got.body, Held: got.heldBytes, Budget: s.Budget}
+	full := &message.Response{Body: got.body, HeldBytes: got.heldBytes, Budget: s.Budget}
 	if got.streamed {
-		full = &message.Answer{Stream: newDownload(s, c, got), Length: got.resp.ContentLength, Budget: s.Budget}
+		full = &message.Response{Stream: newDownload(s, c, got), Length: got.resp.ContentLength, Budget: s.Budget}
 	}
 	if res.Outcome != policy.OK {
 		full.Release() // the body of a failed response is not passed on
 		return res
 	}
-	full.Type = got.resp.Header.Get("Content-Type")
+	full.ContentType = got.resp.Header.Get("Content-Type")
 	res.Payload = full
 	return res
 }
@@ -154,21 +154,21 @@
 
 // write sends a request with the forwarded headers, unless the server accepts no new requests. It reports whether
 // the last byte was written.
-func (s *Back) write(a *core.Attempt, in *stdhttp.Request, upload *flow.Upload, c *back.Conn) (bool, error) {
+func (s *Sender) write(a *core.Attempt, in *stdhttp.Request, upload *flow.Upload, c *back.Conn) (bool, error) {
 	req := &stdhttp.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: stdhttp.Header{"User-Agent": nil},
 		ContentLength: upload.Length}
 	if upload.Length != 0 {
 		req.Body = io.NopCloser(upload.Reader())
 	}
-	for _, name := range message.Headers {
+	for _, name := range message.ForwardedHeaders {
 		if v, ok := in.Header[name]; ok {
 			req.Header[name] = v
 		}
 	}
-	req.Header.Set("X-Deadline", strconv.FormatInt(a.Wait.Microseconds(), 10)+"u")
+	req.Header.Set("X-Deadline", strconv.FormatInt(a.Timeout.Microseconds(), 10)+"u")
 	w := writers.Get().(*bufio.Writer)
 	defer writers.Put(w)
-	w.Reset(back.NewGated(c.Conn, a.Server.(*back.Server), a.Wanted))
+	w.Reset(back.NewGatedConn(c.Conn, a.Server.(*back.Server), a.Wanted))
 	defer w.Reset(nil)
 	err := req.Write(w)
 	if err == nil {
@@ -191,7 +191,7 @@
 
 // read reads one response. A body of up to flow.MaxBuffered is read completely before any of it is passed on, so that
 // the request can still be retried if the response breaks off.
-func (s *Back) read(ctx context.Context, c *back.Conn, method string) (response, error) {
+func (s *Sender) read(ctx context.Context, c *back.Conn, method string) (response, error) {
 	c.Limit.N = maxHeadBytes
 	malformed := func(err error) (response, error) { return response{}, fmt.Errorf("%w: %w", errMalformed, err) }
 	for {
@@ -203,7 +203,7 @@
 			return response{}, err
 		}
 		got := response{firstByteAt: s.Core.Now()}
-		c.ReadTimeout = bufferedStallTimeout + s.Slack
+		c.ReadTimeout = bufferedStallTimeout + s.StallSlack
 		resp, err := stdhttp.ReadResponse(c.In, &stdhttp.Request{Method: method})
 		if err != nil {
 			return malformed(err)
@@ -214,17 +214,17 @@
 		if resp.StatusCode < 200 { // informational: the final response follows, perhaps later
 			continue
 		}
-		if resp.ContentLength > message.Max {
+		if resp.ContentLength > message.MaxBody {
 			return malformed(fmt.Errorf("Content-Length of %d bytes is over the limit", resp.ContentLength))
 		}
 		got.resp = resp
-		c.Limit.N = 2*flow.Keep + maxHeadBytes // the framing of chunks is not counted in the body
-		got.heldBytes = flow.Need(resp.ContentLength)
-		if err := s.Budget.Answer(ctx, got.heldBytes); err != nil {
+		c.Limit.N = 2*flow.MaxBuffered + maxHeadBytes // the framing of chunks is not counted in the body
+		got.heldBytes = flow.BudgetFor(resp.ContentLength)
+		if err := s.Budget.AcquireResponse(ctx, got.heldBytes); err != nil {
 			return response{}, err
 		}
 		switch {
-		case resp.ContentLength > flow.Keep:
+		case resp.ContentLength > flow.MaxBuffered:
 			got.streamed = true
 			return got, nil
 		case resp.ContentLength >= 0:
@@ -232,8 +232,8 @@
 			_, err = io.ReadFull(resp.Body, got.body)
 		default:
 			var buf bytes.Buffer
-			_, err = io.Copy(&buf, io.LimitReader(resp.Body, flow.Keep+1))
-			got.body, got.streamed = buf.Bytes(), buf.Len() > flow.Keep
+			_, err = io.Copy(&buf, io.LimitReader(resp.Body, flow.MaxBuffered+1))
+			got.body, got.streamed = buf.Bytes(), buf.Len() > flow.MaxBuffered
 		}
 		if err == nil && !got.streamed {
 			_, err = resp.Body.Read(make([]byte, 1)) // read the last chunk and the trailers, which follow the body
@@ -242,7 +242,7 @@
 			}
 		}
 		if err != nil {
-			s.Budget.AnswerDone(got.heldBytes)
+			s.Budget.ReleaseResponse(got.heldBytes)
 			return malformed(err)
 		}
 		return got, nil
@@ -257,11 +257,11 @@
 }
 
 // classify returns the outcome that a response stands for, and its load report.
-func (s *Back) classify(server *back.Server, got response) core.Result {
+func (s *Sender) classify(server *back.Server, got response) core.Result {
 	resp := got.resp
-	res := core.Result{Outcome: policy.Failed, First: got.firstByteAt}
-	if reports := resp.Header["X-Load"]; len(reports) > 0 && s.Reports() {
-		load, err := wire.DecodeLoad(reports[0])
+	res := core.Result{Outcome: policy.Failed, FirstByteAt: got.firstByteAt}
+	if reports := resp.Header["X-Load"]; len(reports) > 0 && s.LoadReports() {
+		load, err := wire.DecodeLoadReport(reports[0])
 		if err == nil && len(reports) == 1 {
 			res.Load = load
 		} else {
@@ -271,7 +271,7 @@
 	rejected := resp.StatusCode == stdhttp.StatusServiceUnavailable || resp.StatusCode == stdhttp.StatusGatewayTimeout
 	switch {
 	case rejected && resp.Header.Get("X-Not-Run") == "1":
-		res.Outcome = policy.Full
+		res.Outcome = policy.QueueFull
 	case resp.StatusCode == stdhttp.StatusOK:
 		res.Outcome = policy.OK
 	}
--- a/internal/back/http/download.go
+++ b/internal/back/http/download.go
@@ -28,9 +28,9 @@
 
 // newDownload returns a download for the rest of a response. It takes ownership of the connection and of the response's
 // bytes of the budget.
-func newDownload(s *Back, c *back.Conn, got response) *download {
+func newDownload(s *Sender, c *back.Conn, got response) *download {
 	c.ReadTimeout = streamStallTimeout
-	c.Limit.N = 2 * message.Max // the framing of chunks is not counted in the body
+	c.Limit.N = 2 * message.MaxBody // the framing of chunks is not counted in the body
 	return &download{Reader: io.MultiReader(bytes.NewReader(got.body), got.resp.Body), readAhead: int64(len(got.body)),
 		conn: c, resp: got.resp, heldBytes: got.heldBytes, pool: s.Pool, budget: s.Budget}
 }
@@ -60,8 +60,8 @@
 	}
 	n, err := read(p)
 	d.sincePause += n
-	if d.delivered += int64(n); d.delivered > message.Max {
-		return 0, message.ErrTooLarge
+	if d.delivered += int64(n); d.delivered > message.MaxBody {
+		return 0, message.ErrBodyTooLarge
 	}
 	d.complete = err == io.EOF
 	return n, err
@@ -102,6 +102,6 @@
 	} else {
 		d.pool.Close(d.conn)
 	}
-	d.budget.AnswerDone(d.heldBytes)
+	d.budget.ReleaseResponse(d.heldBytes)
 	return nil
 }
--- a/internal/back/pool.go
+++ b/internal/back/pool.go
@@ -32,11 +32,11 @@
 
 // ErrNoSockets reports that a connection could not be opened because this process or machine has no descriptor or
 // memory left.
-var ErrSockets = errors.New("no file descriptor left for a connection to a web server")
+var ErrNoSockets = errors.New("no file descriptor left for a connection to a web server")
 
 // OutOfResources reports whether err comes from this machine, out of descriptors or memory, and says nothing about the
 // other side.
-func OwnTrouble(err error) bool {
+func OutOfResources(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
@@ -62,19 +62,19 @@
 type Dial func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error)
 
 // DialDirect connects to a web server without a proxy.
-func Direct(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+func DialDirect(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	return d.DialContext(ctx, "tcp", addr)
 }
 
 // NewPool returns a pool of at most limit connections. For connect and idle see SetTimeouts.
 func NewPool(limit int, connect, idle time.Duration) *Pool {
 	p := &Pool{limit: limit, now: time.Now, sleep: sleepContext}
-	p.Tune(connect, idle)
+	p.SetTimeouts(connect, idle)
 	return p
 }
 
 // SetTimeouts sets how long establishing a connection may take, and after which idle time web servers close one.
-func (p *Pool) Tune(connect, idle time.Duration) {
+func (p *Pool) SetTimeouts(connect, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer = net.Dialer{Timeout: connect, KeepAlive: -1}
@@ -130,10 +130,10 @@
 		if wait > 0 {
 			p.sleep(ctx, wait)
 		}
-		switch flow.Pending(c.Conn) {
-		case flow.Nothing:
+		switch flow.PeekInput(c.Conn) {
+		case flow.NoInput:
 			return c, nil
-		case flow.BytesThere:
+		case flow.InputAvailable:
 			p.ReportSurplus()
 		}
 		p.Close(c) // closed by the web server, or it sent bytes that belong to no request
@@ -202,24 +202,24 @@
 		oldest := p.idleConns.Front() // for Get it belongs to another web server: this one has none
 		if oldest == nil {
 			p.mu.Unlock()
-			return nil, ErrSockets
+			return nil, ErrNoSockets
 		}
 		p.discardIdle(oldest.Value.(*Conn))
 	}
 	p.openConns++
 	dialer := p.dialer
 	p.mu.Unlock()
-	dial := Direct
-	if s.Via != nil {
-		dial = s.Via
+	dial := DialDirect
+	if s.Dial != nil {
+		dial = s.Dial
 	}
 	conn, err := dial(ctx, &dialer, s.Addr)
 	if err != nil {
 		p.mu.Lock()
 		p.openConns--
 		p.mu.Unlock()
-		if OwnTrouble(err) {
-			err = fmt.Errorf("%w: %w", ErrSockets, err)
+		if OutOfResources(err) {
+			err = fmt.Errorf("%w: %w", ErrNoSockets, err)
 		}
 		return nil, err
 	}
@@ -277,7 +277,7 @@
 }
 
 // CloseIdle closes the idle connections to s. With retire, those in use are closed too once they are returned.
-func (p *Pool) Clear(s *Server, retire bool) {
+func (p *Pool) CloseIdle(s *Server, retire bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.retired = s.retired || retire
--- a/internal/back/pool_test.go
+++ b/internal/back/pool_test.go
@@ -48,7 +48,7 @@
 		if _, err := end.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 			t.Error(err)
 		}
-		if _, err := flow.Readable(c.Conn); err != nil { // wait until it has passed the loopback interface
+		if _, err := flow.WaitReadable(c.Conn); err != nil { // wait until it has passed the loopback interface
 			t.Error(err)
 		}
 	}
--- a/internal/back/server.go
+++ b/internal/back/server.go
@@ -24,14 +24,14 @@
 
 // SetClosed closes or opens the gate. Once it has returned from closing the gate, no send that began earlier can still
 // write its first bytes.
-func (g *Gate) Set(closed bool) {
+func (g *Gate) SetClosed(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = closed
 }
 
 // Closed reports whether the gate is closed.
-func (g *Gate) Shut() bool {
+func (g *Gate) Closed() bool {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return g.closed
@@ -41,9 +41,9 @@
 type Server struct {
 	ID        string
 	Addr      string
-	Via       Dial                 // opens connections to it; nil: DialDirect
+	Dial      Dial                 // opens connections to it; nil: DialDirect
 	Gate      *Gate                // closed while the server is disabled by an operator
-	Stop      atomic.Int64         // end of a drain's grace period in nanoseconds on Now: no new send may begin from then; 0: none
+	StopAt    atomic.Int64         // end of a drain's grace period in nanoseconds on Now: no new send may begin from then; 0: none
 	Responses atomic.Int64         // attempts on which a response, if only a malformed one, was received
 	Now       func() time.Duration // a clock that does not step when the system clock is set; nil: the system clock
 
@@ -53,7 +53,7 @@
 }
 
 // ErrNoNewRequests reports that a server was drained or disabled while a send to it waited for a connection.
-var ErrShut = errors.New("web server accepts no new requests: draining or disabled by an operator")
+var ErrNoNewRequests = errors.New("web server accepts no new requests: draining or disabled by an operator")
 
 // ErrClientGone reports that the client disconnected before the first byte of its request was sent to a server.
 var ErrClientGone = errors.New("client disconnected before its request was sent")
@@ -68,8 +68,8 @@
 func (s *Server) Pass(first func() error) error {
 	s.Gate.mu.RLock()
 	defer s.Gate.mu.RUnlock()
-	if stop := s.Stop.Load(); s.Gate.closed || stop != 0 && s.clock() >= time.Duration(stop) {
-		return ErrShut
+	if stop := s.StopAt.Load(); s.Gate.closed || stop != 0 && s.clock() >= time.Duration(stop) {
+		return ErrNoNewRequests
 	}
 	return first()
 }
@@ -85,7 +85,7 @@
 // is closed or the request is no longer wanted: then the send fails with ErrNoNewRequests or ErrClientGone, and
 // certainly never ran.
 type GatedConn struct {
-	flow.Paced
+	flow.WriteTimeoutConn
 	server      *Server
 	stillWanted func() bool
 	passed      bool // the first bytes have passed the gate
@@ -93,13 +93,13 @@
 
 // NewGatedConn returns a GatedConn over conn. The function wanted is called once, before the first byte, and must not
 // wait.
-func NewGated(conn net.Conn, s *Server, wanted func() bool) *GatedConn {
-	return &GatedConn{Paced: flow.Paced{Conn: conn, Stall: flow.WriteStall}, server: s, stillWanted: wanted}
+func NewGatedConn(conn net.Conn, s *Server, wanted func() bool) *GatedConn {
+	return &GatedConn{WriteTimeoutConn: flow.WriteTimeoutConn{Conn: conn, Timeout: flow.WriteStallTimeout}, server: s, stillWanted: wanted}
 }
 
 func (g *GatedConn) Write(p []byte) (int, error) {
 	if g.passed {
-		return g.Paced.Write(p)
+		return g.WriteTimeoutConn.Write(p)
 	}
 	first, n := p[:min(len(p), MaxFirstWrite)], 0
 	err := g.server.Pass(func() (err error) {
@@ -107,12 +107,12 @@
 			return ErrClientGone
 		}
 		g.passed = true
-		n, err = g.Paced.Write(first)
+		n, err = g.WriteTimeoutConn.Write(first)
 		return err
 	})
 	if err != nil || len(first) == len(p) {
 		return n, err
 	}
-	m, err := g.Paced.Write(p[n:])
+	m, err := g.WriteTimeoutConn.Write(p[n:])
 	return n + m, err
 }
--- a/internal/back/tunnel/opaque.go
+++ b/internal/back/tunnel/opaque.go
@@ -22,23 +22,23 @@
 
 const (
 	// CauseDone: both sides have ended their sending.
-	Done Cause = "done"
+	CauseDone Cause = "done"
 	// CauseUnused: the client disconnected before the tunnel was established.
-	Unused Cause = "unused"
+	CauseUnused Cause = "unused"
 	// CauseClient: the client's connection broke.
-	Client Cause = "client"
+	CauseClient Cause = "client"
 	// CauseServer: the server's connection broke.
-	Server Cause = "server"
+	CauseServer Cause = "server"
 	// CauseIdle: no byte went either way within message.TunnelLimits.Idle.
-	Idle Cause = "idle"
+	CauseIdle Cause = "idle"
 	// CauseTotal: the tunnel was open for message.TunnelLimits.Total.
-	Total Cause = "total"
+	CauseTotal Cause = "total"
 	// CauseStall: the server sent nothing within message.TunnelLimits.Stall after the client's latest bytes.
-	Stall Cause = "stall"
+	CauseStall Cause = "stall"
 	// CauseDraining: message.TunnelLimits.Drain passed since the server or the node began to drain.
-	Draining Cause = "draining"
+	CauseDraining Cause = "draining"
 	// CauseClosing: the node ended.
-	Closing Cause = "closing"
+	CauseClosing Cause = "closing"
 )
 
 // copyChunk is the maximum number of bytes that are copied before it is checked again whether the tunnel may continue.
@@ -48,11 +48,11 @@
 // MaxPipes limits how many copies between two sockets use a kernel pipe (splice) at a time, over all tunnels. A pipe
 // takes two descriptors until the receiving side has read the data, and the number of slow readers is not limited.
 // Copies beyond the limit use a buffer.
-const PipesMost = 16
+const MaxPipes = 16
 
 // Sender opens opaque tunnels and keeps track of the open ones; it is a core.Sender. It is safe for concurrent use. mu
 // guards open, endedByCause and endedBytes.
-type Back struct {
+type Sender struct {
 	Core     *core.Core
 	Pool     *back.Pool
 	Draining func() bool // whether the node drains or shuts down
@@ -66,15 +66,15 @@
 }
 
 // NewSender returns a Sender without tunnels.
-func New(c *core.Core, p *back.Pool, draining func() bool) *Back {
-	return &Back{Core: c, Pool: p, Draining: draining, pipesInUse: make(chan struct{}, PipesMost),
+func NewSender(c *core.Core, p *back.Pool, draining func() bool) *Sender {
+	return &Sender{Core: c, Pool: p, Draining: draining, pipesInUse: make(chan struct{}, MaxPipes),
 		open: map[*Tunnel]struct{}{}, endedByCause: map[Cause]uint64{}}
 }
 
 // Tunnel is a message.Tunnel: a connection to a server for one client. It ends once, with one cause; mu guards the
 // fields below it.
 type Tunnel struct {
-	sender   *Back
+	sender   *Sender
 	request  *core.Request
 	stream   *message.Stream
 	server   *back.Server
@@ -95,17 +95,17 @@
 
 // Attempt connects to the server, makes the tunnel the request's final response, and returns when the tunnel has ended.
 // An attempt that fails to open a tunnel has written nothing to the server, so that it never ran.
-func (s *Back) Attempt(ctx context.Context, a *core.Attempt) core.Result {
-	openCtx, cancel := context.WithTimeout(ctx, a.Wait)
+func (s *Sender) Attempt(ctx context.Context, a *core.Attempt) core.Result {
+	openCtx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	server := a.Server.(*back.Server)
 	if !a.Wanted() { // a connection alone is already visible to the server
-		return core.Result{Outcome: policy.Moot}
+		return core.Result{Outcome: policy.NeverSent}
 	}
 	conn, err := s.Pool.Open(openCtx, server)
 	switch {
-	case errors.Is(err, back.ErrSockets):
-		return core.Result{Outcome: policy.Moot} // not the server's failure, and not held against it
+	case errors.Is(err, back.ErrNoSockets):
+		return core.Result{Outcome: policy.NeverSent} // not the server's failure, and not held against it
 	case ctx.Err() != nil:
 		if conn != nil {
 			s.Pool.Close(conn)
@@ -139,37 +139,37 @@
 		return nil
 	})
 	if err != nil {
-		t.end(Unused)
-		return core.Result{Outcome: policy.Moot}
+		t.end(CauseUnused)
+		return core.Result{Outcome: policy.NeverSent}
 	}
 	first := s.Core.Now()
 	established := s.Core.Established(a, t)
 	if !established {
-		t.end(Unused)
+		t.end(CauseUnused)
 	}
 	select {
 	case <-t.done:
 	case <-ctx.Done():
-		t.end(Closing)
+		t.end(CauseClosing)
 		<-t.done // another goroutine may be ending it and not be finished
 	}
 	server.Responses.Add(1)
-	res := core.Result{Outcome: policy.OK, First: first, Load: policy.Load{Queue: -1, Held: -1}}
+	res := core.Result{Outcome: policy.OK, FirstByteAt: first, Load: policy.Load{Queue: -1, Held: -1}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case !established:
 		res.Outcome = policy.Canceled
-	case t.cause == Stall:
+	case t.cause == CauseStall:
 		res.Outcome = policy.TimedOut
-	case t.cause == Server:
+	case t.cause == CauseServer:
 		res.Outcome = policy.Reset
 	}
 	return res
 }
 
 // Release ends a tunnel that is not wanted or no longer needed.
-func (t *Tunnel) Release() { t.end(Unused) }
+func (t *Tunnel) Release() { t.end(CauseUnused) }
 
 // end ends the tunnel with a cause and closes both connections. It does nothing if the tunnel has ended already.
 func (t *Tunnel) end(cause Cause) {
@@ -203,18 +203,18 @@
 	if t.lastUp.After(latest) {
 		latest = t.lastUp
 	}
-	cause, next := Idle, latest.Add(limits.Idle)
+	cause, next := CauseIdle, latest.Add(limits.Idle)
 	addLimit := func(c Cause, at time.Time) {
 		if at.Before(next) {
 			cause, next = c, at
 		}
 	}
-	addLimit(Total, t.openedAt.Add(limits.Total))
+	addLimit(CauseTotal, t.openedAt.Add(limits.Total))
 	if limits.Stall > 0 && t.lastUp.After(t.lastDown) {
-		addLimit(Stall, t.lastUp.Add(limits.Stall))
+		addLimit(CauseStall, t.lastUp.Add(limits.Stall))
 	}
 	if !t.drainDeadline.IsZero() {
-		addLimit(Draining, t.drainDeadline)
+		addLimit(CauseDraining, t.drainDeadline)
 	}
 	wait := next.Sub(now)
 	if wait > 0 && t.cause == "" {
@@ -241,7 +241,7 @@
 
 // Drain starts the drain limit of the tunnels to a server, or of all tunnels if server is nil. A tunnel that is
 // established while the node is Draining has its limit from the start.
-func (s *Back) Drain(server *back.Server) {
+func (s *Sender) Drain(server *back.Server) {
 	s.mu.Lock()
 	var tunnels []*Tunnel
 	for t := range s.open {
@@ -263,7 +263,7 @@
 }
 
 // Stats returns the current numbers.
-func (s *Back) Stats() Stats {
+func (s *Sender) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stats := Stats{Open: len(s.open), Bytes: s.endedBytes, Ended: map[Cause]uint64{}}
@@ -284,7 +284,7 @@
 		client.Close()
 		return
 	}
-	t.stream.Spend()
+	t.stream.MarkSpent()
 	var down sync.WaitGroup
 	down.Go(func() { t.copyDirection(client, t.conn.Conn, nil, false) })
 	ahead := make([]byte, in.Buffered()) // copied out, so that the reader is not kept in memory until the tunnel ends
@@ -299,9 +299,9 @@
 	// brokenSide returns the cause for an error on reading from src, or else on writing to dst.
 	brokenSide := func(reading bool) Cause {
 		if reading == toServer {
-			return Client
+			return CauseClient
 		}
-		return Server
+		return CauseServer
 	}
 	if len(ahead) > 0 {
 		arrived := time.Now()
@@ -313,7 +313,7 @@
 	for {
 		// While no bytes arrive, no pipe and no buffer is held. Bytes that have arrived are copied without waiting for
 		// more.
-		available, err := flow.Readable(src)
+		available, err := flow.WaitReadable(src)
 		if err != nil {
 			t.end(brokenSide(true))
 			return
@@ -340,7 +340,7 @@
 		both := t.endedDirections == 2
 		t.mu.Unlock()
 		if both {
-			t.end(Done)
+			t.end(CauseDone)
 		}
 		return
 	}
@@ -348,7 +348,7 @@
 
 // copyN copies n bytes: by splice if both sides are TCP and a pipe is free, or else by a buffer. It copies fewer only
 // with an error, which is io.EOF if the source has ended.
-func (s *Back) copyN(dst io.Writer, src io.Reader, n int64) (int64, error) {
+func (s *Sender) copyN(dst io.Writer, src io.Reader, n int64) (int64, error) {
 	select {
 	case s.pipesInUse <- struct{}{}:
 		defer func() { <-s.pipesInUse }()
--- a/internal/back/tunnel/pipes_test.go
+++ b/internal/back/tunnel/pipes_test.go
@@ -49,14 +49,14 @@
 // Tunnels whose receivers read nothing hold at most MaxPipes pipes, however many there are, or slow readers could use
 // up the process's descriptors. Copies by a pipe and by a buffer deliver their bytes unchanged once they are read.
 func TestSlowReadersHoldAtMostMaxPipes(t *testing.T) {
-	const copies, size = PipesMost + 24, 4 << 20
+	const copies, size = MaxPipes + 24, 4 << 20
 	rng := rand.NewChaCha8([32]byte{7})
-	sender, before := New(nil, nil, nil), countPipes(t)
+	sender, before := NewSender(nil, nil, nil), countPipes(t)
 	var wg sync.WaitGroup
 	texts, readers := make([][]byte, copies), make([]*net.TCPConn, copies)
 	for i := range copies {
-		from, src := standin.Ends(t)
-		dst, to := standin.Ends(t)
+		from, src := standin.TestConnPair(t)
+		dst, to := standin.TestConnPair(t)
 		dst.SetWriteBuffer(16 << 10) // far less than is sent, so that the copy waits
 		to.SetReadBuffer(16 << 10)
 		texts[i], readers[i] = make([]byte, size), to
@@ -80,8 +80,8 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if n := countPipes(t) - before; spliced != PipesMost || n > PipesMost {
-		t.Errorf("%d copies hold a pipe and %d pipes were added, want %d", spliced, n, PipesMost)
+	if n := countPipes(t) - before; spliced != MaxPipes || n > MaxPipes {
+		t.Errorf("%d copies hold a pipe and %d pipes were added, want %d", spliced, n, MaxPipes)
 	}
 	for i, to := range readers {
 		wg.Go(func() {
@@ -96,8 +96,8 @@
 	if len(sender.pipesInUse) != 0 {
 		t.Errorf("%d pipes are not released", len(sender.pipesInUse))
 	}
-	from, src := standin.Ends(t)
-	dst, to := standin.Ends(t)
+	from, src := standin.TestConnPair(t)
+	dst, to := standin.TestConnPair(t)
 	io.WriteString(from, "short")
 	from.CloseWrite()
 	if n, err := sender.copyN(dst, src, 10); n != 5 || err != io.EOF {
--- a/internal/back/tunnel/proxy.go
+++ b/internal/back/tunnel/proxy.go
@@ -20,16 +20,16 @@
 )
 
 // Protocol is the protocol of a proxy.
-type Kind uint8
+type Protocol uint8
 
 const (
-	SOCKS5  Kind = iota // SOCKS5, RFC 1928, with passwords by RFC 1929
-	Connect             // HTTP CONNECT, RFC 9110, section 9.3.6
+	SOCKS5  Protocol = iota // SOCKS5, RFC 1928, with passwords by RFC 1929
+	Connect                 // HTTP CONNECT, RFC 9110, section 9.3.6
 )
 
 // Proxy is a proxy through which web servers are reached.
 type Proxy struct {
-	Kind     Kind
+	Protocol Protocol
 	Addr     string
 	User     string // empty: no credentials are sent
 	Password string
@@ -50,12 +50,12 @@
 		ctx, cancel = context.WithTimeout(ctx, d.Timeout)
 		defer cancel()
 	}
-	conn, err := back.Direct(ctx, d, p.Addr)
+	conn, err := back.DialDirect(ctx, d, p.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrProxy, err)
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	if p.Kind == Connect {
+	if p.Protocol == Connect {
 		err = p.connect(conn, addr)
 	} else {
 		err = p.socks5(ctx, conn, addr)
@@ -87,15 +87,17 @@
 		return fmt.Errorf("reading the CONNECT response: %w", err)
 	}
 	if resp.StatusCode/100 != 2 { // any 2xx means that the tunnel is open and that there is no body
-		return Refusal{resp.StatusCode}
+		return ConnectStatusError{resp.StatusCode}
 	}
 	return nil
 }
 
 // ConnectStatusError reports a CONNECT response with a status other than 2xx.
-type Refusal struct{ Status int }
+type ConnectStatusError struct{ Status int }
 
-func (r Refusal) Error() string { return fmt.Sprintf("CONNECT response has status %d", r.Status) }
+func (r ConnectStatusError) Error() string {
+	return fmt.Sprintf("CONNECT response has status %d", r.Status)
+}
 
 // singleByteReader reads one byte at a time, so that a bufio.Reader on top of it reads no further than its caller does.
 type singleByteReader struct{ io.LimitedReader }
--- a/internal/back/tunnel/proxy_test.go
+++ b/internal/back/tunnel/proxy_test.go
@@ -56,7 +56,7 @@
 	return p
 }
 
-func proxyProtocol(socks bool) Kind {
+func proxyProtocol(socks bool) Protocol {
 	if socks {
 		return SOCKS5
 	}
@@ -71,7 +71,7 @@
 	for _, socks := range []bool{true, false} {
 		for _, user := range []string{"", "node"} {
 			p := startProxy(t, socks, user)
-			client := Proxy{Kind: proxyProtocol(socks), Addr: p.Addr(), User: user, Password: user}
+			client := Proxy{Protocol: proxyProtocol(socks), Addr: p.Addr(), User: user, Password: user}
 			c, err := client.Dial(context.Background(), &net.Dialer{Timeout: 20 * time.Second}, addr)
 			if err != nil {
 				t.Fatalf("socks %v, user %q: %v", socks, user, err)
@@ -85,8 +85,8 @@
 				t.Errorf("socks %v: the connection is a %T, want *net.TCPConn", socks, c)
 			}
 			c.Close()
-			if p.Dialed() != 1 {
-				t.Errorf("socks %v: the proxy connected to the server %d times, want once", socks, p.Dialed())
+			if p.DialCount() != 1 {
+				t.Errorf("socks %v: the proxy connected to the server %d times, want once", socks, p.DialCount())
 			}
 		}
 	}
@@ -103,16 +103,16 @@
 			timeout time.Duration
 		}{
 			{"down", func(p *standin.Proxy, client *Proxy) { p.Stop() }, 20 * time.Second},
-			{"sends a malformed response", func(p *standin.Proxy, client *Proxy) { p.Trouble(standin.Nonsense, 0) }, 20 * time.Second},
-			{"refuses the tunnel", func(p *standin.Proxy, client *Proxy) { p.Trouble(standin.Refuses, 0) }, 20 * time.Second},
-			{"accepts and sends nothing", func(p *standin.Proxy, client *Proxy) { p.Trouble(standin.Silent, 0) }, 100 * time.Millisecond},
-			{"responds after the timeout", func(p *standin.Proxy, client *Proxy) { p.Trouble(standin.Nothing, 2*time.Second) }, 100 * time.Millisecond},
+			{"sends a malformed response", func(p *standin.Proxy, client *Proxy) { p.SetFault(standin.MalformedReply, 0) }, 20 * time.Second},
+			{"refuses the tunnel", func(p *standin.Proxy, client *Proxy) { p.SetFault(standin.RefuseAll, 0) }, 20 * time.Second},
+			{"accepts and sends nothing", func(p *standin.Proxy, client *Proxy) { p.SetFault(standin.NoReply, 0) }, 100 * time.Millisecond},
+			{"responds after the timeout", func(p *standin.Proxy, client *Proxy) { p.SetFault(standin.NoFault, 2*time.Second) }, 100 * time.Millisecond},
 			{"wrong password", func(p *standin.Proxy, client *Proxy) { client.Password = "guess" }, 20 * time.Second},
 			{"no password", func(p *standin.Proxy, client *Proxy) { client.User = "" }, 20 * time.Second},
 		} {
 			t.Run(fmt.Sprint(c.name, " socks ", socks), func(t *testing.T) {
 				p := startProxy(t, socks, "node")
-				client := Proxy{Kind: proxyProtocol(socks), Addr: p.Addr(), User: "node", Password: "node"}
+				client := Proxy{Protocol: proxyProtocol(socks), Addr: p.Addr(), User: "node", Password: "node"}
 				c.inject(p, &client)
 				conn, err := client.Dial(context.Background(), &net.Dialer{Timeout: c.timeout}, addr)
 				if !errors.Is(err, ErrProxy) || conn != nil {
@@ -122,11 +122,11 @@
 		}
 		// A server that is down behind the proxy, and a canceled attempt, are errors too; the latter at once.
 		p := startProxy(t, socks, "")
-		client := Proxy{Kind: proxyProtocol(socks), Addr: p.Addr()}
+		client := Proxy{Protocol: proxyProtocol(socks), Addr: p.Addr()}
 		if _, err := client.Dial(context.Background(), &net.Dialer{}, "127.0.0.1:1"); !errors.Is(err, ErrProxy) {
 			t.Errorf("socks %v, server down: error %v, want ErrProxy", socks, err)
 		}
-		p.Trouble(standin.Silent, 0)
+		p.SetFault(standin.NoReply, 0)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
 		if _, err := client.Dial(ctx, &net.Dialer{}, addr); !errors.Is(err, ErrProxy) {
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -55,7 +55,7 @@
 
 // NewMap returns a map of the servers, in any order. If an id occurs more than once the last one counts.
 
-func New(p Plan, servers ...Server) *Map {
+func NewMap(p Plan, servers ...Server) *Map {
 	m := &Map{plan: p, indexByID: make(map[string]int, len(servers)), zoneSizes: map[string]int{}}
 	for _, s := range servers {
 		m.Set(s)
@@ -224,7 +224,7 @@
 // SameSubsetProbability returns the probability that another tenant has exactly the same subset: one in the product of
 // the zones' binomial coefficients. It neglects pods and the remainder of an uneven split over the zones. The measured
 // overlap of subsets is compared with it.
-func (m *Map) Shared() float64 {
+func (m *Map) SameSubsetProbability() float64 {
 	p := 1.0
 	for z, k := range m.quotas(m.plan.Size, 0) {
 		p *= math.Exp(-(logFactorial(m.zoneSizes[z]) - logFactorial(k) - logFactorial(m.zoneSizes[z]-k)))
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -36,8 +36,8 @@
 		n, zones, pods := rapid.IntRange(1, 60).Draw(t, "n"), rapid.IntRange(1, 5).Draw(t, "zones"), rapid.IntRange(1, 6).Draw(t, "pods")
 		size := rapid.IntRange(1, 20).Draw(t, "size")
 		servers := newServers(n, zones, pods)
-		m := New(Plan{Size: size}, servers...)
-		other := New(Plan{Size: size}, append(rapid.Permutation(servers).Draw(t, "order"), servers[0])...)
+		m := NewMap(Plan{Size: size}, servers...)
+		other := NewMap(Plan{Size: size}, append(rapid.Permutation(servers).Draw(t, "order"), servers[0])...)
 		tenant := rapid.String().Draw(t, "tenant")
 		got := m.Subset(tenant)
 		if m.Version() != other.Version() || !slices.Equal(serverIDs(got), serverIDs(other.Subset(tenant))) {
@@ -79,7 +79,7 @@
 // are few pods.
 func TestSubsetOfBestScoresEqualsFullSort(t *testing.T) {
 	for _, pods := range []int{1, 2, 3, 50} {
-		m := New(Plan{Size: 5}, newServers(2000, 3, pods)...)
+		m := NewMap(Plan{Size: 5}, newServers(2000, 3, pods)...)
 		for i := range 200 {
 			tenant := fmt.Sprint("t", i)
 			key := xxhash.Sum64String(tenant)
@@ -94,7 +94,7 @@
 // A map that was updated server by server must equal a new map of the same servers, with the same version.
 func TestUpdatedMapEqualsNewMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		updated, servers := New(Plan{Size: 3}), map[string]Server{}
+		updated, servers := NewMap(Plan{Size: 3}), map[string]Server{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			s := Server{ID: fmt.Sprint("s-", rapid.IntRange(0, 15).Draw(t, "id")), Zone: fmt.Sprint("z", rapid.IntRange(0, 2).Draw(t, "zone")),
 				Pod: rapid.Int64Range(0, 3).Draw(t, "pod")}
@@ -106,7 +106,7 @@
 				servers[s.ID] = s
 			}
 		}
-		fresh := New(Plan{Size: 3}, slices.Collect(maps.Values(servers))...)
+		fresh := NewMap(Plan{Size: 3}, slices.Collect(maps.Values(servers))...)
 		if updated.Version() != fresh.Version() || updated.Len() != len(servers) {
 			t.Fatalf("versions: updated map %x, new map %x; %d servers, want %d", updated.Version(), fresh.Version(), updated.Len(), len(servers))
 		}
@@ -126,8 +126,8 @@
 		servers := newServers(n, 1, n) // one zone, and a pod per server: if quotas change, more servers may move
 		k := rapid.IntRange(0, n-1).Draw(t, "removed")
 		removed := servers[k].ID
-		before := New(Plan{Size: size}, servers...)
-		after := New(Plan{Size: size}, slices.Delete(slices.Clone(servers), k, k+1)...)
+		before := NewMap(Plan{Size: size}, servers...)
+		after := NewMap(Plan{Size: size}, slices.Delete(slices.Clone(servers), k, k+1)...)
 		if before.Version() == after.Version() {
 			t.Fatal("the version did not change")
 		}
@@ -157,7 +157,7 @@
 func TestBalanceAndOverlap(t *testing.T) {
 	const tenants = 2000
 	for _, c := range []struct{ servers, size int }{{12, 3}, {120, 6}, {1200, 6}} {
-		m := New(Plan{Size: c.size}, newServers(c.servers, 3, 4)...)
+		m := NewMap(Plan{Size: c.size}, newServers(c.servers, 3, 4)...)
 		load, same := map[string]int{}, map[string]int{}
 		for i := range tenants {
 			subset := m.Subset(fmt.Sprint("tenant-", i))
@@ -177,13 +177,13 @@
 		}
 		share := pairs / (tenants * (tenants - 1) / 2)
 		t.Logf("%d servers, %d per tenant: highest load is %.2f of the mean; %.2e of pairs share a complete subset, expected %.2e",
-			c.servers, c.size, float64(highest)/mean, share, m.Shared())
+			c.servers, c.size, float64(highest)/mean, share, m.SameSubsetProbability())
 		// Six standard deviations of a binomial distribution: beyond it the hash prefers a server.
 		if float64(highest) > mean+6*math.Sqrt(mean) {
 			t.Errorf("highest load of a server is %d tenants, mean %.0f", highest, mean)
 		}
-		if share > 3*m.Shared()+1e-5 {
-			t.Errorf("%.2e of pairs share a complete subset, expected %.2e", share, m.Shared())
+		if share > 3*m.SameSubsetProbability()+1e-5 {
+			t.Errorf("%.2e of pairs share a complete subset, expected %.2e", share, m.SameSubsetProbability())
 		}
 	}
 }
@@ -199,7 +199,7 @@
 // BenchmarkSubset measures the cost of a tenant's first request after the server list has changed.
 func BenchmarkSubset(b *testing.B) {
 	for _, n := range []int{12, 120, 1200, 12000} {
-		m := New(Plan{Size: 6}, newServers(n, 3, 40)...)
+		m := NewMap(Plan{Size: 6}, newServers(n, 3, 40)...)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				m.Subset("gulf-coast")
@@ -214,7 +214,7 @@
 		servers := newServers(n, 3, 40)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				New(Plan{Size: 6}, servers...)
+				NewMap(Plan{Size: 6}, servers...)
 			}
 		})
 	}
--- a/internal/cell/keys.go
+++ b/internal/cell/keys.go
@@ -71,25 +71,25 @@
 }
 
 // KeyRecord is the stored form of a key.
-type Kept struct {
+type KeyRecord struct {
 	Key   uint64
 	Pod   int64
 	Until time.Duration
 }
 
 // All returns the keys whose window has not ended.
-func (k *KeyTracker) All(now time.Duration) (all []Kept) {
+func (k *KeyTracker) All(now time.Duration) (all []KeyRecord) {
 	for key, r := range k.byKey {
 		if now < r.until {
-			all = append(all, Kept{key, r.pod, r.until})
+			all = append(all, KeyRecord{key, r.pod, r.until})
 		}
 	}
 	return all
 }
 
 // Restore adds the keys that another process recorded.
-func (k *KeyTracker) Restore(now time.Duration, all []Kept) {
-	slices.SortFunc(all, func(a, b Kept) int { return cmp.Compare(a.Until, b.Until) }) // the oldest is evicted first
+func (k *KeyTracker) Restore(now time.Duration, all []KeyRecord) {
+	slices.SortFunc(all, func(a, b KeyRecord) int { return cmp.Compare(a.Until, b.Until) }) // the oldest is evicted first
 	for _, e := range all {
 		k.Sent(now, e.Key, e.Pod, e.Until-now)
 	}
--- a/internal/cell/move.go
+++ b/internal/cell/move.go
@@ -34,15 +34,15 @@
 	To []int64
 	// The keys with a hash in [KeyFrom, KeyBelow), as a fraction of the range of hashes, are moved. If both are 0 all
 	// keys are moved, and requests without a key as well.
-	From, Below   float64
-	Start         time.Duration
-	Prepare, Both time.Duration
-	Stop          time.Duration // a move that has not reached its cut by then stays in its current step; 0 if not stopped
-	Back          time.Duration // all requests go back to where they came from; 0 if not reverted
+	KeyFrom, KeyBelow float64
+	Start             time.Duration
+	Prepare, Both     time.Duration
+	Stop              time.Duration // a move that has not reached its cut by then stays in its current step; 0 if not stopped
+	Back              time.Duration // all requests go back to where they came from; 0 if not reverted
 }
 
 // MinPrepare is the shortest time that a move can be prepared for. Nodes read a new file within it.
-const LeastPrepare = 10 * time.Second
+const MinPrepare = 10 * time.Second
 
 // Cut returns when new requests start to go to the new side.
 func (m *Move) Cut() time.Duration { return m.Start + m.Prepare + m.Both }
@@ -53,12 +53,12 @@
 }
 
 // movesAll reports whether a move is of all requests, not of a range of keys.
-func (m *Move) movesAll() bool { return m.From == 0 && m.Below == 0 }
+func (m *Move) movesAll() bool { return m.KeyFrom == 0 && m.KeyBelow == 0 }
 
 // covers reports whether a move is of the key with the given hash.
 func (m *Move) covers(key uint64) bool {
 	fraction := float64(key>>11) / (1 << 53)
-	return m.movesAll() || m.From <= fraction && fraction < m.Below
+	return m.movesAll() || m.KeyFrom <= fraction && fraction < m.KeyBelow
 }
 
 // lastEffect returns the last time at which a move changes the placement.
@@ -81,12 +81,12 @@
 			return path + "to", "missing"
 		case !distinct(m.To):
 			return path + "to", "contains a pod twice"
-		case !(m.From >= 0 && m.Below <= 1 && m.From <= m.Below) || m.From == m.Below && !m.movesAll():
-			return path + "keys", fmt.Sprintf("%v to %v is not a range within 0 to 1", m.From, m.Below)
+		case !(m.KeyFrom >= 0 && m.KeyBelow <= 1 && m.KeyFrom <= m.KeyBelow) || m.KeyFrom == m.KeyBelow && !m.movesAll():
+			return path + "keys", fmt.Sprintf("%v to %v is not a range within 0 to 1", m.KeyFrom, m.KeyBelow)
 		case m.Start <= last:
 			return path + "start", "is not after the end of the previous move"
-		case m.Prepare < LeastPrepare:
-			return path + "prepare", fmt.Sprintf("%s is below %s: nodes that have not read the file yet would not take part", m.Prepare, LeastPrepare)
+		case m.Prepare < MinPrepare:
+			return path + "prepare", fmt.Sprintf("%s is below %s: nodes that have not read the file yet would not take part", m.Prepare, MinPrepare)
 		case m.Both < 0 || m.Prepare > 24*time.Hour || m.Both > 24*time.Hour:
 			return path + "both", "prepare or both is outside 0 to 24h"
 		case m.Stop != 0 && m.Stop < m.Start:
@@ -187,9 +187,9 @@
 }
 
 // Assumptions state what placement may assume about clients and about the nodes' clocks.
-type Doubt struct {
-	Marked bool          // clients always mark a repeat of an earlier request as such
-	Skew   time.Duration // the clocks of any two nodes differ by at most this
+type Assumptions struct {
+	RepeatsMarked bool          // clients always mark a repeat of an earlier request as such
+	MaxClockSkew  time.Duration // the clocks of any two nodes differ by at most this
 }
 
 // Placement is the set of pods that a request may go to.
@@ -215,18 +215,18 @@
 // PlaceKeyed places a request with a key of which repeats are dropped within a pod during the window. If a change of
 // the key's home is so close that the key may have run on either side, a first request is placed by this node's clock
 // provided that clients mark their repeats. The placement of a repeat, or of a request that may be one, is ambiguous.
-func (t *Tenant) PlaceKeyed(now time.Duration, key uint64, window time.Duration, repeat bool, a Doubt) Placement {
+func (t *Tenant) PlaceKeyed(now time.Duration, key uint64, window time.Duration, repeat bool, a Assumptions) Placement {
 	var buffer [8]podChange
 	all := t.podChanges(key, true, buffer[:0])
 	i := latestChange(all, now)
-	home := Home(key, all[i].pods)
+	home := HomePod(key, all[i].pods)
 	p := Placement{Pods: []int64{home}, KeyBound: true}
-	if a.Marked && !repeat {
+	if a.RepeatsMarked && !repeat {
 		return p
 	}
 	// Another node's clock may be ahead or behind by the skew.
-	for k := latestChange(all, now-drainTime(window)-a.Skew); k <= latestChange(all, now+a.Skew); k++ {
-		if Home(key, all[k].pods) != home {
+	for k := latestChange(all, now-drainTime(window)-a.MaxClockSkew); k <= latestChange(all, now+a.MaxClockSkew); k++ {
+		if HomePod(key, all[k].pods) != home {
 			p.Ambiguous = true
 		}
 	}
@@ -249,13 +249,13 @@
 
 // KeyHash returns the hash of a tenant's key. Among 100,000 keys two have the same hash with a probability of 3e-10;
 // one of them then goes to the pod of the other.
-func Key(tenant, key string) uint64 {
+func KeyHash(tenant, key string) uint64 {
 	return mix(xxhash.Sum64String(tenant) ^ mix(xxhash.Sum64String(key)))
 }
 
 // HomePod returns the pod of a key, chosen by rendezvous hashing: if the list of pods changes, a pod that stays keeps
 // its keys, except those that a new pod wins.
-func Home(key uint64, pods []int64) int64 {
+func HomePod(key uint64, pods []int64) int64 {
 	return slices.MaxFunc(pods, func(a, b int64) int {
 		return cmp.Or(cmp.Compare(mix(key^mix(uint64(a)+1)), mix(key^mix(uint64(b)+1))), cmp.Compare(a, b))
 	})
@@ -269,5 +269,5 @@
 			matching = append(matching, s)
 		}
 	}
-	return New(m.plan, matching...)
+	return NewMap(m.plan, matching...)
 }
--- a/internal/cell/move_test.go
+++ b/internal/cell/move_test.go
@@ -69,7 +69,7 @@
 	for field, change := range map[string]func(*Tenant){
 		"pods":             func(v *Tenant) { v.Pods = nil },
 		"moves[0].to":      func(v *Tenant) { v.Moves[0].To = []int64{4, 4} },
-		"moves[0].keys":    func(v *Tenant) { v.Moves[0].From, v.Moves[0].Below = 0.5, 0.2 },
+		"moves[0].keys":    func(v *Tenant) { v.Moves[0].KeyFrom, v.Moves[0].KeyBelow = 0.5, 0.2 },
 		"moves[0].prepare": func(v *Tenant) { v.Moves[0].Prepare = 9 * second },
 		"moves[0].both":    func(v *Tenant) { v.Moves[0].Both = -1 },
 		"moves[0].stop":    func(v *Tenant) { v.Moves[0].Stop = 99 * second },
@@ -90,7 +90,7 @@
 // keyThatChangesHome returns a key whose home is another one after the tenant's first move.
 func keyThatChangesHome(tenant *Tenant) uint64 {
 	for i := 0; ; i++ {
-		if k := Key(tenant.Name, fmt.Sprint("k-", i)); Home(k, tenant.Pods) != Home(k, tenant.Moves[0].To) {
+		if k := KeyHash(tenant.Name, fmt.Sprint("k-", i)); HomePod(k, tenant.Pods) != HomePod(k, tenant.Moves[0].To) {
 			return k
 		}
 	}
@@ -118,21 +118,21 @@
 		{155, true, true, true, false},
 		{155, false, false, true, false},
 	} {
-		p := tenant.PlaceKeyed(c.now*second, key, 12*second, c.repeat, Doubt{Marked: c.marked, Skew: second})
-		want := Home(key, tenant.Pods)
+		p := tenant.PlaceKeyed(c.now*second, key, 12*second, c.repeat, Assumptions{RepeatsMarked: c.marked, MaxClockSkew: second})
+		want := HomePod(key, tenant.Pods)
 		if c.newSide {
-			want = Home(key, tenant.Moves[0].To)
+			want = HomePod(key, tenant.Moves[0].To)
 		}
 		if p.Ambiguous != c.ambiguous || p.Pods[0] != want || !p.KeyBound {
 			t.Errorf("%+v: %+v, want pod %d", c, p, want)
 		}
 	}
 	// A range of keys moves alone; other keys and requests without a key stay.
-	tenant = tenantWithMove(func(m *Move) { m.From, m.Below = 0, 0.5 })
+	tenant = tenantWithMove(func(m *Move) { m.KeyFrom, m.KeyBelow = 0, 0.5 })
 	moved := 0
 	for i := range 2000 {
-		k := Key(tenant.Name, fmt.Sprint(i))
-		if p := tenant.PlaceKeyed(200*second, k, 12*second, false, Doubt{}); p.Pods[0] >= 4 {
+		k := KeyHash(tenant.Name, fmt.Sprint(i))
+		if p := tenant.PlaceKeyed(200*second, k, 12*second, false, Assumptions{}); p.Pods[0] >= 4 {
 			moved++
 			if k >= 1<<63 {
 				t.Fatal("a key outside the range moved")
@@ -148,8 +148,8 @@
 func TestNewPodTakesOnlyItsOwnKeys(t *testing.T) {
 	moved := 0
 	for i := range 3000 {
-		k := Key("valley", fmt.Sprint(i))
-		before, after := Home(k, []int64{1, 2, 3}), Home(k, []int64{3, 1, 4, 2})
+		k := KeyHash("valley", fmt.Sprint(i))
+		before, after := HomePod(k, []int64{1, 2, 3}), HomePod(k, []int64{3, 1, 4, 2})
 		if before != after {
 			if after != 4 {
 				t.Fatalf("a key moved from pod %d to pod %d, want 4", before, after)
@@ -257,7 +257,7 @@
 // file that changes the settings from first to then reaches the nodes at several times up to latestRead. It is a
 // violation if the key is sent to a pod within the window after it was sent to another pod. Most requests must be sent
 // rather than be ambiguous, which the caller checks.
-func exploreInterleavings(first, then *Tenant, latestRead int, assumptions Doubt, assumedWindow time.Duration, skew int) modelResult {
+func exploreInterleavings(first, then *Tenant, latestRead int, assumptions Assumptions, assumedWindow time.Duration, skew int) modelResult {
 	var out modelResult
 	key := keyThatChangesHome(first)
 	type node struct {
@@ -351,7 +351,7 @@
 		})
 	}
 	plain := move(nil)
-	marked, unmarked := Doubt{Marked: true, Skew: second}, Doubt{Skew: second}
+	marked, unmarked := Assumptions{RepeatsMarked: true, MaxClockSkew: second}, Assumptions{MaxClockSkew: second}
 	for name, c := range map[string]struct {
 		then       *Tenant
 		latestRead int // every node has read the new file a tick and the skew before the change that it brings
@@ -369,7 +369,7 @@
 		if name == "move added" {
 			first = move(func(m *Move) { m.Start = 1000 * second })
 		}
-		for _, a := range []Doubt{marked, unmarked} {
+		for _, a := range []Assumptions{marked, unmarked} {
 			got := exploreInterleavings(first, c.then, c.latestRead, a, modelWindow*second, 1)
 			if len(got.violations) > 0 {
 				t.Errorf("%s, %+v: %d violations, first: %s", name, a, len(got.violations), got.violations[0])
@@ -377,11 +377,11 @@
 			if got.sent < got.runs/2 || got.ambiguous == 0 && !strings.HasPrefix(name, "stopped") && !strings.HasSuffix(name, "the cut") {
 				t.Errorf("%s, %+v: %d runs, %d sent, %d ambiguous: too few for the check to mean anything", name, a, got.runs, got.sent, got.ambiguous)
 			}
-			t.Logf("%s, repeats marked %v: %d runs, %d sent, %d ambiguous", name, a.Marked, got.runs, got.sent, got.ambiguous)
+			t.Logf("%s, repeats marked %v: %d runs, %d sent, %d ambiguous", name, a.RepeatsMarked, got.runs, got.sent, got.ambiguous)
 		}
 	}
 	// Assumptions that are too weak lead to violations.
-	if got := exploreInterleavings(plain, plain, 0, Doubt{Marked: true}, modelWindow*second, 1); len(got.violations) == 0 {
+	if got := exploreInterleavings(plain, plain, 0, Assumptions{RepeatsMarked: true}, modelWindow*second, 1); len(got.violations) == 0 {
 		t.Error("no violation although the nodes assume that their clocks agree")
 	}
 	if got := exploreInterleavings(plain, plain, 0, marked, 0, 1); len(got.violations) == 0 {
--- a/internal/cell/placer.go
+++ b/internal/cell/placer.go
@@ -24,14 +24,14 @@
 )
 
 // Settings are the settings of a Placer.
-type Terms struct {
+type Settings struct {
 	Plan
-	Tenants []Tenant // the pinned tenants; checked by Tenant.Check
-	Doubt   Doubt
-	Memory  int // number of keys that are recorded
+	Tenants     []Tenant // the pinned tenants; checked by Tenant.Check
+	Assumptions Assumptions
+	MaxKeys     int // number of keys that are recorded
 	// SpillShare is the share of a tenant's requests, at each node, that may go to its neighbor cell if no server of its
 	// own cell accepts them.
-	Spill float64
+	SpillShare float64
 }
 
 // Request is the part of a request that determines its placement.
@@ -44,7 +44,7 @@
 // Placer decides to which servers each request of a node may go. It holds the known servers, and where keys may have
 // run. It is not safe for concurrent use. It has no clock; times are Unix time.
 type Placer struct {
-	settings  Terms
+	settings  Settings
 	serverMap *Map
 	tenants   map[string]*Tenant
 	keys      *KeyTracker
@@ -83,23 +83,23 @@
 }
 
 // NewPlacer returns a Placer without servers.
-func NewPlacer(t Terms) *Placer {
-	p := &Placer{serverMap: New(t.Plan), keys: NewKeyTracker(t.Memory)}
-	p.Change(t)
+func NewPlacer(t Settings) *Placer {
+	p := &Placer{serverMap: NewMap(t.Plan), keys: NewKeyTracker(t.MaxKeys)}
+	p.Reconfigure(t)
 	return p
 }
 
 // Reconfigure puts other settings in force. The known servers and keys stay.
-func (p *Placer) Change(t Terms) {
+func (p *Placer) Reconfigure(t Settings) {
 	if t.Plan != p.serverMap.plan {
-		p.serverMap = New(t.Plan, p.serverMap.servers...)
+		p.serverMap = NewMap(t.Plan, p.serverMap.servers...)
 	}
 	p.settings = t
 	p.tenants, p.subsets, p.traffic = map[string]*Tenant{}, map[subsetKey]*subset{}, map[string]*tenantTraffic{}
 	for i := range t.Tenants {
 		p.tenants[t.Tenants[i].Name] = &t.Tenants[i]
 	}
-	p.keys.maxKeys = max(1, t.Memory)
+	p.keys.maxKeys = max(1, t.MaxKeys)
 }
 
 // Set adds a server, or updates it. Subsets that it does not affect stay cached, so that one entry of a long server
@@ -158,8 +158,8 @@
 		return p.subset(s, at.Pods, at.NewPods), false
 	}
 	p.maxWindow = max(p.maxWindow, r.Window)
-	key := Key(r.Tenant, r.Key)
-	at := t.PlaceKeyed(now, key, r.Window, r.Repeat, p.settings.Doubt)
+	key := KeyHash(r.Tenant, r.Key)
+	at := t.PlaceKeyed(now, key, r.Window, r.Repeat, p.settings.Assumptions)
 	home := at.Pods[0]
 	if pod, known := p.keys.Find(now, key); known {
 		home, at.Ambiguous = pod, false
@@ -173,7 +173,7 @@
 // Sent records that a request was sent to a server of the pod.
 func (p *Placer) Sent(now time.Duration, r *Request, pod int64) {
 	if r.Window > 0 && r.Key != "" && p.tenants[r.Tenant] != nil {
-		p.keys.Sent(now, Key(r.Tenant, r.Key), pod, r.Window)
+		p.keys.Sent(now, KeyHash(r.Tenant, r.Key), pod, r.Window)
 	}
 }
 
@@ -192,7 +192,7 @@
 // because it may be one that breaks servers.
 func (p *Placer) Spill(now time.Duration, r *Request) []uint32 {
 	t := p.recentTraffic(now, r.Tenant)
-	if r.Window > 0 || p.tenants[r.Tenant] != nil || t.harmful() || t.spilled+1 > p.settings.Spill*t.requests {
+	if r.Window > 0 || p.tenants[r.Tenant] != nil || t.harmful() || t.spilled+1 > p.settings.SpillShare*t.requests {
 		return nil
 	}
 	s := p.subset(subsetKey{tenant: r.Tenant, neighbor: true}, nil, nil)
@@ -287,31 +287,31 @@
 
 // Report describes a tenant's cell.
 type Report struct {
-	Servers  []Server
-	Shared   float64 // probability that another unpinned tenant has the same subset; 0 for a pinned tenant
-	Pods     []int64 // pods that the tenant is pinned to
-	Also     []int64 // pods of the new side of a move, while requests go to both sides
-	Step     Step
-	Keys     int     // number of recorded keys of all tenants
-	Forgot   int64   // keys evicted within their window since the start
-	Spilt    float64 // recent requests that went to the neighbor cell, decaying over 10 s
-	Requests float64 // recent requests, decaying over 10 s
-	Harmful  bool    // recent attempts were harmful, and no requests spill
+	Servers               []Server
+	SameSubsetProbability float64 // probability that another unpinned tenant has the same subset; 0 for a pinned tenant
+	Pods                  []int64 // pods that the tenant is pinned to
+	NewPods               []int64 // pods of the new side of a move, while requests go to both sides
+	Step                  Step
+	KeyCount              int     // number of recorded keys of all tenants
+	KeysEvicted           int64   // keys evicted within their window since the start
+	Spilled               float64 // recent requests that went to the neighbor cell, decaying over 10 s
+	Requests              float64 // recent requests, decaying over 10 s
+	Harmful               bool    // recent attempts were harmful, and no requests spill
 }
 
 // Report describes a tenant's cell.
 func (p *Placer) Report(now time.Duration, tenant string) Report {
-	r := Report{Keys: p.keys.Len(), Forgot: p.keys.Evicted(), Shared: p.serverMap.Shared()}
+	r := Report{KeyCount: p.keys.Len(), KeysEvicted: p.keys.Evicted(), SameSubsetProbability: p.serverMap.SameSubsetProbability()}
 	if t := p.tenants[tenant]; t != nil {
 		at := t.PlaceUnkeyed(now)
-		r.Pods, r.Also = at.Pods, at.NewPods
-		r.Step, _ = t.Step(now, p.maxWindow, p.settings.Doubt.Skew)
-		r.Servers, r.Shared = p.pinnedServers(tenant, at.Pods, at.NewPods), 0
+		r.Pods, r.NewPods = at.Pods, at.NewPods
+		r.Step, _ = t.Step(now, p.maxWindow, p.settings.Assumptions.MaxClockSkew)
+		r.Servers, r.SameSubsetProbability = p.pinnedServers(tenant, at.Pods, at.NewPods), 0
 	} else {
 		r.Servers = p.serverMap.Subset(tenant)
 	}
 	if t := p.traffic[tenant]; t != nil {
-		r.Spilt, r.Requests, r.Harmful = t.spilled, t.requests, t.harmful()
+		r.Spilled, r.Requests, r.Harmful = t.spilled, t.requests, t.harmful()
 	}
 	return r
 }
--- a/internal/cell/placer_test.go
+++ b/internal/cell/placer_test.go
@@ -12,8 +12,8 @@
 )
 
 // testSettings pin one tenant, which has a move that starts at 100 s and has its cut at 130 s.
-func testSettings(size int, spill float64) Terms {
-	return Terms{Plan: Plan{Size: size}, Tenants: []Tenant{*tenantWithMove(nil)}, Doubt: Doubt{Marked: true, Skew: second}, Memory: 1000, Spill: spill}
+func testSettings(size int, spill float64) Settings {
+	return Settings{Plan: Plan{Size: size}, Tenants: []Tenant{*tenantWithMove(nil)}, Assumptions: Assumptions{RepeatsMarked: true, MaxClockSkew: second}, MaxKeys: 1000, SpillShare: spill}
 }
 
 // A placer that was updated while servers were added and removed must place requests as a new placer with the same
@@ -73,14 +73,14 @@
 	}
 	key := ""
 	for i := 0; ; i++ {
-		if key = fmt.Sprint("k", i); Home(Key("valley", key), []int64{1, 2, 3}) != Home(Key("valley", key), []int64{4, 5, 6}) {
+		if key = fmt.Sprint("k", i); HomePod(KeyHash("valley", key), []int64{1, 2, 3}) != HomePod(KeyHash("valley", key), []int64{4, 5, 6}) {
 			break
 		}
 	}
 	repeat := &Request{Tenant: "valley", Key: key, Window: 12 * second, Repeat: true}
 	candidates, ambiguous := p.Place(125*second, repeat)
 	for _, s := range candidates {
-		if pods[s] != Home(Key("valley", key), []int64{1, 2, 3}) {
+		if pods[s] != HomePod(KeyHash("valley", key), []int64{1, 2, 3}) {
 			t.Errorf("before the cut: server %d of pod %d, which is not the key's home", s, pods[s])
 		}
 	}
@@ -98,13 +98,13 @@
 	if _, ambiguous = p.Place(138*second, repeat); !ambiguous {
 		t.Error("the placement is not ambiguous after this node's window, although another node's may not have ended")
 	}
-	if r := p.Report(131*second, "valley"); r.Step != Draining || r.Keys != 1 || !slices.Equal(r.Pods, []int64{4, 5, 6}) || len(r.Servers) != 6 {
+	if r := p.Report(131*second, "valley"); r.Step != Draining || r.KeyCount != 1 || !slices.Equal(r.Pods, []int64{4, 5, 6}) || len(r.Servers) != 6 {
 		t.Errorf("report while draining: %+v", r)
 	}
 	// With new settings the move is reverted. The recorded keys stay.
 	reverted := testSettings(6, 0)
 	reverted.Tenants[0].Moves[0].Back = 132 * second
-	p.Change(reverted)
+	p.Reconfigure(reverted)
 	if at, ambiguous := p.Place(133*second, repeat); ambiguous || !slices.Equal(at, candidates) {
 		t.Error(at, ambiguous)
 	}
--- a/internal/cell/tenants.go
+++ b/internal/cell/tenants.go
@@ -8,14 +8,14 @@
 // Change is a change of the pinned tenants. Applying it takes time that depends on its size, not on the number of
 // tenants.
 type Change struct {
-	Put  []Tenant // tenants that are new or have changed; checked by Tenant.Check
-	Gone []string // names of tenants that are not pinned any more; names that are not pinned are ignored
+	Put     []Tenant // tenants that are new or have changed; checked by Tenant.Check
+	Removed []string // names of tenants that are not pinned any more; names that are not pinned are ignored
 }
 
 // Apply applies a change. The subsets of other tenants stay cached, and the known servers and keys stay: where a
 // tenant's keys were sent remains recorded also while the tenant is not pinned.
 func (p *Placer) Apply(c *Change) {
-	for _, name := range c.Gone {
+	for _, name := range c.Removed {
 		p.unpin(name)
 	}
 	for _, t := range c.Put {
--- a/internal/cell/tenants_test.go
+++ b/internal/cell/tenants_test.go
@@ -13,13 +13,13 @@
 // added and removed.
 func TestChangedPlacerEqualsNewPlacer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain := Terms{Plan: Plan{Size: rapid.IntRange(1, 4).Draw(t, "size")}, Doubt: Doubt{Marked: true, Skew: second}, Memory: 1000}
+		plain := Settings{Plan: Plan{Size: rapid.IntRange(1, 4).Draw(t, "size")}, Assumptions: Assumptions{RepeatsMarked: true, MaxClockSkew: second}, MaxKeys: 1000}
 		updated, tenants, servers := NewPlacer(plain), map[string]Tenant{}, map[string]Server{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "tenant"))
 			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
-				updated.Apply(&Change{Gone: []string{name}})
+				updated.Apply(&Change{Removed: []string{name}})
 				delete(tenants, name)
 			case 1:
 				tenant := Tenant{Name: name, Pods: rapid.SliceOfNDistinct(rapid.Int64Range(1, 6), 1, 3, rapid.ID).Draw(t, "pods")}
@@ -108,7 +108,7 @@
 		if at, ambiguous := p.Place(51*second, repeat); ambiguous || !slices.Equal(at, home) {
 			t.Errorf("recorded key: servers %v, ambiguous %v", at, ambiguous)
 		}
-		p.Apply(&Change{Gone: []string{"gulf", "none"}})
+		p.Apply(&Change{Removed: []string{"gulf", "none"}})
 		if got := serversOf(p.Place(50*second, &Request{Tenant: "gulf"})); len(got) != 6 {
 			t.Errorf("the tenant is not pinned any more, and its subset is %v", got)
 		}
@@ -133,7 +133,7 @@
 	p.Apply(&Change{Put: []Tenant{many}})
 	p.Place(50*second, &Request{Tenant: "gulf"})
 	p.Place(250*second, &Request{Tenant: "gulf"})
-	p.Apply(&Change{Gone: []string{"gulf"}})
+	p.Apply(&Change{Removed: []string{"gulf"}})
 	for s := range p.subsets {
 		if s.tenant == "gulf" && s.pods != nil {
 			t.Error("a subset of the tenant's former lists is still cached")
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -20,7 +20,7 @@
 
 // Compile returns the pinned tenant ready for use, with defaults filled in. Path is the prefix of field names in
 // errors, which are *FieldError.
-func (v *Pinned) Ready(path string) (cell.Tenant, error) {
+func (v *PinnedTenant) Compile(path string) (cell.Tenant, error) {
 	out := cell.Tenant{Name: v.Tenant, Pods: v.Pods}
 	for i, m := range v.Moves {
 		if m.Start.IsZero() {
@@ -28,13 +28,13 @@
 		}
 		move := cell.Move{To: m.To, Start: unixTime(m.Start), Prepare: m.Prepare, Both: m.Both, Stop: unixTime(m.Stop), Back: unixTime(m.Back)}
 		if move.Prepare == 0 {
-			move.Prepare = cell.LeastPrepare
+			move.Prepare = cell.MinPrepare
 		}
 		if len(m.Keys) > 0 {
 			if len(m.Keys) != 2 {
 				return out, &FieldError{fmt.Sprintf("%smoves[%d].keys", path, i), "is not of the form [from, below]"}
 			}
-			move.From, move.Below = m.Keys[0], m.Keys[1]
+			move.KeyFrom, move.KeyBelow = m.Keys[0], m.Keys[1]
 		}
 		out.Moves = append(out.Moves, move)
 	}
@@ -54,7 +54,7 @@
 
 // Compile returns the route ready for use, with defaults filled in. Path is the prefix of field names in errors, which
 // are *FieldError. Host and port are checked by tunnel.Route.Check. Whether its service and class exist is not checked.
-func (r *Route) Ready(path string) (tunnel.Route, error) {
+func (r *Route) Compile(path string) (tunnel.Route, error) {
 	out := tunnel.Route{Host: r.Host, Port: r.Port, Service: r.Service}
 	limits := []struct {
 		name  string
@@ -86,7 +86,7 @@
 		return out, &FieldError{path + "class", "missing: an opaque tunnel counts as a request of a class"}
 	}
 	out.Opaque, out.Class = true, r.Class
-	out.Limits = message.Limits{Idle: r.Idle, Total: r.Total, Stall: r.Stall, Drain: r.Drain}
+	out.Limits = message.TunnelLimits{Idle: r.Idle, Total: r.Total, Stall: r.Stall, Drain: r.Drain}
 	for _, d := range []struct {
 		value        *time.Duration
 		defaultValue time.Duration
@@ -113,7 +113,7 @@
 		if err := s.Check(p, effects); err != nil {
 			return nil, err
 		}
-		services[s.Name] = s.Set()
+		services[s.Name] = s.ClassSet()
 		for _, c := range s.Classes {
 			if c.Effect != "" {
 				allEffects[c.Name] = c.Effect
@@ -147,7 +147,7 @@
 		field, reason, _ := strings.Cut(err.Error(), ": ")
 		return nil, &FieldError{field, reason}
 	}
-	table.EvenParts = f.Parts == "even"
+	table.EvenShares = f.Parts == "even"
 	return table, nil
 }
 
@@ -170,7 +170,7 @@
 }
 
 // ClassSet returns the names of the service's classes as a set.
-func (s *Service) Set() map[string]bool {
+func (s *Service) ClassSet() map[string]bool {
 	set := make(map[string]bool, len(s.Classes))
 	for _, c := range s.Classes {
 		set[c.Name] = true
@@ -196,7 +196,7 @@
 		return contract.Terms{}, &FieldError{path + field, fmt.Sprintf(format, args...)}
 	}
 	t := contract.Terms{Name: c.Name, Rate: c.Rate, Burst: c.Burst, InFlight: c.InFlight, Guaranteed: c.Work.Guaranteed,
-		Limit: c.Work.Limit, Bandwidth: c.Bandwidth, Weight: 1, Lends: 1, Criticality: contract.Normal}
+		Limit: c.Work.Limit, Bandwidth: c.Bandwidth, Weight: 1, LendableShare: 1, Criticality: contract.Normal}
 	if t.Rate > 0 && t.Burst == 0 {
 		t.Burst = max(1, t.Rate)
 	}
@@ -204,7 +204,7 @@
 		t.Weight = *c.Weight
 	}
 	if c.Lends != nil {
-		t.Lends = *c.Lends
+		t.LendableShare = *c.Lends
 	}
 	if c.Criticality != "" {
 		rank, ok := contract.Criticalities[c.Criticality]
@@ -214,9 +214,9 @@
 		t.Criticality = rank
 	}
 	if a := c.Attempts; a != nil {
-		t.Bounded, t.Ratio, t.Window, t.Floor = true, a.Ratio, a.Window, a.Floor
-		if t.Window == 0 {
-			t.Window = 10 * time.Second
+		t.RetriesBounded, t.RetryRatio, t.RetryWindow, t.RetryFloor = true, a.Ratio, a.Window, a.Floor
+		if t.RetryWindow == 0 {
+			t.RetryWindow = 10 * time.Second
 		}
 	}
 	for i, name := range c.Services {
@@ -234,7 +234,7 @@
 		maps.Copy(t.Classes, classes)
 	}
 	if c.Retries != nil {
-		t.Retries = map[string]bool{}
+		t.RetryClasses = map[string]bool{}
 	}
 	for i, class := range c.Retries {
 		field := fmt.Sprintf("retries[%d]", i)
@@ -244,7 +244,7 @@
 		case t.Classes != nil && !t.Classes[class]:
 			return fail(field, "contract %q allows retries of class %q, which none of its services has", c.Name, class)
 		}
-		t.Retries[class] = true
+		t.RetryClasses[class] = true
 	}
 	for i, m := range c.Match {
 		p := fmt.Sprintf("match[%d]", i)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,7 +38,7 @@
 
 // CheckReplacement returns an error where the file must not replace the current one. The beginning of a YAML file is
 // often a valid file itself, so a file that is still being written, or was truncated, could remove contracts.
-func (f *File) Replaces(old *File) error {
+func (f *File) CheckReplacement(old *File) error {
 	sections := func(f *File) [9]bool {
 		return [...]bool{f.Services != nil, f.Contracts != nil, f.Parts != "", f.Tunnels != nil, f.Cells != nil, f.Health != nil, f.Members != nil, f.State != nil,
 			f.Control != nil}
@@ -56,17 +56,17 @@
 
 // Cells gives each tenant its own subset of the web servers, spread over zones and pods.
 type Cells struct {
-	Size    int           `yaml:"size"`    // web servers per tenant
-	Seed    uint64        `yaml:"seed"`    // another seed selects other subsets
-	Spill   float64       `yaml:"spill"`   // share of a tenant's requests that may go to its neighbour's servers where its own accept none
-	Memory  int           `yaml:"memory"`  // maximum number of keys of pinned tenants that a node remembers; default 100,000
-	Marked  bool          `yaml:"marked"`  // clients always mark repeated requests
-	Skew    time.Duration `yaml:"skew"`    // maximum difference between the clocks of nodes; default 1 s
-	Tenants []Pinned      `yaml:"tenants"` // tenants pinned to pods, which may be moved
+	Size    int            `yaml:"size"`    // web servers per tenant
+	Seed    uint64         `yaml:"seed"`    // another seed selects other subsets
+	Spill   float64        `yaml:"spill"`   // share of a tenant's requests that may go to its neighbour's servers where its own accept none
+	Memory  int            `yaml:"memory"`  // maximum number of keys of pinned tenants that a node remembers; default 100,000
+	Marked  bool           `yaml:"marked"`  // clients always mark repeated requests
+	Skew    time.Duration  `yaml:"skew"`    // maximum difference between the clocks of nodes; default 1 s
+	Tenants []PinnedTenant `yaml:"tenants"` // tenants pinned to pods, which may be moved
 }
 
 // PinnedTenant is a tenant whose web servers are all those of some pods.
-type Pinned struct {
+type PinnedTenant struct {
 	Tenant string  `yaml:"tenant" json:"tenant,omitzero"`
 	Pods   []int64 `yaml:"pods" json:"pods,omitzero"` // pods are called cells in discovery
 	Moves  []Move  `yaml:"moves" json:"moves,omitzero"`
@@ -84,9 +84,9 @@
 }
 
 // Settings returns how tenants are placed and moved, with defaults filled in. An error is a *FieldError.
-func (c *Cells) Terms() (cell.Terms, error) {
-	t := cell.Terms{Plan: cell.Plan{Size: c.Size, Seed: c.Seed}, Doubt: cell.Doubt{Marked: c.Marked, Skew: c.Skew}, Memory: c.Memory, Spill: c.Spill}
-	fail := func(field, format string, args ...any) (cell.Terms, error) {
+func (c *Cells) Settings() (cell.Settings, error) {
+	t := cell.Settings{Plan: cell.Plan{Size: c.Size, Seed: c.Seed}, Assumptions: cell.Assumptions{RepeatsMarked: c.Marked, MaxClockSkew: c.Skew}, MaxKeys: c.Memory, SpillShare: c.Spill}
+	fail := func(field, format string, args ...any) (cell.Settings, error) {
 		return t, &FieldError{"cells." + field, fmt.Sprintf(format, args...)}
 	}
 	if field, reason := t.Plan.Check(); field != "" {
@@ -100,11 +100,11 @@
 	case c.Skew < 0 || c.Skew > time.Minute:
 		return fail("skew", "%s is outside 0 to 1m", c.Skew)
 	}
-	if t.Memory == 0 {
-		t.Memory = 100_000
+	if t.MaxKeys == 0 {
+		t.MaxKeys = 100_000
 	}
-	if t.Doubt.Skew == 0 {
-		t.Doubt.Skew = time.Second
+	if t.Assumptions.MaxClockSkew == 0 {
+		t.Assumptions.MaxClockSkew = time.Second
 	}
 	seen := map[string]bool{}
 	for i, v := range c.Tenants {
@@ -113,7 +113,7 @@
 			return fail(p+"tenant", "%q is missing or used twice", v.Tenant)
 		}
 		seen[v.Tenant] = true
-		tenant, err := v.Ready("cells." + p)
+		tenant, err := v.Compile("cells." + p)
 		if err != nil {
 			return t, err
 		}
@@ -164,14 +164,14 @@
 }
 
 // ProxyRule says through which proxy the web servers are reached whose IDs match a pattern.
-type Way struct {
-	Servers string // as in filepath.Match
+type ProxyRule struct {
+	Pattern string // as in filepath.Match
 	Proxy   backtunnel.Proxy
 }
 
 // ProxyRules returns the proxies ready for use, in the order of the file. An error is a *FieldError.
-func (t *Tunnels) Ways() ([]Way, error) {
-	var rules []Way
+func (t *Tunnels) ProxyRules() ([]ProxyRule, error) {
+	var rules []ProxyRule
 	for i := range t.Proxies {
 		rule, err := t.Proxies[i].compile(fmt.Sprintf("tunnels.proxies[%d].", i))
 		if err != nil {
@@ -183,25 +183,25 @@
 }
 
 // compile checks a proxy. Path is the prefix of field names in errors, which are *FieldError.
-func (p *Proxy) compile(path string) (Way, error) {
-	proxy := backtunnel.Proxy{Kind: backtunnel.SOCKS5, Addr: p.SOCKS5, User: p.User, Password: p.Password}
+func (p *Proxy) compile(path string) (ProxyRule, error) {
+	proxy := backtunnel.Proxy{Protocol: backtunnel.SOCKS5, Addr: p.SOCKS5, User: p.User, Password: p.Password}
 	field := "socks5"
 	if p.Connect != "" {
-		proxy.Kind, proxy.Addr, field = backtunnel.Connect, p.Connect, "connect"
+		proxy.Protocol, proxy.Addr, field = backtunnel.Connect, p.Connect, "connect"
 	}
 	_, _, addrErr := net.SplitHostPort(proxy.Addr)
 	switch {
 	case (p.SOCKS5 == "") == (p.Connect == ""):
-		return Way{}, &FieldError{path + "socks5", "exactly one of socks5 and connect is required"}
+		return ProxyRule{}, &FieldError{path + "socks5", "exactly one of socks5 and connect is required"}
 	case addrErr != nil:
-		return Way{}, &FieldError{path + field, fmt.Sprintf("%q is not host:port", proxy.Addr)}
+		return ProxyRule{}, &FieldError{path + field, fmt.Sprintf("%q is not host:port", proxy.Addr)}
 	case len(p.User) > 255 || len(p.Password) > 255 || strings.Contains(p.User, ":"):
-		return Way{}, &FieldError{path + "user", "user or password exceeds 255 bytes, or user contains a colon"}
+		return ProxyRule{}, &FieldError{path + "user", "user or password exceeds 255 bytes, or user contains a colon"}
 	}
 	if _, err := filepath.Match(p.Servers, ""); err != nil || p.Servers == "" {
-		return Way{}, &FieldError{path + "servers", fmt.Sprintf("%q is not a valid pattern", p.Servers)}
+		return ProxyRule{}, &FieldError{path + "servers", fmt.Sprintf("%q is not a valid pattern", p.Servers)}
 	}
-	return Way{p.Servers, proxy}, nil
+	return ProxyRule{p.Servers, proxy}, nil
 }
 
 // Table checks the section and returns its routes and users ready for use. An error is a *FieldError.
@@ -228,13 +228,13 @@
 	}
 	var routes []tunnel.Route
 	for i := range t.Routes {
-		r, err := t.Routes[i].Ready(fmt.Sprintf("tunnels.routes[%d].", i))
+		r, err := t.Routes[i].Compile(fmt.Sprintf("tunnels.routes[%d].", i))
 		if err != nil {
 			return nil, err
 		}
 		routes = append(routes, r)
 	}
-	if _, err := t.Ways(); err != nil {
+	if _, err := t.ProxyRules(); err != nil {
 		return nil, err
 	}
 	table, err := tunnel.NewTable(routes, users)
@@ -340,7 +340,7 @@
 		}
 	}
 	if f.State != nil {
-		if _, err := f.State.Ready(); err != nil {
+		if _, err := f.State.WithDefaults(); err != nil {
 			return err
 		}
 	}
@@ -350,7 +350,7 @@
 		}
 	}
 	if f.Cells != nil {
-		if _, err := f.Cells.Terms(); err != nil {
+		if _, err := f.Cells.Settings(); err != nil {
 			return err
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,20 +40,20 @@
 		t.Fatal(err)
 	}
 	app, fallback := table.Terms(0), table.Terms(1)
-	if app.Burst != 200 || app.Window.Seconds() != 10 || app.Criticality != contract.Critical || app.Weight != 1 || app.Lends != 1 ||
-		!app.Classes["pay"] || !app.Retries["search"] || app.Retries["pay"] || app.Matches[1].Header != "X-Team" ||
+	if app.Burst != 200 || app.RetryWindow.Seconds() != 10 || app.Criticality != contract.Critical || app.Weight != 1 || app.LendableShare != 1 ||
+		!app.Classes["pay"] || !app.RetryClasses["search"] || app.RetryClasses["pay"] || app.Matches[1].Header != "X-Team" ||
 		app.Matches[2].From.String() != "10.0.0.0/8" || app.Matches[3].From.Bits() != 32 {
 		t.Errorf("the contract app: %+v", app)
 	}
-	if fallback.Burst != 1 || fallback.Lends != 0 || fallback.Weight != 0 || fallback.Criticality != contract.Normal || fallback.Retries != nil || fallback.Classes != nil {
+	if fallback.Burst != 1 || fallback.LendableShare != 0 || fallback.Weight != 0 || fallback.Criticality != contract.Normal || fallback.RetryClasses != nil || fallback.Classes != nil {
 		t.Errorf("the contract for everybody else: %+v", fallback)
 	}
 	cells, err := Parse("p.yaml", []byte("cells: {size: 6, tenants: [{tenant: gulf, pods: [1, 2], moves: [{to: [3], start: 2026-12-01T13:00:00Z, both: 30s, keys: [0, 0.5]}]}]}"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := cells.Cells.Terms(); err != nil || c.Memory != 100000 || c.Doubt.Skew != time.Second || c.Tenants[0].Moves[0].Prepare != 10*time.Second ||
-		c.Tenants[0].Moves[0].Start != 1796130000*time.Second || c.Tenants[0].Moves[0].Below != 0.5 || c.Tenants[0].Moves[0].Back != 0 {
+	if c, err := cells.Cells.Settings(); err != nil || c.MaxKeys != 100000 || c.Assumptions.MaxClockSkew != time.Second || c.Tenants[0].Moves[0].Prepare != 10*time.Second ||
+		c.Tenants[0].Moves[0].Start != 1796130000*time.Second || c.Tenants[0].Moves[0].KeyBelow != 0.5 || c.Tenants[0].Moves[0].Back != 0 {
 		t.Errorf("cells: %+v, %v", c, err)
 	}
 	if table, err := Compile(&File{}, nil); table != nil || err != nil {
--- a/internal/config/control_test.go
+++ b/internal/config/control_test.go
@@ -63,7 +63,7 @@
 		{"an empty file", empty, onlyControl, "nothing is in it"},
 		{"no control before and after", without, without, ""},
 	} {
-		err := c.new.Replaces(c.old)
+		err := c.new.CheckReplacement(c.old)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -13,12 +13,12 @@
 
 // Health holds how web servers are checked, and where this node responds to health checks itself.
 type Health struct {
-	Checks *Checks `yaml:"checks"`
-	Answer *Answer `yaml:"answer"`
+	Checks *Checks     `yaml:"checks"`
+	Answer *Responders `yaml:"answer"`
 }
 
 // Responders holds the listeners on which this node responds to health checks, each host:port; empty: disabled.
-type Answer struct {
+type Responders struct {
 	Agent string `yaml:"agent"` // HAProxy's agent-check protocol
 	HTTP  string `yaml:"http"`  // /health and /live
 	GRPC  string `yaml:"grpc"`  // grpc.health.v1, for each service by its name
@@ -81,12 +81,12 @@
 	if h.Checks == nil {
 		return nil
 	}
-	_, err := h.Checks.Ready()
+	_, err := h.Checks.WithDefaults()
 	return err
 }
 
 // WithDefaults returns the checked section with defaults filled in. An error is a *FieldError.
-func (c *Checks) Ready() (Checks, error) {
+func (c *Checks) WithDefaults() (Checks, error) {
 	out := *c
 	for _, v := range []struct {
 		field                 *time.Duration
@@ -178,8 +178,8 @@
 }
 
 // parseStatuses parses ranges of HTTP statuses, as in 200-299,404.
-func parseStatuses(text string) ([]probe.Range, error) {
-	var all []probe.Range
+func parseStatuses(text string) ([]probe.StatusRange, error) {
+	var all []probe.StatusRange
 	for part := range strings.SplitSeq(text, ",") {
 		from, to, ranged := strings.Cut(strings.TrimSpace(part), "-")
 		if !ranged {
@@ -190,18 +190,18 @@
 		if err1 != nil || err2 != nil || first < 100 || last > 599 || first > last {
 			return nil, fmt.Errorf("%q is not a status from 100 to 599 or a range of them", part)
 		}
-		all = append(all, probe.Range{From: first, To: last})
+		all = append(all, probe.StatusRange{From: first, To: last})
 	}
 	return all, nil
 }
 
 // ProbeRules returns how often a server is probed where so many nodes probe alike, and the rules by which the outcomes
 // are judged. Defaults must have been filled in.
-func (c *Checks) Weighing(nodes int) (health.Pace, health.Rules) {
+func (c *Checks) ProbeRules(nodes int) (health.ProbeSettings, health.Rules) {
 	share := float64(len(c.Probers())) // the protocols share the budget
-	pace := health.Pace{Interval: c.Interval, Calm: c.Calm, PerServer: c.PerServer / share, Rate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
-	rules := health.Usual(pace.Slowest())
-	rules.Panic, rules.Rise, rules.Fall = c.Panic, c.Rise, c.Fall
+	pace := health.ProbeSettings{Interval: c.Interval, IntervalFactor: c.Calm, MaxPerServer: c.PerServer / share, MaxRate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
+	rules := health.DefaultRules(pace.MaxInterval())
+	rules.PanicThreshold, rules.Rise, rules.Fall = c.Panic, c.Rise, c.Fall
 	return pace, rules
 }
 
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -26,7 +26,7 @@
 // settings checks the section, apart from the key file, and returns the settings of the protocol. An error is a
 // *FieldError.
 func (m *Members) settings() (member.Settings, error) {
-	settings := member.Usual()
+	settings := member.DefaultSettings()
 	fail := func(field, format string, args ...any) (member.Settings, error) {
 		return settings, &FieldError{"members." + field, fmt.Sprintf(format, args...)}
 	}
@@ -57,7 +57,7 @@
 	if m.Key == "" {
 		return fail("key", "missing: `portstall keys make` makes a key file")
 	}
-	if _, err := member.NewRing(nil, m.publicKeys()); err != nil {
+	if _, err := member.NewKeyring(nil, m.publicKeys()); err != nil {
 		return fail("of", "%s", err)
 	}
 	return settings, nil
@@ -74,7 +74,7 @@
 
 // Load reads the key file, which only its owner may be able to read, and returns the settings and keys. An error is a
 // *FieldError and names the key file where that is at fault.
-func (m *Members) Ready() (member.Settings, *member.Ring, error) {
+func (m *Members) Load() (member.Settings, *member.Keyring, error) {
 	settings, err := m.settings()
 	if err != nil {
 		return settings, nil, err
@@ -83,7 +83,7 @@
 	if err != nil {
 		return settings, nil, &FieldError{"members.key", err.Error()}
 	}
-	keyring, err := member.NewRing(key, m.publicKeys())
+	keyring, err := member.NewKeyring(key, m.publicKeys())
 	if err != nil {
 		return settings, nil, &FieldError{"members.of", err.Error()}
 	}
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		valid++
-		if f.Replaces(old) == nil {
+		if f.CheckReplacement(old) == nil {
 			t.Errorf("the first %d bytes replace the complete file: %q", i, currentFile[max(0, i-20):i])
 		}
 	}
@@ -43,8 +43,8 @@
 		"with empty lines": strings.TrimSuffix(currentFile, "\n") + "\n\n",
 	} {
 		f, err := Parse("p.yaml", []byte(text))
-		if err != nil || f.Replaces(old) != nil {
-			t.Errorf("%s: %v", name, fmt.Sprint(err, f.Replaces(old)))
+		if err != nil || f.CheckReplacement(old) != nil {
+			t.Errorf("%s: %v", name, fmt.Sprint(err, f.CheckReplacement(old)))
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		f, err := Parse("p.yaml", []byte(text))
 		if err != nil {
 			t.Errorf("%q: %v", text, err)
-		} else if err := f.Replaces(old); (err == nil) != ok {
+		} else if err := f.CheckReplacement(old); (err == nil) != ok {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -15,7 +15,7 @@
 }
 
 // WithDefaults returns the checked section with defaults filled in. An error is a *FieldError.
-func (s *State) Ready() (State, error) {
+func (s *State) WithDefaults() (State, error) {
 	out := *s
 	if out.Every == 0 {
 		out.Every = time.Second
--- a/internal/config/yaml.go
+++ b/internal/config/yaml.go
@@ -63,17 +63,17 @@
 
 // FieldError is an invalid value of a field.
 type FieldError struct {
-	Path string // of the field, as in classes[1].aim
-	Why  string
+	Path   string // of the field, as in classes[1].aim
+	Reason string
 }
 
 // Error returns the path and the reason.
-func (e *FieldError) Error() string { return e.Path + ": " + e.Why }
+func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
 // ParsePartial reads one of several files that form a configuration together. It rejects unknown fields, but values may
 // refer to what is in another file, so nothing else is checked. The function line returns the line of a value by its
 // path, as in contracts[3].rate, and 0 where the text does not have it. An error names file and line.
-func ParsePart(name string, text []byte) (f *File, line func(path string) int, err error) {
+func ParsePartial(name string, text []byte) (f *File, line func(path string) int, err error) {
 	f = &File{}
 	lineAt := func(string) int { return 0 }
 	file, err := parser.ParseBytes(text, 0)
--- a/internal/contract/change.go
+++ b/internal/contract/change.go
@@ -9,9 +9,9 @@
 
 // Change is a change to the contracts of a table in place. Its cost depends on its own size, not on that of the table.
 type Change struct {
-	Put  []Terms  // contracts to add, or to replace by name; their terms must be valid (Terms.Check)
-	Gone []string // names of contracts to remove; unknown names are ignored
-	Even bool     // whether nodes enforce even shares from now on, as in Table.EvenShares
+	Put        []Terms  // contracts to add, or to replace by name; their terms must be valid (Terms.Check)
+	Removed    []string // names of contracts to remove; unknown names are ignored
+	EvenShares bool     // whether nodes enforce even shares from now on, as in Table.EvenShares
 }
 
 // ChangeError describes why a change is invalid.
@@ -33,8 +33,8 @@
 // no two contracts are for exactly the same callers or both the default. It does not modify the table. An error is a
 // *ChangeError.
 func (t *Table) Check(c *Change) error {
-	replaced := make(map[string]bool, len(c.Put)+len(c.Gone)) // contracts whose current terms no longer apply
-	for _, name := range c.Gone {
+	replaced := make(map[string]bool, len(c.Put)+len(c.Removed)) // contracts whose current terms no longer apply
+	for _, name := range c.Removed {
 		replaced[name] = true
 	}
 	for i := range c.Put {
@@ -202,11 +202,11 @@
 // A contract that the change does not name keeps its slot and its spent budgets. A replaced contract keeps what it has
 // spent, clamped to its new limits. A contract that was removed and is added again continues from what it had left,
 // refilled for the time in between; see removedContracts.
-func (l *Ledger) Change(now time.Duration, c *Change) {
+func (l *Ledger) ApplyChange(now time.Duration, c *Change) {
 	now = l.monotonic(now)
 	t := l.table
-	t.tiesByName, t.EvenParts = true, c.Even
-	for _, name := range c.Gone {
+	t.tiesByName, t.EvenShares = true, c.EvenShares
+	for _, name := range c.Removed {
 		i, known := t.slotByName[name]
 		if !known {
 			continue
@@ -337,14 +337,14 @@
 
 // RemovedContract holds the terms of a removed contract that determine how its state refills, for a successor process.
 // It is stored under its Go field names.
-type Gone struct {
+type RemovedContract struct {
 	Ago                                       time.Duration // time since the removal
 	Rate, Burst, Limit, Bandwidth, Guaranteed float64       // as in Terms
 	Window                                    time.Duration // Terms.RetryWindow
 }
 
 // states returns the retained states, refilled up to now, the oldest first.
-func (r *removedContracts) states(now time.Duration, l *Ledger) (all []Left) {
+func (r *removedContracts) states(now time.Duration, l *Ledger) (all []ContractState) {
 	for _, e := range r.oldestFirst {
 		if e.state == nil || now-e.removedAt > removedRetention {
 			continue
@@ -352,7 +352,7 @@
 		c := &e.terms
 		l.refill(c, e.state, now)
 		exported := e.state.export(c.Name)
-		exported.Gone = &Gone{now - e.removedAt, c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.Window}
+		exported.Gone = &RemovedContract{now - e.removedAt, c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.RetryWindow}
 		all = append(all, exported)
 	}
 	return all
@@ -361,10 +361,10 @@
 // restore returns the entry for the state that another process handed over of a contract that is not in force here, and
 // creates it if needed. If the contract was still in force there, its terms are unknown and nothing refills until it is
 // added again. It returns nil if there is nothing to retain.
-func (r *removedContracts) restore(now time.Duration, exported *Left) (*Terms, *state) {
+func (r *removedContracts) restore(now time.Duration, exported *ContractState) (*Terms, *state) {
 	c, at := Terms{Name: exported.Name}, now
 	if g := exported.Gone; g != nil {
-		c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.Window = g.Rate, g.Burst, g.Limit, g.Bandwidth, g.Guaranteed, g.Window
+		c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.RetryWindow = g.Rate, g.Burst, g.Limit, g.Bandwidth, g.Guaranteed, g.Window
 		at = now - max(g.Ago, 0)
 	}
 	if field, _ := c.Check(); field != "" || now-at > removedRetention {
--- a/internal/contract/change_test.go
+++ b/internal/contract/change_test.go
@@ -22,7 +22,7 @@
 	if err := l.table.Check(&c); err != nil {
 		t.Fatal(err)
 	}
-	l.Change(now, &c)
+	l.ApplyChange(now, &c)
 }
 
 // domain holds the values from which the property test's matches and callers are generated: few, so that they collide.
@@ -95,13 +95,13 @@
 		for range rapid.IntRange(1, 30).Draw(rt, "changes") {
 			c := Change{Put: rapid.SliceOfN(rapid.Custom(generateTerms), 0, 4).Draw(rt, "put")}
 			for range rapid.IntRange(0, 3).Draw(rt, "removed") {
-				c.Gone = append(c.Gone, fmt.Sprint("c", rapid.IntRange(0, 9).Draw(rt, "name")))
+				c.Removed = append(c.Removed, fmt.Sprint("c", rapid.IntRange(0, 9).Draw(rt, "name")))
 			}
 			next, doubled := maps.Clone(current), false
-			for _, n := range c.Gone {
+			for _, n := range c.Removed {
 				delete(next, n)
 			}
-			named := slices.Clone(c.Gone)
+			named := slices.Clone(c.Removed)
 			for _, p := range c.Put {
 				doubled = doubled || slices.Contains(named, p.Name)
 				named = append(named, p.Name)
@@ -120,7 +120,7 @@
 				continue
 			}
 			slots := maps.Clone(tab.slotByName)
-			l.Change(0, &c)
+			l.ApplyChange(0, &c)
 			for n, i := range slots {
 				if !slices.Contains(named, n) && tab.Terms(i).Name != n {
 					rt.Fatalf("%s had slot %d, which now holds %q", n, i, tab.Terms(i).Name)
@@ -152,7 +152,7 @@
 				}
 			}
 		}
-		l.Change(0, &Change{Gone: slices.Collect(maps.Keys(current))})
+		l.ApplyChange(0, &Change{Removed: slices.Collect(maps.Keys(current))})
 		if n := len(tab.byTenant) + len(tab.byHeader) + len(tab.byToken) + len(tab.byRange) + len(tab.headerNames.values) + len(tab.prefixLengths4.values) +
 			len(tab.prefixLengths6.values) + tab.Count(); n != 0 || tab.defaultSlot != -1 {
 			rt.Fatalf("%d index entries left after all contracts were removed: %+v", n, tab)
@@ -174,10 +174,10 @@
 		{Change{Put: []Terms{{Name: "b", Matches: b, Rate: -1}}}, `contract "b": rate: -1 is outside`},
 		{Change{Put: []Terms{{Name: "b", Matches: []Match{{}}}}}, `contract "b": match[0]: is empty`},
 		{Change{Put: []Terms{{Name: "b", Matches: b}, {Name: "b", Matches: b}}}, `contract "b": is put twice`},
-		{Change{Put: []Terms{{Name: "b", Matches: a}}, Gone: []string{"a"}}, ""},
+		{Change{Put: []Terms{{Name: "b", Matches: a}}, Removed: []string{"a"}}, ""},
 		{Change{Put: []Terms{{Name: "a", Matches: b}, {Name: "b", Matches: a}}}, ""}, // the contracts swap callers
 		{Change{Put: []Terms{{Name: "rest", Matches: b}, {Name: "a"}}}, ""},
-		{Change{Put: []Terms{{Name: "a", Matches: append(a, a...)}}, Gone: []string{"none"}}, ""},
+		{Change{Put: []Terms{{Name: "a", Matches: append(a, a...)}}, Removed: []string{"none"}}, ""},
 	} {
 		err := tab.Check(&c.change)
 		var bad *ChangeError
@@ -200,46 +200,46 @@
 		l.Admit(0, 0, "r", 0, false)
 	}
 	v := l.Admit(0, 1, "r", 0.5, false)
-	applyChange(t, l, 0, Change{Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}, Gone: []string{"none"}})
+	applyChange(t, l, 0, Change{Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}, Removed: []string{"none"}})
 	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Rate {
 		t.Errorf("a change of another contract refilled the rate: %+v", got)
 	}
 	two.Burst, two.Limit, two.Guaranteed, two.Bandwidth, two.InFlight = 2, 1, 1, 10, 1
 	applyChange(t, l, 0, Change{Put: []Terms{two}})
-	if level := l.Level(0, 1); level.Tokens != 2 || level.Work != 1 || level.Kept != 1 || level.InFlight != 1 || l.states[1].bytesLeft != 10 {
+	if level := l.Status(0, 1); level.Tokens != 2 || level.Work != 1 || level.Kept != 1 || level.InFlight != 1 || l.states[1].bytesLeft != 10 {
 		t.Errorf("after the limits were reduced: %+v", level)
 	}
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != InFlight {
 		t.Errorf("a change reset the requests in flight: %+v", got)
 	}
 	l.Done(0, "two", v, 0.5)
-	if got := l.Admit(0, 1, "r", 0, false); got.Rule != Kept {
+	if got := l.Admit(0, 1, "r", 0, false); got.Rule != Admitted {
 		t.Errorf("Done did not end the request admitted before the change: %+v", got)
 	}
 	two.Burst = 100
 	applyChange(t, l, 0, Change{Put: []Terms{two}})
-	if level := l.Level(0, 1); level.Tokens != 1 {
+	if level := l.Status(0, 1); level.Tokens != 1 {
 		t.Errorf("a larger burst was filled at once: %v tokens, want 1", level.Tokens)
 	}
 	two.Rate = 50
 	applyChange(t, l, 2*time.Second, Change{Put: []Terms{two}})
-	if level := l.Level(2*time.Second, 1); level.Tokens != 3 {
+	if level := l.Status(2*time.Second, 1); level.Tokens != 3 {
 		t.Errorf("the time before the change was refilled at the new rate: %v tokens, want 3", level.Tokens)
 	}
-	applyChange(t, l, 0, Change{Even: true})
-	if !l.table.EvenParts {
+	applyChange(t, l, 0, Change{EvenShares: true})
+	if !l.table.EvenShares {
 		t.Error("EvenShares is not set by the change")
 	}
 }
 
 // levelOf returns the status of a contract by name.
-func levelOf(t testing.TB, l *Ledger, now time.Duration, name string) Level {
+func levelOf(t testing.TB, l *Ledger, now time.Duration, name string) Status {
 	t.Helper()
 	i, known := l.table.Slot(name)
 	if !known {
 		t.Fatalf("no contract %s", name)
 	}
-	return l.Level(now, i)
+	return l.Status(now, i)
 }
 
 // A contract that is removed and added again under the same name has the same state as one that was never removed, debts
@@ -247,7 +247,7 @@
 func TestReAddedContractKeepsItsState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 20).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 20).Draw(rt, "burst"),
-			Limit: rapid.Float64Range(0.1, 5).Draw(rt, "limit"), Bandwidth: 1000, Bounded: true, Ratio: 0.5, Window: 10 * time.Second,
+			Limit: rapid.Float64Range(0.1, 5).Draw(rt, "limit"), Bandwidth: 1000, RetriesBounded: true, RetryRatio: 0.5, RetryWindow: 10 * time.Second,
 			InFlight: rapid.IntRange(1, 5).Draw(rt, "in flight"), Matches: []Match{{Tenant: "c"}}}
 		terms.Guaranteed = terms.Limit / 2
 		reference, changed := NewLedger(newTable(t, terms), 0, 1), NewLedger(newTable(t, terms), 0, 1)
@@ -258,7 +258,7 @@
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(rt, "dt"))
 			switch step := rapid.IntRange(0, 6).Draw(rt, "step"); {
 			case step == 0 && present:
-				applyChange(t, changed, now, Change{Gone: []string{"c"}})
+				applyChange(t, changed, now, Change{Removed: []string{"c"}})
 				present = false
 			case step == 0:
 				applyChange(t, changed, now, Change{Put: []Terms{terms}})
@@ -268,7 +268,7 @@
 					applyChange(t, changed, now, Change{Put: []Terms{{Name: "d", Matches: []Match{{Tenant: "d"}}}}})
 					changed.Admit(now, changed.table.Find(&Caller{Tenant: "d"}), "r", 1, false)
 				} else {
-					applyChange(t, changed, now, Change{Gone: []string{"d"}})
+					applyChange(t, changed, now, Change{Removed: []string{"d"}})
 				}
 			case step == 2 && len(running) > 0:
 				took := rapid.Float64Range(0, 4).Draw(rt, "took")
@@ -282,7 +282,7 @@
 				if a.Rule != b.Rule || math.Abs(a.Cost-b.Cost) > 1e-9 || (a.RetryAfter-b.RetryAfter).Abs() > time.Microsecond {
 					rt.Fatalf("at %v: %+v, a contract that was never removed gives %+v", now, b, a)
 				}
-				if a.Rule == Kept {
+				if a.Rule == Admitted {
 					running = append(running, open{a, b})
 				}
 				if wait := (reference.Pace(now, "c", a, 500) - changed.Pace(now, "c", b, 500)).Abs(); wait > time.Microsecond {
@@ -316,11 +316,11 @@
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(rt, "dt"))
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
-				l.Change(now, &Change{Gone: []string{"c"}})
-				l.Change(now, &Change{Put: []Terms{terms}})
+				l.ApplyChange(now, &Change{Removed: []string{"c"}})
+				l.ApplyChange(now, &Change{Put: []Terms{terms}})
 			default:
 				for range rapid.IntRange(1, 20).Draw(rt, "requests") {
-					if v := l.Admit(now, l.table.Find(&Caller{Tenant: "c"}), "r", 0.01, false); v.Rule == Kept {
+					if v := l.Admit(now, l.table.Find(&Caller{Tenant: "c"}), "r", 0.01, false); v.Rule == Admitted {
 						n++
 						l.Done(now, "c", v, 0.01)
 					}
@@ -338,7 +338,7 @@
 	one := Terms{Name: "one", InFlight: 2, Limit: 1, Matches: []Match{{Tenant: "1"}}}
 	l := NewLedger(newTable(t, one, Terms{Name: "two", InFlight: 5, Matches: []Match{{Tenant: "2"}}}), 0, 1)
 	first, second := l.Admit(0, 0, "r", 0.1, false), l.Admit(0, 0, "r", 0.1, false)
-	applyChange(t, l, 0, Change{Gone: []string{"one"}, Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}})
+	applyChange(t, l, 0, Change{Removed: []string{"one"}, Put: []Terms{{Name: "three", Matches: []Match{{Tenant: "3"}}}}})
 	if v := l.Admit(0, l.table.Find(&Caller{Tenant: "1"}), "r", 0, false); v.Rule != None {
 		t.Errorf("the removed contract still has callers: %+v", v)
 	}
@@ -350,7 +350,7 @@
 		t.Errorf("a removed contract delays a tunnel by %v", wait)
 	}
 	l.Done(0, "one", first, 3)
-	if got := l.Level(0, 0); got.InFlight != 1 || got.Name != "three" {
+	if got := l.Status(0, 0); got.InFlight != 1 || got.Name != "three" {
 		t.Errorf("a request of the removed contract ended one of %+v", got)
 	}
 	applyChange(t, l, 0, Change{Put: []Terms{one}})
@@ -359,10 +359,10 @@
 	}
 	l.Done(0, "one", second, 0.1)
 	l.Done(0, "three", third, 0.1)
-	if a, b := levelOf(t, l, 0, "one"), l.Level(0, 0); a.InFlight != 0 || b.InFlight != 0 {
+	if a, b := levelOf(t, l, 0, "one"), l.Status(0, 0); a.InFlight != 0 || b.InFlight != 0 {
 		t.Errorf("requests left in flight: %+v, %+v", a, b)
 	}
-	if got := l.Levels(0, 10); len(got) != 2 { // contract two was never used
+	if got := l.Statuses(0, 10); len(got) != 2 { // contract two was never used
 		t.Errorf("%+v, want the states of the two used contracts", got)
 	}
 }
@@ -377,7 +377,7 @@
 	addUseRemove := func(now time.Duration, i int) Verdict {
 		applyChange(t, l, now, Change{Put: []Terms{terms(i)}})
 		v := l.Admit(now, l.table.Find(&Caller{Tenant: fmt.Sprint(i)}), "r", 0, false)
-		applyChange(t, l, now, Change{Gone: []string{fmt.Sprint("c", i)}})
+		applyChange(t, l, now, Change{Removed: []string{fmt.Sprint("c", i)}})
 		return v
 	}
 	old := addUseRemove(0, 0)
@@ -388,7 +388,7 @@
 		t.Fatalf("%d states retained, want %d without the oldest", n, maxRemoved)
 	}
 	v := addUseRemove(0, 0)
-	if v.Rule != Kept {
+	if v.Rule != Admitted {
 		t.Fatalf("a forgotten contract did not start anew: %+v", v)
 	}
 	applyChange(t, l, 0, Change{Put: []Terms{terms(0)}})
@@ -407,7 +407,7 @@
 	// After the retention period the next change discards all states, and a contract that it adds again starts anew.
 	late := removedRetention + time.Second
 	applyChange(t, l, late, Change{Put: []Terms{terms(7)}})
-	if got := l.Admit(late, l.table.Find(&Caller{Tenant: "7"}), "r", 0, false); got.Rule != Kept {
+	if got := l.Admit(late, l.table.Find(&Caller{Tenant: "7"}), "r", 0, false); got.Rule != Admitted {
 		t.Errorf("added again after %v, did not start anew: %+v", late, got)
 	}
 	if n, inOrder := len(l.removed.byName), len(l.removed.oldestFirst); n != 0 || inOrder != 0 {
@@ -428,8 +428,8 @@
 	terms := Terms{Name: "c", Rate: 0.1, Burst: 5, Matches: []Match{{Tenant: "c"}}}
 	l := NewLedger(newTable(t, terms), 0, 1)
 	l.Admit(0, 0, "r", 0, false)
-	applyChange(t, l, 0, Change{Gone: []string{"c"}})
-	l.Empty(0)
+	applyChange(t, l, 0, Change{Removed: []string{"c"}})
+	l.DropCredit(0)
 	applyChange(t, l, 0, Change{Put: []Terms{terms}})
 	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Rate {
 		t.Errorf("the contract got a second burst: %+v", got)
@@ -446,11 +446,11 @@
 			name := fmt.Sprint("c", rapid.IntRange(0, 5).Draw(rt, "name"))
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
-				l.Change(now, &Change{Gone: []string{name}})
+				l.ApplyChange(now, &Change{Removed: []string{name}})
 			case 1:
-				l.Change(now, &Change{Put: []Terms{{Name: name, Guaranteed: 1, Weight: 1, Lends: 1, Matches: []Match{{Tenant: name}}}}})
+				l.ApplyChange(now, &Change{Put: []Terms{{Name: name, Guaranteed: 1, Weight: 1, LendableShare: 1, Matches: []Match{{Tenant: name}}}}})
 			default:
-				l.Look(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
+				l.SetPressure(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
 				l.Admit(now, l.table.Find(&Caller{Tenant: name}), "r", 0.1, false)
 			}
 			seen := map[int]bool{}
@@ -484,7 +484,7 @@
 // teamTerms returns the terms of one of many similar teams.
 func teamTerms(i int, classes map[string]bool) Terms {
 	name := fmt.Sprint("team-", i)
-	return Terms{Name: name, Matches: []Match{{Tenant: name}}, Rate: 5, Burst: 10, InFlight: 20, Classes: classes, Weight: 1, Lends: 1}
+	return Terms{Name: name, Matches: []Match{{Tenant: name}}, Rate: 5, Burst: 10, InFlight: 20, Classes: classes, Weight: 1, LendableShare: 1}
 }
 
 // BenchmarkFind measures a lookup by tenant, in a table loaded from a file and in one changed in place.
@@ -524,12 +524,12 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				t := teamTerms(i%n, classes)
-				removed, added := Change{Gone: []string{t.Name}}, Change{Put: []Terms{t}}
+				removed, added := Change{Removed: []string{t.Name}}, Change{Put: []Terms{t}}
 				for _, c := range []*Change{&removed, &added} {
 					if err := l.table.Check(c); err != nil {
 						b.Fatal(err)
 					}
-					l.Change(time.Duration(i)*ms, c)
+					l.ApplyChange(time.Duration(i)*ms, c)
 				}
 			}
 		})
@@ -559,7 +559,7 @@
 // A lookup in a table changed in place must not allocate.
 func TestFindDoesNotAllocate(t *testing.T) {
 	l := newLargeLedger(t, 1000)
-	applyChange(t, l, 0, Change{Gone: []string{"team-5"}})
+	applyChange(t, l, 0, Change{Removed: []string{"team-5"}})
 	callers := []Caller{{Tenant: "team-7"}, {Tenant: "team-5"}, {Token: "x", From: netip.MustParseAddr("10.0.0.1")}}
 	i := 0
 	if n := testing.AllocsPerRun(1000, func() { l.table.Find(&callers[i%3]); i++ }); n > 0 {
@@ -572,18 +572,18 @@
 func TestContractFirstUsedAfterHandOverIsRefilled(t *testing.T) {
 	terms := Terms{Name: "c", Rate: 2, Burst: 10, Limit: 3, Bandwidth: 100, Guaranteed: 1, Matches: []Match{{Tenant: "c"}}}
 	l := NewLedger(newTable(t, terms), 0, 1)
-	l.Empty(time.Minute)
+	l.DropCredit(time.Minute)
 	terms.Name, terms.Matches = "d", []Match{{Tenant: "d"}}
 	applyChange(t, l, time.Minute, Change{Put: []Terms{terms}})
 	for i, at := range []time.Duration{time.Minute + time.Second, time.Hour} {
-		if got, want := l.Level(at, i).Tokens, []float64{2, 10}[i]; got != want {
+		if got, want := l.Status(at, i).Tokens, []float64{2, 10}[i]; got != want {
 			t.Errorf("at %v %v requests may arrive at once, want %v", at, got, want)
 		}
 	}
-	if got := l.Level(time.Hour, 1); got.Work != 3 || got.Kept != 1 || l.states[1].bytesLeft != 100 {
+	if got := l.Status(time.Hour, 1); got.Work != 3 || got.Kept != 1 || l.states[1].bytesLeft != 100 {
 		t.Errorf("budgets not refilled within their bounds: %+v", got)
 	}
-	if v := l.Admit(time.Hour, 0, "r", 0, false); v.Rule != Kept {
+	if v := l.Admit(time.Hour, 0, "r", 0, false); v.Rule != Admitted {
 		t.Errorf("request refused: %+v", v)
 	}
 }
@@ -594,7 +594,7 @@
 func TestRemovedContractStateSurvivesHandOver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 5).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 5).Draw(rt, "burst"),
-			Limit: rapid.Float64Range(0.1, 2).Draw(rt, "limit"), Bandwidth: 1000, Bounded: true, Ratio: 0.5, Window: 10 * time.Second,
+			Limit: rapid.Float64Range(0.1, 2).Draw(rt, "limit"), Bandwidth: 1000, RetriesBounded: true, RetryRatio: 0.5, RetryWindow: 10 * time.Second,
 			Matches: []Match{{Tenant: "c"}}}
 		terms.Guaranteed = terms.Limit / 2
 		reference, changed := NewLedger(newTable(t, terms), 0, 1), NewLedger(newTable(t, terms), 0, 1)
@@ -603,19 +603,19 @@
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(rt, "dt"))
 			switch step := rapid.IntRange(0, 5).Draw(rt, "step"); {
 			case step == 0 && present:
-				applyChange(t, changed, now, Change{Gone: []string{"c"}})
+				applyChange(t, changed, now, Change{Removed: []string{"c"}})
 				present = false
 			case step == 0:
 				applyChange(t, changed, now, Change{Put: []Terms{terms}})
 				present = true
 			case step == 1:
-				states := changed.Left(now)
+				states := changed.States(now)
 				changed = NewLedger(newTable(t), now, 1)
 				if present || rapid.Bool().Draw(rt, "in force at the successor") {
 					applyChange(t, changed, now, Change{Put: []Terms{terms}})
 					present = true
 				}
-				if changed.Resume(now, states, true); len(states) == 0 {
+				if changed.Restore(now, states, true); len(states) == 0 {
 					changed.emptiedAt = never // nothing was used: there is no second burst to prevent
 				}
 			case present:
@@ -625,7 +625,7 @@
 				if a.Rule != b.Rule || math.Abs(a.Cost-b.Cost) > 1e-9 || (a.RetryAfter-b.RetryAfter).Abs() > time.Microsecond {
 					rt.Fatalf("at %v: %+v, a contract that was never removed gives %+v", now, b, a)
 				}
-				if a.Rule == Kept {
+				if a.Rule == Admitted {
 					if wait := (reference.Pace(now, "c", a, 500) - changed.Pace(now, "c", b, 500)).Abs(); wait > time.Microsecond {
 						rt.Fatalf("the waits for bandwidth differ by %v", wait)
 					}
@@ -650,28 +650,28 @@
 	terms := Terms{Name: "c", Rate: 1, Burst: 5, Limit: 1, Matches: []Match{{Tenant: "c"}}}
 	predecessor := NewLedger(newTable(t, terms), 0, 1)
 	predecessor.Done(0, "c", predecessor.Admit(0, 0, "r", 0, false), 4)
-	if got := predecessor.Left(0); len(got) != 1 || got[0].Gone != nil || got[0].Work != -3 {
+	if got := predecessor.States(0); len(got) != 1 || got[0].Gone != nil || got[0].Work != -3 {
 		t.Fatalf("predecessor's state %+v, want one contract in force with a debt of 3", got)
 	}
 	for _, credit := range []bool{true, false} {
 		l := NewLedger(newTable(t), 0, 1)
-		l.Resume(0, predecessor.Left(0), credit)
+		l.Restore(0, predecessor.States(0), credit)
 		applyChange(t, l, 0, Change{Put: []Terms{terms}})
 		if got := levelOf(t, l, 0, "c"); got.Work != -3 || !credit && got.Tokens != 0 || got.Tokens > 4 {
 			t.Errorf("credit %v: %+v", credit, got)
 		}
 	}
-	removedState := func(i int, ago time.Duration) Left {
-		return Left{Name: fmt.Sprint("c", i), Work: -1, Gone: &Gone{Ago: ago, Limit: 1}}
+	removedState := func(i int, ago time.Duration) ContractState {
+		return ContractState{Name: fmt.Sprint("c", i), Work: -1, Gone: &RemovedContract{Ago: ago, Limit: 1}}
 	}
-	l, all := NewLedger(newTable(t), 0, 1), []Left{}
+	l, all := NewLedger(newTable(t), 0, 1), []ContractState{}
 	for i := range maxRemoved + 100 {
 		all = append(all, removedState(i, time.Second))
 	}
-	invalid := []Left{removedState(9001, removedRetention+1), removedState(9002, 0), removedState(9003, 0), {Name: ""}}
+	invalid := []ContractState{removedState(9001, removedRetention+1), removedState(9002, 0), removedState(9003, 0), {Name: ""}}
 	invalid[1].Gone.Limit, invalid[2].Gone.Rate = math.NaN(), -1
-	l.Resume(time.Hour, append(all, invalid...), true)
-	l.Resume(time.Hour, all[200:], true) // restored again: nothing is duplicated
+	l.Restore(time.Hour, append(all, invalid...), true)
+	l.Restore(time.Hour, all[200:], true) // restored again: nothing is duplicated
 	if n, inOrder := len(l.removed.byName), len(l.removed.oldestFirst); n != maxRemoved || inOrder != maxRemoved || l.removed.byName["c99"] != nil {
 		t.Errorf("%d states retained, %d in order", n, inOrder)
 	}
@@ -680,7 +680,7 @@
 			t.Errorf("invalid state %+v was retained", s)
 		}
 	}
-	if got := l.Left(time.Hour + removedRetention); len(got) != 0 {
+	if got := l.States(time.Hour + removedRetention); len(got) != 0 {
 		t.Errorf("%d states exported past their retention", len(got))
 	}
 }
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -52,23 +52,23 @@
 
 // Terms are the terms of a contract, for all nodes together. Zero means unlimited, except for Guaranteed.
 type Terms struct {
-	Name        string
-	Matches     []Match         // any of them selects a caller; none: the default contract, for callers that no other selects
-	Classes     map[string]bool // request classes that the contract covers; nil: all
-	Rate        float64         // requests per second
-	Burst       float64         // requests that may arrive at once
-	InFlight    int             // concurrent requests
-	Ratio       float64         // retries, and repeats marked by clients, as a fraction of first attempts
-	Window      time.Duration   // period over which the retry budget is counted
-	Floor       float64         // retries per second that are allowed regardless of RetryRatio
-	Bounded     bool            // whether the retry budget applies at all
-	Retries     map[string]bool // classes that may be retried; nil: as each class specifies
-	Guaranteed  float64         // server-seconds per second that are reserved for the contract under pressure
-	Limit       float64         // server-seconds per second that the contract never exceeds
-	Bandwidth   float64         // bytes per second through opaque tunnels, both directions together; 0: unlimited
-	Criticality Criticality
-	Weight      float64 // relative weight in the redistribution of unused quota
-	Lends       float64 // fraction of its own unused guarantee that other contracts may borrow
+	Name           string
+	Matches        []Match         // any of them selects a caller; none: the default contract, for callers that no other selects
+	Classes        map[string]bool // request classes that the contract covers; nil: all
+	Rate           float64         // requests per second
+	Burst          float64         // requests that may arrive at once
+	InFlight       int             // concurrent requests
+	RetryRatio     float64         // retries, and repeats marked by clients, as a fraction of first attempts
+	RetryWindow    time.Duration   // period over which the retry budget is counted
+	RetryFloor     float64         // retries per second that are allowed regardless of RetryRatio
+	RetriesBounded bool            // whether the retry budget applies at all
+	RetryClasses   map[string]bool // classes that may be retried; nil: as each class specifies
+	Guaranteed     float64         // server-seconds per second that are reserved for the contract under pressure
+	Limit          float64         // server-seconds per second that the contract never exceeds
+	Bandwidth      float64         // bytes per second through opaque tunnels, both directions together; 0: unlimited
+	Criticality    Criticality
+	Weight         float64 // relative weight in the redistribution of unused quota
+	LendableShare  float64 // fraction of its own unused guarantee that other contracts may borrow
 }
 
 // Check reports the first invalid term, by its name in configuration files, and why it is invalid; empty: all are valid.
@@ -77,10 +77,10 @@
 		field string
 		value float64
 		upper float64
-	}{{"rate", t.Rate, 1e9}, {"burst", t.Burst, 1e9}, {"in_flight", float64(t.InFlight), 1e9}, {"attempts.ratio", t.Ratio, 100},
-		{"attempts.floor", t.Floor, 1e9}, {"work.guaranteed", t.Guaranteed, 1e9}, {"work.limit", t.Limit, 1e9},
+	}{{"rate", t.Rate, 1e9}, {"burst", t.Burst, 1e9}, {"in_flight", float64(t.InFlight), 1e9}, {"attempts.ratio", t.RetryRatio, 100},
+		{"attempts.floor", t.RetryFloor, 1e9}, {"work.guaranteed", t.Guaranteed, 1e9}, {"work.limit", t.Limit, 1e9},
 		{"bandwidth", t.Bandwidth, 1e15},
-		{"weight", t.Weight, 1e6}, {"lends", t.Lends, 1}} {
+		{"weight", t.Weight, 1e6}, {"lends", t.LendableShare, 1}} {
 		if !(v.value >= 0 && v.value <= v.upper) {
 			return v.field, fmt.Sprintf("%v is outside 0 to %v", v.value, v.upper)
 		}
@@ -90,7 +90,7 @@
 		return "name", "missing"
 	case t.Rate > 0 && t.Burst < 1:
 		return "burst", fmt.Sprintf("%v admits no request: must be at least 1 when a rate is set", t.Burst)
-	case t.Bounded && t.Window <= 0:
+	case t.RetriesBounded && t.RetryWindow <= 0:
 		return "attempts.window", "must be longer than 0 when retries are bounded"
 	case t.Limit > 0 && t.Guaranteed > t.Limit:
 		return "work.guaranteed", fmt.Sprintf("%v exceeds work.limit, %v", t.Guaranteed, t.Limit)
@@ -102,7 +102,7 @@
 // a removed contract may be reused. A table that no Ledger changes is safe for concurrent use. A table that belongs to
 // a Ledger is changed in place by Ledger.ApplyChange and is protected by the same lock as that ledger.
 type Table struct {
-	EvenParts bool // nodes enforce even shares regardless of the traffic they see; set before the table is in use
+	EvenShares bool // nodes enforce even shares regardless of the traffic they see; set before the table is in use
 
 	terms          []Terms        // by slot; an empty name marks a free slot
 	freeSlots      []int          // slots without a contract
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -88,7 +88,7 @@
 		field string
 	}{
 		{Terms{}, "name"}, {Terms{Name: "a", Rate: -1}, "rate"}, {Terms{Name: "a", Rate: math.NaN()}, "rate"}, {Terms{Name: "a", Rate: 1}, "burst"},
-		{Terms{Name: "a", Bounded: true}, "attempts.window"}, {Terms{Name: "a", Lends: 2}, "lends"},
+		{Terms{Name: "a", RetriesBounded: true}, "attempts.window"}, {Terms{Name: "a", LendableShare: 2}, "lends"},
 		{Terms{Name: "a", Guaranteed: 3, Limit: 2}, "work.guaranteed"}, {Terms{Name: "a", Rate: 1, Burst: 1}, ""},
 	} {
 		if field, _ := c.terms.Check(); field != c.field {
@@ -107,7 +107,7 @@
 		rule  Rule
 		after time.Duration
 	}{
-		{"no limits", Terms{}, func(l *Ledger) Verdict { return admit(l, 0, true) }, Kept, 0},
+		{"no limits", Terms{}, func(l *Ledger) Verdict { return admit(l, 0, true) }, Admitted, 0},
 		{"class not covered", Terms{Classes: map[string]bool{"write": true}}, func(l *Ledger) Verdict {
 			return admit(l, 0, false)
 		}, Service, maxRetryAfter},
@@ -120,7 +120,7 @@
 			admit(l, 0, false)
 			admit(l, 0, false)
 			return admit(l, 100*ms, false)
-		}, Kept, 0},
+		}, Admitted, 0},
 		{"in-flight limit reached", Terms{InFlight: 1}, func(l *Ledger) Verdict {
 			admit(l, 0, false)
 			return admit(l, time.Hour, false)
@@ -128,15 +128,15 @@
 		{"request in flight has ended", Terms{InFlight: 1}, func(l *Ledger) Verdict {
 			l.Done(ms, "c", admit(l, 0, false), 0.1)
 			return admit(l, ms, false)
-		}, Kept, 0},
-		{"repeat without first attempts", Terms{Bounded: true, Ratio: 0.5, Window: 4 * time.Second}, func(l *Ledger) Verdict {
+		}, Admitted, 0},
+		{"repeat without first attempts", Terms{RetriesBounded: true, RetryRatio: 0.5, RetryWindow: 4 * time.Second}, func(l *Ledger) Verdict {
 			return admit(l, 0, true)
 		}, Attempts, time.Second},
-		{"repeat within the budget", Terms{Bounded: true, Ratio: 0.5, Window: 4 * time.Second}, func(l *Ledger) Verdict {
+		{"repeat within the budget", Terms{RetriesBounded: true, RetryRatio: 0.5, RetryWindow: 4 * time.Second}, func(l *Ledger) Verdict {
 			admit(l, 0, false)
 			admit(l, 0, false)
 			return admit(l, 0, true)
-		}, Kept, 0},
+		}, Admitted, 0},
 		{"cost twenty times the hint", Terms{Limit: 1}, func(l *Ledger) Verdict {
 			l.Done(0, "c", admit(l, 0, false), 2) // charged 0.1, took 2: one second of debt
 			return admit(l, 0, false)
@@ -144,11 +144,11 @@
 		{"debt repaid", Terms{Limit: 1}, func(l *Ledger) Verdict {
 			l.Done(0, "c", admit(l, 0, false), 2)
 			return admit(l, 1100*ms, false)
-		}, Kept, 0},
+		}, Admitted, 0},
 		{"debt is bounded", Terms{Limit: 1}, func(l *Ledger) Verdict {
 			l.Done(0, "c", admit(l, 0, false), 3600)
 			return admit(l, time.Duration(maxDebtSeconds*1.2*float64(time.Second)), false)
-		}, Kept, 0},
+		}, Admitted, 0},
 	} {
 		c.terms.Name = "c"
 		l := NewLedger(newTable(t, c.terms), 0, 1)
@@ -168,17 +168,17 @@
 
 // Retries are limited by the retry budget, and to the classes for which the contract allows them.
 func TestRetriesAreBoundedByBudgetAndClass(t *testing.T) {
-	l := NewLedger(newTable(t, Terms{Name: "c", Bounded: true, Ratio: 0.1, Window: time.Second, Retries: map[string]bool{"read": true}}), 0, 1)
+	l := NewLedger(newTable(t, Terms{Name: "c", RetriesBounded: true, RetryRatio: 0.1, RetryWindow: time.Second, RetryClasses: map[string]bool{"read": true}}), 0, 1)
 	for range 20 {
 		l.Admit(0, 0, "read", 0.01, false)
 	}
 	allowed := 0
 	for range 10 {
-		if l.Further(0, 0, "read") {
+		if l.AllowRetry(0, 0, "read") {
 			allowed++
 		}
 	}
-	if allowed != 2 || l.Further(0, 0, "write") {
+	if allowed != 2 || l.AllowRetry(0, 0, "write") {
 		t.Errorf("%d retries allowed for 20 first attempts, want 2, and none of class write", allowed)
 	}
 }
@@ -187,9 +187,9 @@
 // has a guarantee that it does not use at first.
 func newThreeTeamLedger(t testing.TB) *Ledger {
 	l := NewLedger(newTable(t,
-		Terms{Name: "flood", Guaranteed: 1, Weight: 1, Lends: 1, Criticality: Sheddable, Matches: []Match{{Tenant: "flood"}}},
-		Terms{Name: "calm", Guaranteed: 4, Weight: 1, Lends: 1, Criticality: High, Matches: []Match{{Tenant: "calm"}}},
-		Terms{Name: "away", Guaranteed: 5, Weight: 1, Lends: 1, Criticality: Critical, Matches: []Match{{Tenant: "away"}}}), 0, 1)
+		Terms{Name: "flood", Guaranteed: 1, Weight: 1, LendableShare: 1, Criticality: Sheddable, Matches: []Match{{Tenant: "flood"}}},
+		Terms{Name: "calm", Guaranteed: 4, Weight: 1, LendableShare: 1, Criticality: High, Matches: []Match{{Tenant: "calm"}}},
+		Terms{Name: "away", Guaranteed: 5, Weight: 1, LendableShare: 1, Criticality: Critical, Matches: []Match{{Tenant: "away"}}}), 0, 1)
 	return l
 }
 
@@ -219,10 +219,10 @@
 		if load > 10 {
 			pressure = math.Min(1, (load-10)/3)
 		}
-		l.Look(at, pressure)
+		l.SetPressure(at, pressure)
 		for i, d := range demand {
 			for due[i] += d * step.Seconds() / cost; due[i] >= 1; due[i]-- {
-				if v := l.Admit(at, i, "read", cost, false); v.Rule == Kept {
+				if v := l.Admit(at, i, "read", cost, false); v.Rule == Admitted {
 					admitted[i] += cost / span.Seconds()
 					running = append(running, struct {
 						until time.Duration
@@ -286,7 +286,7 @@
 		l.Admit(0, 0, "r", 0, false)
 	}
 	v := l.Admit(0, 1, "r", 0, false)
-	l.Swap(newTable(t, two, one)) // the contracts swap slots
+	l.ReplaceTable(newTable(t, two, one)) // the contracts swap slots
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != Rate {
 		t.Errorf("replacing the table refilled the rate: %+v", got)
 	}
@@ -294,14 +294,14 @@
 		t.Errorf("replacing the table reset the requests in flight: %+v", got)
 	}
 	l.Done(0, "two", v, 0.1)
-	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Kept {
+	if got := l.Admit(0, 0, "r", 0, false); got.Rule != Admitted {
 		t.Errorf("Done did not end the request admitted before the replacement: %+v", got)
 	}
-	l.Swap(newTable(t, one))
+	l.ReplaceTable(newTable(t, one))
 	l.Done(0, "two", v, 0.1) // its contract is removed: no effect
 	one.Burst = 1
-	l.Swap(newTable(t, one))
-	if level := l.Level(time.Hour, 0); level.Tokens > 1 {
+	l.ReplaceTable(newTable(t, one))
+	if level := l.Status(time.Hour, 0); level.Tokens > 1 {
 		t.Errorf("%v tokens left after the burst was reduced to 1", level.Tokens)
 	}
 }
@@ -315,8 +315,8 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(int64(-time.Second), int64(time.Second)).Draw(rt, "dt")) // the clock also jumps back
 			latest = max(latest, now)
-			l.Look(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
-			if v := l.Admit(now, 0, "r", 0.01, false); v.Rule == Kept {
+			l.SetPressure(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
+			if v := l.Admit(now, 0, "r", 0.01, false); v.Rule == Admitted {
 				n++
 				l.Done(now, "c", v, rapid.Float64Range(0, 3).Draw(rt, "took"))
 			}
@@ -334,7 +334,7 @@
 		n := rapid.IntRange(2, 6).Draw(rt, "teams")
 		var terms []Terms
 		for i := range n {
-			terms = append(terms, Terms{Name: fmt.Sprint(i), Guaranteed: rapid.Float64Range(0, 5).Draw(rt, "g"), Limit: 6, Lends: 1,
+			terms = append(terms, Terms{Name: fmt.Sprint(i), Guaranteed: rapid.Float64Range(0, 5).Draw(rt, "g"), Limit: 6, LendableShare: 1,
 				Weight: rapid.Float64Range(0, 3).Draw(rt, "w"), Criticality: Criticality(i % 4), Matches: []Match{{Tenant: fmt.Sprint(i)}}})
 		}
 		l := NewLedger(newTable(t, terms...), 0, 1)
@@ -342,7 +342,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(10, 200).Draw(rt, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(60*ms)).Draw(rt, "dt"))
-			l.Look(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
+			l.SetPressure(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
 			if !math.IsInf(l.allowedWork, 1) {
 				lent := 0.0
 				for _, s := range l.states {
@@ -354,7 +354,7 @@
 					rt.Fatalf("contracts may borrow %.3f, more than the allowed work %.3f", lent, l.allowedWork)
 				}
 			}
-			if v := l.Admit(now, rapid.IntRange(0, n-1).Draw(rt, "contract"), "r", rapid.Float64Range(0, 1).Draw(rt, "hint"), false); v.Rule == Kept {
+			if v := l.Admit(now, rapid.IntRange(0, n-1).Draw(rt, "contract"), "r", rapid.Float64Range(0, 1).Draw(rt, "hint"), false); v.Rule == Admitted {
 				open = append(open, v)
 			}
 			if len(open) > 0 && rapid.Bool().Draw(rt, "end") {
@@ -366,7 +366,7 @@
 			l.Done(now, fmt.Sprint(v.Contract), v, 0.1)
 		}
 		for i := range n {
-			level := l.Level(now, i)
+			level := l.Status(now, i)
 			if level.InFlight != 0 || level.Work > 6+1e-9 || level.Kept > terms[i].Guaranteed*guaranteeCarryOver.Seconds()+1e-9 {
 				rt.Fatalf("after all requests ended: %+v", level)
 			}
@@ -379,8 +379,8 @@
 	var terms []Terms
 	for i := range 10000 {
 		name := fmt.Sprint("team-", i)
-		terms = append(terms, Terms{Name: name, Matches: []Match{{Tenant: name}}, Rate: 1e6, Burst: 1e6, InFlight: 1e6, Bounded: true,
-			Ratio: 0.2, Window: 10 * time.Second, Guaranteed: 0.01, Limit: 1e6, Weight: 1, Lends: 1})
+		terms = append(terms, Terms{Name: name, Matches: []Match{{Tenant: name}}, Rate: 1e6, Burst: 1e6, InFlight: 1e6, RetriesBounded: true,
+			RetryRatio: 0.2, RetryWindow: 10 * time.Second, Guaranteed: 0.01, Limit: 1e6, Weight: 1, LendableShare: 1})
 	}
 	var callers []Caller
 	for i := range 50 {
@@ -400,7 +400,7 @@
 		c := &callers[i%len(callers)]
 		k := l.table.Find(c)
 		v := l.Admit(now, k, "read", 0.01, false)
-		if v.Rule == Kept {
+		if v.Rule == Admitted {
 			l.Done(now, l.table.terms[k].Name, v, 0.01)
 		}
 	}
@@ -422,9 +422,9 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 20 * time.Microsecond
-		l.Look(now, 0.1)
+		l.SetPressure(now, 0.1)
 		k := l.table.Find(&callers[i%len(callers)])
-		if v := l.Admit(now, k, "read", 0.01, i%10 == 0); v.Rule == Kept {
+		if v := l.Admit(now, k, "read", 0.01, i%10 == 0); v.Rule == Admitted {
 			l.Done(now, l.table.terms[k].Name, v, 0.01)
 		}
 	}
@@ -461,9 +461,9 @@
 	settle := func(tb *Table, seen float64) float64 {
 		l := NewLedger(tb, 0, 0.25)
 		for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
-			l.Share(now, seen)
+			l.SetTrafficShare(now, seen)
 		}
-		return l.Part()
+		return l.NodeShare()
 	}
 	tb := newTable(t, Terms{Name: "c", Rate: 10, Burst: 8})
 	for _, c := range []struct{ seen, want float64 }{{0.8, 0.8}, {0.01, 0.0625}, {7, 1}, {math.NaN(), 0.25}} {
@@ -472,19 +472,19 @@
 		}
 	}
 	fixed := newTable(t, Terms{Name: "c", Rate: 10, Burst: 8})
-	fixed.EvenParts = true
+	fixed.EvenShares = true
 	if got := settle(fixed, 0.9); got != 0.25 {
 		t.Errorf("with even shares the node enforces %g, want 0.25", got)
 	}
 	first, successor := NewLedger(tb, 0, 1), NewLedger(tb, 0, 1)
-	successor.Empty(0)
-	if v := first.Admit(0, 0, "", 0, false); v.Rule != Kept {
+	successor.DropCredit(0)
+	if v := first.Admit(0, 0, "", 0, false); v.Rule != Admitted {
 		t.Errorf("new ledger: rule %q, want the request admitted", v.Rule)
 	}
 	if v := successor.Admit(0, 0, "", 0, false); v.Rule != Rate || v.RetryAfter != 100*time.Millisecond {
 		t.Errorf("successor: rule %q, retry after %s, want rate after 100ms", v.Rule, v.RetryAfter)
 	}
-	if v := successor.Admit(100*time.Millisecond, 0, "", 0, false); v.Rule != Kept {
+	if v := successor.Admit(100*time.Millisecond, 0, "", 0, false); v.Rule != Admitted {
 		t.Errorf("successor after 100ms: rule %q, want the request admitted", v.Rule)
 	}
 }
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -11,7 +11,7 @@
 
 const (
 	// Admitted means that no rule refused the request.
-	Kept Rule = ""
+	Admitted Rule = ""
 	// None: no contract is for this caller.
 	None Rule = "none"
 	// Service: the contract does not cover the request's class.
@@ -49,7 +49,7 @@
 type Verdict struct {
 	Rule       Rule          // the rule that refused the request, or Admitted
 	Contract   int           // slot of the contract; -1: none
-	Borrowed   bool          // admitted on quota that other contracts leave unused, so it is shed first
+	OverQuota  bool          // admitted on quota that other contracts leave unused, so it is shed first
 	RetryAfter time.Duration // of a refusal: when a repeat may be admitted
 	Cost       float64       // server-seconds charged on admission
 
@@ -158,16 +158,16 @@
 }
 
 // ContractState is what a contract has left, for a successor process. It is stored under its Go field names.
-type Left struct {
+type ContractState struct {
 	Name                      string
-	Tokens, Work, Bytes, Kept float64 // left of the rate, the work limit, the bandwidth and the guarantee; negative: debt
-	Firsts, Furthers          float64 // first attempts; retries and client repeats
-	Cost, Demand              float64 // mean cost of a request; smoothed demand
-	Gone                      *Gone   `cbor:",omitempty"` // nil: the contract is in force
+	Tokens, Work, Bytes, Kept float64          // left of the rate, the work limit, the bandwidth and the guarantee; negative: debt
+	Firsts, Furthers          float64          // first attempts; retries and client repeats
+	Cost, Demand              float64          // mean cost of a request; smoothed demand
+	Gone                      *RemovedContract `cbor:",omitempty"` // nil: the contract is in force
 }
 
 // States returns the state of all contracts that have been used, followed by that of removed ones, the oldest first.
-func (l *Ledger) Left(now time.Duration) (all []Left) {
+func (l *Ledger) States(now time.Duration) (all []ContractState) {
 	now = l.monotonic(now)
 	for i, s := range l.states {
 		if s != nil {
@@ -179,17 +179,17 @@
 }
 
 // export returns the state for a successor process.
-func (s *state) export(name string) Left {
-	return Left{Name: name, Tokens: s.rateTokens, Work: s.workLeft, Bytes: s.bytesLeft, Kept: s.guaranteeLeft,
+func (s *state) export(name string) ContractState {
+	return ContractState{Name: name, Tokens: s.rateTokens, Work: s.workLeft, Bytes: s.bytesLeft, Kept: s.guaranteeLeft,
 		Firsts: s.firstAttempts, Furthers: s.retries, Cost: s.meanCost, Demand: s.demand}
 }
 
 // Restore continues from the state of another process. Without credit only debts are restored, as that process may have
 // spent budget since the state was taken. Contracts that the state does not name start empty, so that none gets a
 // second burst. The state of a contract that is not in force here is retained as that of a removed one.
-func (l *Ledger) Resume(now time.Duration, states []Left, credit bool) {
+func (l *Ledger) Restore(now time.Duration, states []ContractState, credit bool) {
 	now = l.monotonic(now)
-	l.Empty(now)
+	l.DropCredit(now)
 	for k := range states {
 		exported := &states[k]
 		if i, known := l.table.slotByName[exported.Name]; known {
@@ -204,7 +204,7 @@
 }
 
 // restoreState sets the budgets of one contract, limited to its terms here.
-func (l *Ledger) restoreState(c *Terms, s *state, exported *Left, credit bool) {
+func (l *Ledger) restoreState(c *Terms, s *state, exported *ContractState, credit bool) {
 	atMost := func(v, upper float64) float64 {
 		if !credit {
 			upper = 0
@@ -219,7 +219,7 @@
 
 // DropCredit removes all unused budget, as another process has it now or had it before. Contracts that have not been
 // used yet start empty and refill from now on, so that a hand-over gives no contract a second burst.
-func (l *Ledger) Empty(now time.Duration) {
+func (l *Ledger) DropCredit(now time.Duration) {
 	l.emptiedAt = l.monotonic(now)
 	for i, s := range l.states {
 		if s != nil {
@@ -241,7 +241,7 @@
 
 // SetProcessShare sets the fraction of this node's share that this process enforces, while another process of the node
 // enforces the rest; 1: all of it.
-func (l *Ledger) Portion(share float64) {
+func (l *Ledger) SetProcessShare(share float64) {
 	f := share / l.processShare
 	l.evenShare, l.nodeShare, l.processShare = l.evenShare*f, l.nodeShare*f, share
 }
@@ -251,7 +251,7 @@
 
 // ReplaceTable puts a new table in force. Contracts keep their state by name; the state of removed ones is dropped.
 // Requests in flight end by Done with the contract's name and the verdict that they were admitted with.
-func (l *Ledger) Swap(t *Table) {
+func (l *Ledger) ReplaceTable(t *Table) {
 	old := map[string]*state{}
 	for i, s := range l.states {
 		if s != nil {
@@ -273,10 +273,10 @@
 
 // SetTrafficShare moves the share of the contracts that this node enforces towards its observed share of all traffic.
 // It follows within a few seconds, and stays between a quarter of the even share and the whole.
-func (l *Ledger) Share(now time.Duration, share float64) {
+func (l *Ledger) SetTrafficShare(now time.Duration, share float64) {
 	now = l.monotonic(now)
 	dt := (now - l.shareUpdated).Seconds()
-	if l.table.EvenParts {
+	if l.table.EvenShares {
 		share = l.evenShare / l.processShare
 	}
 	if !(share >= 0) || dt < tickInterval.Seconds() {
@@ -288,7 +288,7 @@
 }
 
 // NodeShare returns the share of the contracts that this process of the node currently enforces.
-func (l *Ledger) Part() float64 { return l.nodeShare }
+func (l *Ledger) NodeShare() float64 { return l.nodeShare }
 
 // burst returns how many requests of a contract this node admits at once: at least one, however small its share.
 func (l *Ledger) burst(c *Terms) float64 { return max(1, c.Burst*l.nodeShare) }
@@ -322,8 +322,8 @@
 		}
 		s.guaranteeLeft = min(max(g*guaranteeCarryOver.Seconds(), min(s.guaranteeLeft, 0)), s.guaranteeLeft+g*dt)
 		s.borrowedLeft = min(s.borrowRate*2*tickInterval.Seconds(), s.borrowedLeft+s.borrowRate*dt)
-		if c.Window > 0 {
-			f := math.Exp(-dt / c.Window.Seconds())
+		if c.RetryWindow > 0 {
+			f := math.Exp(-dt / c.RetryWindow.Seconds())
 			s.firstAttempts, s.retries = s.firstAttempts*f, s.retries*f
 		}
 	}
@@ -353,10 +353,10 @@
 	}
 	cost := s.expectedCost(hint)
 	s.requestedWork += cost
-	if v.Rule, v.RetryAfter = l.checkTerms(c, s, class, repeat); v.Rule == Kept {
-		v.Borrowed, v.Rule, v.RetryAfter = l.checkFleet(c, s)
+	if v.Rule, v.RetryAfter = l.checkTerms(c, s, class, repeat); v.Rule == Admitted {
+		v.OverQuota, v.Rule, v.RetryAfter = l.checkFleet(c, s)
 	}
-	if v.Rule != Kept {
+	if v.Rule != Admitted {
 		s.refused[slices.Index(Rules, v.Rule)]++
 		v.RetryAfter = min(v.RetryAfter, maxRetryAfter)
 		return v
@@ -373,7 +373,7 @@
 		s.firstAttempts++
 	}
 	s.workLeft -= cost
-	if v.Borrowed {
+	if v.OverQuota {
 		s.borrowedLeft -= cost
 	} else {
 		s.guaranteeLeft -= cost
@@ -403,12 +403,12 @@
 		return Rate, waitDuration((1 - s.rateTokens) / (c.Rate * l.nodeShare))
 	case c.InFlight > 0 && float64(s.inFlight) >= max(1, float64(c.InFlight)*l.nodeShare):
 		return InFlight, waitDuration(max(minCost, s.meanCost)) // about when a request in flight ends
-	case repeat && c.Bounded && !l.retryWithinBudget(c, s):
-		return Attempts, waitDuration(c.Window.Seconds() / 4)
+	case repeat && c.RetriesBounded && !l.retryWithinBudget(c, s):
+		return Attempts, waitDuration(c.RetryWindow.Seconds() / 4)
 	case c.Limit > 0 && s.workLeft <= 0:
 		return Work, waitDuration(-s.workLeft/(c.Limit*l.nodeShare) + minCost)
 	}
-	return Kept, 0
+	return Admitted, 0
 }
 
 // checkFleet applies the limit on the allowed work. Without pressure everything is admitted; under pressure only what is
@@ -416,11 +416,11 @@
 func (l *Ledger) checkFleet(c *Terms, s *state) (overQuota bool, rule Rule, retryAfter time.Duration) {
 	switch {
 	case math.IsInf(l.allowedWork, 1):
-		return false, Kept, 0
+		return false, Admitted, 0
 	case s.guaranteeLeft > 0: // this may leave a debt of one request, which the refill repays
-		return false, Kept, 0
+		return false, Admitted, 0
 	case s.borrowedLeft > 0:
-		return true, Kept, 0
+		return true, Admitted, 0
 	}
 	l.lastRefusal = l.latest
 	retryIn := math.Inf(1)
@@ -440,20 +440,20 @@
 
 // retryWithinBudget reports whether the retry budget allows one more retry or client repeat.
 func (l *Ledger) retryWithinBudget(c *Terms, s *state) bool {
-	return s.retries+1 <= c.Ratio*s.firstAttempts+c.Floor*l.nodeShare*c.Window.Seconds()
+	return s.retries+1 <= c.RetryRatio*s.firstAttempts+c.RetryFloor*l.nodeShare*c.RetryWindow.Seconds()
 }
 
 // AllowRetry reports whether a request of a contract may be retried, and charges the retry if so. It is to be called only
 // after the policy has decided that the class allows the retry.
-func (l *Ledger) Further(now time.Duration, contract int, class string) bool {
+func (l *Ledger) AllowRetry(now time.Duration, contract int, class string) bool {
 	if contract < 0 || contract >= len(l.states) {
 		return true
 	}
 	c, s := l.refilled(contract, l.monotonic(now))
-	if c.Retries != nil && !c.Retries[class] {
+	if c.RetryClasses != nil && !c.RetryClasses[class] {
 		return false
 	}
-	if !c.Bounded {
+	if !c.RetriesBounded {
 		return true
 	}
 	if !l.retryWithinBudget(c, s) {
@@ -513,7 +513,7 @@
 	}
 	excess := took - v.Cost
 	s.workLeft = min(c.Limit*l.nodeShare, max(s.workLeft-excess, -maxDebtSeconds*c.Limit*l.nodeShare))
-	if v.Borrowed {
+	if v.OverQuota {
 		s.borrowedLeft = min(s.borrowedLeft-excess, s.borrowRate*2*tickInterval.Seconds())
 	} else if g := c.Guaranteed * l.nodeShare; g > 0 {
 		s.guaranteeLeft = min(g*guaranteeCarryOver.Seconds(), max(s.guaranteeLeft-excess, -maxDebtSeconds*g))
@@ -524,7 +524,7 @@
 // SetPressure updates the pressure that the node observes on the fleet, from 0 (none) to 1, and recomputes the allowed
 // work and the redistribution of unused quota. It must be called at least every 50 ms while requests arrive; extra calls
 // are cheap.
-func (l *Ledger) Look(now time.Duration, pressure float64) {
+func (l *Ledger) SetPressure(now time.Duration, pressure float64) {
 	now = l.monotonic(now)
 	dt := (now - l.lastTick).Seconds()
 	if dt < tickInterval.Seconds() {
@@ -604,7 +604,7 @@
 	}
 	for _, i := range l.active { // unused guarantees may be lent, except for the fraction that their owners reserve
 		c, s := &l.table.terms[i], l.states[i]
-		remaining -= (1 - c.Lends) * max(0, c.Guaranteed*l.nodeShare-s.demand)
+		remaining -= (1 - c.LendableShare) * max(0, c.Guaranteed*l.nodeShare-s.demand)
 	}
 	remaining = max(0, remaining) * maxLendableShare
 	for open := slices.Clone(l.active); len(open) > 0 && remaining > 1e-9; {
@@ -637,67 +637,67 @@
 func (l *Ledger) weight(i int) float64 { return max(1e-6, l.table.terms[i].Weight) }
 
 // Status is the current state of a contract at this node, for operators.
-type Level struct {
-	Name       string  `json:"name"`
-	Active     bool    `json:"active"`
-	InFlight   int     `json:"in_flight"`
-	Tokens     float64 `json:"rate_tokens"`    // requests left of the rate
-	Work       float64 `json:"work_left"`      // server-seconds left of the work limit
-	Kept       float64 `json:"guarantee_left"` // server-seconds left of the guarantee
-	Share      float64 `json:"may_borrow"`     // server-seconds per second that it may borrow
-	Demand     float64 `json:"demand"`         // smoothed server-seconds per second requested
-	Firsts     float64 `json:"first_tries"`    // first attempts, decayed over the retry window
-	Furthers   float64 `json:"further_tries"`  // retries and client repeats, decayed over the retry window
-	MeanCost   float64 `json:"mean_cost_s"`
-	Admitted   uint64  `json:"admitted"`
-	RefusedBy  []Count `json:"refused"`
-	Guaranteed float64 `json:"guaranteed"`
+type Status struct {
+	Name       string         `json:"name"`
+	Active     bool           `json:"active"`
+	InFlight   int            `json:"in_flight"`
+	Tokens     float64        `json:"rate_tokens"`    // requests left of the rate
+	Work       float64        `json:"work_left"`      // server-seconds left of the work limit
+	Kept       float64        `json:"guarantee_left"` // server-seconds left of the guarantee
+	Share      float64        `json:"may_borrow"`     // server-seconds per second that it may borrow
+	Demand     float64        `json:"demand"`         // smoothed server-seconds per second requested
+	Firsts     float64        `json:"first_tries"`    // first attempts, decayed over the retry window
+	Furthers   float64        `json:"further_tries"`  // retries and client repeats, decayed over the retry window
+	MeanCost   float64        `json:"mean_cost_s"`
+	Admitted   uint64         `json:"admitted"`
+	RefusedBy  []RefusalCount `json:"refused"`
+	Guaranteed float64        `json:"guaranteed"`
 }
 
 // RefusalCount is the number of requests that a rule has refused.
-type Count struct {
+type RefusalCount struct {
 	Rule Rule   `json:"rule"`
 	N    uint64 `json:"n"`
 }
 
 // Status returns the current state of the contract in slot i.
-func (l *Ledger) Level(now time.Duration, i int) Level {
+func (l *Ledger) Status(now time.Duration, i int) Status {
 	c, s := l.refilled(i, l.monotonic(now))
-	v := Level{Name: c.Name, Active: s.active, InFlight: s.inFlight, Tokens: s.rateTokens, Work: s.workLeft, Kept: s.guaranteeLeft,
+	v := Status{Name: c.Name, Active: s.active, InFlight: s.inFlight, Tokens: s.rateTokens, Work: s.workLeft, Kept: s.guaranteeLeft,
 		Share: s.borrowRate, Demand: s.demand, Firsts: s.firstAttempts, Furthers: s.retries, MeanCost: s.meanCost,
 		Admitted: s.admitted, Guaranteed: c.Guaranteed * l.nodeShare}
 	for k, n := range s.refused {
 		if n > 0 {
-			v.RefusedBy = append(v.RefusedBy, Count{Rules[k], n})
+			v.RefusedBy = append(v.RefusedBy, RefusalCount{Rules[k], n})
 		}
 	}
 	return v
 }
 
 // AllowedWork returns the server-seconds per second that all contracts may use together; infinite without pressure.
-func (l *Ledger) Allowed() float64 { return l.allowedWork }
+func (l *Ledger) AllowedWork() float64 { return l.allowedWork }
 
 // WorkInUse returns the smoothed server-seconds per second that all contracts use.
-func (l *Ledger) InUse() float64 { return l.workInUse }
+func (l *Ledger) WorkInUse() float64 { return l.workInUse }
 
 // Statuses returns the state of contracts that have been used, at most limit of them.
-func (l *Ledger) Levels(now time.Duration, limit int) []Level {
-	var all []Level
+func (l *Ledger) Statuses(now time.Duration, limit int) []Status {
+	var all []Status
 	for i, s := range l.states {
 		if s != nil && len(all) < limit {
-			all = append(all, l.Level(now, i))
+			all = append(all, l.Status(now, i))
 		}
 	}
 	return all
 }
 
 // Preview returns the verdict that Admit would return, without charging anything.
-func (l *Ledger) Try(now time.Duration, contract int, class string, repeat bool) Verdict {
+func (l *Ledger) Preview(now time.Duration, contract int, class string, repeat bool) Verdict {
 	c, s := l.refilled(contract, l.monotonic(now))
 	v := Verdict{Contract: contract}
-	if v.Rule, v.RetryAfter = l.checkTerms(c, s, class, repeat); v.Rule == Kept {
+	if v.Rule, v.RetryAfter = l.checkTerms(c, s, class, repeat); v.Rule == Admitted {
 		lastRefusal := l.lastRefusal
-		v.Borrowed, v.Rule, v.RetryAfter = l.checkFleet(c, s)
+		v.OverQuota, v.Rule, v.RetryAfter = l.checkFleet(c, s)
 		l.lastRefusal = lastRefusal // a preview does not count as a refusal
 	}
 	return v
--- a/internal/control/callers.go
+++ b/internal/control/callers.go
@@ -147,7 +147,7 @@
 // Status is a summary of a VersionStore for operators.
 type Status struct {
 	Version         resource.Version
-	Sum             resource.Sum
+	Sum             resource.Checksum
 	AppliedAt       time.Duration    // Unix time at which the version was applied
 	Resources       int              // resources in force
 	Deltas          int              // deltas that are retained
@@ -184,7 +184,7 @@
 // Status summarizes the store and its callers.
 func (vs *VersionStore) Status(now time.Duration) Status {
 	vs.forgetSilent(now)
-	s := Status{Version: vs.set.Version(), Sum: vs.set.Sum(), AppliedAt: vs.appliedAt,
+	s := Status{Version: vs.set.Version(), Sum: vs.set.Checksum(), AppliedAt: vs.appliedAt,
 		Resources: vs.set.Len(), Deltas: vs.history.Len(), Watches: vs.watchCount, SnapshotsSent: vs.snapshotsSent,
 		Ahead: vs.ahead, Callers: vs.callerCount}
 	counts := map[resource.Version]int{}
@@ -225,7 +225,7 @@
 		return 0
 	}
 	since := vs.appliedAt
-	if at, ok := vs.history.Left(c.version); ok {
+	if at, ok := vs.history.BehindSince(c.version); ok {
 		since = at
 	}
 	return max(now-since, 1)
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -41,5 +41,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return follow.Counted(c, &l.counters.bytesIn, &l.counters.bytesOut), nil
+	return follow.NewCountingConn(c, &l.counters.bytesIn, &l.counters.bytesOut), nil
 }
--- a/internal/control/follow/body.go
+++ b/internal/control/follow/body.go
@@ -14,7 +14,7 @@
 	maxChunk = 64 << 10
 )
 
-var errTooLong = fmt.Errorf("the response is over %d bytes", resource.MaxAnswer)
+var errTooLong = fmt.Errorf("the response is over %d bytes", resource.MaxResponse)
 
 // bufferedBody is a received body as it was sent over the network. It is read once, and chunks that were read are freed. It is not
 // safe for concurrent use.
@@ -27,7 +27,7 @@
 // not that of decoding on a busy processor. It buffers at most resource.MaxResponse bytes and returns errTooLong beyond them;
 // other errors are those of the connection.
 func readBody(ctx context.Context, body io.Reader) (*bufferedBody, error) {
-	b, limited := &bufferedBody{ctx: ctx}, &limitedReader{body, resource.MaxAnswer}
+	b, limited := &bufferedBody{ctx: ctx}, &limitedReader{body, resource.MaxResponse}
 	for size := minChunk; ; size = min(2*size, maxChunk) {
 		chunk := make([]byte, 0, size)
 		for len(chunk) < size {
--- a/internal/control/follow/body_test.go
+++ b/internal/control/follow/body_test.go
@@ -71,13 +71,13 @@
 			decodes := 0
 			client.decode = func(r io.Reader) (*resource.Delta, error) {
 				decodes++
-				return decode(newHookReader(r, func() { clock.advance(2 * resource.BodyLimit(-1)) }))
+				return decode(newHookReader(r, func() { clock.advance(2 * resource.BodyTimeout(-1)) }))
 			}
 			d, err := client.Get(t.Context(), addr, &query)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(d.Put) != 3000 || calls.Load() != 1 || decodes != 1 || status.Read().Answers != 1 {
+			if len(d.Put) != 3000 || calls.Load() != 1 || decodes != 1 || status.Read().Responses != 1 {
 				t.Errorf("%d resources of %d calls, decoded %d times; %+v", len(d.Put), calls.Load(), decodes, status.Read())
 			}
 		})
@@ -102,7 +102,7 @@
 func TestReadBodyReturnsAllBytesAndFreesChunks(t *testing.T) {
 	t.Parallel()
 	broken := errors.New("broken")
-	for _, size := range []int{0, 1, minChunk - 1, minChunk, minChunk + 1, 10*maxChunk + 7, resource.MaxAnswer - 1, resource.MaxAnswer} {
+	for _, size := range []int{0, 1, minChunk - 1, minChunk, minChunk + 1, 10*maxChunk + 7, resource.MaxResponse - 1, resource.MaxResponse} {
 		text := bytes.Repeat([]byte("0123456789abcdef!"), size/17+1)[:size]
 		body, err := readBody(t.Context(), iotest.HalfReader(bytes.NewReader(text)))
 		if err != nil {
@@ -126,7 +126,7 @@
 			t.Errorf("%d bytes, then an error: %v", size, err)
 		}
 	}
-	if _, err := readBody(t.Context(), &endlessReader{t, resource.MaxAnswer + 1}); !errors.Is(err, errTooLong) {
+	if _, err := readBody(t.Context(), &endlessReader{t, resource.MaxResponse + 1}); !errors.Is(err, errTooLong) {
 		t.Errorf("endless body: %v", err)
 	}
 }
--- a/internal/control/follow/client.go
+++ b/internal/control/follow/client.go
@@ -32,28 +32,28 @@
 )
 
 // FailureKind is the way in which a call failed.
-type Kind string
+type FailureKind string
 
 // The kinds of failures.
 const (
-	Unreachable Kind = "unreachable" // no connection, or it broke before a response began
-	Silent      Kind = "silent"      // no response within the call's timeout
-	Broken      Kind = "broken"      // a response ended early, or did not end within its time
-	TooLong     Kind = "too_long"    // the response's JSON is too long
-	Malformed   Kind = "malformed"   // the response is malformed
-	Behind      Kind = "behind"      // status 409: the control process does not have the caller's version
-	Full        Kind = "full"        // status 503: the process has too many watches, no configuration of its own, or is shutting down
-	OtherStatus Kind = "status"      // another status than these
-	Unfit       Kind = "unfit"       // a well-formed response that does not match the content in force
-	Refused     Kind = "refused"     // the change was checked and refused
+	Unreachable FailureKind = "unreachable" // no connection, or it broke before a response began
+	Silent      FailureKind = "silent"      // no response within the call's timeout
+	Broken      FailureKind = "broken"      // a response ended early, or did not end within its time
+	TooLong     FailureKind = "too_long"    // the response's JSON is too long
+	Malformed   FailureKind = "malformed"   // the response is malformed
+	Behind      FailureKind = "behind"      // status 409: the control process does not have the caller's version
+	Full        FailureKind = "full"        // status 503: the process has too many watches, no configuration of its own, or is shutting down
+	OtherStatus FailureKind = "status"      // another status than these
+	Unfit       FailureKind = "unfit"       // a well-formed response that does not match the content in force
+	Refused     FailureKind = "refused"     // the change was checked and refused
 )
 
 // kinds are all kinds of failures, in the order in which they are counted.
-var kinds = [...]Kind{Unreachable, Silent, Broken, TooLong, Malformed, Behind, Full, OtherStatus, Unfit, Refused}
+var kinds = [...]FailureKind{Unreachable, Silent, Broken, TooLong, Malformed, Behind, Full, OtherStatus, Unfit, Refused}
 
 // CallError is the error of a failed call.
 type CallError struct {
-	Kind   Kind
+	Kind   FailureKind
 	Source string // host:port
 	Err    error
 
@@ -70,12 +70,12 @@
 
 // Query holds the parameters of a call to a control process.
 type Query struct {
-	Process     string           // a mark by which control tells processes of one name apart; empty: none
-	Since       resource.Version // the version held; zero: request a snapshot
-	Sum         resource.Sum     // of the content held at Since
-	Refused     resource.Version // the version last refused; zero: none
-	Why         string           // of the refusal
-	Wait, Limit time.Duration    // how long the response may be held back, and by when it must have begun
+	Process       string            // a mark by which control tells processes of one name apart; empty: none
+	Since         resource.Version  // the version held; zero: request a snapshot
+	Checksum      resource.Checksum // of the content held at Since
+	Refused       resource.Version  // the version last refused; zero: none
+	Reason        string            // of the refusal
+	Wait, Timeout time.Duration     // how long the response may be held back, and by when it must have begun
 }
 
 // url returns the URL of the call.
@@ -85,7 +85,7 @@
 		v.Set("process", q.Process)
 	}
 	if !q.Since.IsZero() {
-		checksum, _ := q.Sum.MarshalText()
+		checksum, _ := q.Checksum.MarshalText()
 		v.Set("since", q.Since.String())
 		v.Set("sum", string(checksum))
 	}
@@ -94,7 +94,7 @@
 	}
 	if !q.Refused.IsZero() {
 		v.Set("refused", q.Refused.String())
-		v.Set("why", strings.ToValidUTF8(q.Why[:min(len(q.Why), resource.MaxWhy)], ""))
+		v.Set("why", strings.ToValidUTF8(q.Reason[:min(len(q.Reason), resource.MaxReason)], ""))
 	}
 	return (&url.URL{Scheme: "http", Host: source, Path: "/v1/resources", RawQuery: v.Encode()}).String()
 }
@@ -125,7 +125,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return Counted(c, &status.bytesIn, &status.bytesOut), nil
+				return NewCountingConn(c, &status.bytesIn, &status.bytesOut), nil
 			},
 		}}}
 }
@@ -154,8 +154,8 @@
 	defer context.AfterFunc(parent, cancel)()
 	end := &deadline{clock: c.clock, cancel: cancel}
 	defer end.disarm()
-	end.set(q.Limit, Silent)
-	fail := func(kind Kind, err error) *CallError {
+	end.set(q.Timeout, Silent)
+	fail := func(kind FailureKind, err error) *CallError {
 		cancel()
 		if expired := end.expiredKind(); expired != "" {
 			kind = expired
@@ -178,7 +178,7 @@
 		return nil, fail(kind, errors.Unwrap(err)) // without the URL, which is long
 	}
 	defer resp.Body.Close()
-	end.set(resource.BodyLimit(resp.ContentLength), Broken)
+	end.set(resource.BodyTimeout(resp.ContentLength), Broken)
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 		kind, after := OtherStatus, time.Duration(0)
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.decode(&limitedReader{z, resource.MaxAnswer})
+	return c.decode(&limitedReader{z, resource.MaxResponse})
 }
 
 // deadline cancels a call when its time is over. It works with a clock whose timers can't be stopped.
@@ -235,9 +235,9 @@
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
-	generation int  // of the timer that is in effect
-	expired    Kind // of the deadline that passed; empty: none yet
-	started    bool // the response has begun
+	generation int         // of the timer that is in effect
+	expired    FailureKind // of the deadline that passed; empty: none yet
+	started    bool        // the response has begun
 }
 
 // responseStarted sets the deadline of the response's head at its first byte.
@@ -251,14 +251,14 @@
 }
 
 // set replaces the deadline.
-func (d *deadline) set(in time.Duration, kind Kind) {
+func (d *deadline) set(in time.Duration, kind FailureKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.setLocked(in, kind)
 }
 
 // setLocked is set with the lock held.
-func (d *deadline) setLocked(in time.Duration, kind Kind) {
+func (d *deadline) setLocked(in time.Duration, kind FailureKind) {
 	if d.expired != "" {
 		return
 	}
@@ -282,7 +282,7 @@
 }
 
 // expiredKind returns the kind of the deadline that passed; empty: none.
-func (d *deadline) expiredKind() Kind {
+func (d *deadline) expiredKind() FailureKind {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.expired
@@ -296,7 +296,7 @@
 }
 
 // NewCountingConn returns a connection that adds the bytes read and written to the given counters.
-func Counted(c net.Conn, in, out *atomic.Int64) net.Conn { return &countingConn{c, in, out} }
+func NewCountingConn(c net.Conn, in, out *atomic.Int64) net.Conn { return &countingConn{c, in, out} }
 
 // countingConn is a connection that counts its bytes.
 type countingConn struct {
--- a/internal/control/follow/client_test.go
+++ b/internal/control/follow/client_test.go
@@ -155,7 +155,7 @@
 	return c, s
 }
 
-var query = Query{Since: resource.Version{Epoch: 5, Number: 1}, Sum: 0xff, Wait: 12 * time.Second, Limit: 14 * time.Second}
+var query = Query{Since: resource.Version{Epoch: 5, Number: 1}, Checksum: 0xff, Wait: 12 * time.Second, Timeout: 14 * time.Second}
 
 // A call sends its query and decodes the response, plain or compressed. Bytes are counted as they are on the wire.
 func TestGetSendsQueryAndDecodesResponse(t *testing.T) {
@@ -175,14 +175,14 @@
 			})
 			client, status := newClient(t, newTestClock())
 			q := query
-			q.Refused, q.Why = resource.Version{Epoch: 5, Number: 2}, "contract \"a\": rate: "+strings.Repeat("é", resource.MaxWhy)
+			q.Refused, q.Reason = resource.Version{Epoch: 5, Number: 2}, "contract \"a\": rate: "+strings.Repeat("é", resource.MaxReason)
 			d, err := client.Get(t.Context(), addr, &q)
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := resource.Delta{From: resource.Version{Epoch: 5, Number: 1}, To: resource.Version{Epoch: 5, Number: 2}, Sum: 0xab,
-				Put:  []resource.Resource{{Key: resource.Key{Kind: resource.Contract, Name: "a"}, Spec: json.RawMessage(`{"rate":1}`)}},
-				Gone: []resource.Key{{Kind: resource.Route, Name: "h:1"}}}
+			want := resource.Delta{From: resource.Version{Epoch: 5, Number: 1}, To: resource.Version{Epoch: 5, Number: 2}, Checksum: 0xab,
+				Put:     []resource.Resource{{Key: resource.Key{Kind: resource.Contract, Name: "a"}, Spec: json.RawMessage(`{"rate":1}`)}},
+				Removed: []resource.Key{{Kind: resource.Route, Name: "h:1"}}}
 			if got, want := fmt.Sprintf("%+v", *d), fmt.Sprintf("%+v", want); got != want {
 				t.Errorf("decoded %s, want %s", got, want)
 			}
@@ -193,14 +193,14 @@
 					t.Errorf("called with %s=%q, want %q", name, v.Get(name), want)
 				}
 			}
-			if reason := v.Get("why"); len(reason) > resource.MaxWhy || !strings.HasPrefix(reason, `contract "a": rate: é`) || strings.ContainsRune(reason, '\uFFFD') {
+			if reason := v.Get("why"); len(reason) > resource.MaxReason || !strings.HasPrefix(reason, `contract "a": rate: é`) || strings.ContainsRune(reason, '\uFFFD') {
 				t.Errorf("called with why=%q", reason)
 			}
 			if r.Method != "GET" || r.URL.Path != "/v1/resources" || r.Header.Get("Accept-Encoding") != "gzip" {
 				t.Errorf("called %s %s %v", r.Method, r.URL.Path, r.Header)
 			}
 			f := status.Read()
-			if f.Calls != 1 || f.Answers != 1 || f.BytesIn != int64(len(c.response)) || f.BytesOut < 100 {
+			if f.Calls != 1 || f.Responses != 1 || f.BytesIn != int64(len(c.response)) || f.BytesOut < 100 {
 				t.Errorf("counted %+v, the response has %d bytes", f, len(c.response))
 			}
 		})
@@ -216,7 +216,7 @@
 		io.WriteString(conn, okResponse(deltaJSON))
 	})
 	client, _ := newClient(t, newTestClock())
-	if _, err := client.Get(t.Context(), addr, &Query{Limit: time.Second}); err != nil {
+	if _, err := client.Get(t.Context(), addr, &Query{Timeout: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	if got := await(t, queries, "the call"); got != "name=n0&role=node" {
@@ -227,11 +227,11 @@
 // Each kind of invalid response ends the call with its kind of failure. All of these end at once, without waiting for a deadline.
 func TestGetReportsFailureKind(t *testing.T) {
 	t.Parallel()
-	long := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","put":[{"kind":"contract","name":"` + strings.Repeat("a", resource.MaxAnswer) + `"}]}`
+	long := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","put":[{"kind":"contract","name":"` + strings.Repeat("a", resource.MaxResponse) + `"}]}`
 	many := `{"from":"5.1","to":"5.2","sum":"00000000000000ab","gone":[` + strings.Repeat("{},", resource.MaxResources) + `{}]}`
 	for _, c := range []struct {
 		name, response string
-		kind           Kind
+		kind           FailureKind
 		text           string
 	}{
 		{"closed without a response", "", Unreachable, "EOF"},
@@ -280,7 +280,7 @@
 			if call.Kind != c.kind || !strings.Contains(err.Error(), c.text) || call.Source != addr || len(err.Error()) > 600 {
 				t.Errorf("%v: %v, want %s: %s", call.Kind, err, c.kind, c.text)
 			}
-			if f := status.Read(); f.Calls != 1 || f.Answers != 0 {
+			if f := status.Read(); f.Calls != 1 || f.Responses != 0 {
 				t.Errorf("counted %+v", f)
 			}
 		})
@@ -307,14 +307,14 @@
 		name    string
 		start   string
 		timeout time.Duration // the timer that ends it
-		kind    Kind
+		kind    FailureKind
 	}{
-		{"silent", "", query.Limit, Silent},
+		{"silent", "", query.Timeout, Silent},
 		{"a head that does not end", "HTTP/1.1 200 OK\r\nX: ", headTimeout, Broken},
 		{"an interim response only", "HTTP/1.1 103 Early Hints\r\n\r\n", headTimeout, Broken},
-		{"a body that does not end", okResponse(deltaJSON)[:200], resource.BodyLimit(int64(len(deltaJSON))), Broken},
-		{"chunks that do not end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n", resource.BodyLimit(-1), Broken},
-		{"an error's body that does not end", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 100\r\n\r\nso", resource.BodyLimit(100), Broken},
+		{"a body that does not end", okResponse(deltaJSON)[:200], resource.BodyTimeout(int64(len(deltaJSON))), Broken},
+		{"chunks that do not end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n", resource.BodyTimeout(-1), Broken},
+		{"an error's body that does not end", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 100\r\n\r\nso", resource.BodyTimeout(100), Broken},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -356,12 +356,12 @@
 	clock := newTestClock()
 	addr := serveRaw(t, func(conn net.Conn, _ *http.Request) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n")
-		clock.awaitTimer(t, resource.BodyLimit(-1))
+		clock.awaitTimer(t, resource.BodyTimeout(-1))
 		for range 10 {
 			if _, err := io.WriteString(conn, "1\r\n \r\n"); err != nil {
 				return
 			}
-			clock.advance(resource.BodyLimit(-1) / 10)
+			clock.advance(resource.BodyTimeout(-1) / 10)
 		}
 		untilClosed(conn)
 	})
@@ -411,7 +411,7 @@
 		<-held
 		cancel()
 	}()
-	if _, err := client.Get(ctx, ln.Addr().String(), &Query{Wait: time.Second, Limit: time.Hour}); !errors.Is(err, context.Canceled) {
+	if _, err := client.Get(ctx, ln.Addr().String(), &Query{Wait: time.Second, Timeout: time.Hour}); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 	t.Logf("%d bytes in and %d out a call", status.Read().BytesIn/20, status.Read().BytesOut/21)
--- a/internal/control/follow/decode.go
+++ b/internal/control/follow/decode.go
@@ -34,7 +34,7 @@
 		case "to":
 			err = dec.Decode(&d.To)
 		case "sum":
-			err = dec.Decode(&d.Sum)
+			err = dec.Decode(&d.Checksum)
 		case "put":
 			err = decodeList(dec, func() error {
 				var r resource.Resource
@@ -46,7 +46,7 @@
 			err = decodeList(dec, func() error {
 				var k resource.Key
 				err := dec.Decode(&k)
-				d.Gone = append(d.Gone, k)
+				d.Removed = append(d.Removed, k)
 				return err
 			})
 		default:
--- a/internal/control/follow/run.go
+++ b/internal/control/follow/run.go
@@ -42,12 +42,12 @@
 	Set     *resource.Set // the content in force; owned by Run until it returns, and changed by Apply alone
 	// Apply puts a delta in force and applies it to the set, or returns a *resource.Refusal and changes nothing. Run calls it on its
 	// own goroutine, one call at a time.
-	Take func(*resource.Delta) error
+	Apply func(*resource.Delta) error
 
 	Log    *slog.Logger   // nil: discard
 	Status *Status        // counters; nil: not needed
 	Clock  Clock          // nil: the system's
-	Draw   func() float64 // returns random numbers in [0, 1); nil: math/rand
+	Random func() float64 // returns random numbers in [0, 1); nil: math/rand
 }
 
 // setDefaults sets the fields that are nil.
@@ -61,8 +61,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Draw == nil {
-		o.Draw = rand.Float64
+	if o.Random == nil {
+		o.Random = rand.Float64
 	}
 }
 
@@ -81,7 +81,7 @@
 
 // Run follows the sources until ctx ends, and then returns nil.
 func Run(ctx context.Context, o Options) error {
-	if len(o.Sources) == 0 || o.Name == "" || o.Set == nil || o.Take == nil {
+	if len(o.Sources) == 0 || o.Name == "" || o.Set == nil || o.Apply == nil {
 		return errors.New("follow: a name, sources, a set and an Apply function are required")
 	}
 	o.setDefaults()
@@ -93,17 +93,17 @@
 	defer client.Close()
 	f := resource.NewFollower(o.Set, len(o.Sources))
 	if o.Role == "control" {
-		f.SetPace(resource.ControlPace)
+		f.SetSchedule(resource.ControlSchedule)
 	}
 	r := &runner{Options: *o, follower: f}
 	for {
-		c := f.Next(o.Clock.Now(), o.Draw())
-		sleep(ctx, o.Clock, c.Rest)
+		c := f.Next(o.Clock.Now(), o.Random())
+		sleep(ctx, o.Clock, c.Delay)
 		if ctx.Err() != nil {
 			return nil
 		}
 		source := o.Sources[c.Source]
-		d, err := client.Get(ctx, source, &Query{Process: o.Process, Since: c.Since, Sum: c.Sum, Refused: c.Refused, Why: c.Why, Wait: c.Wait, Limit: c.Limit})
+		d, err := client.Get(ctx, source, &Query{Process: o.Process, Since: c.Since, Checksum: c.Checksum, Refused: c.Refused, Reason: c.Reason, Wait: c.Wait, Timeout: c.Timeout})
 		switch {
 		case ctx.Err() != nil:
 			return nil
@@ -123,7 +123,7 @@
 }
 
 // failureKinds maps the kinds of failures of calls to those of resource.Follower.
-var failureKinds = map[Kind]resource.FailureKind{Unreachable: resource.Unreachable, Silent: resource.Silent, Broken: resource.Unreachable,
+var failureKinds = map[FailureKind]resource.FailureKind{Unreachable: resource.Unreachable, Silent: resource.Silent, Broken: resource.Unreachable,
 	TooLong: resource.Invalid, Malformed: resource.Invalid, Behind: resource.Behind, Full: resource.Busy, OtherStatus: resource.Rejected}
 
 // handleFailure records a failed call. Of consecutive failures the first one is logged as a warning, the others for debugging.
@@ -134,7 +134,7 @@
 		failure.Kind, failure.RetryAfter = failureKinds[call.Kind], call.RetryAfter
 		r.Status.recordFailure(call.Kind, err.Error())
 	}
-	r.follower.Failed(r.Clock.Now(), failure, r.Draw())
+	r.follower.Failed(r.Clock.Now(), failure, r.Random())
 	level := slog.LevelDebug
 	if !r.failureLogged {
 		level = slog.LevelWarn
@@ -147,23 +147,23 @@
 func (r *runner) handleResponse(source string, d *resource.Delta) {
 	now := r.Clock.Now()
 	before := r.Set.Version()
-	apply, err := r.follower.Told(now, d)
+	apply, err := r.follower.Received(now, d)
 	if apply {
-		if err = r.Take(d); err == nil && r.Set.Version() != d.To {
+		if err = r.Apply(d); err == nil && r.Set.Version() != d.To {
 			err = errors.New("the change was not applied") // an error of the caller; without it the change would be requested for ever
 		}
 		now = r.Clock.Now()
-		r.follower.Took(now, err)
+		r.follower.Applied(now, err)
 	}
 	kind := Unfit
 	if refusal := (*resource.Refusal)(nil); apply || errors.As(err, &refusal) {
 		kind = Refused
 	}
 	st := r.follower.Status()
-	r.Status.update(func(s *Stands) {
-		s.Version, s.Refused, s.Why, s.LastError, s.Source, s.Heard = st.Version, st.Refused, st.Why, "", source, now
+	r.Status.update(func(s *State) {
+		s.Version, s.Refused, s.Reason, s.LastError, s.Source, s.LastResponse = st.Version, st.Refused, st.Reason, "", source, now
 		if apply && err == nil {
-			s.Changed = now
+			s.LastChange = now
 		}
 	})
 	switch {
@@ -173,14 +173,14 @@
 		return
 	case !apply:
 		r.Status.empty.Add(1)
-	case d.Whole():
+	case d.IsSnapshot():
 		r.Status.snapshots.Add(1)
 	default:
 		r.Status.deltas.Add(1)
 	}
 	if apply {
-		r.Status.resources.Add(int64(len(d.Put) + len(d.Gone)))
-		r.Log.Info("configuration change applied", "from", source, "version", d.To, "before", before, "put", len(d.Put), "gone", len(d.Gone))
+		r.Status.resources.Add(int64(len(d.Put) + len(d.Removed)))
+		r.Log.Info("configuration change applied", "from", source, "version", d.To, "before", before, "put", len(d.Put), "gone", len(d.Removed))
 	}
 	if r.failureLogged {
 		r.failureLogged = false
--- a/internal/control/follow/run_test.go
+++ b/internal/control/follow/run_test.go
@@ -84,10 +84,10 @@
 	finished := make(chan error, 1)
 	go func() {
 		finished <- Run(ctx, Options{Name: "n0", Role: "node", Sources: sources, Set: f.set, Status: &f.status, Clock: instantClock{newTestClock()},
-			Draw: func() float64 { return 0.5 }, Take: func(d *resource.Delta) error {
+			Random: func() float64 { return 0.5 }, Apply: func(d *resource.Delta) error {
 				for _, r := range d.Put {
 					if r.Name == "odd" {
-						return &resource.Refusal{Key: r.Key, Field: "rate", Why: "too odd"}
+						return &resource.Refusal{Key: r.Key, Field: "rate", Reason: "too odd"}
 					}
 				}
 				if err := f.set.Apply(d); err != nil {
@@ -133,7 +133,7 @@
 	control := resource.NewSet(true)
 	change := func(put ...resource.Resource) *resource.Delta {
 		v := control.Version()
-		d := control.Next(resource.Version{Epoch: 5, Number: v.Number + 1}, put, nil)
+		d := control.NewDelta(resource.Version{Epoch: 5, Number: v.Number + 1}, put, nil)
 		if err := control.Apply(d); err != nil {
 			t.Fatal(err)
 		}
@@ -174,23 +174,23 @@
 		t.Fatalf("called with %s", got)
 	}
 	// A resource of an unknown kind is refused as well, before Apply is called. A later version past both is applied.
-	unknownKind := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 5, Number: 6}, Sum: odd.Sum,
+	unknownKind := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 5, Number: 6}, Checksum: odd.Checksum,
 		Put: []resource.Resource{{Key: resource.Key{Kind: "widget", Name: "w"}, Spec: []byte(`{}`)}}}
 	responses <- deltaResponse(t, unknownKind)
 	requireCall("refused=5.6")
-	farAhead := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 1 << 62, Number: 1}, Sum: odd.Sum} // no later version could ever replace it
+	farAhead := &resource.Delta{From: odd.From, To: resource.Version{Epoch: 1 << 62, Number: 1}, Checksum: odd.Checksum} // no later version could ever replace it
 	responses <- deltaResponse(t, farAhead)
 	requireCall(fmt.Sprint("refused=", farAhead.To))
-	d := control.Next(resource.Version{Epoch: 6, Number: 0}, nil, []resource.Key{{Kind: resource.Contract, Name: "odd"}})
-	responses <- deltaResponse(t, &resource.Delta{From: odd.From, To: d.To, Sum: d.Sum, Gone: d.Gone})
+	d := control.NewDelta(resource.Version{Epoch: 6, Number: 0}, nil, []resource.Key{{Kind: resource.Contract, Name: "odd"}})
+	responses <- deltaResponse(t, &resource.Delta{From: odd.From, To: d.To, Checksum: d.Checksum, Removed: d.Removed})
 	await(t, f.applied, "the delta past the refused ones")
 	if got := await(t, calls, "a call"); !strings.Contains(got, "since=6.0") || strings.Contains(got, "refused") {
 		t.Errorf("called with %s", got)
 	}
 	f.stop()
 	s := f.status.Read()
-	if s.Snapshots != 2 || s.Deltas != 2 || s.Empty != 1 || s.Failures[Malformed] != 1 || s.Failures[Unfit] != 1 || s.Failures[Refused] != 3 ||
-		s.Version != d.To || s.Source != addr || !s.Refused.IsZero() || s.Calls != s.Answers+1+1 { // one was not valid JSON, and one is in progress
+	if s.Snapshots != 2 || s.Deltas != 2 || s.EmptyResponses != 1 || s.Failures[Malformed] != 1 || s.Failures[Unfit] != 1 || s.Failures[Refused] != 3 ||
+		s.Version != d.To || s.Source != addr || !s.Refused.IsZero() || s.Calls != s.Responses+1+1 { // one was not valid JSON, and one is in progress
 		t.Errorf("%+v", s)
 	}
 	if !f.set.Has(contractResource("d").Key) || f.set.Has(contractResource("odd").Key) {
@@ -203,7 +203,7 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name, response string
-		kind           Kind
+		kind           FailureKind
 	}{
 		{"behind", "HTTP/1.1 409 Conflict\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Behind},
 		{"full", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Full},
@@ -219,7 +219,7 @@
 			firstResponses <- c.response
 			await(t, secondCalls, "a call to the second source")
 			control := resource.NewSet(true)
-			if err := control.Apply(control.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
+			if err := control.Apply(control.NewDelta(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
 				t.Fatal(err)
 			}
 			secondResponses <- deltaResponse(t, control.Snapshot())
@@ -241,10 +241,10 @@
 	finished := make(chan error, 1)
 	go func() {
 		finished <- Run(ctx, Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: resource.NewSet(false), Clock: instantClock{newTestClock()},
-			Take: func(*resource.Delta) error { return nil }})
+			Apply: func(*resource.Delta) error { return nil }})
 	}()
 	control := resource.NewSet(true)
-	if err := control.Apply(control.Next(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
+	if err := control.Apply(control.NewDelta(resource.Version{Epoch: 5}, []resource.Resource{contractResource("a")}, nil)); err != nil {
 		t.Fatal(err)
 	}
 	await(t, calls, "a call")
--- a/internal/control/follow/slow_nodes_test.go
+++ b/internal/control/follow/slow_nodes_test.go
@@ -128,7 +128,7 @@
 		var status [nodes]Status
 		for i := range nodes {
 			sets[i] = resource.NewSet(false)
-			o := &Options{Name: fmt.Sprint("n", i), Role: "node", Sources: []string{"control:1"}, Set: sets[i], Status: &status[i], Take: sets[i].Apply}
+			o := &Options{Name: fmt.Sprint("n", i), Role: "node", Sources: []string{"control:1"}, Set: sets[i], Status: &status[i], Apply: sets[i].Apply}
 			o.setDefaults()
 			client := NewClient(o.Name, o.Role, o.Clock, o.Status)
 			client.http.Transport.(*http.Transport).DialContext = network.dial
@@ -146,23 +146,23 @@
 					t.Fatalf("n%d has %v, control has %v: %+v", i, f.Version, c.Version(), f)
 				}
 			}
-			if snapshots, _ := c.Counts(); snapshots != nodes {
+			if snapshots, _ := c.ResponseCounts(); snapshots != nodes {
 				t.Errorf("%d snapshots were sent to %d nodes", snapshots, nodes)
 			}
 		}
 		time.Sleep(18 * time.Second)
 		requireVersion(before)
 		network.stop()
-		if _, err := before.Change([]resource.Resource{contractResource("missed")}); err != nil {
+		if _, err := before.ApplyChange([]resource.Resource{contractResource("missed")}); err != nil {
 			t.Fatal(err)
 		}
-		if err := after.Become(before); err != nil {
+		if err := after.CopyFrom(before); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(15 * time.Second)
 		network.start(withContentLength{after})
 		time.Sleep(6 * time.Second)
-		if _, err := after.Change([]resource.Resource{contractResource("meanwhile")}); err != nil {
+		if _, err := after.ApplyChange([]resource.Resource{contractResource("meanwhile")}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(12 * time.Second)
--- a/internal/control/follow/whitespace_test.go
+++ b/internal/control/follow/whitespace_test.go
@@ -20,9 +20,9 @@
 	}{
 		{"as many bytes as a spec may have", head + strings.Repeat(" ", resource.MaxSpec) + tail, len(head) + resource.MaxSpec + len(tail), false},
 		{"one byte more", head + strings.Repeat("\n", resource.MaxSpec+1) + tail, len(head) + resource.MaxSpec + len(tail) + 1, true},
-		{"before the response", strings.Repeat("\t", resource.MaxAnswer), 2 * resource.MaxSpec, true},
-		{"after the response", head + tail + strings.Repeat(" ", resource.MaxAnswer), 2 * resource.MaxSpec, true},
-		{"several runs", head + strings.Repeat(" ", 60<<10) + tail[:len(tail)-1] + strings.Repeat(" \r", 30<<10) + "}", resource.MaxAnswer, false},
+		{"before the response", strings.Repeat("\t", resource.MaxResponse), 2 * resource.MaxSpec, true},
+		{"after the response", head + tail + strings.Repeat(" ", resource.MaxResponse), 2 * resource.MaxSpec, true},
+		{"several runs", head + strings.Repeat(" ", 60<<10) + tail[:len(tail)-1] + strings.Repeat(" \r", 30<<10) + "}", resource.MaxResponse, false},
 	} {
 		reader := &countingReader{r: strings.NewReader(c.text)}
 		_, err := decode(reader)
--- a/internal/control/loader.go
+++ b/internal/control/loader.go
@@ -50,8 +50,8 @@
 
 // FileDiff is the difference between the files' content and what was accepted last.
 type FileDiff struct {
-	Put  []resource.Resource // resources that are new or have another spec
-	Gone []resource.Key      // resources that were removed
+	Put     []resource.Resource // resources that are new or have another spec
+	Removed []resource.Key      // resources that were removed
 
 	files        map[string]*loadedFile // by path, all files of the load
 	changedPaths []string               // files that are new, changed or removed
@@ -85,17 +85,17 @@
 }
 
 // NewLoader returns a Loader for a file or a folder.
-func NewSource(path string) *Loader {
+func NewLoader(path string) *Loader {
 	return &Loader{path: path, files: map[string]*loadedFile{}, accepted: map[string]*loadedFile{},
 		owner: map[resource.Key]string{}}
 }
 
 // FilesRead returns how often a file has been read so far, valid or not.
-func (l *Loader) Reads() int { return l.filesRead }
+func (l *Loader) FilesRead() int { return l.filesRead }
 
 // Load returns the difference from what was accepted last. Each resource is checked by itself; the catalog checks how
 // resources fit each other. An error names file and line. The next Load after an error does not read valid files again.
-func (l *Loader) Read() (*FileDiff, error) {
+func (l *Loader) Load() (*FileDiff, error) {
 	paths, err := l.listFiles()
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 	}
 	for k := range before {
 		if now[k] == "" {
-			diff.Gone = append(diff.Gone, k)
+			diff.Removed = append(diff.Removed, k)
 		}
 	}
 	if n := len(l.owner) - len(before) + len(now); n > resource.MaxResources {
@@ -274,7 +274,7 @@
 	}
 	f.endsWithNewline = bytes.HasSuffix(text, []byte("\n"))
 	f.endsWithDocumentMark = bytes.HasSuffix(bytes.TrimRight(text, "\r\n"), []byte("\n..."))
-	if f.resources, f.lines, err = catalog.Parts(path, text); err != nil {
+	if f.resources, f.lines, err = catalog.ParseFile(path, text); err != nil {
 		return nil, err
 	}
 	// The beginning of a YAML file is often valid YAML: a file that is partly written or truncated must not remove
@@ -361,8 +361,8 @@
 // CheckFiles reads a file or a folder as a writer does and makes all of a writer's checks. It returns the number of
 // resources. An error names file, line, resource and field.
 func CheckFiles(path string) (int, error) {
-	l := NewSource(path)
-	diff, err := l.Read()
+	l := NewLoader(path)
+	diff, err := l.Load()
 	if err != nil {
 		return 0, err
 	}
@@ -370,7 +370,7 @@
 	if _, err := newCatalog().Prepare(&resource.Delta{Put: all}); err != nil {
 		return 0, l.withLocation(err)
 	}
-	if err := resource.NewSet(true).Check(resource.NewSet(true).Next(resource.Version{Epoch: 1}, all, nil)); err != nil {
+	if err := resource.NewSet(true).Check(resource.NewSet(true).NewDelta(resource.Version{Epoch: 1}, all, nil)); err != nil {
 		return 0, l.withLocation(err)
 	}
 	return len(all), nil
--- a/internal/control/loader_test.go
+++ b/internal/control/loader_test.go
@@ -64,7 +64,7 @@
 // loadAndAccept loads the files, accepts the result, and compares all accepted resources with want.
 func loadAndAccept(t testing.TB, loader *Loader, want string) {
 	t.Helper()
-	r, err := loader.Read()
+	r, err := loader.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,20 +89,20 @@
 		t.Fatal(err)
 	}
 	writeFile(t, filepath.Join(dir, "deeper.yaml.d", "z.yaml"), contractText("deep"))
-	loader := NewSource(dir)
+	loader := NewLoader(dir)
 	loadAndAccept(t, loader, strings.Join(want, ", "))
-	if loader.Reads() != 50 {
-		t.Fatalf("%d files were read, want 50", loader.Reads())
+	if loader.FilesRead() != 50 {
+		t.Fatalf("%d files were read, want 50", loader.FilesRead())
 	}
 	loadAndAccept(t, loader, strings.Join(want, ", "))
-	if loader.Reads() != 50 {
-		t.Errorf("%d files were read where none had changed", loader.Reads()-50)
+	if loader.FilesRead() != 50 {
+		t.Errorf("%d files were read where none had changed", loader.FilesRead()-50)
 	}
 	writeFile(t, filepath.Join(dir, "07.yaml"), contractText("c07", "new"))
 	want[7] = "contract c07, contract new"
 	loadAndAccept(t, loader, strings.Join(want, ", "))
-	if loader.Reads() != 51 {
-		t.Errorf("%d files were read where one had changed", loader.Reads()-50)
+	if loader.FilesRead() != 51 {
+		t.Errorf("%d files were read where one had changed", loader.FilesRead()-50)
 	}
 	if at, want := loader.Location(resource.Key{Kind: resource.Contract, Name: "new"}), filepath.Join(dir, "07.yaml")+":5"; at != want {
 		t.Errorf("the resource begins at %s, want %s", at, want)
@@ -111,8 +111,8 @@
 		t.Fatal(err)
 	}
 	loadAndAccept(t, loader, strings.Join(append(want[:3:3], want[4:]...), ", "))
-	if loader.Reads() != 51 {
-		t.Errorf("%d files were read where one was removed", loader.Reads()-51)
+	if loader.FilesRead() != 51 {
+		t.Errorf("%d files were read where one was removed", loader.FilesRead()-51)
 	}
 }
 
@@ -122,7 +122,7 @@
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("old")})
 	path := filepath.Join(dir, "a.yaml")
-	loader := NewSource(dir)
+	loader := NewLoader(dir)
 	loadAndAccept(t, loader, "contract old")
 	// The same inode, size and time: only the content differs.
 	info, err := os.Stat(path)
@@ -164,10 +164,10 @@
 			t.Parallel()
 			dir := writeFolder(t, map[string]string{"a.yaml": good, "c.yaml": contractText("c")})
 			path := filepath.Join(dir, "b.yaml")
-			loader := NewSource(dir)
+			loader := NewLoader(dir)
 			if c.before != "" {
 				writeFile(t, path, c.before)
-				r, err := loader.Read()
+				r, err := loader.Load()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -175,19 +175,19 @@
 			}
 			writeFile(t, path, c.text)
 			for range 2 {
-				if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), c.want) {
+				if _, err := loader.Load(); err == nil || !strings.Contains(err.Error(), c.want) {
 					t.Fatalf("error %v, want %s", err, c.want)
 				}
 			}
 			if strings.Contains(c.want, `"good" is in `) {
-				if _, err := loader.Read(); !strings.Contains(err.Error(), filepath.Join(dir, "a.yaml")+":2 already") {
+				if _, err := loader.Load(); !strings.Contains(err.Error(), filepath.Join(dir, "a.yaml")+":2 already") {
 					t.Errorf("error %v does not name both files", err)
 				}
 			}
-			before := loader.Reads()
+			before := loader.FilesRead()
 			writeFile(t, path, contractText("fixed")+"...\n")
 			loadAndAccept(t, loader, "contract good, contract fixed, contract c")
-			if n := loader.Reads() - before; n != 1 {
+			if n := loader.FilesRead() - before; n != 1 {
 				t.Errorf("%d files were read where one was corrected", n)
 			}
 		})
@@ -211,7 +211,7 @@
 		{big, fmt.Sprintf("%d bytes: at most %d", MaxFileBytes+1, MaxFileBytes)},
 		{os.DevNull, "not a regular file"},
 	} {
-		if _, err := NewSource(c.path).Read(); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := NewLoader(c.path).Load(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %s", c.path, err, c.want)
 		}
 	}
@@ -221,7 +221,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := NewSource(many).Read(); err == nil || !strings.Contains(err.Error(), "10001 files: at most 10000") {
+	if _, err := NewLoader(many).Load(); err == nil || !strings.Contains(err.Error(), "10001 files: at most 10000") {
 		t.Errorf("%v", err)
 	}
 }
@@ -231,7 +231,7 @@
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("one")})
 	path := filepath.Join(dir, "a.yaml")
-	loader := NewSource(dir)
+	loader := NewLoader(dir)
 	times := 0
 	loader.onRead = func(p string) {
 		switch times++; times {
@@ -250,12 +250,12 @@
 		}
 	}
 	loadAndAccept(t, loader, "contract three, contract four")
-	if loader.Reads() != 3 {
-		t.Errorf("the file was read %d times, want 3", loader.Reads())
+	if loader.FilesRead() != 3 {
+		t.Errorf("the file was read %d times, want 3", loader.FilesRead())
 	}
 	loader.onRead = func(string) { writeFile(t, path, contractText("three", "four")+strings.Repeat("#\n", times)); times++ }
 	writeFile(t, path, contractText("five"))
-	if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), "it is being written") {
+	if _, err := loader.Load(); err == nil || !strings.Contains(err.Error(), "it is being written") {
 		t.Errorf("%v", err)
 	}
 }
@@ -280,15 +280,15 @@
 func TestLoadReturnsDifferenceFromAccepted(t *testing.T) {
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("a", "b"), "c.yaml": contractText("c")})
-	loader := NewSource(dir)
+	loader := NewLoader(dir)
 	want := func(put, gone string, accept bool) {
 		t.Helper()
-		r, err := loader.Read()
+		r, err := loader.Load()
 		if err != nil {
 			t.Fatal(err)
 		}
 		var keys []resource.Resource
-		for _, k := range r.Gone {
+		for _, k := range r.Removed {
 			keys = append(keys, resource.Resource{Key: k})
 		}
 		if resourceNames(r.Put) != put || resourceNames(keys) != gone {
@@ -320,12 +320,12 @@
 	}
 	// A resource in two files, of which one has changed, and of which both have changed.
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a"))
-	if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:2: contract "a" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
+	if _, err := loader.Load(); err == nil || !strings.Contains(err.Error(), `b.yaml:2: contract "a" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
 		t.Error(err)
 	}
 	writeFile(t, filepath.Join(dir, "a.yaml"), contractText("y"))
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a", "y"))
-	if _, err := loader.Read(); err == nil || !strings.Contains(err.Error(), `b.yaml:5: contract "y" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
+	if _, err := loader.Load(); err == nil || !strings.Contains(err.Error(), `b.yaml:5: contract "y" is in `+filepath.Join(dir, "a.yaml")+":2 already") {
 		t.Error(err)
 	}
 	writeFile(t, filepath.Join(dir, "b.yaml"), contractText("a"))
@@ -341,7 +341,7 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		loader := NewSource(dir)
+		loader := NewLoader(dir)
 		files, accepted := map[string]map[string]int{}, map[string]int{} // rates of contracts: by file, and as accepted
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			for range rapid.IntRange(1, 3).Draw(t, "edits") {
@@ -369,7 +369,7 @@
 					all[c], twice = rate, twice || dup
 				}
 			}
-			r, err := loader.Read()
+			r, err := loader.Load()
 			if wrong := twice || len(files) == 0; wrong || err != nil {
 				if !wrong || err == nil {
 					t.Fatalf("unexpected error %v for files %v", err, files)
@@ -387,7 +387,7 @@
 					differs++
 				}
 			}
-			for _, k := range r.Gone {
+			for _, k := range r.Removed {
 				if all[k.Name] != 0 || accepted[k.Name] == 0 {
 					t.Fatalf("removed %s; accepted %v, files %v", k.Name, accepted, all)
 				}
@@ -398,8 +398,8 @@
 					removed++
 				}
 			}
-			if len(r.Put) != differs || len(r.Gone) != removed {
-				t.Fatalf("put %s, removed %v; accepted %v, files %v", resourceNames(r.Put), r.Gone, accepted, all)
+			if len(r.Put) != differs || len(r.Removed) != removed {
+				t.Fatalf("put %s, removed %v; accepted %v, files %v", resourceNames(r.Put), r.Removed, accepted, all)
 			}
 			if rapid.Bool().Draw(t, "accept") {
 				loader.Accept(r)
--- a/internal/control/responses.go
+++ b/internal/control/responses.go
@@ -57,7 +57,7 @@
 // body returns a delta's encoded body, compressed where that is accepted and worth its cost. The body is shared and
 // must not be changed. A call during the encoding of the same body waits for it.
 func (a *responseCache) body(d *resource.Delta, zip bool) (body []byte, zipped bool, err error) {
-	if len(d.Put)+len(d.Gone) == 0 { // empty deltas differ from caller to caller and are small
+	if len(d.Put)+len(d.Removed) == 0 { // empty deltas differ from caller to caller and are small
 		body, err = resource.Encode(d)
 		return body, false, err
 	}
@@ -98,7 +98,7 @@
 			return n
 		}
 	}
-	return n + 40*len(d.Gone)
+	return n + 40*len(d.Removed)
 }
 
 // gzipWriters holds writers for reuse: each has large buffers.
