--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -43,15 +43,15 @@
 // ServeOptions configure a control process. Exactly one of Files and Upstreams is set: with Files the process is the
 // writer, with Upstreams a follower.
 type ServeOptions struct {
-	Listener net.Listener    // closed by Serve
-	Name     string          // shown by the control processes that this one calls
-	Limits   Limits          // of the VersionStore
-	Files    string          // writer: path of a file, or of a folder of *.yaml files
-	Peers    []string        // writer: host:port of the other control processes, whose versions the first epoch follows
-	Reload   <-chan struct{} // writer: each element asks for the files to be read again
-	From     []string        // follower: host:port of the control processes to follow, the nearest first
-	Log      *slog.Logger    // nil: nothing is logged
-	Clock    follow.Clock    // nil: the system's clock
+	Listener  net.Listener    // closed by Serve
+	Name      string          // shown by the control processes that this one calls
+	Limits    Limits          // of the VersionStore
+	Files     string          // writer: path of a file, or of a folder of *.yaml files
+	Peers     []string        // writer: host:port of the other control processes, whose versions the first epoch follows
+	Reload    <-chan struct{} // writer: each element asks for the files to be read again
+	Upstreams []string        // follower: host:port of the control processes to follow, the nearest first
+	Log       *slog.Logger    // nil: nothing is logged
+	Clock     follow.Clock    // nil: the system's clock
 }
 
 // server is a running control process, a writer or a follower. mu guards the fields below it; it is not held during I/O.
@@ -133,7 +133,7 @@
 
 // newServer checks the options and returns a server that is not running yet.
 func newServer(o ServeOptions) (*server, error) {
-	if (o.Files == "") == (len(o.From) == 0) {
+	if (o.Files == "") == (len(o.Upstreams) == 0) {
 		return nil, errors.New("a control process needs either files or other control processes to follow")
 	}
 	if o.Log == nil {
@@ -142,11 +142,11 @@
 	if o.Clock == nil {
 		o.Clock = follow.SystemClock()
 	}
-	o.Limits.Watches = cmp.Or(max(o.Limits.Watches, 0), DefaultLimits.Watches)
+	o.Limits.MaxWatches = cmp.Or(max(o.Limits.MaxWatches, 0), DefaultLimits.MaxWatches)
 	s := &server{ServeOptions: o, responses: newResponseCache(), shuttingDown: make(chan struct{}), newEpochWanted: make(chan struct{}, 1),
 		store: NewVersionStore(o.Limits), startedAt: o.Clock.Now(), changed: make(chan struct{}), replacedWatches: map[uint64]chan struct{}{}}
-	s.connections.maxOpen, s.epochInterval = o.Limits.Watches+spareConnections, minEpochInterval
-	s.writeTimeout = func(bytes int) time.Duration { return max(responseTimeout, resource.BodyLimit(int64(bytes))) }
+	s.connections.maxOpen, s.epochInterval = o.Limits.MaxWatches+spareConnections, minEpochInterval
+	s.writeTimeout = func(bytes int) time.Duration { return max(responseTimeout, resource.BodyTimeout(int64(bytes))) }
 	if o.Files != "" {
 		s.writer = newWriter(o.Files)
 	}
@@ -160,9 +160,9 @@
 		return s.runWriter(ctx)
 	}
 	set := resource.NewSet(false) // for the follow loop, which reads it without server.mu; the store has a set of its own
-	return follow.Run(ctx, follow.Options{Name: s.Name, Role: "control", Sources: s.From, Set: set,
+	return follow.Run(ctx, follow.Options{Name: s.Name, Role: "control", Sources: s.Upstreams, Set: set,
 		Log: s.Log, Status: &s.followStatus, Clock: s.Clock,
-		Take: func(d *resource.Delta) error {
+		Apply: func(d *resource.Delta) error {
 			if err := s.publish(func(now time.Duration) error { return s.store.Apply(now, d) }); err != nil {
 				return err
 			}
--- a/internal/control/serve_test.go
+++ b/internal/control/serve_test.go
@@ -193,7 +193,7 @@
 
 // sinceQuery returns the path and query of node n0's call after it has applied a delta.
 func sinceQuery(d *resource.Delta, more string) string {
-	sum, _ := d.Sum.MarshalText()
+	sum, _ := d.Checksum.MarshalText()
 	return fmt.Sprintf("/v1/resources?name=n0&role=node&since=%v&sum=%s%s", d.To, sum, more)
 }
 
@@ -221,7 +221,7 @@
 		t.Errorf("GET /-/ready failed: %s", r.body)
 	}
 	first := call(t, "GET", p.addr, snapshotQuery).delta(t)
-	if !first.Whole() || first.To != v0 || resourceNames(first.Put) != "contract a, contract b, contract c" {
+	if !first.IsSnapshot() || first.To != v0 || resourceNames(first.Put) != "contract a, contract b, contract c" {
 		t.Fatalf("unexpected delta: %+v", first)
 	}
 	held := callAsync(t, p.addr, sinceQuery(first, waitParameter))
@@ -230,13 +230,13 @@
 		t.Fatalf("status %d, body %s", r.status, r.body)
 	}
 	d := receive(t, "the held call's response", held).delta(t)
-	if d.From != first.To || d.To.Compare(first.To) <= 0 || resourceNames(d.Put) != "contract d" || len(d.Gone) != 1 || d.Gone[0].Name != "c" {
+	if d.From != first.To || d.To.Compare(first.To) <= 0 || resourceNames(d.Put) != "contract d" || len(d.Removed) != 1 || d.Removed[0].Name != "c" {
 		t.Fatalf("unexpected delta: %+v", d)
 	}
 	if r := call(t, "GET", p.addr, sinceQuery(first, waitParameter)).delta(t); r.From != first.To || r.To != d.To { // behind: no wait
 		t.Errorf("unexpected delta: %+v", r)
 	}
-	if r := call(t, "GET", p.addr, sinceQuery(d, "&timeout_ms=1")).delta(t); r.From != d.To || r.To != d.To || len(r.Put)+len(r.Gone) > 0 {
+	if r := call(t, "GET", p.addr, sinceQuery(d, "&timeout_ms=1")).delta(t); r.From != d.To || r.To != d.To || len(r.Put)+len(r.Removed) > 0 {
 		t.Errorf("unexpected delta: %+v", r)
 	}
 	if r := call(t, "GET", p.addr, sinceQuery(d, "")).delta(t); r.To != d.To {
@@ -254,7 +254,7 @@
 		t.Errorf("two versions behind, with two deltas retained: %+v", r)
 	}
 	p.editAndReload(t, "b.yaml", contractText("f"))
-	if r := call(t, "GET", p.addr, sinceQuery(first, "")).delta(t); !r.Whole() || resourceNames(r.Put) != "contract a, contract b, contract f" {
+	if r := call(t, "GET", p.addr, sinceQuery(first, "")).delta(t); !r.IsSnapshot() || resourceNames(r.Put) != "contract a, contract b, contract f" {
 		t.Errorf("three versions behind, with two deltas retained: %+v", r)
 	}
 	// A version later than the store's, and invalid calls.
@@ -272,7 +272,7 @@
 		{snapshotQuery + "&timeout_ms=soon", 400, `timeout_ms: "soon" is not a number`},
 		{snapshotQuery + "&timeout_ms=-1", 400, `timeout_ms: "-1" is not a number`},
 		{"/v1/resources?name=n0&role=king", 400, "role "},
-		{snapshotQuery + "&refused=1.1&why=" + strings.Repeat("y", resource.MaxWhy+1), 400, "why: "},
+		{snapshotQuery + "&refused=1.1&why=" + strings.Repeat("y", resource.MaxReason+1), 400, "why: "},
 		{"/v1/nothing", 404, ""},
 	} {
 		if r := call(t, "GET", p.addr, c.query); r.status != c.status || !strings.Contains(r.body, c.says) {
@@ -499,10 +499,10 @@
 	over := make(chan error, 1)
 	var status follow.Status
 	go func() {
-		over <- follow.Run(ctx, follow.Options{Name: "n7", Role: "node", Sources: []string{p.addr}, Set: set, Status: &status, Take: func(d *resource.Delta) error {
+		over <- follow.Run(ctx, follow.Options{Name: "n7", Role: "node", Sources: []string{p.addr}, Set: set, Status: &status, Apply: func(d *resource.Delta) error {
 			if len(d.Put) == 1 && d.Put[0].Name == "odd" {
 				refused <- d
-				return &resource.Refusal{Key: d.Put[0].Key, Field: "match[0].from", Why: "not here"}
+				return &resource.Refusal{Key: d.Put[0].Key, Field: "match[0].from", Reason: "not here"}
 			}
 			return set.Apply(d)
 		}})
@@ -537,7 +537,7 @@
 // Past the limit on watches a call gets 503 with Retry-After; a call that needs no wait still gets its response.
 func TestWatchLimitOverHTTP(t *testing.T) {
 	t.Parallel()
-	p := startProcess(t, "", ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText("a")}), Limits: Limits{Watches: 2}})
+	p := startProcess(t, "", ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText("a")}), Limits: Limits{MaxWatches: 2}})
 	p.waitForVersion(t, resource.Version{})
 	first := call(t, "GET", p.addr, snapshotQuery).delta(t)
 	var held []<-chan *httpResponse
@@ -651,7 +651,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := startProcess(t, "", ServeOptions{From: []string{addr}})
+	f := startProcess(t, "", ServeOptions{Upstreams: []string{addr}})
 	if r := call(t, "GET", f.addr, "/-/ready"); r.status != 503 {
 		t.Errorf("GET /-/ready without a version: %d", r.status)
 	}
@@ -699,7 +699,7 @@
 	t.Parallel()
 	dir := writeFolder(t, map[string]string{"a.yaml": contractText("a")})
 	p := startProcess(t, "", ServeOptions{Files: dir})
-	f := startProcess(t, "", ServeOptions{From: []string{p.addr}})
+	f := startProcess(t, "", ServeOptions{Upstreams: []string{p.addr}})
 	v := f.waitForVersion(t, resource.Version{})
 	first := call(t, "GET", f.addr, snapshotQuery).delta(t)
 	if err := p.stop(); err != nil {
@@ -771,7 +771,7 @@
 				r = call(t, "GET", p.addr, sinceQuery(node, ""))
 			}
 			d := r.delta(t)
-			if d.To.Compare(node.To) <= 0 || d.To.Epoch == node.To.Epoch || resourceNames(d.Put) != "contract a, contract other" || !d.Whole() {
+			if d.To.Compare(node.To) <= 0 || d.To.Epoch == node.To.Epoch || resourceNames(d.Put) != "contract a, contract other" || !d.IsSnapshot() {
 				t.Errorf("unexpected delta %+v after the node's version %v", d, node.To)
 			}
 		})
@@ -819,7 +819,7 @@
 	over := make(chan error, 1)
 	var status follow.Status
 	go func() {
-		over <- follow.Run(ctx, follow.Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: set, Status: &status, Take: func(d *resource.Delta) error {
+		over <- follow.Run(ctx, follow.Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: set, Status: &status, Apply: func(d *resource.Delta) error {
 			applied <- d
 			return set.Apply(d)
 		}})
@@ -891,7 +891,7 @@
 // Past the limit on connections the longest idle ones are closed, so that new calls are still served.
 func TestConnectionLimitClosesOldestIdle(t *testing.T) {
 	t.Parallel()
-	p := startProcess(t, "", ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText("a")}), Limits: Limits{Watches: 1}})
+	p := startProcess(t, "", ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText("a")}), Limits: Limits{MaxWatches: 1}})
 	p.waitForVersion(t, resource.Version{})
 	first := call(t, "GET", p.addr, snapshotQuery).delta(t)
 	held := callAsync(t, p.addr, sinceQuery(first, waitParameter))
--- a/internal/control/simulation_decode_test.go
+++ b/internal/control/simulation_decode_test.go
@@ -16,13 +16,13 @@
 	for _, c := range []struct {
 		name   string
 		decode time.Duration // timeout of decoding; 0: none
-	}{{"decoding has no time limit", 0}, {"decoding counts against the call's limit", resource.BodyLimit(compressed)}} {
+	}{{"decoding has no time limit", 0}, {"decoding counts against the call's limit", resource.BodyTimeout(compressed)}} {
 		sim := newSimulation(t, 23, fleetSize, contracts(50))
 		sim.run(5 * time.Second)
 		slowNodes := 0
 		for _, n := range sim.nodes {
 			n.decodeTime, n.decodeTimeout = time.Duration(1+sim.random.Int64N(12_000))*time.Millisecond, c.decode
-			if n.decodeTime > resource.BodyLimit(compressed) {
+			if n.decodeTime > resource.BodyTimeout(compressed) {
 				slowNodes++
 			}
 		}
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -34,10 +34,10 @@
 	writerClockSkew time.Duration                      // of the writer's clock when it begins an epoch
 	newEpochPending bool                               // the writer is to begin an epoch past a caller's version
 
-	checksums      map[resource.Version]resource.Sum // by version, as numbered by the writer
-	versions       []numberedVersion                 // in the order in which they were numbered
-	reachableSince [3]time.Duration                  // by region: since when the writer can reach its nodes; below 0: it can't
-	applyDelays    []time.Duration                   // for each node and version: see checkApplied
+	checksums      map[resource.Version]resource.Checksum // by version, as numbered by the writer
+	versions       []numberedVersion                      // in the order in which they were numbered
+	reachableSince [3]time.Duration                       // by region: since when the writer can reach its nodes; below 0: it can't
+	applyDelays    []time.Duration                        // for each node and version: see checkApplied
 	lostResponses  int
 	snapshotsSent  int // snapshots that have arrived at callers
 }
@@ -114,7 +114,7 @@
 // newSimulation starts the control processes, with the writer's files, and nodes that are spread over the regions.
 func newSimulation(t *testing.T, seed uint64, nodes int, all []resource.Resource) *simulation {
 	sim := &simulation{t: t, now: startTime, random: rand.New(rand.NewPCG(seed, 31)), files: map[resource.Key]resource.Resource{},
-		checksums: map[resource.Version]resource.Sum{}}
+		checksums: map[resource.Version]resource.Checksum{}}
 	for _, r := range all {
 		sim.files[r.Key] = r
 	}
@@ -182,13 +182,13 @@
 	c.currentCall++
 	call := c.currentCall
 	ask := c.decider.Next(sim.now, sim.random.Float64())
-	sim.after(ask.Rest, func() {
+	sim.after(ask.Delay, func() {
 		if c.currentCall != call || c.incarnation != nil && *c.incarnation%2 == 0 {
 			return
 		}
-		sim.after(ask.Limit, func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Silent}) })
+		sim.after(ask.Timeout, func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Silent}) })
 		p := sim.processes[c.sources[ask.Source]]
-		q := Query{Since: ask.Since, Sum: ask.Sum, Name: c.name, Process: c.process, Role: c.role, Refused: ask.Refused, Why: ask.Why, MaxWait: ask.Wait}
+		q := Query{Since: ask.Since, Sum: ask.Checksum, Name: c.name, Process: c.process, Role: c.role, Refused: ask.Refused, Why: ask.Reason, MaxWait: ask.Wait}
 		sim.after(sim.delay(c.region, p.region), func() {
 			switch {
 			case sim.partitioned[c.region][p.region]:
@@ -286,7 +286,7 @@
 	if r.Status != 200 {
 		sim.t.Fatalf("%s got status %d: %v", c.name, r.Status, r.Err)
 	}
-	if r.Delta.Whole() {
+	if r.Delta.IsSnapshot() {
 		sim.snapshotsSent++
 		if c.decodeTime > 0 {
 			sim.decodeSnapshot(c, r)
@@ -314,7 +314,7 @@
 
 // applyResponse applies a response's delta, if the follower accepts it, and makes the next call.
 func (sim *simulation) applyResponse(c *simFollower, r Reply) {
-	take, err := c.decider.Told(sim.now, r.Delta)
+	take, err := c.decider.Received(sim.now, r.Delta)
 	if take {
 		if c.reject != nil {
 			err = c.reject(r.Delta)
@@ -322,7 +322,7 @@
 		if err == nil {
 			err = c.apply(r.Delta)
 		}
-		c.decider.Took(sim.now, err)
+		c.decider.Applied(sim.now, err)
 		if err == nil {
 			sim.checkApplied(c)
 		}
@@ -339,8 +339,8 @@
 		sim.t.Fatalf("%s went from version %v to %v", c.name, c.version, v)
 	}
 	c.version = v
-	if sum, ok := sim.checksums[v]; !ok || sum != c.set.Sum() {
-		sim.t.Fatalf("%s has version %v with the checksum %x, want the writer's %x", c.name, v, c.set.Sum(), sum)
+	if sum, ok := sim.checksums[v]; !ok || sum != c.set.Checksum() {
+		sim.t.Fatalf("%s has version %v with the checksum %x, want the writer's %x", c.name, v, c.set.Checksum(), sum)
 	}
 	if c.role != "node" {
 		return
@@ -357,7 +357,7 @@
 	if _, ok := sim.checksums[d.To]; ok {
 		sim.t.Fatalf("version %v was made twice", d.To)
 	}
-	sim.checksums[d.To] = d.Sum
+	sim.checksums[d.To] = d.Checksum
 	sim.versions = append(sim.versions, numberedVersion{d.To, sim.now})
 	for _, c := range sim.nodes {
 		if len(sim.versions) == 1 {
@@ -436,7 +436,7 @@
 		c := &simFollower{name: fmt.Sprintf("control-%d", i), role: "control", region: p.region, sources: []int{0, 3 - i}, incarnation: new(int), set: p.store.Set(), startedAt: sim.now}
 		*c.incarnation = 1
 		c.decider = resource.NewFollower(c.set, 2)
-		c.decider.SetPace(resource.ControlPace)
+		c.decider.SetSchedule(resource.ControlSchedule)
 		c.apply = func(d *resource.Delta) error {
 			if err := p.store.Apply(sim.now, d); err != nil {
 				return err
@@ -527,7 +527,7 @@
 		sim.t.Fatalf("the writer differs from its files: put %v, removed %v", put, gone)
 	}
 	for _, c := range append(slices.Clone(sim.nodes), sim.processes[1].follower, sim.processes[2].follower) {
-		if c.set.Version() != set.Version() || c.set.Sum() != set.Sum() || c.set.Len() != set.Len() {
+		if c.set.Version() != set.Version() || c.set.Checksum() != set.Checksum() || c.set.Len() != set.Len() {
 			sim.t.Fatalf("%s has version %v with %d resources, the writer has %v with %d; follower: %+v", c.name, c.set.Version(), c.set.Len(), set.Version(), set.Len(), c.decider.Status())
 		}
 	}
@@ -906,7 +906,7 @@
 			c.reject = func(d *resource.Delta) error {
 				for _, r := range d.Put {
 					if strings.Contains(string(r.Spec), `"rate":66`) {
-						return &resource.Refusal{Key: r.Key, Field: "rate", Why: "not here"}
+						return &resource.Refusal{Key: r.Key, Field: "rate", Reason: "not here"}
 					}
 				}
 				return nil
--- a/internal/control/size_test.go
+++ b/internal/control/size_test.go
@@ -78,7 +78,7 @@
 	for i := range nodes {
 		group.Go(func() {
 			set := resource.NewSet(false)
-			follow.Run(ctx, follow.Options{Name: fmt.Sprint("n", i), Role: "node", Sources: []string{p.addr}, Set: set, Status: &status[i], Take: func(d *resource.Delta) error {
+			follow.Run(ctx, follow.Options{Name: fmt.Sprint("n", i), Role: "node", Sources: []string{p.addr}, Set: set, Status: &status[i], Apply: func(d *resource.Delta) error {
 				defer func() { applied <- d }()
 				return set.Apply(d)
 			}})
@@ -127,7 +127,7 @@
 	process     *testProcess
 }
 
-func (watchers *rawWatchers) call(v resource.Version, sum resource.Sum) {
+func (watchers *rawWatchers) call(v resource.Version, sum resource.Checksum) {
 	s, _ := sum.MarshalText()
 	for i, c := range watchers.connections {
 		fmt.Fprintf(c, "GET /v1/resources?name=n%d&role=node&since=%v&sum=%s&timeout_ms=60000 HTTP/1.1\r\nHost: x\r\nAccept-Encoding: gzip\r\n\r\n", i, v, s)
@@ -157,13 +157,13 @@
 				watchers.connections = append(watchers.connections, c)
 			}
 			buf := make([]byte, 64<<10)
-			version := func() (resource.Version, resource.Sum) {
+			version := func() (resource.Version, resource.Checksum) {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				return p.store.Set().Version(), p.store.Set().Sum()
+				return p.store.Set().Version(), p.store.Set().Checksum()
 			}
 			watchers.call(version())
-			out, used, reads, i := p.counters.bytesOut.Load(), processCPUTime(), p.writer.loader.Reads(), 0
+			out, used, reads, i := p.counters.bytesOut.Load(), processCPUTime(), p.writer.loader.FilesRead(), 0
 			b.ResetTimer()
 			for b.Loop() {
 				i++
@@ -181,7 +181,7 @@
 			b.StopTimer()
 			b.ReportMetric(float64((processCPUTime()-used).Microseconds())/1000/float64(i), "cpu-ms/op")
 			b.ReportMetric(float64(p.counters.bytesOut.Load()-out)/float64(i)/nodes, "B/watch")
-			b.ReportMetric(float64(p.writer.loader.Reads()-reads)/float64(i), "files/op")
+			b.ReportMetric(float64(p.writer.loader.FilesRead()-reads)/float64(i), "files/op")
 			p.stop()
 		})
 	}
@@ -208,14 +208,14 @@
 			runtime.KeepAlive(w)
 		})
 		b.Run(fmt.Sprint("one file of/", files), func(b *testing.B) {
-			s := NewSource(dir)
-			if _, err := s.Read(); err != nil {
+			s := NewLoader(dir)
+			if _, err := s.Load(); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				writeFile(b, filepath.Join(dir, "0000.yaml"), fleetFileText(0, files, 17000, 250, 3800, float64(5+i%7)))
-				if _, err := s.Read(); err != nil {
+				if _, err := s.Load(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,26 +13,26 @@
 
 // statusReport is the body of GET /v1/status.
 type statusReport struct {
-	Role        string           `json:"role"` // "writer" or "follower"
-	Version     resource.Version `json:"version"`
-	Sum         resource.Sum     `json:"sum"`
-	InForceS    float64          `json:"in_force_s"` // since the version was applied
-	Resources   int              `json:"resources"`
-	Deltas      int              `json:"deltas_kept"`
-	Watches     int              `json:"watches"`
-	MostWatches int              `json:"most_watches"`
-	Connections int              `json:"connections"`
-	Snapshots   int              `json:"snapshots_told"`
-	Ahead       resource.Version `json:"ahead"` // latest version that a caller has and this process lacks; 0.0: none
-	Nodes       int              `json:"callers"`
-	Versions    []versionReport  `json:"callers_by_version"`
-	Others      int              `json:"callers_at_other_versions"`
-	Refused     int              `json:"refusing"`
-	Refusals    []callerReport   `json:"refusals"`
-	Behind      int              `json:"behind"`
-	Late        []callerReport   `json:"late"`
-	Files       *filesReport     `json:"files,omitempty"`   // writer only
-	Follows     *follow.Figures  `json:"follows,omitempty"` // follower only
+	Role        string            `json:"role"` // "writer" or "follower"
+	Version     resource.Version  `json:"version"`
+	Sum         resource.Checksum `json:"sum"`
+	InForceS    float64           `json:"in_force_s"` // since the version was applied
+	Resources   int               `json:"resources"`
+	Deltas      int               `json:"deltas_kept"`
+	Watches     int               `json:"watches"`
+	MostWatches int               `json:"most_watches"`
+	Connections int               `json:"connections"`
+	Snapshots   int               `json:"snapshots_told"`
+	Ahead       resource.Version  `json:"ahead"` // latest version that a caller has and this process lacks; 0.0: none
+	Nodes       int               `json:"callers"`
+	Versions    []versionReport   `json:"callers_by_version"`
+	Others      int               `json:"callers_at_other_versions"`
+	Refused     int               `json:"refusing"`
+	Refusals    []callerReport    `json:"refusals"`
+	Behind      int               `json:"behind"`
+	Late        []callerReport    `json:"late"`
+	Files       *filesReport      `json:"files,omitempty"`   // writer only
+	Follows     *follow.Stats     `json:"follows,omitempty"` // follower only
 }
 
 // versionReport is the number of callers that have a version in force.
@@ -70,7 +70,7 @@
 	st := s.store.Status(now)
 	s.mu.Unlock()
 	report := statusReport{Role: "follower", Version: st.Version, Sum: st.Sum, Resources: st.Resources, Deltas: st.Deltas, Watches: st.Watches,
-		MostWatches: s.Limits.Watches,
+		MostWatches: s.Limits.MaxWatches,
 		Snapshots:   st.SnapshotsSent, Ahead: st.Ahead, Nodes: st.Callers, Others: st.AtOtherVersions, Refused: st.Refusing, Behind: st.Behind,
 		Refusals: callerReports(st.Refusals), Late: callerReports(st.Late), Versions: []versionReport{}}
 	report.Connections, _ = s.connections.stats()
@@ -198,7 +198,7 @@
 		for kind, n := range f.Failures {
 			emit(failuresDesc, counter, float64(n), string(kind))
 		}
-		since := f.Heard
+		since := f.LastResponse
 		if since == 0 {
 			since = c.startedAt
 		}
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -18,7 +18,7 @@
 	// History bounds the deltas that are retained.
 	History resource.HistoryLimits
 	// MaxWatches is the number of calls that may be held at a time.
-	Watches int
+	MaxWatches int
 	// MaxCallers is the number of processes that are remembered. Past it the one that has been silent for the longest is
 	// forgotten.
 	MaxCallers int
@@ -39,17 +39,17 @@
 
 // Query is one call for a watch, or a later event of a held call: a change to check for, or its end.
 type Query struct {
-	Since      resource.Version // version in force at the caller; zero: none
-	Sum        resource.Sum     // checksum of the caller's content at Since
-	Name       string           // caller's name: a node's or a control process's
-	Process    string           // tells processes of one name apart; may be empty
-	Role       string           // "node" or "control"
-	Refused    resource.Version // version that the caller refused; zero: none
-	Why        string           // reason of the refusal
-	MaxWait    time.Duration    // how long the call may be held until something is new; 0: reply at once
-	WatchID    uint64           // Reply.WatchID of a call that is held; 0: a new call
-	WaitOver   bool             // the held call has waited for MaxWait
-	CallerGone bool             // the caller ended the held call
+	Since      resource.Version  // version in force at the caller; zero: none
+	Sum        resource.Checksum // checksum of the caller's content at Since
+	Name       string            // caller's name: a node's or a control process's
+	Process    string            // tells processes of one name apart; may be empty
+	Role       string            // "node" or "control"
+	Refused    resource.Version  // version that the caller refused; zero: none
+	Why        string            // reason of the refusal
+	MaxWait    time.Duration     // how long the call may be held until something is new; 0: reply at once
+	WatchID    uint64            // Reply.WatchID of a call that is held; 0: a new call
+	WaitOver   bool              // the held call has waited for MaxWait
+	CallerGone bool              // the caller ended the held call
 }
 
 // Reply is the store's reply to a Query.
@@ -90,7 +90,7 @@
 
 // NewVersionStore returns a store without a configuration; BeginEpoch or Apply gives it the first version.
 func NewVersionStore(l Limits) *VersionStore {
-	l.Watches = cmp.Or(max(l.Watches, 0), DefaultLimits.Watches)
+	l.MaxWatches = cmp.Or(max(l.MaxWatches, 0), DefaultLimits.MaxWatches)
 	l.MaxCallers = cmp.Or(max(l.MaxCallers, 0), DefaultLimits.MaxCallers)
 	l.ForgetAfter = cmp.Or(max(l.ForgetAfter, 0), DefaultLimits.ForgetAfter)
 	l.BehindAfter = cmp.Or(max(l.BehindAfter, 0), DefaultLimits.BehindAfter)
@@ -116,7 +116,7 @@
 		switch {
 		case d == nil || d.To.IsZero():
 			continue
-		case !d.Whole():
+		case !d.IsSnapshot():
 			return nil, fmt.Errorf("peer version %v: not a snapshot", d.To)
 		case d.To.Epoch == math.MaxUint64 || (resource.Version{Epoch: d.To.Epoch + 1}).TooFarAhead(now):
 			return nil, fmt.Errorf("peer version %v: its epoch is over a day ahead of this clock, %d: no node accepts a later one",
@@ -130,7 +130,7 @@
 	seen := make(map[resource.Key]bool, len(all))
 	for i := range all {
 		if k := all[i].Key; seen[k] {
-			return nil, &resource.Refusal{Key: k, Why: "defined twice"}
+			return nil, &resource.Refusal{Key: k, Reason: "defined twice"}
 		}
 		seen[all[i].Key] = true
 	}
@@ -148,7 +148,7 @@
 		}
 	}
 	put, gone := trial.Compare(all)
-	d := trial.Next(to, put, gone)
+	d := trial.NewDelta(to, put, gone)
 	if err := trial.Check(d); err != nil {
 		return nil, err
 	}
@@ -186,8 +186,8 @@
 	if v.IsZero() {
 		return nil, errors.New("no configuration to change yet: no epoch has begun")
 	}
-	d := vs.set.Next(resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, put, gone)
-	if len(d.Put)+len(d.Gone) == 0 {
+	d := vs.set.NewDelta(resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, put, gone)
+	if len(d.Put)+len(d.Removed) == 0 {
 		return nil, nil
 	}
 	if err := vs.commit(now, d); err != nil {
@@ -200,7 +200,7 @@
 // is retained, so that callers at the version before can follow by deltas into a new epoch. Errors are those of
 // resource.Set.Check; they leave the store unchanged.
 func (vs *VersionStore) Apply(now time.Duration, d *resource.Delta) error {
-	if d.Whole() {
+	if d.IsSnapshot() {
 		if err := vs.set.Check(d); err != nil {
 			return err
 		}
@@ -245,14 +245,14 @@
 		if q.Since.Compare(vs.ahead) > 0 && !q.Since.TooFarAhead(now) {
 			vs.ahead = q.Since
 		}
-	case order == 0 && q.Sum != vs.set.Sum():
+	case order == 0 && q.Sum != vs.set.Checksum():
 		r.Status, r.Err = 409, fmt.Errorf("different content under version %v here: checksum %016x",
-			version, uint64(vs.set.Sum()))
+			version, uint64(vs.set.Checksum()))
 	case order == 0 || q.Refused == version:
 		r.Delta = vs.emptyDelta(&q)
 		switch {
 		case q.MaxWait <= 0:
-		case vs.watchCount >= vs.limits.Watches:
+		case vs.watchCount >= vs.limits.MaxWatches:
 			r = Reply{Status: 503, RetryAfter: retryAfter, ReplacedWatch: replaced,
 				Err: fmt.Errorf("%d watches are held, the maximum", vs.watchCount)}
 		default:
@@ -271,7 +271,7 @@
 
 // emptyDelta returns the reply that nothing is newer.
 func (vs *VersionStore) emptyDelta(q *Query) *resource.Delta {
-	return &resource.Delta{From: q.Since, To: q.Since, Sum: q.Sum}
+	return &resource.Delta{From: q.Since, To: q.Since, Checksum: q.Sum}
 }
 
 // deltaSince returns a delta from the caller's older version to the current one, or a snapshot where the history has
@@ -282,11 +282,11 @@
 		if d, ok := vs.history.Since(q.Since); ok {
 			return d
 		}
-		if q.Sum == vs.set.Sum() {
-			return &resource.Delta{From: q.Since, To: vs.set.Version(), Sum: q.Sum}
+		if q.Sum == vs.set.Checksum() {
+			return &resource.Delta{From: q.Since, To: vs.set.Version(), Checksum: q.Sum}
 		}
 	}
-	if d, ok := vs.history.SinceSum(q.Since, q.Sum); ok && !q.Since.IsZero() {
+	if d, ok := vs.history.SinceChecksum(q.Since, q.Sum); ok && !q.Since.IsZero() {
 		return d
 	}
 	vs.snapshotsSent++
@@ -305,8 +305,8 @@
 		return fmt.Errorf("process: at most %d bytes", maxProcessMark)
 	case q.Role != "node" && q.Role != "control":
 		return fmt.Errorf("role %.40q: want node or control", q.Role)
-	case len(q.Why) > resource.MaxWhy:
-		return fmt.Errorf("why: %d bytes: at most %d", len(q.Why), resource.MaxWhy)
+	case len(q.Why) > resource.MaxReason:
+		return fmt.Errorf("why: %d bytes: at most %d", len(q.Why), resource.MaxReason)
 	case q.MaxWait < 0:
 		return errors.New("timeout_ms: below 0")
 	}
--- a/internal/control/versions_test.go
+++ b/internal/control/versions_test.go
@@ -40,7 +40,7 @@
 }
 
 // nodeQuery returns a query of node n0 that may be held.
-func nodeQuery(since resource.Version, sum resource.Sum) Query {
+func nodeQuery(since resource.Version, sum resource.Checksum) Query {
 	return Query{Since: since, Sum: sum, Name: "n0", Role: "node", MaxWait: 10 * time.Second}
 }
 
@@ -68,10 +68,10 @@
 // Each query gets its status, and the delta, empty delta or snapshot that leads from its version to the store's.
 func TestWatchReplies(t *testing.T) {
 	store := newStartedStore(t, Limits{History: resource.HistoryLimits{Deltas: 2}}, contracts(3))
-	var sums []resource.Sum
-	sums = append(sums, store.Set().Sum())
+	var sums []resource.Checksum
+	sums = append(sums, store.Set().Checksum())
 	for i := range 4 {
-		sums = append(sums, mustChange(t, store, startTime, oneContract("c0000", 10+i)).Sum)
+		sums = append(sums, mustChange(t, store, startTime, oneContract("c0000", 10+i)).Checksum)
 	}
 	now := newVersion(startEpoch, 4)
 	for _, c := range []struct {
@@ -104,7 +104,7 @@
 		{name: "long name", q: Query{Name: strings.Repeat("n", 301), Role: "node"}, status: 400, err: "name: want 1 to 300 bytes"},
 		{name: "no role", q: Query{Name: "n0"}, status: 400, err: "role \"\": want node or control"},
 		{name: "long process mark", q: Query{Name: "n0", Process: strings.Repeat("p", maxProcessMark+1), Role: "node"}, status: 400, err: "process: at most 64 bytes"},
-		{name: "long why", q: Query{Name: "n0", Role: "node", Why: strings.Repeat("y", resource.MaxWhy+1)}, status: 400, err: "why: 1025 bytes: at most 1024"},
+		{name: "long why", q: Query{Name: "n0", Role: "node", Why: strings.Repeat("y", resource.MaxReason+1)}, status: 400, err: "why: 1025 bytes: at most 1024"},
 		{name: "negative wait", q: Query{Name: "n0", Role: "control", MaxWait: -1}, status: 400, err: "timeout_ms: below 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 				}
 				return
 			}
-			if r.Delta.From != c.from || r.Delta.To != c.to || len(r.Delta.Put) != c.put || r.Delta.From == r.Delta.To && r.Delta.Sum != c.q.Sum {
+			if r.Delta.From != c.from || r.Delta.To != c.to || len(r.Delta.Put) != c.put || r.Delta.From == r.Delta.To && r.Delta.Checksum != c.q.Sum {
 				t.Fatalf("unexpected delta: %+v", r.Delta)
 			}
 			if c.wait {
@@ -139,7 +139,7 @@
 // A held watch is released with the delta of the next change.
 func TestHeldWatchReceivesNextChange(t *testing.T) {
 	store := newStartedStore(t, Limits{}, contracts(3))
-	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Sum())
+	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Checksum())
 	r := store.Watch(startTime, q)
 	if q.WatchID = r.WatchID; !r.Hold || store.watchCount != 1 {
 		t.Fatalf("unexpected reply: %+v", r)
@@ -163,7 +163,7 @@
 // A second watch of one process ends its first one, so that a reconnecting caller does not hold two.
 func TestLaterWatchOfSameNameReplacesEarlier(t *testing.T) {
 	store := newStartedStore(t, Limits{}, contracts(3))
-	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Sum())
+	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Checksum())
 	first := store.Watch(startTime, q)
 	second := store.Watch(startTime, q)
 	if second.ReplacedWatch != first.WatchID || second.WatchID == first.WatchID || store.watchCount != 1 {
@@ -189,7 +189,7 @@
 // and is not counted beside it.
 func TestProcessesOfOneNameHoldSeparateWatches(t *testing.T) {
 	store := newStartedStore(t, Limits{}, contracts(3))
-	sum := store.Set().Sum()
+	sum := store.Set().Checksum()
 	process := func(mark string) Query {
 		q := nodeQuery(newVersion(startEpoch, 0), sum)
 		q.Process = mark
@@ -232,10 +232,10 @@
 	if s := store.Status(startTime); len(s.Refusals) != 1 || s.Refusals[0].Process != "a" || s.Refusals[0].Name != "n0" {
 		t.Fatalf("unexpected refusals: %+v", s.Refusals)
 	}
-	sum = d.Sum
+	sum = d.Checksum
 	up := func(now time.Duration, mark string) Query {
 		q := process(mark)
-		q.Since, q.Sum = d.To, d.Sum
+		q.Since, q.Sum = d.To, d.Checksum
 		q.WatchID = store.Watch(now, q).WatchID
 		return q
 	}
@@ -273,8 +273,8 @@
 
 // Past Limits.MaxWatches a call is not held but gets 503 with a retry time.
 func TestWatchLimit(t *testing.T) {
-	store := newStartedStore(t, Limits{Watches: 2}, contracts(3))
-	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Sum())
+	store := newStartedStore(t, Limits{MaxWatches: 2}, contracts(3))
+	q := nodeQuery(newVersion(startEpoch, 0), store.Set().Checksum())
 	var ids []uint64
 	for i := range 2 {
 		q.Name = fmt.Sprint("n", i)
@@ -298,7 +298,7 @@
 	if r := store.Watch(startTime, q); !r.Hold || store.watchCount != 2 {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
-	if DefaultLimits.Watches != 2000 || NewVersionStore(Limits{Watches: -1}).limits.Watches != 2000 {
+	if DefaultLimits.MaxWatches != 2000 || NewVersionStore(Limits{MaxWatches: -1}).limits.MaxWatches != 2000 {
 		t.Fatal("DefaultLimits.MaxWatches is not 2000, or does not replace -1")
 	}
 }
@@ -308,7 +308,7 @@
 func TestCallerLimitAndExpiry(t *testing.T) {
 	store := newStartedStore(t, Limits{MaxCallers: 3}, contracts(3))
 	name := func(n int, wait time.Duration) Query {
-		return Query{Name: fmt.Sprint("n", n), Role: "node", Since: newVersion(startEpoch, 0), Sum: store.Set().Sum(), MaxWait: wait}
+		return Query{Name: fmt.Sprint("n", n), Role: "node", Since: newVersion(startEpoch, 0), Sum: store.Set().Checksum(), MaxWait: wait}
 	}
 	store.Watch(startTime, name(0, time.Hour)) // held: forgotten last
 	store.Watch(startTime+1, name(1, 0))
@@ -348,7 +348,7 @@
 // Status counts callers by version, lists refusals and callers that are behind, and bounds each list.
 func TestStatusReportsVersionsRefusalsAndLag(t *testing.T) {
 	store := newStartedStore(t, Limits{}, contracts(3))
-	sum := store.Set().Sum()
+	sum := store.Set().Checksum()
 	var last resource.Version
 	for i := range 30 {
 		last = mustChange(t, store, startTime+time.Duration(i)*time.Second, oneContract("c0000", 10+i)).To
@@ -382,7 +382,7 @@
 		t.Fatal(d)
 	}
 	// A caller that has applied what it refused is not counted any more.
-	store.Watch(now, Query{Name: "r000", Role: "control", Since: last, Sum: store.Set().Sum()})
+	store.Watch(now, Query{Name: "r000", Role: "control", Since: last, Sum: store.Set().Checksum()})
 	if s = store.Status(now); s.Refusing != 119 || s.Versions[0].Callers != 2 {
 		t.Fatal(s.Refusing)
 	}
@@ -413,14 +413,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d.From != newVersion(startEpoch, 1) || d.To != newVersion(c.epoch, 0) || len(d.Put) != 2 || len(d.Gone) != 0 {
+			if d.From != newVersion(startEpoch, 1) || d.To != newVersion(c.epoch, 0) || len(d.Put) != 2 || len(d.Removed) != 0 {
 				t.Fatalf("unexpected delta: %+v", d)
 			}
 			// A caller with the latest version gets the delta; one with an older version gets a snapshot.
-			if r := store.Watch(c.now, nodeQuery(newVersion(startEpoch, 1), known[3].Sum)); r.Delta != d {
+			if r := store.Watch(c.now, nodeQuery(newVersion(startEpoch, 1), known[3].Checksum)); r.Delta != d {
 				t.Fatalf("unexpected reply: %+v", r)
 			}
-			if r := store.Watch(c.now, nodeQuery(newVersion(startEpoch, 0), known[0].Sum)); !r.Delta.Whole() || len(r.Delta.Put) != 4 {
+			if r := store.Watch(c.now, nodeQuery(newVersion(startEpoch, 0), known[0].Checksum)); !r.Delta.IsSnapshot() || len(r.Delta.Put) != 4 {
 				t.Fatalf("unexpected reply: %+v", r)
 			}
 			if d := mustChange(t, store, c.now, oneContract("new", 2)); d.To != newVersion(c.epoch, 1) {
@@ -431,7 +431,7 @@
 	t.Run("same content", func(t *testing.T) {
 		store := NewVersionStore(Limits{})
 		d, err := store.BeginEpoch(startTime, known, latest.Set().Snapshot().Put)
-		if err != nil || len(d.Put)+len(d.Gone) != 0 || d.From != newVersion(startEpoch, 1) || d.To != newVersion(startEpoch+1, 0) || d.Sum != known[3].Sum {
+		if err != nil || len(d.Put)+len(d.Removed) != 0 || d.From != newVersion(startEpoch, 1) || d.To != newVersion(startEpoch+1, 0) || d.Checksum != known[3].Checksum {
 			t.Fatalf("unexpected delta %+v, error %v", d, err)
 		}
 	})
@@ -445,7 +445,7 @@
 	highest.To.Epoch = 1<<64 - 1
 	broken := *far
 	broken.To.Epoch = startEpoch + 5
-	broken.Sum++
+	broken.Checksum++
 	delta := resource.Delta{From: newVersion(1, 1), To: newVersion(1, 2)}
 	for name, c := range map[string]struct {
 		known *resource.Delta
@@ -462,11 +462,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, store := range []*VersionStore{NewVersionStore(Limits{}), newStartedStore(t, Limits{}, contracts(4))} {
-				before, sum := store.Set().Version(), store.Set().Sum()
+				before, sum := store.Set().Version(), store.Set().Checksum()
 				if d, err := store.BeginEpoch(startTime, []*resource.Delta{c.known}, c.all); err == nil || !strings.Contains(err.Error(), c.want) {
 					t.Fatal(d, err)
 				}
-				if store.Set().Version() != before || store.Set().Sum() != sum {
+				if store.Set().Version() != before || store.Set().Checksum() != sum {
 					t.Fatal("a part of a rejected epoch was applied")
 				}
 			}
@@ -488,13 +488,13 @@
 		t.Fatal(store.Ahead())
 	}
 	d, err := store.BeginEpoch(startTime-time.Hour, nil, contracts(3))
-	if err != nil || d.To != newVersion(startEpoch+1, 0) || len(d.Put)+len(d.Gone) != 0 {
+	if err != nil || d.To != newVersion(startEpoch+1, 0) || len(d.Put)+len(d.Removed) != 0 {
 		t.Fatalf("unexpected delta %+v, error %v", d, err)
 	}
 	if !store.Ahead().IsZero() {
 		t.Fatal(store.Ahead())
 	}
-	if r := store.Watch(startTime, nodeQuery(newVersion(startEpoch, 5), 1)); r.Status != 200 || !r.Delta.Whole() {
+	if r := store.Watch(startTime, nodeQuery(newVersion(startEpoch, 5), 1)); r.Status != 200 || !r.Delta.IsSnapshot() {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
 	// A version that no node could have accepted is ignored.
@@ -511,7 +511,7 @@
 	if _, err := store.BeginEpoch(startTime+time.Minute, nil, contracts(3)); err != nil {
 		t.Fatal(err)
 	}
-	r := store.Watch(startTime, nodeQuery(newVersion(startEpoch, 0), first.Set().Sum()))
+	r := store.Watch(startTime, nodeQuery(newVersion(startEpoch, 0), first.Set().Checksum()))
 	if r.Status != 200 || r.Delta.From != newVersion(startEpoch, 0) || r.Delta.To != store.Set().Version() || len(r.Delta.Put) != 0 {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
@@ -524,12 +524,12 @@
 	}
 	// Also where a change was made before the node called.
 	mustChange(t, store, startTime, oneContract("c0002", 8))
-	r = store.Watch(startTime, nodeQuery(newVersion(startEpoch, 0), first.Set().Sum()))
+	r = store.Watch(startTime, nodeQuery(newVersion(startEpoch, 0), first.Set().Checksum()))
 	if r.Delta.From != newVersion(startEpoch, 0) || r.Delta.To != store.Set().Version() || len(r.Delta.Put) != 1 {
 		t.Fatalf("unexpected delta: %+v", r.Delta)
 	}
 	mustChange(t, first, startTime, oneContract("c0000", 9)) // some nodes received it, and it was lost with the writer
-	if r = store.Watch(startTime, nodeQuery(newVersion(startEpoch, 1), first.Set().Sum())); !r.Delta.Whole() {
+	if r = store.Watch(startTime, nodeQuery(newVersion(startEpoch, 1), first.Set().Checksum())); !r.Delta.IsSnapshot() {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
 }
@@ -560,7 +560,7 @@
 			}
 		})
 	}
-	if d := mustChange(t, store, startTime, oneContract("c0001", 2), contract("c0002", 1).Key); d.To != newVersion(startEpoch, 1) || len(d.Put) != 1 || len(d.Gone) != 1 {
+	if d := mustChange(t, store, startTime, oneContract("c0001", 2), contract("c0002", 1).Key); d.To != newVersion(startEpoch, 1) || len(d.Put) != 1 || len(d.Removed) != 1 {
 		t.Fatalf("unexpected delta: %+v", d)
 	}
 	if _, err := NewVersionStore(Limits{}).Change(startTime, oneContract("c0001", 2), nil); err == nil {
@@ -582,8 +582,8 @@
 	if err := store.Apply(startTime, first); err != nil {
 		t.Fatal(err)
 	}
-	for d, want := range map[*resource.Delta]error{third: resource.ErrBase, first: resource.ErrStale, writer.Set().Next(newVersion(5, 0), nil, nil): resource.ErrStale,
-		{From: first.To, To: third.To, Sum: 1}: resource.ErrSum} {
+	for d, want := range map[*resource.Delta]error{third: resource.ErrBase, first: resource.ErrStale, writer.Set().NewDelta(newVersion(5, 0), nil, nil): resource.ErrStale,
+		{From: first.To, To: third.To, Checksum: 1}: resource.ErrChecksum} {
 		if d.To == newVersion(5, 0) {
 			d.From = resource.Version{} // a snapshot of an older epoch
 		}
@@ -603,7 +603,7 @@
 	}
 	for _, v := range []resource.Version{newVersion(startEpoch, 0), first.To, lost.To} {
 		r := store.Watch(startTime, nodeQuery(v, 0))
-		if r.Delta.From != v || r.Delta.To != newVersion(startEpoch+1, 0) || len(r.Delta.Put) != 1 || len(r.Delta.Gone) != 2 {
+		if r.Delta.From != v || r.Delta.To != newVersion(startEpoch+1, 0) || len(r.Delta.Put) != 1 || len(r.Delta.Removed) != 2 {
 			t.Fatalf("unexpected delta: %+v", r.Delta)
 		}
 	}
@@ -617,16 +617,16 @@
 	now := startTime
 	ask := func() Reply {
 		c := f.Next(now, 0.5)
-		now += c.Rest
-		return store.Watch(now, Query{Since: c.Since, Sum: c.Sum, Name: "n0", Role: "node", Refused: c.Refused, Why: c.Why, MaxWait: c.Wait})
+		now += c.Delay
+		return store.Watch(now, Query{Since: c.Since, Sum: c.Checksum, Name: "n0", Role: "node", Refused: c.Refused, Why: c.Reason, MaxWait: c.Wait})
 	}
 	take := func(r Reply) {
 		t.Helper()
-		if take, err := f.Told(now, r.Delta); !take || err != nil {
+		if take, err := f.Received(now, r.Delta); !take || err != nil {
 			t.Fatal(take, err)
 		}
 		err := set.Apply(set.Difference(r.Delta))
-		if f.Took(now, err); err != nil {
+		if f.Applied(now, err); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -638,12 +638,12 @@
 	if _, err := store.Change(now, []resource.Resource{contract("c0001", 2)}, []resource.Key{contract("c0002", 1).Key}); err != nil {
 		t.Fatal(err)
 	}
-	r = store.Watch(now, Query{Since: set.Version(), Sum: set.Sum(), Name: "n0", Role: "node", MaxWait: time.Second, WatchID: r.WatchID})
-	if r.Hold || len(r.Delta.Put) != 1 || len(r.Delta.Gone) != 1 {
+	r = store.Watch(now, Query{Since: set.Version(), Sum: set.Checksum(), Name: "n0", Role: "node", MaxWait: time.Second, WatchID: r.WatchID})
+	if r.Hold || len(r.Delta.Put) != 1 || len(r.Delta.Removed) != 1 {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
 	take(r)
-	if set.Version() != store.Set().Version() || set.Sum() != store.Set().Sum() || set.Len() != 2 {
+	if set.Version() != store.Set().Version() || set.Checksum() != store.Set().Checksum() || set.Len() != 2 {
 		t.Fatal(set.Version(), set.Len())
 	}
 }
@@ -665,7 +665,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				for j := range held {
-					held[j].Since, held[j].Sum, held[j].WatchID = store.Set().Version(), store.Set().Sum(), 0
+					held[j].Since, held[j].Sum, held[j].WatchID = store.Set().Version(), store.Set().Checksum(), 0
 					held[j].WatchID = store.Watch(startTime, held[j]).WatchID
 				}
 				if _, err := store.Change(startTime, oneContract("c0001", i+2), nil); err != nil {
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -33,13 +33,13 @@
 }
 
 // newWriter returns a writer for the files at a path; it has read nothing yet.
-func newWriter(path string) *writer { return &writer{loader: NewSource(path), catalog: newCatalog()} }
+func newWriter(path string) *writer { return &writer{loader: NewLoader(path), catalog: newCatalog()} }
 
 // loadInitial reads the files for the first time. An error is a *FilesError.
 func (w *writer) loadInitial() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	diff, err := w.loader.Read()
+	diff, err := w.loader.Load()
 	if err != nil {
 		return &FilesError{err}
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return s.writer.loader.withLocation(err)
 	}
-	s.Log.Info("new epoch", "version", d.To, "base", d.From, "put", len(d.Put), "gone", len(d.Gone),
+	s.Log.Info("new epoch", "version", d.To, "base", d.From, "put", len(d.Put), "gone", len(d.Removed),
 		"peers_replied", len(known))
 	return nil
 }
@@ -123,7 +123,7 @@
 		go func() {
 			c := follow.NewClient(s.Name, "control", s.Clock, &follow.Status{})
 			defer c.Close()
-			d, err := c.Get(ctx, p, &follow.Query{Limit: peersTimeout})
+			d, err := c.Get(ctx, p, &follow.Query{Timeout: peersTimeout})
 			if err != nil {
 				s.Log.Warn("no snapshot from a peer", "peer", p, "err", err)
 				d = nil
@@ -137,7 +137,7 @@
 			continue
 		}
 		// An invalid snapshot from a peer must not keep the writer from beginning its epoch.
-		if err := resource.NewSet(false).Check(d); err != nil || !d.Whole() {
+		if err := resource.NewSet(false).Check(d); err != nil || !d.IsSnapshot() {
 			s.Log.Warn("skipping an invalid snapshot from a peer", "version", d.To, "err", err)
 			continue
 		}
@@ -147,7 +147,7 @@
 }
 
 // ReloadResult is the result of a successful reload, the body of POST /v1/reload's response.
-type Reloaded struct {
+type ReloadResult struct {
 	Version resource.Version `json:"version"` // version in force now
 	Put     int              `json:"put"`     // resources that are new or have another spec
 	Gone    int              `json:"gone"`    // resources that were removed
@@ -156,7 +156,7 @@
 
 // reloadFiles reads the files, checks their content, and makes a version where it has changed. After an error the
 // version before stays in force. It records the outcome for the log and the status.
-func (s *server) reloadFiles() (*Reloaded, error) {
+func (s *server) reloadFiles() (*ReloadResult, error) {
 	w := s.writer
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -184,7 +184,7 @@
 }
 
 // applyFiles does the work of reloadFiles. The caller holds writer.mu, so that nothing else changes the store meanwhile.
-func (s *server) applyFiles() (*Reloaded, error) {
+func (s *server) applyFiles() (*ReloadResult, error) {
 	w := s.writer
 	s.mu.Lock()
 	version := s.store.Set().Version()
@@ -192,21 +192,21 @@
 	if version.IsZero() {
 		return nil, errNoConfiguration
 	}
-	diff, err := w.loader.Read()
+	diff, err := w.loader.Load()
 	if err != nil {
 		return nil, err
 	}
-	if len(diff.Put)+len(diff.Gone) == 0 {
+	if len(diff.Put)+len(diff.Removed) == 0 {
 		w.loader.Accept(diff)
-		return &Reloaded{Version: version}, nil
+		return &ReloadResult{Version: version}, nil
 	}
-	change, err := w.catalog.Prepare(&resource.Delta{Put: diff.Put, Gone: diff.Gone})
+	change, err := w.catalog.Prepare(&resource.Delta{Put: diff.Put, Removed: diff.Removed})
 	if err != nil {
 		return nil, w.loader.withLocation(err)
 	}
 	var d *resource.Delta
 	if err := s.publish(func(now time.Duration) (err error) {
-		d, err = s.store.Change(now, diff.Put, diff.Gone)
+		d, err = s.store.Change(now, diff.Put, diff.Removed)
 		return err
 	}); err != nil {
 		return nil, w.loader.withLocation(err)
@@ -216,5 +216,5 @@
 	if d == nil { // can't happen: the store's content is the loader's, so that what differs from one differs from the other
 		return nil, errors.New("internal error: the files differ from those accepted but not from the version store")
 	}
-	return &Reloaded{Version: d.To, Put: len(d.Put), Gone: len(d.Gone), Changed: true}, nil
+	return &ReloadResult{Version: d.To, Put: len(d.Put), Gone: len(d.Removed), Changed: true}, nil
 }
--- a/internal/core/contract_change_test.go
+++ b/internal/core/contract_change_test.go
@@ -24,24 +24,24 @@
 		change := func(ch contract.Change) {
 			c.Lock()
 			defer c.Unlock()
-			c.Change(&ch)
+			c.ChangeContracts(&ch)
 		}
 		begin := func(id, tenant string) *Request {
-			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
+			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Timeout: 4 * time.Second,
 				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
 				t.Fatalf("Begin did not accept %s", id)
 			}
 			return q
 		}
-		end := func(q *Request) Answer {
-			a := <-q.Answer()
+		end := func(q *Request) Response {
+			a := <-q.Response()
 			releasePayload(a.Payload)
-			c.Written(q)
+			c.ResponseWritten(q)
 			return a
 		}
-		change(contract.Change{Gone: []string{"none"}})
-		if c.Stats(10).Contracts {
+		change(contract.Change{Removed: []string{"none"}})
+		if c.Stats(10).HasContracts {
 			t.Error("a change that adds no contract puts contracts in force")
 		}
 		one := contract.Terms{Name: "one", Matches: []contract.Match{{Tenant: "one"}}, Rate: 0.001, Burst: 2, InFlight: 8, Weight: 1}
@@ -50,8 +50,8 @@
 			t.Errorf("response to a caller without a contract: %+v", a)
 		}
 		q := begin("b", "one")
-		change(contract.Change{Gone: []string{"one"}})
-		if c.Stats(10).Contracts {
+		change(contract.Change{Removed: []string{"one"}})
+		if c.Stats(10).HasContracts {
 			t.Error("contracts are in force after the last one was removed")
 		}
 		if _, _, err := c.Explain(&contract.Caller{}, "view", false); err != ErrNoContracts {
@@ -90,30 +90,30 @@
 		for i := range responses {
 			if r.IntN(2) == 0 {
 				tenant := name()
-				ch := contract.Change{Gone: []string{tenant}}
+				ch := contract.Change{Removed: []string{tenant}}
 				if r.IntN(3) > 0 {
 					ch = contract.Change{Put: []contract.Terms{{Name: tenant, Matches: []contract.Match{{Tenant: tenant}}, InFlight: 1 + r.IntN(20), Weight: 1,
-						Bounded: true, Ratio: 1, Window: time.Second}}}
+						RetriesBounded: true, RetryRatio: 1, RetryWindow: time.Second}}}
 				}
 				c.Lock()
-				c.Change(&ch)
+				c.ChangeContracts(&ch)
 				c.Unlock()
 			}
 			tenant := name()
-			q := &Request{ID: fmt.Sprint("r", i), Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
+			q := &Request{ID: fmt.Sprint("r", i), Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Timeout: 4 * time.Second,
 				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
 				t.Fatalf("Begin did not accept %s", q.ID)
 			}
 			all.Go(func() {
-				a := <-q.Answer()
+				a := <-q.Response()
 				releasePayload(a.Payload)
 				b.mu.Lock()
 				if responses[i]++; a.Kind == RejectedByContract {
 					rejected++
 				}
 				b.mu.Unlock()
-				c.Written(q)
+				c.ResponseWritten(q)
 			})
 			time.Sleep(time.Duration(r.IntN(10)) * time.Millisecond)
 		}
@@ -132,7 +132,7 @@
 			tenant := fmt.Sprint("t", i)
 			restored.Put = append(restored.Put, contract.Terms{Name: tenant, Matches: []contract.Match{{Tenant: tenant}}, Weight: 1})
 		}
-		c.Change(&restored)
+		c.ChangeContracts(&restored)
 		c.Unlock()
 		levels := c.Stats(10).Levels
 		if len(levels) != 4 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -33,7 +33,7 @@
 type Payload interface{ Release() }
 
 // Sender sends attempts to web servers.
-type Back interface {
+type Sender interface {
 	// Attempt sends a request once and waits for the outcome. It returns only after nothing more of the attempt can
 	// reach its server, so that the next attempt is never a concurrent second copy. It runs in a goroutine of its own.
 	// ctx ends when the attempt is given up, with ErrCanceled as its cause, or when the core is closed.
@@ -41,7 +41,7 @@
 }
 
 // Discovery provides the web servers. Its methods are called with the core's lock held, and must not block.
-type Roster interface {
+type Discovery interface {
 	// Server returns what the Sender needs to reach the server with the policy's number, and false if no server list
 	// has it any more.
 	Server(number uint32) (any, bool)
@@ -84,24 +84,24 @@
 // The unexported ones are guarded by the core's lock, except clientGone and the channel.
 type Request struct {
 	ID, Class, Tenant string
-	Key               string          // idempotency key; empty if the client sent none
+	IdempotencyKey    string          // idempotency key; empty if the client sent none
 	Repeat            bool            // the client marked it as a repeat of an earlier request
-	Hint              float64         // expected cost in seconds; 0 if not specified
+	CostHint          float64         // expected cost in seconds; 0 if not specified
 	Caller            contract.Caller // identity by which the contract is found
 	Arrived           time.Duration   // when its last byte arrived, or its head if the body is still to come
-	Patience          time.Duration   // how long its client waits, counted from Arrived
+	Timeout           time.Duration   // how long its client waits, counted from Arrived
 	Body              Body
 	Message           any // what the front has read and the Sender sends
 	// ClientLeft reports, without blocking, whether the client has disconnected, which may be before ClientGone is
 	// called. It is nil where that can't be determined. It is called from the attempts' goroutines.
-	Left func() bool
+	ClientLeft func() bool
 	// StillValid reports whether what the front looked up for the request is still current. It is nil if the front
 	// looked up nothing. It is called with the core's lock held, in the same critical section in which the contract and
 	// the cell are looked up. Begin does not accept the request if it returns false.
-	Holds func() bool
+	StillValid func() bool
 	// BeforeWait is called without the core's lock before Begin waits for the successor's reply, which takes 0.2 s at
 	// most and during which the client may disconnect. It may be nil.
-	Waits func()
+	BeforeWait func()
 
 	clientGone   atomic.Bool // set by ClientGone
 	deadline     time.Duration
@@ -111,16 +111,16 @@
 	written      bool // the client has the response, or can't get it any more
 	spilled      bool // it was submitted again for the servers that Cells.Spill returned
 	admission    admission
-	response     chan Answer // has room for the one final response, so that sending never blocks
+	response     chan Response // has room for the one final response, so that sending never blocks
 }
 
 // Response returns the channel on which the one final response arrives. The receiver calls Core.ResponseWritten once it
 // has passed the response on.
-func (r *Request) Answer() <-chan Answer { return r.response }
+func (r *Request) Response() <-chan Response { return r.response }
 
 // Await waits for the final response. ok is false if end was closed before the response arrived; the caller must then
 // call Core.ClientGone.
-func (r *Request) Await(end <-chan struct{}) (a Answer, ok bool) {
+func (r *Request) Await(end <-chan struct{}) (a Response, ok bool) {
 	select {
 	case a = <-r.response:
 		return a, true
@@ -130,7 +130,7 @@
 	case a = <-r.response: // it arrived before end was closed
 		return a, true
 	default:
-		return Answer{}, false
+		return Response{}, false
 	}
 }
 
@@ -139,7 +139,7 @@
 	Request      *Request
 	Index        int
 	Server       any           // as Discovery returned it
-	Wait         time.Duration // the attempt is given up after this time
+	Timeout      time.Duration // the attempt is given up after this time
 	serverNumber uint32
 	sentAt       time.Duration
 	cancel       context.CancelCauseFunc
@@ -150,15 +150,15 @@
 // connection. It is safe for concurrent use.
 func (a *Attempt) Wanted() bool {
 	r := a.Request
-	return !r.clientGone.Load() && (r.Left == nil || !r.Left())
+	return !r.clientGone.Load() && (r.ClientLeft == nil || !r.ClientLeft())
 }
 
 // Result is the end of an attempt.
 type Result struct {
-	Outcome policy.Outcome
-	Load    policy.Load
-	Payload Payload       // set if the outcome is OK
-	First   time.Duration // when the first byte of a response arrived, on the Clock; 0 if none did
+	Outcome     policy.Outcome
+	Load        policy.Load
+	Payload     Payload       // set if the outcome is OK
+	FirstByteAt time.Duration // when the first byte of a response arrived, on the Clock; 0 if none did
 }
 
 // ResponseKind is the kind of a final response.
@@ -176,7 +176,7 @@
 )
 
 // Response is the final response to a request.
-type Answer struct {
+type Response struct {
 	Kind       ResponseKind
 	RetryAfter time.Duration // for Refused and RejectedByContract; 0 if not specified
 	Payload    Payload       // for Served; the receiver of the response releases it
@@ -190,8 +190,8 @@
 	sync.Mutex // guards all mutable state and orders the events; nothing waits for a socket while holding it
 
 	clock           Clock
-	sender          Back
-	discovery       Roster
+	sender          Sender
+	discovery       Discovery
 	cells           Cells // nil without cells
 	log             *slog.Logger
 	clientRoundTrip time.Duration
@@ -205,18 +205,18 @@
 	actions      []policy.Action
 	requests     map[string]*Request // by request id
 	stall        stall               // latest time in which this process did not run
-	requestIDs   handover.Ids        // requests that other processes of this node have open
+	requestIDs   handover.RequestIDs // requests that other processes of this node have open
 	successor    Successor           // is asked before each request; nil if there is none
 }
 
 // Options are the parts that a Core is built from.
 type Options struct {
-	Clock   Clock
-	Back    Back
-	Roster  Roster
-	Cells   Cells // nil without cells
-	Log     *slog.Logger
-	Transit time.Duration // network time to a client and back, which is subtracted from each request's timeout
+	Clock           Clock
+	Sender          Sender
+	Discovery       Discovery
+	Cells           Cells // nil without cells
+	Log             *slog.Logger
+	ClientRoundTrip time.Duration // network time to a client and back, which is subtracted from each request's timeout
 }
 
 // New returns a Core whose policy starts with the seed. The caller must call Close.
@@ -225,7 +225,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{clock: o.Clock, sender: o.Back, discovery: o.Roster, cells: o.Cells, log: o.Log, clientRoundTrip: o.Transit, balancer: balancer,
+	c := &Core{clock: o.Clock, sender: o.Sender, discovery: o.Discovery, cells: o.Cells, log: o.Log, clientRoundTrip: o.ClientRoundTrip, balancer: balancer,
 		initialShare: 1 / float64(max(1, set.Nodes)), requests: map[string]*Request{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c, nil
@@ -262,17 +262,17 @@
 	defer c.Unlock()
 	now := c.Now()
 	verdict := c.requestIDs.Begin(now, r.ID, c.requests[r.ID] != nil)
-	if verdict == handover.Ask {
+	if verdict == handover.AskFirst {
 		successor := c.successor
 		c.Unlock()
-		if r.Waits != nil {
-			r.Waits()
+		if r.BeforeWait != nil {
+			r.BeforeWait()
 		}
-		verdict = successor.Claim(r.ID, now+r.Patience)
+		verdict = successor.Claim(r.ID, now+r.Timeout)
 		c.Lock()
-		c.requestIDs.Answered(r.ID)
+		c.requestIDs.Resolved(r.ID)
 		now = c.Now()
-		if verdict != handover.Open {
+		if verdict != handover.AlreadyOpen {
 			defer func() {
 				if c.requests[r.ID] == nil { // it was not accepted, or has ended already
 					successor.Ended(r.ID)
@@ -281,21 +281,21 @@
 		}
 	}
 	switch verdict {
-	case handover.Open:
+	case handover.AlreadyOpen:
 		return false
-	case handover.Busy: // nothing was sent, and the process that serves now can't be asked
-		r.response = make(chan Answer, 1)
+	case handover.Undecided: // nothing was sent, and the process that serves now can't be asked
+		r.response = make(chan Response, 1)
 		r.responded = true
-		r.response <- Answer{Kind: Refused, RetryAfter: busyRetryAfter}
+		r.response <- Response{Kind: Refused, RetryAfter: busyRetryAfter}
 		return true
 	}
-	if r.Holds != nil && !r.Holds() {
+	if r.StillValid != nil && !r.StillValid() {
 		return false
 	}
 	// The client must have the response before its timeout: the network time there and back and the time that the
 	// request has spent here are subtracted.
-	remaining := max(0, r.Patience-(now-c.stall.timeoutStart(r.Arrived))-c.clientRoundTrip)
-	r.deadline, r.response = now+remaining, make(chan Answer, 1)
+	remaining := max(0, r.Timeout-(now-c.stall.timeoutStart(r.Arrived))-c.clientRoundTrip)
+	r.deadline, r.response = now+remaining, make(chan Response, 1)
 	if !c.admit(now, r) {
 		return true
 	}
@@ -304,7 +304,7 @@
 	if c.cells != nil {
 		var ambiguous bool
 		if candidates, ambiguous = c.cells.Place(now, r); ambiguous {
-			c.respond(r.ID, Answer{Kind: Refused, RetryAfter: time.Second})
+			c.respond(r.ID, Response{Kind: Refused, RetryAfter: time.Second})
 			return true
 		}
 	}
@@ -314,13 +314,13 @@
 
 // submit hands a request to the policy with the servers that it may be sent to; nil means all.
 func (c *Core) submit(now time.Duration, r *Request, candidates []uint32) {
-	c.handleAt(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: r.deadline - now,
-		Repeat: r.Repeat, Borrowed: r.admission.verdict.Borrowed, Among: candidates})
+	c.handleAt(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, TimeLeft: r.deadline - now,
+		Repeat: r.Repeat, OverQuota: r.admission.verdict.OverQuota, Candidates: candidates})
 }
 
 // ClientGone reports that a request's client has disconnected. The response, if there is one, is released. attempted is
 // true if an attempt was started, so that the request may have run.
-func (c *Core) Gone(r *Request) (attempted bool) {
+func (c *Core) ClientGone(r *Request) (attempted bool) {
 	r.clientGone.Store(true)
 	c.Lock()
 	defer c.Unlock()
@@ -332,7 +332,7 @@
 		return attempted
 	}
 	r.responded, r.written = true, true
-	c.handleAt(c.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
+	c.handleAt(c.Now(), &policy.Event{Kind: policy.EvClientGone, ID: r.ID})
 	c.removeIfDone(r)
 	return attempted
 }
@@ -340,7 +340,7 @@
 // ResponseWritten reports that the client has the response to a request, or can't get it any more. Until then the
 // request's id stays open: a large response is still on its way from the web server, and another request with that id
 // would be a second copy there.
-func (c *Core) Written(r *Request) {
+func (c *Core) ResponseWritten(r *Request) {
 	c.Lock()
 	defer c.Unlock()
 	r.written = true
@@ -360,7 +360,7 @@
 	c.Lock()
 	defer c.Unlock()
 	a.sentAt = c.Now()
-	a.Request.deadline = a.sentAt + a.Request.Patience - c.clientRoundTrip
+	a.Request.deadline = a.sentAt + a.Request.Timeout - c.clientRoundTrip
 }
 
 // Established gives a request its final response while the attempt goes on, for a request that asks for a connection to
@@ -374,7 +374,7 @@
 		return false
 	}
 	r.responded = true
-	r.response <- Answer{Kind: Served, Payload: p}
+	r.response <- Response{Kind: Served, Payload: p}
 	return true
 }
 
@@ -386,7 +386,7 @@
 	r.openAttempts--
 	if res.Outcome == policy.OK && !r.responded {
 		r.responded = true
-		r.response <- Answer{Kind: Served, Payload: res.Payload}
+		r.response <- Response{Kind: Served, Payload: res.Payload}
 	} else {
 		releasePayload(res.Payload) // the request has its response already, or the attempt was not served
 	}
@@ -395,18 +395,18 @@
 		c.cells.Ended(now, r, res.Outcome)
 	}
 	elapsed := now - a.sentAt
-	if res.First > 0 { // the time after the first byte depends on the network and on the body's size
-		elapsed = max(0, res.First-a.sentAt)
+	if res.FirstByteAt > 0 { // the time after the first byte depends on the network and on the body's size
+		elapsed = max(0, res.FirstByteAt-a.sentAt)
 	}
 	r.admission.serverTime += now - a.sentAt
 	spent := r.Body.Spent() || !r.responded && !c.mayRetry(now, r)
 	c.handleAt(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Server: a.serverNumber, Attempt: a.Index,
-		Took: elapsed, Last: r.responded, Spent: spent, Outcome: res.Outcome, Load: res.Load})
+		Elapsed: elapsed, Final: r.responded, BodySpent: spent, Outcome: res.Outcome, Load: res.Load})
 	c.removeIfDone(r)
 }
 
 // respond gives a request its final response, unless it has one.
-func (c *Core) respond(id string, a Answer) {
+func (c *Core) respond(id string, a Response) {
 	if r := c.requests[id]; r != nil && !r.responded {
 		r.responded = true
 		r.response <- a
@@ -454,9 +454,9 @@
 					continue
 				}
 			}
-			c.respond(a.ID, Answer{Kind: Refused, RetryAfter: a.Wait})
+			c.respond(a.ID, Response{Kind: Refused, RetryAfter: a.Wait})
 		case policy.ActFail:
-			c.respond(a.ID, Answer{Kind: Failed})
+			c.respond(a.ID, Response{Kind: Failed})
 		case policy.ActTimer:
 			token := a.Token
 			c.stall.timerSet(now, a.At)
@@ -489,9 +489,9 @@
 	if r == nil {
 		return
 	}
-	a := &Attempt{Request: r, Index: len(r.attempts), serverNumber: act.Server, sentAt: now, Wait: r.deadline - now}
+	a := &Attempt{Request: r, Index: len(r.attempts), serverNumber: act.Server, sentAt: now, Timeout: r.deadline - now}
 	if act.Wait > 0 {
-		a.Wait = min(a.Wait, act.Wait)
+		a.Timeout = min(a.Timeout, act.Wait)
 	}
 	var known bool
 	a.Server, known = c.discovery.Server(act.Server)
@@ -504,7 +504,7 @@
 	}
 	c.Go(func() {
 		defer cancel(nil)
-		res := Result{Outcome: policy.Moot}
+		res := Result{Outcome: policy.NeverSent}
 		if known { // otherwise it is never sent
 			res = c.sender.Attempt(ctx, a)
 		}
@@ -513,7 +513,7 @@
 }
 
 // RequestIDs returns the tracker of requests that other processes of this node have open. The lock must be held.
-func (c *Core) Ids() *handover.Ids { return &c.requestIDs }
+func (c *Core) RequestIDs() *handover.RequestIDs { return &c.requestIDs }
 
 // Claim decides whether another process may begin a request.
 func (c *Core) Claim(from handover.Peer, id string, until time.Duration) handover.Verdict {
@@ -524,24 +524,24 @@
 
 // SetSuccessor makes another process decide from now on which requests may begin here; with nil this one decides again.
 // The lock must be held.
-func (c *Core) Yield(to Successor) { c.successor, c.requestIDs.Asks = to, to != nil }
+func (c *Core) SetSuccessor(to Successor) { c.successor, c.requestIDs.AskSuccessor = to, to != nil }
 
 // OpenRequests returns the ids of the requests that are open here or about to begin, with their deadlines. The lock
 // must be held.
-func (c *Core) Open() map[string]time.Duration {
+func (c *Core) OpenRequests() map[string]time.Duration {
 	open := make(map[string]time.Duration, len(c.requests))
 	for id, r := range c.requests {
 		open[id] = r.deadline
 	}
-	for _, id := range c.requestIDs.Asked() {
+	for _, id := range c.requestIDs.Pending() {
 		open[id] = c.Now() + time.Minute // its timeout is not known here; its end is reported
 	}
 	return open
 }
 
 // LearnedState returns what the policy has learned. The lock must be held.
-func (c *Core) Learnt() *policy.Learnt { return c.balancer.Learnt() }
+func (c *Core) LearnedState() *policy.LearnedState { return c.balancer.LearnedState() }
 
 // Adopt gives the policy what another process has learned. It is called after the server list is set and before the
 // first request. The lock must be held.
-func (c *Core) Adopt(l *policy.Learnt) { c.balancer.Adopt(c.Now(), l) }
+func (c *Core) Adopt(l *policy.LearnedState) { c.balancer.Adopt(c.Now(), l) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,8 +29,8 @@
 // settings returns the policy's settings for a node that is one of two.
 func settings() policy.Settings {
 	return policy.Settings{Nodes: 2, MaxAttempts: 3, Cancel: true, Classes: []policy.Class{
-		{Name: "view", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: policy.Safe},
-		{Name: "buy", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: policy.Unsafe}},
+		{Name: "view", TargetLatency: 2 * time.Second, Deadline: 4 * time.Second, Value: 1, Effect: policy.Safe},
+		{Name: "buy", TargetLatency: 2 * time.Second, Deadline: 4 * time.Second, Value: 5, Effect: policy.Unsafe}},
 		DrainGrace: time.Second, ColdFor: time.Second, ColdShare: 0.5, FallFor: time.Second, FallFactor: 4}
 }
 
@@ -67,11 +67,11 @@
 	outcome, duration := s.outcomes[s.random.IntN(len(s.outcomes))], time.Duration(s.random.Int64N(int64(s.maxServiceTime)))
 	s.mu.Unlock()
 	if outcome == policy.TimedOut {
-		duration = a.Wait
+		duration = a.Timeout
 	}
 	select {
-	case <-time.After(min(duration, a.Wait)):
-		if duration >= a.Wait {
+	case <-time.After(min(duration, a.Timeout)):
+		if duration >= a.Timeout {
 			outcome = policy.TimedOut
 		}
 	case <-ctx.Done():
@@ -80,12 +80,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[id]--
-	s.mayHaveRun[id] = s.mayHaveRun[id] || outcome != policy.Full && outcome != policy.ConnectFailed
+	s.mayHaveRun[id] = s.mayHaveRun[id] || outcome != policy.QueueFull && outcome != policy.ConnectFailed
 	res := Result{Outcome: outcome, Load: policy.Load{Queue: -1, Held: -1}}
 	if outcome == policy.OK {
 		released := new(int)
 		s.served[id] = released
-		res.Payload, res.First = countedPayload{released}, s.clock.Now()
+		res.Payload, res.FirstByteAt = countedPayload{released}, s.clock.Now()
 	}
 	return res
 }
@@ -93,12 +93,12 @@
 func newStubServers(t *testing.T, seed uint64) *stubServers {
 	return &stubServers{t: t, random: rand.New(rand.NewPCG(seed, 1)), open: map[string]int{}, mayHaveRun: map[string]bool{},
 		served: map[string]*int{}, clock: stubEnvironment{}, maxServiceTime: 3 * time.Second, outcomes: []policy.Outcome{policy.OK, policy.OK, policy.Failed,
-			policy.Full, policy.ConnectFailed, policy.Reset, policy.TimedOut}}
+			policy.QueueFull, policy.ConnectFailed, policy.Reset, policy.TimedOut}}
 }
 
-func newCore(t *testing.T, b Back, seed uint64) *Core {
+func newCore(t *testing.T, b Sender, seed uint64) *Core {
 	set := settings()
-	c, err := New(set, seed, Options{Clock: stubEnvironment{}, Back: b, Roster: stubEnvironment{}, Log: slog.New(slog.DiscardHandler), Transit: 10 * time.Millisecond})
+	c, err := New(set, seed, Options{Clock: stubEnvironment{}, Sender: b, Discovery: stubEnvironment{}, Log: slog.New(slog.DiscardHandler), ClientRoundTrip: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	defer c.Unlock()
 	var list []policy.Entry
 	for id := range uint32(4) {
-		list = append(list, policy.Entry{ID: id + 1, Zone: "a", Kind: "k"})
+		list = append(list, policy.Entry{ID: id + 1, Zone: "a", ServerType: "k"})
 	}
 	c.Handle(&policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: list})
 	return c
@@ -124,7 +124,7 @@
 			r := rand.New(rand.NewPCG(seed, 2))
 			var wg sync.WaitGroup
 			for i := range 40 {
-				q := &Request{ID: fmt.Sprint("r", i), Class: []string{"view", "buy"}[r.IntN(2)], Patience: 4 * time.Second, Body: stubEnvironment{}}
+				q := &Request{ID: fmt.Sprint("r", i), Class: []string{"view", "buy"}[r.IntN(2)], Timeout: 4 * time.Second, Body: stubEnvironment{}}
 				start, disconnect := time.Duration(r.Int64N(5e9)), time.Duration(0)
 				if r.IntN(5) == 0 {
 					disconnect = time.Duration(r.Int64N(4e9))
@@ -136,31 +136,31 @@
 						t.Errorf("Begin did not accept %s", q.ID)
 						return
 					}
-					disconnected, timeout := (<-chan time.Time)(nil), time.After(q.Patience)
+					disconnected, timeout := (<-chan time.Time)(nil), time.After(q.Timeout)
 					if disconnect > 0 {
 						disconnected = time.After(disconnect)
 					}
 					select {
-					case a := <-q.Answer():
+					case a := <-q.Response():
 						b.mu.Lock()
 						responses[a.Kind]++
 						b.mu.Unlock()
 						releasePayload(a.Payload)
-						c.Written(q)
+						c.ResponseWritten(q)
 					case <-disconnected:
-						c.Gone(q)
+						c.ClientGone(q)
 					case <-timeout:
 						t.Errorf("seed %d: %s got no response within its timeout", seed, q.ID)
 					}
 					time.Sleep(20 * time.Second)
-					if len(q.Answer()) != 0 {
+					if len(q.Response()) != 0 {
 						t.Errorf("%s got a second response", q.ID)
 					}
 				})
 			}
 			wg.Wait()
-			if st := c.Stats(0); st.Open != 0 {
-				t.Errorf("%d requests are still open at the end, want 0", st.Open)
+			if st := c.Stats(0); st.OpenRequests != 0 {
+				t.Errorf("%d requests are still open at the end, want 0", st.OpenRequests)
 			}
 			for id, released := range b.served {
 				if *released != 1 {
@@ -182,7 +182,7 @@
 		c := newCore(t, newStubServers(t, 1), 1)
 		defer c.Close()
 		begin := func(id string) (*Request, bool) {
-			q := &Request{ID: id, Class: "view", Patience: 4 * time.Second, Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
+			q := &Request{ID: id, Class: "view", Timeout: 4 * time.Second, Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			return q, c.Begin(q)
 		}
 		first, ok := begin("a")
@@ -190,20 +190,20 @@
 			t.Errorf("first request accepted: %v; second one with the same id: %v", ok, again)
 		}
 		c.Lock()
-		c.Ids().Hold(1, map[string]time.Duration{"b": stubEnvironment{}.Now() + time.Second}, nil)
-		if open := c.Open(); len(open) != 1 || open["a"] == 0 {
+		c.RequestIDs().SetRemote(1, map[string]time.Duration{"b": stubEnvironment{}.Now() + time.Second}, nil)
+		if open := c.OpenRequests(); len(open) != 1 || open["a"] == 0 {
 			t.Errorf("open requests %v, want only a", open)
 		}
 		c.Unlock()
 		if _, ok := begin("b"); ok {
 			t.Error("a request was accepted that another process has open")
 		}
-		a := <-first.Answer()
+		a := <-first.Response()
 		if _, again := begin("a"); again {
 			t.Error("an id was accepted again before its response was written")
 		}
 		releasePayload(a.Payload)
-		c.Written(first)
+		c.ResponseWritten(first)
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"a", "b"} {
 			if _, ok := begin(id); !ok {
@@ -228,17 +228,17 @@
 			t.Errorf("Explain without contracts: error %v", err)
 		}
 		c.Lock()
-		c.Bind(table)
+		c.SetContracts(table)
 		c.Unlock()
-		request := func(id, tenant string) Answer {
-			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Patience: 4 * time.Second,
+		request := func(id, tenant string) Response {
+			q := &Request{ID: id, Class: "view", Tenant: tenant, Caller: contract.Caller{Tenant: tenant}, Timeout: 4 * time.Second,
 				Arrived: stubEnvironment{}.Now(), Body: stubEnvironment{}}
 			if !c.Begin(q) {
 				t.Fatalf("Begin did not accept %s", id)
 			}
-			a := <-q.Answer()
+			a := <-q.Response()
 			releasePayload(a.Payload)
-			c.Written(q)
+			c.ResponseWritten(q)
 			return a
 		}
 		if a := request("a", "none"); a.Kind != RejectedByContract || a.Rule != contract.None || a.Contract != "" {
@@ -258,7 +258,7 @@
 		if err != nil || level.Name != "one" || v.Contract != 0 || level.Admitted != 1 {
 			t.Errorf("Explain returned %+v, level %+v, error %v", v, level, err)
 		}
-		if st := c.Stats(10); st.Open != 0 || !st.Contracts || len(st.Levels) != 1 || st.Part != 0.5 {
+		if st := c.Stats(10); st.OpenRequests != 0 || !st.HasContracts || len(st.Levels) != 1 || st.ContractShare != 0.5 {
 			t.Errorf("statistics %+v", st)
 		}
 	})
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -16,19 +16,19 @@
 const (
 	// MaxBuffered is how many bytes of a body are buffered. A request body up to this size can be sent again, and a
 	// response body up to this size is forwarded only once it is complete.
-	Keep = 64 << 10
+	MaxBuffered = 64 << 10
 	// StreamBuffer is the memory in bytes that a streamed body uses, buffers on both sides included.
-	Chunk = 64 << 10
+	StreamBuffer = 64 << 10
 	// MaxUncounted is the size in bytes up to which a body is not counted, so that small ones never wait for large ones.
-	Small = 4 << 10
+	MaxUncounted = 4 << 10
 )
 
 // BudgetFor returns how many bytes of the budget a body of the given length needs; a negative length means unknown.
-func Need(length int64) int64 {
+func BudgetFor(length int64) int64 {
 	switch {
-	case length < 0 || length > Keep:
-		return Chunk
-	case length <= Small:
+	case length < 0 || length > MaxBuffered:
+		return StreamBuffer
+	case length <= MaxUncounted:
 		return 0
 	}
 	return length
@@ -46,12 +46,12 @@
 
 // NewBudget returns a budget of size bytes, and at least of enough for two bodies in each direction.
 func NewBudget(size int64) *Budget {
-	size = max(size, 4*Chunk)
+	size = max(size, 4*StreamBuffer)
 	return &Budget{total: semaphore.NewWeighted(size), size: size, requests: semaphore.NewWeighted(size / 2)}
 }
 
 // AcquireResponse takes n bytes for a response body. It waits until they are free and fails once ctx ends.
-func (b *Budget) Answer(ctx context.Context, n int64) error {
+func (b *Budget) AcquireResponse(ctx context.Context, n int64) error {
 	if n == 0 {
 		return nil // the semaphore would queue it behind those that wait
 	}
@@ -59,10 +59,10 @@
 }
 
 // ReleaseResponse returns n bytes taken by AcquireResponse.
-func (b *Budget) AnswerDone(n int64) { b.total.Release(n) }
+func (b *Budget) ReleaseResponse(n int64) { b.total.Release(n) }
 
 // AcquireRequest takes n bytes for a request body. It waits until they are free and fails once ctx ends.
-func (b *Budget) Request(ctx context.Context, n int64) error {
+func (b *Budget) AcquireRequest(ctx context.Context, n int64) error {
 	if n == 0 {
 		return nil
 	}
@@ -77,14 +77,14 @@
 }
 
 // ReleaseRequest returns n bytes taken by AcquireRequest.
-func (b *Budget) RequestDone(n int64) {
+func (b *Budget) ReleaseRequest(n int64) {
 	b.total.Release(n)
 	b.requests.Release(n)
 }
 
 // LendToSuccessor leaves a quarter of the budget to another process, as soon as it is free, until the returned function
 // is called. This is half of what requests cannot use, so responses still make progress.
-func (b *Budget) Lend() (release func()) {
+func (b *Budget) LendToSuccessor() (release func()) {
 	ctx, release := context.WithCancel(context.Background())
 	go func() {
 		if b.total.Acquire(ctx, b.size/4) == nil {
@@ -114,7 +114,7 @@
 func NewUpload(body io.Reader, length int64) (*Upload, error) {
 	u := &Upload{Length: length, ended: make(chan struct{})}
 	switch {
-	case length > Keep: // it cannot be complete: nothing is gained by waiting
+	case length > MaxBuffered: // it cannot be complete: nothing is gained by waiting
 	case length >= 0:
 		u.head = make([]byte, length)
 		if _, err := io.ReadFull(body, u.head); err != nil {
@@ -123,11 +123,11 @@
 		u.complete = true
 	default:
 		var b bytes.Buffer
-		n, err := io.Copy(&b, io.LimitReader(body, Keep))
+		n, err := io.Copy(&b, io.LimitReader(body, MaxBuffered))
 		if err != nil {
 			return nil, err
 		}
-		u.head, u.complete = b.Bytes(), n < Keep
+		u.head, u.complete = b.Bytes(), n < MaxBuffered
 	}
 	if u.complete {
 		u.Length = int64(len(u.head))
@@ -139,14 +139,14 @@
 }
 
 // Complete reports whether the whole body is buffered.
-func (u *Upload) Whole() bool { return u.complete }
+func (u *Upload) Complete() bool { return u.complete }
 
 // HeldBytes returns how many bytes of the budget the body uses.
-func (u *Upload) Held() int64 {
+func (u *Upload) HeldBytes() int64 {
 	if u.complete {
-		return Need(u.Length)
+		return BudgetFor(u.Length)
 	}
-	return Chunk
+	return StreamBuffer
 }
 
 // Spent reports whether part of the body is no longer available, so that it cannot be sent again.
@@ -169,7 +169,7 @@
 }
 
 // Discard stops the reading by attempts: whatever still arrives is read and discarded.
-func (u *Upload) Drop() {
+func (u *Upload) Discard() {
 	if !u.complete {
 		u.restReader.CloseWithError(errDiscarded)
 	}
@@ -181,7 +181,7 @@
 // the body gets the same error.
 func (u *Upload) Pump(body io.Reader) error {
 	defer close(u.ended)
-	buf := make([]byte, Chunk/4)
+	buf := make([]byte, StreamBuffer/4)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
@@ -207,7 +207,7 @@
 
 // NewFlushingWriter returns a buffered writer to w for a head and a body, and a reader that flushes it before each read
 // of body, so that nothing is held back while more is awaited.
-func Writer(w io.Writer, body io.Reader) (*bufio.Writer, io.Reader) {
+func NewFlushingWriter(w io.Writer, body io.Reader) (*bufio.Writer, io.Reader) {
 	bw := bufio.NewWriterSize(w, 4<<10)
 	return bw, &flushingReader{bw, body}
 }
@@ -226,4 +226,4 @@
 }
 
 // WriteOnly hides all methods of a writer but Write, so that io.Copy uses its own buffer.
-type Plain struct{ io.Writer }
+type WriteOnly struct{ io.Writer }
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -18,7 +18,7 @@
 func TestSmallUploadCanBeReadTwice(t *testing.T) {
 	for _, length := range []int64{5, -1} {
 		u, err := NewUpload(iotest.OneByteReader(strings.NewReader("a box")), length)
-		if err != nil || !u.Whole() || u.Length != 5 || u.Held() != 0 {
+		if err != nil || !u.Complete() || u.Length != 5 || u.HeldBytes() != 0 {
 			t.Fatalf("length %d: %+v, %v", length, u, err)
 		}
 		for range 2 {
@@ -26,7 +26,7 @@
 				t.Errorf("length %d: %q, %v", length, got, err)
 			}
 		}
-		if u.Drop(); u.Spent() {
+		if u.Discard(); u.Spent() {
 			t.Error("a completely buffered upload is spent")
 		}
 		<-u.Ended()
@@ -42,7 +42,7 @@
 	for _, length := range []int64{int64(len(text)), -1} {
 		body := strings.NewReader(text)
 		u, err := NewUpload(body, length)
-		if err != nil || u.Whole() || u.Length != length {
+		if err != nil || u.Complete() || u.Length != length {
 			t.Fatalf("length %d: %+v, %v", length, u, err)
 		}
 		pumped := make(chan error, 1)
@@ -62,14 +62,14 @@
 
 // A discarded body is still read to its end, and an attempt that reads a body that breaks off gets the error.
 func TestDiscardedUploadIsReadToItsEndAndBrokenOneFails(t *testing.T) {
-	body := strings.NewReader(strings.Repeat("x", 10*Chunk))
-	u, _ := NewUpload(body, 10*Chunk)
-	u.Drop()
+	body := strings.NewReader(strings.Repeat("x", 10*StreamBuffer))
+	u, _ := NewUpload(body, 10*StreamBuffer)
+	u.Discard()
 	if err := u.Pump(body); err != nil || body.Len() > 0 {
 		t.Errorf("discarded upload: %v, %d bytes unread", err, body.Len())
 	}
 	broken := io.MultiReader(strings.NewReader("part"), iotest.ErrReader(io.ErrUnexpectedEOF))
-	u, _ = NewUpload(broken, Keep+1)
+	u, _ = NewUpload(broken, MaxBuffered+1)
 	pumped := make(chan error, 1)
 	go func() { pumped <- u.Pump(broken) }()
 	if got, err := io.ReadAll(u.Reader()); string(got) != "part" || !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -86,46 +86,46 @@
 	defer cancel()
 	canceled, stop := context.WithCancel(ctx)
 	stop()
-	b := NewBudget(8 * Chunk)
+	b := NewBudget(8 * StreamBuffer)
 	for range 4 {
-		if err := b.Request(ctx, Chunk); err != nil {
+		if err := b.AcquireRequest(ctx, StreamBuffer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b.Request(canceled, Chunk) == nil {
+	if b.AcquireRequest(canceled, StreamBuffer) == nil {
 		t.Error("requests got more than half of the budget")
 	}
 	for range 4 {
-		if err := b.Answer(ctx, Chunk); err != nil {
+		if err := b.AcquireResponse(ctx, StreamBuffer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b.Answer(canceled, 1) == nil {
+	if b.AcquireResponse(canceled, 1) == nil {
 		t.Error("responses got more than the budget")
 	}
 	waiting := make(chan error)
-	go func() { waiting <- b.Answer(ctx, Chunk) }()
-	go func() { waiting <- b.Request(ctx, Chunk) }()
+	go func() { waiting <- b.AcquireResponse(ctx, StreamBuffer) }()
+	go func() { waiting <- b.AcquireRequest(ctx, StreamBuffer) }()
 	short, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	for range 1000 { // whether or not the others are queued yet: an acquisition of 0 bytes never queues behind them
-		if b.Answer(short, 0) != nil || b.Request(short, 0) != nil {
+		if b.AcquireResponse(short, 0) != nil || b.AcquireRequest(short, 0) != nil {
 			t.Fatal("an acquisition of 0 bytes waits behind large bodies")
 		}
 		runtime.Gosched()
 	}
-	b.AnswerDone(Chunk)
-	b.RequestDone(Chunk)
+	b.ReleaseResponse(StreamBuffer)
+	b.ReleaseRequest(StreamBuffer)
 	if err := errors.Join(<-waiting, <-waiting); err != nil {
 		t.Error(err)
 	}
-	endLoan := b.Lend()
+	endLoan := b.LendToSuccessor()
 	for range 4 {
-		b.AnswerDone(Chunk)
-		b.RequestDone(Chunk)
+		b.ReleaseResponse(StreamBuffer)
+		b.ReleaseRequest(StreamBuffer)
 	}
 	endLoan()
-	if err := b.Answer(ctx, 8*Chunk); err != nil {
+	if err := b.AcquireResponse(ctx, 8*StreamBuffer); err != nil {
 		t.Errorf("acquiring the whole budget after the loan: %v", err)
 	}
 }
@@ -134,7 +134,7 @@
 func TestFlushingWriterWritesBeforeWaiting(t *testing.T) {
 	var out bytes.Buffer
 	in, feed := io.Pipe()
-	bw, body := Writer(&out, in)
+	bw, body := NewFlushingWriter(&out, in)
 	seen := make(chan string, 10)
 	go func() {
 		feed.Write([]byte("part"))
--- a/internal/flow/socket.go
+++ b/internal/flow/socket.go
@@ -14,49 +14,49 @@
 )
 
 // WriteStallTimeout is how long a write may wait for the peer to read before the connection is given up.
-const WriteStall = 10 * time.Second
+const WriteStallTimeout = 10 * time.Second
 
 // WriteTimeoutConn limits how long each write to a connection may wait for the peer to read.
-type Paced struct {
+type WriteTimeoutConn struct {
 	net.Conn
-	Stall time.Duration
+	Timeout time.Duration
 }
 
 // Write writes with a deadline of Timeout from now.
-func (w Paced) Write(p []byte) (int, error) {
-	w.SetWriteDeadline(time.Now().Add(w.Stall))
+func (w WriteTimeoutConn) Write(p []byte) (int, error) {
+	w.SetWriteDeadline(time.Now().Add(w.Timeout))
 	return w.Conn.Write(p)
 }
 
 // InputState is what can be read from a socket at the moment.
-type Waiting uint8
+type InputState uint8
 
 const (
 	// NoInput means that nothing can be read yet.
-	Nothing Waiting = iota
+	NoInput InputState = iota
 	// InputAvailable means that bytes can be read.
-	BytesThere
+	InputAvailable
 	// InputEnded means that the peer has closed the connection, or that it broke.
-	Ended
+	InputEnded
 )
 
 // PeekInput reports what a socket has received, without consuming it and without waiting.
-func Pending(c net.Conn) Waiting {
+func PeekInput(c net.Conn) InputState {
 	s, ok := c.(syscall.Conn)
 	if !ok {
-		return Ended
+		return InputEnded
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return Ended
+		return InputEnded
 	}
-	w := Ended
+	w := InputEnded
 	raw.Control(func(fd uintptr) { // an error means that the socket is closed on this side
 		switch n, err := peekByte(fd); {
 		case n > 0:
-			w = BytesThere
+			w = InputAvailable
 		case err == syscall.EAGAIN:
-			w = Nothing
+			w = NoInput
 		}
 	})
 	return w
@@ -71,7 +71,7 @@
 
 // PeerClosed reports, without waiting, whether the peer has closed its sending side or the connection broke, even if
 // unread bytes precede that end. For a connection that is not a socket it reports false.
-func Left(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	closed := false
 	raw, err := rawConn(c)
 	if raw == nil {
@@ -91,10 +91,10 @@
 	discardDelay = 50 * time.Millisecond
 	// MaxDiscard is how many bytes are discarded at most: more than a peer that has closed the connection can have left
 	// in its own kernel (4 MB on Linux). A peer that sends more ahead of a response does not get the response.
-	SpillMost = 8 << 20
+	MaxDiscard = 8 << 20
 	// minClosedWindow is the number of unread bytes above which the receive window may be closed; on Linux it closes at
 	// 72 KB or more. A request body that is buffered completely (MaxBuffered) does not exceed it.
-	minClosedWindow = Keep
+	minClosedWindow = MaxBuffered
 	// discardTimeout is how long a connection is read at most to find its end behind a closed window.
 	discardTimeout = time.Second
 )
@@ -105,7 +105,7 @@
 // is always seen, and end is also closed after MaxDiscard bytes. Stop reports whether input was discarded, after which the
 // connection must not be used any further. No read deadline may be set when WatchPeer is called; stop sets one, and
 // returns once the caller may use the reader again. After end is closed, calling stop is optional.
-func Watch(socket net.Conn, in *bufio.Reader, discard bool) (end <-chan struct{}, stop func() (discarded bool)) {
+func WatchPeer(socket net.Conn, in *bufio.Reader, discard bool) (end <-chan struct{}, stop func() (discarded bool)) {
 	ended, stopped, stopping := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	discarded := false // set before stopped is closed
 	go func() {
@@ -127,7 +127,7 @@
 			case err == nil && !full:
 				err = io.EOF
 			case err == nil && waitUnlessClosed(stopping, discardDelay):
-				discarded, err = true, discardUntilError(socket, SpillMost)
+				discarded, err = true, discardUntilError(socket, MaxDiscard)
 			}
 		}
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -143,7 +143,7 @@
 }
 
 // UnreadBytes returns, without waiting, how many bytes are unread in a socket; 0 if the connection is not a socket.
-func Unread(c net.Conn) (n int) {
+func UnreadBytes(c net.Conn) (n int) {
 	if raw, _ := rawConn(c); raw != nil {
 		raw.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
 	}
@@ -152,15 +152,15 @@
 
 // WindowMayBeClosed reports, without waiting, whether so many bytes are unread in a socket that its receive window may be
 // closed, in which case the peer's end cannot arrive. A request that is buffered completely does not cause that by itself.
-func Shut(c net.Conn) bool { return Unread(c) > minClosedWindow }
+func WindowMayBeClosed(c net.Conn) bool { return UnreadBytes(c) > minClosedWindow }
 
 // DiscardInput discards what the peer has sent, so that its end can arrive. It reports whether there was any input, and
 // whether the end arrived, the connection broke or MaxDiscard bytes were read. It reads until nothing arrives for 50 ms,
 // and for 1 s at most. It sets the read deadline and leaves it set.
-func Spill(socket net.Conn, in *bufio.Reader) (discarded, ended bool) {
+func DiscardInput(socket net.Conn, in *bufio.Reader) (discarded, ended bool) {
 	got, _ := in.Discard(in.Buffered())
 	buf := make([]byte, 8<<10)
-	for deadline := time.Now().Add(discardTimeout); got < SpillMost; {
+	for deadline := time.Now().Add(discardTimeout); got < MaxDiscard; {
 		now := time.Now()
 		if !now.Before(deadline) {
 			return got > 0, false
@@ -172,7 +172,7 @@
 		case err == nil:
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return got > 0, true
-		case Pending(socket) == Nothing: // otherwise this process was late, not the peer
+		case PeekInput(socket) == NoInput: // otherwise this process was late, not the peer
 			return got > 0, false
 		}
 	}
@@ -239,7 +239,7 @@
 
 // WaitReadable waits until a connection has bytes or its end to read, and returns how many bytes are available; 0 means
 // the end. For a connection that is not a socket it returns 0 at once: the following read waits.
-func Readable(c net.Conn) (available int, err error) {
+func WaitReadable(c net.Conn) (available int, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return 0, nil
--- a/internal/flow/socket_test.go
+++ b/internal/flow/socket_test.go
@@ -17,7 +17,7 @@
 // sendUnread writes up to limit bytes in pieces, as long as the kernel accepts them at once, and returns how many it took.
 func sendUnread(t *testing.T, c *net.TCPConn, limit, piece int) int {
 	t.Helper()
-	sent, err := standin.Pour(c, strings.Repeat("x", limit), piece)
+	sent, err := standin.FillSendBuffer(c, strings.Repeat("x", limit), piece)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,18 +45,18 @@
 				}
 				t.Run(fmt.Sprint(manner, " behind ", unread, " in pieces of ", piece), func(t *testing.T) {
 					t.Parallel()
-					far, near := standin.Ends(t)
+					far, near := standin.TestConnPair(t)
 					sendUnread(t, far, unread, piece)
-					if Left(near) {
+					if PeerClosed(near) {
 						t.Fatal("reported as closed before it was")
 					}
 					closeConn(far)
-					for end := time.Now().Add(testTimeout); !Left(near); time.Sleep(time.Millisecond) {
+					for end := time.Now().Add(testTimeout); !PeerClosed(near); time.Sleep(time.Millisecond) {
 						if time.Now().After(end) {
 							t.Fatal("not reported as closed")
 						}
 					}
-					if !Left(near) {
+					if !PeerClosed(near) {
 						t.Error("reported as closed only once")
 					}
 				})
@@ -73,11 +73,11 @@
 		for _, piece := range []int{100, 64 << 10} {
 			t.Run(fmt.Sprint(manner, " in pieces of ", piece), func(t *testing.T) {
 				t.Parallel()
-				far, near := standin.Ends(t)
+				far, near := standin.TestConnPair(t)
 				if n := sendUnread(t, far, 16<<20, piece); n < 200<<10 {
 					t.Fatalf("the kernel accepted %d bytes: the window is not closed", n)
 				}
-				end, stop := Watch(near, bufio.NewReaderSize(near, unreadThreshold), true)
+				end, stop := WatchPeer(near, bufio.NewReaderSize(near, unreadThreshold), true)
 				closeConn(far)
 				select {
 				case <-end:
@@ -100,14 +100,14 @@
 		for _, piece := range []int{1, 100, 64 << 10} {
 			t.Run(fmt.Sprint(manner, " in pieces of ", piece), func(t *testing.T) {
 				t.Parallel()
-				far, near := standin.Ends(t)
+				far, near := standin.TestConnPair(t)
 				// Single bytes are slow to send: 256 KB of them also close the window.
-				if n := sendUnread(t, far, min(16<<20, piece*256<<10), piece); n < 200<<10 || n > SpillMost {
+				if n := sendUnread(t, far, min(16<<20, piece*256<<10), piece); n < 200<<10 || n > MaxDiscard {
 					t.Fatalf("the kernel accepted %d bytes", n)
 				}
 				waitForShut(t, near, true)
 				closeConn(far)
-				if discarded, ended := Spill(near, bufio.NewReaderSize(near, unreadThreshold)); !ended || !discarded && manner != "reset" {
+				if discarded, ended := DiscardInput(near, bufio.NewReaderSize(near, unreadThreshold)); !ended || !discarded && manner != "reset" {
 					t.Errorf("ended %v, discarded %v", ended, discarded)
 				}
 			})
@@ -116,13 +116,13 @@
 	for _, c := range []struct {
 		bytes  int
 		closed bool
-	}{{0, false}, {Keep, false}, {Keep + 1, true}} {
-		far, near := standin.Ends(t)
+	}{{0, false}, {MaxBuffered, false}, {MaxBuffered + 1, true}} {
+		far, near := standin.TestConnPair(t)
 		if n := sendUnread(t, far, c.bytes, 100); n != c.bytes {
 			t.Fatalf("the kernel accepted %d bytes", n)
 		}
 		waitForShut(t, near, c.closed)
-		if discarded, ended := Spill(near, bufio.NewReaderSize(near, unreadThreshold)); ended || discarded != (c.bytes > 0) {
+		if discarded, ended := DiscardInput(near, bufio.NewReaderSize(near, unreadThreshold)); ended || discarded != (c.bytes > 0) {
 			t.Errorf("open connection with %d unread bytes: ended %v, discarded %v", c.bytes, ended, discarded)
 		}
 	}
@@ -131,7 +131,7 @@
 // waitForShut waits until a socket's window counts as closed or as open: the bytes may take a moment through loopback.
 func waitForShut(t *testing.T, near net.Conn, want bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); Shut(near) != want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); WindowMayBeClosed(near) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("WindowMayBeClosed stays %v", !want)
 		}
@@ -141,8 +141,8 @@
 // A peer that keeps sending ahead of its response is cut off after MaxDiscard bytes and is read no further.
 func TestWatchEndsOnTooMuchInput(t *testing.T) {
 	t.Parallel()
-	far, near := standin.Ends(t)
-	end, stop := Watch(near, bufio.NewReaderSize(near, unreadThreshold), true)
+	far, near := standin.TestConnPair(t)
+	end, stop := WatchPeer(near, bufio.NewReaderSize(near, unreadThreshold), true)
 	sent := make(chan int64, 1)
 	go func() {
 		n, _ := io.Copy(far, zeros{})
@@ -157,8 +157,8 @@
 		t.Error("stop does not report discarded input")
 	}
 	near.Close()
-	if n := <-sent; n < SpillMost {
-		t.Errorf("ended after %d bytes, want at least %d", n, SpillMost)
+	if n := <-sent; n < MaxDiscard {
+		t.Errorf("ended after %d bytes, want at least %d", n, MaxDiscard)
 	}
 }
 
@@ -166,16 +166,16 @@
 // this machine does not schedule for 50 ms counts as paused, so an early end without a close is accepted.
 func TestDiscardInputEndsOnTooMuchInput(t *testing.T) {
 	t.Parallel()
-	far, near := standin.Ends(t)
+	far, near := standin.TestConnPair(t)
 	sendUnread(t, far, 1, 1) // there is input to discard, however late the sender starts
 	sent := make(chan int64, 1)
 	go func() {
 		n, _ := io.Copy(far, zeros{})
 		sent <- n
 	}()
-	discarded, ended := Spill(near, bufio.NewReaderSize(near, unreadThreshold))
+	discarded, ended := DiscardInput(near, bufio.NewReaderSize(near, unreadThreshold))
 	near.Close()
-	if n := <-sent; !discarded || ended && n+1 < SpillMost {
+	if n := <-sent; !discarded || ended && n+1 < MaxDiscard {
 		t.Errorf("discarded %v, ended %v after %d bytes", discarded, ended, n)
 	}
 }
@@ -208,15 +208,15 @@
 		sent  int
 		took  time.Duration
 	}{
-		{"flood", endlessSender{size: 4 << 10}, true, SpillMost, 0},
-		{"flood in pieces that do not divide the limit", endlessSender{size: 3000}, true, (SpillMost + 2999) / 3000 * 3000, 0},
+		{"flood", endlessSender{size: 4 << 10}, true, MaxDiscard, 0},
+		{"flood in pieces that do not divide the limit", endlessSender{size: 3000}, true, (MaxDiscard + 2999) / 3000 * 3000, 0},
 		{"slow trickle", endlessSender{size: 1, interval: 40 * time.Millisecond}, false, 25, discardTimeout},
 		{"flood that exceeds the timeout", endlessSender{size: 4 << 10, interval: 10 * time.Millisecond}, false, 100 * 4 << 10, discardTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				begun := time.Now()
-				discarded, ended := Spill(&c.far, bufio.NewReaderSize(&c.far, unreadThreshold))
+				discarded, ended := DiscardInput(&c.far, bufio.NewReaderSize(&c.far, unreadThreshold))
 				if took := time.Since(begun); !discarded || ended != c.ended || c.far.sent != c.sent || took != c.took {
 					t.Errorf("discarded %v, ended %v after %d bytes in %v, want true, %v, %d, %v",
 						discarded, ended, c.far.sent, took, c.ended, c.sent, c.took)
@@ -247,13 +247,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			far, near := standin.Ends(t)
+			far, near := standin.TestConnPair(t)
 			if n := sendUnread(t, far, c.bytes, 100); n != c.bytes {
 				t.Fatalf("the kernel accepted %d bytes", n)
 			}
 			in := bufio.NewReaderSize(near, unreadThreshold)
 			begun := time.Now()
-			end, stop := Watch(near, in, c.discard)
+			end, stop := WatchPeer(near, in, c.discard)
 			if c.wait {
 				select {
 				case <-end:
@@ -279,7 +279,7 @@
 // BenchmarkWatch measures what watching the peer costs a waiting request, with and without discarding, compared with a
 // plain peek for one byte and with the goroutine and the two deadlines alone.
 func BenchmarkWatch(b *testing.B) {
-	_, near := standin.Ends(b)
+	_, near := standin.TestConnPair(b)
 	in := bufio.NewReaderSize(near, unreadThreshold)
 	for _, c := range []struct {
 		name  string
@@ -305,11 +305,11 @@
 			}
 		}},
 		{"without discarding", func() func() {
-			_, stop := Watch(near, in, false)
+			_, stop := WatchPeer(near, in, false)
 			return func() { stop() }
 		}},
 		{"discarding", func() func() {
-			_, stop := Watch(near, in, true)
+			_, stop := WatchPeer(near, in, true)
 			return func() { stop() }
 		}},
 	} {
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -29,7 +29,7 @@
 }
 
 // RemoteAddr returns the remote address of a connection, or the zero Addr if it has none.
-func Address(c net.Conn) netip.Addr {
+func RemoteAddr(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr().Unmap()
 	}
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -28,9 +28,9 @@
 
 	// HeadTimeout is the time for a request's head to arrive: for the first request from the start of the connection, for later
 	// ones from their first byte. A client must receive an error or a close within 3 s of connecting, whatever it sends.
-	HeadTime = 2500 * time.Millisecond
+	HeadTimeout = 2500 * time.Millisecond
 	// BodyStallTimeout is how long a client may pause within a body.
-	BodyStall = 2 * time.Second
+	BodyStallTimeout = 2 * time.Second
 	// bodyTimeout is the time for a complete body, in addition to its size divided by minBodyRate.
 	bodyTimeout = 3 * time.Second
 	// minBodyRate is the slowest accepted transfer of a body, in bytes per second.
@@ -44,9 +44,9 @@
 	arrivalTime = 50 * time.Millisecond
 	// NewConnGrace is how long a new connection may be silent before it is the first to be evicted: its request usually follows
 	// at once.
-	SilentTime = 200 * time.Millisecond
+	NewConnGrace = 200 * time.Millisecond
 	// IdleTimeout is how long a connection without a request stays open. Some clients never close theirs.
-	IdleTime = 5 * time.Second
+	IdleTimeout = 5 * time.Second
 	// lateBodyTimeout is the time for the rest of a request that has been responded to already.
 	lateBodyTimeout = 30 * time.Second
 	// lingerTimeout is how long a rejected client may take to read the reason before its connection is reset.
@@ -59,16 +59,16 @@
 
 // Options configures a Front. Its functions are called from many goroutines.
 type Options struct {
-	Core   *core.Core
-	Budget *flow.Budget
-	Limit  int         // maximum number of connections
-	Away   func() bool // reports whether clients are to close their connections and go to another node or process
-	Ready  func() int  // returns the status for GET /ready
+	Core     *core.Core
+	Budget   *flow.Budget
+	Limit    int         // maximum number of connections
+	Draining func() bool // reports whether clients are to close their connections and go to another node or process
+	Ready    func() int  // returns the status for GET /ready
 	// Deadline returns the latest time, on the core's clock, for the response to a request that arrives now; 0: the request's own
 	// deadline alone counts.
-	Until func() time.Duration
+	Deadline func() time.Duration
 	// CheckRequest returns an error if a request's head does not meet the requirements of its class.
-	Fits func(*stdhttp.Request) error
+	CheckRequest func(*stdhttp.Request) error
 	// Slack is added to the timeouts of clients, for tests that run many nodes on a busy machine.
 	Slack time.Duration
 }
@@ -134,7 +134,7 @@
 			}
 			return err
 		}
-		s.Go(func() { s.Serve(socket, bufio.NewReaderSize(socket, message.HeadSize), "") })
+		s.Go(func() { s.Serve(socket, bufio.NewReaderSize(socket, message.MaxHead), "") })
 	}
 }
 
@@ -181,7 +181,7 @@
 }
 
 // AcquireSlot reserves a slot for one more connection, if one is free. Serve releases it, or ReleaseSlot.
-func (s *Front) Take() bool {
+func (s *Front) AcquireSlot() bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -191,7 +191,7 @@
 }
 
 // ReleaseSlot releases a slot that AcquireSlot reserved.
-func (s *Front) Leave() { <-s.slots }
+func (s *Front) ReleaseSlot() { <-s.slots }
 
 // Serve responds to the requests of one connection until it is closed. The caller holds a slot, which Serve releases.
 // What reader has buffered already is part of the input; its buffer has message.MaxHead bytes. User is the user that a
@@ -223,14 +223,14 @@
 	for c := range s.conns {
 		rank := 1
 		if !c.servedRequest {
-			if rank = 0; time.Since(c.accepted) < SilentTime+s.Slack {
+			if rank = 0; time.Since(c.accepted) < NewConnGrace+s.Slack {
 				rank = 2
 			}
 		}
 		if c.busy || rank > bestRank || rank == bestRank && !c.lastChange.Before(candidate.lastChange) {
 			continue
 		}
-		if c.servedRequest && !c.reading || time.Since(c.requestStart) > arrivalTime && flow.Pending(c.Conn) == flow.Nothing {
+		if c.servedRequest && !c.reading || time.Since(c.requestStart) > arrivalTime && flow.PeekInput(c.Conn) == flow.NoInput {
 			candidate, bestRank = c, rank
 		}
 	}
@@ -261,7 +261,7 @@
 }
 
 // Abort closes connections at once: those without a large body in transfer, or all.
-func (s *Front) Cut(all bool) {
+func (s *Front) Abort(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -276,7 +276,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if !c.busy && !c.reading && flow.Pending(c.Conn) == flow.Nothing {
+		if !c.busy && !c.reading && flow.PeekInput(c.Conn) == flow.NoInput {
 			s.evict(c) // a request that is arriving is still responded to
 		}
 	}
@@ -287,7 +287,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.busy, c.servedRequest, c.reading, c.streaming, c.lastChange = busy, true, false, false, time.Now()
-	return !c.closing && (busy || !s.Away())
+	return !c.closing && (busy || !s.Draining())
 }
 
 // request is a request that was read. core.Request is nil for GET /ready, which the front responds to itself.
@@ -318,7 +318,7 @@
 		if r == nil {
 			return
 		}
-		if !s.setBusy(c, true) && !s.Away() {
+		if !s.setBusy(c, true) && !s.Draining() {
 			c.closeAfterNext = true
 		}
 		if !s.serveRequest(c, r) || !s.setBusy(c, false) {
@@ -329,9 +329,9 @@
 
 // serveRequest responds to one request and reports whether the connection stays open.
 func (s *Front) serveRequest(c *conn, r *request) bool {
-	defer s.Budget.RequestDone(r.body.Held())
+	defer s.Budget.ReleaseRequest(r.body.HeldBytes())
 	stays := true
-	if !r.body.Whole() {
+	if !r.body.Complete() {
 		s.markStreaming(c)
 		pumped := make(chan struct{})
 		go func() {
@@ -339,7 +339,7 @@
 			r.body.Pump(s.timedReader(c, r.httpRequest.Body))
 		}()
 		defer func() {
-			r.body.Drop()
+			r.body.Discard()
 			if !stays { // the client may still be sending: let it read its response first
 				s.awaitBody(c, pumped)
 			}
@@ -361,11 +361,11 @@
 	if a.Stream != nil {
 		s.markStreaming(c)
 	}
-	last := r.httpRequest.Close || c.closeAfterNext || early || s.Away()
+	last := r.httpRequest.Close || c.closeAfterNext || early || s.Draining()
 	stays = c.writeResponse(r.httpRequest, a, last) == nil && !last
 	a.release()
 	if r.Request != nil {
-		s.Core.Written(r.Request)
+		s.Core.ResponseWritten(r.Request)
 	}
 	if c.inputDiscarded {
 		c.closeAfterResponse()
@@ -393,9 +393,9 @@
 // readRequest reads the next request, and its body if that is small. Both results are nil if the connection ends
 // without a request, or nobody is left to receive a rejection.
 func (s *Front) readRequest(c *conn) (*request, *rejection) {
-	end := c.accepted.Add(HeadTime + s.Slack)
+	end := c.accepted.Add(HeadTimeout + s.Slack)
 	if c.servedRequest {
-		s.setReadDeadline(c, time.Now().Add(IdleTime+s.Slack))
+		s.setReadDeadline(c, time.Now().Add(IdleTimeout+s.Slack))
 	} else {
 		s.setReadDeadline(c, end)
 	}
@@ -404,7 +404,7 @@
 	}
 	begun := time.Now()
 	if c.servedRequest {
-		end = begun.Add(HeadTime + s.Slack)
+		end = begun.Add(HeadTimeout + s.Slack)
 	}
 	s.mu.Lock()
 	c.reading, c.requestStart = true, begun
@@ -439,40 +439,40 @@
 // readBody reads the body of a request if it is small. A large one is passed on as it arrives.
 func (s *Front) readBody(c *conn, r *request) *rejection {
 	req := r.httpRequest
-	held := flow.Need(req.ContentLength)
+	held := flow.BudgetFor(req.ContentLength)
 	begun := s.Core.Now()
 	ctx, cancel := context.WithTimeout(s.Core.Context(), budgetTimeout+s.Slack)
 	defer cancel()
-	if s.Budget.Request(ctx, held) != nil {
+	if s.Budget.AcquireRequest(ctx, held) != nil {
 		return &rejection{status: stdhttp.StatusServiceUnavailable, text: "too many bodies are on their way", retryAfter: budgetTimeout}
 	}
 	var waitedComplete time.Duration // how long the complete request waited here; its client's deadline was running meanwhile
 	if waited := s.Core.Now() - begun; waited > shortWait {
-		r.windowClosed = flow.Shut(c.Conn)
+		r.windowClosed = flow.WindowMayBeClosed(c.Conn)
 		// Whether a chunked body has arrived completely is not known: it counts as complete.
-		if req.ContentLength < 0 || int64(c.reader.Buffered()+flow.Unread(c.Conn)) >= req.ContentLength {
+		if req.ContentLength < 0 || int64(c.reader.Buffered()+flow.UnreadBytes(c.Conn)) >= req.ContentLength {
 			waitedComplete = waited
 		}
 	}
 	if req.ContentLength != 0 && req.Header.Get("Expect") != "" {
-		c.SetWriteDeadline(time.Now().Add(BodyStall))
+		c.SetWriteDeadline(time.Now().Add(BodyStallTimeout))
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error shows up when the body is read
 	}
 	upload, err := flow.NewUpload(s.timedReader(c, req.Body), req.ContentLength)
 	if err != nil {
-		s.Budget.RequestDone(held)
+		s.Budget.ReleaseRequest(held)
 		return bodyRejection(err)
 	}
-	if upload.Held() < held {
-		s.Budget.RequestDone(held - upload.Held())
+	if upload.HeldBytes() < held {
+		s.Budget.ReleaseRequest(held - upload.HeldBytes())
 	}
 	if r.body = upload; r.Request != nil {
 		r.Body, r.Arrived = upload, s.Core.Now()
-		if upload.Whole() {
+		if upload.Complete() {
 			r.Arrived -= waitedComplete
 		}
-		if until := s.Until(); until > 0 {
-			r.Patience = min(r.Patience, until-r.Arrived)
+		if until := s.Deadline(); until > 0 {
+			r.Timeout = min(r.Timeout, until-r.Arrived)
 		}
 	}
 	return nil
@@ -483,8 +483,8 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &rejection{status: stdhttp.StatusRequestTimeout, text: "the body did not come in time"}
-	case errors.Is(err, message.ErrTooLarge):
-		return &rejection{status: stdhttp.StatusRequestEntityTooLarge, text: fmt.Sprintf("body: over %d bytes", message.Max)}
+	case errors.Is(err, message.ErrBodyTooLarge):
+		return &rejection{status: stdhttp.StatusRequestEntityTooLarge, text: fmt.Sprintf("body: over %d bytes", message.MaxBody)}
 	}
 	// Truncated or malformed: the client did not send what it announced.
 	return &rejection{status: stdhttp.StatusBadRequest, text: "body: " + err.Error()}
@@ -508,11 +508,11 @@
 func (b *timedBody) Read(p []byte) (int, error) {
 	begun := time.Now()
 	left := bodyTimeout + b.front.Slack + time.Duration(b.received)*time.Second/minBodyRate - b.waited
-	b.front.setReadDeadline(b.conn, begun.Add(min(BodyStall+b.front.Slack, left)))
+	b.front.setReadDeadline(b.conn, begun.Add(min(BodyStallTimeout+b.front.Slack, left)))
 	n, err := b.body.Read(p)
 	b.waited += time.Since(begun)
-	if b.received += int64(n); b.received > message.Max {
-		return n, message.ErrTooLarge
+	if b.received += int64(n); b.received > message.MaxBody {
+		return n, message.ErrBodyTooLarge
 	}
 	return n, err
 }
@@ -583,8 +583,8 @@
 		return rejectf(stdhttp.StatusExpectationFailed, "Expect: %q is not known", expect)
 	case req.Method != stdhttp.MethodGet && req.Method != stdhttp.MethodPost:
 		return rejectf(stdhttp.StatusMethodNotAllowed, "a request is a GET or a POST")
-	case req.ContentLength > message.Max:
-		return rejectf(stdhttp.StatusRequestEntityTooLarge, "Content-Length: over %d", message.Max)
+	case req.ContentLength > message.MaxBody:
+		return rejectf(stdhttp.StatusRequestEntityTooLarge, "Content-Length: over %d", message.MaxBody)
 	case req.Method == stdhttp.MethodGet && req.ContentLength != 0:
 		return rejectf(bad, "Content-Length: a GET has no body")
 	case req.Method == stdhttp.MethodPost && req.ContentLength >= 0 && req.Header.Get("Content-Length") == "":
@@ -598,24 +598,24 @@
 	if req.URL.Path == "/ready" {
 		return nil
 	}
-	for _, name := range message.Headers {
+	for _, name := range message.ForwardedHeaders {
 		if len(req.Header[name]) > 1 {
 			return rejectf(bad, "%s: more than one", name)
 		}
 	}
 	h := req.Header
 	r.Request = &core.Request{ID: h.Get("X-Request-Id"), Class: h.Get("X-Class"), Tenant: h.Get("X-Tenant"),
-		Key: h.Get("Idempotency-Key"), Repeat: h.Get("X-Retry") == "1",
-		Hint: costHint(h), Caller: Caller(h, Address(c.Conn), c.user), Message: req,
-		Left: func() bool { return flow.Left(c.Conn) }}
+		IdempotencyKey: h.Get("Idempotency-Key"), Repeat: h.Get("X-Retry") == "1",
+		CostHint: costHint(h), Caller: Caller(h, RemoteAddr(c.Conn), c.user), Message: req,
+		ClientLeft: func() bool { return flow.PeerClosed(c.Conn) }}
 	if r.ID == "" || len(r.ID) > maxRequestIDLength {
 		return rejectf(bad, "X-Request-Id: missing or too long")
 	}
 	var err error
-	if r.Patience, err = parseDeadline(req.Header.Get("X-Deadline")); err != nil {
+	if r.Timeout, err = parseDeadline(req.Header.Get("X-Deadline")); err != nil {
 		return rejectf(bad, "X-Deadline: %v", err)
 	}
-	if err := s.Fits(req); err != nil {
+	if err := s.CheckRequest(req); err != nil {
 		return rejectf(bad, "%v", err)
 	}
 	return nil
@@ -628,15 +628,15 @@
 		return response{status: s.Ready()}, true
 	}
 	if c.closeAfterNext { // nothing was sent: rejecting is safe for every class
-		return response{status: stdhttp.StatusServiceUnavailable, Answer: message.Answer{Body: []byte("too many connections\n")},
+		return response{status: stdhttp.StatusServiceUnavailable, Response: message.Response{Body: []byte("too many connections\n")},
 			retryAfter: overloadRetryAfter}, true
 	}
-	whole := r.body.Whole()
+	whole := r.body.Complete()
 	if whole && r.windowClosed && c.discardAndCheckLeft() {
-		return toResponse(core.Answer{Kind: core.Refused, RetryAfter: overloadRetryAfter}), true
+		return toResponse(core.Response{Kind: core.Refused, RetryAfter: overloadRetryAfter}), true
 	}
 	if whole {
-		r.Waits = c.watchClient
+		r.BeforeWait = c.watchClient
 	}
 	if !s.Core.Begin(r.Request) {
 		c.stopWatching()
@@ -644,19 +644,19 @@
 		return response{}, false
 	}
 	select {
-	case a := <-r.Answer():
+	case a := <-r.Response():
 		c.stopWatching()
 		return toResponse(a), true
 	default:
 	}
 	if !whole {
 		select {
-		case a := <-r.Answer():
+		case a := <-r.Response():
 			return toResponse(a), true
 		case <-r.body.Ended():
 		}
 		if err := r.body.Err(); err != nil {
-			s.Core.Gone(r.Request)
+			s.Core.ClientGone(r.Request)
 			c.reject(bodyRejection(err))
 			return response{}, false
 		}
@@ -666,9 +666,9 @@
 	c.stopWatching()
 	if !ok {
 		// The client may have closed only its sending side and still wait for the response.
-		c.closeAfterNext, a = true, core.Answer{Kind: core.Failed}
-		if !s.Core.Gone(r.Request) {
-			a = core.Answer{Kind: core.Refused, RetryAfter: overloadRetryAfter}
+		c.closeAfterNext, a = true, core.Response{Kind: core.Failed}
+		if !s.Core.ClientGone(r.Request) {
+			a = core.Response{Kind: core.Refused, RetryAfter: overloadRetryAfter}
 		}
 		return toResponse(a), true
 	}
@@ -678,7 +678,7 @@
 // reject writes the response to invalid input and ends the connection.
 func (c *conn) reject(rejected *rejection) {
 	if c.writeResponse(nil, response{status: rejected.status, retryAfter: rejected.retryAfter,
-		Answer: message.Answer{Body: []byte(rejected.text + "\n")}}, true) != nil {
+		Response: message.Response{Body: []byte(rejected.text + "\n")}}, true) != nil {
 		return
 	}
 	c.closeAfterResponse()
--- a/internal/front/http/fuzz_test.go
+++ b/internal/front/http/fuzz_test.go
@@ -54,18 +54,18 @@
 	f.Add([]byte("\r\n\n"+good+"Expect: 100-continue\r\nContent-Length: 0\r\n\r\n"), 3)
 	f.Add([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"), 9)
 	f.Add([]byte("CONNECT a:1 HTTP/1.1\r\nHost : a\r\n\r\n"), 2)
-	c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", Aim: 1, Deadline: 1}}}, 1,
-		core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
+	c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", TargetLatency: 1, Deadline: 1}}}, 1,
+		core.Options{Clock: stubServices{}, Sender: stubServices{}, Discovery: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, text []byte, pieceSize int) {
 		budget := flow.NewBudget(1 << 20)
-		s := New(Options{Until: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1,
-			Away: func() bool { return false }, Ready: func() int { return 200 },
-			Fits: func(*stdhttp.Request) error { return nil }})
+		s := New(Options{Deadline: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1,
+			Draining: func() bool { return false }, Ready: func() int { return 200 },
+			CheckRequest: func(*stdhttp.Request) error { return nil }})
 		socket := &scriptedConn{Reader: pieceReader{bytes.NewReader(text), max(1, pieceSize&0xff)}}
-		k := &conn{Conn: socket, accepted: time.Now(), reader: bufio.NewReaderSize(socket, message.HeadSize)}
+		k := &conn{Conn: socket, accepted: time.Now(), reader: bufio.NewReaderSize(socket, message.MaxHead)}
 		for range 8 {
 			r, rejected := s.readRequest(k)
 			if r == nil || rejected != nil {
@@ -75,14 +75,14 @@
 				t.Errorf("accepted with two framings: Content-Length %v and Transfer-Encoding %v",
 					r.httpRequest.ContentLength, r.httpRequest.TransferEncoding)
 			}
-			if r.Request != nil && (r.ID == "" || len(r.ID) > maxRequestIDLength || r.Patience <= 0 || r.Body == nil) {
+			if r.Request != nil && (r.ID == "" || len(r.ID) > maxRequestIDLength || r.Timeout <= 0 || r.Body == nil) {
 				t.Errorf("accepted without a valid id, timeout or body: %+v", r.Request)
 			}
 			if strings.EqualFold(r.httpRequest.Method, "CONNECT") {
 				t.Error("a CONNECT was accepted as a request")
 			}
-			complete := r.body.Whole()
-			budget.RequestDone(r.body.Held())
+			complete := r.body.Complete()
+			budget.ReleaseRequest(r.body.HeldBytes())
 			if !complete {
 				break
 			}
--- a/internal/front/http/response.go
+++ b/internal/front/http/response.go
@@ -14,7 +14,7 @@
 
 // response is what a client receives for one request. Its holder calls release once.
 type response struct {
-	message.Answer
+	message.Response
 	status     int
 	retryAfter time.Duration
 	refusal    string // reason of a rejection, for programs: the value of message.RefusalHeader; empty: none
@@ -28,9 +28,9 @@
 }
 
 // toResponse translates a final response of the core into HTTP.
-func toResponse(a core.Answer) response {
+func toResponse(a core.Response) response {
 	if a.Kind == core.Served {
-		return response{status: stdhttp.StatusOK, Answer: *a.Payload.(*message.Answer)}
+		return response{status: stdhttp.StatusOK, Response: *a.Payload.(*message.Response)}
 	}
 	out := response{}
 	if out.status, out.retryAfter, out.refusal = message.Refusal(a); out.refusal != "" {
@@ -44,8 +44,8 @@
 // is closed.
 func (c *conn) writeResponse(req *stdhttp.Request, r response, last bool) error {
 	h := stdhttp.Header{"Date": {time.Now().UTC().Format(stdhttp.TimeFormat)}}
-	if r.Type != "" {
-		h.Set("Content-Type", r.Type)
+	if r.ContentType != "" {
+		h.Set("Content-Type", r.ContentType)
 	}
 	if r.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
@@ -59,9 +59,9 @@
 		if resp.ContentLength < 0 {
 			resp.TransferEncoding = []string{"chunked"}
 		}
-		out, body := flow.Writer(flow.Paced{Conn: c.Conn, Stall: flow.WriteStall}, r.Stream)
+		out, body := flow.NewFlushingWriter(flow.WriteTimeoutConn{Conn: c.Conn, Timeout: flow.WriteStallTimeout}, r.Stream)
 		resp.Body = io.NopCloser(body)
-		if err := resp.Write(flow.Plain{Writer: out}); err != nil {
+		if err := resp.Write(flow.WriteOnly{Writer: out}); err != nil {
 			return err
 		}
 		return out.Flush()
@@ -72,6 +72,6 @@
 	if err := resp.Write(&b); err != nil {
 		return err
 	}
-	_, err := flow.Paced{Conn: c.Conn, Stall: flow.WriteStall}.Write(b.Bytes())
+	_, err := flow.WriteTimeoutConn{Conn: c.Conn, Timeout: flow.WriteStallTimeout}.Write(b.Bytes())
 	return err
 }
--- a/internal/front/http/watch.go
+++ b/internal/front/http/watch.go
@@ -11,7 +11,7 @@
 func (c *conn) watchClient() {
 	if c.clientLeft == nil {
 		c.SetReadDeadline(time.Time{}) // waiting is unbounded, even if the connection is to be closed after this response
-		c.clientLeft, c.stopWatch = flow.Watch(c.Conn, c.reader, true)
+		c.clientLeft, c.stopWatch = flow.WatchPeer(c.Conn, c.reader, true)
 	}
 }
 
@@ -27,7 +27,7 @@
 // whose receive window may have been closed while its request waited for budget: it may have left long ago without that
 // being visible. The request has been read completely, and nothing watches the client.
 func (c *conn) discardAndCheckLeft() bool {
-	discarded, ended := flow.Spill(c.Conn, c.reader)
+	discarded, ended := flow.DiscardInput(c.Conn, c.reader)
 	c.noteDiscarded(discarded)
 	return ended
 }
--- a/internal/front/http/watch_test.go
+++ b/internal/front/http/watch_test.go
@@ -48,40 +48,40 @@
 		{"more input than kernel buffers hold, client leaves, claim granted",
 			head + strings.Repeat(head, 200<<10), handover.Granted, true, ""},
 		{"more input than kernel buffers hold, client leaves, id open at successor",
-			head + strings.Repeat(head, 200<<10), handover.Open, true, ""},
-		{"client stays, successor busy", head + strings.Repeat(head, 20), handover.Busy, false, "503"},
-		{"client stays, id open at successor", head + strings.Repeat(head, 20), handover.Open, false, "409"},
+			head + strings.Repeat(head, 200<<10), handover.AlreadyOpen, true, ""},
+		{"client stays, successor busy", head + strings.Repeat(head, 20), handover.Undecided, false, "503"},
+		{"client stays, id open at successor", head + strings.Repeat(head, 20), handover.AlreadyOpen, false, "409"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			h := &stubSuccessor{claimed: make(chan struct{}), verdict: make(chan handover.Verdict, 1)}
-			k, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", Aim: 1, Deadline: 1}}}, 1,
-				core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
+			k, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", TargetLatency: 1, Deadline: 1}}}, 1,
+				core.Options{Clock: stubServices{}, Sender: stubServices{}, Discovery: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer k.Close()
 			k.Lock()
-			k.Yield(h)
+			k.SetSuccessor(h)
 			k.Unlock()
 			f := New(Options{Core: k, Budget: flow.NewBudget(1 << 20), Limit: 1,
-				Away: func() bool { return true }, Ready: func() int { return 200 },
-				Until: func() time.Duration { return 0 }, Fits: func(*stdhttp.Request) error { return nil }})
-			client, server, err := standin.Pair()
+				Draining: func() bool { return true }, Ready: func() int { return 200 },
+				Deadline: func() time.Duration { return 0 }, CheckRequest: func(*stdhttp.Request) error { return nil }})
+			client, server, err := standin.NewConnPair()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer client.Close()
 			client.SetDeadline(time.Now().Add(testTimeout))
-			if n, err := standin.Pour(client, c.text, 64<<10); err != nil || (n < len(c.text)) != (len(c.text) > 1<<20) {
+			if n, err := standin.FillSendBuffer(client, c.text, 64<<10); err != nil || (n < len(c.text)) != (len(c.text) > 1<<20) {
 				t.Fatalf("kernel buffers accepted %d of %d bytes: %v", n, len(c.text), err)
 			}
-			f.Take()
-			f.Go(func() { f.Serve(server, bufio.NewReaderSize(server, message.HeadSize), "") })
+			f.AcquireSlot()
+			f.Go(func() { f.Serve(server, bufio.NewReaderSize(server, message.MaxHead), "") })
 			<-h.claimed
 			if c.leaves {
 				client.Close()
-				for end := time.Now().Add(testTimeout); !flow.Left(server); time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(testTimeout); !flow.PeerClosed(server); time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
 						t.Error("client's disconnecting was not detected")
 						break
@@ -99,7 +99,7 @@
 			if !f.Wait(t.Context(), testTimeout) {
 				t.Error("connection was not closed")
 			}
-			if len(k.Open()) != 0 {
+			if len(k.OpenRequests()) != 0 {
 				t.Error("request is still open")
 			}
 		})
--- a/internal/front/tunnel/front.go
+++ b/internal/front/tunnel/front.go
@@ -24,15 +24,15 @@
 
 // Options configures a Front. Its functions are called from many goroutines.
 type Options struct {
-	Core  *core.Core
-	Table *Table
-	Log   *slog.Logger
-	Away  func() bool  // reports whether clients are to go to another node or process
-	Go    func(func()) // runs a function that is waited for when the node stops
-	Take  func() bool  // reserves a slot for a connection, if one is free
-	Leave func()       // releases the slot
+	Core        *core.Core
+	Table       *Table
+	Log         *slog.Logger
+	Draining    func() bool  // reports whether clients are to go to another node or process
+	Go          func(func()) // runs a function that is waited for when the node stops
+	AcquireSlot func() bool  // reserves a slot for a connection, if one is free
+	ReleaseSlot func()       // releases the slot
 	// ServeRequests serves the requests that arrive through a tunnel, and releases its slot.
-	HTTP func(conn net.Conn, in *bufio.Reader, user string)
+	ServeRequests func(conn net.Conn, in *bufio.Reader, user string)
 	// Caller returns what the contracts need to know about the client of an opaque tunnel.
 	Caller func(conn net.Conn, user string) contract.Caller
 }
@@ -51,10 +51,10 @@
 }
 
 // RequestReader reads which tunnel a client requests. SOCKS5 and Connect are RequestReaders.
-type Opener func(*bufio.Reader, io.Writer, *Table) (*Request, error)
+type RequestReader func(*bufio.Reader, io.Writer, *Table) (*Request, error)
 
 // Accept accepts clients until ln is closed.
-func (f *Front) Accept(ln net.Listener, read Opener) {
+func (f *Front) Accept(ln net.Listener, read RequestReader) {
 	for {
 		conn, err := ln.Accept()
 		switch {
@@ -73,13 +73,13 @@
 				conn.Close()
 			case o.Route.Opaque && f.serveOpaque(conn, in, o):
 				conn.Close()
-				f.Leave()
+				f.ReleaseSlot()
 			case o.Accept() != nil: // the route is for requests, or has become so meanwhile
 				conn.Close()
-				f.Leave()
+				f.ReleaseSlot()
 			default:
 				conn.SetDeadline(time.Time{})
-				f.HTTP(conn, in, o.User)
+				f.ServeRequests(conn, in, o.User)
 			}
 		})
 	}
@@ -87,15 +87,15 @@
 
 // readRequest reads which tunnel a client requests, and reserves a slot for it. Nil: the tunnel was refused, and the
 // client was notified as far as its protocol allows.
-func (f *Front) readRequest(conn net.Conn, read Opener) (*bufio.Reader, *Request) {
+func (f *Front) readRequest(conn net.Conn, read RequestReader) (*bufio.Reader, *Request) {
 	conn.SetDeadline(time.Now().Add(openTimeout))
-	in := bufio.NewReaderSize(conn, message.HeadSize)
+	in := bufio.NewReaderSize(conn, message.MaxHead)
 	o, err := read(in, conn, f.Table)
 	if err != nil {
 		f.Log.Info("tunnel request failed", "client", conn.RemoteAddr(), "err", err)
 		return nil, nil
 	}
-	if f.Away() || !f.Take() {
+	if f.Draining() || !f.AcquireSlot() {
 		o.Refuse(http.StatusServiceUnavailable, time.Second, "")
 		return nil, nil
 	}
@@ -122,9 +122,9 @@
 		route := o.Route
 		stream := &message.Stream{Limits: route.Limits}
 		r := &core.Request{ID: fmt.Sprint(f.idPrefix, f.requestCount.Add(1)), Class: route.Class, Tenant: caller.Tenant, Caller: caller,
-			Arrived: f.Core.Now(), Patience: openTimeout, Body: stream, Message: stream, Left: func() bool { return flow.Left(conn) }}
+			Arrived: f.Core.Now(), Timeout: openTimeout, Body: stream, Message: stream, ClientLeft: func() bool { return flow.PeerClosed(conn) }}
 		current, exists := route, true
-		r.Holds = func() bool {
+		r.StillValid = func() bool {
 			current, exists = f.Table.Find(route.Host, route.Port)
 			return exists && current == route
 		}
@@ -151,7 +151,7 @@
 	if !ok {
 		return
 	}
-	defer f.Core.Written(r)
+	defer f.Core.ResponseWritten(r)
 	if a.Kind != core.Served {
 		status, after, reason := message.Refusal(a)
 		if a.Kind == core.Failed {
@@ -171,14 +171,14 @@
 
 // awaitResponse waits for the final response. Not ok: the client has disconnected before it, and the core has been
 // notified.
-func (f *Front) awaitResponse(conn net.Conn, in *bufio.Reader, r *core.Request) (core.Answer, bool) {
+func (f *Front) awaitResponse(conn net.Conn, in *bufio.Reader, r *core.Request) (core.Response, bool) {
 	conn.SetDeadline(time.Time{})
 	// What the client sends before the reply stays unread, in the reader or in the socket.
-	clientLeft, stop := flow.Watch(conn, in, false)
+	clientLeft, stop := flow.WatchPeer(conn, in, false)
 	a, ok := r.Await(clientLeft)
 	if !ok {
-		f.Core.Gone(r)
-		return core.Answer{}, false
+		f.Core.ClientGone(r)
+		return core.Response{}, false
 	}
 	stop()
 	return a, true
--- a/internal/front/tunnel/front_test.go
+++ b/internal/front/tunnel/front_test.go
@@ -42,13 +42,13 @@
 		{"route unchanged", Change{}, "view", "", true},
 		{"another route added", Change{Put: []Route{{Host: "b.example.org", Port: 7, Service: "s"}}}, "view", "", true},
 		{"class changed", Change{Put: []Route{other}}, "buy", "", true},
-		{"route removed", Change{Gone: []string{"a.example.org:7"}}, "", "HTTP/1.1 403 ", true},
+		{"route removed", Change{Removed: []string{"a.example.org:7"}}, "", "HTTP/1.1 403 ", true},
 		{"no longer opaque", Change{Put: []Route{plain}}, "", "", false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{
-				{Name: "view", Aim: time.Second, Deadline: time.Second, Worth: 1}, {Name: "buy", Aim: time.Second, Deadline: time.Second, Worth: 1}}},
-				1, core.Options{Clock: stubServices{}, Back: stubServices{}, Roster: stubServices{}, Log: slog.New(slog.DiscardHandler)})
+				{Name: "view", TargetLatency: time.Second, Deadline: time.Second, Value: 1}, {Name: "buy", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}},
+				1, core.Options{Clock: stubServices{}, Sender: stubServices{}, Discovery: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -65,7 +65,7 @@
 				t.Fatal(err)
 			}
 			c.Lock()
-			table.Change(&k.change)
+			table.ApplyChange(&k.change)
 			c.Unlock()
 			r := f.beginRequest(nil, o)
 			if (r != nil) != (k.class != "") || r != nil && r.Class != k.class || o.Route.Opaque != k.opaque {
--- a/internal/front/tunnel/routes.go
+++ b/internal/front/tunnel/routes.go
@@ -22,9 +22,9 @@
 	Port    uint16
 	Service string
 
-	Opaque bool           // the tunnel itself is one request; else HTTP requests arrive through it
-	Class  string         // of an opaque tunnel's request
-	Limits message.Limits // of an opaque tunnel's lifetime
+	Opaque bool                 // the tunnel itself is one request; else HTTP requests arrive through it
+	Class  string               // of an opaque tunnel's request
+	Limits message.TunnelLimits // of an opaque tunnel's lifetime
 }
 
 // Table holds the routes and the users. It is safe for concurrent use. A lookup sees a change of the routes completely
@@ -91,8 +91,8 @@
 // Change is a change of the routes. Its cost depends on its own size, not on the number of routes. Established tunnels
 // are not affected.
 type Change struct {
-	Put  []Route  // routes to add, or to replace the one of the same address
-	Gone []string // names of routes to remove (Route.Name); unknown ones are ignored
+	Put     []Route  // routes to add, or to replace the one of the same address
+	Removed []string // names of routes to remove (Route.Name); unknown ones are ignored
 }
 
 // ChangeError is the reason why a change is invalid.
@@ -112,8 +112,8 @@
 // Check reports whether a change is valid: each route that it puts is valid and is named only once. It does not change
 // the table. An error is a *ChangeError.
 func (t *Table) Check(c *Change) error {
-	named := make(map[string]bool, len(c.Put)+len(c.Gone))
-	for _, name := range c.Gone {
+	named := make(map[string]bool, len(c.Put)+len(c.Removed))
+	for _, name := range c.Removed {
 		named[name] = true
 	}
 	for i := range c.Put {
@@ -131,10 +131,10 @@
 }
 
 // ApplyChange applies a change, which must have passed Check. Lookups see all of it or nothing.
-func (t *Table) Change(c *Change) {
+func (t *Table) ApplyChange(c *Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, name := range c.Gone {
+	for _, name := range c.Removed {
 		if host, port, ok := parseName(name); ok {
 			delete(t.routes, address{host, port})
 		}
--- a/internal/front/tunnel/routes_test.go
+++ b/internal/front/tunnel/routes_test.go
@@ -27,9 +27,9 @@
 		current := map[string]Route{}
 		for range rapid.IntRange(1, 20).Draw(rt, "changes") {
 			c := Change{Put: rapid.SliceOfN(rapid.Custom(genRoute), 0, 3).Draw(rt, "put"),
-				Gone: rapid.SliceOfN(rapid.SampledFrom([]string{"a.org:80", "b.org:443", "c.org:80", "d.org:1", "none"}), 0, 2).Draw(rt, "gone")}
+				Removed: rapid.SliceOfN(rapid.SampledFrom([]string{"a.org:80", "b.org:443", "c.org:80", "d.org:1", "none"}), 0, 2).Draw(rt, "gone")}
 			next, named := maps.Clone(current), map[string]bool{}
-			for _, n := range c.Gone {
+			for _, n := range c.Removed {
 				delete(next, n)
 				named[n] = true
 			}
@@ -44,7 +44,7 @@
 			} else if err != nil {
 				continue
 			}
-			table.Change(&c)
+			table.ApplyChange(&c)
 			current = next
 			var all []Route
 			for _, r := range current {
@@ -78,7 +78,7 @@
 		{Change{Put: []Route{{Host: "a b", Port: 80}}}, `route "a b:80": host: "a b" is not a host name`},
 		{Change{Put: []Route{{Host: "a"}}}, `route "a:0": port: missing`},
 		{Change{Put: []Route{{Host: "a", Port: 1}, {Host: "A.", Port: 1}}}, `route "a:1": is put twice`},
-		{Change{Put: []Route{{Host: "a", Port: 1}}, Gone: []string{"a:1"}}, `route "a:1": is put twice, or both put and removed`},
+		{Change{Put: []Route{{Host: "a", Port: 1}}, Removed: []string{"a:1"}}, `route "a:1": is put twice, or both put and removed`},
 	} {
 		err := table.Check(&c.change)
 		var bad *ChangeError
@@ -121,7 +121,7 @@
 	}
 	for i := range 2000 {
 		s := fmt.Sprint(i + 1)
-		table.Change(&Change{Put: []Route{{Host: "a", Port: 1, Service: s}, {Host: "b", Port: 1, Service: s}}, Gone: []string{"c:1"}})
+		table.ApplyChange(&Change{Put: []Route{{Host: "a", Port: 1, Service: s}, {Host: "b", Port: 1, Service: s}}, Removed: []string{"c:1"}})
 	}
 	close(done)
 	readers.Wait()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,11 +24,11 @@
 	// State goes to a successor: all that it needs to initialize.
 	State Message = iota
 	// NotServing goes to a successor: this process does not hand over now; search again for the one that serves.
-	Later
+	NotServing
 	// Ready goes to a predecessor: the successor is initialized and requests the clients.
 	Ready
 	// Transfer goes to a successor: this process begins no more requests on its own. It carries what has changed since State.
-	Yours
+	Transfer
 	// Serving goes to a predecessor: the successor holds the token and accepts clients.
 	Serving
 )
@@ -40,15 +40,15 @@
 	// Starting: the process has its predecessor's state, or has no predecessor, and initializes.
 	Starting Phase = iota
 	// Searching: it searches for the process that serves.
-	Seeking
+	Searching
 	// Requesting: it has told its predecessor that it is ready.
-	Asking
+	Requesting
 	// Active: it holds the token and accepts clients.
-	Serves
+	Active
 	// Transferring: its successor has been given the clients and has not confirmed.
-	Yielding
+	Transferring
 	// Finishing: its successor serves, and it finishes the requests that it has accepted.
-	Relieved
+	Finishing
 )
 
 func (p Phase) String() string {
@@ -62,38 +62,38 @@
 // Env carries out the effects of a Machine. None of its methods may wait for another process.
 type Env interface {
 	// LockToken takes the token and returns its number, unless another process holds it.
-	Lock() (number uint64, held bool)
+	LockToken() (number uint64, held bool)
 	// SetTokenNumber writes a number to the token, which is held.
-	Mark(number uint64)
+	SetTokenNumber(number uint64)
 	// UnlockToken releases the token.
-	Unlock()
+	UnlockToken()
 	// SetAccepting starts or stops accepting clients. A process that starts becomes the one that successors find. The
 	// listener stays open in both cases.
-	Accept(on bool)
+	SetAccepting(on bool)
 	// TransferTo begins to ask that process before each new request, and sends it Transfer with the number and all that it
 	// needs.
-	Yield(to Peer, number uint64)
+	TransferTo(to Peer, number uint64)
 	// FinishRequests begins to close the clients' connections and to finish the requests that were accepted.
-	Relieve()
+	FinishRequests()
 	// Resume ends what TransferTo and FinishRequests began: the process decides alone again and keeps its clients.
 	Resume()
 	// Send sends a message without waiting.
-	Tell(to Peer, m Message)
+	Send(to Peer, m Message)
 	// Search looks for a process that serves, or that has served and has not exited. Its State or NotServing is passed to
 	// Machine.Received; if there is none, Machine.NoneFound is called. A process that has no clients left but unfinished
 	// requests must be found: their ids are still in use.
-	Seek()
+	Search()
 }
 
 // Machine is the hand-over state of one process. Its owner guards it with a lock. The zero value is a process without a
 // predecessor.
 type Machine struct {
 	Phase        Phase
-	Before       Peer   // the predecessor
-	Heir         Peer   // the successor, in the phases Transferring and Finishing; 0 once it has exited
+	Predecessor  Peer   // the predecessor
+	Successor    Peer   // the successor, in the phases Transferring and Finishing; 0 once it has exited
 	Initialized  bool   // the process can serve
-	Ends         bool   // the process was asked to stop: it accepts no clients again
-	Number       uint64 // of the token, when this process last held or released it
+	Stopping     bool   // the process was asked to stop: it accepts no clients again
+	TokenNumber  uint64 // of the token, when this process last held or released it
 	ticksInPhase int
 }
 
@@ -102,7 +102,7 @@
 
 // ReadyToServe records that the process is initialized and can serve. Before that it does not search for other
 // processes.
-func (m *Machine) Ready(env Env) {
+func (m *Machine) ReadyToServe(env Env) {
 	m.Initialized = true
 	if m.Phase == Starting {
 		m.requestClients(env)
@@ -110,119 +110,119 @@
 }
 
 // ServeAlone is ReadyToServe for a node without other processes: it accepts clients at once.
-func (m *Machine) Alone(env Env) {
+func (m *Machine) ServeAlone(env Env) {
 	m.Initialized = true
-	m.enter(Serves)
-	env.Accept(true)
+	m.enter(Active)
+	env.SetAccepting(true)
 }
 
 // requestClients asks the predecessor for the clients. Without a predecessor it searches once more for a process that
 // serves, and accepts clients if there is none.
 func (m *Machine) requestClients(env Env) {
-	if m.Before == 0 {
-		m.enter(Seeking)
-		env.Seek()
+	if m.Predecessor == 0 {
+		m.enter(Searching)
+		env.Search()
 		return
 	}
-	m.enter(Asking)
-	env.Tell(m.Before, Ready)
+	m.enter(Requesting)
+	env.Send(m.Predecessor, Ready)
 }
 
 // setTokenNumber records the token's number and writes it to the token.
 func (m *Machine) setTokenNumber(env Env, n uint64) {
-	m.Number = n
-	env.Mark(n)
+	m.TokenNumber = n
+	env.SetTokenNumber(n)
 }
 
 // takeToken accepts clients if the token is free and has the number that the predecessor sent; 0: none was sent.
 func (m *Machine) takeToken(env Env, number uint64) {
-	n, held := env.Lock()
+	n, held := env.LockToken()
 	if held && number != 0 && n != number { // the predecessor retook and released it again: for this process or another
-		env.Unlock()
+		env.UnlockToken()
 		held = false
 	}
 	switch {
 	case held:
 		m.setTokenNumber(env, n+1)
-		m.enter(Serves)
-		env.Accept(true)
-		if m.Before != 0 {
-			env.Tell(m.Before, Serving)
+		m.enter(Active)
+		env.SetAccepting(true)
+		if m.Predecessor != 0 {
+			env.Send(m.Predecessor, Serving)
 		}
-	case m.Before != 0:
-		m.enter(Asking) // the predecessor retook the token: it is asked again
+	case m.Predecessor != 0:
+		m.enter(Requesting) // the predecessor retook the token: it is asked again
 	default:
-		m.enter(Seeking)
+		m.enter(Searching)
 	}
 }
 
 // StateRequested handles another process's request for the state.
-func (m *Machine) Hello(env Env, from Peer) {
-	if m.Phase == Serves {
-		env.Tell(from, State)
+func (m *Machine) StateRequested(env Env, from Peer) {
+	if m.Phase == Active {
+		env.Send(from, State)
 	} else {
-		env.Tell(from, Later)
+		env.Send(from, NotServing)
 	}
 }
 
 // NoneFound handles the end of a search that found no process.
-func (m *Machine) NoOne(env Env) {
-	if m.Phase == Seeking {
-		m.Before = 0
+func (m *Machine) NoneFound(env Env) {
+	if m.Phase == Searching {
+		m.Predecessor = 0
 		m.takeToken(env, 0)
 	}
 }
 
 // Received handles a message. The number is that of Transfer.
-func (m *Machine) Heard(env Env, from Peer, what Message, number uint64) {
+func (m *Machine) Received(env Env, from Peer, what Message, number uint64) {
 	switch what {
 	case State:
-		if m.Phase == Seeking || m.Phase == Starting && m.Before == 0 {
-			m.Before = from
+		if m.Phase == Searching || m.Phase == Starting && m.Predecessor == 0 {
+			m.Predecessor = from
 			m.enter(Starting)
 			if m.Initialized {
 				m.requestClients(env)
 			}
 		}
-	case Later:
-		if m.Phase == Asking && from == m.Before || m.Phase == Seeking {
-			m.Before = 0
-			m.enter(Seeking)
+	case NotServing:
+		if m.Phase == Requesting && from == m.Predecessor || m.Phase == Searching {
+			m.Predecessor = 0
+			m.enter(Searching)
 		}
 	case Ready:
-		if m.Phase != Serves {
-			env.Tell(from, Later)
+		if m.Phase != Active {
+			env.Send(from, NotServing)
 			return
 		}
-		m.enter(Yielding)
-		m.Heir = from
-		env.Accept(false)
-		m.setTokenNumber(env, m.Number+1)
-		env.Unlock() // before the successor is notified: it must find the token free
-		env.Yield(from, m.Number)
-	case Yours:
-		if m.Phase == Asking && from == m.Before {
+		m.enter(Transferring)
+		m.Successor = from
+		env.SetAccepting(false)
+		m.setTokenNumber(env, m.TokenNumber+1)
+		env.UnlockToken() // before the successor is notified: it must find the token free
+		env.TransferTo(from, m.TokenNumber)
+	case Transfer:
+		if m.Phase == Requesting && from == m.Predecessor {
 			m.takeToken(env, number)
 		}
 	case Serving:
-		if m.Phase == Yielding && from == m.Heir {
-			m.enter(Relieved)
-			env.Relieve()
+		if m.Phase == Transferring && from == m.Successor {
+			m.enter(Finishing)
+			env.FinishRequests()
 		}
 	}
 }
 
 // PeerExited handles the exit of another process.
-func (m *Machine) Gone(env Env, who Peer) {
-	if who == m.Before {
-		m.Before = 0
-		if m.Phase == Asking { // its state may be outdated: another process may have accepted requests meanwhile
-			m.enter(Seeking)
-			env.Seek()
+func (m *Machine) PeerExited(env Env, who Peer) {
+	if who == m.Predecessor {
+		m.Predecessor = 0
+		if m.Phase == Requesting { // its state may be outdated: another process may have accepted requests meanwhile
+			m.enter(Searching)
+			env.Search()
 		}
 	}
-	if who == m.Heir && m.Heir != 0 {
-		m.Heir, m.ticksInPhase = 0, 0
+	if who == m.Successor && m.Successor != 0 {
+		m.Successor, m.ticksInPhase = 0, 0
 		m.retakeToken(env)
 	}
 }
@@ -230,25 +230,25 @@
 // retakeToken serves again after the successor has exited or never took the token. A token that another process holds
 // stays there.
 func (m *Machine) retakeToken(env Env) {
-	if m.Phase != Yielding && m.Phase != Relieved {
+	if m.Phase != Transferring && m.Phase != Finishing {
 		return
 	}
-	n, held := env.Lock()
+	n, held := env.LockToken()
 	if !held {
 		return
 	}
 	// The successor raised the number by one when it took the token, and by one more if it released it for a third process.
 	// That one may take it, unless it exits too.
-	if n > m.Number+1 && m.ticksInPhase < 2*transferTicks {
-		env.Unlock()
+	if n > m.TokenNumber+1 && m.ticksInPhase < 2*transferTicks {
+		env.UnlockToken()
 		return
 	}
-	m.Heir = 0
+	m.Successor = 0
 	m.setTokenNumber(env, n+1) // the number that the successor received is outdated from now on, even if this process exits
-	m.enter(Serves)
+	m.enter(Active)
 	env.Resume()
-	if !m.Ends { // else the process is only found by the next successor
-		env.Accept(true)
+	if !m.Stopping { // else the process is only found by the next successor
+		env.SetAccepting(true)
 	}
 }
 
@@ -256,31 +256,31 @@
 func (m *Machine) Tick(env Env) {
 	m.ticksInPhase++
 	switch m.Phase {
-	case Seeking:
-		env.Seek()
-	case Asking:
+	case Searching:
+		env.Search()
+	case Requesting:
 		if m.ticksInPhase%transferTicks == 0 { // also after a Transfer that came too late for the token
-			env.Tell(m.Before, Ready)
+			env.Send(m.Predecessor, Ready)
 		}
-	case Yielding:
-		if m.Heir == 0 || m.ticksInPhase >= transferTicks {
+	case Transferring:
+		if m.Successor == 0 || m.ticksInPhase >= transferTicks {
 			m.retakeToken(env)
 		}
-	case Relieved:
-		if m.Heir == 0 {
+	case Finishing:
+		if m.Successor == 0 {
 			m.retakeToken(env)
 		}
 	}
 }
 
 // NeedsTick reports whether Tick must be called.
-func (m *Machine) Unsettled() bool {
-	return m.Phase == Seeking || m.Phase == Asking || m.Phase == Yielding || m.Phase == Relieved && m.Heir == 0
+func (m *Machine) NeedsTick() bool {
+	return m.Phase == Searching || m.Phase == Requesting || m.Phase == Transferring || m.Phase == Finishing && m.Successor == 0
 }
 
 // RetakeTimedOut reports, for a process whose successor has exited, whether it has tried to retake the token for long
 // enough: another process serves.
-func (m *Machine) Settled() bool { return m.ticksInPhase > 3*transferTicks }
+func (m *Machine) RetakeTimedOut() bool { return m.ticksInPhase > 3*transferTicks }
 
 // Stop records that the process was asked to stop.
-func (m *Machine) End() { m.Ends = true }
+func (m *Machine) Stop() { m.Stopping = true }
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -41,7 +41,7 @@
 // process is one process of the node.
 type process struct {
 	Machine
-	requestIDs   Ids
+	requestIDs   RequestIDs
 	up           bool
 	hung         bool
 	accepts      bool
@@ -75,25 +75,25 @@
 
 func (e env) process() *process { return &e.sim.procs[e.index] }
 
-func (e env) Lock() (uint64, bool) {
+func (e env) LockToken() (uint64, bool) {
 	if e.sim.tokenHolder == 0 || e.sim.fault == noLock {
 		e.sim.tokenHolder = e.index
 	}
 	if e.sim.fault == noTokenNumber {
-		return e.process().Number, e.sim.tokenHolder == e.index
+		return e.process().TokenNumber, e.sim.tokenHolder == e.index
 	}
 	return e.sim.tokenNumber, e.sim.tokenHolder == e.index
 }
 
-func (e env) Mark(number uint64) { e.sim.tokenNumber = number }
+func (e env) SetTokenNumber(number uint64) { e.sim.tokenNumber = number }
 
-func (e env) Unlock() {
+func (e env) UnlockToken() {
 	if e.sim.tokenHolder == e.index {
 		e.sim.tokenHolder = 0
 	}
 }
 
-func (e env) Accept(on bool) {
+func (e env) SetAccepting(on bool) {
 	e.process().accepts = on
 	if on {
 		e.process().servedBefore = true
@@ -107,11 +107,11 @@
 	}
 }
 
-func (e env) Yield(to Peer, number uint64) {
-	if e.process().requestIDs.Asks = e.sim.fault != neverAsks; e.sim.fault == noTokenNumber {
+func (e env) TransferTo(to Peer, number uint64) {
+	if e.process().requestIDs.AskSuccessor = e.sim.fault != neverAsks; e.sim.fault == noTokenNumber {
 		number = 0
 	}
-	e.send(to, packet{what: Yours, number: number, openHere: e.reportsOpen(), openElsewhere: len(e.process().requestIDs.Theirs(0)) > 0})
+	e.send(to, packet{what: Transfer, number: number, openHere: e.reportsOpen(), openElsewhere: len(e.process().requestIDs.Remote(0)) > 0})
 }
 
 // reportsOpen reports whether a process tells others that the id is open here.
@@ -119,13 +119,13 @@
 	return e.process().open || e.process().claimPending && e.sim.fault != omitsPending
 }
 
-func (e env) Relieve() {}
-func (e env) Resume()  { e.process().requestIDs.Asks = false }
-func (e env) Tell(to Peer, m Message) {
-	e.send(to, packet{what: m, openHere: e.reportsOpen(), openElsewhere: len(e.process().requestIDs.Theirs(0)) > 0})
+func (e env) FinishRequests() {}
+func (e env) Resume()         { e.process().requestIDs.AskSuccessor = false }
+func (e env) Send(to Peer, m Message) {
+	e.send(to, packet{what: m, openHere: e.reportsOpen(), openElsewhere: len(e.process().requestIDs.Remote(0)) > 0})
 }
 
-func (e env) Seek() {
+func (e env) Search() {
 	q := e.sim.discoverable
 	for p := range e.sim.procs { // else any process that has served and has not exited
 		if !e.sim.procs[q].up && e.sim.procs[p].up && e.sim.procs[p].servedBefore {
@@ -134,9 +134,9 @@
 	}
 	if q != e.index && e.sim.procs[q].up {
 		e.sim.channels[e.index][q], e.sim.channels[q][e.index] = nil, nil // a new connection
-		e.sim.procs[q].Hello(env{e.sim, q}, Peer(e.index))
+		e.sim.procs[q].StateRequested(env{e.sim, q}, Peer(e.index))
 	} else {
-		e.process().NoOne(e)
+		e.process().NoneFound(e)
 	}
 }
 
@@ -169,9 +169,9 @@
 			continue
 		}
 		t, held := p.requestIDs.remote[id]
-		bit(p.hung, p.accepts, p.servedBefore, p.open, p.claimPending, p.initialized, p.Initialized, p.Ends)
-		bit(p.requestIDs.Asks, p.requestIDs.pending[id], held, p.Phase == Yielding && p.ticksInPhase >= transferTicks-1)
-		b = append(b, byte(p.Phase), byte(p.Number), byte(p.Before), byte(p.Heir), byte(t.peer))
+		bit(p.hung, p.accepts, p.servedBefore, p.open, p.claimPending, p.initialized, p.Initialized, p.Stopping)
+		bit(p.requestIDs.AskSuccessor, p.requestIDs.pending[id], held, p.Phase == Transferring && p.ticksInPhase >= transferTicks-1)
+		b = append(b, byte(p.Phase), byte(p.TokenNumber), byte(p.Predecessor), byte(p.Successor), byte(t.peer))
 	}
 	for i := range s.channels {
 		for k := range s.channels[i] {
@@ -191,12 +191,12 @@
 	switch q.requestIDs.Begin(0, id, q.open) {
 	case Granted:
 		s.sendAttempt(p)
-	case Ask:
-		if q.Heir != 0 && s.procs[q.Heir].up {
+	case AskFirst:
+		if q.Successor != 0 && s.procs[q.Successor].up {
 			q.claimPending = true
-			env{s, p}.send(q.Heir, packet{isClaim: true, claim: Ask})
+			env{s, p}.send(q.Successor, packet{isClaim: true, claim: AskFirst})
 		} else {
-			q.requestIDs.Answered(id) // rejected
+			q.requestIDs.Resolved(id) // rejected
 		}
 	}
 }
@@ -218,35 +218,35 @@
 	p, e := &s.procs[to], env{s, to}
 	switch {
 	case l.closed:
-		p.requestIDs.Gone(Peer(from))
-		if p.claimPending && p.Heir == Peer(from) {
+		p.requestIDs.PeerExited(Peer(from))
+		if p.claimPending && p.Successor == Peer(from) {
 			p.claimPending = false
-			p.requestIDs.Answered(id)
+			p.requestIDs.Resolved(id)
 		}
-		p.Gone(e, Peer(from))
+		p.PeerExited(e, Peer(from))
 	case l.requestEnded:
-		p.requestIDs.Ended(id)
-	case l.isClaim && l.claim == Ask:
+		p.requestIDs.RemoteEnded(id)
+	case l.isClaim && l.claim == AskFirst:
 		e.send(Peer(from), packet{isClaim: true, claim: p.requestIDs.Claim(0, Peer(from), id, p.open, noDeadline)})
 	case l.isClaim:
 		if p.claimPending {
 			p.claimPending = false
-			p.requestIDs.Answered(id)
+			p.requestIDs.Resolved(id)
 			if l.claim == Granted {
 				s.sendAttempt(to)
 			}
 		}
 	default:
-		if l.what == State || l.what == Yours {
+		if l.what == State || l.what == Transfer {
 			at := func(on bool) map[string]time.Duration {
 				if on {
 					return map[string]time.Duration{id: noDeadline}
 				}
 				return nil
 			}
-			p.requestIDs.Hold(Peer(from), at(l.openHere), at(l.openElsewhere))
+			p.requestIDs.SetRemote(Peer(from), at(l.openHere), at(l.openElsewhere))
 		}
-		p.Heard(e, Peer(from), l.what, l.number)
+		p.Received(e, Peer(from), l.what, l.number)
 	}
 }
 
@@ -268,8 +268,8 @@
 // mayExit reports whether a process may exit by itself: its successor serves and nothing is left to do here.
 func (s *simulation) mayExit(p int) bool {
 	q := &s.procs[p]
-	hasPredecessor := q.Before != 0 && s.procs[q.Before].up // it decides on claims of its own predecessor
-	return q.Phase == Relieved && q.Heir != 0 && !q.open && !q.claimPending && !hasPredecessor
+	hasPredecessor := q.Predecessor != 0 && s.procs[q.Predecessor].up // it decides on claims of its own predecessor
+	return q.Phase == Finishing && q.Successor != 0 && !q.open && !q.claimPending && !hasPredecessor
 }
 
 // nextStates returns the simulations that can follow this one, with the name of the event that leads to each.
@@ -295,14 +295,14 @@
 			add(fmt.Sprint(p, " hangs"), func(c *simulation) { c.hangsLeft--; c.procs[p].hung = true })
 		}
 		if !q.initialized {
-			add(fmt.Sprint(p, " is initialized"), func(c *simulation) { c.procs[p].initialized = true; c.procs[p].Ready(env{c, p}) })
+			add(fmt.Sprint(p, " is initialized"), func(c *simulation) { c.procs[p].initialized = true; c.procs[p].ReadyToServe(env{c, p}) })
 		}
 		for from := 1; from < len(s.procs); from++ {
 			if len(s.channels[from][p]) > 0 {
 				add(fmt.Sprint(p, " receives from ", from), func(c *simulation) { c.receive(p, from) })
 			}
 		}
-		if s.ticksLeft > 0 && q.Unsettled() {
+		if s.ticksLeft > 0 && q.NeedsTick() {
 			add(fmt.Sprint(p, " ticks"), func(c *simulation) {
 				c.ticksLeft--
 				c.procs[p].ticksInPhase = transferTicks - 1 // any number of ticks may have passed
@@ -315,7 +315,7 @@
 		if q.open {
 			add(fmt.Sprint(p, " completes its request"), func(c *simulation) {
 				c.procs[p].open = false
-				if h := c.procs[p].Heir; c.procs[p].requestIDs.Asks && h != 0 {
+				if h := c.procs[p].Successor; c.procs[p].requestIDs.AskSuccessor && h != 0 {
 					env{c, p}.send(h, packet{requestEnded: true})
 				}
 			})
@@ -362,7 +362,7 @@
 			alive, q.hung = true, false
 			if !q.initialized {
 				settled, q.initialized = false, true
-				q.Ready(env{c, p})
+				q.ReadyToServe(env{c, p})
 			}
 			for from := 1; from < len(c.procs); from++ {
 				for len(c.channels[from][p]) > 0 && c.procs[p].up {
@@ -370,7 +370,7 @@
 					c.receive(p, from)
 				}
 			}
-			if rounds++; q.Unsettled() && rounds < 200 {
+			if rounds++; q.NeedsTick() && rounds < 200 {
 				settled = false
 				q.Tick(env{c, p})
 			}
@@ -393,11 +393,11 @@
 	s := &simulation{requestsLeft: requests, crashesLeft: crashes, hangsLeft: hangs, ticksLeft: ticks}
 	s.procs[1].up = true
 	s.procs[1].initialized = true
-	s.procs[1].Ready(env{s, 1})
+	s.procs[1].ReadyToServe(env{s, 1})
 	for p := 2; p < 2+successors; p++ {
 		s.procs[p].up = true
-		s.procs[p].Phase = Seeking
-		env{s, p}.Seek()
+		s.procs[p].Phase = Searching
+		env{s, p}.Search()
 	}
 	return s
 }
--- a/internal/handover/request_ids.go
+++ b/internal/handover/request_ids.go
@@ -9,20 +9,20 @@
 	// Granted: the request may begin.
 	Granted Verdict = iota
 	// AlreadyOpen: a request with the id is open, here or at another process.
-	Open
+	AlreadyOpen
 	// AskFirst: the successor must be asked first; Resolved must be called once that is done.
-	Ask
+	AskFirst
 	// Undecided: no decision is possible; the request is rejected without being sent.
-	Busy
+	Undecided
 )
 
 // RequestIDs keeps two processes of a node from having requests with the same id open at the same time. The process
 // that serves decides; its predecessor asks it before each request that it still receives. Its owner guards it with a
 // lock, and knows which ids are open in this process.
-type Ids struct {
-	Asks    bool                     // a successor must be asked first
-	remote  map[string]remoteRequest // ids open at other processes
-	pending map[string]bool          // ids whose begin waits for the successor
+type RequestIDs struct {
+	AskSuccessor bool                     // a successor must be asked first
+	remote       map[string]remoteRequest // ids open at other processes
+	pending      map[string]bool          // ids whose begin waits for the successor
 }
 
 // remoteRequest is a request that is open at another process.
@@ -32,23 +32,23 @@
 }
 
 // Begin decides on a request that is about to begin. Here is whether a request with its id is open in this process.
-func (i *Ids) Begin(now time.Duration, id string, here bool) Verdict {
+func (i *RequestIDs) Begin(now time.Duration, id string, here bool) Verdict {
 	switch {
 	case here || i.pending[id] || now < i.remote[id].until:
-		return Open
-	case i.Asks:
+		return AlreadyOpen
+	case i.AskSuccessor:
 		if i.pending == nil {
 			i.pending = map[string]bool{}
 		}
 		i.pending[id] = true
-		return Ask
+		return AskFirst
 	}
 	return Granted
 }
 
 // Pending returns the ids whose begin waits for a successor's reply. For a process that adopts the state they are open
 // here.
-func (i *Ids) Asked() (ids []string) {
+func (i *RequestIDs) Pending() (ids []string) {
 	for id := range i.pending {
 		ids = append(ids, id)
 	}
@@ -56,22 +56,22 @@
 }
 
 // Resolved ends the wait that Begin started with AskFirst.
-func (i *Ids) Answered(id string) { delete(i.pending, id) }
+func (i *RequestIDs) Resolved(id string) { delete(i.pending, id) }
 
 // Claim decides on a request that a predecessor is about to begin, and that ends at until at the latest.
-func (i *Ids) Claim(now time.Duration, from Peer, id string, here bool, until time.Duration) Verdict {
+func (i *RequestIDs) Claim(now time.Duration, from Peer, id string, here bool, until time.Duration) Verdict {
 	switch {
 	case here || i.pending[id] || now < i.remote[id].until:
-		return Open
-	case i.Asks: // another process decides now, and this one may exit before the request has ended
-		return Busy
+		return AlreadyOpen
+	case i.AskSuccessor: // another process decides now, and this one may exit before the request has ended
+		return Undecided
 	}
 	i.addRemote(id, remoteRequest{from, until})
 	return Granted
 }
 
 // addRemote records a request that is open at another process.
-func (i *Ids) addRemote(id string, t remoteRequest) {
+func (i *RequestIDs) addRemote(id string, t remoteRequest) {
 	if i.remote == nil {
 		i.remote = map[string]remoteRequest{}
 	}
@@ -80,8 +80,8 @@
 
 // SetRemote replaces what is known about another process: the requests that it has open, and those that it knows to be
 // open elsewhere (indirect), each with its deadline.
-func (i *Ids) Hold(from Peer, open, indirect map[string]time.Duration) {
-	i.Gone(from)
+func (i *RequestIDs) SetRemote(from Peer, open, indirect map[string]time.Duration) {
+	i.PeerExited(from)
 	for id, until := range indirect {
 		i.addRemote(id, remoteRequest{0, until})
 	}
@@ -91,10 +91,10 @@
 }
 
 // RemoteEnded records that a request has ended at another process.
-func (i *Ids) Ended(id string) { delete(i.remote, id) }
+func (i *RequestIDs) RemoteEnded(id string) { delete(i.remote, id) }
 
 // PeerExited records that another process has exited, which ends its requests.
-func (i *Ids) Gone(from Peer) {
+func (i *RequestIDs) PeerExited(from Peer) {
 	for id, t := range i.remote {
 		if t.peer == from && from != 0 {
 			delete(i.remote, id)
@@ -103,7 +103,7 @@
 }
 
 // Remote returns the requests that are open at other processes, and drops those past their deadline.
-func (i *Ids) Theirs(now time.Duration) map[string]time.Duration {
+func (i *RequestIDs) Remote(now time.Duration) map[string]time.Duration {
 	all := make(map[string]time.Duration, len(i.remote))
 	for id, t := range i.remote {
 		if now < t.until {
--- a/internal/health/agent.go
+++ b/internal/health/agent.go
@@ -8,7 +8,7 @@
 )
 
 // ErrNoKeyword reports that the reply of an agent contains no known keyword.
-var ErrNoWord = errors.New("no known keyword")
+var ErrNoKeyword = errors.New("no known keyword")
 
 // ParseAgent parses a reply of HAProxy's agent-check (configuration manual, "agent-check"): keywords in any order,
 // separated by spaces, tabs or commas, up to the end of the line, case-insensitive. A percentage is the weight relative to
@@ -16,8 +16,8 @@
 // fail, failed and stopped are the operational state, of which all but up may be followed by # and a reason to the end of
 // the line. Unknown keywords are ignored; up to 8 of them are returned in unknown. The error is ErrNoKeyword or names the
 // malformed keyword.
-func ParseAgent(line string) (report Word, unknown []string, err error) {
-	report = Silent
+func ParseAgent(line string) (report Report, unknown []string, err error) {
+	report = EmptyReport
 	if i := strings.IndexAny(line, "\r\n"); i >= 0 {
 		line = line[:i]
 	}
@@ -42,13 +42,13 @@
 		case strings.HasSuffix(lower, "%"):
 			n, err := strconv.ParseUint(strings.TrimSuffix(lower, "%"), 10, 16)
 			if err != nil {
-				return Silent, nil, fmt.Errorf("%.40q is not a percentage", word)
+				return EmptyReport, nil, fmt.Errorf("%.40q is not a percentage", word)
 			}
 			report.Weight = float64(n) / 100
 		case strings.HasPrefix(lower, "maxconn:"):
 			n, err := strconv.ParseUint(strings.TrimPrefix(lower, "maxconn:"), 10, 31)
 			if err != nil {
-				return Silent, nil, fmt.Errorf("%.40q is not a number of connections", word)
+				return EmptyReport, nil, fmt.Errorf("%.40q is not a number of connections", word)
 			}
 			report.MaxConn = int(n)
 		default:
@@ -57,8 +57,8 @@
 			}
 		}
 	}
-	if report == Silent {
-		return report, unknown, ErrNoWord
+	if report == EmptyReport {
+		return report, unknown, ErrNoKeyword
 	}
 	return report, unknown, nil
 }
--- a/internal/health/evidence_test.go
+++ b/internal/health/evidence_test.go
@@ -15,8 +15,8 @@
 func atSeconds(s float64) time.Duration { return time.Duration(s * float64(sec)) }
 
 // newTestTracker returns a tracker of ten servers, 0 to 9. Most tests report on server 0.
-func newTestTracker() *Book {
-	tracker := NewBook(Usual(sec))
+func newTestTracker() *Tracker {
+	tracker := NewTracker(DefaultRules(sec))
 	for id := range uint32(10) {
 		tracker.Add(id)
 	}
@@ -24,8 +24,8 @@
 }
 
 // parseReport parses a test's short form of an agent's report.
-func parseReport(line string) Word {
-	report := Silent
+func parseReport(line string) Report {
+	report := EmptyReport
 	for _, keyword := range strings.Fields(line) {
 		switch keyword {
 		case "up":
@@ -50,28 +50,30 @@
 // The evidence table of docs/health.md, row by row: the evidence on a server, and the verdict that must follow from it.
 // Each case fails if its row of the table is implemented differently.
 func TestVerdictsFollowEvidenceTable(t *testing.T) {
-	ejected, drained := Verdict{Out: true}, Verdict{Out: true, Drain: true}
+	ejected, drained := Verdict{Ejected: true}, Verdict{Ejected: true, Drain: true}
 	weighted := func(weight float64) Verdict { return Verdict{Weight: weight} }
-	agent := func(s float64, line string) func(*Book) time.Duration {
-		return func(tracker *Book) time.Duration {
-			tracker.Agent(atSeconds(s), 0, parseReport(line))
+	agent := func(s float64, line string) func(*Tracker) time.Duration {
+		return func(tracker *Tracker) time.Duration {
+			tracker.RecordAgent(atSeconds(s), 0, parseReport(line))
 			return atSeconds(s)
 		}
 	}
-	check := func(s float64, ok bool) func(*Book) time.Duration {
-		return func(tracker *Book) time.Duration {
-			tracker.Check(atSeconds(s), 0, ok, "status 500")
+	check := func(s float64, ok bool) func(*Tracker) time.Duration {
+		return func(tracker *Tracker) time.Duration {
+			tracker.RecordCheck(atSeconds(s), 0, ok, "status 500")
 			return atSeconds(s)
 		}
 	}
-	request := func(s float64, ok bool) func(*Book) time.Duration {
-		return func(tracker *Book) time.Duration { tracker.Real(atSeconds(s), 0, ok); return atSeconds(s) }
+	request := func(s float64, ok bool) func(*Tracker) time.Duration {
+		return func(tracker *Tracker) time.Duration { tracker.RecordRequest(atSeconds(s), 0, ok); return atSeconds(s) }
 	}
-	peers := func(s float64) func(*Book) time.Duration {
-		return func(tracker *Book) time.Duration { tracker.Others(atSeconds(s), 0); return atSeconds(s) }
+	peers := func(s float64) func(*Tracker) time.Duration {
+		return func(tracker *Tracker) time.Duration { tracker.RecordPeerFailure(atSeconds(s), 0); return atSeconds(s) }
 	}
-	wait := func(s float64) func(*Book) time.Duration { return func(*Book) time.Duration { return atSeconds(s) } }
-	type evidence = []func(*Book) time.Duration
+	wait := func(s float64) func(*Tracker) time.Duration {
+		return func(*Tracker) time.Duration { return atSeconds(s) }
+	}
+	type evidence = []func(*Tracker) time.Duration
 	for _, c := range []struct {
 		name     string
 		evidence evidence
@@ -120,17 +122,17 @@
 		var now time.Duration
 		for _, record := range c.evidence {
 			now = record(tracker)
-			tracker.Weigh(now, 0)
+			tracker.Evaluate(now, 0)
 		}
 		v := tracker.Verdict(0)
-		if v.Out != c.want.Out || v.Drain != c.want.Drain || v.Weight != c.want.Weight {
+		if v.Ejected != c.want.Ejected || v.Drain != c.want.Drain || v.Weight != c.want.Weight {
 			t.Errorf("%s: %+v, want %+v", c.name, v, c.want)
 		}
-		if c.conflict == "-" && v.Against != "" || c.conflict != "-" && !strings.Contains(v.Against, c.conflict) {
-			t.Errorf("%s: conflict %q, want %q", c.name, v.Against, c.conflict)
+		if c.conflict == "-" && v.Conflict != "" || c.conflict != "-" && !strings.Contains(v.Conflict, c.conflict) {
+			t.Errorf("%s: conflict %q, want %q", c.name, v.Conflict, c.conflict)
 		}
-		if (v.Out || v.Weight < 1) != (v.Why != "") {
-			t.Errorf("%s: reason is %q of %+v", c.name, v.Why, v)
+		if (v.Ejected || v.Weight < 1) != (v.Reason != "") {
+			t.Errorf("%s: reason is %q of %+v", c.name, v.Reason, v)
 		}
 	}
 }
@@ -141,38 +143,38 @@
 	tracker := newTestTracker()
 	evaluate := func(now time.Duration) (ejected int) {
 		for id := range uint32(10) {
-			tracker.Weigh(now, id)
+			tracker.Evaluate(now, id)
 		}
 		for id := range uint32(10) {
-			if v, _ := tracker.Weigh(now, id); v.Out {
+			if v, _ := tracker.Evaluate(now, id); v.Ejected {
 				ejected++
 			}
 		}
 		return
 	}
 	for id := range uint32(5) {
-		tracker.Agent(atSeconds(1), id, parseReport("down"))
+		tracker.RecordAgent(atSeconds(1), id, parseReport("down"))
 	}
-	if n := evaluate(atSeconds(1)); n != 5 || tracker.Panic() {
+	if n := evaluate(atSeconds(1)); n != 5 || tracker.InPanic() {
 		t.Errorf("%d of 10 servers are ejected with 5 reported down, want 5", n)
 	}
 	for id := range uint32(10) {
-		tracker.Agent(atSeconds(2), id, parseReport([]string{"down", "drain"}[id%2]))
+		tracker.RecordAgent(atSeconds(2), id, parseReport([]string{"down", "drain"}[id%2]))
 	}
-	tracker.Real(atSeconds(1.9), 3, false)
-	if n := evaluate(atSeconds(2)); n != 1 || !tracker.Panic() || !tracker.Verdict(3).Out || !strings.Contains(tracker.Verdict(0).Why, "suspected") {
+	tracker.RecordRequest(atSeconds(1.9), 3, false)
+	if n := evaluate(atSeconds(2)); n != 1 || !tracker.InPanic() || !tracker.Verdict(3).Ejected || !strings.Contains(tracker.Verdict(0).Reason, "suspected") {
 		t.Errorf("%d servers are ejected with all reported unhealthy, want 1: %+v", n, tracker.Verdict(0))
 	}
 	// Reports stay suspected for half a minute after the last time that most servers were reported unhealthy.
 	for id := range uint32(10) {
-		tracker.Agent(atSeconds(3), id, parseReport([]string{"ready up", "drain"}[min(1, id/9)]))
+		tracker.RecordAgent(atSeconds(3), id, parseReport([]string{"ready up", "drain"}[min(1, id/9)]))
 	}
 	evaluate(atSeconds(3))
-	if n := evaluate(atSeconds(32.9)); n != 0 || !tracker.Panic() {
+	if n := evaluate(atSeconds(32.9)); n != 0 || !tracker.InPanic() {
 		t.Errorf("%d servers are ejected within 30 s after most were reported unhealthy, want 0", n)
 	}
-	tracker.Agent(atSeconds(33.1), 9, parseReport("drain"))
-	if n := evaluate(atSeconds(33.1)); n != 1 || tracker.Panic() {
+	tracker.RecordAgent(atSeconds(33.1), 9, parseReport("drain"))
+	if n := evaluate(atSeconds(33.1)); n != 1 || tracker.InPanic() {
 		t.Errorf("%d servers are ejected later, want 1", n)
 	}
 	for id := range uint32(10) {
@@ -190,9 +192,9 @@
 	ejections, ejected := 0, false
 	for i := range 240 { // every half second for two minutes
 		now := atSeconds(float64(i) / 2)
-		tracker.Agent(now, 0, parseReport([]string{"down", "up", "up", "up"}[i%4]))
-		if v, _ := tracker.Weigh(now, 0); v.Out != ejected {
-			if ejected = v.Out; ejected {
+		tracker.RecordAgent(now, 0, parseReport([]string{"down", "up", "up", "up"}[i%4]))
+		if v, _ := tracker.Evaluate(now, 0); v.Ejected != ejected {
+			if ejected = v.Ejected; ejected {
 				ejections++
 			}
 		}
@@ -202,21 +204,21 @@
 	}
 	now := atSeconds(120)
 	for ; now < atSeconds(600); now += sec { // no reports come
-		tracker.Weigh(now, 0)
+		tracker.Evaluate(now, 0)
 	}
 	for range 3 {
-		tracker.Agent(now, 0, parseReport("up"))
-		tracker.Weigh(now, 0)
+		tracker.RecordAgent(now, 0, parseReport("up"))
+		tracker.Evaluate(now, 0)
 		now += sec
 	}
-	tracker.Agent(now, 0, parseReport("down"))
-	tracker.Weigh(now, 0)
+	tracker.RecordAgent(now, 0, parseReport("down"))
+	tracker.Evaluate(now, 0)
 	for range 3 {
 		now += sec
-		tracker.Agent(now, 0, parseReport("up"))
-		tracker.Weigh(now, 0)
+		tracker.RecordAgent(now, 0, parseReport("up"))
+		tracker.Evaluate(now, 0)
 	}
-	if tracker.Verdict(0).Out {
+	if tracker.Verdict(0).Ejected {
 		t.Error("the server is not readmitted within 3 s, though there was no ejection in the eight minutes before")
 	}
 }
@@ -225,23 +227,23 @@
 // for a server that has restarted.
 func TestOldReportsAreIgnoredAndRestartForgets(t *testing.T) {
 	tracker := newTestTracker()
-	tracker.Agent(atSeconds(5), 0, parseReport("drain"))
-	if tracker.Agent(atSeconds(4), 0, parseReport("ready")) || tracker.Agent(atSeconds(4), 77, parseReport("up")) {
+	tracker.RecordAgent(atSeconds(5), 0, parseReport("drain"))
+	if tracker.RecordAgent(atSeconds(4), 0, parseReport("ready")) || tracker.RecordAgent(atSeconds(4), 77, parseReport("up")) {
 		t.Error("an old report, or one of an unknown server, is accepted")
 	}
-	tracker.Check(atSeconds(4), 77, true, "")
-	tracker.Real(atSeconds(4), 77, true)
-	if v, _ := tracker.Weigh(atSeconds(5), 0); !v.Out {
+	tracker.RecordCheck(atSeconds(4), 77, true, "")
+	tracker.RecordRequest(atSeconds(4), 77, true)
+	if v, _ := tracker.Evaluate(atSeconds(5), 0); !v.Ejected {
 		t.Error("an old report changes the verdict")
 	}
 	tracker.Add(0)
-	if v, _ := tracker.Weigh(atSeconds(6), 0); v.Out || v.Weight != 1 {
+	if v, _ := tracker.Evaluate(atSeconds(6), 0); v.Ejected || v.Weight != 1 {
 		t.Errorf("after a restart: %+v, want weight 1", v)
 	}
-	if tracker.Spoken(atSeconds(6), 0) {
+	if tracker.ServesRequests(atSeconds(6), 0) {
 		t.Error("a server without requests counts as serving them")
 	}
-	if tracker.Real(atSeconds(6), 0, true); !tracker.Spoken(atSeconds(7), 0) || tracker.Spoken(atSeconds(9), 0) {
+	if tracker.RecordRequest(atSeconds(6), 0, true); !tracker.ServesRequests(atSeconds(7), 0) || tracker.ServesRequests(atSeconds(9), 0) {
 		t.Error("a successful request must count for two seconds")
 	}
 }
@@ -256,17 +258,17 @@
 			id := rapid.Uint32Range(0, 10).Draw(t, "id") // 10 is not in the tracker
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				tracker.Agent(now, id, Word{Admin: Admin(rapid.IntRange(0, 3).Draw(t, "admin")), State: State(rapid.IntRange(0, 2).Draw(t, "state")),
+				tracker.RecordAgent(now, id, Report{Admin: Admin(rapid.IntRange(0, 3).Draw(t, "admin")), State: State(rapid.IntRange(0, 2).Draw(t, "state")),
 					Weight: rapid.Float64Range(-1, 3).Draw(t, "weight"), MaxConn: rapid.IntRange(-1, 5).Draw(t, "maxconn")})
 			case 1:
-				tracker.Check(now, id, rapid.Bool().Draw(t, "ok"), "")
+				tracker.RecordCheck(now, id, rapid.Bool().Draw(t, "ok"), "")
 			case 2:
-				tracker.Real(now, id, rapid.Bool().Draw(t, "ok"))
+				tracker.RecordRequest(now, id, rapid.Bool().Draw(t, "ok"))
 			case 3:
 				tracker.Add(id % 10)
 			}
-			v, _ := tracker.Weigh(now, id)
-			if math.IsNaN(v.Weight) || v.Weight < 0 || v.Weight > 1 || v.Out != (v.Weight == 0) || v.Drain && !v.Out || v.MaxConn < 0 {
+			v, _ := tracker.Evaluate(now, id)
+			if math.IsNaN(v.Weight) || v.Weight < 0 || v.Weight > 1 || v.Ejected != (v.Weight == 0) || v.Drain && !v.Ejected || v.MaxConn < 0 {
 				t.Fatalf("invalid verdict %+v", v)
 			}
 		}
@@ -282,7 +284,7 @@
 		now += 10 * time.Minute
 		for range 2 {
 			for id := range uint32(10) {
-				if v, _ := tracker.Weigh(now, id); v.Out {
+				if v, _ := tracker.Evaluate(now, id); v.Ejected {
 					t.Fatalf("server %d is still ejected 10 minutes after the last report: %+v", id, v)
 				}
 			}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -14,7 +14,7 @@
 type Admin uint8
 
 const (
-	Unsaid Admin = iota
+	AdminUnset Admin = iota
 	Ready
 	Drain
 	Maint
@@ -30,13 +30,13 @@
 type State uint8
 
 const (
-	Untold State = iota
+	StateUnset State = iota
 	Up
 	Down
 )
 
 // Report is one reply of an agent or one outcome of a check. A field that is not set leaves the earlier value in force.
-type Word struct {
+type Report struct {
 	Admin   Admin
 	State   State
 	Weight  float64 // relative to the server's normal weight; negative: not reported
@@ -45,50 +45,50 @@
 }
 
 // EmptyReport is a report that sets nothing.
-var Silent = Word{Weight: -1, MaxConn: -1}
+var EmptyReport = Report{Weight: -1, MaxConn: -1}
 
 // Rules limit what reports may do to a server. The zero value is not usable: see DefaultRules.
 type Rules struct {
 	// PanicThreshold is the share of the fleet above which reports are suspected instead of followed.
-	Panic float64
+	PanicThreshold float64
 	// PanicDuration is how long reports stay suspected after the share was last exceeded: a source that reported wrongly
 	// once may do so again.
-	Suspect time.Duration
+	PanicDuration time.Duration
 	// RequestTTL is how long the outcome of a real request, or a failure seen by other instances, is evidence.
-	Fresh time.Duration
+	RequestTTL time.Duration
 	// AgentTTL is how long an agent's up, down, weight and maxconn are valid.
-	AgentFor time.Duration
+	AgentTTL time.Duration
 	// AdminTTL is how long an agent's drain and maint are valid after the agent's last reply.
-	AdminFor time.Duration
+	AdminTTL time.Duration
 	// CheckTTL is how long the outcome of a check is valid.
-	CheckFor time.Duration
+	CheckTTL time.Duration
 	// Rise is the number of consecutive good reports that readmit an ejected server.
 	Rise int
 	// Fall is the number of consecutive failed checks that count as down.
 	Fall int
 	// MinHold is the minimum time of the first ejection of a server. It doubles with each further ejection.
-	Hold time.Duration
+	MinHold time.Duration
 	// MaxHold limits the doubling. A server that has not been ejected for as long starts at the minimum again.
-	HoldMost time.Duration
+	MaxHold time.Duration
 	// DisputedWeight is the weight factor of a server that is reported down but answers real requests, that other
 	// instances see fail, or that is reported unhealthy by suspected reports.
-	Doubted float64
+	DisputedWeight float64
 }
 
 // DefaultRules returns the rules for probes at an interval.
-func Usual(interval time.Duration) Rules {
-	return Rules{Panic: 0.5, Suspect: 30 * time.Second, Fresh: 2 * time.Second, AgentFor: 3*interval + time.Second, AdminFor: max(time.Minute, 3*interval+time.Second), CheckFor: 3*interval + time.Second,
-		Rise: 2, Fall: 3, Hold: time.Second, HoldMost: time.Minute, Doubted: 0.5}
+func DefaultRules(interval time.Duration) Rules {
+	return Rules{PanicThreshold: 0.5, PanicDuration: 30 * time.Second, RequestTTL: 2 * time.Second, AgentTTL: 3*interval + time.Second, AdminTTL: max(time.Minute, 3*interval+time.Second), CheckTTL: 3*interval + time.Second,
+		Rise: 2, Fall: 3, MinHold: time.Second, MaxHold: time.Minute, DisputedWeight: 0.5}
 }
 
 // Verdict is the result of the rules for one server.
 type Verdict struct {
-	Out     bool    // the server is ejected: it gets no new requests
-	Drain   bool    // open connections end as in a drain; only where the server is ejected
-	Weight  float64 // factor on the server's share of the traffic, from 0 to 1; 0 if it is ejected
-	MaxConn int     // limit on concurrent requests; 0: no limit
-	Why     string  // the rule that applied, in words; empty if none did
-	Against string  // evidence that contradicts the verdict; empty: none
+	Ejected  bool    // the server is ejected: it gets no new requests
+	Drain    bool    // open connections end as in a drain; only where the server is ejected
+	Weight   float64 // factor on the server's share of the traffic, from 0 to 1; 0 if it is ejected
+	MaxConn  int     // limit on concurrent requests; 0: no limit
+	Reason   string  // the rule that applied, in words; empty if none did
+	Conflict string  // evidence that contradicts the verdict; empty: none
 }
 
 // healthyVerdict is the verdict on a server without bad reports.
@@ -97,7 +97,7 @@
 // server is the evidence on one server and its latest verdict.
 type server struct {
 	agentAt                  time.Duration // time of the agent's last reply
-	report                   Word          // the last reported value of each field of the agent's reports
+	report                   Report        // the last reported value of each field of the agent's reports
 	checkedAt                time.Duration // time of the last check; 0: none
 	failedChecks             int           // consecutive failed checks
 	failReason               string        // of the last check, if it failed
@@ -114,7 +114,7 @@
 
 // Tracker holds the evidence on the servers of a fleet and evaluates it by Rules. It is not safe for concurrent use: its
 // owner's lock guards it.
-type Book struct {
+type Tracker struct {
 	rules           Rules
 	servers         map[uint32]*server
 	ejectionsWanted int           // servers with wantsEjection
@@ -123,16 +123,16 @@
 }
 
 // NewTracker returns a tracker without servers.
-func NewBook(r Rules) *Book { return &Book{rules: r, servers: map[uint32]*server{}} }
+func NewTracker(r Rules) *Tracker { return &Tracker{rules: r, servers: map[uint32]*server{}} }
 
 // Add adds a server without evidence. For a known server it drops all earlier evidence: the server has restarted.
-func (t *Book) Add(id uint32) {
+func (t *Tracker) Add(id uint32) {
 	t.Remove(id)
 	t.servers[id] = &server{verdict: healthyVerdict}
 }
 
 // Remove drops a server.
-func (t *Book) Remove(id uint32) {
+func (t *Tracker) Remove(id uint32) {
 	if s := t.servers[id]; s != nil {
 		t.setWantsEjection(s, false)
 		delete(t.servers, id)
@@ -140,7 +140,7 @@
 }
 
 // setWantsEjection sets s.wantsEjection and keeps ejectionsWanted in step with it.
-func (t *Book) setWantsEjection(s *server, wants bool) {
+func (t *Tracker) setWantsEjection(s *server, wants bool) {
 	if s.wantsEjection != wants {
 		s.wantsEjection = wants
 		if wants {
@@ -152,22 +152,22 @@
 }
 
 // RecordAgent records a reply of an agent. It returns false if the server is unknown or a later reply was recorded before.
-func (t *Book) Agent(now time.Duration, id uint32, report Word) bool {
+func (t *Tracker) RecordAgent(now time.Duration, id uint32, report Report) bool {
 	s := t.servers[id]
 	if s == nil || s.agentHeard && now < s.agentAt {
 		return false
 	}
-	if s.agentHeard && now > s.agentAt+t.rules.AgentFor { // earlier values have expired, except the administrative state
-		s.report = Word{Admin: s.report.Admin, Weight: -1, MaxConn: -1, Reason: s.report.Reason}
+	if s.agentHeard && now > s.agentAt+t.rules.AgentTTL { // earlier values have expired, except the administrative state
+		s.report = Report{Admin: s.report.Admin, Weight: -1, MaxConn: -1, Reason: s.report.Reason}
 	}
 	if !s.agentHeard {
-		s.report = Silent
+		s.report = EmptyReport
 	}
 	s.agentAt, s.agentHeard = now, true
-	if report.Admin != Unsaid {
+	if report.Admin != AdminUnset {
 		s.report.Admin, s.report.Reason = report.Admin, report.Reason
 	}
-	if report.State != Untold {
+	if report.State != StateUnset {
 		s.report.State, s.report.Reason = report.State, report.Reason
 	}
 	if report.Weight >= 0 {
@@ -181,7 +181,7 @@
 }
 
 // RecordCheck records the outcome of an active check.
-func (t *Book) Check(now time.Duration, id uint32, ok bool, reason string) {
+func (t *Tracker) RecordCheck(now time.Duration, id uint32, ok bool, reason string) {
 	s := t.servers[id]
 	if s == nil {
 		return
@@ -197,7 +197,7 @@
 }
 
 // countReport counts consecutive good reports.
-func (t *Book) countReport(s *server, good bool) {
+func (t *Tracker) countReport(s *server, good bool) {
 	s.goodReports++
 	if !good {
 		s.goodReports = 0
@@ -205,7 +205,7 @@
 }
 
 // RecordRequest records the outcome of a real request: a success, or a failure that reflects on the server (OutcomeCounts).
-func (t *Book) Real(now time.Duration, id uint32, ok bool) {
+func (t *Tracker) RecordRequest(now time.Duration, id uint32, ok bool) {
 	if s := t.servers[id]; s != nil {
 		s.hasOutcome = true
 		if ok {
@@ -217,7 +217,7 @@
 }
 
 // RecordPeerFailure records that other instances see a server fail. This lowers its weight but never ejects it.
-func (t *Book) Others(now time.Duration, id uint32) {
+func (t *Tracker) RecordPeerFailure(now time.Duration, id uint32) {
 	if s := t.servers[id]; s != nil {
 		s.peerFailureAt = now
 	}
@@ -225,29 +225,29 @@
 
 // ServesRequests reports whether a server is not ejected and its recent real requests succeed, so that it may be probed
 // less often.
-func (t *Book) Spoken(now time.Duration, id uint32) bool {
+func (t *Tracker) ServesRequests(now time.Duration, id uint32) bool {
 	s := t.servers[id]
-	return s != nil && !s.verdict.Out && t.succeeds(now, s)
+	return s != nil && !s.verdict.Ejected && t.succeeds(now, s)
 }
 
 // succeeds reports whether a real request has succeeded recently and none has failed since.
-func (t *Book) succeeds(now time.Duration, s *server) bool {
-	return s.hasOutcome && s.lastSuccess > 0 && now < s.lastSuccess+t.rules.Fresh && s.lastSuccess >= s.lastFailure
+func (t *Tracker) succeeds(now time.Duration, s *server) bool {
+	return s.hasOutcome && s.lastSuccess > 0 && now < s.lastSuccess+t.rules.RequestTTL && s.lastSuccess >= s.lastFailure
 }
 
 // fails reports whether a real request has failed recently and none has succeeded since.
-func (t *Book) fails(now time.Duration, s *server) bool {
-	return s.hasOutcome && s.lastFailure > 0 && now < s.lastFailure+t.rules.Fresh && s.lastFailure > s.lastSuccess
+func (t *Tracker) fails(now time.Duration, s *server) bool {
+	return s.hasOutcome && s.lastFailure > 0 && now < s.lastFailure+t.rules.RequestTTL && s.lastFailure > s.lastSuccess
 }
 
 // evaluateAlone returns the verdict on a server by its own evidence alone, before the panic threshold and the rules on
 // readmission.
-func (t *Book) evaluateAlone(now time.Duration, s *server) Verdict {
+func (t *Tracker) evaluateAlone(now time.Duration, s *server) Verdict {
 	v := healthyVerdict
 	rules := &t.rules
-	agentValid := s.agentHeard && now <= s.agentAt+rules.AgentFor
-	adminValid := s.agentHeard && now <= s.agentAt+rules.AdminFor
-	checksFail := s.checkedAt > 0 && now <= s.checkedAt+rules.CheckFor && s.failedChecks >= rules.Fall
+	agentValid := s.agentHeard && now <= s.agentAt+rules.AgentTTL
+	adminValid := s.agentHeard && now <= s.agentAt+rules.AdminTTL
+	checksFail := s.checkedAt > 0 && now <= s.checkedAt+rules.CheckTTL && s.failedChecks >= rules.Fall
 	if agentValid && s.report.MaxConn > 0 {
 		v.MaxConn = s.report.MaxConn
 	}
@@ -263,26 +263,26 @@
 	}
 	switch {
 	case adminValid && (s.report.Admin == Drain || s.report.Admin == Maint): // an order of operators goes before all evidence
-		return Verdict{Out: true, Drain: true, Why: withReason("its agent reports "+s.report.Admin.String(), s.report.Reason)}
+		return Verdict{Ejected: true, Drain: true, Reason: withReason("its agent reports "+s.report.Admin.String(), s.report.Reason)}
 	case down != "" && t.succeeds(now, s):
-		v.Weight *= rules.Doubted
-		v.Why, v.Against = "it answers real requests: only its weight is reduced", down+", but it answers real requests"
+		v.Weight *= rules.DisputedWeight
+		v.Reason, v.Conflict = "it answers real requests: only its weight is reduced", down+", but it answers real requests"
 	case down != "":
-		return Verdict{Out: true, Why: down}
+		return Verdict{Ejected: true, Reason: down}
 	case agentValid && s.report.Weight == 0:
-		return Verdict{Out: true, Why: "its agent reports weight 0"}
+		return Verdict{Ejected: true, Reason: "its agent reports weight 0"}
 	case agentValid && (s.report.State == Up || s.report.Admin == Ready) && t.fails(now, s):
 		// The policy ejects it for these failures, and a report does not readmit it.
-		v.Against = "its agent reports up, but real requests fail"
-	case s.checkedAt > 0 && now <= s.checkedAt+rules.CheckFor && s.failedChecks == 0 && t.fails(now, s):
-		v.Against = "its checks pass, but real requests fail"
+		v.Conflict = "its agent reports up, but real requests fail"
+	case s.checkedAt > 0 && now <= s.checkedAt+rules.CheckTTL && s.failedChecks == 0 && t.fails(now, s):
+		v.Conflict = "its checks pass, but real requests fail"
 	}
-	if s.peerFailureAt > 0 && now <= s.peerFailureAt+rules.Fresh && !t.succeeds(now, s) {
-		v.Weight *= rules.Doubted
-		v.Why = "other instances see it fail"
+	if s.peerFailureAt > 0 && now <= s.peerFailureAt+rules.RequestTTL && !t.succeeds(now, s) {
+		v.Weight *= rules.DisputedWeight
+		v.Reason = "other instances see it fail"
 	}
-	if v.Why == "" && v.Weight < 1 {
-		v.Why = "its agent reduces its weight"
+	if v.Reason == "" && v.Weight < 1 {
+		v.Reason = "its agent reduces its weight"
 	}
 	return v
 }
@@ -297,35 +297,35 @@
 
 // Evaluate computes a server's verdict and reports whether it differs from the previous one. The owner calls it after each
 // record for a server, and a few times a second for all servers, since evidence expires.
-func (t *Book) Weigh(now time.Duration, id uint32) (v Verdict, changed bool) {
+func (t *Tracker) Evaluate(now time.Duration, id uint32) (v Verdict, changed bool) {
 	s := t.servers[id]
 	if s == nil {
 		return healthyVerdict, false
 	}
 	v = t.evaluateAlone(now, s)
-	t.setWantsEjection(s, v.Out)
-	if float64(t.ejectionsWanted) > t.rules.Panic*float64(len(t.servers)) {
-		t.panicUntil = now + t.rules.Suspect
+	t.setWantsEjection(s, v.Ejected)
+	if float64(t.ejectionsWanted) > t.rules.PanicThreshold*float64(len(t.servers)) {
+		t.panicUntil = now + t.rules.PanicDuration
 	}
 	t.inPanic = now < t.panicUntil
-	if v.Out && t.inPanic && !t.fails(now, s) {
+	if v.Ejected && t.inPanic && !t.fails(now, s) {
 		// It is less likely that most of a fleet fails at once than that the reports are wrong.
-		v = Verdict{Weight: t.rules.Doubted, MaxConn: v.MaxConn, Why: "most of the fleet is reported unhealthy: the reports are suspected", Against: v.Why}
+		v = Verdict{Weight: t.rules.DisputedWeight, MaxConn: v.MaxConn, Reason: "most of the fleet is reported unhealthy: the reports are suspected", Conflict: v.Reason}
 	}
 	before := s.verdict
-	if before.Out && !v.Out && !t.inPanic {
+	if before.Ejected && !v.Ejected && !t.inPanic {
 		// Readmission needs consecutive good reports, or no valid report at all, and the minimum time of ejection.
-		noReports := !s.agentHeard && s.checkedAt == 0 || now > max(s.agentAt+t.rules.AgentFor, s.checkedAt+t.rules.CheckFor)
+		noReports := !s.agentHeard && s.checkedAt == 0 || now > max(s.agentAt+t.rules.AgentTTL, s.checkedAt+t.rules.CheckTTL)
 		if s.goodReports < t.rules.Rise && !noReports || now < s.changedAt+s.holdTime {
 			v = before
 		}
 	}
-	if v.Out != before.Out {
-		if v.Out {
-			if s.holdTime == 0 || now > s.changedAt+max(t.rules.HoldMost, s.holdTime) {
-				s.holdTime = t.rules.Hold
+	if v.Ejected != before.Ejected {
+		if v.Ejected {
+			if s.holdTime == 0 || now > s.changedAt+max(t.rules.MaxHold, s.holdTime) {
+				s.holdTime = t.rules.MinHold
 			} else {
-				s.holdTime = min(2*s.holdTime, t.rules.HoldMost)
+				s.holdTime = min(2*s.holdTime, t.rules.MaxHold)
 			}
 		}
 		s.changedAt = now
@@ -335,7 +335,7 @@
 }
 
 // Verdict returns the latest verdict on a server.
-func (t *Book) Verdict(id uint32) Verdict {
+func (t *Tracker) Verdict(id uint32) Verdict {
 	if s := t.servers[id]; s != nil {
 		return s.verdict
 	}
@@ -343,27 +343,27 @@
 }
 
 // InPanic reports whether so many servers are reported unhealthy that the reports are suspected.
-func (t *Book) Panic() bool { return t.inPanic }
+func (t *Tracker) InPanic() bool { return t.inPanic }
 
 // OutcomeCounts reports whether the outcome of an attempt reflects on its server. It does not if nothing was sent, the
 // client had gone, or the server's queue was full.
-func Tells(o policy.Outcome) bool {
-	return o != policy.Full && o != policy.Canceled && o != policy.Moot
+func OutcomeCounts(o policy.Outcome) bool {
+	return o != policy.QueueFull && o != policy.Canceled && o != policy.NeverSent
 }
 
 // PolicyEvents returns the events that move the policy from one verdict on a server to the next. A server that an operator
 // has disabled is neither disabled nor enabled by them.
-func Steps(server uint32, old, v Verdict, operatorDisabled bool) []policy.Event {
+func PolicyEvents(server uint32, old, v Verdict, operatorDisabled bool) []policy.Event {
 	var events []policy.Event
-	if v.Out != old.Out && !operatorDisabled {
+	if v.Ejected != old.Ejected && !operatorDisabled {
 		kind := policy.EvEnable
-		if v.Out {
+		if v.Ejected {
 			kind = policy.EvDisable
 		}
 		events = append(events, policy.Event{Kind: kind, Server: server})
 	}
-	if !v.Out && (v.Weight != old.Weight || v.MaxConn != old.MaxConn) {
-		events = append(events, policy.Event{Kind: policy.EvWeigh, Server: server, Weight: v.Weight, Most: v.MaxConn})
+	if !v.Ejected && (v.Weight != old.Weight || v.MaxConn != old.MaxConn) {
+		events = append(events, policy.Event{Kind: policy.EvSetWeight, Server: server, Weight: v.Weight, MaxConcurrent: v.MaxConn})
 	}
 	return events
 }
--- a/internal/health/memory_test.go
+++ b/internal/health/memory_test.go
@@ -13,7 +13,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		schedule, tracker := NewSchedule(Pace{Interval: 2 * sec, PerServer: 1, Rate: 100, Nodes: 100, Jitter: 0.1}, rand.Float64), NewBook(Usual(sec))
+		schedule, tracker := NewSchedule(ProbeSettings{Interval: 2 * sec, MaxPerServer: 1, MaxRate: 100, Nodes: 100, Jitter: 0.1}, rand.Float64), NewTracker(DefaultRules(sec))
 		for id := range uint32(servers) {
 			schedule.Add(0, id)
 			tracker.Add(id)
--- a/internal/health/party/responder.go
+++ b/internal/health/party/responder.go
@@ -55,12 +55,12 @@
 	Agent, HTTP, GRPC string   // listening addresses, host:port; empty: no listener
 	Services          []string // names that are served over gRPC beside the empty one
 	// CurrentStatus returns the node's status. It may block for as long as the node hangs.
-	Look func() Status
-	Log  *slog.Logger
+	CurrentStatus func() Status
+	Log           *slog.Logger
 }
 
 // Responder owns the listeners and their goroutines. Close ends them.
-type Party struct {
+type Responder struct {
 	currentStatus func() Status
 	log           *slog.Logger
 	lastStatus    atomic.Pointer[timedStatus]
@@ -79,8 +79,8 @@
 
 // Listen polls the node's status once, opens the listeners and starts polling in the background. An error names the setting
 // of the listener that failed.
-func Listen(ctx context.Context, o Options) (*Party, error) {
-	p := &Party{currentStatus: o.Look, log: o.Log, done: make(chan struct{}), serviceNames: append([]string{""}, o.Services...)}
+func Listen(ctx context.Context, o Options) (*Responder, error) {
+	p := &Responder{currentStatus: o.CurrentStatus, log: o.Log, done: make(chan struct{}), serviceNames: append([]string{""}, o.Services...)}
 	p.refresh()
 	for _, l := range []struct {
 		name, addr string
@@ -114,7 +114,7 @@
 }
 
 // Close closes the listeners and their connections, and waits for their goroutines.
-func (p *Party) Close() {
+func (p *Responder) Close() {
 	close(p.done)
 	for _, closeListener := range p.closers {
 		closeListener()
@@ -124,7 +124,7 @@
 
 // refresh polls the node's status and passes it on to gRPC's watchers. It may block while the node hangs; no reply waits
 // for it.
-func (p *Party) refresh() {
+func (p *Responder) refresh() {
 	s := &timedStatus{p.currentStatus(), time.Now()}
 	p.lastStatus.Store(s)
 	if p.grpcHealth != nil {
@@ -133,7 +133,7 @@
 }
 
 // setGRPCStatus sets the status of all gRPC services.
-func (p *Party) setGRPCStatus(s Status) {
+func (p *Responder) setGRPCStatus(s Status) {
 	status := healthpb.HealthCheckResponse_SERVING
 	if s.State != Serving {
 		status = healthpb.HealthCheckResponse_NOT_SERVING
@@ -144,7 +144,7 @@
 }
 
 // Status returns the status that replies report now: down if the node has not returned one for maxStatusAge.
-func (p *Party) Status() Status {
+func (p *Responder) Status() Status {
 	s := p.lastStatus.Load()
 	if time.Since(s.at) > maxStatusAge {
 		return Status{State: Down, Reason: "the node does not answer"}
@@ -174,7 +174,7 @@
 }
 
 // serveAgent replies to agent-checks on a listener.
-func (p *Party) serveAgent(ln net.Listener) {
+func (p *Responder) serveAgent(ln net.Listener) {
 	p.closers = append(p.closers, func() { ln.Close() })
 	p.wg.Go(func() {
 		flow.Serve(ln, maxConnections, p.respondToAgent, func(err error) { p.log.Warn("agent-check: accept failed", "err", err) })
@@ -182,7 +182,7 @@
 }
 
 // respondToAgent replies to one agent-check.
-func (p *Party) respondToAgent(conn net.Conn) {
+func (p *Responder) respondToAgent(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	if _, err := io.WriteString(conn, p.Status().AgentLine()); err != nil {
 		return
@@ -223,7 +223,7 @@
 }
 
 // serveHTTP replies to HTTP checks on a listener.
-func (p *Party) serveHTTP(ln net.Listener) {
+func (p *Responder) serveHTTP(ln net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, r *http.Request) {
@@ -242,7 +242,7 @@
 }
 
 // serveGRPC serves the gRPC health protocol on a listener.
-func (p *Party) serveGRPC(ln net.Listener) {
+func (p *Responder) serveGRPC(ln net.Listener) {
 	p.grpcHealth = grpchealth.NewServer()
 	p.setGRPCStatus(p.lastStatus.Load().Status)
 	s := grpc.NewServer(grpc.MaxConcurrentStreams(64), grpc.MaxRecvMsgSize(4096), grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(exchangeTimeout),
--- a/internal/health/party/responder_test.go
+++ b/internal/health/party/responder_test.go
@@ -91,7 +91,7 @@
 		addrs[i] = a
 	}
 	node := &fakeNode{status: Status{Headroom: 0.75}}
-	p, err := Listen(t.Context(), Options{Agent: addrs[0], HTTP: addrs[1], GRPC: addrs[2], Services: []string{"placement"}, Look: node.currentStatus, Log: slog.New(slog.DiscardHandler)})
+	p, err := Listen(t.Context(), Options{Agent: addrs[0], HTTP: addrs[1], GRPC: addrs[2], Services: []string{"placement"}, CurrentStatus: node.currentStatus, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +212,7 @@
 	for _, c := range idle {
 		c.Close()
 	}
-	if _, err := Listen(t.Context(), Options{HTTP: addrs[1], Look: node.currentStatus, Log: slog.New(slog.DiscardHandler)}); err == nil || !strings.Contains(err.Error(), "health.answer.http") {
+	if _, err := Listen(t.Context(), Options{HTTP: addrs[1], CurrentStatus: node.currentStatus, Log: slog.New(slog.DiscardHandler)}); err == nil || !strings.Contains(err.Error(), "health.answer.http") {
 		t.Errorf("an address in use: %v, want an error that names the setting", err)
 	}
 }
--- a/internal/health/probe/agent.go
+++ b/internal/health/probe/agent.go
@@ -23,21 +23,21 @@
 // QueryAgent asks the agent at an address for its report and also returns the unknown keywords in its reply. Send is
 // written to the agent first, unless it is empty. The reply ends with its first line or with the connection; one that is
 // cut off before either is an error.
-func Agent(ctx context.Context, dial Dial, addr, send string) (health.Word, []string, error) {
+func QueryAgent(ctx context.Context, dial Dial, addr, send string) (health.Report, []string, error) {
 	conn, err := connect(ctx, dial, addr)
 	if err != nil {
-		return health.Silent, nil, err
+		return health.EmptyReport, nil, err
 	}
 	defer conn.Close()
 	if send != "" {
 		if _, err := io.WriteString(conn, send); err != nil {
-			return health.Silent, nil, fmt.Errorf("writing to the agent: %w", err)
+			return health.EmptyReport, nil, fmt.Errorf("writing to the agent: %w", err)
 		}
 	}
 	text := make([]byte, 0, maxAgentReply)
 	for !bytes.ContainsAny(text, "\r\n") {
 		if len(text) == maxAgentReply {
-			return health.Silent, nil, fmt.Errorf("agent reply has no end of line within %d bytes", maxAgentReply)
+			return health.EmptyReport, nil, fmt.Errorf("agent reply has no end of line within %d bytes", maxAgentReply)
 		}
 		n, err := conn.Read(text[len(text):maxAgentReply])
 		text = text[:len(text)+n]
@@ -45,7 +45,7 @@
 			break // the last line may lack its end
 		}
 		if err != nil {
-			return health.Silent, nil, fmt.Errorf("reading the agent's reply: %w", err)
+			return health.EmptyReport, nil, fmt.Errorf("reading the agent's reply: %w", err)
 		}
 	}
 	return health.ParseAgent(string(text))
