--- a/internal/health/probe/grpc.go
+++ b/internal/health/probe/grpc.go
@@ -42,17 +42,17 @@
 }
 
 // Probe implements Prober.
-func (g *GRPC) Probe(ctx context.Context, t Target) (health.Word, error) {
+func (g *GRPC) Probe(ctx context.Context, t Target) (health.Report, error) {
 	if g.Watch {
 		return g.latestFromWatch(ctx, t)
 	}
 	return g.check(ctx, t)
 }
 
-func (g *GRPC) check(ctx context.Context, t Target) (health.Word, error) {
+func (g *GRPC) check(ctx context.Context, t Target) (health.Report, error) {
 	conn, err := dialGRPC(t, g.Port)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
 	defer conn.Close()
 	resp, err := healthpb.NewHealthClient(conn).Check(ctx, &healthpb.HealthCheckRequest{Service: g.Service})
@@ -61,15 +61,15 @@
 
 // reportOf returns the report for a status or an error. A server that does not implement the protocol, or whose status is
 // unknown, gives an empty report; one that does not know the service is down.
-func reportOf(s healthpb.HealthCheckResponse_ServingStatus, err error) (health.Word, error) {
+func reportOf(s healthpb.HealthCheckResponse_ServingStatus, err error) (health.Report, error) {
 	switch status.Code(err) {
 	case codes.OK:
 	case codes.Unimplemented:
-		return health.Silent, nil
+		return health.EmptyReport, nil
 	case codes.NotFound:
 		return downReport("the service is not known"), nil
 	default:
-		return health.Silent, fmt.Errorf("gRPC health check: %w", err)
+		return health.EmptyReport, fmt.Errorf("gRPC health check: %w", err)
 	}
 	switch s {
 	case healthpb.HealthCheckResponse_SERVING:
@@ -79,7 +79,7 @@
 	case healthpb.HealthCheckResponse_SERVICE_UNKNOWN:
 		return downReport("the service is not known"), nil
 	}
-	return health.Silent, nil
+	return health.EmptyReport, nil
 }
 
 // watchStream is one open Watch stream and its latest status. Its run method owns the stream; other goroutines read status
@@ -95,11 +95,11 @@
 }
 
 // latestFromWatch returns the latest status of a server's stream, and opens a stream if there is none.
-func (g *GRPC) latestFromWatch(ctx context.Context, t Target) (health.Word, error) {
+func (g *GRPC) latestFromWatch(ctx context.Context, t Target) (health.Report, error) {
 	g.mu.Lock()
 	if g.closed {
 		g.mu.Unlock()
-		return health.Silent, net.ErrClosed
+		return health.EmptyReport, net.ErrClosed
 	}
 	w := g.streams[t.ID]
 	if w != nil && w.addr != t.Addr {
@@ -120,7 +120,7 @@
 	case <-w.ready:
 	case <-ctx.Done():
 		g.closeWatch(t.ID, w)
-		return health.Silent, ctx.Err()
+		return health.EmptyReport, ctx.Err()
 	}
 	w.mu.Lock()
 	s, err := w.status, w.err
--- a/internal/health/probe/probe.go
+++ b/internal/health/probe/probe.go
@@ -16,7 +16,7 @@
 // field.
 type Prober interface {
 	// Probe returns the report of the server or its agent. An error means that there is no usable report.
-	Probe(ctx context.Context, server Target) (health.Word, error)
+	Probe(ctx context.Context, server Target) (health.Report, error)
 	// Close releases what is held between probes.
 	Close()
 }
@@ -67,18 +67,18 @@
 	Port int    // of the agent; 0: the port of the target
 	Send string // written to the agent first; empty: nothing
 	// OnUnknown is called with the unknown keywords of a server's agent. It may be nil.
-	Unknown func(id string, words []string)
+	OnUnknown func(id string, words []string)
 }
 
 // Probe implements Prober.
-func (a *AgentCheck) Probe(ctx context.Context, t Target) (health.Word, error) {
+func (a *AgentCheck) Probe(ctx context.Context, t Target) (health.Report, error) {
 	addr, err := t.addrWithPort(a.Port)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
-	report, unknown, err := Agent(ctx, t.Dial, addr, a.Send)
-	if len(unknown) > 0 && a.Unknown != nil {
-		a.Unknown(t.ID, unknown)
+	report, unknown, err := QueryAgent(ctx, t.Dial, addr, a.Send)
+	if len(unknown) > 0 && a.OnUnknown != nil {
+		a.OnUnknown(t.ID, unknown)
 	}
 	return report, err
 }
@@ -90,14 +90,14 @@
 type TCP struct{ Port int }
 
 // Probe implements Prober.
-func (c *TCP) Probe(ctx context.Context, t Target) (health.Word, error) {
+func (c *TCP) Probe(ctx context.Context, t Target) (health.Report, error) {
 	addr, err := t.addrWithPort(c.Port)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
 	conn, err := connect(ctx, t.Dial, addr)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
 	conn.Close()
 	return upReport, nil
@@ -107,11 +107,11 @@
 func (c *TCP) Close() {}
 
 // upReport is the report of a check that passed.
-var upReport = health.Word{State: health.Up, Weight: -1, MaxConn: -1}
+var upReport = health.Report{State: health.Up, Weight: -1, MaxConn: -1}
 
 // downReport returns the report of a check that failed.
-func downReport(format string, args ...any) health.Word {
-	return health.Word{State: health.Down, Weight: -1, MaxConn: -1, Reason: fmt.Sprintf(format, args...)}
+func downReport(format string, args ...any) health.Report {
+	return health.Report{State: health.Down, Weight: -1, MaxConn: -1, Reason: fmt.Sprintf(format, args...)}
 }
 
 // maxBodyRead is how many bytes of a response's body are searched for HTTP.Body.
@@ -124,29 +124,29 @@
 	Method   string // GET or HEAD
 	Path     string
 	Host     string // Host header; empty: the address
-	Statuses []Range
+	Statuses []StatusRange
 	Body     string // text that the body must contain; empty: the body is not read
 }
 
 // StatusRange is a range of HTTP statuses, both ends included.
-type Range struct{ From, To int }
+type StatusRange struct{ From, To int }
 
 // Probe implements Prober.
-func (h *HTTP) Probe(ctx context.Context, t Target) (health.Word, error) {
+func (h *HTTP) Probe(ctx context.Context, t Target) (health.Report, error) {
 	addr, err := t.addrWithPort(h.Port)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
 	req, err := http.NewRequestWithContext(ctx, h.Method, "http://"+addr+h.Path, nil)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
 	req.Host = h.Host
 	req.Header.Set("User-Agent", "portstall-check")
 	transport := &http.Transport{DialContext: t.Dial, DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return health.Silent, err
+		return health.EmptyReport, err
 	}
 	defer resp.Body.Close()
 	accepted := false
@@ -161,7 +161,7 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyRead))
 	if err != nil {
-		return health.Silent, fmt.Errorf("reading the response: %w", err)
+		return health.EmptyReport, fmt.Errorf("reading the response: %w", err)
 	}
 	if !strings.Contains(string(text), h.Body) {
 		return downReport("response body does not contain %.60q", h.Body), nil
--- a/internal/health/probe/probe_test.go
+++ b/internal/health/probe/probe_test.go
@@ -30,7 +30,7 @@
 }
 
 // probeOnce makes one probe with a timeout.
-func probeOnce(t *testing.T, p Prober, target Target, timeout time.Duration) (health.Word, error) {
+func probeOnce(t *testing.T, p Prober, target Target, timeout time.Duration) (health.Report, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
@@ -47,7 +47,7 @@
 	defer agent.Stop()
 	host, port, _ := net.SplitHostPort(agent.Addr())
 	var unknown []string
-	check := &AgentCheck{Unknown: func(_ string, words []string) { unknown = words }, Send: "how are you\n"}
+	check := &AgentCheck{OnUnknown: func(_ string, words []string) { unknown = words }, Send: "how are you\n"}
 	for _, c := range port {
 		check.Port = check.Port*10 + int(c-'0')
 	}
@@ -56,26 +56,26 @@
 	if err != nil || report.State != health.Up || report.Admin != health.Ready || report.Weight != 1 {
 		t.Fatal(report, err)
 	}
-	agent.Says("drain purple\n")
+	agent.Reply("drain purple\n")
 	if report, err := probeOnce(t, check, target, testTimeout); err != nil || report.Admin != health.Drain || len(unknown) != 1 {
 		t.Error(report, err, unknown)
 	}
 	for name, misbehave := range map[string]func(){
-		"empty reply":       func() { agent.Says("") },
-		"keyword cut off":   func() { agent.Says("dra") },
-		"reply stalls":      func() { agent.Stalls("up") },
-		"nothing is sent":   func() { agent.Stalls("") },
-		"endless reply":     agent.Rambles,
-		"connection reset":  func() { agent.Resets("") },
-		"malformed keyword": func() { agent.Says("maxconn:many\n") },
-		"line too long":     func() { agent.Says(strings.Repeat("up ", 1000)) },
+		"empty reply":       func() { agent.Reply("") },
+		"keyword cut off":   func() { agent.Reply("dra") },
+		"reply stalls":      func() { agent.Stall("up") },
+		"nothing is sent":   func() { agent.Stall("") },
+		"endless reply":     agent.WriteEndlessly,
+		"connection reset":  func() { agent.ResetAfter("") },
+		"malformed keyword": func() { agent.Reply("maxconn:many\n") },
+		"line too long":     func() { agent.Reply(strings.Repeat("up ", 1000)) },
 	} {
 		misbehave()
 		timeout := testTimeout
 		if strings.Contains(name, "stalls") || strings.Contains(name, "nothing") {
 			timeout = shortTimeout
 		}
-		if report, err := probeOnce(t, check, target, timeout); err == nil || report != health.Silent {
+		if report, err := probeOnce(t, check, target, timeout); err == nil || report != health.EmptyReport {
 			t.Errorf("%s: no error, or a report: %+v", name, report)
 		}
 	}
@@ -91,25 +91,25 @@
 // The status ranges and the body text of HTTP checks, and what neither check may take for a server that is up: a response
 // that does not come, another protocol, and a port on which nothing listens.
 func TestHTTPAndTCPChecks(t *testing.T) {
-	page := &standin.Page{Status: 200, Body: "all is well"}
+	page := &standin.CheckedPage{Status: 200, Body: "all is well"}
 	server := httptest.NewServer(page)
 	defer server.Close()
 	addr := server.Listener.Addr().String()
-	ranges := []Range{{200, 299}, {404, 404}}
+	ranges := []StatusRange{{200, 299}, {404, 404}}
 	for _, c := range []struct {
 		name string
-		page standin.Page
+		page standin.CheckedPage
 		body string
 		want health.State
 	}{
-		{"200", standin.Page{Status: 200}, "", health.Up},
-		{"299", standin.Page{Status: 299}, "", health.Up},
-		{"404, in a range", standin.Page{Status: 404}, "", health.Up},
-		{"redirects are not followed", standin.Page{Status: 302}, "", health.Down},
-		{"500", standin.Page{Status: 500}, "", health.Down},
-		{"the body contains the text", standin.Page{Status: 200, Body: "xx well xx"}, "well", health.Up},
-		{"the body does not contain the text", standin.Page{Status: 200, Body: "ill"}, "well", health.Down},
-		{"the text comes after the first 64 KiB", standin.Page{Status: 200, Body: strings.Repeat(" ", maxBodyRead) + "well"}, "well", health.Down},
+		{"200", standin.CheckedPage{Status: 200}, "", health.Up},
+		{"299", standin.CheckedPage{Status: 299}, "", health.Up},
+		{"404, in a range", standin.CheckedPage{Status: 404}, "", health.Up},
+		{"redirects are not followed", standin.CheckedPage{Status: 302}, "", health.Down},
+		{"500", standin.CheckedPage{Status: 500}, "", health.Down},
+		{"the body contains the text", standin.CheckedPage{Status: 200, Body: "xx well xx"}, "well", health.Up},
+		{"the body does not contain the text", standin.CheckedPage{Status: 200, Body: "ill"}, "well", health.Down},
+		{"the text comes after the first 64 KiB", standin.CheckedPage{Status: 200, Body: strings.Repeat(" ", maxBodyRead) + "well"}, "well", health.Down},
 	} {
 		*page = c.page
 		report, err := probeOnce(t, &HTTP{Method: http.MethodGet, Path: "/health", Host: "example.org", Statuses: ranges, Body: c.body}, directTarget(addr), testTimeout)
@@ -117,7 +117,7 @@
 			t.Errorf("%s: %+v, %v", c.name, report, err)
 		}
 	}
-	*page = standin.Page{Status: 200, After: time.Hour}
+	*page = standin.CheckedPage{Status: 200, Delay: time.Hour}
 	if _, err := probeOnce(t, &HTTP{Method: http.MethodGet, Path: "/", Statuses: ranges}, directTarget(addr), shortTimeout); err == nil {
 		t.Error("no error though the response does not come")
 	}
@@ -144,7 +144,7 @@
 // Each status of grpc.health.v1 by Check and by Watch. A stream whose server stops gives an error and is opened again
 // once the server is back. A server without the service is down, and one without the protocol gives an empty report.
 func TestGRPCCheckAndWatch(t *testing.T) {
-	server, err := standin.StartHealth("")
+	server, err := standin.StartHealthServer("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	}{
 		{healthpb.HealthCheckResponse_SERVING, health.Up},
 		{healthpb.HealthCheckResponse_NOT_SERVING, health.Down},
-		{healthpb.HealthCheckResponse_UNKNOWN, health.Untold},
+		{healthpb.HealthCheckResponse_UNKNOWN, health.StateUnset},
 		{healthpb.HealthCheckResponse_SERVICE_UNKNOWN, health.Down},
 		{healthpb.HealthCheckResponse_SERVING, health.Up},
 	} {
@@ -194,7 +194,7 @@
 			t.Fatal("no error from a stream whose server has stopped")
 		}
 	}
-	if server, err = standin.StartHealth(addr); err != nil {
+	if server, err = standin.StartHealthServer(addr); err != nil {
 		t.Fatal(err)
 	}
 	defer server.Stop()
@@ -221,7 +221,7 @@
 	go plain.Serve(ln)
 	defer plain.Stop()
 	for _, p := range []*GRPC{{}, {Watch: true}} {
-		if report, err := probeOnce(t, p, directTarget(ln.Addr().String()), testTimeout); err != nil || report != health.Silent {
+		if report, err := probeOnce(t, p, directTarget(ln.Addr().String()), testTimeout); err != nil || report != health.EmptyReport {
 			t.Errorf("unimplemented: %+v, %v", report, err)
 		}
 		p.Close()
--- a/internal/health/schedule.go
+++ b/internal/health/schedule.go
@@ -7,32 +7,32 @@
 )
 
 // ProbeSettings limit how often servers are probed.
-type Pace struct {
-	Interval  time.Duration // wait between two probes of entry server that no recent real requests vouch for
-	Calm      float64       // factor on the wait of entry server whose recent real requests succeed
-	PerServer float64       // limit on the probes per second that one server gets from all nodes together
-	Rate      float64       // limit on the probes per second that this node sends to all servers together
-	Nodes     int           // number of nodes that probe the same servers with these settings
-	Jitter    float64       // each wait varies randomly by up to this fraction in either direction
+type ProbeSettings struct {
+	Interval       time.Duration // wait between two probes of entry server that no recent real requests vouch for
+	IntervalFactor float64       // factor on the wait of entry server whose recent real requests succeed
+	MaxPerServer   float64       // limit on the probes per second that one server gets from all nodes together
+	MaxRate        float64       // limit on the probes per second that this node sends to all servers together
+	Nodes          int           // number of nodes that probe the same servers with these settings
+	Jitter         float64       // each wait varies randomly by up to this fraction in either direction
 }
 
 // minWait returns the shortest wait between two probes of a server by this node, before jitter.
-func (p *Pace) minWait() time.Duration {
-	fairWait := time.Duration(float64(max(1, p.Nodes)) / p.PerServer / (1 - p.Jitter) * float64(time.Second))
+func (p *ProbeSettings) minWait() time.Duration {
+	fairWait := time.Duration(float64(max(1, p.Nodes)) / p.MaxPerServer / (1 - p.Jitter) * float64(time.Second))
 	return max(p.Interval, fairWait)
 }
 
 // MaxInterval returns the longest wait between two probes of a server, before jitter, while the node's rate limit does not
 // delay probes. Reports are valid for a multiple of it.
-func (p *Pace) Slowest() time.Duration {
-	return time.Duration(float64(p.minWait()) * max(1, p.Calm))
+func (p *ProbeSettings) MaxInterval() time.Duration {
+	return time.Duration(float64(p.minWait()) * max(1, p.IntervalFactor))
 }
 
 // Schedule selects the server to probe next. Each server has its own due time and at most one probe in flight, and all
 // probes together stay within the node's rate limit. Servers that recent real requests vouch for are due less often, which
 // leaves the budget to the others. It is not safe for concurrent use: its owner's lock guards it.
 type Schedule struct {
-	settings   Pace
+	settings   ProbeSettings
 	random     func() float64         // uniform in [0, 1)
 	queue      probeQueue             // servers without entry probe in flight
 	entries    map[uint32]*probeEntry // all servers, by id
@@ -49,7 +49,7 @@
 }
 
 // NewSchedule returns an empty schedule. Random is the source of the jitter and returns values in [0, 1).
-func NewSchedule(p Pace, random func() float64) *Schedule {
+func NewSchedule(p ProbeSettings, random func() float64) *Schedule {
 	return &Schedule{settings: p, random: random, entries: map[uint32]*probeEntry{}}
 }
 
@@ -78,7 +78,7 @@
 // reached, it returns false and how long to wait before the next call.
 func (s *Schedule) Next(now time.Duration) (id uint32, ok bool, wait time.Duration) {
 	// The burst is a tenth of a second's probes.
-	s.tokens = min(max(1, s.settings.Rate/10), s.tokens+(now-s.refilledAt).Seconds()*s.settings.Rate)
+	s.tokens = min(max(1, s.settings.MaxRate/10), s.tokens+(now-s.refilledAt).Seconds()*s.settings.MaxRate)
 	s.refilledAt = max(s.refilledAt, now)
 	if len(s.queue) == 0 {
 		return 0, false, s.settings.Interval
@@ -87,7 +87,7 @@
 		return 0, false, entry.dueAt - now
 	}
 	if s.tokens < 1 {
-		return 0, false, time.Duration(math.Ceil((1 - s.tokens) / s.settings.Rate * 1e9))
+		return 0, false, time.Duration(math.Ceil((1 - s.tokens) / s.settings.MaxRate * 1e9))
 	}
 	s.tokens--
 	entry := heap.Pop(&s.queue).(*probeEntry)
@@ -96,7 +96,7 @@
 }
 
 // ProbeNow makes a server due now, within the node's rate limit, unless a probe of it is in flight.
-func (s *Schedule) Sooner(now time.Duration, id uint32) {
+func (s *Schedule) ProbeNow(now time.Duration, id uint32) {
 	if entry := s.entries[id]; entry != nil && entry.heapIndex >= 0 && entry.dueAt > now {
 		entry.dueAt = now
 		heap.Fix(&s.queue, entry.heapIndex)
@@ -112,7 +112,7 @@
 	}
 	wait := float64(s.settings.minWait()) * (1 - s.settings.Jitter + 2*s.settings.Jitter*s.random())
 	if serving {
-		wait *= max(1, s.settings.Calm)
+		wait *= max(1, s.settings.IntervalFactor)
 	}
 	entry.dueAt = now + time.Duration(wait)
 	heap.Push(&s.queue, entry)
--- a/internal/health/schedule_test.go
+++ b/internal/health/schedule_test.go
@@ -11,7 +11,7 @@
 func TestProbeBudget(t *testing.T) {
 	const servers, nodes = 10000, 100
 	const seconds = 400
-	settings := Pace{Interval: 2 * sec, Calm: 4, PerServer: 1, Rate: 150, Nodes: nodes, Jitter: 0.1}
+	settings := ProbeSettings{Interval: 2 * sec, IntervalFactor: 4, MaxPerServer: 1, MaxRate: 150, Nodes: nodes, Jitter: 0.1}
 	rng := rand.New(rand.NewPCG(1, 2))
 	probes := make([]int, servers)
 	for range 5 { // all nodes behave alike: five of them stand for the hundred
@@ -69,7 +69,7 @@
 // A server whose real requests succeed is probed less often, a new one within an interval, one that is asked for at once,
 // and a removed one not again.
 func TestScheduleOrder(t *testing.T) {
-	settings := Pace{Interval: sec, Calm: 4, PerServer: 100, Rate: 100, Nodes: 1, Jitter: 0}
+	settings := ProbeSettings{Interval: sec, IntervalFactor: 4, MaxPerServer: 100, MaxRate: 100, Nodes: 1, Jitter: 0}
 	s := NewSchedule(settings, func() float64 { return 0.5 })
 	s.Add(0, 1)
 	s.Add(0, 1)
@@ -89,11 +89,11 @@
 	if _, ok, wait := s.Next(sec); ok || wait != sec/2 {
 		t.Error("a new server: ", ok, wait)
 	}
-	s.Sooner(sec, 2)
-	s.Sooner(sec, 9)
+	s.ProbeNow(sec, 2)
+	s.ProbeNow(sec, 9)
 	if _, ok, wait := s.Next(sec); ok && wait == 0 {
 		s.Done(sec, 2, false)
-		s.Sooner(sec, 2)
+		s.ProbeNow(sec, 2)
 	} else {
 		t.Error("a server is not due after ProbeNow")
 	}
@@ -110,11 +110,11 @@
 }
 
 func BenchmarkSchedule(b *testing.B) {
-	s := NewSchedule(Pace{Interval: 2 * sec, PerServer: 1e9, Rate: 1e12, Nodes: 1, Jitter: 0.1}, rand.Float64)
+	s := NewSchedule(ProbeSettings{Interval: 2 * sec, MaxPerServer: 1e9, MaxRate: 1e12, Nodes: 1, Jitter: 0.1}, rand.Float64)
 	for id := range uint32(10000) {
 		s.Add(0, id)
 	}
-	tracker := NewBook(Usual(sec))
+	tracker := NewTracker(DefaultRules(sec))
 	for id := range uint32(10000) {
 		tracker.Add(id)
 	}
@@ -123,9 +123,9 @@
 	for b.Loop() {
 		now += 200 * time.Microsecond
 		if id, ok, _ := s.Next(now); ok {
-			tracker.Check(now, id, true, "")
-			tracker.Weigh(now, id)
-			s.Done(now, id, tracker.Spoken(now, id))
+			tracker.RecordCheck(now, id, true, "")
+			tracker.Evaluate(now, id)
+			s.Done(now, id, tracker.ServesRequests(now, id))
 		}
 	}
 }
--- a/internal/lab/coldsum/coldsum.go
+++ b/internal/lab/coldsum/coldsum.go
@@ -223,7 +223,7 @@
 	sim := &simulation{Case: c, rng: rand.New(rand.NewPCG(seed, 7)), now: epoch, servers: map[uint32]*server{}, maxExcess: math.Inf(-1)}
 	set := policy.Settings{Nodes: c.Nodes, MaxAttempts: 4, Cancel: true, RetryAfter: time.Second, DrainGrace: time.Second,
 		ColdShare: c.ColdShare, ColdFor: c.ColdFor, FallFactor: c.FallFactor, FallFor: c.FallFor, OverShare: 1,
-		Classes: []policy.Class{{Name: "0", Aim: clientTimeout / 2, Deadline: clientTimeout, Worth: 1}, {Name: "1", Aim: clientTimeout / 2, Deadline: clientTimeout, Worth: 2}}}
+		Classes: []policy.Class{{Name: "0", TargetLatency: clientTimeout / 2, Deadline: clientTimeout, Value: 1}, {Name: "1", TargetLatency: clientTimeout / 2, Deadline: clientTimeout, Value: 2}}}
 	if c.Disturbance == ColdAsWarm {
 		set.ColdShare, set.FallFactor = 1, 1e3
 	}
@@ -292,7 +292,7 @@
 // addServer adds a server that started long ago and is warm.
 func (sim *simulation) addServer() *server {
 	sim.lastServerID++
-	s := &server{Entry: policy.Entry{ID: sim.lastServerID, Zone: zoneName(int(sim.lastServerID)), Kind: "k"}}
+	s := &server{Entry: policy.Entry{ID: sim.lastServerID, Zone: zoneName(int(sim.lastServerID)), ServerType: "k"}}
 	sim.servers[s.ID] = s
 	sim.serverList = append(sim.serverList, s)
 	return s
--- a/internal/lab/coldsum/events.go
+++ b/internal/lab/coldsum/events.go
@@ -42,12 +42,12 @@
 	case evServerSilent:
 		e.server.silent = true
 	case evServerDraining:
-		e.server.State = policy.Leaving
+		e.server.State = policy.Draining
 		sim.announce(e.server)
 		sim.restart(sim.addServer())
 		sim.schedule(event{at: sim.now + 3*time.Second, kind: evServerRemoved, server: e.server})
 	case evServerRemoved:
-		e.server.State = policy.Left
+		e.server.State = policy.Removed
 		sim.announce(e.server)
 	}
 }
@@ -57,7 +57,7 @@
 	at := sort.SearchFloat64s(sim.cumulativeWeights, sim.rng.Float64()*sim.cumulativeWeights[len(sim.cumulativeWeights)-1])
 	sim.lastTryID++
 	c.id, c.node = strconv.Itoa(sim.lastTryID), min(at, sim.Nodes-1)
-	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvRequest, ID: c.id, Class: strconv.Itoa(c.class), Left: c.requestedAt + clientTimeout - sim.now, Repeat: c.tryNumber > 1})
+	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvRequest, ID: c.id, Class: strconv.Itoa(c.class), TimeLeft: c.requestedAt + clientTimeout - sim.now, Repeat: c.tryNumber > 1})
 }
 
 // notifyNode passes an event to a node's policy and performs the actions that it returns. c is the try that the event
@@ -131,7 +131,7 @@
 	case s.failing && sim.rng.Float64() < 0.6:
 		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.Failed})
 	case len(s.queue) >= maxQueue:
-		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.Full})
+		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.QueueFull})
 	default:
 		s.queue = append(s.queue, queuedAttempt{c, index})
 		sim.startQueued(s)
@@ -174,8 +174,8 @@
 		sim.served++
 	}
 	load := policy.Load{Known: e.outcome != policy.TimedOut, Queue: float64(len(e.server.queue)), Held: -1}
-	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvOutcome, ID: c.id, Server: e.server.ID, Attempt: e.number, Took: sim.now - c.sentAt,
-		Last: e.outcome == policy.OK, Outcome: e.outcome, Load: load})
+	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvOutcome, ID: c.id, Server: e.server.ID, Attempt: e.number, Elapsed: sim.now - c.sentAt,
+		Final: e.outcome == policy.OK, Outcome: e.outcome, Load: load})
 }
 
 // restart starts a server anew, cold, and announces it. Requests that it held are lost and time out.
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -59,7 +59,7 @@
 }
 
 // ExcludesZero reports whether the confidence interval excludes zero.
-func (d *Difference) Clear() bool { return d.Low > 0 || d.High < 0 }
+func (d *Difference) ExcludesZero() bool { return d.Low > 0 || d.High < 0 }
 
 // Compare pairs two sets of results and returns the differences in all measures, in the order of MeasureNames. It
 // returns an error if the sides have no run in common or a has two results of the same run, for instance of two
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -49,21 +49,21 @@
 
 // Measures computes the measures that bounds and comparisons can name, by their names.
 var Measures = map[string]func(r *measure.Result) float64{
-	"share":    func(r *measure.Result) float64 { return r.All.Share() },
-	"worst":    func(r *measure.Result) float64 { return r.Worst() },
+	"share":    func(r *measure.Result) float64 { return r.All.EarnedShare() },
+	"worst":    func(r *measure.Result) float64 { return r.WorstClassShare() },
 	"served":   func(r *measure.Result) float64 { return float64(r.All.Served) / math.Max(1, float64(r.All.Asked)) },
 	"p50":      func(r *measure.Result) float64 { return r.Latency.P50 },
 	"p99":      func(r *measure.Result) float64 { return r.Latency.P99 },
 	"p99.9":    func(r *measure.Result) float64 { return r.Latency.P999 },
-	"attempts": func(r *measure.Result) float64 { return r.AttemptsPerAsk() },
-	"recovery": func(r *measure.Result) float64 { t, _ := r.Recovered(); return t },
+	"attempts": func(r *measure.Result) float64 { return r.AttemptsPerOperation() },
+	"recovery": func(r *measure.Result) float64 { t, _ := r.RecoverySeconds(); return t },
 	"recovered": func(r *measure.Result) float64 {
-		if _, ok := r.Recovered(); ok {
+		if _, ok := r.RecoverySeconds(); ok {
 			return 1
 		}
 		return 0
 	},
-	"broken": func(r *measure.Result) float64 { return float64(r.BrokenTotal()) },
+	"broken": func(r *measure.Result) float64 { return float64(r.BreachTotal()) },
 }
 
 // MeasureNames lists the names of Measures in the order of tables.
@@ -82,7 +82,7 @@
 // check reports the first invalid field as a config.FieldError. It reads all scenarios with all swept values.
 func (e *Experiment) check() error {
 	bad := func(path, why string, args ...any) error {
-		return &config.FieldError{Path: path, Why: fmt.Sprintf(why, args...)}
+		return &config.FieldError{Path: path, Reason: fmt.Sprintf(why, args...)}
 	}
 	if len(e.Scenarios) == 0 {
 		return bad("scenarios", "at least one is required")
@@ -232,7 +232,7 @@
 
 // RunAll performs the runs in the model, with the given number of workers, and returns the results in the order of the
 // runs. It calls done after each run, one call at a time, in the order in which the runs end; done may be nil.
-func Play(runs []Run, workers int, done func(i int, r *measure.Result)) ([]measure.Result, error) {
+func RunAll(runs []Run, workers int, done func(i int, r *measure.Result)) ([]measure.Result, error) {
 	results, errs := make([]measure.Result, len(runs)), make([]error, len(runs))
 	next := make(chan int)
 	var wg sync.WaitGroup
@@ -244,7 +244,7 @@
 			for i := range next {
 				factory, err := peer.Lookup(runs[i].Policy)
 				if err == nil {
-					results[i], err = model.Run(runs[i].Scenario, model.Options{Policy: runs[i].Policy, Make: factory})
+					results[i], err = model.Run(runs[i].Scenario, model.Options{Policy: runs[i].Policy, NewDecider: factory})
 				}
 				results[i].Params, errs[i] = runs[i].Params, err
 				if done != nil {
@@ -265,12 +265,12 @@
 
 // Violations describes each bound that does not hold. For the policy portstall, each run that broke a rule counts as
 // well; other policies may break rules, which the tables show.
-func (e *Experiment) Broken(results []measure.Result) []string {
+func (e *Experiment) Violations(results []measure.Result) []string {
 	var violations []string
 	for i := range results {
 		r := &results[i]
 		runText := fmt.Sprintf("%s, %s, seed %d%s", r.Scenario, r.Policy, r.Seed, formatParams(r.Params))
-		if n := r.BrokenTotal(); n > 0 && r.Policy == "portstall" {
+		if n := r.BreachTotal(); n > 0 && r.Policy == "portstall" {
 			violations = append(violations, fmt.Sprintf("%s: rules broken %d times: %v", runText, n, r.Broken))
 		}
 		for _, b := range e.Bounds {
@@ -292,7 +292,7 @@
 // formatParams returns swept values as ", field=value" each, sorted by field.
 func formatParams(params map[string]string) string {
 	text := ""
-	for _, k := range scenario.Sorted(params) {
+	for _, k := range scenario.SortedKeys(params) {
 		text += ", " + k + "=" + params[k]
 	}
 	return text
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -67,11 +67,11 @@
 		t.Fatalf("%d runs, want 12: two loads, two policies and three seeds", len(runs))
 	}
 	calls := 0
-	parallel, err := Play(runs, 4, func(int, *measure.Result) { calls++ })
+	parallel, err := RunAll(runs, 4, func(int, *measure.Result) { calls++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	serial, err := Play(runs, 1, nil)
+	serial, err := RunAll(runs, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,18 +86,18 @@
 	if a, b := parallel[0].All.Asked, parallel[11].All.Asked; float64(b) < 1.5*float64(a) {
 		t.Errorf("%d requests at load 0.8, %d at load 0.4, want at least 1.5 times as many", b, a)
 	}
-	if broken := e.Broken(parallel); len(broken) > 0 {
+	if broken := e.Violations(parallel); len(broken) > 0 {
 		t.Error(broken)
 	}
 	tooHigh, tooLow := 1.1, 0.0001 // bounds that no result keeps
 	e.Bounds = []Bound{{Measure: "share", Min: &tooHigh}, {Measure: "attempts", Policy: "random", Max: &tooLow}, {Measure: "share", Scenario: "other", Min: &tooHigh}}
-	if broken := e.Broken(parallel); len(broken) != 12+6 || !strings.Contains(broken[0], "share is") {
+	if broken := e.Violations(parallel); len(broken) != 12+6 || !strings.Contains(broken[0], "share is") {
 		t.Errorf("%d violations, want 18: %v", len(broken), broken)
 	}
 	parallel[0].Broken = map[string]int{"repeat rule": 2}
 	parallel[3].Broken = map[string]int{"repeat rule": 2} // of another policy, which may break rules
 	e.Bounds = nil
-	if broken := e.Broken(parallel); len(broken) != 1 || !strings.Contains(broken[0], "2 times") {
+	if broken := e.Violations(parallel); len(broken) != 1 || !strings.Contains(broken[0], "2 times") {
 		t.Errorf("violations %v, want only that of portstall with 2 broken rules", broken)
 	}
 
@@ -113,11 +113,11 @@
 	if err != nil || len(back) != len(parallel) || !reflect.DeepEqual(back[5].All, parallel[5].All) {
 		t.Errorf("results read back: error %v, %d results", err, len(back))
 	}
-	Table(&table, parallel)
+	WriteTable(&table, parallel)
 	if got := strings.Count(table.String(), "\n"); got != 2+4 {
 		t.Errorf("the table has %d lines, want 6:\n%s", got, &table)
 	}
-	if err := Report(&html, "A & B", parallel, []string{"a bound"}); err != nil {
+	if err := WriteReport(&html, "A & B", parallel, []string{"a bound"}); err != nil {
 		t.Fatal(err)
 	}
 	text := html.String()
@@ -181,10 +181,10 @@
 	}
 	// mean 0.2, standard deviation 0.08165, standard error 0.040825, t(0.975; 3) = 3.1824
 	d := all[0]
-	if d.Measure != "share" || d.Pairs != 4 || math.Abs(d.Mean-0.2) > 1e-9 || math.Abs(d.Low-(0.2-3.1824*0.040825)) > 1e-4 || !d.Clear() {
+	if d.Measure != "share" || d.Pairs != 4 || math.Abs(d.Mean-0.2) > 1e-9 || math.Abs(d.Low-(0.2-3.1824*0.040825)) > 1e-4 || !d.ExcludesZero() {
 		t.Errorf("%+v, want 4 pairs of share with mean 0.2, low 0.0701 and zero excluded", d)
 	}
-	if one, _ := Compare(a[:1], b[:1]); !math.IsInf(one[0].High, 1) || one[0].Clear() {
+	if one, _ := Compare(a[:1], b[:1]); !math.IsInf(one[0].High, 1) || one[0].ExcludesZero() {
 		t.Errorf("one pair gives %+v, want an infinite interval that includes zero", one[0])
 	}
 	if _, err := Compare(a, []measure.Result{resultWithShare(50, 1)}); err == nil {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -97,7 +97,7 @@
 		}
 	}
 	text := ""
-	for _, rule := range scenario.Sorted(runs) {
+	for _, rule := range scenario.SortedKeys(runs) {
 		if text != "" {
 			text += ", "
 		}
@@ -108,7 +108,7 @@
 
 // WriteTable writes a Markdown table with one row for each scenario, set of swept values and policy, with means over
 // the seeds.
-func Table(w io.Writer, results []measure.Result) {
+func WriteTable(w io.Writer, results []measure.Result) {
 	fmt.Fprintln(w, "| scenario | policy | seeds | worth served | worst class | p50 ms | p99 ms | p99.9 ms | attempts | rules broken |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, g := range groupResults(results) {
@@ -126,7 +126,7 @@
 }
 
 // WriteReport writes a self-contained HTML page with the results and the violations passed in as broken.
-func Report(w io.Writer, title string, results []measure.Result, broken []string) error {
+func WriteReport(w io.Writer, title string, results []measure.Result, broken []string) error {
 	all := groupResults(results)
 	for _, g := range all {
 		if err := g.addContent(); err != nil {
@@ -158,14 +158,14 @@
 			}
 		}
 	}
-	for _, cause := range scenario.Sorted(causes) {
+	for _, cause := range scenario.SortedKeys(causes) {
 		row := causeRow{Cause: cause}
 		for i := range g.columns {
 			row.Counts = append(row.Counts, fmt.Sprintf("%.1f", g.columns[i].mean(func(r *measure.Result) float64 { return float64(r.Causes[cause]) })))
 		}
 		g.Causes = append(g.Causes, row)
 	}
-	for _, name := range scenario.Sorted(names) {
+	for _, name := range scenario.SortedKeys(names) {
 		row := breakdownRow{Name: name}
 		for i := range g.columns {
 			row.Shares = append(row.Shares, fmt.Sprintf("%.3f", g.columns[i].mean(func(r *measure.Result) float64 {
@@ -176,7 +176,7 @@
 				if t == nil {
 					return 1
 				}
-				return t.Share()
+				return t.EarnedShare()
 			})))
 		}
 		g.Breakdown = append(g.Breakdown, row)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -17,7 +17,7 @@
 // Ramp returns the share of its full capacity that a server has at an age since its start, after done seconds of work
 // on its own cores at full speed. A server that warms up by work is as fast as the work allows, but takes no longer
 // than the stated time or its ColdFor, whichever is longer.
-func Ramp(k *scenario.Kind, speed float64, age, stated time.Duration, done float64) float64 {
+func Ramp(k *scenario.ServerType, speed float64, age, stated time.Duration, done float64) float64 {
 	if k.ColdFor <= 0 {
 		return 1
 	}
@@ -48,10 +48,10 @@
 }
 
 // Reset discards all samples, as the server has started with an empty queue.
-func (r *Reports) Start(now time.Duration) { r.tick, r.next = int64((now+r.Phase)/r.Period), 0 }
+func (r *Reports) Reset(now time.Duration) { r.tick, r.next = int64((now+r.Phase)/r.Period), 0 }
 
 // Record records the queue length at the tick since the last call, if there was one. It is called before each change.
-func (r *Reports) Note(now time.Duration, queue int) {
+func (r *Reports) Record(now time.Duration, queue int) {
 	if tick := int64((now + r.Phase) / r.Period); tick > r.tick {
 		r.ring[r.next%len(r.ring)] = sample{time.Duration(r.tick+1)*r.Period - r.Phase, queue}
 		r.next++
@@ -61,7 +61,7 @@
 
 // Read returns the queue length as a report with the given delay shows it now; queue is the present length.
 func (r *Reports) Read(now, delay time.Duration, queue int) int {
-	r.Note(now, queue)
+	r.Record(now, queue)
 	oldest := 0
 	for i := r.next - 1; i >= 0 && i >= r.next-len(r.ring); i-- {
 		e := r.ring[i%len(r.ring)]
@@ -80,10 +80,10 @@
 // node, so that any class may be retried; otherwise only a class whose repeats are harmless. after is the response's
 // Retry-After, storm multiplies the number of retries (1: as usual); above 1 it also divides the delay by ten and
 // overrides Retry-After. roll is a random number from 0 to 1.
-func Again(s *scenario.Scenario, a *scenario.Ask, tries int, promised bool, now, after time.Duration, storm,
+func RetryDelay(s *scenario.Scenario, a *scenario.Operation, tries int, promised bool, now, after time.Duration, storm,
 	roll float64) (time.Duration, bool) {
 	c := &s.Classes[a.Class]
-	harmless := promised || c.Effect == "safe" || c.Effect == "keyed" && a.Stubborn ||
+	harmless := promised || c.Effect == "safe" || c.Effect == "keyed" && a.RepeatsUnsafely ||
 		c.Effect == "keyed" && (c.Group == "" || c.Group == "all") && now < a.At+c.Window
 	wait := float64(s.Clients.Backoff) * (0.5 + roll)
 	if s.Clients.Exponential {
@@ -91,7 +91,7 @@
 	}
 	if storm > 1 {
 		wait /= 10
-	} else if a.Honours {
+	} else if a.HonoursRetryAfter {
 		wait = max(wait, float64(after))
 	}
 	if !harmless || tries > int(float64(a.Retries)*storm) || now+time.Duration(wait) > a.At+c.Deadline-10*time.Millisecond {
@@ -101,34 +101,34 @@
 }
 
 // ServerEffects are the effects of the faults in force on one server.
-type Trouble struct {
-	Slow    float64       // factor by which slowed requests take longer
-	Part    float64       // share of its requests that are slowed
-	Errors  float64       // share of requests that fail with an error response at once
-	Resets  float64       // share of requests whose connection is reset at once
-	Cuts    float64       // share of requests whose response is cut off
-	Lie     float64       // factor on the queue length that it reports
-	Backlog bool          // accepts no new connections
-	NoWay   bool          // the proxy in front of it opens no new connections
-	WayLag  time.Duration // additional time that the proxy takes to open a connection
+type ServerEffects struct {
+	Slowdown         float64       // factor by which slowed requests take longer
+	SlowShare        float64       // share of its requests that are slowed
+	ErrorShare       float64       // share of requests that fail with an error response at once
+	ResetShare       float64       // share of requests whose connection is reset at once
+	CutShare         float64       // share of requests whose response is cut off
+	ReportFactor     float64       // factor on the queue length that it reports
+	NoNewConnections bool          // accepts no new connections
+	ProxyRefuses     bool          // the proxy in front of it opens no new connections
+	ProxyDelay       time.Duration // additional time that the proxy takes to open a connection
 }
 
 // FleetEffects are the effects of the faults in force on all servers and clients.
-type Weather struct {
-	Slowdown float64       // factor by which every server is slower
-	Lag      time.Duration // additional delay of every load report
-	Storm    float64       // factor on the number of retries of clients
-	Cuts     int           // number of faults in force that cut the network
+type FleetEffects struct {
+	Slowdown    float64       // factor by which every server is slower
+	ReportDelay time.Duration // additional delay of every load report
+	RetryFactor float64       // factor on the number of retries of clients
+	NetworkCuts int           // number of faults in force that cut the network
 }
 
 // ActiveEffects combines the effects of the active faults; hits has the indexes of the servers that each fault hits. Of
 // two faults of one kind the worse one counts, but factors of slowdowns and storms are multiplied. The second result is
 // by server index.
-func InForce(s *scenario.Scenario, active []bool, hits [][]int, servers int) (Weather, []Trouble) {
-	all := Weather{Slowdown: 1, Storm: 1}
-	each := make([]Trouble, servers)
+func ActiveEffects(s *scenario.Scenario, active []bool, hits [][]int, servers int) (FleetEffects, []ServerEffects) {
+	all := FleetEffects{Slowdown: 1, RetryFactor: 1}
+	each := make([]ServerEffects, servers)
 	for i := range each {
-		each[i] = Trouble{Slow: 1, Lie: 1}
+		each[i] = ServerEffects{Slowdown: 1, ReportFactor: 1}
 	}
 	for i, on := range active {
 		if !on {
@@ -139,11 +139,11 @@
 		case "shared_slow":
 			all.Slowdown *= f.Factor
 		case "report_lag":
-			all.Lag = max(all.Lag, f.Delay)
+			all.ReportDelay = max(all.ReportDelay, f.Delay)
 		case "storm":
-			all.Storm *= f.Factor
+			all.RetryFactor *= f.Factor
 		case "cut":
-			all.Cuts++
+			all.NetworkCuts++
 		case "error", "slow", "reset", "cut_answer", "report_lie", "backlog", "proxy_down", "proxy_slow", "proxy_nonsense":
 			for _, k := range hits[i] {
 				each[k].apply(f)
@@ -154,24 +154,24 @@
 }
 
 // apply adds the effect of one fault.
-func (t *Trouble) apply(f *scenario.Fault) {
+func (t *ServerEffects) apply(f *scenario.Fault) {
 	switch f.Kind {
 	case "error":
-		t.Errors = max(t.Errors, f.Part)
+		t.ErrorShare = max(t.ErrorShare, f.Part)
 	case "slow":
-		t.Slow, t.Part = t.Slow*f.Factor, max(t.Part, f.Part)
+		t.Slowdown, t.SlowShare = t.Slowdown*f.Factor, max(t.SlowShare, f.Part)
 	case "reset":
-		t.Resets = max(t.Resets, f.Part)
+		t.ResetShare = max(t.ResetShare, f.Part)
 	case "cut_answer":
-		t.Cuts = max(t.Cuts, f.Part)
+		t.CutShare = max(t.CutShare, f.Part)
 	case "report_lie":
-		t.Lie = f.Factor
+		t.ReportFactor = f.Factor
 	case "backlog":
-		t.Backlog = true
+		t.NoNewConnections = true
 	case "proxy_down", "proxy_nonsense":
-		t.NoWay = true
+		t.ProxyRefuses = true
 	case "proxy_slow":
-		t.WayLag = max(t.WayLag, f.Delay)
+		t.ProxyDelay = max(t.ProxyDelay, f.Delay)
 	}
 }
 
@@ -181,7 +181,7 @@
 // ProbeReply returns the reply of the agent of a server that is up, or the result of a check of the server; replies is
 // false if none comes. An agent knows about its server what a program on the same machine can know: that it drains,
 // that it responds with errors, and how much slower it is. A check only sees whether its own page gets a response.
-func Says(s *scenario.Scenario, active []bool, hits [][]int, server int, t *Trouble, agent bool,
+func ProbeReply(s *scenario.Scenario, active []bool, hits [][]int, server int, t *ServerEffects, agent bool,
 	now time.Duration) (text string, replies bool) {
 	drains := false
 	for i := range s.Faults {
@@ -199,31 +199,31 @@
 		drains = drains || f.Kind == "drain"
 	}
 	switch {
-	case !agent && (t.Backlog || t.NoWay):
+	case !agent && (t.NoNewConnections || t.ProxyRefuses):
 		return "no answer", false
 	case !agent:
 		return CheckOK, true
 	case drains:
 		return "drain", true
-	case t.Errors+t.Resets+t.Cuts >= 0.2:
+	case t.ErrorShare+t.ResetShare+t.CutShare >= 0.2:
 		return "down #errors", true
-	case t.Slow > 1 && t.Part > 0:
-		return fmt.Sprintf("up ready %d%%", max(1, int(100/(1+(t.Slow-1)*t.Part)))), true
+	case t.Slowdown > 1 && t.SlowShare > 0:
+		return fmt.Sprintf("up ready %d%%", max(1, int(100/(1+(t.Slowdown-1)*t.SlowShare)))), true
 	}
 	return "up ready 100%", true
 }
 
 // NewRecords creates the oracles' records for a scenario and its servers. slack extends the time limits by the time that
 // messages on real sockets may take; it is 0 in the model.
-func Books(s *scenario.Scenario, servers []scenario.Server, slack time.Duration, traces bool) *oracle.Book {
+func NewRecords(s *scenario.Scenario, servers []scenario.Server, slack time.Duration, traces bool) *oracle.Records {
 	var classes []oracle.Class
 	for _, c := range s.Classes {
 		classes = append(classes, oracle.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window})
 	}
 	rules := s.Rules
-	records := oracle.New(oracle.Figures{MaxAttempts: rules.MaxAttempts, AnswerSlack: rules.AnswerSlack + slack,
+	records := oracle.New(oracle.Limits{MaxAttempts: rules.MaxAttempts, ResponseSlack: rules.AnswerSlack + slack,
 		DrainGrace: rules.DrainGrace + slack, TunnelDrain: rules.TunnelDrain,
-		WindowSlack: slack, FallMultiple: rules.FallMultiple, FallFor: rules.FallFor,
+		WindowSlack: slack, ColdMultiple: rules.FallMultiple, ColdWindow: rules.FallFor,
 		MeanWork: s.MeanWork()}, classes, s.Nodes, traces)
 	for _, v := range servers {
 		records.AddServer(oracle.Server{ID: v.ID, Zone: v.Zone, Pod: v.Pod})
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -10,10 +10,10 @@
 
 // A server warms up linearly from ColdFrom to 1, by time or by work done.
 func TestRampByTimeAndByWork(t *testing.T) {
-	byTime := &scenario.Kind{Cores: 2, ColdFrom: 0.4, ColdFor: 4 * time.Second, WarmBy: "time"}
-	byWork := &scenario.Kind{Cores: 2, ColdFrom: 0.4, ColdFor: 4 * time.Second, WarmBy: "work"}
+	byTime := &scenario.ServerType{Cores: 2, ColdFrom: 0.4, ColdFor: 4 * time.Second, WarmBy: "time"}
+	byWork := &scenario.ServerType{Cores: 2, ColdFrom: 0.4, ColdFor: 4 * time.Second, WarmBy: "work"}
 	for _, c := range []struct {
-		k    *scenario.Kind
+		k    *scenario.ServerType
 		age  time.Duration
 		done float64
 		want float64
@@ -22,7 +22,7 @@
 		{byTime, -time.Second, 0, 0.4},
 		{byWork, 0, 0, 0.4}, {byWork, 4 * time.Second, 0, 0.7}, {byWork, 8 * time.Second, 0, 1}, {byWork, 0, 2, 0.7}, {byWork,
 			0, 4, 1},
-		{&scenario.Kind{Cores: 1}, 0, 0, 1},
+		{&scenario.ServerType{Cores: 1}, 0, 0, 1},
 	} {
 		if got := Ramp(c.k, 1, c.age, 8*time.Second, c.done); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%s after %v and %v s of work: %v, want %v", c.k.WarmBy, c.age, c.done, got, c.want)
@@ -34,7 +34,7 @@
 func TestReportsAreLateAndSampled(t *testing.T) {
 	const ms = time.Millisecond
 	r := Reports{Period: 100 * ms}
-	r.Start(0)
+	r.Reset(0)
 	for _, c := range []struct {
 		at          time.Duration
 		before, now int // the queue until then, and the length that is reported
@@ -52,12 +52,12 @@
 		}
 	}
 	for i := range 1000 { // more samples than are stored: the oldest one is reported
-		r.Note(time.Duration(300+100*i)*ms, i)
+		r.Record(time.Duration(300+100*i)*ms, i)
 	}
 	if got := r.Read(100400*ms, time.Hour, 0); got < 900 || got > 999 {
 		t.Errorf("reported %d for a delay beyond the stored samples, want one of the oldest stored, 900 to 999", got)
 	}
-	r.Start(200 * time.Second)
+	r.Reset(200 * time.Second)
 	if got := r.Read(200*time.Second, 0, 7); got != 0 {
 		t.Errorf("reported %d after a start, want 0", got)
 	}
@@ -85,17 +85,17 @@
 		{"no retry left without the storm", search, 2, true, 100 * time.Millisecond, 3, true},
 		{"no time left", search, 1, true, 2900 * time.Millisecond, 1, false},
 	} {
-		a := scenario.Ask{Class: c.class, Retries: 1}
-		if _, ok := Again(&s, &a, c.tries, c.promised, c.now, 0, c.storm, 0.5); ok != c.ok {
+		a := scenario.Operation{Class: c.class, Retries: 1}
+		if _, ok := RetryDelay(&s, &a, c.tries, c.promised, c.now, 0, c.storm, 0.5); ok != c.ok {
 			t.Errorf("%s: retry allowed is %v, want the opposite", c.name, ok)
 		}
 	}
 	s.Clients.Exponential = true
-	a := scenario.Ask{Retries: 9, Honours: true}
-	if w, _ := Again(&s, &a, 3, true, 0, 0, 1, 0.5); w != 4*s.Clients.Backoff {
+	a := scenario.Operation{Retries: 9, HonoursRetryAfter: true}
+	if w, _ := RetryDelay(&s, &a, 3, true, 0, 0, 1, 0.5); w != 4*s.Clients.Backoff {
 		t.Errorf("the delay before the third retry is %v, want four times the backoff", w)
 	}
-	if w, _ := Again(&s, &a, 1, true, 0, time.Second, 1, 0.5); w != time.Second {
+	if w, _ := RetryDelay(&s, &a, 1, true, 0, time.Second, 1, 0.5); w != time.Second {
 		t.Errorf("the delay is %v with a Retry-After of 1 s", w)
 	}
 }
@@ -109,18 +109,18 @@
 		{Kind: "node_crash"}, {Kind: "cut"}, {Kind: "report_lie", Factor: 0}, {Kind: "backlog"}, {Kind: "storm", Factor: 4}}
 	hits := [][]int{{0}, {0, 1}, {1}, nil, nil, nil, {7}, {2}, {2}, {2}, nil}
 	all := make([]bool, len(s.Faults))
-	w, effects := InForce(&s, all, hits, 3)
-	if w != (Weather{Slowdown: 1, Storm: 1}) || effects[0] != (Trouble{Slow: 1, Lie: 1}) {
+	w, effects := ActiveEffects(&s, all, hits, 3)
+	if w != (FleetEffects{Slowdown: 1, RetryFactor: 1}) || effects[0] != (ServerEffects{Slowdown: 1, ReportFactor: 1}) {
 		t.Errorf("without faults in force: %+v %+v", w, effects)
 	}
 	for i := range all {
 		all[i] = true
 	}
-	w, effects = InForce(&s, all, hits, 3)
-	if w != (Weather{Slowdown: 3, Lag: time.Second, Storm: 4, Cuts: 1}) {
+	w, effects = ActiveEffects(&s, all, hits, 3)
+	if w != (FleetEffects{Slowdown: 3, ReportDelay: time.Second, RetryFactor: 4, NetworkCuts: 1}) {
 		t.Errorf("%+v", w)
 	}
-	want := []Trouble{{Slow: 6, Part: 0.2, Lie: 1}, {Slow: 3, Part: 0.1, Errors: 0.5, Lie: 1}, {Slow: 1, Lie: 0, Backlog: true}}
+	want := []ServerEffects{{Slowdown: 6, SlowShare: 0.2, ReportFactor: 1}, {Slowdown: 3, SlowShare: 0.1, ErrorShare: 0.5, ReportFactor: 1}, {Slowdown: 1, ReportFactor: 0, NoNewConnections: true}}
 	for i := range want {
 		if effects[i] != want[i] {
 			t.Errorf("server %d: %+v, want %+v", i, effects[i], want[i])
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -17,14 +17,14 @@
 	Served      Ending = "served"
 	Refused     Ending = "refused"     // rejected with the promise that a repeat does no harm
 	Failed      Ending = "failed"      // a response that is no success and promises nothing about repeats
-	Overdue     Ending = "overdue"     // no response within the time that the client waits
+	TimedOut    Ending = "overdue"     // no response within the time that the client waits
 	Unreachable Ending = "unreachable" // no node accepted the request
 	Lost        Ending = "lost"        // the node died while it held the request
-	Left        Ending = "left"        // the client disconnected before its time was up
+	ClientLeft  Ending = "left"        // the client disconnected before its time was up
 )
 
 // Endings lists all endings in the order in which reports print them.
-var Endings = []Ending{Served, Refused, Failed, Overdue, Unreachable, Lost, Left}
+var Endings = []Ending{Served, Refused, Failed, TimedOut, Unreachable, Lost, ClientLeft}
 
 // Tally counts the operations of a group, and their value. The value of an operation is the value of its class times
 // its work in seconds, so that a heavy request counts for more than a light one.
@@ -37,7 +37,7 @@
 }
 
 // EarnedShare returns the share of the offered value that was served in time; 1 where nothing was offered.
-func (t *Tally) Share() float64 {
+func (t *Tally) EarnedShare() float64 {
 	if t.Offered == 0 {
 		return 1
 	}
@@ -114,7 +114,7 @@
 }
 
 // AttemptsPerOperation returns the mean number of attempts for an operation.
-func (r *Result) AttemptsPerAsk() float64 {
+func (r *Result) AttemptsPerOperation() float64 {
 	if r.All.Asked == 0 {
 		return 0
 	}
@@ -122,7 +122,7 @@
 }
 
 // BreachTotal returns the number of breaches of all rules.
-func (r *Result) BrokenTotal() int {
+func (r *Result) BreachTotal() int {
 	n := 0
 	for _, c := range r.Broken {
 		n += c
@@ -131,10 +131,10 @@
 }
 
 // WorstClassShare returns the lowest EarnedShare of all classes.
-func (r *Result) Worst() float64 {
+func (r *Result) WorstClassShare() float64 {
 	worst := 1.0
 	for _, t := range r.Classes {
-		worst = min(worst, t.Share())
+		worst = min(worst, t.EarnedShare())
 	}
 	return worst
 }
@@ -148,7 +148,7 @@
 
 // NewRecorder returns a recorder for a run of the given duration. Totals exclude what happens before warmup; the series
 // does not.
-func New(warmup, duration time.Duration) *Recorder {
+func NewRecorder(warmup, duration time.Duration) *Recorder {
 	return &Recorder{warmup: warmup, latencies: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
 		result: Result{Classes: map[string]*Tally{}, Tenants: map[string]*Tally{}, Split: map[string]*Tally{},
 			Endings: map[Ending]int{}, Causes: map[string]int{}, Broken: map[string]int{},
@@ -157,7 +157,7 @@
 
 // RecordOperation records an operation that has ended. It started at the given time and took as long, counted from its
 // first try.
-func (r *Recorder) Ask(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, value float64) {
+func (r *Recorder) RecordOperation(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, value float64) {
 	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
 		second := &r.result.Series[i]
 		second.Asked++
@@ -196,21 +196,21 @@
 }
 
 // RecordTry records a client's try, which is a request to a node.
-func (r *Recorder) Try(at time.Duration) {
+func (r *Recorder) RecordTry(at time.Duration) {
 	if at >= r.warmup {
 		r.result.Tries++
 	}
 }
 
 // RecordCause records why a try was not served.
-func (r *Recorder) Cause(at time.Duration, cause string) {
+func (r *Recorder) RecordCause(at time.Duration, cause string) {
 	if at >= r.warmup {
 		r.result.Causes[cause]++
 	}
 }
 
 // RecordAttempt records an attempt at a web server.
-func (r *Recorder) Attempt(at time.Duration) {
+func (r *Recorder) RecordAttempt(at time.Duration) {
 	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
 		r.result.Series[i].Attempts++
 	}
@@ -231,7 +231,7 @@
 // successive seconds in which it is at least the given share of the mean of the ten seconds before the fault began.
 // Seconds without operations are skipped. It returns false if goodput never recovers, or if there is no second before
 // the fault.
-func (r *Result) Recovery(begin, end time.Duration, share float64, hold int) (time.Duration, bool) {
+func (r *Result) RecoveryTime(begin, end time.Duration, share float64, hold int) (time.Duration, bool) {
 	beginSecond, endSecond := int(begin/time.Second), int(end/time.Second)
 	baseline, seconds := 0.0, 0
 	for i := max(0, beginSecond-10); i < beginSecond && i < len(r.Series); i++ {
@@ -260,15 +260,15 @@
 
 // What counts as recovered.
 const (
-	RecoveryPart = 0.9 // share of the goodput before the fault that has to be reached
-	RecoveryHold = 5   // successive seconds for which it has to be reached
+	RecoveryShare       = 0.9 // share of the goodput before the fault that has to be reached
+	RecoveryHoldSeconds = 5   // successive seconds for which it has to be reached
 )
 
 // RecoverySeconds returns the time from the first fault's end until goodput has recovered, in seconds. Where it never
 // does, it returns false and the time from the fault's end to the end of the run.
-func (r *Result) Recovered() (float64, bool) {
+func (r *Result) RecoverySeconds() (float64, bool) {
 	begin, end := time.Duration(r.Trigger[0]*float64(time.Second)), time.Duration(r.Trigger[1]*float64(time.Second))
-	if took, ok := r.Recovery(begin, end, RecoveryPart, RecoveryHold); ok {
+	if took, ok := r.RecoveryTime(begin, end, RecoveryShare, RecoveryHoldSeconds); ok {
 		return took.Seconds(), true
 	}
 	return max(0, float64(len(r.Series))-r.Trigger[1]), false
--- a/internal/lab/model/cell_test.go
+++ b/internal/lab/model/cell_test.go
@@ -48,14 +48,14 @@
 	for seed := range uint64(seeds) {
 		s := moveScenario(t, seed)
 		r := run(t, s, Portstall)
-		if r.BrokenTotal() > 0 {
+		if r.BreachTotal() > 0 {
 			t.Errorf("seed %d: %v\n%s", s.Seed, r.Broken, r.Breaches[0])
 		}
 		refused += float64(r.Causes["cell: its key may have run elsewhere"])
 		if seeds <= 6 {
 			continue
 		}
-		s.Cells.Tenants = []scenario.Pinned{{Tenant: "valley", Pods: []int64{0, 1, 2}}}
+		s.Cells.Tenants = []scenario.PinnedTenant{{Tenant: "valley", Pods: []int64{0, 1, 2}}}
 		calm := run(t, s, Portstall)
 		for name, v := range r.Tenants {
 			if c := calm.Tenants[name]; name == "valley" {
@@ -94,17 +94,17 @@
 	}
 	s.Faults[0].Tenant, s.Faults[0].At, s.Faults[0].For, s.Faults[0].Part = "t7", 5*time.Second, length-5*time.Second, 1
 	r := run(t, s, Portstall)
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		t.Errorf("cells of %d: %v\n%s", size, r.Broken, r.Breaches[0])
 	}
 	out := poisonDamage{tenants: tenants - 1, worstShare: 1}
 	var overlapping map[string]bool // tenants that share a server with it; nil: all do
-	if c := s.Cells.At(time.Unix(1, 0)); c != nil {
-		terms, err := c.Terms()
+	if c := s.Cells.ConfigAt(time.Unix(1, 0)); c != nil {
+		terms, err := c.Settings()
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := cell.New(terms.Plan)
+		m := cell.NewMap(terms.Plan)
 		for _, v := range s.Fleet() {
 			m.Set(cell.Server{ID: fmt.Sprint(v.ID), Zone: scenario.ZoneName(v.Zone), Pod: int64(v.Pod)})
 		}
--- a/internal/lab/model/contract_test.go
+++ b/internal/lab/model/contract_test.go
@@ -25,7 +25,7 @@
 				s.Faults, into = nil, baseline
 			}
 			r := run(t, s, Portstall)
-			if r.BrokenTotal() > 0 {
+			if r.BreachTotal() > 0 {
 				t.Fatalf("seed %d: %v\n%s", seed, r.Broken, r.Breaches[0])
 			}
 			for name, v := range r.Tenants {
@@ -141,7 +141,7 @@
 			s.File = config.File{}
 		}
 		r := run(t, s, Portstall)
-		if r.BrokenTotal() > 0 {
+		if r.BreachTotal() > 0 {
 			t.Errorf("%v\n%s", r.Broken, r.Breaches[0])
 		}
 		sum := 0.0
@@ -157,8 +157,8 @@
 		t.Errorf("only %.3f of the work without contracts is done", with/without)
 	}
 	for name, v := range r.Tenants {
-		if v.Share() < 0.25 {
-			t.Errorf("%s gets only %.3f of its value, at four times its load", name, v.Share())
+		if v.EarnedShare() < 0.25 {
+			t.Errorf("%s gets only %.3f of its value, at four times its load", name, v.EarnedShare())
 		}
 	}
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -117,7 +117,7 @@
 	case e.kind == evListReply && e.arg == 1:
 		ev.List = policy.ListFull
 		for i := range disc.entries {
-			if disc.entries[i].State != policy.Left {
+			if disc.entries[i].State != policy.Removed {
 				ev.Entries = append(ev.Entries, disc.entries[i])
 			}
 			sim.recordEntry(n, i, disc.entries[i])
@@ -149,6 +149,6 @@
 		n.entries[index] = e
 		n.updateCells(e)
 		n.checker.updateServer(sim, e)
-		sim.records.Told(sim.now, n.index, e.ID, n.noNewRequests(index), scenarioTime(e.Launched))
+		sim.records.Notified(sim.now, n.index, e.ID, n.noNewRequests(index), scenarioTime(e.Launched))
 	}
 }
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -33,7 +33,7 @@
 			srv := sim.servers[index]
 			if begin {
 				if srv.up && !srv.silent {
-					sim.announce(srv, policy.Leaving, sim.scenario.Roster.AddLag/4)
+					sim.announce(srv, policy.Draining, sim.scenario.Roster.AddLag/4)
 				}
 			} else if srv.up && !srv.silent {
 				sim.restart(srv)
@@ -65,7 +65,7 @@
 			if n := sim.nodes[index]; begin && n.up {
 				n.stoppedUntil = max(n.stoppedUntil, f.End())
 				for _, t := range n.sortedTries() {
-					sim.records.Stopped(n.index, t.id)
+					sim.records.NodeStopped(n.index, t.id)
 				}
 			}
 		}
@@ -108,8 +108,8 @@
 	for _, srv := range sim.servers {
 		srv.advance(sim) // account for the work under the old effects
 	}
-	var serverEffects []fleet.Trouble
-	sim.fleetEffects, serverEffects = fleet.InForce(sim.scenario, sim.activeFaults, sim.faultTargets, len(sim.servers))
+	var serverEffects []fleet.ServerEffects
+	sim.fleetEffects, serverEffects = fleet.ActiveEffects(sim.scenario, sim.activeFaults, sim.faultTargets, len(sim.servers))
 	for i, srv := range sim.servers {
 		srv.effects = serverEffects[i]
 	}
@@ -133,7 +133,7 @@
 
 // isCut reports whether the network between a node and a server is cut.
 func (sim *simulation) isCut(n *node, srv *server) bool {
-	if sim.fleetEffects.Cuts == 0 {
+	if sim.fleetEffects.NetworkCuts == 0 {
 		return false
 	}
 	for i := range sim.scenario.Faults {
--- a/internal/lab/model/health.go
+++ b/internal/lab/model/health.go
@@ -17,7 +17,7 @@
 // schedules of the real node. A nil checker ignores all calls that a node makes without checks.
 type checker struct {
 	node      *node
-	tracker   *health.Book
+	tracker   *health.Tracker
 	schedules [2]*health.Schedule       // of agents and of checks, by agentProbe and checkProbe; nil: none
 	applied   map[uint32]health.Verdict // by server ID: the verdict that the policy has received
 }
@@ -31,10 +31,10 @@
 // newChecker creates the checker of a node and schedules its first probes.
 func (sim *simulation) newChecker(n *node) *checker {
 	c := &checker{node: n, applied: map[uint32]health.Verdict{}}
-	pace, rules := sim.checks.Weighing(len(sim.nodes))
-	c.tracker = health.NewBook(rules)
+	pace, rules := sim.checks.ProbeRules(len(sim.nodes))
+	c.tracker = health.NewTracker(rules)
 	rng := rand.New(rand.NewPCG(sim.scenario.Seed, 0x636865636b<<16+uint64(n.index)<<8+uint64(n.incarnation)))
-	for _, name := range scenario.Sorted(sim.checks.Probers()) {
+	for _, name := range scenario.SortedKeys(sim.checks.Probers()) {
 		kind := checkProbe
 		if name == "agent" {
 			kind = agentProbe
@@ -63,7 +63,7 @@
 				schedule.Remove(e.ID)
 			}
 		}
-		if old.Out {
+		if old.Ejected {
 			sim.handle(c.node, &policy.Event{Kind: policy.EvEnable, Server: e.ID})
 		}
 	}
@@ -102,19 +102,19 @@
 		id := sim.servers[e.arg].ID
 		switch {
 		case kind == checkProbe:
-			c.tracker.Check(sim.now, id, e.token == fleet.CheckOK, e.token)
+			c.tracker.RecordCheck(sim.now, id, e.token == fleet.CheckOK, e.token)
 		default:
 			if report, _, err := health.ParseAgent(e.token); err == nil {
-				c.tracker.Agent(sim.now, id, report)
+				c.tracker.RecordAgent(sim.now, id, report)
 			}
 		}
-		if _, changed := c.tracker.Weigh(sim.now, id); changed {
+		if _, changed := c.tracker.Evaluate(sim.now, id); changed {
 			c.applyVerdict(sim, id)
 		}
-		c.schedules[kind].Done(sim.now, id, c.tracker.Spoken(sim.now, id))
+		c.schedules[kind].Done(sim.now, id, c.tracker.ServesRequests(sim.now, id))
 	case evHealthEvaluate:
 		for i := range sim.servers { // in a fixed order, for the digest
-			if _, changed := c.tracker.Weigh(sim.now, sim.servers[i].ID); changed {
+			if _, changed := c.tracker.Evaluate(sim.now, sim.servers[i].ID); changed {
 				c.applyVerdict(sim, sim.servers[i].ID)
 			}
 		}
@@ -128,13 +128,13 @@
 	if !srv.up || srv.silent || sim.isCut(n, srv) {
 		return "no answer", kind == checkProbe && !srv.up && !srv.silent
 	}
-	return fleet.Says(sim.scenario, sim.activeFaults, sim.faultTargets, srv.index, &srv.effects, kind == agentProbe, sim.now)
+	return fleet.ProbeReply(sim.scenario, sim.activeFaults, sim.faultTargets, srv.index, &srv.effects, kind == agentProbe, sim.now)
 }
 
 // requestEnded records the outcome of a request to a server.
 func (c *checker) requestEnded(now time.Duration, id uint32, o policy.Outcome) {
-	if c != nil && health.Tells(o) {
-		c.tracker.Real(now, id, o == policy.OK)
+	if c != nil && health.OutcomeCounts(o) {
+		c.tracker.RecordRequest(now, id, o == policy.OK)
 	}
 }
 
@@ -143,15 +143,15 @@
 	n, verdict, old := c.node, c.tracker.Verdict(id), c.applied[id]
 	c.applied[id] = verdict
 	index := sim.byID[id].index
-	events := health.Steps(id, old, verdict, false)
+	events := health.PolicyEvents(id, old, verdict, false)
 	for i := range events {
 		sim.handle(n, &events[i])
 	}
-	if verdict.Out != old.Out && sim.options.OnEject != nil {
-		sim.options.OnEject(sim.now, n.index, index, verdict.Out)
+	if verdict.Ejected != old.Ejected && sim.options.OnEject != nil {
+		sim.options.OnEject(sim.now, n.index, index, verdict.Ejected)
 	}
 	if verdict.Drain != old.Drain {
-		sim.records.Told(sim.now, n.index, id, n.noNewRequests(index), scenarioTime(n.entries[index].Launched))
+		sim.records.Notified(sim.now, n.index, id, n.noNewRequests(index), scenarioTime(n.entries[index].Launched))
 		if verdict.Drain {
 			sim.schedule(sim.now+sim.scenario.Rules.DrainGrace*9/10+sim.scenario.Rules.TunnelDrain, event{kind: evTunnelDeadline,
 				index: int32(n.index), generation: n.incarnation, arg: int32(index)})
--- a/internal/lab/model/health_test.go
+++ b/internal/lab/model/health_test.go
@@ -34,7 +34,7 @@
 		s.Health = &config.Health{Checks: checks}
 	}
 	first := s.Faults[0]
-	hits := s.Hits(s.Fleet())
+	hits := s.FaultTargets(s.Fleet())
 	faulty := map[int]bool{} // servers that a fault other than false reports hits
 	for i, f := range s.Faults {
 		if f.Kind == "agent_says" || f.Kind == "check_fails" {
@@ -47,7 +47,7 @@
 	const slice = 250 * time.Millisecond
 	sends := map[int]int{} // by slices after the first fault's begin
 	falseEjections := 0
-	r, err := Run(s, Options{Make: Portstall, OnSend: func(now time.Duration, _, server int) {
+	r, err := Run(s, Options{NewDecider: Portstall, OnSend: func(now time.Duration, _, server int) {
 		if faulty[server] {
 			sends[int((now-first.At+100*slice)/slice)-100]++
 		}
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		t.Errorf("%v\n%s", r.Broken, r.Breaches[0])
 	}
 	out := healthResult{valueShare: r.All.Earned / r.All.Offered,
@@ -123,7 +123,7 @@
 	if n, err := strconv.Atoi(os.Getenv("PORTSTALL_HEALTH")); err == nil {
 		seeds, brief = n, false
 	}
-	for _, name := range scenario.Sorted(healthScenarios(1)) {
+	for _, name := range scenario.SortedKeys(healthScenarios(1)) {
 		if brief && !slices.Contains([]string{"drain", "gray, agents contradict themselves", "vanish, all checks fail"}, name) {
 			continue
 		}
@@ -137,7 +137,7 @@
 			}
 		}
 		alone := sums["requests alone"]
-		for _, source := range scenario.Sorted(healthSources) {
+		for _, source := range scenario.SortedKeys(healthSources) {
 			s := sums[source]
 			t.Logf("%-40s %-15s value %.3f (%+.3f), steered away in %v, %.0f false ejections per server and day", name, source,
 				s.valueShare, s.valueShare-alone.valueShare, s.avoidDelay, s.falseEjections)
@@ -165,7 +165,7 @@
 		s.Health = &config.Health{Checks: healthSources["agents"]}
 		type nodeServer struct{ node, server int }
 		received := map[nodeServer]time.Duration{}
-		r, err := Run(s, Options{Make: Portstall, OnSend: func(now time.Duration, node, server int) {
+		r, err := Run(s, Options{NewDecider: Portstall, OnSend: func(now time.Duration, node, server int) {
 			if at, ok := received[nodeServer{node, server}]; ok {
 				latest = max(latest, now-at)
 			}
@@ -180,7 +180,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.BrokenTotal() > 0 {
+		if r.BreachTotal() > 0 {
 			t.Errorf("seed %d: %v\n%s", seed, r.Broken, r.Breaches[0])
 		}
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -44,11 +44,11 @@
 
 // PressureReporter is a Decider that reports the fleet's pressure and this node's share of the traffic to the contract
 // ledger.
-type Strained interface {
+type PressureReporter interface {
 	// Pressure returns the fleet's pressure.
 	Pressure() float64
 	// TrafficShare returns the node's share of all traffic; known is false while there is no estimate.
-	Part() (part float64, known bool)
+	TrafficShare() (part float64, known bool)
 }
 
 // Factory creates the Decider of a node.
@@ -120,7 +120,7 @@
 
 // clientRequest is one request of a client, with all its tries.
 type clientRequest struct {
-	scenario.Ask
+	scenario.Operation
 	tries int // sent so far
 }
 
@@ -156,15 +156,15 @@
 	byID           map[uint32]*server // servers by their IDs
 	nodes          []*node
 	discovery      discovery
-	arrivals       *scenario.Asks
-	cells          *cell.Terms   // nil: there are none
-	poisonDowntime time.Duration // how long a server stays down that a request has killed
-	faultTargets   [][]int       // by fault: the indexes of the servers or nodes that it hits
-	cutNodes       [][]int       // by fault: the indexes of the nodes that a cut hits
-	activeFaults   []bool        // by fault: whether it is in force
-	fleetEffects   fleet.Weather
+	arrivals       *scenario.Workload
+	cells          *cell.Settings // nil: there are none
+	poisonDowntime time.Duration  // how long a server stays down that a request has killed
+	faultTargets   [][]int        // by fault: the indexes of the servers or nodes that it hits
+	cutNodes       [][]int        // by fault: the indexes of the nodes that a cut hits
+	activeFaults   []bool         // by fault: whether it is in force
+	fleetEffects   fleet.FleetEffects
 	contracts      *contract.Table
-	records        *oracle.Book
+	records        *oracle.Records
 	recorder       *measure.Recorder
 	digest         *xxhash.Digest
 	buffer         [48]byte // scratch space for hashing
@@ -178,9 +178,9 @@
 
 // Options are the parameters of a run besides the scenario.
 type Options struct {
-	Policy  string  // name of the policy in the result
-	Make    Factory // creates the policy of each node
-	Stories bool    // record a trace of each request for breaches; costs time
+	Policy     string  // name of the policy in the result
+	NewDecider Factory // creates the policy of each node
+	Traces     bool    // record a trace of each request for breaches; costs time
 	// OnSend is called for each attempt that is sent to a server. May be nil.
 	OnSend func(now time.Duration, node, server int)
 	// OnEject is called when a node ejects a server because of agents or checks, or returns it to service. May be nil.
@@ -221,7 +221,7 @@
 	sim.records.Close(sim.now, sim.leftovers())
 	res := sim.recorder.Result()
 	res.Scenario, res.Policy, res.Seed, res.Engine = s.Name, opt.Policy, s.Seed, "model"
-	res.Trigger = s.Trigger()
+	res.Trigger = s.FirstFaultSpan()
 	res.Digest, res.Events = fmt.Sprintf("%016x", sim.digest.Sum64()), sim.eventCount
 	for rule, n := range sim.records.Counts() {
 		res.Broken[string(rule)] = n
@@ -231,8 +231,8 @@
 	}
 	for _, srv := range sim.servers {
 		srv.advance(sim)
-		possible := float64(srv.Kind.Cores) * srv.Speed * s.Duration.Seconds()
-		res.Servers = append(res.Servers, measure.ServerLoad{ID: srv.ID, Kind: srv.Kind.Name, Sent: srv.sendCount,
+		possible := float64(srv.Type.Cores) * srv.Speed * s.Duration.Seconds()
+		res.Servers = append(res.Servers, measure.ServerLoad{ID: srv.ID, Kind: srv.Type.Name, Sent: srv.sendCount,
 			Busy: srv.totalWork / possible, Fallen: srv.collapsed})
 	}
 	res.Wall = time.Since(begin).Seconds()
@@ -241,16 +241,16 @@
 
 // newSimulation prepares a run: it sets up discovery, servers and nodes and schedules the faults. Errors are left in err.
 func newSimulation(s *scenario.Scenario, opt Options) *simulation {
-	sim := &simulation{scenario: s, options: opt, settings: s.Settings(), rng: rand.New(rand.NewPCG(s.Seed, 0x6d6f64656c)), byID: map[uint32]*server{}, arrivals: s.Asks(),
-		activeFaults: make([]bool, len(s.Faults)), fleetEffects: fleet.Weather{Slowdown: 1, Storm: 1},
-		recorder: measure.New(s.Warmup, s.Duration), digest: xxhash.New()}
-	sim.contracts, sim.err = s.Contracts()
-	if c := s.Cells.At(time.Unix(0, int64(epoch))); c != nil {
-		terms, err := c.Terms()
+	sim := &simulation{scenario: s, options: opt, settings: s.Settings(), rng: rand.New(rand.NewPCG(s.Seed, 0x6d6f64656c)), byID: map[uint32]*server{}, arrivals: s.Workload(),
+		activeFaults: make([]bool, len(s.Faults)), fleetEffects: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
+		recorder: measure.NewRecorder(s.Warmup, s.Duration), digest: xxhash.New()}
+	sim.contracts, sim.err = s.ContractTable()
+	if c := s.Cells.ConfigAt(time.Unix(0, int64(epoch))); c != nil {
+		terms, err := c.Settings()
 		sim.cells, sim.err = &terms, errors.Join(sim.err, err)
 	}
 	if s.Health != nil && s.Health.Checks != nil {
-		checks, err := s.Health.Checks.Ready()
+		checks, err := s.Health.Checks.WithDefaults()
 		sim.checks, sim.err = &checks, errors.Join(sim.err, err)
 	}
 	longest := time.Duration(0)
@@ -262,13 +262,13 @@
 		sim.end = max(sim.end, s.Faults[i].End()+longest+2*time.Second)
 	}
 	list := s.Fleet()
-	sim.faultTargets = s.Hits(list)
-	sim.records = fleet.Books(s, list, 0, opt.Stories)
+	sim.faultTargets = s.FaultTargets(list)
+	sim.records = fleet.NewRecords(s, list, 0, opt.Traces)
 	for i, f := range list {
 		srv := &server{Server: f, index: i, up: true, queueReports: fleet.Reports{Period: s.Servers.Reports.Period,
 			Phase: time.Duration(sim.rng.Int64N(int64(s.Servers.Reports.Period)))}}
 		srv.heldReports.Period, srv.heldReports.Phase = srv.queueReports.Period, srv.queueReports.Phase
-		srv.queueCap, srv.slots = f.Kind.Cores*f.Kind.QueuePerCore, f.Kind.Cores*f.Kind.SlotsPerCore
+		srv.queueCap, srv.slots = f.Type.Cores*f.Type.QueuePerCore, f.Type.Cores*f.Type.SlotsPerCore
 		srv.reset()
 		sim.servers = append(sim.servers, srv)
 		sim.byID[f.ID] = srv
@@ -281,9 +281,9 @@
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		sim.cutNodes = append(sim.cutNodes, s.Hit(i+1000, len(sim.nodes), f.Nodes))
+		sim.cutNodes = append(sim.cutNodes, s.SelectTargets(i+1000, len(sim.nodes), f.Nodes))
 		sim.schedule(f.At, event{kind: evFault, index: int32(i), arg: 1})
-		if !scenario.Kinds[f.Kind].Instant {
+		if !scenario.FaultKinds[f.Kind].Instant {
 			sim.schedule(f.End(), event{kind: evFault, index: int32(i)})
 		}
 	}
@@ -301,7 +301,7 @@
 	}
 	queued := 0
 	for _, srv := range sim.servers {
-		if srv.up && !srv.silent && !srv.Kind.Keeps { // a server that completes cancelled work may still be busy
+		if srv.up && !srv.silent && !srv.Type.Keeps { // a server that completes cancelled work may still be busy
 			queued += len(srv.queue) + len(srv.running)
 		}
 	}
@@ -414,14 +414,14 @@
 // scheduleArrival schedules the next client request, if there is one.
 func (sim *simulation) scheduleArrival() {
 	if a, ok := sim.arrivals.Next(); ok {
-		sim.schedule(a.At, event{kind: evClientRequest, try: &clientTry{request: &clientRequest{Ask: a}}})
+		sim.schedule(a.At, event{kind: evClientRequest, try: &clientTry{request: &clientRequest{Operation: a}}})
 	}
 }
 
 // sendTry sends a client's request, or its retry, to the node that the front selects.
 func (sim *simulation) sendTry(req *clientRequest) {
 	req.tries++
-	sim.recorder.Try(req.At)
+	sim.recorder.RecordTry(req.At)
 	c := &sim.scenario.Classes[req.Class]
 	left := c.Deadline - (sim.now - req.At)
 	timeout := min(left, time.Duration(req.TryShare*float64(c.Deadline)))
@@ -436,8 +436,8 @@
 	t.incarnation, t.deadline = t.node.incarnation, sim.now+timeout-2*sim.scenario.Network.Client
 	sim.schedule(sim.now+way, event{kind: evAccept, index: int32(t.node.index), try: t})
 	sim.schedule(t.deadline+sim.scenario.Rules.AnswerSlack+time.Millisecond, event{kind: evClientTimeout, try: t})
-	if req.Leaves > 0 {
-		sim.schedule(sim.now+time.Duration(req.Leaves*float64(timeout)), event{kind: evClientLeave, try: t})
+	if req.LeaveShare > 0 {
+		sim.schedule(sim.now+time.Duration(req.LeaveShare*float64(timeout)), event{kind: evClientLeave, try: t})
 	}
 }
 
@@ -480,13 +480,13 @@
 	}
 	t.node.tries[t.id] = t
 	sim.recordAccepted(t)
-	sim.records.Stopped(t.node.index, t.id)
+	sim.records.NodeStopped(t.node.index, t.id)
 }
 
 // recordAccepted records that a node has accepted a request.
 func (sim *simulation) recordAccepted(t *clientTry) {
-	sim.records.Taken(sim.now, t.node.index, t.id, t.request.Class, t.deadline)
-	sim.records.Keyed(t.id, sim.scenario.Key(&t.request.Ask))
+	sim.records.Accepted(sim.now, t.node.index, t.id, t.request.Class, t.deadline)
+	sim.records.SetKey(t.id, sim.scenario.PodKey(&t.request.Operation))
 }
 
 // clientLeaves handles a client that disconnects before its timeout.
@@ -496,12 +496,12 @@
 		return
 	}
 	t.closed = true
-	sim.records.Left(sim.now, n.index, t.id)
+	sim.records.ClientLeft(sim.now, n.index, t.id)
 	if sim.now >= n.stoppedUntil {
-		sim.decide(n, t.decider, &policy.Event{Kind: policy.EvGone, ID: t.id})
+		sim.decide(n, t.decider, &policy.Event{Kind: policy.EvClientGone, ID: t.id})
 	}
 	n.removeClosed(t)
-	sim.finishTry(t, measure.Left, "client left early", 0, 0)
+	sim.finishTry(t, measure.ClientLeft, "client left early", 0, 0)
 }
 
 // clientTimesOut handles the expiry of a client's timeout.
@@ -511,12 +511,12 @@
 		return
 	}
 	t.closed = true
-	sim.records.Overdue(sim.now, n.index, t.id)
+	sim.records.ClientTimedOut(sim.now, n.index, t.id)
 	if sim.now >= n.stoppedUntil && n.tries[t.id] != nil {
-		sim.decide(n, t.decider, &policy.Event{Kind: policy.EvGone, ID: t.id})
+		sim.decide(n, t.decider, &policy.Event{Kind: policy.EvClientGone, ID: t.id})
 	}
 	n.removeClosed(t)
-	sim.finishTry(t, measure.Overdue, "no answer in time", 0, 0)
+	sim.finishTry(t, measure.TimedOut, "no answer in time", 0, 0)
 }
 
 // finishTry records how a client's try ended and decides whether the client retries. The client learns of the end after
@@ -525,10 +525,10 @@
 	req, c := t.request, &sim.scenario.Classes[t.request.Class]
 	now := sim.now + way
 	if end != measure.Served {
-		sim.recorder.Cause(req.At, cause)
+		sim.recorder.RecordCause(req.At, cause)
 		promised := end == measure.Refused || end == measure.Unreachable
-		wait, ok := fleet.Again(sim.scenario, &req.Ask, req.tries, promised, now, after, sim.fleetEffects.Storm, sim.rng.Float64())
-		if ok && end != measure.Left {
+		wait, ok := fleet.RetryDelay(sim.scenario, &req.Operation, req.tries, promised, now, after, sim.fleetEffects.RetryFactor, sim.rng.Float64())
+		if ok && end != measure.ClientLeft {
 			sim.schedule(now+wait, event{kind: evClientRetry, try: t})
 			return
 		}
@@ -538,7 +538,7 @@
 		tenant = sim.scenario.Tenants[req.Tenant].Name
 	}
 	took := now - req.At
-	sim.recorder.Ask(req.At, c.Name, tenant, end, end == measure.Served && took <= c.Aim, took, c.Worth*req.Work.Seconds())
+	sim.recorder.RecordOperation(req.At, c.Name, tenant, end, end == measure.Served && took <= c.Aim, took, c.Worth*req.Work.Seconds())
 }
 
 // sortedTries returns a node's open tries in a fixed order: by client request, then by the time of the try.
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -43,7 +43,7 @@
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(s, Options{Policy: "p", Make: m, Stories: true})
+	r, err := Run(s, Options{Policy: "p", NewDecider: m, Traces: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,13 +86,13 @@
 	base := smallScenario()
 	base.Duration = 20 * time.Second
 	for seed := range uint64(12) {
-		scenarios = append(scenarios, scenario.Draw(base, seed))
+		scenarios = append(scenarios, scenario.WithRandomFaults(base, seed))
 	}
 	for _, s := range scenarios {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			r := run(t, s, Portstall)
-			if r.BrokenTotal() > 0 {
+			if r.BreachTotal() > 0 {
 				t.Errorf("seed %d, faults %+v: %v\n%s", s.Seed, s.Faults, r.Broken, strings.Join(r.Breaches, "\n"))
 			}
 			if r.All.Asked < 100 || r.All.Served == 0 {
@@ -249,7 +249,7 @@
 		}
 		return append(out, policy.Action{Kind: policy.ActSend, ID: ev.ID, Server: selected.ID})
 	case policy.EvOutcome:
-		if !ev.Last {
+		if !ev.Final {
 			return append(out, policy.Action{Kind: policy.ActFail, ID: ev.ID})
 		}
 	}
@@ -263,7 +263,7 @@
 		s := scenario.Default()
 		s.Name, s.Nodes, s.Tenants, s.Duration, s.Warmup = "mm1", 1, nil, time.Duration(1500/(1-load))*time.Second, 10*time.Second
 		s.Servers.Count, s.Servers.Connections.HandshakeWork = 1, 0
-		s.Servers.Kinds = []scenario.Kind{{Name: "k", Share: 1, Cores: 1, Speed: 1, SlotsPerCore: 1, QueuePerCore: 10000,
+		s.Servers.Kinds = []scenario.ServerType{{Name: "k", Share: 1, Cores: 1, Speed: 1, SlotsPerCore: 1, QueuePerCore: 10000,
 			ColdFrom: 1, WarmBy: "time"}}
 		s.Network = scenario.Network{}
 		s.Clients = scenario.Clients{Arrivals: "poisson", Burstiness: 1, Load: load, WavePeriod: time.Second, TryShare: 1}
@@ -295,7 +295,7 @@
 	case policy.EvRequest:
 		return append(out, policy.Action{Kind: policy.ActSend, ID: ev.ID, Server: m.server})
 	case policy.EvOutcome:
-		m.sum += ev.Took.Seconds()
+		m.sum += ev.Elapsed.Seconds()
 		m.count++
 	}
 	return out
@@ -308,7 +308,7 @@
 	quiet := run(t, smallScenario(), Portstall)
 	faultOf := func(kind string) scenario.Fault {
 		f := scenario.Fault{Kind: kind, At: 4 * time.Second, For: 4 * time.Second}
-		use := scenario.Kinds[kind]
+		use := scenario.FaultKinds[kind]
 		if use.Share {
 			f.Share = 0.5
 		}
@@ -329,7 +329,7 @@
 		}
 		return f
 	}
-	for kind := range scenario.Kinds {
+	for kind := range scenario.FaultKinds {
 		s, quiet := smallScenario(faultOf(kind)), quiet
 		switch { // some kinds need a scenario in which they can have an effect
 		case strings.HasPrefix(kind, "proxy_"):
@@ -354,15 +354,15 @@
 		if r.Digest == quiet.Digest {
 			t.Errorf("fault %s has no effect on the run", kind)
 		}
-		if r.BrokenTotal() > 0 {
+		if r.BreachTotal() > 0 {
 			t.Errorf("%s: %v\n%s", kind, r.Broken, strings.Join(r.Breaches, "\n"))
 		}
 	}
 	harmful := []string{"vanish", "crash", "cold", "error", "slow", "heavy", "shared_slow", "flash", "zone_loss",
 		"node_crash", "node_stop"}
 	for _, kind := range harmful {
-		if r := run(t, smallScenario(faultOf(kind)), Portstall); r.All.Share() > quiet.All.Share()-0.005 {
-			t.Errorf("fault %s: %.3f of the value is served in time, %.3f without it", kind, r.All.Share(), quiet.All.Share())
+		if r := run(t, smallScenario(faultOf(kind)), Portstall); r.All.EarnedShare() > quiet.All.EarnedShare()-0.005 {
+			t.Errorf("fault %s: %.3f of the value is served in time, %.3f without it", kind, r.All.EarnedShare(), quiet.All.EarnedShare())
 		}
 	}
 }
@@ -372,7 +372,7 @@
 	s := smallScenario()
 	s.Servers.Connections.CapPerCore = 1
 	r := run(t, s, Portstall)
-	if r.BrokenTotal() > 0 || r.All.Served == 0 {
+	if r.BreachTotal() > 0 || r.All.Served == 0 {
 		t.Errorf("with two connections per server: %v %v", r.All, r.Broken)
 	}
 	if uncapped := run(t, smallScenario(), Portstall); uncapped.Attempts == r.Attempts && uncapped.Digest == r.Digest {
@@ -384,7 +384,7 @@
 	s := loadScenario(b, "smoke")
 	var events int64
 	for b.Loop() {
-		r, err := Run(s, Options{Make: Portstall})
+		r, err := Run(s, Options{NewDecider: Portstall})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -403,7 +403,7 @@
 		scenario.Fault{Kind: "crash", At: 4e9, For: 2e9, Share: 1},
 		scenario.Fault{Kind: "cold", At: 3e9, Share: 1},
 	), Portstall)
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		t.Errorf("%v\n%s", r.Broken, strings.Join(r.Breaches, "\n"))
 	}
 	if s := r.Series[5]; s.Served > 0 {
@@ -420,7 +420,7 @@
 	s := smallScenario()
 	s.Duration = 500 * time.Second
 	heap := map[int]uint64{}
-	_, err := Run(s, Options{Make: Portstall, OnSecond: func(second int, _ *measure.Recorder) {
+	_, err := Run(s, Options{NewDecider: Portstall, OnSecond: func(second int, _ *measure.Recorder) {
 		if second == 50 || second == 490 {
 			var m runtime.MemStats
 			runtime.GC()
@@ -468,9 +468,9 @@
 func TestTunnelsEndWithinDrain(t *testing.T) {
 	s := loadScenario(t, "tunnels")
 	open := 0
-	asks := s.Asks()
+	asks := s.Workload()
 	for a, ok := asks.Next(); ok; a, ok = asks.Next() {
-		if d := s.Faults[0].At; s.Classes[a.Class].Stands > 0 && a.At < d && a.At+s.Holds(&a, a.At) > d {
+		if d := s.Faults[0].At; s.Classes[a.Class].Stands > 0 && a.At < d && a.At+s.TunnelDuration(&a, a.At) > d {
 			open++
 		}
 	}
@@ -478,7 +478,7 @@
 		t.Fatalf("only %d tunnels are open when the drain begins", open)
 	}
 	r := run(t, s, Portstall)
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		t.Errorf("%v\n%s", r.Broken, r.Breaches[0])
 	}
 	if share := float64(r.All.Served) / float64(r.All.Asked); share < 0.95 {
@@ -527,7 +527,7 @@
 		sum := 0.0
 		for seed := range uint64(seeds) {
 			r, late := runWith(seed+1, c.faults)
-			if r.BrokenTotal() > 0 {
+			if r.BreachTotal() > 0 {
 				t.Errorf("%s, seed %d: %v\n%s", c.name, seed+1, r.Broken, r.Breaches[0])
 			}
 			sum += late / calm[seed]
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -16,7 +16,7 @@
 	index        int
 	decider      Decider          // replaced by an upgrade
 	prober       Prober           // the decider, if it probes servers; else nil
-	pressure     Strained         // the decider, if it reports pressure; else nil
+	pressure     PressureReporter // the decider, if it reports pressure; else nil
 	ledger       *contract.Ledger // nil where there are no contracts
 	cells        *cell.Placer     // nil where there are no cells
 	checker      *checker         // nil where nothing is checked
@@ -37,14 +37,14 @@
 // startNode starts a node with its last copy of the server list.
 func (sim *simulation) startNode(n *node) {
 	n.incarnation++
-	d, err := sim.options.Make(sim.settings, sim.scenario.Seed*1000003+uint64(n.index)*1009+uint64(n.incarnation))
+	d, err := sim.options.NewDecider(sim.settings, sim.scenario.Seed*1000003+uint64(n.index)*1009+uint64(n.incarnation))
 	if err != nil {
 		sim.err = err
 		return
 	}
 	n.decider, n.up, n.watching, n.tries = d, true, false, map[string]*clientTry{}
 	n.prober, _ = d.(Prober)
-	n.pressure, _ = d.(Strained)
+	n.pressure, _ = d.(PressureReporter)
 	if sim.contracts != nil {
 		n.ledger = contract.NewLedger(sim.contracts, sim.now, 1/float64(len(sim.nodes)))
 	}
@@ -56,11 +56,11 @@
 	}
 	var list []policy.Entry
 	for _, e := range n.entries {
-		if e.State != policy.Left {
+		if e.State != policy.Removed {
 			list = append(list, e)
 			n.updateCells(e)
 			n.checker.updateServer(sim, e)
-			sim.records.Told(sim.now, n.index, e.ID, e.State != policy.Active, scenarioTime(e.Launched))
+			sim.records.Notified(sim.now, n.index, e.ID, e.State != policy.Active, scenarioTime(e.Launched))
 		}
 	}
 	sim.handle(n, &policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: list})
@@ -96,7 +96,7 @@
 	for _, t := range tries {
 		ids = append(ids, t.id)
 	}
-	sim.records.Killed(n.index, ids)
+	sim.records.NodeKilled(n.index, ids)
 	n.incarnation++ // events scheduled for it become stale
 	for _, t := range tries {
 		for _, att := range t.attempts {
@@ -216,7 +216,7 @@
 		}
 		sim.updateLedger(n)
 		verdict := n.ledger.Admit(sim.now, sim.contracts.Find(&contract.Caller{Tenant: tenant}), class, hint, repeat)
-		if verdict.Rule != contract.Kept {
+		if verdict.Rule != contract.Admitted {
 			sim.records.Refused(sim.now, n.index, t.id)
 			t.closed = true
 			n.removeClosed(t)
@@ -224,7 +224,7 @@
 				verdict.RetryAfter)
 			return
 		}
-		t.admitted, t.verdict, overQuota = true, verdict, verdict.Borrowed
+		t.admitted, t.verdict, overQuota = true, verdict, verdict.OverQuota
 	}
 	var candidates []uint32
 	if n.cells != nil {
@@ -248,7 +248,7 @@
 	}
 	sim.decide(t.node, t.decider, &policy.Event{Kind: policy.EvRequest, ID: t.id,
 		Class: sim.scenario.Classes[t.request.Class].Name, Tenant: sim.tenantName(t),
-		Left: max(0, t.deadline-sim.now), Repeat: t.request.tries > 1, Borrowed: overQuota, Among: candidates})
+		TimeLeft: max(0, t.deadline-sim.now), Repeat: t.request.tries > 1, OverQuota: overQuota, Candidates: candidates})
 }
 
 // tenantName returns the name of a try's tenant, or an empty string if it has none.
@@ -264,7 +264,7 @@
 	c := &sim.scenario.Classes[t.request.Class]
 	r := &cell.Request{Tenant: sim.tenantName(t), Repeat: t.request.tries > 1}
 	if c.Effect == "keyed" && c.Group != "" && c.Group != "all" {
-		r.Key, r.Window = scenario.IdempotencyKey(sim.scenario, &t.request.Ask), c.Window
+		r.Key, r.Window = scenario.IdempotencyKey(sim.scenario, &t.request.Operation), c.Window
 	}
 	return r
 }
@@ -285,12 +285,12 @@
 // updateLedger passes the policy's pressure and traffic share to a node's contract ledger.
 func (sim *simulation) updateLedger(n *node) {
 	if n.pressure != nil {
-		n.ledger.Look(sim.now, n.pressure.Pressure())
-		if part, ok := n.pressure.Part(); ok {
-			n.ledger.Share(sim.now, part)
+		n.ledger.SetPressure(sim.now, n.pressure.Pressure())
+		if part, ok := n.pressure.TrafficShare(); ok {
+			n.ledger.SetTrafficShare(sim.now, part)
 		}
 	} else {
-		n.ledger.Look(sim.now, 0)
+		n.ledger.SetPressure(sim.now, 0)
 	}
 }
 
@@ -346,7 +346,7 @@
 		if n.cells != nil && t != nil && len(t.attempts) == 0 && !t.spilled && !t.closed {
 			if candidates := n.cells.Spill(epoch+sim.now, sim.placementRequest(t)); candidates != nil {
 				t.spilled = true
-				sim.submit(t, candidates, t.verdict.Borrowed)
+				sim.submit(t, candidates, t.verdict.OverQuota)
 				return
 			}
 		}
@@ -400,19 +400,19 @@
 	}
 	n.checker.requestEnded(sim.now, att.server.ID, out)
 	served := out == policy.OK && !t.closed
-	never := out == policy.Full || out == policy.ConnectFailed || out == policy.Moot
-	sim.records.Ended(sim.now, n.index, t.id, att.index, outcomeNames[out], never, served)
+	never := out == policy.QueueFull || out == policy.ConnectFailed || out == policy.NeverSent
+	sim.records.AttemptEnded(sim.now, n.index, t.id, att.index, outcomeNames[out], never, served)
 	if served {
 		t.closed = true
 	}
 	n.removeClosed(t)
-	ev := policy.Event{Kind: policy.EvOutcome, ID: t.id, Server: att.server.ID, Attempt: att.index, Took: sim.now - att.sentAt,
-		Last: t.closed, Outcome: out}
+	ev := policy.Event{Kind: policy.EvOutcome, ID: t.id, Server: att.server.ID, Attempt: att.index, Elapsed: sim.now - att.sentAt,
+		Final: t.closed, Outcome: out}
 	if att.openedAt > 0 {
-		ev.Took = att.openedAt - att.sentAt
+		ev.Elapsed = att.openedAt - att.sentAt
 	}
 	if !t.closed && t.admitted { // without budget for a retry, the policy sees a request that can't be sent again
-		ev.Spent = !n.ledger.Further(sim.now, t.verdict.Contract, sim.scenario.Classes[t.request.Class].Name)
+		ev.BodySpent = !n.ledger.AllowRetry(sim.now, t.verdict.Contract, sim.scenario.Classes[t.request.Class].Name)
 	}
 	if att.reported {
 		ev.Load = policy.Load{Known: true, Queue: att.reportedQueue, Held: att.reportedHeld}
@@ -426,8 +426,8 @@
 }
 
 // outcomeNames are the outcomes' names in traces.
-var outcomeNames = [...]string{policy.OK: "OK", policy.Failed: "Failed", policy.Full: "Full", policy.TimedOut: "TimedOut",
-	policy.ConnectFailed: "ConnectFailed", policy.Reset: "Reset", policy.Canceled: "Canceled", policy.Moot: "Moot"}
+var outcomeNames = [...]string{policy.OK: "OK", policy.Failed: "Failed", policy.QueueFull: "Full", policy.TimedOut: "TimedOut",
+	policy.ConnectFailed: "ConnectFailed", policy.Reset: "Reset", policy.Canceled: "Canceled", policy.NeverSent: "Moot"}
 
 // sendAttempt starts an attempt: on an idle connection if there is one, else on a new connection, which may fail. A send
 // for an unknown request or server is recorded as a breach and not executed.
@@ -448,7 +448,7 @@
 		sim.takeDown(srv, false)
 		srv.collapsed = true // it does not restart
 	}
-	sim.recorder.Attempt(t.request.At)
+	sim.recorder.RecordAttempt(t.request.At)
 	if sim.options.OnSend != nil {
 		sim.options.OnSend(sim.now, n.index, srv.index)
 	}
@@ -485,20 +485,20 @@
 	case !srv.up: // connection refused
 		sim.schedule(sim.now+2*way, fail)
 		att.noConnection = true
-	case !reachable || srv.effects.Backlog || srv.effects.WayLag >= c.ConnectTimeout:
+	case !reachable || srv.effects.NoNewConnections || srv.effects.ProxyDelay >= c.ConnectTimeout:
 		sim.schedule(sim.now+min(max(0, wait), c.ConnectTimeout), fail)
 		att.noConnection = true
-	case srv.effects.NoWay: // the proxy refuses, or its malformed response counts as a refusal
+	case srv.effects.ProxyRefuses: // the proxy refuses, or its malformed response counts as a refusal
 		sim.schedule(sim.now+2*way, fail)
 		att.noConnection = true
-	case srv.connections >= c.CapPerCore*srv.Kind.Cores && !sim.pruneIdle(srv):
+	case srv.connections >= c.CapPerCore*srv.Type.Cores && !sim.pruneIdle(srv):
 		sim.schedule(sim.now+2*way, fail)
 		att.noConnection = true
 	default:
 		n.connections[srv.index]++
 		srv.connections++
 		att.workLeft += c.HandshakeWork.Seconds()
-		sim.schedule(sim.now+way+time.Duration(2*(c.HandshakeRTTs+proxyRoundTrips[sim.scenario.Servers.Via]))*way+srv.effects.WayLag,
+		sim.schedule(sim.now+way+time.Duration(2*(c.HandshakeRTTs+proxyRoundTrips[sim.scenario.Servers.Via]))*way+srv.effects.ProxyDelay,
 			event{kind: evArrive, attempt: att})
 	}
 }
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -52,7 +52,7 @@
 	generation  int32         // counts changes of its schedule: an evProgress of an older one is stale
 	sendCount   int           // attempts sent to it
 
-	effects       fleet.Trouble
+	effects       fleet.ServerEffects
 	queueReports  fleet.Reports     // load reports: queue length
 	heldReports   fleet.Reports     // load reports: number of held requests
 	announcements int32             // counts its announcements to discovery; only the latest is published
@@ -61,7 +61,7 @@
 
 // reset sets a server that started long ago and has no faults.
 func (srv *server) reset() {
-	srv.launched, srv.effects = -1, fleet.Trouble{Slow: 1, Lie: 1}
+	srv.launched, srv.effects = -1, fleet.ServerEffects{Slowdown: 1, ReportFactor: 1}
 }
 
 // entry returns the server as discovery lists it.
@@ -70,7 +70,7 @@
 	if srv.launched >= 0 {
 		launched = epoch + srv.launched
 	}
-	return policy.Entry{ID: srv.ID, Zone: scenario.ZoneName(srv.Zone), Cell: int64(srv.Pod), Kind: srv.Kind.Name,
+	return policy.Entry{ID: srv.ID, Zone: scenario.ZoneName(srv.Zone), Cell: int64(srv.Pod), ServerType: srv.Type.Name,
 		Launched: launched, State: state}
 }
 
@@ -97,7 +97,7 @@
 	if srv.launched < 0 {
 		return 1
 	}
-	return fleet.Ramp(srv.Kind, srv.Speed, sim.now-srv.launched, sim.scenario.Rules.ColdFor, srv.workDone)
+	return fleet.Ramp(srv.Type, srv.Speed, sim.now-srv.launched, sim.scenario.Rules.ColdFor, srv.workDone)
 }
 
 // isWarm reports whether the server has its full capacity.
@@ -105,7 +105,7 @@
 
 // capacity returns the work that the server can do now, in seconds of work per second, without faults.
 func (srv *server) capacity(sim *simulation) float64 {
-	return float64(srv.Kind.Cores) * srv.Speed * srv.ramp(sim)
+	return float64(srv.Type.Cores) * srv.Speed * srv.ramp(sim)
 }
 
 // ratePerRequest returns the speed at which each running request progresses, in seconds of work per second.
@@ -113,8 +113,8 @@
 	if len(srv.running) == 0 {
 		return 0
 	}
-	rate := srv.Speed * srv.ramp(sim) / sim.fleetEffects.Slowdown * min(1, float64(srv.Kind.Cores)/float64(len(srv.running)))
-	held := float64(len(srv.running)+len(srv.queue)) / float64(srv.Kind.Cores)
+	rate := srv.Speed * srv.ramp(sim) / sim.fleetEffects.Slowdown * min(1, float64(srv.Type.Cores)/float64(len(srv.running)))
+	held := float64(len(srv.running)+len(srv.queue)) / float64(srv.Type.Cores)
 	if c := sim.scenario.Servers.Choke; c.By > 0 && held > c.At {
 		rate /= 1 + c.By*(held-c.At)
 	}
@@ -218,7 +218,7 @@
 		way := sim.networkDelay(sim.scenario.Network.OneWay)
 		n := int32(att.try.node.index)
 		sim.schedule(sim.now+way, event{kind: evTunnelOpen, index: n, generation: att.try.node.incarnation, attempt: att})
-		sim.schedule(sim.now+way+sim.scenario.Holds(&att.try.request.Ask, sim.now), event{kind: evOutcome, index: n,
+		sim.schedule(sim.now+way+sim.scenario.TunnelDuration(&att.try.request.Operation, sim.now), event{kind: evOutcome, index: n,
 			generation: att.try.node.incarnation, attempt: att, outcome: policy.OK})
 		return
 	}
@@ -232,16 +232,16 @@
 		return
 	}
 	switch {
-	case srv.effects.Errors > 0 && sim.rng.Float64() < srv.effects.Errors, srv.Kind.ErrorRate > 0 &&
-		sim.rng.Float64() < srv.Kind.ErrorRate:
+	case srv.effects.ErrorShare > 0 && sim.rng.Float64() < srv.effects.ErrorShare, srv.Type.ErrorRate > 0 &&
+		sim.rng.Float64() < srv.Type.ErrorRate:
 		srv.reply(sim, att, policy.Failed)
-	case srv.effects.Resets > 0 && sim.rng.Float64() < srv.effects.Resets:
+	case srv.effects.ResetShare > 0 && sim.rng.Float64() < srv.effects.ResetShare:
 		srv.reply(sim, att, policy.Reset)
 	default:
-		if srv.effects.Part > 0 && sim.rng.Float64() < srv.effects.Part {
-			att.workLeft *= srv.effects.Slow
+		if srv.effects.SlowShare > 0 && sim.rng.Float64() < srv.effects.SlowShare {
+			att.workLeft *= srv.effects.Slowdown
 		}
-		if srv.effects.Cuts > 0 && sim.rng.Float64() < srv.effects.Cuts {
+		if srv.effects.CutShare > 0 && sim.rng.Float64() < srv.effects.CutShare {
 			att.forcedOutcome = policy.Reset
 		}
 		srv.recordReports(sim)
@@ -250,7 +250,7 @@
 		} else if len(srv.queue) < srv.queueCap {
 			srv.queue = append(srv.queue, att)
 		} else {
-			srv.reply(sim, att, policy.Full)
+			srv.reply(sim, att, policy.QueueFull)
 		}
 	}
 	srv.scheduleNext(sim)
@@ -263,14 +263,14 @@
 		return
 	}
 	if out != policy.Reset {
-		queue := float64(srv.queueReports.Read(sim.now, sim.scenario.Servers.Reports.Delay+sim.fleetEffects.Lag,
-			len(srv.queue))) * srv.effects.Lie
+		queue := float64(srv.queueReports.Read(sim.now, sim.scenario.Servers.Reports.Delay+sim.fleetEffects.ReportDelay,
+			len(srv.queue))) * srv.effects.ReportFactor
 		if noise := sim.scenario.Servers.Reports.Noise; noise > 0 {
 			queue = max(0, queue*(1+noise*sim.rng.NormFloat64()))
 		}
 		att.reportedQueue, att.reportedHeld, att.reported = math.Round(queue), -1, true
 		if sim.scenario.Servers.Reports.Held {
-			att.reportedHeld = float64(srv.heldReports.Read(sim.now, sim.scenario.Servers.Reports.Delay+sim.fleetEffects.Lag,
+			att.reportedHeld = float64(srv.heldReports.Read(sim.now, sim.scenario.Servers.Reports.Delay+sim.fleetEffects.ReportDelay,
 				len(srv.queue)+len(srv.running)))
 		}
 	}
@@ -280,15 +280,15 @@
 
 // recordReports records the values for the load reports; it is called before they change.
 func (srv *server) recordReports(sim *simulation) {
-	srv.queueReports.Note(sim.now, len(srv.queue))
-	srv.heldReports.Note(sim.now, len(srv.queue)+len(srv.running))
+	srv.queueReports.Record(sim.now, len(srv.queue))
+	srv.heldReports.Record(sim.now, len(srv.queue)+len(srv.running))
 }
 
 // cancel handles the cancellation of an attempt at its server: a server that does not complete cancelled work drops the
 // running or queued request.
 func (sim *simulation) cancel(att *attempt) {
 	srv := att.server
-	if att.incarnation != srv.incarnation || !srv.up || srv.Kind.Keeps {
+	if att.incarnation != srv.incarnation || !srv.up || srv.Type.Keeps {
 		return
 	}
 	srv.advance(sim)
@@ -338,7 +338,7 @@
 	if silent {
 		notice = sim.scenario.Roster.SilentNotice
 	}
-	sim.announce(srv, policy.Left, notice)
+	sim.announce(srv, policy.Removed, notice)
 }
 
 // resetConnections resets all connections of a server and ends the attempts on them.
@@ -373,8 +373,8 @@
 	}
 	srv.up, srv.silent = true, false
 	srv.launched, srv.workDone, srv.advancedAt = sim.now, 0, sim.now
-	srv.queueReports.Start(sim.now)
-	srv.heldReports.Start(sim.now)
-	sim.records.Started(sim.now, srv.ID)
+	srv.queueReports.Reset(sim.now)
+	srv.heldReports.Reset(sim.now)
+	sim.records.ServerStarted(sim.now, srv.ID)
 	sim.announce(srv, policy.Active, sim.scenario.Roster.AddLag)
 }
--- a/internal/lab/model/state.go
+++ b/internal/lab/model/state.go
@@ -10,11 +10,11 @@
 )
 
 // Learner is a Decider whose learned state can be stored and handed to a successor.
-type Learns interface {
+type Learner interface {
 	// LearnedState returns what the policy has learned.
-	Learnt() *policy.Learnt
+	LearnedState() *policy.LearnedState
 	// Adopt takes over the learned state l.
-	Adopt(now time.Duration, l *policy.Learnt)
+	Adopt(now time.Duration, l *policy.LearnedState)
 }
 
 // persistPeriodically persists a node's state and schedules the next time.
@@ -27,21 +27,21 @@
 
 // storeState persists a node's state, if the scenario has stored state, in the encoding of the real node.
 func (sim *simulation) storeState(n *node) {
-	learner, ok := n.decider.(Learns)
+	learner, ok := n.decider.(Learner)
 	if sim.scenario.State == nil || !n.up || !ok {
 		return
 	}
-	learned := learner.Learnt()
-	s := state.Snapshot{Taken: epoch + sim.now, Fleet: "lab", Totals: learned.Totals}
+	learned := learner.LearnedState()
+	s := state.Snapshot{Taken: epoch + sim.now, Fleet: "lab", Totals: learned.TotalStats}
 	for _, k := range learned.Servers {
 		s.Servers = append(s.Servers, state.Server{ID: strconv.FormatUint(uint64(k.ID), 10), Addr: "-",
-			Started: int64(k.Launched * 1e9), Known: state.Of(k.Evidence)})
+			StartedMS: int64(k.Launched * 1e9), Stats: state.StatsOf(k.ServerStats)})
 	}
 	for _, c := range sim.scenario.Classes {
-		s.Classes = append(s.Classes, state.Class{Name: c.Name, Sums: learned.Classes[c.Name]})
+		s.Classes = append(s.Classes, state.Class{Name: c.Name, Stats: learned.Classes[c.Name]})
 	}
 	if n.ledger != nil {
-		s.Contracts = n.ledger.Left(sim.now)
+		s.Contracts = n.ledger.States(sim.now)
 	}
 	text, err := state.Encode(&s)
 	if err != nil {
@@ -52,7 +52,7 @@
 
 // restoreState loads the stored state of a node that starts, and begins to persist its state.
 func (sim *simulation) restoreState(n *node) {
-	learner, ok := n.decider.(Learns)
+	learner, ok := n.decider.(Learner)
 	if sim.scenario.State == nil || !ok {
 		return
 	}
@@ -65,13 +65,13 @@
 		sim.err = err
 		return
 	}
-	s.Age(state.Reader{Now: epoch + sim.now, Fleet: "lab", ColdFor: sim.settings.ColdFor})
-	learner.Adopt(epoch+sim.now, s.Learnt(func(stored *state.Server) (uint32, time.Duration, bool) {
+	s.Age(state.LoadContext{Now: epoch + sim.now, Fleet: "lab", ColdFor: sim.settings.ColdFor})
+	learner.Adopt(epoch+sim.now, s.LearnedState(func(stored *state.Server) (uint32, time.Duration, bool) {
 		id, _ := strconv.ParseUint(stored.ID, 10, 32) // storeState wrote a decimal number
-		return uint32(id), time.Duration(stored.Started), true
+		return uint32(id), time.Duration(stored.StartedMS), true
 	}))
 	if n.ledger != nil {
-		n.ledger.Resume(sim.now, s.Contracts, false)
+		n.ledger.Restore(sim.now, s.Contracts, false)
 	}
 }
 
@@ -82,32 +82,32 @@
 		return
 	}
 	old := n.decider
-	next, err := sim.options.Make(sim.settings, sim.scenario.Seed*1000003+uint64(n.index)*1009+uint64(sim.now))
+	next, err := sim.options.NewDecider(sim.settings, sim.scenario.Seed*1000003+uint64(n.index)*1009+uint64(sim.now))
 	if err != nil {
 		sim.err = err
 		return
 	}
 	n.decider = next
 	n.prober, _ = next.(Prober)
-	n.pressure, _ = next.(Strained)
+	n.pressure, _ = next.(PressureReporter)
 	var list []policy.Entry
 	for _, e := range n.entries {
-		if e.State != policy.Left {
+		if e.State != policy.Removed {
 			list = append(list, e)
 		}
 	}
 	sim.handle(n, &policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: list})
-	from, hasState := old.(Learns)
-	to, adopts := next.(Learns)
+	from, hasState := old.(Learner)
+	to, adopts := next.(Learner)
 	if hasState && adopts && !sim.scenario.Forgets {
-		to.Adopt(epoch+sim.now, from.Learnt())
+		to.Adopt(epoch+sim.now, from.LearnedState())
 	}
 	if n.ledger != nil {
-		left := n.ledger.Left(sim.now)
+		left := n.ledger.States(sim.now)
 		if sim.scenario.Forgets {
 			left = nil
 		}
 		n.ledger = contract.NewLedger(sim.contracts, sim.now, 1/float64(len(sim.nodes)))
-		n.ledger.Resume(sim.now, left, true)
+		n.ledger.Restore(sim.now, left, true)
 	}
 }
--- a/internal/lab/model/state_test.go
+++ b/internal/lab/model/state_test.go
@@ -16,7 +16,7 @@
 func earlyShares(t *testing.T, s scenario.Scenario, from ...time.Duration) (value, refused float64) {
 	t.Helper()
 	r := run(t, s, Portstall)
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		t.Fatalf("seed %d: %v\n%s", s.Seed, r.Broken, r.Breaches[0])
 	}
 	var offered, earned, asked, refusals float64
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -45,14 +45,14 @@
 }
 
 // Limits are the limits that the rules apply to the nodes.
-type Figures struct {
-	MaxAttempts  int
-	AnswerSlack  time.Duration // a response may come this much after the client's timeout
-	DrainGrace   time.Duration // new requests may be sent to a server for this long after its drain was announced
-	TunnelDrain  time.Duration // an open tunnel may last this much longer than the grace
-	WindowSlack  time.Duration // precision of the clocks of a real run, for the window of a key
-	FallMultiple float64       // a cold server's budget is this multiple of what its present capacity can do in ColdWindow
-	FallFor      time.Duration // the window of a cold server's budget
+type Limits struct {
+	MaxAttempts   int
+	ResponseSlack time.Duration // a response may come this much after the client's timeout
+	DrainGrace    time.Duration // new requests may be sent to a server for this long after its drain was announced
+	TunnelDrain   time.Duration // an open tunnel may last this much longer than the grace
+	WindowSlack   time.Duration // precision of the clocks of a real run, for the window of a key
+	ColdMultiple  float64       // a cold server's budget is this multiple of what its present capacity can do in ColdWindow
+	ColdWindow    time.Duration // the window of a cold server's budget
 	// MeanWork is the mean work of a request in seconds. It allows for random variation of a cold server's work: where its
 	// budget is N mean requests, 2 x root of N + 2 more are allowed. At 0 none are.
 	MeanWork float64
@@ -137,8 +137,8 @@
 
 // Records are the records of a run: its open requests, what the nodes were notified of, and the breaches found.
 // Requests are removed at their end, so that memory does not grow with time. Not safe for concurrent use.
-type Book struct {
-	limits          Figures
+type Records struct {
+	limits          Limits
 	classes         []Class
 	servers         map[uint32]Server
 	requests        map[string]*request
@@ -155,8 +155,8 @@
 const MaxBreaches = 20
 
 // New creates records for a number of nodes. With traces, breaches include the events of their request.
-func New(limits Figures, classes []Class, nodes int, traces bool) *Book {
-	rec := &Book{limits: limits, classes: classes, servers: map[uint32]Server{}, requests: map[string]*request{},
+func New(limits Limits, classes []Class, nodes int, traces bool) *Records {
+	rec := &Records{limits: limits, classes: classes, servers: map[uint32]Server{}, requests: map[string]*request{},
 		keys: map[string][]keyedAttempt{},
 		cold: map[uint32]*coldServer{}, counts: map[Rule]int{}, traces: traces}
 	for range nodes {
@@ -166,16 +166,16 @@
 }
 
 // AddServer adds a server to those that requests may be sent to.
-func (rec *Book) AddServer(s Server) { rec.servers[s.ID] = s }
+func (rec *Records) AddServer(s Server) { rec.servers[s.ID] = s }
 
 // Counts returns the number of breaches of each rule.
-func (rec *Book) Counts() map[Rule]int { return rec.counts }
+func (rec *Records) Counts() map[Rule]int { return rec.counts }
 
 // Breaches returns the first MaxBreaches breaches.
-func (rec *Book) Breaches() []Breach { return rec.breaches }
+func (rec *Records) Breaches() []Breach { return rec.breaches }
 
 // BreachCount returns the number of breaches of all rules.
-func (rec *Book) BreachCount() int {
+func (rec *Records) BreachCount() int {
 	n := 0
 	for _, c := range rec.counts {
 		n += c
@@ -184,7 +184,7 @@
 }
 
 // addBreach counts a breach, and stores it if there is room.
-func (rec *Book) addBreach(rule Rule, at time.Duration, node int, id, format string, args ...any) {
+func (rec *Records) addBreach(rule Rule, at time.Duration, node int, id, format string, args ...any) {
 	rec.counts[rule]++
 	if len(rec.breaches) >= MaxBreaches {
 		return
@@ -206,14 +206,14 @@
 }
 
 // addTrace adds an event to a request's trace if traces are recorded. A trace has at most 60 entries.
-func (rec *Book) addTrace(r *request, at time.Duration, format string, args ...any) {
+func (rec *Records) addTrace(r *request, at time.Duration, format string, args ...any) {
 	if rec.traces && len(r.trace) < 60 {
 		r.trace = append(r.trace, traceEntry{at, format, args})
 	}
 }
 
 // Accepted records that a node has accepted a request whose client's timeout expires at until.
-func (rec *Book) Taken(at time.Duration, node int, id string, class int, until time.Duration) {
+func (rec *Records) Accepted(at time.Duration, node int, id string, class int, until time.Duration) {
 	if rec.requests[id] != nil {
 		rec.addBreach(UnknownTarget, at, node, id, "id %s is taken twice", id)
 		return
@@ -226,7 +226,7 @@
 // Sent records that a node starts an attempt. work is the mean work of the request's class in seconds, capacity the
 // work that the server can do now in seconds per second. Both matter only for a cold server; capacity is 0 for a warm
 // one.
-func (rec *Book) Sent(at time.Duration, node int, id string, server uint32, work, capacity float64) {
+func (rec *Records) Sent(at time.Duration, node int, id string, server uint32, work, capacity float64) {
 	r, s := rec.requests[id], rec.servers[server]
 	if r == nil || r.node != node {
 		rec.addBreach(FinalResponse, at, node, id, "%s is sent though it has its final answer, or was never taken", id)
@@ -280,7 +280,7 @@
 
 // SetKey records that an accepted request has a key, which must stay in one pod for the window of its class, also when
 // other requests have the same key.
-func (rec *Book) Keyed(id, key string) {
+func (rec *Records) SetKey(id, key string) {
 	if r := rec.requests[id]; r != nil {
 		r.key = key
 	}
@@ -288,7 +288,7 @@
 
 // checkKey checks that a key was not sent to another pod, and records the attempt. Expired keys are removed from time
 // to time.
-func (rec *Book) checkKey(at time.Duration, node int, id string, r *request, s Server) {
+func (rec *Records) checkKey(at time.Duration, node int, id string, r *request, s Server) {
 	const sweepInterval = 4096
 	if rec.keyedSinceSweep++; rec.keyedSinceSweep%sweepInterval == 0 {
 		maps.DeleteFunc(rec.keys, func(_ string, all []keyedAttempt) bool { return at > all[len(all)-1].at+r.class.Window })
@@ -307,7 +307,7 @@
 // recordColdWork records work that is sent to a cold server and checks its budget. An overload counts as a breach only
 // if nodes that were notified of the start sent at least two thirds of the work: the others could not know that the
 // server is cold.
-func (rec *Book) recordColdWork(at time.Duration, node int, server uint32, work, capacity float64) {
+func (rec *Records) recordColdWork(at time.Duration, node int, server uint32, work, capacity float64) {
 	c := rec.cold[server]
 	if c == nil {
 		return
@@ -322,14 +322,14 @@
 	if knows {
 		c.informedSum += work
 	}
-	for len(c.window) > 0 && c.window[0].at < at-rec.limits.FallFor {
+	for len(c.window) > 0 && c.window[0].at < at-rec.limits.ColdWindow {
 		c.sum -= c.window[0].work
 		if c.window[0].informed {
 			c.informedSum -= c.window[0].work
 		}
 		c.window = c.window[1:]
 	}
-	budget := rec.limits.FallMultiple * capacity * rec.limits.FallFor.Seconds()
+	budget := rec.limits.ColdMultiple * capacity * rec.limits.ColdWindow.Seconds()
 	budget += 2*math.Sqrt(budget*rec.limits.MeanWork) + 2*rec.limits.MeanWork // in requests: N + 2 x root of N + 2
 	if c.sum <= budget || c.overloaded {
 		return
@@ -337,19 +337,19 @@
 	c.overloaded = true
 	if c.informedSum >= c.sum*2/3 {
 		rec.addBreach(Cold, at, node, "", "server %d, cold since %v, was sent %.2f s of work within %v; it bears %.2f",
-			server, c.launched, c.sum, rec.limits.FallFor, budget)
+			server, c.launched, c.sum, rec.limits.ColdWindow, budget)
 	}
 }
 
 // Overloaded reports whether the work that was sent to a cold server has exceeded its budget.
-func (rec *Book) Overloaded(server uint32) bool {
+func (rec *Records) Overloaded(server uint32) bool {
 	c := rec.cold[server]
 	return c != nil && c.overloaded
 }
 
 // AttemptEnded records the outcome of an attempt. neverRan is set if the outcome proves that the request did not run;
 // served is set if the outcome is the request's final response.
-func (rec *Book) Ended(at time.Duration, node int, id string, index int, outcome string, neverRan, served bool) {
+func (rec *Records) AttemptEnded(at time.Duration, node int, id string, index int, outcome string, neverRan, served bool) {
 	r := rec.requests[id]
 	if r == nil || index >= len(r.attempts) || !r.attempts[index].open {
 		rec.addBreach(UnknownTarget, at, node, id, "attempt %d of %s ends, but it is not out", index, id)
@@ -377,7 +377,7 @@
 }
 
 // Refused records a refusal, a final response that promises that another try is harmless.
-func (rec *Book) Refused(at time.Duration, node int, id string) {
+func (rec *Records) Refused(at time.Duration, node int, id string) {
 	if r := rec.requests[id]; r != nil {
 		c := r.class
 		runsOnce := c.Effect == "unsafe" || c.Effect == "keyed" && c.Group != "all" && c.Group != ""
@@ -390,18 +390,18 @@
 }
 
 // Failed records a failure, a final response that promises nothing.
-func (rec *Book) Failed(at time.Duration, node int, id string) {
+func (rec *Records) Failed(at time.Duration, node int, id string) {
 	rec.recordFinal(at, node, id, "failed")
 }
 
 // Served records that the client has received a server's response. The model reports this with AttemptEnded, except for
 // tunnels; the rig observes clients and servers separately and reports it here.
-func (rec *Book) Served(at time.Duration, node int, id string) {
+func (rec *Records) Served(at time.Duration, node int, id string) {
 	rec.recordFinal(at, node, id, "served")
 }
 
 // recordFinal records a final response to a request, which must be open.
-func (rec *Book) recordFinal(at time.Duration, node int, id, what string) {
+func (rec *Records) recordFinal(at time.Duration, node int, id, what string) {
 	r := rec.requests[id]
 	if r == nil {
 		rec.addBreach(FinalResponse, at, node, id, "%s is %s though it has its final answer, or was never taken", id, what)
@@ -412,18 +412,18 @@
 }
 
 // recordResponse checks a final response: it must be the only one, and in time.
-func (rec *Book) recordResponse(at time.Duration, r *request, id, what string) {
+func (rec *Records) recordResponse(at time.Duration, r *request, id, what string) {
 	rec.addTrace(r, at, "final answer: %s", what)
 	if r.responses++; r.responses > 1 || r.clientLeft {
 		rec.addBreach(FinalResponse, at, r.node, id, "answered a second time (%s), or after its client had left", what)
 	}
-	if at > r.deadline+rec.limits.AnswerSlack && !r.excused {
+	if at > r.deadline+rec.limits.ResponseSlack && !r.excused {
 		rec.addBreach(FinalResponse, at, r.node, id, "%s %v after its client's time was up", what, at-r.deadline)
 	}
 }
 
 // ClientLeft records that the client disconnected before its timeout. The request needs no response any more.
-func (rec *Book) Left(at time.Duration, node int, id string) {
+func (rec *Records) ClientLeft(at time.Duration, node int, id string) {
 	if r := rec.requests[id]; r != nil {
 		rec.addTrace(r, at, "client has gone")
 		r.clientLeft = true
@@ -432,7 +432,7 @@
 }
 
 // ClientTimedOut records that the client's timeout expired without a response.
-func (rec *Book) Overdue(at time.Duration, node int, id string) {
+func (rec *Records) ClientTimedOut(at time.Duration, node int, id string) {
 	if r := rec.requests[id]; r != nil && r.responses == 0 && !r.clientLeft {
 		if !r.excused {
 			rec.addBreach(FinalResponse, at, node, id, "no answer until its client gave up at %v", r.deadline)
@@ -443,7 +443,7 @@
 }
 
 // removeClosed removes a request that has its final response, or lost its client, and has no open attempts.
-func (rec *Book) removeClosed(id string, r *request) {
+func (rec *Records) removeClosed(id string, r *request) {
 	if (r.responses > 0 || r.clientLeft) && r.open == 0 {
 		delete(rec.requests, id)
 	}
@@ -451,7 +451,7 @@
 
 // Notified records that a node was notified of a server's state. out is set if the server drains or is removed;
 // launched is its last start, 0 for long ago.
-func (rec *Book) Told(at time.Duration, node int, server uint32, out bool, launched time.Duration) {
+func (rec *Records) Notified(at time.Duration, node int, server uint32, out bool, launched time.Duration) {
 	last := rec.notices[node][server]
 	switch {
 	case !out:
@@ -464,30 +464,30 @@
 }
 
 // ServerStarted records that a server has started and is cold.
-func (rec *Book) Started(at time.Duration, server uint32) {
+func (rec *Records) ServerStarted(at time.Duration, server uint32) {
 	rec.cold[server] = &coldServer{launched: at}
 }
 
 // NodeKilled records that a node was killed. The requests ids that it held need no response any more.
-func (rec *Book) Killed(node int, ids []string) {
+func (rec *Records) NodeKilled(node int, ids []string) {
 	for _, id := range ids {
 		delete(rec.requests, id)
 	}
 }
 
 // NodeStopped records that the node of a request is stopped for some time. The request may get its response late.
-func (rec *Book) Stopped(node int, id string) {
+func (rec *Records) NodeStopped(node int, id string) {
 	if r := rec.requests[id]; r != nil && r.node == node {
 		r.excused = true
 	}
 }
 
 // OpenRequests returns the number of requests that are not over.
-func (rec *Book) OpenRequests() int { return len(rec.requests) }
+func (rec *Records) OpenRequests() int { return len(rec.requests) }
 
 // Close checks that no request is open at the end of a run. left has the numbers of other resources that must not
 // remain, such as timers and connections.
-func (rec *Book) Close(at time.Duration, left map[string]int) {
+func (rec *Records) Close(at time.Duration, left map[string]int) {
 	if n := len(rec.requests); n > 0 {
 		id, first := "", ""
 		for id = range rec.requests {
@@ -505,4 +505,4 @@
 }
 
 // IsOpen reports whether a request is not over.
-func (rec *Book) Holds(id string) bool { return rec.requests[id] != nil }
+func (rec *Records) IsOpen(id string) bool { return rec.requests[id] != nil }
--- a/internal/lab/peer/peer.go
+++ b/internal/lab/peer/peer.go
@@ -117,12 +117,12 @@
 		if c < 0 || p.requests[ev.ID] != nil {
 			return out
 		}
-		r := &request{class: &p.settings.Classes[c], deadline: now + ev.Left}
+		r := &request{class: &p.settings.Classes[c], deadline: now + ev.TimeLeft}
 		p.requests[ev.ID] = r
 		return p.sendAttempt(ev.ID, r, nil, out)
 	case policy.EvOutcome:
 		return p.attemptEnded(ev, out)
-	case policy.EvGone:
+	case policy.EvClientGone:
 		if r := p.requests[ev.ID]; r != nil {
 			r.clientGone = true
 			if r.open {
@@ -212,18 +212,18 @@
 	r.open = false
 	if ev.Outcome == policy.OK {
 		if s.latency == 0 {
-			s.latency = ev.Took.Seconds()
+			s.latency = ev.Elapsed.Seconds()
 		}
-		s.latency += (ev.Took.Seconds() - s.latency) * 0.1
+		s.latency += (ev.Elapsed.Seconds() - s.latency) * 0.1
 	}
-	if ev.Last || r.clientGone {
+	if ev.Final || r.clientGone {
 		delete(p.requests, ev.ID)
 		return out
 	}
-	if r.mayRun == nil && ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.Moot {
+	if r.mayRun == nil && ev.Outcome != policy.QueueFull && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.NeverSent {
 		r.mayRun, r.mayRunAt = s, r.sentAt
 	}
-	if r.attempts >= p.maxAttempts || ev.Spent {
+	if r.attempts >= p.maxAttempts || ev.BodySpent {
 		return p.finish(ev.ID, r, out)
 	}
 	return p.sendAttempt(ev.ID, r, s, out)
@@ -242,7 +242,7 @@
 	}
 	if ev.List != policy.ListDelta {
 		for _, s := range p.servers {
-			s.State = policy.Left
+			s.State = policy.Removed
 		}
 	}
 	for _, e := range ev.Entries {
@@ -254,7 +254,7 @@
 	}
 	p.ordered = p.ordered[:0]
 	for _, s := range p.servers {
-		if s.State != policy.Left || s.inFlight > 0 {
+		if s.State != policy.Removed || s.inFlight > 0 {
 			p.ordered = append(p.ordered, s)
 		}
 	}
--- a/internal/lab/peer/peer_test.go
+++ b/internal/lab/peer/peer_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := model.Run(s, model.Options{Policy: name, Make: make, Stories: true})
+	r, err := model.Run(s, model.Options{Policy: name, NewDecider: make, Traces: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,11 +51,11 @@
 				}
 				return
 			}
-			if r.BrokenTotal() > 0 {
+			if r.BreachTotal() > 0 {
 				t.Errorf("%v\n%s", r.Broken, r.Breaches[0])
 			}
-			if r.All.Share() < 0.3 {
-				t.Errorf("only %.2f of the value is served in time", r.All.Share())
+			if r.All.EarnedShare() < 0.3 {
+				t.Errorf("only %.2f of the value is served in time", r.All.EarnedShare())
 			}
 		})
 	}
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -29,9 +29,9 @@
 	dialer := &net.Dialer{Timeout: time.Second}
 	dial := dialer.DialContext
 	if protocol != "" {
-		proxy := tunnel.Proxy{Kind: tunnel.SOCKS5, Addr: tunnelAddr}
+		proxy := tunnel.Proxy{Protocol: tunnel.SOCKS5, Addr: tunnelAddr}
 		if protocol == "connect" {
-			proxy.Kind = tunnel.Connect
+			proxy.Protocol = tunnel.Connect
 		}
 		dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return proxy.Dial(ctx, dialer, routeHost+":80")
@@ -50,11 +50,11 @@
 
 // runOperation makes the tries of one operation, for as long as a retry is allowed and can still be in time, and
 // records its ending.
-func (r *rig) runOperation(op scenario.Ask) {
+func (r *rig) runOperation(op scenario.Operation) {
 	class := &r.scenario.Classes[op.Class]
 	for tries := 1; ; tries++ {
 		r.mu.Lock()
-		r.recorder.Try(op.At)
+		r.recorder.RecordTry(op.At)
 		r.mu.Unlock()
 		send := r.sendRequest
 		if class.Stands > 0 {
@@ -63,14 +63,14 @@
 		result := send(&op, tries)
 		now := r.now()
 		r.mu.Lock()
-		storm := r.conditions.Storm
+		storm := r.conditions.RetryFactor
 		if result.ending != measure.Served {
-			r.recorder.Cause(op.At, result.cause)
+			r.recorder.RecordCause(op.At, result.cause)
 		}
 		r.mu.Unlock()
-		if result.ending != measure.Served && result.ending != measure.Left {
+		if result.ending != measure.Served && result.ending != measure.ClientLeft {
 			promised := result.ending == measure.Refused || result.ending == measure.Unreachable
-			if wait, ok := fleet.Again(r.scenario, &op, tries, promised, now, result.retryAfter, storm, rand.Float64()); ok {
+			if wait, ok := fleet.RetryDelay(r.scenario, &op, tries, promised, now, result.retryAfter, storm, rand.Float64()); ok {
 				select {
 				case <-time.After(wait):
 					continue
@@ -84,7 +84,7 @@
 		}
 		r.mu.Lock()
 		took := now - op.At
-		r.recorder.Ask(op.At, class.Name, tenant, result.ending, result.ending == measure.Served && took <= class.Aim, took,
+		r.recorder.RecordOperation(op.At, class.Name, tenant, result.ending, result.ending == measure.Served && took <= class.Aim, took,
 			class.Worth*op.Work.Seconds())
 		r.mu.Unlock()
 		return
@@ -108,7 +108,7 @@
 }
 
 // newRequest returns the HTTP request of one try.
-func newRequest(ctx context.Context, addr, id string, s *scenario.Scenario, op *scenario.Ask, tries int,
+func newRequest(ctx context.Context, addr, id string, s *scenario.Scenario, op *scenario.Operation, tries int,
 	timeout time.Duration) (*http.Request, error) {
 	class := &s.Classes[op.Class]
 	method, body := http.MethodGet, ""
@@ -143,7 +143,7 @@
 }
 
 // sendRequest is one try of an operation: it sends one request to a node and records the outcome.
-func (r *rig) sendRequest(op *scenario.Ask, tries int) outcome {
+func (r *rig) sendRequest(op *scenario.Operation, tries int) outcome {
 	class := &r.scenario.Classes[op.Class]
 	startedAt := r.now()
 	timeout := min(class.Deadline-(startedAt-op.At), time.Duration(op.TryShare*float64(class.Deadline)))
@@ -157,9 +157,9 @@
 	id := fmt.Sprintf("%d-%d-%x", op.Index, tries, r.scenario.Seed)
 	deadline := startedAt + timeout
 	wait := timeout + r.scenario.Rules.AnswerSlack + r.options.Slack
-	leavesEarly := op.Leaves > 0
+	leavesEarly := op.LeaveShare > 0
 	if leavesEarly {
-		wait = time.Duration(op.Leaves * float64(timeout))
+		wait = time.Duration(op.LeaveShare * float64(timeout))
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, wait)
 	defer cancel()
@@ -168,7 +168,7 @@
 		if i.Err == nil && !sent.Swap(true) {
 			r.mu.Lock()
 			r.appendRecord(record{kind: requestSent, at: startedAt, node: n.index, id: id, class: op.Class,
-				key: r.scenario.Key(op), deadline: deadline})
+				key: r.scenario.PodKey(op), deadline: deadline})
 			r.mu.Unlock()
 		}
 	}})
@@ -226,9 +226,9 @@
 	case err == nil:
 		return outcome{ending: measure.Failed, cause: "failed: answered " + strconv.Itoa(status)}, requestFailed
 	case expired && leavesEarly:
-		return outcome{ending: measure.Left, cause: "client left early"}, clientLeft
+		return outcome{ending: measure.ClientLeft, cause: "client left early"}, clientLeft
 	case errors.Is(err, context.DeadlineExceeded) || expired:
-		return outcome{ending: measure.Overdue, cause: "no answer in time"}, clientTimedOut
+		return outcome{ending: measure.TimedOut, cause: "no answer in time"}, clientTimedOut
 	case status == http.StatusOK: // a truncated response, which the client recognizes
 		return outcome{ending: measure.Failed, cause: "failed: the answer broke off"}, requestFailed
 	case !sent:
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -27,7 +27,7 @@
 
 // listEntry is an entry of the server list. Only its exported part is sent.
 type listEntry struct {
-	standin.Listed
+	standin.ServerEntry
 
 	index      int
 	launchedAt time.Duration // scenario time; negative: long ago
--- a/internal/lab/rig/fault.go
+++ b/internal/lab/rig/fault.go
@@ -102,13 +102,13 @@
 			r.addError(r.proxies[0].Start())
 		}
 	case "proxy_nonsense", "proxy_slow":
-		proxyFault, delay := standin.Nothing, time.Duration(0)
+		proxyFault, delay := standin.NoFault, time.Duration(0)
 		if begin && f.Kind == "proxy_slow" {
 			delay = f.Delay
 		} else if begin {
-			proxyFault = standin.Nonsense
+			proxyFault = standin.MalformedReply
 		}
-		r.proxies[0].Trouble(proxyFault, delay)
+		r.proxies[0].SetFault(proxyFault, delay)
 	case "roster_down":
 		r.discovery.setDown(begin)
 	default:
@@ -148,8 +148,8 @@
 // updateEffects computes the effects of all active faults on the servers and the load, and sets them.
 func (r *rig) updateEffects() {
 	r.mu.Lock()
-	var effects []fleet.Trouble
-	r.conditions, effects = fleet.InForce(r.scenario, r.activeFaults, r.targets, len(r.servers))
+	var effects []fleet.ServerEffects
+	r.conditions, effects = fleet.ActiveEffects(r.scenario, r.activeFaults, r.targets, len(r.servers))
 	r.mu.Unlock()
 	for i, v := range r.servers {
 		v.mu.Lock()
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -24,17 +24,17 @@
 			return measure.Result{}, fmt.Errorf("addr: %s is no loopback address", addr)
 		}
 	}
-	r := &rig{scenario: &s, options: Options{Slack: Slack}, ctx: ctx, startedAt: time.Now(),
-		conditions: fleet.Weather{Slowdown: 1, Storm: 1},
+	r := &rig{scenario: &s, options: Options{Slack: DefaultSlack}, ctx: ctx, startedAt: time.Now(),
+		conditions: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
 		finished:   true, // no records for the rules
-		recorder:   measure.New(s.Warmup, s.Duration)}
+		recorder:   measure.NewRecorder(s.Warmup, s.Duration)}
 	for i, addr := range addrs {
 		n := &node{rig: r, index: i, addr: addr, client: newClient("", ""), running: true, inRotation: true}
 		defer n.client.CloseIdleConnections()
 		r.nodes = append(r.nodes, n)
 	}
 	var wg sync.WaitGroup
-	r.runArrivals(func(op scenario.Ask) {
+	r.runArrivals(func(op scenario.Operation) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -50,8 +50,8 @@
 
 // runArrivals calls do for each operation at its start time. It returns true after the last one, and false if the run
 // is cancelled before.
-func (r *rig) runArrivals(do func(op scenario.Ask)) bool {
-	workload := r.scenario.Asks()
+func (r *rig) runArrivals(do func(op scenario.Operation)) bool {
+	workload := r.scenario.Workload()
 	for {
 		op, ok := workload.Next()
 		if !ok {
--- a/internal/lab/rig/node.go
+++ b/internal/lab/rig/node.go
@@ -46,7 +46,7 @@
 		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": rig.discovery.addrs[n.index],
 		"seed":   fmt.Sprintf("%x-%d-%d", rig.scenario.Seed, n.index, time.Now().UnixNano()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 4096},
-		"known":  list, "settings": rig.scenario.Wire(),
+		"known":  list, "settings": rig.scenario.NodeSettings(),
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -109,7 +109,7 @@
 // productFile returns the node's product file: the scenario's, completed with the addresses of this run.
 func (n *node) productFile() config.File {
 	s, file := n.rig.scenario, n.rig.scenario.File
-	file.Cells = s.Cells.At(n.rig.plannedStart)
+	file.Cells = s.Cells.ConfigAt(n.rig.plannedStart)
 	if n.rig.usesAgents {
 		health, checks, agent := *file.Health, *file.Health.Checks, *file.Health.Checks.Agent
 		agent.Port = agentPort
--- a/internal/lab/rig/record.go
+++ b/internal/lab/rig/record.go
@@ -96,7 +96,7 @@
 	defer r.mu.Unlock()
 	n := r.attemptCounts[id]
 	r.attemptCounts[id]++
-	r.recorder.Attempt(at)
+	r.recorder.RecordAttempt(at)
 	r.appendRecord(record{kind: attemptArrived, at: at, id: id, server: v.index, attempt: n, capacity: capacity})
 	if !r.finished {
 		r.openAttempts[attemptKey(id, n)] = true
@@ -123,9 +123,9 @@
 }
 
 // checkRules passes all records in the order of their times to the rule checker, and returns it. The caller holds r.mu.
-func (r *rig) checkRules(end time.Duration) *oracle.Book {
+func (r *rig) checkRules(end time.Duration) *oracle.Records {
 	slack := r.options.Slack
-	checker := fleet.Books(r.scenario, r.scenario.Fleet(), slack, true)
+	checker := fleet.NewRecords(r.scenario, r.scenario.Fleet(), slack, true)
 	reorderCrossedEnds(r.records, slack)
 	slices.SortStableFunc(r.records, func(a, b record) int { return cmp.Compare(a.at, b.at) })
 	sent := map[string]record{} // requestSent record of each request
@@ -145,15 +145,15 @@
 		request, known := sent[rec.id]
 		switch rec.kind {
 		case serverListed:
-			checker.Told(rec.at, rec.node, r.servers[rec.server].ID, rec.flag, rec.launchedAt)
+			checker.Notified(rec.at, rec.node, r.servers[rec.server].ID, rec.flag, rec.launchedAt)
 		case serverStarted:
-			checker.Started(rec.at, r.servers[rec.server].ID)
+			checker.ServerStarted(rec.at, r.servers[rec.server].ID)
 		case requestSent:
 			held[rec.node][rec.id] = true
-			checker.Taken(rec.at, rec.node, rec.id, rec.class, rec.deadline)
-			checker.Keyed(rec.id, rec.key)
+			checker.Accepted(rec.at, rec.node, rec.id, rec.class, rec.deadline)
+			checker.SetKey(rec.id, rec.key)
 			if suspended[rec.node] {
-				checker.Stopped(rec.node, rec.id)
+				checker.NodeStopped(rec.node, rec.id)
 			}
 		case attemptArrived:
 			if known && lost[rec.id] {
@@ -165,8 +165,8 @@
 		case attemptEnded:
 			if !lost[rec.id] && openAttempts[attemptKey(rec.id, rec.attempt)] {
 				delete(openAttempts, attemptKey(rec.id, rec.attempt))
-				if checker.Holds(rec.id) {
-					checker.Ended(rec.at, request.node, rec.id, rec.attempt, "over at its server", rec.notRun, false)
+				if checker.IsOpen(rec.id) {
+					checker.AttemptEnded(rec.at, request.node, rec.id, rec.attempt, "over at its server", rec.notRun, false)
 				}
 			}
 		case requestServed, requestFailed, requestRefused:
@@ -184,15 +184,15 @@
 			}
 		case clientLeft:
 			delete(held[request.node], rec.id)
-			checker.Left(rec.at, request.node, rec.id)
+			checker.ClientLeft(rec.at, request.node, rec.id)
 		case clientTimedOut, connectionBroken:
 			if rec.flag { // the node was killed meanwhile
 				lost[rec.id] = true
-				checker.Killed(request.node, []string{rec.id})
+				checker.NodeKilled(request.node, []string{rec.id})
 			}
 			if !lost[rec.id] {
 				delete(held[request.node], rec.id)
-				checker.Overdue(rec.at, request.node, rec.id)
+				checker.ClientTimedOut(rec.at, request.node, rec.id)
 			}
 		case nodeKilled:
 			var ids []string
@@ -201,11 +201,11 @@
 				lost[id] = true
 			}
 			held[rec.node] = map[string]bool{}
-			checker.Killed(rec.node, ids)
+			checker.NodeKilled(rec.node, ids)
 		case nodeSuspended:
 			suspended[rec.node] = rec.flag
 			for id := range held[rec.node] {
-				checker.Stopped(rec.node, id)
+				checker.NodeStopped(rec.node, id)
 			}
 		}
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -26,7 +26,7 @@
 
 // DefaultSlack is added to the time limits of the rules: events are seen late, as they pass through sockets and
 // goroutines.
-const Slack = 50 * time.Millisecond
+const DefaultSlack = 50 * time.Millisecond
 
 // startupAllowance is the time in which all stand-ins and nodes have to start where the nodes' configuration depends on
 // the time at which the scenario starts.
@@ -39,7 +39,7 @@
 type Options struct {
 	Binary string // path of the portstall binary
 	// Progress is called every second with the results so far; may be nil.
-	Watch func(second int, r measure.Result)
+	Progress func(second int, r measure.Result)
 	// Slack is added to the time limits of the rules; 0 means DefaultSlack.
 	Slack time.Duration
 }
@@ -61,7 +61,7 @@
 	wg           sync.WaitGroup
 
 	mu            sync.Mutex
-	conditions    fleet.Weather
+	conditions    fleet.FleetEffects
 	activeFaults  []bool
 	recorder      *measure.Recorder
 	records       []record
@@ -74,7 +74,7 @@
 // Run runs a scenario. The error is one of the stand-ins or the nodes; breaches of rules are part of the result.
 func Run(ctx context.Context, s scenario.Scenario, options Options) (measure.Result, error) {
 	for i, f := range s.Faults {
-		if !scenario.Kinds[f.Kind].Rig {
+		if !scenario.FaultKinds[f.Kind].Rig {
 			return measure.Result{}, fmt.Errorf(
 				"faults[%d].kind: the rig does not support %s: all its nodes and servers share one address", i, f.Kind)
 		}
@@ -84,7 +84,7 @@
 			s.Servers.Count, s.Nodes)
 	}
 	if options.Slack == 0 {
-		options.Slack = Slack
+		options.Slack = DefaultSlack
 	}
 	dir, err := os.MkdirTemp("", "portstall-rig")
 	if err != nil {
@@ -93,8 +93,8 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &rig{scenario: &s, options: options, ctx: ctx, dir: dir, conditions: fleet.Weather{Slowdown: 1, Storm: 1},
-		activeFaults: make([]bool, len(s.Faults)), recorder: measure.New(s.Warmup, s.Duration),
+	r := &rig{scenario: &s, options: options, ctx: ctx, dir: dir, conditions: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
+		activeFaults: make([]bool, len(s.Faults)), recorder: measure.NewRecorder(s.Warmup, s.Duration),
 		openAttempts: map[string]bool{}, attemptCounts: map[string]int{}, startedAt: time.Now()}
 	r.discovery.rig = r
 	defer r.cleanUp()
@@ -114,14 +114,14 @@
 		r.plannedStart = time.Now().Add(startupAllowance)
 	}
 	generatedServers := r.scenario.Fleet()
-	r.targets = r.scenario.Hits(generatedServers)
+	r.targets = r.scenario.FaultTargets(generatedServers)
 	r.usesAgents = r.checksUseAgents()
 	for i, generated := range generatedServers {
-		v := &server{Server: generated, rig: r, index: i, slots: generated.Kind.Cores * generated.Kind.SlotsPerCore,
-			queueCap: generated.Kind.Cores * generated.Kind.QueuePerCore, launchedAt: -1, effects: fleet.Trouble{Slow: 1, Lie: 1},
+		v := &server{Server: generated, rig: r, index: i, slots: generated.Type.Cores * generated.Type.SlotsPerCore,
+			queueCap: generated.Type.Cores * generated.Type.QueuePerCore, launchedAt: -1, effects: fleet.ServerEffects{Slowdown: 1, ReportFactor: 1},
 			reports: fleet.Reports{Period: r.scenario.Servers.Reports.Period, Phase: rand.N(r.scenario.Servers.Reports.Period)}}
 		var err error
-		if v.host, err = standin.Host(); err != nil {
+		if v.host, err = standin.ReserveHost(); err != nil {
 			return err
 		}
 		r.servers = append(r.servers, v)
@@ -132,7 +132,7 @@
 			if v.agent, err = standin.StartAgent(net.JoinHostPort(v.host, strconv.Itoa(agentPort))); err != nil {
 				return err
 			}
-			v.agent.Asks(func() (string, bool) { return v.healthReply(true) })
+			v.agent.ReplyWith(func() (string, bool) { return v.healthReply(true) })
 		}
 		r.discovery.entries = append(r.discovery.entries, r.listEntryOf(v, "Ready"))
 	}
@@ -190,8 +190,8 @@
 // listEntryOf returns the entry of a server in discovery's list. The caller holds the server's lock, or the server is
 // not yet known to others.
 func (r *rig) listEntryOf(v *server, state string) listEntry {
-	entry := listEntry{Listed: standin.Listed{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone),
-		Kind: v.Kind.Name, Cell: v.Pod, State: state, Weight: 1}, index: v.index, launchedAt: v.launchedAt}
+	entry := listEntry{ServerEntry: standin.ServerEntry{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone),
+		Kind: v.Type.Name, Cell: v.Pod, State: state, Weight: 1}, index: v.index, launchedAt: v.launchedAt}
 	if v.launchedAt >= 0 {
 		entry.Started = r.startedAt.Add(v.launchedAt).UnixMilli()
 	}
@@ -212,22 +212,22 @@
 	}
 	for i := range r.scenario.Faults {
 		schedule(r.scenario.Faults[i].At, func() { r.applyFault(i, true) })
-		if !scenario.Kinds[r.scenario.Faults[i].Kind].Instant {
+		if !scenario.FaultKinds[r.scenario.Faults[i].Kind].Instant {
 			schedule(r.scenario.Faults[i].End(), func() { r.applyFault(i, false) })
 		}
 	}
-	if r.options.Watch != nil {
+	if r.options.Progress != nil {
 		for second := 1; second <= int(r.scenario.Duration/time.Second); second++ {
 			schedule(time.Duration(second)*time.Second, func() {
 				r.mu.Lock()
 				result := r.recorder.Result()
 				result.Series = slices.Clone(result.Series)
 				r.mu.Unlock()
-				r.options.Watch(second, result)
+				r.options.Progress(second, result)
 			})
 		}
 	}
-	completed := r.runArrivals(func(op scenario.Ask) {
+	completed := r.runArrivals(func(op scenario.Operation) {
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
@@ -270,8 +270,8 @@
 	var loads []measure.ServerLoad
 	for _, v := range r.servers {
 		v.mu.Lock()
-		loads = append(loads, measure.ServerLoad{ID: v.ID, Kind: v.Kind.Name, Sent: v.attempts,
-			Busy: v.totalWork / (float64(v.Kind.Cores) * v.Speed * r.scenario.Duration.Seconds())})
+		loads = append(loads, measure.ServerLoad{ID: v.ID, Kind: v.Type.Name, Sent: v.attempts,
+			Busy: v.totalWork / (float64(v.Type.Cores) * v.Speed * r.scenario.Duration.Seconds())})
 		v.mu.Unlock()
 	}
 	r.mu.Lock()
@@ -283,7 +283,7 @@
 	result := r.recorder.Result()
 	result.Scenario, result.Policy, result.Seed, result.Engine, result.Wall = r.scenario.Name, "portstall", r.scenario.Seed,
 		"rig", end.Seconds()
-	result.Trigger = r.scenario.Trigger()
+	result.Trigger = r.scenario.FirstFaultSpan()
 	checker := r.checkRules(end)
 	for rule, n := range checker.Counts() {
 		result.Broken[string(rule)] = n
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.BrokenTotal() > 0 {
+	if r.BreachTotal() > 0 {
 		t.Errorf("rules broken: %v\n%s", r.Broken, strings.Join(r.Breaches, "\n"))
 	}
 	return r
@@ -65,11 +65,11 @@
 		t.Fatal(err)
 	}
 	r := runRig(t, s)
-	m, err := model.Run(s, model.Options{Make: model.Portstall})
+	m, err := model.Run(s, model.Options{NewDecider: model.Portstall})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("rig %.3f in time, p50 %.0f ms; model %.3f, %.0f ms; %v", r.All.Share(), r.Latency.P50, m.All.Share(), m.Latency.P50, r.Endings)
+	t.Logf("rig %.3f in time, p50 %.0f ms; model %.3f, %.0f ms; %v", r.All.EarnedShare(), r.Latency.P50, m.All.EarnedShare(), m.Latency.P50, r.Endings)
 	if r.All.Asked != m.All.Asked || math.Abs(r.All.Offered-m.All.Offered) > 1e-6 {
 		t.Errorf("the rig counts %+v, the model %+v; want the same operations and offered value", r.All, m.All)
 	}
@@ -173,14 +173,14 @@
 				if r.All.Served < r.All.Asked/2 {
 					t.Errorf("only %d of %d operations were served: %v", r.All.Served, r.All.Asked, r.Causes)
 				}
-				m, err := model.Run(s, model.Options{Make: model.Portstall})
+				m, err := model.Run(s, model.Options{NewDecider: model.Portstall})
 				if err != nil {
 					t.Fatal(err)
 				}
-				if m.BrokenTotal() > 0 {
+				if m.BreachTotal() > 0 {
 					t.Errorf("model: rules broken: %v\n%s", m.Broken, strings.Join(m.Breaches, "\n"))
 				}
-				t.Logf("rig %.3f in time, model %.3f", r.All.Share(), m.All.Share())
+				t.Logf("rig %.3f in time, model %.3f", r.All.EarnedShare(), m.All.EarnedShare())
 			})
 		}
 	}
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -50,8 +50,8 @@
 	attempts       int     // attempts that arrived
 	totalWork      float64 // seconds of work
 
-	effects fleet.Trouble  // of the active faults
-	agent   *standin.Agent // nil: there is none
+	effects fleet.ServerEffects // of the active faults
+	agent   *standin.Agent      // nil: there is none
 }
 
 // start opens the listener, at the same address each time, and serves.
@@ -86,7 +86,7 @@
 	r := v.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.Says(r.scenario, r.activeFaults, r.targets, v.index, &effects, agent, r.now())
+	return fleet.ProbeReply(r.scenario, r.activeFaults, r.targets, v.index, &effects, agent, r.now())
 }
 
 // trackConn registers open connections and resets those above the server's limit.
@@ -96,7 +96,7 @@
 	switch state {
 	case http.StateNew:
 		v.conns[c] = false
-		if len(v.conns) > v.rig.scenario.Servers.Connections.CapPerCore*v.Kind.Cores {
+		if len(v.conns) > v.rig.scenario.Servers.Connections.CapPerCore*v.Type.Cores {
 			reset(c)
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -154,7 +154,7 @@
 	warm := v.capacityShare() == 1
 	capacity := 0.0
 	if !warm {
-		capacity = float64(v.Kind.Cores) * v.Speed * v.capacityShare()
+		capacity = float64(v.Type.Cores) * v.Speed * v.capacityShare()
 	}
 	v.mu.Unlock()
 	attempt := rig.recordAttempt(id, v, capacity)
@@ -169,10 +169,10 @@
 	}
 	v.mu.Lock()
 	occurs := func(probability float64) bool { return probability > 0 && rand.Float64() < probability }
-	failing, resetting, truncating := occurs(v.effects.Errors) || occurs(v.Kind.ErrorRate), occurs(v.effects.Resets),
-		occurs(v.effects.Cuts)
-	if occurs(v.effects.Part) {
-		work *= v.effects.Slow
+	failing, resetting, truncating := occurs(v.effects.ErrorShare) || occurs(v.Type.ErrorRate), occurs(v.effects.ResetShare),
+		occurs(v.effects.CutShare)
+	if occurs(v.effects.SlowShare) {
+		work *= v.effects.Slowdown
 	}
 	v.mu.Unlock()
 	if failing {
@@ -257,10 +257,10 @@
 func (v *server) writeLoadReport(w http.ResponseWriter) {
 	rig := v.rig
 	rig.mu.Lock()
-	lag := rig.conditions.Lag
+	lag := rig.conditions.ReportDelay
 	rig.mu.Unlock()
 	v.mu.Lock()
-	queueLength := float64(v.reports.Read(rig.now(), rig.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.Lie
+	queueLength := float64(v.reports.Read(rig.now(), rig.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.ReportFactor
 	v.mu.Unlock()
 	if noise := rig.scenario.Servers.Reports.Noise; noise > 0 {
 		queueLength = max(0, queueLength*(1+noise*rand.NormFloat64()))
@@ -274,7 +274,7 @@
 	if v.launchedAt < 0 {
 		return 1
 	}
-	return fleet.Ramp(v.Kind, v.Speed, v.rig.now()-v.launchedAt, v.rig.scenario.Rules.ColdFor, v.workSinceStart)
+	return fleet.Ramp(v.Type, v.Speed, v.rig.now()-v.launchedAt, v.rig.scenario.Rules.ColdFor, v.workSinceStart)
 }
 
 // doWork waits for a slot and then for as long as the work takes, unless the node cancels the request.
@@ -284,7 +284,7 @@
 	if v.busySlots < v.slots {
 		v.busySlots++
 	} else if len(v.queue) < v.queueCap {
-		v.reports.Note(v.rig.now(), len(v.queue))
+		v.reports.Record(v.rig.now(), len(v.queue))
 		turn := make(chan bool, 1)
 		v.queue = append(v.queue, turn)
 		v.mu.Unlock()
@@ -311,8 +311,8 @@
 		v.rig.mu.Lock()
 		factor := v.rig.conditions.Slowdown
 		v.rig.mu.Unlock()
-		rate := v.Speed * v.capacityShare() / factor * min(1, float64(v.Kind.Cores)/float64(max(1, v.busySlots)))
-		heldPerCore := float64(v.busySlots+len(v.queue)) / float64(v.Kind.Cores)
+		rate := v.Speed * v.capacityShare() / factor * min(1, float64(v.Type.Cores)/float64(max(1, v.busySlots)))
+		heldPerCore := float64(v.busySlots+len(v.queue)) / float64(v.Type.Cores)
 		if contention := v.rig.scenario.Servers.Choke; contention.By > 0 && heldPerCore > contention.At {
 			rate /= 1 + contention.By*(heldPerCore-contention.At)
 		}
@@ -322,7 +322,7 @@
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			if !v.Kind.Keeps {
+			if !v.Type.Keeps {
 				err = errAborted
 			}
 		}
@@ -347,7 +347,7 @@
 	defer v.mu.Unlock()
 	for i, waiting := range v.queue {
 		if waiting == turn {
-			v.reports.Note(v.rig.now(), len(v.queue))
+			v.reports.Record(v.rig.now(), len(v.queue))
 			v.queue = append(v.queue[:i], v.queue[i+1:]...)
 			return
 		}
@@ -363,7 +363,7 @@
 	switch {
 	case incarnation != v.incarnation:
 	case len(v.queue) > 0:
-		v.reports.Note(v.rig.now(), len(v.queue))
+		v.reports.Record(v.rig.now(), len(v.queue))
 		v.queue[0] <- true
 		v.queue = v.queue[1:]
 	default:
@@ -448,7 +448,7 @@
 		return fmt.Errorf("stub web server %d does not restart: %w", v.ID, err)
 	}
 	v.launchedAt, v.workSinceStart, v.busySlots = v.rig.now(), 0, 0
-	v.reports.Start(v.launchedAt)
+	v.reports.Reset(v.launchedAt)
 	v.rig.recordServerStart(v)
 	v.rig.discovery.scheduleUpdate(v, "Ready", v.rig.scenario.Roster.AddLag)
 	return nil
--- a/internal/lab/rig/tunnel.go
+++ b/internal/lab/rig/tunnel.go
@@ -23,7 +23,7 @@
 // requestTunnel is one try of an operation that requests an opaque tunnel; the reply to CONNECT is the final response.
 // The request that the client sends inside tells the stub web server which tunnel it is. The tunnel stays open until
 // the client is done or another party closes it.
-func (r *rig) requestTunnel(op *scenario.Ask, tries int) outcome {
+func (r *rig) requestTunnel(op *scenario.Operation, tries int) outcome {
 	class := &r.scenario.Classes[op.Class]
 	startedAt := r.now()
 	n := r.selectNode()
@@ -39,9 +39,9 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, deadline-startedAt+r.scenario.Rules.AnswerSlack+r.options.Slack)
 	defer cancel()
-	proxy := tunnel.Proxy{Kind: tunnel.Connect, Addr: n.opaqueAddr}
+	proxy := tunnel.Proxy{Protocol: tunnel.Connect, Addr: n.opaqueAddr}
 	conn, err := proxy.Dial(ctx, &net.Dialer{}, fmt.Sprintf("%s:%d", opaqueHost, opaquePort(op.Class)))
-	var refusal tunnel.Refusal
+	var refusal tunnel.ConnectStatusError
 	var dialErr *net.OpError
 	switch {
 	case errors.As(err, &refusal):
@@ -55,12 +55,12 @@
 		if ctx.Err() != nil && r.ctx.Err() == nil {
 			addRecord(requestSent, startedAt)
 			addRecord(clientTimedOut, r.now())
-			return outcome{ending: measure.Overdue, cause: "no answer in time"}
+			return outcome{ending: measure.TimedOut, cause: "no answer in time"}
 		}
 		return outcome{ending: measure.Unreachable, cause: "node unreachable"}
 	}
 	addRecord(requestSent, startedAt)
-	duration := r.scenario.Holds(op, r.now())
+	duration := r.scenario.TunnelDuration(op, r.now())
 	// The reply can arrive before the server's process has accepted the connection from its kernel, so the tunnel counts
 	// as served from the server's first byte.
 	fmt.Fprintf(conn, "GET /tunnel HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n\r\n", opaqueHost, id)
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -16,19 +16,19 @@
 
 // CompareOptions configures the comparison of an older build with this one: a single run, in which both have the same
 // contracts and web servers and are measured at the same time.
-type BesideOptions struct {
-	Old string // path of the older build's binary; empty: only this build is measured
+type CompareOptions struct {
+	OldBinary string // path of the older build's binary; empty: only this build is measured
 	// Contracts is how many are in force at each node. There is no default contract: each request falls under one of them.
-	Contracts int
-	Round     time.Duration // length of a round; rounds without and with configuration changes alternate
-	Rounds    int           // number of rounds of each kind
+	Contracts   int
+	RoundLength time.Duration // length of a round; rounds without and with configuration changes alternate
+	Rounds      int           // number of rounds of each kind
 	// ChangesPerSecond applies to every other round. Half of the changes are to a contract that a request needs shortly after.
-	Changes float64
+	ChangesPerSecond float64
 }
 
 // LatencyRow reports the latency that one node added to requests, and its CPU time, in the rounds without or with
 // changes.
-type Added struct {
+type LatencyRow struct {
 	Node     string  `json:"node"`
 	Changing bool    `json:"changing"` // in the rounds with changes
 	Asked    int     `json:"asked"`    // requests sent
@@ -48,11 +48,11 @@
 // round contracts at that control process change. Each node gets as many requests as a node of the plan's size, from
 // one tenant after the other, so that no tenant calls a node more often than in production. Only one request is in
 // flight at a time, so that the nodes don't take CPU time from each other. The plan gives sizes and limits.
-func Beside(ctx context.Context, p *Plan, runOpts Options, opts BesideOptions) (rows []Added, err error) {
+func CompareBuilds(ctx context.Context, p *Plan, runOpts Options, opts CompareOptions) (rows []LatencyRow, err error) {
 	if !(p.Size.Rate > 0) {
 		return nil, fieldError("size.rate", "must be greater than 0 to send requests to nodes")
 	}
-	r, ctx, end, err := startRun(ctx, p, runOpts, p.Bound+2*time.Duration(opts.Rounds+1)*opts.Round)
+	r, ctx, end, err := startRun(ctx, p, runOpts, p.Bound+2*time.Duration(opts.Rounds+1)*opts.RoundLength)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	defer servers.stop()
-	c := &comparison{BesideOptions: opts, run: r,
+	c := &comparison{CompareOptions: opts, run: r,
 		requestInterval: time.Duration(float64(time.Second) * float64(p.Size.Nodes) / p.Size.Rate),
 		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4,
 			DisableCompression: true}}}
@@ -79,12 +79,12 @@
 	if err := c.checkNamedContracts(); err != nil {
 		return nil, err
 	}
-	if err := c.runRound(ctx, 0, opts.Round/2, false); err != nil { // connections are established
+	if err := c.runRound(ctx, 0, opts.RoundLength/2, false); err != nil { // connections are established
 		return nil, err
 	}
 	for range opts.Rounds {
 		for phase := range 2 {
-			if err := errors.Join(c.runRound(ctx, phase, opts.Round, true), context.Cause(ctx)); err != nil {
+			if err := errors.Join(c.runRound(ctx, phase, opts.RoundLength, true), context.Cause(ctx)); err != nil {
 				return nil, err
 			}
 		}
@@ -97,7 +97,7 @@
 
 // comparison holds the nodes that are compared and what they depend on.
 type comparison struct {
-	BesideOptions
+	CompareOptions
 	run             *run
 	client          *http.Client
 	requestInterval time.Duration // time between two requests at a node
@@ -111,7 +111,7 @@
 type comparedNode struct {
 	*realNode
 	name         string
-	rows         [2]Added
+	rows         [2]LatencyRow
 	addedSeconds [2][]float64
 	changeTimes  [2]time.Duration // duration of the rounds with changes, and of all changes together
 }
@@ -152,8 +152,8 @@
 		text := string(productFileText(&r.plan.Size, s.Contracts))
 		return r.writeFile(".yaml", []byte(strings.Replace(text, "connect: 127.0.0.1:1\n", "connect: "+connect+"\n", 1)))
 	}
-	if s.Old != "" {
-		if err := add("older build, a file", s.Old, "old", file); err != nil {
+	if s.OldBinary != "" {
+		if err := add("older build, a file", s.OldBinary, "old", file); err != nil {
 			return err
 		}
 	}
@@ -206,7 +206,7 @@
 func (s *comparison) makeChanges(ctx context.Context, startedAt time.Time) (made, met int, elapsed time.Duration,
 	err error) {
 	var affected []int64
-	for ; pause(ctx, time.Until(startedAt.Add(time.Duration(float64(made)/s.Changes*float64(time.Second))))) == nil; made++ {
+	for ; pause(ctx, time.Until(startedAt.Add(time.Duration(float64(made)/s.ChangesPerSecond*float64(time.Second))))) == nil; made++ {
 		at := time.Now()
 		if made%2 == 0 {
 			turn := s.requestCount.Load() + int64(changeLead/s.requestInterval)
@@ -291,7 +291,7 @@
 }
 
 // row returns the node's results in a phase.
-func (n *comparedNode) row(phase int) Added {
+func (n *comparedNode) row(phase int) LatencyRow {
 	row := n.rows[phase]
 	row.Node, row.Changing = n.name, phase == 1
 	row.P50, row.P99 = quantile(n.addedSeconds[phase], 0.5), quantile(n.addedSeconds[phase], 0.99)
@@ -303,7 +303,7 @@
 }
 
 // PrintComparison writes the rows as a table.
-func PrintBeside(w io.Writer, rows []Added) error {
+func PrintComparison(w io.Writer, rows []LatencyRow) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "node\tconfiguration\trequests\tlost\tadded latency, median\tp99\tCPU time per request")
 	for _, r := range rows {
--- a/internal/lab/scale/compare_test.go
+++ b/internal/lab/scale/compare_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	p.Bound = 4 * time.Minute // the result must not depend on how busy the machine is
-	rows, err := Beside(t.Context(), p, Options{Binary: testBinary}, BesideOptions{Old: testBinary, Contracts: 200,
-		Round: 3 * time.Second, Rounds: 1, Changes: 10})
+	rows, err := CompareBuilds(t.Context(), p, Options{Binary: testBinary}, CompareOptions{OldBinary: testBinary, Contracts: 200,
+		RoundLength: 3 * time.Second, Rounds: 1, ChangesPerSecond: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,14 +39,14 @@
 		}
 	}
 	var out strings.Builder
-	if err := PrintBeside(&out, rows); err != nil || strings.Count(out.String(), "\n") != 7 {
+	if err := PrintComparison(&out, rows); err != nil || strings.Count(out.String(), "\n") != 7 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if left := runningChildren(t); len(left) > 0 {
 		t.Errorf("processes left behind: %v", left)
 	}
-	if _, err := Beside(t.Context(), p, Options{Binary: testBinary}, BesideOptions{Old: "/nowhere", Contracts: 200,
-		Round: time.Second, Rounds: 1}); err == nil {
+	if _, err := CompareBuilds(t.Context(), p, Options{Binary: testBinary}, CompareOptions{OldBinary: "/nowhere", Contracts: 200,
+		RoundLength: time.Second, Rounds: 1}); err == nil {
 		t.Error("no error although the older build does not exist")
 	}
 	if left := runningChildren(t); len(left) > 0 {
@@ -79,7 +79,7 @@
 // Each tenant has one request before any tenant has a second, however many tenants there are.
 func TestEachTenantBeforeAnyRepeats(t *testing.T) {
 	for _, n := range []int{1, 2, 200, 7919, 2 * 7919, 17_000} {
-		s := &comparison{BesideOptions: BesideOptions{Contracts: n}}
+		s := &comparison{CompareOptions: CompareOptions{Contracts: n}}
 		seen := map[int]bool{}
 		for k := range int64(n) {
 			seen[s.tenantOf(k)] = true
@@ -108,7 +108,7 @@
 		fmt.Fprint(w, `{"version":"1.2","changed":true}`)
 	}))
 	defer writer.Close()
-	s := &comparison{BesideOptions: BesideOptions{Contracts: 100, Changes: 0.1}, run: r, requestInterval: time.Second,
+	s := &comparison{CompareOptions: CompareOptions{Contracts: 100, ChangesPerSecond: 0.1}, run: r, requestInterval: time.Second,
 		files:  files,
 		writer: &controlProcess{child: &child{}, addr: strings.TrimPrefix(writer.URL, "http://")}}
 	// All changes are overdue, 10 s apart: waiting after each would take minutes.
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -213,7 +213,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return resource.Version{}, fmt.Errorf("%s: reload: %d: %s", c.role, resp.StatusCode, bytes.TrimSpace(text))
 	}
-	var r server.Reloaded
+	var r server.ReloadResult
 	if err := json.Unmarshal(text, &r); err != nil {
 		return resource.Version{}, fmt.Errorf("%s: reload: %w", c.role, err)
 	}
@@ -230,9 +230,9 @@
 		Version resource.Version `json:"version"`
 		Callers int              `json:"callers"`
 	} `json:"callers_by_version"`
-	Refused   int             `json:"refusing"`
-	Snapshots int             `json:"snapshots_told"`
-	Follows   *follow.Figures `json:"follows"` // set by a follower only
+	Refused   int           `json:"refusing"`
+	Snapshots int           `json:"snapshots_told"`
+	Follows   *follow.Stats `json:"follows"` // set by a follower only
 }
 
 // status asks a control process for its status.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -85,8 +85,8 @@
 		return err
 	}
 	for _, x := range f.plan.Faults {
-		if r.options.Tell != nil {
-			fmt.Fprintf(r.options.Tell, "%5.1f s    %s\n", time.Since(r.startedAt).Seconds(), x.Kind)
+		if r.options.Progress != nil {
+			fmt.Fprintf(r.options.Progress, "%5.1f s    %s\n", time.Since(r.startedAt).Seconds(), x.Kind)
 		}
 		if err := f.runFault(ctx, x); err != nil {
 			return fmt.Errorf("%s: %w", x.Kind, err)
--- a/internal/lab/scale/fleet_test.go
+++ b/internal/lab/scale/fleet_test.go
@@ -42,31 +42,31 @@
 	if want := 250 + 1 + 3 + 75; n != want { // contracts, the one for other tenants, services, routes
 		t.Errorf("%d resources, want %d", n, want)
 	}
-	source := control.NewSource(f.path)
-	reading, err := source.Read()
+	source := control.NewLoader(f.path)
+	reading, err := source.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	source.Accept(reading)
-	reads := source.Reads()
+	reads := source.FilesRead()
 	seen := map[resource.Key]bool{}
 	for range 5 {
 		if err := f.changeNext(); err != nil {
 			t.Fatal(err)
 		}
-		r, err := source.Read()
+		r, err := source.Load()
 		if err != nil {
 			t.Fatal(err)
 		}
 		source.Accept(r)
-		if len(r.Put) != 1 || len(r.Gone) != 0 || r.Put[0].Kind != resource.Contract || seen[r.Put[0].Key] {
+		if len(r.Put) != 1 || len(r.Removed) != 0 || r.Put[0].Kind != resource.Contract || seen[r.Put[0].Key] {
 			t.Fatalf("%d resources put, %d removed, want one contract that was not changed before: %v", len(r.Put),
-				len(r.Gone), r.Put)
+				len(r.Removed), r.Put)
 		}
 		seen[r.Put[0].Key] = true
 	}
 	// The changed files are read, and once more those that changed just before. There are four files in all.
-	if read := source.Reads() - reads; read > 15 {
+	if read := source.FilesRead() - reads; read > 15 {
 		t.Errorf("%d files were read for 5 changes, want at most 15", read)
 	}
 }
--- a/internal/lab/scale/in_process.go
+++ b/internal/lab/scale/in_process.go
@@ -20,9 +20,9 @@
 func tenantTerms(i int) contract.Terms {
 	return contract.Terms{Name: fmt.Sprintf("tenant-%05d", i),
 		Matches: []contract.Match{{Tenant: fmt.Sprintf("tenant-%05d", i)}},
-		Classes: map[string]bool{"search": true, "waitlist-join": true}, Rate: 5, Burst: 10, InFlight: 20, Ratio: 0.2,
-		Window: 10 * time.Second,
-		Floor:  1, Bounded: true, Guaranteed: 1, Limit: 4, Weight: 1, Lends: 1}
+		Classes: map[string]bool{"search": true, "waitlist-join": true}, Rate: 5, Burst: 10, InFlight: 20, RetryRatio: 0.2,
+		RetryWindow: 10 * time.Second,
+		RetryFloor:  1, RetriesBounded: true, Guaranteed: 1, Limit: 4, Weight: 1, LendableShare: 1}
 }
 
 // contractsCost measures what the given number of contracts takes: heap bytes before and after their first use, seconds
@@ -58,7 +58,7 @@
 	admit := func(now time.Duration) {
 		for _, name := range names {
 			v := ledger.Admit(now, table.Find(&contract.Caller{Tenant: name}), "search", 0.05, false)
-			if v.Rule == contract.Kept {
+			if v.Rule == contract.Admitted {
 				ledger.Done(now, name, v, 0.05)
 			}
 		}
@@ -86,7 +86,7 @@
 	now := time.Hour
 	ev := policy.Event{Kind: policy.EvList, List: policy.ListFull}
 	for i := range servers {
-		ev.Entries = append(ev.Entries, policy.Entry{ID: uint32(i + 1), Zone: zoneName(i % 11), Kind: "standard"})
+		ev.Entries = append(ev.Entries, policy.Entry{ID: uint32(i + 1), Zone: zoneName(i % 11), ServerType: "standard"})
 	}
 	out := b.Handle(now, &ev, nil)
 	const rounds = 200
@@ -137,7 +137,7 @@
 		DrainGrace: time.Second,
 		ColdFor:    10 * time.Second, ColdShare: 0.2, FallFactor: 2.5, FallFor: 1500 * time.Millisecond,
 		MustAskIn: 10 * time.Second,
-		Classes:   []policy.Class{{Name: "search", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}}}
+		Classes:   []policy.Class{{Name: "search", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}}}
 }
 
 // SplitResult reports what a contract that is split among nodes admits.
@@ -179,10 +179,10 @@
 				return asked, in
 			}
 			ledger := all[node(i)]
-			ledger.Look(now, 0)
+			ledger.SetPressure(now, 0)
 			v := ledger.Admit(now, 0, class, 0.05, false)
 			asked++
-			if v.Rule == contract.Kept {
+			if v.Rule == contract.Admitted {
 				in++
 				ledger.Done(now, "t", v, 0.05)
 			}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -57,7 +57,7 @@
 func (m countingMACs) Verify(name string, b, sig []byte) error {
 	*m.checks++
 	if _, known := m.secrets[name]; !known {
-		return member.ErrStranger
+		return member.ErrUnknownMember
 	}
 	if string(m.mac(name, b)) != string(sig) {
 		return member.ErrSignature
@@ -112,12 +112,12 @@
 	var signs, checks, signsBefore, checksBefore int64 // in total, and before the second phase
 	members := make([]*member.Member, n)
 	for i := range n {
-		members[i] = member.New(0, name(i), addr(i), 1, member.Usual(), countingMACs{secrets, name(i), &signs,
+		members[i] = member.New(0, name(i), addr(i), 1, member.DefaultSettings(), countingMACs{secrets, name(i), &signs,
 			&checks}, rand.New(rand.NewPCG(rng.Uint64(), uint64(i))), addr(0), addr(1))
 		enqueue(packet{at: time.Duration(rng.Int64N(int64(time.Second))), to: i})
 	}
 	now := time.Duration(0)
-	send := func(from int, outs []member.Out) {
+	send := func(from int, outs []member.Outgoing) {
 		for _, o := range outs {
 			if now >= phase {
 				bytes += int64(len(o.Data))
@@ -160,7 +160,7 @@
 		SignaturesPerSecond: float64(signs-signsBefore) / memberSeconds,
 		ChecksPerSecond:     float64(checks-checksBefore) / memberSeconds, MinKnownShare: 1}
 	for _, m := range members {
-		t.MinKnownShare = min(t.MinKnownShare, float64(m.Alive())/float64(n))
+		t.MinKnownShare = min(t.MinKnownShare, float64(m.AliveCount())/float64(n))
 	}
 	return t, nil
 }
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -171,7 +171,7 @@
 
 // fieldError returns an error about a field of a plan.
 func fieldError(field, reason string, args ...any) error {
-	return &config.FieldError{Path: field, Why: fmt.Sprintf(reason, args...)}
+	return &config.FieldError{Path: field, Reason: fmt.Sprintf(reason, args...)}
 }
 
 // checkSizes checks a list of sizes through which a line is to be fitted: it needs three different sizes or more.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -18,8 +18,8 @@
 
 // Options configures a run.
 type Options struct {
-	Binary string    // path of the portstall binary; the run's processes are its subcommands
-	Tell   io.Writer // receives a progress line as each part begins; nil: no progress lines
+	Binary   string    // path of the portstall binary; the run's processes are its subcommands
+	Progress io.Writer // receives a progress line as each part begins; nil: no progress lines
 }
 
 // run holds the state of one run. Its mutex guards the report and the number of files written.
@@ -105,8 +105,8 @@
 		if !part.on {
 			continue
 		}
-		if r.options.Tell != nil {
-			fmt.Fprintf(r.options.Tell, "%5.1f s  %s\n", time.Since(r.startedAt).Seconds(), part.name)
+		if r.options.Progress != nil {
+			fmt.Fprintf(r.options.Progress, "%5.1f s  %s\n", time.Since(r.startedAt).Seconds(), part.name)
 		}
 		startedAt, row, steal := time.Now(), PartRow{Part: part.name, Load: r.machine.load()}, r.machine.stolen()
 		err := part.do(ctx)
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -190,7 +190,7 @@
 func TestWorkerOrders(t *testing.T) {
 	var out strings.Builder
 	in := strings.NewReader("{\"do\":\"plan\",\"count\":3}\n{\"do\":\"dance\"}\nnonsense\n{\"do\":\"usage\"}\n{\"do\":\"hollow\",\"config\":\"/does/not/exist\",\"names\":[\"a\"],\"sources\":[\"b\"],\"zones\":[\"c\"]}\n")
-	if err := Work(in, &out); err != nil {
+	if err := RunWorker(in, &out); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
--- a/internal/lab/scale/stub_discovery.go
+++ b/internal/lab/scale/stub_discovery.go
@@ -15,9 +15,9 @@
 
 // endpointsResponse is the body of a response to GET /v1/endpoints.
 type endpointsResponse struct {
-	Version int64            `json:"version"`
-	Full    bool             `json:"full"`
-	Servers []standin.Listed `json:"servers"`
+	Version int64                 `json:"version"`
+	Full    bool                  `json:"full"`
+	Servers []standin.ServerEntry `json:"servers"`
 }
 
 // maxKeptChanges limits how many changes the stub keeps. A client that is further behind gets the full list.
@@ -28,9 +28,9 @@
 // Its mutex guards all fields that change, other than the atomic one. It is safe for concurrent use.
 type StubDiscovery struct {
 	mu             sync.Mutex
-	entries        []standin.Listed
-	changes        []standin.Listed // the changes after baseVersion, one for each version
-	baseVersion    int64            // the version before the first change that is kept
+	entries        []standin.ServerEntry
+	changes        []standin.ServerEntry // the changes after baseVersion, one for each version
+	baseVersion    int64                 // the version before the first change that is kept
 	changed        chan struct{}
 	down           bool
 	highestSince   int64 // highest version that a client named in a call
@@ -55,7 +55,7 @@
 		if addrs != nil {
 			addr = addrs[i]
 		}
-		r.entries = append(r.entries, standin.Listed{ID: fmt.Sprintf("web-%05d", i), Addr: addr,
+		r.entries = append(r.entries, standin.ServerEntry{ID: fmt.Sprintf("web-%05d", i), Addr: addr,
 			Zone: zoneName(i % zones), Kind: "standard",
 			Cell: i / (serversPerRack * zones), State: "Ready", Weight: 1})
 	}
@@ -93,7 +93,7 @@
 		r.changes = append(r.changes, *e)
 	}
 	if excess := len(r.changes) - maxKeptChanges; excess > 0 {
-		r.changes, r.baseVersion = append([]standin.Listed(nil), r.changes[excess:]...), r.baseVersion+int64(excess)
+		r.changes, r.baseVersion = append([]standin.ServerEntry(nil), r.changes[excess:]...), r.baseVersion+int64(excess)
 	}
 	return r.version()
 }
@@ -174,7 +174,7 @@
 // fullList returns the full list as JSON, encoded once for each version. r.mu is held.
 func (r *StubDiscovery) fullList() []byte {
 	if r.encoded == nil || r.encodedVersion != r.version() {
-		resp := endpointsResponse{Version: r.version(), Full: true, Servers: make([]standin.Listed, 0, len(r.entries))}
+		resp := endpointsResponse{Version: r.version(), Full: true, Servers: make([]standin.ServerEntry, 0, len(r.entries))}
 		for _, e := range r.entries {
 			if e.State != "Gone" {
 				resp.Servers = append(resp.Servers, e)
@@ -288,7 +288,7 @@
 	}
 	resp := endpointsResponse{Version: r.version(), Servers: r.changes[since-r.baseVersion:]}
 	if resp.Servers == nil {
-		resp.Servers = []standin.Listed{}
+		resp.Servers = []standin.ServerEntry{}
 	}
 	text, _ := json.Marshal(resp) // can't fail: it holds plain values only
 	return text
--- a/internal/lab/scale/stub_servers.go
+++ b/internal/lab/scale/stub_servers.go
@@ -67,7 +67,7 @@
 			s.conns.Add(1)
 		}
 	}}
-	host, err := standin.Host()
+	host, err := standin.ReserveHost()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -94,7 +94,7 @@
 // hollowNode is a hollow node of a worker, which can be restarted.
 type hollowNode struct {
 	config             node.Config
-	node               *node.Hollow
+	node               *node.Headless
 	history            [2]versionHistory // of the server list (0) and of the configuration (1)
 	earlierRegressions int               // regressions of its configuration before its last restart
 }
@@ -111,7 +111,7 @@
 
 // RunWorker is the main function of a child process of a run. It executes commands from in until that ends, and then
 // stops all that they started.
-func Work(in io.Reader, out io.Writer) error {
+func RunWorker(in io.Reader, out io.Writer) error {
 	w := &worker{configTimeout: startTimeout}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -212,7 +212,7 @@
 		c.Settings.Policy.Zone = o.Zones[i]
 		n := &hollowNode{config: c}
 		var err error
-		if n.node, err = node.StartHollow(c, slog.New(slog.DiscardHandler)); err != nil {
+		if n.node, err = node.StartHeadless(c, slog.New(slog.DiscardHandler)); err != nil {
 			return err
 		}
 		w.mu.Lock()
@@ -230,7 +230,7 @@
 // awaitConfiguration waits until a node has a configuration. Without this wait all nodes of a process would load theirs
 // at the same time, and the memory for loading would be needed for all of them at once.
 func (n *hollowNode) awaitConfiguration(timeout time.Duration) error {
-	for end := time.Now().Add(timeout); n.node.Figures().Configuration.IsZero(); time.Sleep(versionCheckInterval) {
+	for end := time.Now().Add(timeout); n.node.Status().Configuration.IsZero(); time.Sleep(versionCheckInterval) {
 		if time.Now().After(end) {
 			return fmt.Errorf("%w: no configuration within %v", errNotReady, timeout)
 		}
@@ -254,7 +254,7 @@
 		w.mu.Lock()
 		n := w.nodes[i]
 		w.mu.Unlock()
-		run, err := node.StartHollow(n.config, slog.New(slog.DiscardHandler))
+		run, err := node.StartHeadless(n.config, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return workerReply{}, err
 		}
@@ -280,9 +280,9 @@
 			if n.node == nil {
 				continue
 			}
-			f, now := n.node.Figures(), time.Now()
-			n.history[0].record(resource.Version{Number: uint64(f.List)}, now)
-			if !f.Taking {
+			f, now := n.node.Status(), time.Now()
+			n.history[0].record(resource.Version{Number: uint64(f.ListVersion)}, now)
+			if !f.Applying {
 				n.history[1].record(f.Configuration, now)
 			}
 		}
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -54,7 +54,7 @@
 		if err := w.startHollow(o); !errors.Is(err, want) {
 			t.Errorf("error %v, want %v", err, want)
 		}
-		if has := !w.nodes[0].node.Figures().Configuration.IsZero(); has != (want == nil) {
+		if has := !w.nodes[0].node.Status().Configuration.IsZero(); has != (want == nil) {
 			t.Errorf("node has a configuration: %v", has)
 		}
 		w.stop()
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -31,7 +31,7 @@
 func (f *Fault) End() time.Duration { return f.At + f.For }
 
 // FaultKind describes a kind of fault and says which fields of a Fault it uses.
-type Use struct {
+type FaultKind struct {
 	About                             string // one line of text for people
 	Share, Part, Factor, Delay, Nodes bool   // the field is used and required
 	Instant                           bool   // it has no length
@@ -40,7 +40,7 @@
 
 // FaultKinds lists the kinds of faults that the model and the rig know, by name. About says what a kind does when it
 // begins and when it ends.
-var Kinds = map[string]Use{
+var FaultKinds = map[string]FaultKind{
 	"vanish": {About: "servers stop responding without resetting connections; they return cold",
 		Share: true, Rig: true},
 	"crash": {About: "server processes die: connections are reset, new ones refused; they return cold",
@@ -93,10 +93,10 @@
 // WithRandomFaults returns the scenario with the given seed and a few random faults in place of its own. They may
 // overlap and are of any kind that the scenario supports, except zone_loss, poison and node_upgrade. The same scenario
 // and seed give the same faults.
-func Draw(s Scenario, seed uint64) Scenario {
+func WithRandomFaults(s Scenario, seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0x64726177))
 	length := s.Duration - s.Warmup
-	names := slices.DeleteFunc(KindNames(), func(kind string) bool {
+	names := slices.DeleteFunc(FaultKindNames(), func(kind string) bool {
 		return kind == "zone_loss" || kind == "poison" || kind == "node_upgrade" ||
 			needsChecks(kind) && (s.Health == nil || s.Health.Checks == nil) || needsProxies(kind) && s.Servers.Via == ""
 	}) // the zone may be the only one, and a poison needs a tenant
@@ -105,7 +105,7 @@
 		f := Fault{Kind: names[rng.IntN(len(names))]}
 		f.At = s.Warmup + time.Duration(rng.Float64()*0.6*float64(length)).Round(time.Millisecond)
 		f.For = time.Duration((0.05 + 0.25*rng.Float64()) * float64(length)).Round(time.Millisecond)
-		kind := Kinds[f.Kind]
+		kind := FaultKinds[f.Kind]
 		if kind.Share {
 			f.Share = 0.05 + 0.3*rng.Float64()
 		}
@@ -136,10 +136,10 @@
 func needsChecks(kind string) bool { return kind == "agent_says" || kind == "check_fails" }
 
 // FaultKindNames returns the names of all kinds in alphabetical order.
-func KindNames() []string { return Sorted(Kinds) }
+func FaultKindNames() []string { return SortedKeys(FaultKinds) }
 
 // SortedKeys returns a map's keys in alphabetical order, for iterations whose order must be deterministic.
-func Sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func SortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // String returns the fault as a line of a scenario file.
 func (f Fault) String() string {
--- a/internal/lab/scenario/generate.go
+++ b/internal/lab/scenario/generate.go
@@ -12,7 +12,7 @@
 	ID    uint32 // as nodes know it; unrelated to zone, pod and type
 	Zone  int    // index of its zone
 	Pod   int    // index of its pod
-	Kind  *Kind
+	Type  *ServerType
 	Speed float64 // of each core; 1 does a second of work a second
 }
 
@@ -28,7 +28,7 @@
 		k := &s.Servers.Kinds[i]
 		for range s.typeCount(i) {
 			speed := k.Speed * math.Max(0.3, 1+k.SpeedCV*rng.NormFloat64())
-			fleet = append(fleet, Server{Kind: k, Speed: speed})
+			fleet = append(fleet, Server{Type: k, Speed: speed})
 		}
 	}
 	rng.Shuffle(len(fleet), func(i, j int) { fleet[i], fleet[j] = fleet[j], fleet[i] })
@@ -44,21 +44,21 @@
 
 // SelectTargets returns which of n servers or nodes the i-th fault affects: a random share of them, at least one. The
 // model and the rig get the same ones.
-func (s *Scenario) Hit(fault, n int, share float64) []int {
+func (s *Scenario) SelectTargets(fault, n int, share float64) []int {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x686974<<16+uint64(fault)))
 	count := min(n, max(1, int(math.Round(share*float64(n)))))
 	return rng.Perm(n)[:count]
 }
 
 // FaultTargets returns the targets of each fault by their indexes; they are nodes or servers, depending on its kind.
-func (s *Scenario) Hits(fleet []Server) [][]int {
+func (s *Scenario) FaultTargets(fleet []Server) [][]int {
 	var targets [][]int
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		var selected []int
 		switch f.Kind {
 		case "node_roll", "node_crash", "node_upgrade", "node_stop":
-			selected = s.Hit(i, s.Nodes, f.Share)
+			selected = s.SelectTargets(i, s.Nodes, f.Share)
 		case "zone_loss":
 			for k := range fleet {
 				if fleet[k].Zone == f.Zone {
@@ -70,7 +70,7 @@
 				selected = append(selected, k)
 			}
 		default:
-			selected = s.Hit(i, len(fleet), f.Share)
+			selected = s.SelectTargets(i, len(fleet), f.Share)
 		}
 		targets = append(targets, selected)
 	}
@@ -79,23 +79,23 @@
 
 // Operation is one thing that a client wants done. The client makes one or more tries, each a request to a node, which
 // share one deadline.
-type Ask struct {
-	Index    int           // operations are numbered in the order of their start
-	At       time.Duration // start of its first try
-	Class    int           // index in Scenario.Classes
-	Tenant   int           // index in Scenario.Tenants; -1 where there are none
-	Work     time.Duration // on a standard core
-	Retries  int           // maximum number of tries after the first
-	Honours  bool          // the client waits for as long as a Retry-After says
-	TryShare float64       // share of the deadline after which the client gives up a try
-	Leaves   float64       // share of its waiting time after which the client disconnects early; 0: it does not
-	Stubborn bool          // the client repeats a keyed request although no response promised that this does no harm
+type Operation struct {
+	Index             int           // operations are numbered in the order of their start
+	At                time.Duration // start of its first try
+	Class             int           // index in Scenario.Classes
+	Tenant            int           // index in Scenario.Tenants; -1 where there are none
+	Work              time.Duration // on a standard core
+	Retries           int           // maximum number of tries after the first
+	HonoursRetryAfter bool          // the client waits for as long as a Retry-After says
+	TryShare          float64       // share of the deadline after which the client gives up a try
+	LeaveShare        float64       // share of its waiting time after which the client disconnects early; 0: it does not
+	RepeatsUnsafely   bool          // the client repeats a keyed request although no response promised that this does no harm
 }
 
 // Workload generates the operations of a scenario in the order of their start. Those that a flash crowd adds come from
 // random streams of their own: all other operations are the same with and without it. It is not safe for concurrent
 // use.
-type Asks struct {
+type Workload struct {
 	streams   []*operationStream
 	nextIndex int
 }
@@ -110,13 +110,13 @@
 	classShares  []float64 // cumulative, by index
 	tenantShares []float64 // cumulative, by index
 	onlyTenant   int       // index of the only tenant; -1: all tenants
-	next         Ask       // next operation, valid if hasNext
+	next         Operation // next operation, valid if hasNext
 	hasNext      bool
 }
 
 // Workload returns a generator that starts with the first operation.
-func (s *Scenario) Asks() *Asks {
-	workload := &Asks{streams: []*operationStream{s.newStream(0x61736b73, 0, s.Duration, 1, "")}}
+func (s *Scenario) Workload() *Workload {
+	workload := &Workload{streams: []*operationStream{s.newStream(0x61736b73, 0, s.Duration, 1, "")}}
 	for i := range s.Faults {
 		if f := &s.Faults[i]; f.Kind == "flash" && f.Factor > 1 {
 			workload.streams = append(workload.streams,
@@ -152,7 +152,7 @@
 }
 
 // Next returns the next operation, and false after the last.
-func (a *Asks) Next() (Ask, bool) {
+func (a *Workload) Next() (Operation, bool) {
 	var earliest *operationStream
 	for _, o := range a.streams {
 		if o.hasNext && (earliest == nil || o.next.At < earliest.next.At) {
@@ -160,7 +160,7 @@
 		}
 	}
 	if earliest == nil {
-		return Ask{}, false
+		return Operation{}, false
 	}
 	op := earliest.next
 	op.Index = a.nextIndex
@@ -188,7 +188,7 @@
 	if o.hasNext = o.now < o.end; !o.hasNext {
 		return
 	}
-	op := Ask{At: o.now, Class: sampleIndex(o.rng, o.classShares), Tenant: o.onlyTenant}
+	op := Operation{At: o.now, Class: sampleIndex(o.rng, o.classShares), Tenant: o.onlyTenant}
 	if o.onlyTenant < 0 && len(s.Tenants) > 0 {
 		op.Tenant = sampleIndex(o.rng, o.tenantShares)
 	}
@@ -198,14 +198,14 @@
 	if o.rng.Float64() < clients.Retries-float64(op.Retries) {
 		op.Retries++
 	}
-	op.Honours = o.rng.Float64() < clients.Honour
+	op.HonoursRetryAfter = o.rng.Float64() < clients.Honour
 	op.TryShare = clients.TryShare + (1-clients.TryShare)*o.rng.Float64()
 	leaves, fraction := o.rng.Float64() < clients.Impatient, o.rng.Float64() // always two draws: later ones stay the same
 	if leaves {
-		op.Leaves = 0.1 + 0.8*fraction
+		op.LeaveShare = 0.1 + 0.8*fraction
 	}
 	if clients.Stubborn > 0 { // no draw where it is 0, so that scenarios without it keep their operations
-		op.Stubborn = o.rng.Float64() < clients.Stubborn
+		op.RepeatsUnsafely = o.rng.Float64() < clients.Stubborn
 	}
 	heavy := o.rng.Float64()
 	for i := range s.Faults {
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -14,7 +14,7 @@
 	return Scenario{
 		Seed: 1, Duration: 40 * time.Second, Warmup: 2 * time.Second, Nodes: 2,
 		Servers: Servers{Count: 13, Zones: 1, PodSize: 7,
-			Kinds: []Kind{
+			Kinds: []ServerType{
 				{Name: "std-2c", Share: 0.36, Cores: 2, Speed: 0.95, SpeedCV: 0.15, SlotsPerCore: 1, QueuePerCore: 3, ColdFrom: 0.4,
 					ColdFor: 6 * time.Second, WarmBy: "work", ErrorRate: 0.0005},
 				{Name: "slow-2c", Share: 0.64, Cores: 2, Speed: 0.6, SpeedCV: 0.12, SlotsPerCore: 1, QueuePerCore: 2, ColdFrom: 0.45,
@@ -22,13 +22,13 @@
 			},
 			Connections: Connections{CapPerCore: 700, HandshakeWork: 2300 * time.Microsecond, HandshakeRTTs: 2,
 				Idle: 10 * time.Second, ConnectTimeout: 250 * time.Millisecond},
-			Choke:   Choke{At: 6},
+			Choke:   Contention{At: 6},
 			Reports: Reports{Period: 220 * time.Millisecond, Delay: 50 * time.Millisecond, Noise: 0.1},
 		},
 		Network: Network{OneWay: 100 * time.Microsecond, Client: 350 * time.Microsecond, Jitter: 0.2},
-		Roster: Roster{AddLag: 1500 * time.Millisecond, Notice: 3 * time.Second, SilentNotice: 8 * time.Second,
+		Roster: Discovery{AddLag: 1500 * time.Millisecond, Notice: 3 * time.Second, SilentNotice: 8 * time.Second,
 			CallTime: 20 * time.Millisecond, Timeout: time.Second},
-		Front: Front{Notice: 2 * time.Second},
+		Front: FrontBalancer{Notice: 2 * time.Second},
 		Clients: Clients{Arrivals: "poisson", Burstiness: 2, Load: 0.65, WavePeriod: 20 * time.Second, Retries: 1,
 			Backoff: 150 * time.Millisecond, TryShare: 0.85, Impatient: 0.01},
 		Classes: []Class{
@@ -64,7 +64,7 @@
 	var first error
 	reject := func(path, format string, args ...any) {
 		if first == nil {
-			first = &config.FieldError{Path: path, Why: fmt.Sprintf(format, args...)}
+			first = &config.FieldError{Path: path, Reason: fmt.Sprintf(format, args...)}
 		}
 	}
 	checkInt := func(path string, v, lower, upper int) {
@@ -206,7 +206,7 @@
 	}
 	if s.Cells.Size != 0 || len(s.Cells.Tenants) > 0 {
 		s.Cells.Size = max(s.Cells.Size, 1)
-		if _, err := s.Cells.At(time.Unix(1, 0)).Terms(); err != nil && first == nil {
+		if _, err := s.Cells.ConfigAt(time.Unix(1, 0)).Settings(); err != nil && first == nil {
 			first = err
 		}
 	}
@@ -226,18 +226,18 @@
 	checkDuration("rules.answer_slack", rules.AnswerSlack, 0)
 	checkFloat("rules.over_share", rules.OverShare, 0, 1)
 	if s.Health != nil && s.Health.Checks != nil {
-		if _, err := s.Health.Checks.Ready(); err != nil && first == nil {
+		if _, err := s.Health.Checks.WithDefaults(); err != nil && first == nil {
 			first = err
 		}
 	}
 	if first == nil {
-		if _, err := s.Contracts(); err != nil {
+		if _, err := s.ContractTable(); err != nil {
 			first = err
 		}
 	}
 	for i, f := range s.Faults {
 		prefix := fmt.Sprintf("faults[%d].", i)
-		kind, ok := Kinds[f.Kind]
+		kind, ok := FaultKinds[f.Kind]
 		if !ok {
 			reject(prefix+"kind", "%q is not a kind of fault; `portstall lab faults` lists them", f.Kind)
 			continue
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -23,8 +23,8 @@
 	Nodes    int           `yaml:"nodes"`
 	Servers  Servers       `yaml:"servers"`
 	Network  Network       `yaml:"network"`
-	Roster   Roster        `yaml:"roster"`
-	Front    Front         `yaml:"front"`
+	Roster   Discovery     `yaml:"roster"`
+	Front    FrontBalancer `yaml:"front"`
 	Clients  Clients       `yaml:"clients"`
 	Classes  []Class       `yaml:"classes"`
 	Tenants  []Tenant      `yaml:"tenants"`
@@ -38,13 +38,13 @@
 
 // Servers is the fleet of web servers.
 type Servers struct {
-	Count       int         `yaml:"count"`
-	Zones       int         `yaml:"zones"`    // servers are assigned to them round-robin
-	PodSize     int         `yaml:"pod_size"` // servers that share their memory of idempotency keys of group pod; 0: one pod
-	Kinds       []Kind      `yaml:"kinds"`
-	Connections Connections `yaml:"connections"`
-	Choke       Choke       `yaml:"choke"`
-	Reports     Reports     `yaml:"reports"`
+	Count       int          `yaml:"count"`
+	Zones       int          `yaml:"zones"`    // servers are assigned to them round-robin
+	PodSize     int          `yaml:"pod_size"` // servers that share their memory of idempotency keys of group pod; 0: one pod
+	Kinds       []ServerType `yaml:"kinds"`
+	Connections Connections  `yaml:"connections"`
+	Choke       Contention   `yaml:"choke"`
+	Reports     Reports      `yaml:"reports"`
 
 	// Via is the protocol, socks5 or connect, of two proxies in front of the servers, each for every other server. Empty:
 	// the servers are reached directly.
@@ -52,7 +52,7 @@
 }
 
 // ServerType is a type of machine that web servers run on.
-type Kind struct {
+type ServerType struct {
 	Name         string        `yaml:"name"`
 	Share        float64       `yaml:"share"` // of the fleet, relative to the other types' shares
 	Cores        int           `yaml:"cores"`
@@ -78,7 +78,7 @@
 
 // Contention describes how a server slows down under load: above At requests per core, in work or waiting, its speed is
 // divided by 1 plus By times the excess.
-type Choke struct {
+type Contention struct {
 	At float64 `yaml:"at"`
 	By float64 `yaml:"by"`
 }
@@ -99,7 +99,7 @@
 }
 
 // Discovery describes the discovery service, which sends the server list to the nodes.
-type Roster struct {
+type Discovery struct {
 	Push         bool          `yaml:"push"`          // it sends changes unasked; otherwise nodes watch it
 	AddLag       time.Duration `yaml:"add_lag"`       // from a server's start until it is listed
 	Notice       time.Duration `yaml:"notice"`        // from a process's exit until it is removed from the list
@@ -109,7 +109,7 @@
 }
 
 // FrontBalancer describes the load balancer that distributes the clients over the nodes.
-type Front struct {
+type FrontBalancer struct {
 	Notice time.Duration `yaml:"notice"` // time for which it keeps sending to a dead node
 	Split  []float64     `yaml:"split"`  // relative shares of the nodes; empty: equal shares
 	Moves  time.Duration `yaml:"moves"`  // period after which the shares rotate by one node; 0: they stay
@@ -150,23 +150,23 @@
 
 // TunnelDuration returns how long an operation's tunnel stays open that is established at the given time: the mean
 // duration of its class times its work relative to the class's mean, but not beyond the scenario's end.
-func (s *Scenario) Holds(op *Ask, at time.Duration) time.Duration {
+func (s *Scenario) TunnelDuration(op *Operation, at time.Duration) time.Duration {
 	class := &s.Classes[op.Class]
 	return max(0, min(time.Duration(float64(class.Stands)*op.Work.Seconds()/class.Work.Seconds()), s.Duration-at))
 }
 
 // Cells assigns each tenant a subset of the servers, like config.Cells; times count from the scenario's start.
 type Cells struct {
-	Size    int           `yaml:"size"`    // servers of a tenant; 0: all tenants share all servers
-	Spill   float64       `yaml:"spill"`   // as in config.Cells, like the following
-	Memory  int           `yaml:"memory"`  // maximum number of stored keys
-	Marked  bool          `yaml:"marked"`  // clients mark repeats
-	Skew    time.Duration `yaml:"skew"`    // maximum clock skew among nodes
-	Tenants []Pinned      `yaml:"tenants"` // tenants with servers of chosen pods
+	Size    int            `yaml:"size"`    // servers of a tenant; 0: all tenants share all servers
+	Spill   float64        `yaml:"spill"`   // as in config.Cells, like the following
+	Memory  int            `yaml:"memory"`  // maximum number of stored keys
+	Marked  bool           `yaml:"marked"`  // clients mark repeats
+	Skew    time.Duration  `yaml:"skew"`    // maximum clock skew among nodes
+	Tenants []PinnedTenant `yaml:"tenants"` // tenants with servers of chosen pods
 }
 
 // PinnedTenant is a tenant whose servers are those of the given pods.
-type Pinned struct {
+type PinnedTenant struct {
 	Tenant string  `yaml:"tenant"`
 	Pods   []int64 `yaml:"pods"`
 	Moves  []Move  `yaml:"moves"`
@@ -185,7 +185,7 @@
 
 // ConfigAt returns the cells in the nodes' product file if the scenario starts at the given time, or nil if there are
 // none.
-func (c *Cells) At(start time.Time) *config.Cells {
+func (c *Cells) ConfigAt(start time.Time) *config.Cells {
 	if c.Size == 0 {
 		return nil
 	}
@@ -197,7 +197,7 @@
 		return t
 	}
 	for _, v := range c.Tenants {
-		p := config.Pinned{Tenant: v.Tenant, Pods: v.Pods}
+		p := config.PinnedTenant{Tenant: v.Tenant, Pods: v.Pods}
 		for _, m := range v.Moves {
 			p.Moves = append(p.Moves, config.Move{To: m.To, Keys: m.Keys, Start: start.Add(m.Start), Prepare: m.Prepare,
 				Both: m.Both, Stop: absolute(m.Stop), Back: absolute(m.Back)})
@@ -209,7 +209,7 @@
 
 // PodKey returns the idempotency key of an operation if all requests with this key must go to one pod, and the empty
 // string otherwise.
-func (s *Scenario) Key(op *Ask) string {
+func (s *Scenario) PodKey(op *Operation) string {
 	class := &s.Classes[op.Class]
 	if s.Cells.Size == 0 || op.Tenant < 0 || class.Effect != "keyed" || class.Group != "pod" {
 		return ""
@@ -223,7 +223,9 @@
 }
 
 // IdempotencyKey returns the key that all tries of an operation of a keyed class carry.
-func IdempotencyKey(s *Scenario, op *Ask) string { return fmt.Sprintf("k-%d-%d", s.Seed, op.Index) }
+func IdempotencyKey(s *Scenario, op *Operation) string {
+	return fmt.Sprintf("k-%d-%d", s.Seed, op.Index)
+}
 
 // Tenant describes a group of clients.
 type Tenant struct {
@@ -305,7 +307,7 @@
 		settings.RetryAfter = 2 * time.Second
 	}
 	for _, c := range s.Classes {
-		settings.Classes = append(settings.Classes, policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
+		settings.Classes = append(settings.Classes, policy.Class{Name: c.Name, TargetLatency: c.Aim, Deadline: c.Deadline, Value: c.Worth,
 			Effect: effectsByName[c.Effect], Group: groupsByName[c.Group], Window: c.Window})
 	}
 	capacity := s.Capacity() / s.MeanWork()
@@ -316,7 +318,7 @@
 }
 
 // FirstFaultSpan returns the start and end of the fault that begins first, in seconds; both 0 where there is none.
-func (s *Scenario) Trigger() [2]float64 {
+func (s *Scenario) FirstFaultSpan() [2]float64 {
 	if len(s.Faults) == 0 {
 		return [2]float64{}
 	}
@@ -330,7 +332,7 @@
 }
 
 // ContractTable compiles the scenario's contracts; it returns nil where there are none. Tenants are identified by name.
-func (s *Scenario) Contracts() (*contract.Table, error) {
+func (s *Scenario) ContractTable() (*contract.Table, error) {
 	effectOf := map[string]string{}
 	for _, c := range s.Classes {
 		effectOf[c.Name] = c.Effect
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -72,9 +72,9 @@
 func TestSeedDeterminesOperationsAndFaults(t *testing.T) {
 	s := Default()
 	s.Name = "x"
-	list := func(s *Scenario) []Ask {
-		var all []Ask
-		for workload := s.Asks(); ; {
+	list := func(s *Scenario) []Operation {
+		var all []Operation
+		for workload := s.Workload(); ; {
 			a, ok := workload.Next()
 			if !ok {
 				return all
@@ -90,11 +90,11 @@
 	if reflect.DeepEqual(list(&s)[:10], list(&other)[:10]) {
 		t.Error("another seed gives the same operations")
 	}
-	if !reflect.DeepEqual(Draw(s, 7), Draw(s, 7)) || reflect.DeepEqual(Draw(s, 7).Faults, Draw(s, 8).Faults) {
+	if !reflect.DeepEqual(WithRandomFaults(s, 7), WithRandomFaults(s, 7)) || reflect.DeepEqual(WithRandomFaults(s, 7).Faults, WithRandomFaults(s, 8).Faults) {
 		t.Error("random faults: want the same for one seed, others for another")
 	}
 	for seed := range uint64(200) {
-		d := Draw(s, seed)
+		d := WithRandomFaults(s, seed)
 		if err := d.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -108,7 +108,7 @@
 		s.Name, s.Duration, s.Clients.Arrivals, s.Clients.Wave = "x", 2000*time.Second, arrivals, 0.2
 		n, work, tenants := 0, 0.0, map[int]int{}
 		gaps, squares, last := 0.0, 0.0, time.Duration(0)
-		for workload := s.Asks(); ; {
+		for workload := s.Workload(); ; {
 			op, ok := workload.Next()
 			if !ok {
 				break
@@ -143,7 +143,7 @@
 		s.Name, s.Duration = "x", 200*time.Second
 		s.Faults = []Fault{{Kind: "flash", At: 100 * time.Second, For: 100 * time.Second, Factor: 3, Tenant: tenant}}
 		arrivals := map[int]int{}
-		for workload := s.Asks(); ; {
+		for workload := s.Workload(); ; {
 			op, ok := workload.Next()
 			if !ok {
 				return arrivals
@@ -175,18 +175,18 @@
 	ids, types, zones, pods := map[uint32]bool{}, map[string]int{}, map[int]int{}, map[int]int{}
 	for _, v := range s.Fleet() {
 		ids[v.ID] = true
-		types[v.Kind.Name]++
+		types[v.Type.Name]++
 		zones[v.Zone]++
 		pods[v.Pod]++
 	}
 	if len(ids) != 100 || types["std-2c"] != 36 || zones[3] != 25 || len(pods) != 10 || pods[9] != 10 {
 		t.Errorf("%d ids, types %v, zones %v, pods %v", len(ids), types, zones, pods)
 	}
-	if targets := s.Hit(0, 100, 0.1); len(targets) != 10 || !reflect.DeepEqual(targets, s.Hit(0, 100, 0.1)) ||
-		reflect.DeepEqual(targets, s.Hit(1, 100, 0.1)) {
+	if targets := s.SelectTargets(0, 100, 0.1); len(targets) != 10 || !reflect.DeepEqual(targets, s.SelectTargets(0, 100, 0.1)) ||
+		reflect.DeepEqual(targets, s.SelectTargets(1, 100, 0.1)) {
 		t.Errorf("targets of the first fault: %v, want the same 10 each time, and others for the second", targets)
 	}
-	if targets := s.Hit(0, 3, 0.01); len(targets) != 1 {
+	if targets := s.SelectTargets(0, 3, 0.01); len(targets) != 1 {
 		t.Errorf("targets of a fault with a small share: %v, want 1", targets)
 	}
 }
--- a/internal/lab/scenario/wire.go
+++ b/internal/lab/scenario/wire.go
@@ -1,7 +1,7 @@
 package scenario
 
 // NodeSettings returns the values of Settings in the form of a node process's configuration.
-func (s *Scenario) Wire() map[string]any {
+func (s *Scenario) NodeSettings() map[string]any {
 	settings := s.Settings()
 	effectName := map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 	var grades, projects []any
--- a/internal/lab/standin/addr.go
+++ b/internal/lab/standin/addr.go
@@ -33,7 +33,7 @@
 
 // ReserveHost returns a loopback host, such as 127.80.3.7, that no other caller in any process of this machine gets. It
 // is safe for concurrent use.
-func Host() (string, error) {
+func ReserveHost() (string, error) {
 	hostPool.Lock()
 	defer hostPool.Unlock()
 	if hostPool.left == 0 {
@@ -72,7 +72,7 @@
 
 // Listen listens at a free port of a newly reserved host.
 func Listen() (net.Listener, error) {
-	host, err := Host()
+	host, err := ReserveHost()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/standin/conn.go
+++ b/internal/lab/standin/conn.go
@@ -7,7 +7,7 @@
 
 // NewConnPair opens a TCP connection on loopback and returns the end that dialled and the accepted end. The caller
 // closes both. After an error neither is open.
-func Pair() (far, near *net.TCPConn, err error) {
+func NewConnPair() (far, near *net.TCPConn, err error) {
 	ln, err := Listen()
 	if err != nil {
 		return nil, nil, err
@@ -26,16 +26,16 @@
 }
 
 // TB is the part of testing.TB that the helpers of this package need. It keeps the package testing out of binaries.
-type Test interface {
+type TB interface {
 	Helper()
 	Fatal(args ...any)
 	Cleanup(f func())
 }
 
 // TestConnPair is NewConnPair for a test: it fails the test on an error and closes both ends when the test ends.
-func Ends(t Test) (far, near *net.TCPConn) {
+func TestConnPair(t TB) (far, near *net.TCPConn) {
 	t.Helper()
-	far, near, err := Pair()
+	far, near, err := NewConnPair()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 
 // FillSendBuffer writes a text in pieces of at most piece bytes until the socket buffers of both ends are full, and
 // returns how many bytes were written. It does not wait for the peer to read.
-func Pour(c *net.TCPConn, text string, piece int) (sent int, err error) {
+func FillSendBuffer(c *net.TCPConn, text string, piece int) (sent int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -40,7 +40,7 @@
 	c := &Control{Addr: ln.Addr().String(), set: resource.NewSet(true), history: resource.NewHistory(resource.HistoryLimits{}),
 		changed: make(chan struct{}), refusals: map[resource.Version]string{}}
 	if len(first) > 0 {
-		if _, err := c.Change(first); err != nil {
+		if _, err := c.ApplyChange(first); err != nil {
 			ln.Close()
 			return nil, err
 		}
@@ -84,7 +84,7 @@
 }
 
 // ApplyChange adds or replaces resources and removes others as the next version, which it returns.
-func (c *Control) Change(put []resource.Resource, removed ...resource.Key) (resource.Version, error) {
+func (c *Control) ApplyChange(put []resource.Resource, removed ...resource.Key) (resource.Version, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	to := c.set.Version()
@@ -92,7 +92,7 @@
 		to.Epoch = uint64(time.Now().UnixMilli())
 	}
 	to.Number++
-	delta := c.set.Next(to, put, removed)
+	delta := c.set.NewDelta(to, put, removed)
 	if err := c.set.Check(delta); err != nil {
 		return resource.Version{}, err
 	}
@@ -113,7 +113,7 @@
 }
 
 // CopyFrom takes over the configuration of another control process, but not its history.
-func (c *Control) Become(other *Control) error {
+func (c *Control) CopyFrom(other *Control) error {
 	other.mu.Lock()
 	snapshot := other.set.Snapshot()
 	other.mu.Unlock()
@@ -125,7 +125,7 @@
 
 // RespondOnce scripts the response to the next call for which none is scripted yet. A call that is waiting gets it at
 // once.
-func (c *Control) Say(h http.HandlerFunc) {
+func (c *Control) RespondOnce(h http.HandlerFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.scripted = append(c.scripted, h)
@@ -140,28 +140,28 @@
 }
 
 // ResponseCounts returns how many responses were full snapshots and how many were non-empty deltas.
-func (c *Control) Counts() (snapshots, deltas int) {
+func (c *Control) ResponseCounts() (snapshots, deltas int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshots, c.deltas
 }
 
 // RefusalReason returns the reason that a caller gave for refusing a version; empty if no caller refused it.
-func (c *Control) Why(v resource.Version) string {
+func (c *Control) RefusalReason(v resource.Version) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusals[v]
 }
 
 // CallerVersion returns the version that the latest caller reported to have.
-func (c *Control) Acked() resource.Version {
+func (c *Control) CallerVersion() resource.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.callerVersion
 }
 
 // CallCount returns the number of calls since the start.
-func (c *Control) Calls() int {
+func (c *Control) CallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
@@ -202,7 +202,7 @@
 		current, changed := c.set.Version(), c.changed
 		delta := &resource.Delta{From: since, To: since}
 		if s := query.Get("sum"); s != "" {
-			delta.Sum.UnmarshalText([]byte(s)) // the caller's, for an empty delta: that of an older version is not known here
+			delta.Checksum.UnmarshalText([]byte(s)) // the caller's, for an empty delta: that of an older version is not known here
 		}
 		done := true
 		switch {
@@ -226,7 +226,7 @@
 		}
 		if done {
 			switch {
-			case delta.Whole():
+			case delta.IsSnapshot():
 				c.snapshots++
 			case delta.From != delta.To:
 				c.deltas++
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -1,7 +1,7 @@
 package standin
 
 // ServerEntry is an entry of discovery's server list, in the platform's wire format.
-type Listed struct {
+type ServerEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
