--- a/internal/lab/standin/health.go
+++ b/internal/lab/standin/health.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	a := &Agent{listener: ln, conns: map[net.Conn]bool{}}
-	a.Says("up ready 100%\n")
+	a.Reply("up ready 100%\n")
 	a.wg.Add(1)
 	go a.acceptLoop()
 	return a, nil
@@ -65,7 +65,7 @@
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
 // QueryCount returns the number of connections accepted since the start.
-func (a *Agent) Asked() int {
+func (a *Agent) QueryCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queries
@@ -78,12 +78,12 @@
 }
 
 // Reply makes it write a text and close the connection. Several texts are used in turn, starting over after the last.
-func (a *Agent) Says(texts ...string) {
+func (a *Agent) Reply(texts ...string) {
 	a.setBehavior(func(nth int, c net.Conn) { io.WriteString(c, texts[nth%len(texts)]) })
 }
 
 // ReplyWith makes it write the text that a function returns for each connection, or stall where that returns false.
-func (a *Agent) Asks(reply func() (text string, answers bool)) {
+func (a *Agent) ReplyWith(reply func() (text string, answers bool)) {
 	a.setBehavior(func(_ int, c net.Conn) {
 		if text, answers := reply(); answers {
 			io.WriteString(c, text)
@@ -94,7 +94,7 @@
 }
 
 // Stall makes it accept, write the given beginning and nothing more, and keep the connection open.
-func (a *Agent) Stalls(beginning string) {
+func (a *Agent) Stall(beginning string) {
 	a.setBehavior(func(_ int, c net.Conn) {
 		io.WriteString(c, beginning)
 		io.Copy(io.Discard, c)
@@ -102,7 +102,7 @@
 }
 
 // WriteEndlessly makes it write until the peer closes the connection.
-func (a *Agent) Rambles() {
+func (a *Agent) WriteEndlessly() {
 	a.setBehavior(func(_ int, c net.Conn) {
 		text := make([]byte, 4096)
 		for i := range text {
@@ -117,7 +117,7 @@
 }
 
 // ResetAfter makes it reset the connection after writing the given beginning.
-func (a *Agent) Resets(beginning string) {
+func (a *Agent) ResetAfter(beginning string) {
 	a.setBehavior(func(_ int, c net.Conn) {
 		io.WriteString(c, beginning)
 		c.(*net.TCPConn).SetLinger(0)
@@ -136,7 +136,7 @@
 }
 
 // HealthServer stands in for a server that speaks the gRPC health protocol. It uses the implementation of grpc-go.
-type Health struct {
+type HealthServer struct {
 	*grpchealth.Server
 	server *grpc.Server
 	addr   string
@@ -144,34 +144,34 @@
 
 // StartHealthServer starts a server at an address, or at one of its own where that is empty. It reports the server as a
 // whole as serving, and knows no service by name.
-func StartHealth(addr string) (*Health, error) {
+func StartHealthServer(addr string) (*HealthServer, error) {
 	ln, err := listenAt(addr)
 	if err != nil {
 		return nil, err
 	}
-	h := &Health{grpchealth.NewServer(), grpc.NewServer(), ln.Addr().String()}
+	h := &HealthServer{grpchealth.NewServer(), grpc.NewServer(), ln.Addr().String()}
 	healthpb.RegisterHealthServer(h.server, h.Server)
 	go h.server.Serve(ln)
 	return h, nil
 }
 
 // Addr returns the address at which it listens.
-func (h *Health) Addr() string { return h.addr }
+func (h *HealthServer) Addr() string { return h.addr }
 
 // Stop closes the listener, all connections and all streams.
-func (h *Health) Stop() { h.server.Stop() }
+func (h *HealthServer) Stop() { h.server.Stop() }
 
 // CheckedPage stands in for the HTTP page that a health check requests.
-type Page struct {
+type CheckedPage struct {
 	Status int
 	Body   string
-	After  time.Duration // pause before the response
+	Delay  time.Duration // pause before the response
 }
 
 // ServeHTTP responds with the status and body; a status of redirection also gets a Location.
-func (p *Page) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *CheckedPage) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-time.After(p.After):
+	case <-time.After(p.Delay):
 	case <-r.Context().Done():
 		return
 	}
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -31,19 +31,19 @@
 	listener net.Listener
 	wg       sync.WaitGroup
 	conns    map[net.Conn]struct{}
-	fault    Wrong
+	fault    ProxyFault
 	delay    time.Duration
 	dials    int
 }
 
 // ProxyFault is a fault of a proxy.
-type Wrong uint8
+type ProxyFault uint8
 
 const (
-	Nothing  Wrong = iota // works
-	Nonsense              // replies with text of no proxy protocol
-	Refuses               // refuses every server, as its protocol does
-	Silent                // accepts connections and never replies
+	NoFault        ProxyFault = iota // works
+	MalformedReply                   // replies with text of no proxy protocol
+	RefuseAll                        // refuses every server, as its protocol does
+	NoReply                          // accepts connections and never replies
 )
 
 // Start opens the listener, at the same address each time. It does nothing while the proxy runs.
@@ -105,14 +105,14 @@
 }
 
 // SetFault sets the fault, and the delay before each tunnel is opened, for connections accepted from now on.
-func (p *Proxy) Trouble(fault Wrong, delay time.Duration) {
+func (p *Proxy) SetFault(fault ProxyFault, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault, p.delay = fault, delay
 }
 
 // DialCount returns the number of connections opened to servers.
-func (p *Proxy) Dialed() int {
+func (p *Proxy) DialCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
@@ -150,11 +150,11 @@
 		readRequest, refuse, established = p.readSOCKS5, "\x05\x05\x00\x01\x00\x00\x00\x00\x00\x00",
 			"\x05\x00\x00\x01\x7f\x00\x00\x01\x00\x01"
 	}
-	if fault == Nonsense {
+	if fault == MalformedReply {
 		io.WriteString(c, "220 what would you like to send?\r\n\r\n")
 		return
 	}
-	if fault == Silent {
+	if fault == NoReply {
 		in.ReadByte()
 		io.Copy(io.Discard, in)
 		return
@@ -164,7 +164,7 @@
 		return
 	}
 	time.Sleep(delay)
-	if fault == Refuses {
+	if fault == RefuseAll {
 		io.WriteString(c, refuse)
 		return
 	}
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -14,15 +14,15 @@
 // Keyring holds the Ed25519 keys (RFC 8032) of the instances that may be members, and the private key of this one.
 // While a member rolls its key it has several. A Keyring is immutable and safe for concurrent use: a roll makes a new
 // one.
-type Ring struct {
+type Keyring struct {
 	private ed25519.PrivateKey
 	public  map[string][]ed25519.PublicKey // by member name
 }
 
 // NewKeyring makes a Keyring of a private key and the public keys of all members by name, in the form of PublicText. An
 // error names the member.
-func NewRing(private ed25519.PrivateKey, members map[string][]string) (*Ring, error) {
-	r := &Ring{private: private, public: map[string][]ed25519.PublicKey{}}
+func NewKeyring(private ed25519.PrivateKey, members map[string][]string) (*Keyring, error) {
+	r := &Keyring{private: private, public: map[string][]ed25519.PublicKey{}}
 	seen := map[string]string{}
 	for name, keys := range members {
 		if name == "" || len(name) > maxName {
@@ -47,13 +47,13 @@
 }
 
 // Sign implements Keys.
-func (r *Ring) Sign(b []byte) []byte { return ed25519.Sign(r.private, b) }
+func (r *Keyring) Sign(b []byte) []byte { return ed25519.Sign(r.private, b) }
 
 // Verify implements Keys.
-func (r *Ring) Verify(name string, b, sig []byte) error {
+func (r *Keyring) Verify(name string, b, sig []byte) error {
 	keys, known := r.public[name]
 	if !known {
-		return ErrStranger
+		return ErrUnknownMember
 	}
 	for _, k := range keys {
 		if ed25519.Verify(k, b, sig) {
@@ -134,7 +134,7 @@
 
 // ActivateNextKey replaces the current key by the next one and returns its public key. The replacement is atomic: after
 // a crash one of the two keys is in place.
-func UseNext(path string) (string, error) {
+func ActivateNextKey(path string) (string, error) {
 	key, err := ReadKey(path + nextKeySuffix)
 	if err != nil {
 		return "", err
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -20,7 +20,7 @@
 }
 
 // DefaultSettings returns settings for a local network.
-func Usual() Settings {
+func DefaultSettings() Settings {
 	return Settings{ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3, Quorum: 3, MaxBytesPerSecond: 16 << 10, SyncInterval: 30 * time.Second}
 }
 
@@ -62,7 +62,7 @@
 )
 
 // Outgoing is a packet to be sent.
-type Out struct {
+type Outgoing struct {
 	Addr string
 	Data []byte
 	TCP  bool // the packet exceeds MaxPacketBytes, or must not be lost
@@ -134,7 +134,7 @@
 	probeCount    int
 	tokens        float64 // bytes that may be sent now
 	refilledAt    time.Duration
-	out           []Out
+	out           []Outgoing
 	verified      map[string]bool // facts with a valid signature, by fact and signature
 	serverReports map[reportKey]ServerReport
 	// Refused counts rejected packets and facts, by reason.
@@ -159,7 +159,7 @@
 
 // SetKeys replaces the keys. Facts and packets signed by a removed key, or by a member that is no longer listed, are
 // rejected from then on.
-func (m *Member) Rekey(now time.Duration, keys Keys) {
+func (m *Member) SetKeys(now time.Duration, keys Keys) {
 	m.keys = keys
 	clear(m.verified)
 	for name, p := range m.peers {
@@ -260,12 +260,12 @@
 		return false
 	}
 	m.tokens -= float64(len(data))
-	m.out = append(m.out, Out{addr, data, p.Sure || len(data) > MaxPacketBytes})
+	m.out = append(m.out, Outgoing{addr, data, p.Sure || len(data) > MaxPacketBytes})
 	return true
 }
 
 // Tick does what is due by now. It returns the packets to send and the time of the next call.
-func (m *Member) Tick(now time.Duration) (out []Out, next time.Duration) {
+func (m *Member) Tick(now time.Duration) (out []Outgoing, next time.Duration) {
 	m.out = nil
 	if m.stopped {
 		return nil, now + m.settings.SyncInterval
@@ -510,13 +510,13 @@
 
 // Receive processes a packet from an address. It returns the packets to send and, where the packet is rejected, the
 // reason, which it also counts in Refused.
-func (m *Member) Receive(now time.Duration, from string, data []byte) (out []Out, err error) {
+func (m *Member) Receive(now time.Duration, from string, data []byte) (out []Outgoing, err error) {
 	m.out = nil
 	if m.stopped {
 		return nil, nil
 	}
 	if err := m.receive(now, from, data); err != nil {
-		for _, reason := range []error{ErrMalformed, ErrVersion, ErrSignature, ErrReplay, ErrStranger, ErrWrongRecipient} {
+		for _, reason := range []error{ErrMalformed, ErrVersion, ErrSignature, ErrReplay, ErrUnknownMember, ErrWrongRecipient} {
 			if errors.Is(err, reason) {
 				m.Refused[reason]++
 			}
@@ -774,7 +774,7 @@
 }
 
 // Leave announces that the member leaves. It returns the packets to send; the member sends nothing afterwards.
-func (m *Member) Leave(now time.Duration) []Out {
+func (m *Member) Leave(now time.Duration) []Outgoing {
 	m.out = nil
 	if m.stopped {
 		return nil
@@ -807,7 +807,7 @@
 }
 
 // AliveCount returns the number of members that are not known to be dead or to have left, this one included.
-func (m *Member) Alive() int { return m.size() }
+func (m *Member) AliveCount() int { return m.size() }
 
 // Inc returns the member's current incarnation.
 func (m *Member) Inc() uint64 { return m.inc }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("%d invariants violated, first: %s", len(sim.violations), sim.violations[0])
 	}
 	for i, b := range sim.bytes {
-		if limit := float64(Usual().MaxBytesPerSecond) * (sim.now.Seconds() + 2); float64(b) > limit && sim.intercept == nil {
+		if limit := float64(DefaultSettings().MaxBytesPerSecond) * (sim.now.Seconds() + 2); float64(b) > limit && sim.intercept == nil {
 			t.Errorf("%s sent %d bytes in %v, beyond its budget", memberName(i), b, sim.now)
 		}
 	}
@@ -148,9 +148,9 @@
 			sim.waitJoined(t)
 			liar := sim.keys(7)
 			n := uint64(0)
-			sim.intercept = func(from int, o Out) []Out {
+			sim.intercept = func(from int, o Outgoing) []Outgoing {
 				if from != 7 || some && o.Addr > memberAddr(4) {
-					return []Out{o}
+					return []Outgoing{o}
 				}
 				m := sim.members[7]
 				p := packet{V: version, Kind: ping, From: memberName(7), To: memberName(sim.byAddr[o.Addr]), Inc: m.Inc(), Nonce: 1}
@@ -166,7 +166,7 @@
 					p.Facts = append(p.Facts, signFact(&Fact{Kind: factSuspect, By: memberName((i + 1) % 10), About: memberName(i), Inc: other.Inc(), Seq: n}, liar.Sign),
 						signFact(&Fact{Kind: factLeft, By: memberName(i), Inc: other.Inc() + 1}, liar.Sign))
 				}
-				return []Out{o, {Addr: o.Addr, Data: seal(&p, liar.Sign)}}
+				return []Outgoing{o, {Addr: o.Addr, Data: seal(&p, liar.Sign)}}
 			}
 			sim.run(sim.now + 60*second)
 			if len(sim.falselyDead) > 0 || sim.countHolding(3, Left) > 0 {
@@ -185,11 +185,11 @@
 	sim := newSimulation(5, 1)
 	sim.waitJoined(t)
 	var recorded [][]byte
-	sim.intercept = func(from int, o Out) []Out {
+	sim.intercept = func(from int, o Outgoing) []Outgoing {
 		if p, err := unseal(o.Data, sim.keys(0)); err == nil && from == 2 && p.To == memberName(0) && len(recorded) < 50 {
 			recorded = append(recorded, o.Data)
 		}
-		return []Out{o}
+		return []Outgoing{o}
 	}
 	sim.run(sim.now + 120*second)
 	sim.intercept = nil
@@ -223,7 +223,7 @@
 			t.Errorf("a packet signed by an unknown key is accepted: %+v", p)
 		}
 	}
-	if m.peers[memberName(2)].Inc != before || m.peers["x"] != nil || m.Refused[ErrReplay] == 0 || m.Refused[ErrMalformed] == 0 || m.Refused[ErrStranger] == 0 || m.Refused[ErrVersion] == 0 || m.Refused[ErrWrongRecipient] != 0 {
+	if m.peers[memberName(2)].Inc != before || m.peers["x"] != nil || m.Refused[ErrReplay] == 0 || m.Refused[ErrMalformed] == 0 || m.Refused[ErrUnknownMember] == 0 || m.Refused[ErrVersion] == 0 || m.Refused[ErrWrongRecipient] != 0 {
 		t.Errorf("rejected by reason: %v, or a forged packet changed what the member knows", m.Refused)
 	}
 	sim.checkInvariants(t)
@@ -254,7 +254,7 @@
 			sim.secrets[memberName(i)]++
 		}
 		for i, m := range sim.members {
-			m.Rekey(sim.now, sim.keys(i))
+			m.SetKeys(sim.now, sim.keys(i))
 		}
 		sim.run(sim.now + 30*second)
 		sim.cut = nil
@@ -287,10 +287,10 @@
 func TestServerReportsCountFromSeveralMembers(t *testing.T) {
 	sim := newSimulation(7, 1)
 	sim.waitJoined(t)
-	report := func(i int, failedShare float64) { sim.members[i].Witness(sim.now, "s-1", failedShare, 20) }
+	report := func(i int, failedShare float64) { sim.members[i].ReportServer(sim.now, "s-1", failedShare, 20) }
 	report(6, 1)
 	sim.run(sim.now + 5*second)
-	if d, n := sim.members[0].Doubt(sim.now, "s-1"); d != 0 || n != 1 {
+	if d, n := sim.members[0].FailureEstimate(sim.now, "s-1"); d != 0 || n != 1 {
 		t.Errorf("a single reporter: failed share %v of %d reporters", d, n)
 	}
 	for i := 1; i < 6; i++ {
@@ -298,18 +298,18 @@
 	}
 	report(6, 1)
 	sim.run(sim.now + 5*second)
-	if d, n := sim.members[0].Doubt(sim.now, "s-1"); d > 0.01 || n < 5 {
+	if d, n := sim.members[0].FailureEstimate(sim.now, "s-1"); d > 0.01 || n < 5 {
 		t.Errorf("one false report among six: failed share %v of %d reporters", d, n)
 	}
 	for i := 1; i < 6; i++ {
 		report(i, 0.9)
 	}
 	sim.run(sim.now + 5*second)
-	if d, n := sim.members[0].Doubt(sim.now, "s-1"); d < 0.4 || n < 5 {
+	if d, n := sim.members[0].FailureEstimate(sim.now, "s-1"); d < 0.4 || n < 5 {
 		t.Errorf("five agree: failed share %v of %d reporters", d, n)
 	}
 	sim.run(sim.now + 60*second)
-	if d, _ := sim.members[0].Doubt(sim.now, "s-1"); d != 0 {
+	if d, _ := sim.members[0].FailureEstimate(sim.now, "s-1"); d != 0 {
 		t.Errorf("a minute later: failed share %v", d)
 	}
 	sim.checkInvariants(t)
@@ -384,7 +384,7 @@
 			sim.secrets[memberName(1)]++
 			for i, m := range sim.members {
 				if m != nil {
-					m.Rekey(sim.now, sim.keys(i))
+					m.SetKeys(sim.now, sim.keys(i))
 				}
 			}
 		},
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -102,7 +102,7 @@
 	ErrVersion        = errors.New("of another version")
 	ErrSignature      = errors.New("not signed by whom it says")
 	ErrReplay         = errors.New("heard before")
-	ErrStranger       = errors.New("of nobody who may be a member")
+	ErrUnknownMember  = errors.New("of nobody who may be a member")
 	ErrWrongRecipient = errors.New("for another member")
 )
 
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -30,7 +30,7 @@
 
 // ReportServer reports to the other members the failed share of this member's recent attempts at a web server, and
 // their number.
-func (m *Member) Witness(now time.Duration, server string, failedShare, attempts float64) {
+func (m *Member) ReportServer(now time.Duration, server string, failedShare, attempts float64) {
 	if len(server) > maxName || len(server) == 0 || m.stopped {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // DoubtedServers returns the sorted IDs of the web servers that some other member recently reported as failing.
-func (m *Member) Doubted(now time.Duration) []string {
+func (m *Member) DoubtedServers(now time.Duration) []string {
 	all := map[string]bool{}
 	for k, r := range m.serverReports {
 		if r.FailedShare > 0.1 && now <= r.ReceivedAt+3*reportTimeConstant {
@@ -76,7 +76,7 @@
 // of members that it is based on. It justifies an earlier probe by this node, and fewer requests until then, no more.
 // It is the median of the decayed reports of live members, so that fewer than half of them can't move it beyond what
 // the others observed, whatever they report.
-func (m *Member) Doubt(now time.Duration, server string) (failedShare float64, reporters int) {
+func (m *Member) FailureEstimate(now time.Duration, server string) (failedShare float64, reporters int) {
 	var shares []float64
 	for _, name := range m.peerNames() {
 		r, known := m.serverReports[reportKey{name, server}]
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -29,7 +29,7 @@
 
 func (s testKeys) Verify(name string, b, sig []byte) error {
 	if _, known := s.secretByName[name]; !known {
-		return ErrStranger
+		return ErrUnknownMember
 	}
 	if string(s.mac(name, b)) != string(sig) {
 		return ErrSignature
@@ -48,14 +48,14 @@
 	members     []*Member // nil: not running
 	byAddr      map[string]int
 	loss        float64
-	slow        map[int]bool                // members whose packets are delayed by up to two seconds
-	frozen      map[int]time.Duration       // members that are suspended, and until when
-	cut         func(from, to int) bool     // whether packets between two members are lost; nil: no partition
-	intercept   func(from int, o Out) []Out // replaces what a member sends; nil: nothing is replaced
-	maxIncSeen  map[string]uint64           // highest incarnation of each member that any member held
-	falselyDead map[string]int              // "holder subject" of running members that a running member held for dead
-	violations  []string                    // of invariants
-	bytes       []int64                     // sent, by member
+	slow        map[int]bool                          // members whose packets are delayed by up to two seconds
+	frozen      map[int]time.Duration                 // members that are suspended, and until when
+	cut         func(from, to int) bool               // whether packets between two members are lost; nil: no partition
+	intercept   func(from int, o Outgoing) []Outgoing // replaces what a member sends; nil: nothing is replaced
+	maxIncSeen  map[string]uint64                     // highest incarnation of each member that any member held
+	falselyDead map[string]int                        // "holder subject" of running members that a running member held for dead
+	violations  []string                              // of invariants
+	bytes       []int64                               // sent, by member
 	started     time.Duration
 	each        func()
 }
@@ -107,7 +107,7 @@
 // start starts or restarts a member with the given incarnation.
 func (sim *simulation) start(i int, inc uint64) {
 	sim.byAddr[memberAddr(i)] = i
-	sim.members[i] = New(sim.now, memberName(i), memberAddr(i), inc, Usual(), sim.keys(i), rand.New(rand.NewPCG(sim.rng.Uint64(), uint64(i))), memberAddr(0), memberAddr(1))
+	sim.members[i] = New(sim.now, memberName(i), memberAddr(i), inc, DefaultSettings(), sim.keys(i), rand.New(rand.NewPCG(sim.rng.Uint64(), uint64(i))), memberAddr(0), memberAddr(1))
 	sim.schedule(sim.now+time.Duration(sim.rng.Int64N(int64(second))), event{to: i})
 }
 
@@ -119,9 +119,9 @@
 }
 
 // send puts packets on the network.
-func (sim *simulation) send(from int, packets []Out) {
+func (sim *simulation) send(from int, packets []Outgoing) {
 	for _, o := range packets {
-		all := []Out{o}
+		all := []Outgoing{o}
 		if sim.intercept != nil {
 			all = sim.intercept(from, o)
 		}
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -26,17 +26,17 @@
 
 // Options are the parameters of Listen.
 type Options struct {
-	Name  string   // name of this member
-	Addr  string   // host:port, for UDP and TCP; the port may be 0
-	Seeds []string // host:port of members through which this one joins
-	Set   Settings
-	Keys  Keys
-	Log   *slog.Logger
+	Name     string   // name of this member
+	Addr     string   // host:port, for UDP and TCP; the port may be 0
+	Seeds    []string // host:port of members through which this one joins
+	Settings Settings
+	Keys     Keys
+	Log      *slog.Logger
 }
 
 // Transport runs a Member on sockets. Packets go over UDP; those that are too long for it or must not be lost go over
 // TCP, each on a connection of its own, after a length of four bytes. It is safe for concurrent use.
-type Edge struct {
+type Transport struct {
 	udp       *net.UDPConn
 	tcp       net.Listener
 	log       *slog.Logger
@@ -52,7 +52,7 @@
 }
 
 // Listen opens the sockets and starts to join the other members. An error names the address that could not be opened.
-func Listen(ctx context.Context, o Options) (*Edge, error) {
+func Listen(ctx context.Context, o Options) (*Transport, error) {
 	listenConfig := net.ListenConfig{}
 	tcp, err := listenConfig.Listen(ctx, "tcp", o.Addr)
 	if err != nil {
@@ -63,9 +63,9 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("members: %w", err), tcp.Close())
 	}
-	t := &Edge{udp: udp.(*net.UDPConn), tcp: tcp, log: o.Log, started: time.Now(), done: make(chan struct{}),
+	t := &Transport{udp: udp.(*net.UDPConn), tcp: tcp, log: o.Log, started: time.Now(), done: make(chan struct{}),
 		dialSlots: make(chan struct{}, maxStreams), loggedStates: map[string]State{}}
-	t.member = New(0, o.Name, addr, uint64(time.Now().UnixMilli()), o.Set, o.Keys, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), o.Seeds...)
+	t.member = New(0, o.Name, addr, uint64(time.Now().UnixMilli()), o.Settings, o.Keys, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), o.Seeds...)
 	t.wg.Add(3)
 	go t.runTimer()
 	go t.readUDP()
@@ -74,13 +74,13 @@
 }
 
 // now returns the time since the start, which does not step back.
-func (t *Edge) now() time.Duration { return time.Since(t.started) }
+func (t *Transport) now() time.Duration { return time.Since(t.started) }
 
 // Addr returns the host:port at which the member listens.
-func (t *Edge) Addr() string { return t.tcp.Addr().String() }
+func (t *Transport) Addr() string { return t.tcp.Addr().String() }
 
 // Close announces that the member leaves, closes the sockets and waits for all goroutines to end.
-func (t *Edge) Close() {
+func (t *Transport) Close() {
 	t.mu.Lock()
 	packets := t.member.Leave(t.now())
 	t.mu.Unlock()
@@ -93,17 +93,17 @@
 
 // Do runs f with the member under the lock. f must not retain the member. Facts that it queues are sent with the next
 // packets.
-func (t *Edge) Do(f func(now time.Duration, m *Member)) {
+func (t *Transport) Do(f func(now time.Duration, m *Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.now(), t.member)
 }
 
 // BytesSent returns the number of bytes written to the sockets.
-func (t *Edge) Sent() int64 { return t.sent.Load() }
+func (t *Transport) BytesSent() int64 { return t.sent.Load() }
 
 // runTimer calls the member's Tick whenever it is due.
-func (t *Edge) runTimer() {
+func (t *Transport) runTimer() {
 	defer t.wg.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -123,7 +123,7 @@
 }
 
 // logStates logs each peer whose state has changed since it was last logged. The caller holds the lock.
-func (t *Edge) logStates() {
+func (t *Transport) logStates() {
 	for name, p := range t.member.peers {
 		if old, known := t.loggedStates[name]; !known || old != p.State {
 			t.loggedStates[name] = p.State
@@ -133,7 +133,7 @@
 }
 
 // receive passes a received packet to the member and sends the replies.
-func (t *Edge) receive(from string, data []byte) {
+func (t *Transport) receive(from string, data []byte) {
 	t.mu.Lock()
 	packets, err := t.member.Receive(t.now(), from, data)
 	t.mu.Unlock()
@@ -144,7 +144,7 @@
 }
 
 // readUDP receives packets until the socket is closed.
-func (t *Edge) readUDP() {
+func (t *Transport) readUDP() {
 	defer t.wg.Done()
 	buf := make([]byte, 2*MaxPacketBytes)
 	for {
@@ -159,13 +159,13 @@
 }
 
 // serveTCP accepts connections until the listener is closed.
-func (t *Edge) serveTCP() {
+func (t *Transport) serveTCP() {
 	defer t.wg.Done()
 	flow.Serve(t.tcp, maxStreams, t.readStream, func(err error) { t.log.Warn("members: accept failed", "err", err) })
 }
 
 // readStream receives one packet from a connection.
-func (t *Edge) readStream(conn net.Conn) {
+func (t *Transport) readStream(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(streamTimeout))
 	var size [4]byte
 	if _, err := io.ReadFull(conn, size[:]); err != nil {
@@ -183,7 +183,7 @@
 
 // send writes packets to the network. Those that can't be written are dropped, as on any lossy network. TCP packets are
 // written by goroutines of their own.
-func (t *Edge) send(packets []Out) {
+func (t *Transport) send(packets []Outgoing) {
 	for _, o := range packets {
 		if !o.TCP {
 			to, err := netip.ParseAddrPort(o.Addr)
--- a/internal/member/transport_test.go
+++ b/internal/member/transport_test.go
@@ -37,7 +37,7 @@
 // dead, and none sends more bytes than its budget.
 func TestTenInstancesOverSockets(t *testing.T) {
 	const n = 10
-	settings := Usual()
+	settings := DefaultSettings()
 	settings.ProbeInterval, settings.ProbeTimeout, settings.SyncInterval = 100*time.Millisecond, 30*time.Millisecond, time.Second
 	var keys []ed25519.PrivateKey
 	members := map[string][]string{}
@@ -49,14 +49,14 @@
 		keys = append(keys, k)
 		members[memberName(i)] = []string{PublicText(k)}
 	}
-	ring := func(i int) *Ring {
-		r, err := NewRing(keys[i], members)
+	ring := func(i int) *Keyring {
+		r, err := NewKeyring(keys[i], members)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	var transports []*Edge
+	var transports []*Transport
 	var seeds []string
 	begun := time.Now()
 	for i := range n {
@@ -64,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, err := Listen(t.Context(), Options{Name: memberName(i), Addr: addr, Seeds: seeds, Set: settings, Keys: ring(i), Log: slog.New(slog.DiscardHandler)})
+		e, err := Listen(t.Context(), Options{Name: memberName(i), Addr: addr, Seeds: seeds, Settings: settings, Keys: ring(i), Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 	})
 	// An unknown key signs packets by which all members leave; malformed packets come between them.
 	_, unknownKey, _ := ed25519.GenerateKey(nil)
-	forger, err := NewRing(unknownKey, map[string][]string{"x": {PublicText(unknownKey)}})
+	forger, err := NewKeyring(unknownKey, map[string][]string{"x": {PublicText(unknownKey)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,8 +164,8 @@
 	transports[5].Close()
 	waitFor(t, "a member that stops is held for dead", func() bool { return allHold(n, 5, Dead) })
 	for i, e := range transports {
-		if limit := float64(settings.MaxBytesPerSecond) * (time.Since(begun).Seconds() + 1); float64(e.Sent()) > limit {
-			t.Errorf("%s sent %d bytes, its budget is %.0f", memberName(i), e.Sent(), limit)
+		if limit := float64(settings.MaxBytesPerSecond) * (time.Since(begun).Seconds() + 1); float64(e.BytesSent()) > limit {
+			t.Errorf("%s sent %d bytes, its budget is %.0f", memberName(i), e.BytesSent(), limit)
 		}
 	}
 }
@@ -191,14 +191,14 @@
 	if public(path) != first {
 		t.Error("the key read differs from the key made")
 	}
-	if _, err := UseNext(path); !errors.Is(err, os.ErrNotExist) || public(path) != first {
+	if _, err := ActivateNextKey(path); !errors.Is(err, os.ErrNotExist) || public(path) != first {
 		t.Errorf("a next key is activated that does not exist: %v", err)
 	}
 	// A crash while the next key is written leaves a truncated file.
 	if err := os.WriteFile(path+nextKeySuffix, []byte("bm9uc2"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := UseNext(path); err == nil || public(path) != first {
+	if _, err := ActivateNextKey(path); err == nil || public(path) != first {
 		t.Errorf("a truncated next key is activated: %v", err)
 	}
 	next, err := NextKey(path)
@@ -208,10 +208,10 @@
 	if again, err := NextKey(path); err != nil || again != next { // as after a crash before the public key was distributed
 		t.Errorf("%v, %v: the next key changed", again, err)
 	}
-	if used, err := UseNext(path); err != nil || used != next || public(path) != next {
+	if used, err := ActivateNextKey(path); err != nil || used != next || public(path) != next {
 		t.Errorf("%v, %v", used, err)
 	}
-	if _, err := UseNext(path); !errors.Is(err, os.ErrNotExist) || public(path) != next { // as after a crash that followed
+	if _, err := ActivateNextKey(path); !errors.Is(err, os.ErrNotExist) || public(path) != next { // as after a crash that followed
 		t.Error(err)
 	}
 	for _, mode := range []os.FileMode{0o640, 0o604, 0o666} {
@@ -226,7 +226,7 @@
 	for what, members := range map[string]map[string][]string{
 		"an empty name": {"": {first}}, "no key": {"a": nil}, "a malformed key": {"a": {"x"}}, "a key of two members": {"a": {first}, "b": {first}},
 	} {
-		if _, err := NewRing(key, members); err == nil {
+		if _, err := NewKeyring(key, members); err == nil {
 			t.Errorf("%s is accepted", what)
 		}
 	}
@@ -247,7 +247,7 @@
 		if fact, err := readFact(data); err == nil && (fact.Kind < factAlive || fact.Kind > factServerReport || len(fact.Data) > maxData) {
 			t.Fatalf("%+v", fact)
 		}
-		m := New(0, memberName(0), "a0", 1, Usual(), sim.keys(0), sim.rng)
+		m := New(0, memberName(0), "a0", 1, DefaultSettings(), sim.keys(0), sim.rng)
 		m.Receive(second, "a1", data)
 	})
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -9,31 +9,31 @@
 )
 
 // MaxBody is the maximum size of a request or response body, in bytes.
-const Max = 32 << 20
+const MaxBody = 32 << 20
 
 // MaxHead is the maximum size of a request head, in bytes. It also limits what a front reads ahead.
-const HeadSize = 16 << 10
+const MaxHead = 16 << 10
 
 // ErrBodyTooLarge means that a body is larger than MaxBody.
-var ErrTooLarge = errors.New("body too large")
+var ErrBodyTooLarge = errors.New("body too large")
 
 // ForwardedHeaders are the headers of a request that are forwarded to a web server, each at most once. The platform's
 // protocol defines no others.
-var Headers = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
+var ForwardedHeaders = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
 
 // Response is a valid response of a web server. It is a core.Payload; its owner must release it once.
-type Answer struct {
-	Type   string        // Content-Type; empty: none
-	Body   []byte        // complete body, if Stream is nil
-	Stream io.ReadCloser // large body that is still being received; nil: Body is complete
-	Length int64         // length of the streamed body; -1 if not known in advance
-	Held   int64         // bytes of Budget that the body uses
-	Budget *flow.Budget  // budget to which HeldBytes are released
+type Response struct {
+	ContentType string        // Content-Type; empty: none
+	Body        []byte        // complete body, if Stream is nil
+	Stream      io.ReadCloser // large body that is still being received; nil: Body is complete
+	Length      int64         // length of the streamed body; -1 if not known in advance
+	HeldBytes   int64         // bytes of Budget that the body uses
+	Budget      *flow.Budget  // budget to which HeldBytes are released
 }
 
 // Release returns what the response held, whether it was forwarded or not.
-func (a *Answer) Release() {
-	a.Budget.AnswerDone(a.Held)
+func (a *Response) Release() {
+	a.Budget.ReleaseResponse(a.HeldBytes)
 	if a.Stream != nil {
 		a.Stream.Close()
 	}
--- a/internal/message/refusal.go
+++ b/internal/message/refusal.go
@@ -15,7 +15,7 @@
 // Refusal converts a final response that is not Served to HTTP terms. If the policy gave up, the status is 503 or 500 and
 // the reason is empty. If a contract refused the request, the status is 429 where the caller's own budget is used up, 503
 // where the fleet is under pressure and 403 where no contract covers the request; the reason is machine-readable.
-func Refusal(a core.Answer) (status int, retryAfter time.Duration, reason string) {
+func Refusal(a core.Response) (status int, retryAfter time.Duration, reason string) {
 	switch a.Kind {
 	case core.Refused:
 		return http.StatusServiceUnavailable, a.RetryAfter, ""
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -10,7 +10,7 @@
 )
 
 // TunnelLimits limit the lifetime of an opaque tunnel. A tunnel is closed once it reaches any of them.
-type Limits struct {
+type TunnelLimits struct {
 	Idle  time.Duration // time without a byte in either direction
 	Total time.Duration // time since it was opened
 	Stall time.Duration // time without a byte from the server since the client's latest; 0: no limit, as the protocol may be silent
@@ -20,7 +20,7 @@
 // Stream is the message of an opaque request, which asks for the tunnel itself. It is also a core.Body and is safe for
 // concurrent use.
 type Stream struct {
-	Limits Limits
+	Limits TunnelLimits
 	spent  atomic.Bool
 }
 
@@ -28,7 +28,7 @@
 func (s *Stream) Spent() bool { return s.spent.Load() }
 
 // MarkSpent records that bytes of the client are sent from now on.
-func (s *Stream) Spend() { s.spent.Store(true) }
+func (s *Stream) MarkSpent() { s.spent.Store(true) }
 
 // Tunnel is the payload of a served Stream: an open connection to a server to which nothing has been written yet.
 type Tunnel interface {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -31,7 +31,7 @@
 )
 
 // ErrUnknownServer means that no web server has the given ID.
-var ErrUnknown = errors.New("no such web server")
+var ErrUnknownServer = errors.New("no such web server")
 
 // Node carries out the calls of operators. After an error the call may or may not have taken effect, except that
 // ErrUnknownServer means that nothing has changed.
@@ -111,7 +111,7 @@
 	reply := func(w http.ResponseWriter, err error) {
 		status, text := http.StatusOK, "ok"
 		switch {
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrUnknownServer):
 			status, text = http.StatusNotFound, err.Error()
 		case err != nil:
 			status, text = http.StatusServiceUnavailable, err.Error()
@@ -139,7 +139,7 @@
 			var b bytes.Buffer // buffered, so that an error can still set the status
 			err := p.Write(&b, r.URL.Query())
 			switch {
-			case errors.Is(err, ErrUnknown):
+			case errors.Is(err, ErrUnknownServer):
 				http.Error(w, err.Error(), http.StatusNotFound)
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -33,7 +33,7 @@
 
 func (f *stubNode) recordFor(call, id string) error {
 	if id != "s-1" {
-		return ErrUnknown
+		return ErrUnknownServer
 	}
 	f.record(call + " " + id)
 	return nil
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -37,25 +37,25 @@
 }
 
 // waitBudgetReleased waits until everything that bodies held of the budget is released.
-func waitBudgetReleased(t *testing.T, node *rig) {
+func waitBudgetReleased(t *testing.T, node *testNode) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	size := node.cfg.bodyBytes()
-	if err := node.budget.Answer(ctx, size); err != nil {
+	size := node.cfg.maxBodyBytes()
+	if err := node.budget.AcquireResponse(ctx, size); err != nil {
 		t.Errorf("part of the body budget is still held: %v", err)
 		return
 	}
-	node.budget.AnswerDone(size)
+	node.budget.ReleaseResponse(size)
 }
 
 // Guards against bodies that are changed or cut on their way, of each size and framing, in both directions.
 func TestBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
-	for _, size := range []int{0, 1, flow.Keep - 1, flow.Keep, flow.Keep + 1, 3 << 20} {
+	for _, size := range []int{0, 1, flow.MaxBuffered - 1, flow.MaxBuffered, flow.MaxBuffered + 1, 3 << 20} {
 		text := distinctBody(size)
 		for name, answer := range map[string]func(c net.Conn) bool{
-			"a length": func(c net.Conn) bool { return reply(c, 200, "", text) },
+			"a length": func(c net.Conn) bool { return writeResponse(c, 200, "", text) },
 			"chunks": func(c net.Conn) bool {
 				_, err := io.WriteString(c, "HTTP/1.1 200\r\ntransfer-encoding: chunked\r\n\r\n"+chunked(text))
 				return err == nil
@@ -75,13 +75,13 @@
 
 // checkPassesUnchanged sends text with a length and in chunks, in pieces, and expects it at the web server and back.
 func checkPassesUnchanged(t *testing.T, text string, answer func(c net.Conn) bool, reuses bool) {
-	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if got, _ := io.ReadAll(r.Body); string(got) != text {
 			t.Errorf("the web server received %d bytes that differ", len(got))
 		}
 		return answer(c)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.MemoryMB, c.slack = 32, patience }, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) { c.MemoryMB, c.slack = 32, testTimeout }, server.entry("s-1"))
 	c := node.dial(t)
 	sized, streamed := save("sized"), save("streamed")
 	sized.body = text
@@ -97,7 +97,7 @@
 				rest = rest[n:]
 			}
 		}()
-		if resp, body := c.answer(); resp.StatusCode != 200 || body != text || resp.Close {
+		if resp, body := c.readResponse(); resp.StatusCode != 200 || body != text || resp.Close {
 			t.Errorf("status %d with %d bytes, close %v; want 200 with the same body and no close", resp.StatusCode, len(body), resp.Close)
 		}
 	}
@@ -117,12 +117,12 @@
 		"chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(beginning)),
 	} {
 		proceed := make(chan struct{})
-		server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+		server := newStubServer(t, func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, head+beginning)
 			<-proceed
 			return false
 		})
-		node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+		node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 		c := node.dial(t)
 		c.send(quote("q").text())
 		resp, err := http.ReadResponse(c.in, nil)
@@ -143,9 +143,9 @@
 func TestClientDisconnectsDuringLargeResponse(t *testing.T) {
 	t.Parallel()
 	broken := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.Max)
-		for range message.Max >> 10 {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, _ int) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.MaxBody)
+		for range message.MaxBody >> 10 {
 			if _, err := io.WriteString(c, strings.Repeat("x", 1<<10)); err != nil {
 				close(broken)
 				return false
@@ -153,7 +153,7 @@
 		}
 		return true
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
 	c.send(quote("q").text())
 	if _, err := c.in.ReadByte(); err != nil {
@@ -162,7 +162,7 @@
 	c.Close()
 	select {
 	case <-broken:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the web server can go on sending")
 	}
 	waitBudgetReleased(t, node)
@@ -172,16 +172,16 @@
 // cannot be retried; a small one can.
 func TestOnlyBufferedBodyIsRetried(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ size, status, sends int }{{flow.Keep, 200, 2}, {flow.Keep + 1, 500, 1}} {
+	for _, c := range []struct{ size, status, sends int }{{flow.MaxBuffered, 200, 2}, {flow.MaxBuffered + 1, 500, 1}} {
 		var sends atomic.Int64
 		breaks := func(c net.Conn, r *http.Request, nth int) bool {
-			return sends.Add(1) > 1 && served(c, r, nth) // the first send ends without a response
+			return sends.Add(1) > 1 && respondOK(c, r, nth) // the first send ends without a response
 		}
-		serverA, serverB := newBox(t, breaks), newBox(t, breaks)
-		node := newRig(t, newRegistry(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
+		serverA, serverB := newStubServer(t, breaks), newStubServer(t, breaks)
+		node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
 		q := save("q")
 		q.body = strings.Repeat("x", c.size)
-		if resp, _ := node.dial(t).ask(q); resp.StatusCode != c.status || int(sends.Load()) != c.sends {
+		if resp, _ := node.dial(t).roundTrip(q); resp.StatusCode != c.status || int(sends.Load()) != c.sends {
 			t.Errorf("a body of %d bytes: status %d after %d sends, want %d after %d", c.size, resp.StatusCode, sends.Load(), c.status, c.sends)
 		}
 		waitBudgetReleased(t, node)
@@ -192,12 +192,12 @@
 // response.
 func TestRefusalBeforeBodyIsComplete(t *testing.T) {
 	t.Parallel()
-	node := newRig(t, newRegistry(t), settingsJSON, nil)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil)
 	q := save("q")
 	q.body = strings.Repeat("x", 1<<20)
 	c := node.dial(t)
 	c.send(q.text()[:1000])
-	resp, _ := c.answer()
+	resp, _ := c.readResponse()
 	if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, close %v; want 503, a close and Retry-After", resp.StatusCode, resp.Close)
 	}
@@ -212,8 +212,8 @@
 // leaves its request open.
 func TestExpectContinueAndDisconnectDuringBody(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	q := save("q")
 	q.body = distinctBody(200 << 10)
 	head, _, _ := strings.Cut(q.text(), "\r\n\r\n")
@@ -223,22 +223,22 @@
 		t.Fatalf("%v, %v; want status 100", resp, err)
 	}
 	c.send(q.body)
-	if resp, _ := c.answer(); resp.StatusCode != 200 {
+	if resp, _ := c.readResponse(); resp.StatusCode != 200 {
 		t.Errorf("the request after 100 Continue: status %d, want 200", resp.StatusCode)
 	}
 	q.id = "left"
 	leaver := node.dial(t)
 	leaver.send(q.text()[:100<<10])
-	wait(t, "the unfinished request to be open", func() bool {
+	waitFor(t, "the unfinished request to be open", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return node.core.Open()["left"] > 0
+		return node.core.OpenRequests()["left"] > 0
 	})
 	leaver.Close()
-	wait(t, "the end of the unfinished request", func() bool {
+	waitFor(t, "the end of the unfinished request", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return len(node.core.Open()) == 0
+		return len(node.core.OpenRequests()) == 0
 	})
 	if n := len(server.requests()); n != 1 {
 		t.Errorf("the web server received %d complete requests, want 1", n)
--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -18,22 +18,22 @@
 }
 
 // serverChanged updates the placement for a web server on the list. One that drains or was removed is no longer a member.
-func (c *cells) serverChanged(server *backend) {
+func (c *cells) serverChanged(server *webServer) {
 	switch {
 	case c == nil:
-	case server.left || server.Stop.Load() != 0:
+	case server.removed || server.StopAt.Load() != 0:
 		c.Remove(server.ID)
 	default:
-		c.Set(cell.Server{ID: server.ID, Zone: server.entry.Zone, Pod: server.entry.Cell, Number: server.number})
+		c.Set(cell.Server{ID: server.ID, Zone: server.listEntry.Zone, Pod: server.listEntry.Cell, Number: server.number})
 	}
 }
 
 // placementRequest returns what placement needs to know of a request. A key binds a request where its repeats are
 // recognized by some servers and not by others; a request that is bound to a pod is bound to the pod's zone as well.
 func (c *cells) placementRequest(r *core.Request) *cell.Request {
-	request := cell.Request{Tenant: r.Tenant, Key: r.Key, Repeat: r.Repeat}
-	if r.Key != "" {
-		request.Window = c.node.set.Load().windows[r.Class]
+	request := cell.Request{Tenant: r.Tenant, Key: r.IdempotencyKey, Repeat: r.Repeat}
+	if r.IdempotencyKey != "" {
+		request.Window = c.node.settings.Load().windows[r.Class]
 	}
 	return &request
 }
@@ -44,8 +44,8 @@
 }
 
 func (c *cells) Sent(now time.Duration, r *core.Request, server uint32) {
-	if listed := c.node.backends[server]; listed != nil {
-		c.Placer.Sent(now, c.placementRequest(r), listed.entry.Cell)
+	if listed := c.node.serversByNumber[server]; listed != nil {
+		c.Placer.Sent(now, c.placementRequest(r), listed.listEntry.Cell)
 	}
 }
 
@@ -83,8 +83,8 @@
 		return Cell{}, false
 	}
 	report := n.cells.Report(n.core.Now(), tenant)
-	out := Cell{Tenant: tenant, Version: strconv.FormatUint(n.cells.Version(), 16), Servers: []string{}, Shared: report.Shared, Pods: report.Pods, Also: report.Also,
-		Step: report.Step.String(), Keys: report.Keys, Forgot: report.Forgot, Requests: report.Requests, Spilt: report.Spilt, Harmful: report.Harmful}
+	out := Cell{Tenant: tenant, Version: strconv.FormatUint(n.cells.Version(), 16), Servers: []string{}, Shared: report.SameSubsetProbability, Pods: report.Pods, Also: report.NewPods,
+		Step: report.Step.String(), Keys: report.KeyCount, Forgot: report.KeysEvicted, Requests: report.Requests, Spilt: report.Spilled, Harmful: report.Harmful}
 	for _, server := range report.Servers {
 		out.Servers = append(out.Servers, server.ID)
 	}
@@ -92,13 +92,13 @@
 }
 
 // cellTerms returns the terms of the cells in a file that was read again. Whether there are cells is decided at the start.
-func (n *node) cellTerms(cfg Config) (cell.Terms, error) {
+func (n *node) cellTerms(cfg Config) (cell.Settings, error) {
 	has := cfg.Product != nil && cfg.Product.Cells != nil
 	if has != (n.cells != nil) {
-		return cell.Terms{}, errors.New("cells: can't be added or removed by a reload")
+		return cell.Settings{}, errors.New("cells: can't be added or removed by a reload")
 	}
 	if !has {
-		return cell.Terms{}, nil
+		return cell.Settings{}, nil
 	}
-	return cfg.Product.Cells.Terms()
+	return cfg.Product.Cells.Settings()
 }
--- a/internal/node/cells_test.go
+++ b/internal/node/cells_test.go
@@ -11,9 +11,9 @@
 )
 
 // eightServers starts eight web servers, each in a zone and a pod.
-func eightServers(t *testing.T, place func(i int) (zone string, pod int64)) (servers []*box, list []listed) {
+func eightServers(t *testing.T, place func(i int) (zone string, pod int64)) (servers []*stubServer, list []serverEntry) {
 	for i := range 8 {
-		server := newBox(t, served)
+		server := newStubServer(t, respondOK)
 		entry := server.entry(fmt.Sprint("s-", i))
 		entry.Zone, entry.Cell = place(i)
 		servers, list = append(servers, server), append(list, entry)
@@ -26,17 +26,17 @@
 func TestRequestsStayInTenantCell(t *testing.T) {
 	t.Parallel()
 	servers, list := eightServers(t, func(i int) (string, int64) { return []string{"north", "south"}[i%2], int64(i) })
-	product := under(t, "cells: {size: 2}\n")
-	node := newRig(t, newRegistry(t), settingsJSON, product, list...)
-	otherNode := newRig(t, newRegistry(t), settingsJSON, product, list...)
+	product := withProductFile(t, "cells: {size: 2}\n")
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, product, list...)
+	otherNode := newTestNode(t, newStubDiscovery(t), settingsJSON, product, list...)
 	client := node.dial(t)
 	asked := 0
 	ask := func(tenant string, times, want int) {
 		t.Helper()
 		for range times {
 			asked++
-			client.send(with(view(fmt.Sprint("r", asked)), "X-Tenant: "+tenant))
-			if resp, _ := client.answer(); resp.StatusCode != want {
+			client.send(withHeaders(view(fmt.Sprint("r", asked)), "X-Tenant: "+tenant))
+			if resp, _ := client.readResponse(); resp.StatusCode != want {
 				t.Fatalf("%s: %d, want %d", tenant, resp.StatusCode, want)
 			}
 		}
@@ -47,7 +47,7 @@
 				ids = append(ids, fmt.Sprint("s-", i))
 			}
 			server.mu.Lock()
-			server.got = nil
+			server.received = nil
 			server.mu.Unlock()
 		}
 		return
@@ -62,7 +62,7 @@
 	if got := used(); !within(got, before.Servers) || !slices.Equal(there.Servers, before.Servers) || there.Version != before.Version || len(before.Servers) != 2 {
 		t.Fatalf("%v were used; the cell is %v, at the other node %v", got, before.Servers, there.Servers)
 	}
-	if first, second := list[slices.IndexFunc(list, func(e listed) bool { return e.ID == before.Servers[0] })], list[slices.IndexFunc(list, func(e listed) bool { return e.ID == before.Servers[1] })]; first.Zone == second.Zone {
+	if first, second := list[slices.IndexFunc(list, func(e serverEntry) bool { return e.ID == before.Servers[0] })], list[slices.IndexFunc(list, func(e serverEntry) bool { return e.ID == before.Servers[1] })]; first.Zone == second.Zone {
 		t.Errorf("both are in zone %s", first.Zone)
 	}
 	// One of the two drains: another server takes its slot, and the other one stays.
@@ -72,7 +72,7 @@
 			changed[i].State = "Terminating"
 		}
 	}
-	node.lists(2, changed...)
+	node.publishList(2, changed...)
 	after, _ := node.cellOf("gulf")
 	if len(after.Servers) != 2 || slices.Contains(after.Servers, before.Servers[0]) || !slices.Contains(after.Servers, before.Servers[1]) || after.Version == before.Version {
 		t.Errorf("%v became %v", before.Servers, after.Servers)
@@ -94,7 +94,7 @@
 		}
 	}
 	ask(spared, 20, 200)
-	for _, p := range node.pages() {
+	for _, p := range node.managementPages() {
 		if p.Path != "cell" {
 			continue
 		}
@@ -104,7 +104,7 @@
 			t.Errorf("the page says %s", out.String())
 		}
 	}
-	if _, ok := newRig(t, newRegistry(t), settingsJSON, nil, list...).cellOf("gulf"); ok {
+	if _, ok := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, list...).cellOf("gulf"); ok {
 		t.Error("a node without cells reports one")
 	}
 }
@@ -116,10 +116,10 @@
 	t.Parallel()
 	servers, list := eightServers(t, func(i int) (string, int64) { return "north", int64(i / 2) })
 	terms := func(back string) func(*Config) { // the move was prepared 26 s ago and took effect 6 s ago
-		return under(t, fmt.Sprintf("cells:\n  size: 4\n  marked: true\n  tenants:\n  - {tenant: gulf, pods: [0, 1], moves: [{to: [2, 3], start: %s, both: 10s%s}]}\n",
+		return withProductFile(t, fmt.Sprintf("cells:\n  size: 4\n  marked: true\n  tenants:\n  - {tenant: gulf, pods: [0, 1], moves: [{to: [2, 3], start: %s, both: 10s%s}]}\n",
 			time.Now().Add(-26*time.Second).Format(time.RFC3339Nano), back))
 	}
-	node := newRig(t, newRegistry(t), settingsJSON, terms(""), list...)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, terms(""), list...)
 	client := node.dial(t)
 	asked := 0
 	ask := func(key string, want int, more ...string) {
@@ -127,18 +127,18 @@
 		asked++
 		req := save(fmt.Sprint("r", asked))
 		req.key = key
-		client.send(with(req, append(more, "X-Tenant: gulf")...))
-		if resp, _ := client.answer(); resp.StatusCode != want {
+		client.send(withHeaders(req, append(more, "X-Tenant: gulf")...))
+		if resp, _ := client.readResponse(); resp.StatusCode != want {
 			t.Fatalf("%s %v: %d, want %d", key, more, resp.StatusCode, want)
 		}
 	}
 	pods := func() (pods []int) {
 		for i, server := range servers {
 			server.mu.Lock()
-			if len(server.got) > 0 && !slices.Contains(pods, i/2) {
+			if len(server.received) > 0 && !slices.Contains(pods, i/2) {
 				pods = append(pods, i/2)
 			}
-			server.got = nil
+			server.received = nil
 			server.mu.Unlock()
 		}
 		return
@@ -150,7 +150,7 @@
 		t.Fatalf("pods %v were used", got)
 	}
 	ask("k0", 200, "X-Retry: 1") // this node sent the key itself
-	if got := pods(); len(got) != 1 || int64(got[0]) != cell.Home(cell.Key("gulf", "k0"), []int64{2, 3}) {
+	if got := pods(); len(got) != 1 || int64(got[0]) != cell.HomePod(cell.KeyHash("gulf", "k0"), []int64{2, 3}) {
 		t.Errorf("a repeat went to pods %v", got)
 	}
 	ask("other", 503, "X-Retry: 1")
@@ -159,8 +159,8 @@
 	}
 	for range 20 {
 		asked++
-		client.send(with(view(fmt.Sprint("r", asked)), "X-Tenant: gulf"))
-		client.answer()
+		client.send(withHeaders(view(fmt.Sprint("r", asked)), "X-Tenant: gulf"))
+		client.readResponse()
 	}
 	if got := pods(); len(got) == 0 || got[0] < 2 { // which of the two is faster depends on the machine
 		t.Errorf("without a key: pods %v", got)
@@ -194,11 +194,11 @@
 // Where all of a tenant's own servers are disabled, the configured share of its requests spills to the neighbour's cell.
 func TestSpillToNeighbourCell(t *testing.T) {
 	t.Parallel()
-	var list []listed
+	var list []serverEntry
 	for i := range 12 {
-		list = append(list, newBox(t, served).entry(fmt.Sprint("s-", i)))
+		list = append(list, newStubServer(t, respondOK).entry(fmt.Sprint("s-", i)))
 	}
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, "cells: {size: 2, spill: 0.25}\n"), list...)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, "cells: {size: 2, spill: 0.25}\n"), list...)
 	at, _ := node.cellOf("gulf")
 	for _, id := range at.Servers {
 		must(t, node.Disable(t.Context(), id))
@@ -206,8 +206,8 @@
 	client := node.dial(t)
 	ok := 0
 	for i := range 80 {
-		client.send(with(view(fmt.Sprint("r", i)), "X-Tenant: gulf"))
-		if resp, _ := client.answer(); resp.StatusCode == 200 {
+		client.send(withHeaders(view(fmt.Sprint("r", i)), "X-Tenant: gulf"))
+		if resp, _ := client.readResponse(); resp.StatusCode == 200 {
 			ok++
 		}
 	}
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -30,7 +30,7 @@
 // connPair returns a connection: the end that dialed, and the other one.
 func connPair(t *testing.T) (conn, end net.Conn) {
 	t.Helper()
-	far, near, err := standin.Pair()
+	far, near, err := standin.NewConnPair()
 	must(t, err)
 	t.Cleanup(func() { far.Close() })
 	return far, near
@@ -40,44 +40,44 @@
 func newUnattachedClient(t *testing.T) observedClient {
 	t.Helper()
 	c, end := connPair(t)
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return observedClient{&client{t, c, bufio.NewReader(c)}, end}
 }
 
 // fillBodyBudget takes the budget for bodies of requests, except for what a small one needs: a body that needs more
 // waits, and so do others after it. The returned function releases it.
-func (n *rig) fillBodyBudget(t *testing.T) (release func()) {
+func (n *testNode) fillBodyBudget(t *testing.T) (release func()) {
 	t.Helper()
-	taken := n.cfg.bodyBytes()/2 - flow.Small
-	must(t, n.budget.Request(context.Background(), taken))
-	return func() { n.budget.RequestDone(taken) }
+	taken := n.cfg.maxBodyBytes()/2 - flow.MaxUncounted
+	must(t, n.budget.AcquireRequest(context.Background(), taken))
+	return func() { n.budget.ReleaseRequest(taken) }
 }
 
 // waitForBodyWaiter returns once a body waits for the budget.
-func (n *rig) waitForBodyWaiter(t *testing.T) {
+func (n *testNode) waitForBodyWaiter(t *testing.T) {
 	t.Helper()
-	wait(t, "a body to wait for the budget", func() bool {
+	waitFor(t, "a body to wait for the budget", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		if n.budget.Request(ctx, 1) != nil {
+		if n.budget.AcquireRequest(ctx, 1) != nil {
 			return true
 		}
-		n.budget.RequestDone(1)
+		n.budget.ReleaseRequest(1)
 		return false
 	})
 }
 
 // attach gives the client's other end to the node.
-func (n *rig) attach(t *testing.T, c observedClient) {
+func (n *testNode) attach(t *testing.T, c observedClient) {
 	t.Helper()
-	if !n.clients.Take() {
+	if !n.clients.AcquireSlot() {
 		t.Fatal("the node has no capacity for the connection")
 	}
-	n.clients.Go(func() { n.clients.Serve(c.end, bufio.NewReaderSize(c.end, message.HeadSize), "") })
+	n.clients.Go(func() { n.clients.Serve(c.end, bufio.NewReaderSize(c.end, message.MaxHead), "") })
 }
 
 // connectClient makes a connection and gives its other end to the node.
-func (n *rig) connectClient(t *testing.T) observedClient {
+func (n *testNode) connectClient(t *testing.T) observedClient {
 	t.Helper()
 	c := newUnattachedClient(t)
 	n.attach(t, c)
@@ -91,9 +91,9 @@
 	t.Parallel()
 	pipelined := strings.Repeat(view("more").text(), 600) // more than a connection's buffer holds
 	upload := quote("x")
-	upload.body = strings.Repeat("x", 4*flow.Keep)
+	upload.body = strings.Repeat("x", 4*flow.MaxBuffered)
 	large := quote("x")
-	large.body = strings.Repeat("x", flow.Keep/2)
+	large.body = strings.Repeat("x", flow.MaxBuffered/2)
 	flood := strings.Repeat(view("more").text(), 200<<10) // more than both kernels buffer: the remainder is never sent
 	for _, c := range []struct {
 		name, text     string
@@ -105,7 +105,7 @@
 		{"a connection, with further requests", view("x").text() + pipelined[:3000], false, false},
 		{"a connection, with further requests that fill the buffer", view("x").text() + pipelined, false, false},
 		{"a retry", save("x").text(), false, true},
-		{"a connection, during an upload", upload.text()[:flow.Keep/2], false, false},
+		{"a connection, during an upload", upload.text()[:flow.MaxBuffered/2], false, false},
 		{"body budget", large.text(), true, false},
 		{"a connection, with more data than the kernel buffers", view("x").text() + flood, false, false},
 		{"a retry, with more data than the kernel buffers", save("x").text() + flood, false, true},
@@ -114,19 +114,19 @@
 		for _, cancel := range []string{"true", "false"} {
 			t.Run(c.name+" cancel "+cancel, func(t *testing.T) {
 				t.Parallel()
-				var node *rig
-				full := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
+				var node *testNode
+				full := newStubServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 					must(t, node.Enable(context.Background(), "s-1"))
-					return reply(c, 503, "X-Not-Run: 1\r\n", "")
+					return writeResponse(c, 503, "X-Not-Run: 1\r\n", "")
 				})
 				ln, err := standin.Listen()
 				must(t, err)
 				defer ln.Close()
-				known := []listed{{ID: "s-1", Addr: ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}}
+				known := []serverEntry{{ID: "s-1", Addr: ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}}
 				if c.retry {
 					known = append(known, full.entry("s-2"))
 				}
-				node = newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), unhurried, known...)
+				node = newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), withTestTimeouts, known...)
 				waiting, held := make(chan struct{}), make(chan struct{})
 				release := sync.OnceFunc(func() { close(held) })
 				t.Cleanup(release) // also if the test fails: the node's end waits for its attempts
@@ -154,7 +154,7 @@
 				}
 				// Everything is sent before the node reads any of it: data that it discarded meanwhile would make room
 				// for more.
-				if n := cl.fill(t, c.text); strings.HasSuffix(c.text, flood) != (n < len(c.text)) || n > flow.SpillMost {
+				if n := cl.fill(t, c.text); strings.HasSuffix(c.text, flood) != (n < len(c.text)) || n > flow.MaxDiscard {
 					t.Fatalf("the kernels buffered %d bytes of %d", n, len(c.text))
 				}
 				node.attach(t, cl)
@@ -166,16 +166,16 @@
 				cl.Close()
 				endUnseen := c.waitsForBudget && strings.HasSuffix(c.text, flood) // the end of the stream arrives once the body is read
 				if !endUnseen {
-					wait(t, "the end of the client's stream", func() bool { return flow.Left(cl.end) })
-				} else if flow.Left(cl.end) {
+					waitFor(t, "the end of the client's stream", func() bool { return flow.PeerClosed(cl.end) })
+				} else if flow.PeerClosed(cl.end) {
 					t.Fatal("the end of the client's stream has arrived: the receive window is not full")
 				}
 				releaseBudget()
 				if !endUnseen {
 					release()
 				}
-				wait(t, "the close of the client's connection", cl.closed)
-				wait(t, "the end of the request", func() bool {
+				waitFor(t, "the close of the client's connection", cl.closed)
+				waitFor(t, "the end of the request", func() bool {
 					open, idle := node.pool.Counts()
 					return node.openRequests() == 0 && open == idle
 				})
@@ -188,7 +188,7 @@
 					}
 				default:
 				}
-				if serverEnd != nil && flow.Pending(serverEnd) == flow.BytesThere {
+				if serverEnd != nil && flow.PeekInput(serverEnd) == flow.InputAvailable {
 					t.Error("the request was forwarded though its client has disconnected")
 				}
 			})
@@ -205,7 +205,7 @@
 // fill sends as much of a text as the two kernels buffer at once, and returns how much that is.
 func (c observedClient) fill(t *testing.T, text string) (sent int) {
 	t.Helper()
-	sent, err := standin.Pour(c.Conn.(*net.TCPConn), text, 64<<10)
+	sent, err := standin.FillSendBuffer(c.Conn.(*net.TCPConn), text, 64<<10)
 	must(t, err)
 	return sent
 }
@@ -221,15 +221,15 @@
 		name   string
 		answer func(c net.Conn) bool // response of the server; nil: it cannot be reached
 	}{
-		{"refused", func(c net.Conn) bool { return reply(c, 503, "X-Not-Run: 1\r\n", "") }},
-		{"failed", func(c net.Conn) bool { return reply(c, 500, "", "") }},
+		{"refused", func(c net.Conn) bool { return writeResponse(c, 503, "X-Not-Run: 1\r\n", "") }},
+		{"failed", func(c net.Conn) bool { return writeResponse(c, 500, "", "") }},
 		{"reset", func(c net.Conn) bool {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}},
 		{"unreachable", nil},
 	} {
-		for _, q := range []call{view("x"), save("x"), quote("x")} {
+		for _, q := range []testRequest{view("x"), save("x"), quote("x")} {
 			for _, cancel := range []string{"true", "false"} {
 				for _, coreKnows := range []bool{true, false} {
 					t.Run(fmt.Sprintf("%s %s cancel %s core knows %v", fails.name, q.class, cancel, coreKnows), func(t *testing.T) {
@@ -247,17 +247,17 @@
 							}
 							return begun == 1
 						}
-						newServer := func() *box {
-							return newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+						newServer := func() *stubServer {
+							return newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 								if !beginAttempt() {
-									return served(c, r, nth)
+									return respondOK(c, r, nth)
 								}
 								<-held
 								return fails.answer(c)
 							})
 						}
 						a, b := newServer(), newServer()
-						node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), unhurried,
+						node := newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"cancel":true`, `"cancel":`+cancel, 1), withTestTimeouts,
 							a.entry("s-1"), b.entry("s-2"))
 						if fails.answer == nil {
 							dial := func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
@@ -265,7 +265,7 @@
 								dialedBefore := begun > 0
 								mu.Unlock()
 								if dialedBefore {
-									return back.Direct(ctx, d, addr) // the servers' count shows whether anything is sent
+									return back.DialDirect(ctx, d, addr) // the servers' count shows whether anything is sent
 								}
 								beginAttempt()
 								<-held
@@ -287,13 +287,13 @@
 							time.Sleep(20 * time.Millisecond) // no result depends on it: too short a time forces less
 						}
 						cl.Close()
-						wait(t, "the end of the client's stream", func() bool { return flow.Left(cl.end) })
+						waitFor(t, "the end of the client's stream", func() bool { return flow.PeerClosed(cl.end) })
 						if coreKnows {
-							wait(t, "the close of the client's connection, which follows the core's response", cl.closed)
+							waitFor(t, "the close of the client's connection, which follows the core's response", cl.closed)
 							release()
 						}
 						unlock()
-						wait(t, "the end of the request", func() bool {
+						waitFor(t, "the end of the request", func() bool {
 							open, idle := node.pool.Counts()
 							return node.openRequests() == 0 && open == idle
 						})
@@ -322,26 +322,26 @@
 			t.Parallel()
 			hold := make(chan bool)
 			release := sync.OnceFunc(func() { close(hold) })
-			server := newSlowBox(t, hold)
+			server := newSlowServer(t, hold)
 			t.Cleanup(release)
-			node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+			node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, server.entry("s-1"))
 			cl := newUnattachedClient(t)
 			cl.send(quote("slow").text())
 			if c.ahead {
-				if n := cl.fill(t, pipelined); n < 200<<10 || n > flow.SpillMost/2+flow.SpillMost/4 || n == len(pipelined) {
+				if n := cl.fill(t, pipelined); n < 200<<10 || n > flow.MaxDiscard/2+flow.MaxDiscard/4 || n == len(pipelined) {
 					t.Fatalf("the kernels buffered %d bytes of %d: the window is not full, or too much is sent", n, len(pipelined))
 				}
 			}
 			node.attach(t, cl)
-			wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
+			waitFor(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
 			if !c.ahead {
-				if n := cl.fill(t, pipelined[:flow.SpillMost/2]); n < 200<<10 {
+				if n := cl.fill(t, pipelined[:flow.MaxDiscard/2]); n < 200<<10 {
 					t.Fatalf("the kernels buffered %d bytes: the window is not full", n)
 				}
 			}
-			wait(t, "the node to read all that was sent", func() bool { return flow.Pending(cl.end) == flow.Nothing })
+			waitFor(t, "the node to read all that was sent", func() bool { return flow.PeekInput(cl.end) == flow.NoInput })
 			release()
-			if resp, body := cl.answer(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
+			if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
 				t.Errorf("status %d, body %q, close %v; want 200 and a close", resp.StatusCode, body, resp.Close)
 			}
 			if n, err := cl.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
@@ -358,12 +358,12 @@
 // and none is opened.
 func TestDisconnectedClientGetsNoTunnel(t *testing.T) {
 	t.Parallel()
-	target := newLines(t, nil)
+	target := newEchoServer(t, nil)
 	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
-	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute}}
-	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream, Left: func() bool { return true }}, Server: node.backendOf("s-1").Server,
-		Wait: patience}
-	if res := node.opaque.Attempt(t.Context(), a); res.Outcome != policy.Moot {
+	stream := &message.Stream{Limits: message.TunnelLimits{Idle: time.Minute, Total: time.Minute}}
+	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream, ClientLeft: func() bool { return true }}, Server: node.serverByID("s-1").Server,
+		Timeout: testTimeout}
+	if res := node.opaque.Attempt(t.Context(), a); res.Outcome != policy.NeverSent {
 		t.Errorf("outcome %v, want NeverSent", res.Outcome)
 	}
 	if open, _ := node.pool.Counts(); open != 0 {
@@ -379,7 +379,7 @@
 func (n *node) openRequests() int {
 	n.core.Lock()
 	defer n.core.Unlock()
-	return len(n.core.Open())
+	return len(n.core.OpenRequests())
 }
 
 // Guards against a half-close that gets no response: a client that only ends its sending has given its request up, and
@@ -388,22 +388,22 @@
 	t.Parallel()
 	hold := make(chan bool)
 	defer close(hold)
-	server := newSlowBox(t, hold)
-	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+	server := newSlowServer(t, hold)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, server.entry("s-1"))
 	c := node.connectClient(t)
 	c.send(quote("slow").text())
-	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
+	waitFor(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
 	must(t, c.Conn.(*net.TCPConn).CloseWrite())
-	if resp, _ := c.answer(); resp.StatusCode == 200 || resp.StatusCode == 503 || resp.StatusCode == 429 || !resp.Close {
+	if resp, _ := c.readResponse(); resp.StatusCode == 200 || resp.StatusCode == 503 || resp.StatusCode == 429 || !resp.Close {
 		t.Errorf("a request that may have run: status %d, close %v; want a failure and a close", resp.StatusCode, resp.Close)
 	}
 	if n, err := c.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("after the response: %d more bytes, error %v; want the connection closed", n, err)
 	}
-	wait(t, "the end of all open requests", func() bool { return node.openRequests() == 0 })
+	waitFor(t, "the end of all open requests", func() bool { return node.openRequests() == 0 })
 	c = node.connectClient(t)
 	c.send(view("v").text())
-	if resp, body := c.answer(); resp.StatusCode != 200 {
+	if resp, body := c.readResponse(); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d, body %s; want 200", resp.StatusCode, fmt.Sprint(body))
 	}
 }
@@ -429,25 +429,25 @@
 // The same holds for a body that is still to come.
 func TestIdleCloseCrossesRequest(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	for _, text := range []string{view("v").text(), save("s").text()} {
-		node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+		node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, server.entry("s-1"))
 		conn, end := connPair(t)
-		node.clients.Take()
+		node.clients.AcquireSlot()
 		crossed := make(chan struct{})
 		hooked := &hookedConn{TCPConn: end.(*net.TCPConn), afterRead: sync.OnceFunc(func() {
-			node.life.enter(drained)
+			node.lifecycle.enter(drained)
 			node.clients.CloseIdle()
 			close(crossed)
 		})}
-		node.clients.Go(func() { node.clients.Serve(hooked, bufio.NewReaderSize(hooked, message.HeadSize), "") })
+		node.clients.Go(func() { node.clients.Serve(hooked, bufio.NewReaderSize(hooked, message.MaxHead), "") })
 		c := &client{t, conn, bufio.NewReader(conn)}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		c.send(text[:30])
 		receive(t, "the close of idle connections", crossed)
 		c.send(text[30 : len(text)-4])
 		c.send(text[len(text)-4:])
-		if resp, body := c.answer(); resp.StatusCode != 200 {
+		if resp, body := c.readResponse(); resp.StatusCode != 200 {
 			t.Errorf("%.9q: status %d, body %q, want it served", text, resp.StatusCode, body)
 		}
 		if n, err := c.in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
@@ -461,17 +461,17 @@
 // that was complete before keeps its own deadline.
 func TestLateRequestsEndBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, server.entry("s-1"))
 	c, half := node.dial(t), node.connectClient(t)
 	text := save("late").text()
 	half.send(text[:30])
-	wait(t, "the node to read the first half", func() bool { return flow.Pending(half.end) == flow.Nothing })
-	if resp, _ := c.ask(save("early")); resp.StatusCode != 200 {
+	waitFor(t, "the node to read the first half", func() bool { return flow.PeekInput(half.end) == flow.NoInput })
+	if resp, _ := c.roundTrip(save("early")); resp.StatusCode != 200 {
 		t.Fatalf("the request before SIGTERM: status %d, want 200", resp.StatusCode)
 	}
-	node.leave()
-	wait(t, "the close of the listener", func() bool {
+	node.terminate()
+	waitFor(t, "the close of the listener", func() bool {
 		c, err := net.Dial("tcp", node.addr)
 		if err == nil {
 			c.Close()
@@ -479,7 +479,7 @@
 		return err != nil
 	})
 	half.send(text[30:])
-	if resp, _ := half.answer(); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := half.readResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("the late request: status %d, close %v; want 200 and a close", resp.StatusCode, resp.Close)
 	}
 	for _, got := range server.requests() {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -29,8 +29,8 @@
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int
-	Sockets   int  // descriptors that the process may hold
-	Known     list // the web servers as this node last knew them
+	Sockets   int        // descriptors that the process may hold
+	Known     serverList // the web servers as this node last knew them
 	Settings  wire.Settings
 	Product   *config.File // the product's own file; nil where none is named, as on the platform
 
@@ -38,14 +38,14 @@
 	rawFile map[string]any
 	// process is set where the whole process is this node, so that the process's limits are the node's. Tests run many
 	// nodes in one.
-	process bool
-	meet    string        // in tests, the socket through which the processes of one node find each other
-	slack   time.Duration // in tests, added to the limits on clients, web servers and other processes once something has begun
-	clock   core.Clock    // in tests, the node's clock; nil: the system's
+	ownsProcess   bool
+	upgradeSocket string        // in tests, the socket through which the processes of one node find each other
+	slack         time.Duration // in tests, added to the limits on clients, web servers and other processes once something has begun
+	clock         core.Clock    // in tests, the node's clock; nil: the system's
 	// watch replaces, in tests, the times of a call to discovery: its wait and the limit on the whole call.
-	watch func(wait, limit time.Duration) (time.Duration, time.Duration)
+	adjustWatch func(wait, limit time.Duration) (time.Duration, time.Duration)
 
-	followed     *configFollower       // follows control's configuration; nil where no control is named
+	follower     *configFollower       // follows control's configuration; nil where no control is named
 	adjustFollow func(*follow.Options) // in tests, changes how control is asked
 	onPrepared   func()                // in tests, called after each check of a change, before the change is applied
 }
@@ -74,7 +74,7 @@
 }
 
 // maxBodyBytes returns how many bytes of the bodies of all requests and responses may be buffered at a time.
-func (c *Config) bodyBytes() int64 {
+func (c *Config) maxBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return 64 << 20
 	}
@@ -90,7 +90,7 @@
 	if total == 0 {
 		total = 1 << 21 // no limit is configured
 	}
-	if c.process {
+	if c.ownsProcess {
 		// The configured limit may exceed the system's. Then the system's counts, as nothing would be left in reserve
 		// otherwise.
 		var lim syscall.Rlimit
@@ -98,7 +98,7 @@
 			total = int(lim.Cur)
 		}
 	}
-	reserved := ownSockets
+	reserved := reservedSockets
 	if c.Mgmt != "" {
 		reserved += mgmtSockets
 	}
@@ -115,7 +115,7 @@
 // pipeSockets is the number of descriptors of the opaque tunnels' pipes: two for each pipe in use, and two for each
 // pipe that is idle in a sync.Pool until the runtime collects it, of which there are two a core (the pool's own and its
 // victim). It allows for 16 cores; a node has one to four.
-const pipeSockets = 2 * (backtunnel.PipesMost + 2*16)
+const pipeSockets = 2 * (backtunnel.MaxPipes + 2*16)
 
 // productSockets returns the most descriptors that the parts of the product's file hold besides those shared with
 // clients and web servers.
@@ -174,7 +174,7 @@
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
 		} `json:"limits"`
-		Known    list            `json:"known"`
+		Known    serverList      `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -227,7 +227,7 @@
 	if err := cfg.Settings.Policy.Validate(); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	if cfg.Settings.ConnIdle < 0 || cfg.Settings.ConnectTimeout < 0 {
+	if cfg.Settings.ServerIdleTimeout < 0 || cfg.Settings.ConnectTimeout < 0 {
 		return Config{}, errors.New("settings: policy_limits: conn_idle_s or connect_timeout_s is negative")
 	}
 	if path := getenv("PORTSTALL_FILE"); path != "" {
@@ -235,14 +235,14 @@
 			return Config{}, fmt.Errorf("PORTSTALL_FILE: %w", err)
 		}
 		if inForce != nil && inForce.Product != nil {
-			if err := cfg.Product.Replaces(inForce.Product); err != nil {
+			if err := cfg.Product.CheckReplacement(inForce.Product); err != nil {
 				return Config{}, fmt.Errorf("PORTSTALL_FILE: %s: %w", path, err)
 			}
 		}
-		if _, err := cfg.contracts(); err != nil {
+		if _, err := cfg.contractTable(); err != nil {
 			return Config{}, fmt.Errorf("PORTSTALL_FILE: %s: %w", path, err)
 		}
-		if err := cfg.opaque(); err != nil {
+		if err := cfg.checkOpaqueClasses(); err != nil {
 			return Config{}, fmt.Errorf("PORTSTALL_FILE: %s: %w", path, err)
 		}
 	}
--- a/internal/node/connection_close_test.go
+++ b/internal/node/connection_close_test.go
@@ -44,7 +44,7 @@
 // was closed: only a class that may be repeated is retried. None ever reaches the other server twice.
 func TestServerClosesDuringRequest(t *testing.T) {
 	t.Parallel()
-	for _, q := range []call{view("q"), save("q"), quote("q")} {
+	for _, q := range []testRequest{view("q"), save("q"), quote("q")} {
 		for _, c := range []struct {
 			name  string
 			at    func(whole int) int
@@ -62,9 +62,9 @@
 				ln, err := standin.Listen()
 				must(t, err)
 				defer ln.Close()
-				other := newBox(t, served)
-				first := listed{ID: "s-1", Addr: ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
-				node := newRig(t, newRegistry(t), settingsJSON, unhurried, first, other.entry("s-2"))
+				other := newStubServer(t, respondOK)
+				first := serverEntry{ID: "s-1", Addr: ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+				node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, first, other.entry("s-2"))
 				must(t, node.Disable(context.Background(), "s-2")) // until the first attempt is under way
 				node.setDial("s-1", func(_ context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 					conn, err := d.Dial("tcp", addr)
@@ -86,10 +86,10 @@
 							far.(*net.TCPConn).SetLinger(0)
 						}
 						far.Close()
-						wait(t, "the close to reach the node", func() bool { return flow.Left(conn) })
+						waitFor(t, "the close to reach the node", func() bool { return flow.PeerClosed(conn) })
 					}}, nil
 				})
-				resp, _ := node.dial(t).ask(q)
+				resp, _ := node.dial(t).roundTrip(q)
 				retried := c.never || q.class != "quote"
 				if want := map[bool]int{true: http.StatusOK, false: http.StatusInternalServerError}[retried]; resp.StatusCode != want {
 					t.Errorf("status %d, want %d", resp.StatusCode, want)
@@ -107,8 +107,8 @@
 // then one too many; it reaches no server, and the connection is closed after it.
 func TestEvictionCrossesNextRequest(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, server.entry("s-1"))
 	node.clients.Resize(1)
 	evicted := newUnattachedClient(t)
 	reads := 0 // number of reads that returned data
@@ -116,16 +116,16 @@
 		if reads++; reads != 2 {
 			return
 		}
-		if resp, body := node.dial(t).ask(view("new")); resp.StatusCode != http.StatusOK {
+		if resp, body := node.dial(t).roundTrip(view("new")); resp.StatusCode != http.StatusOK {
 			t.Errorf("the request on the new connection: status %d, body %q; want 200", resp.StatusCode, body)
 		}
 	}}
-	node.clients.Take()
-	node.clients.Go(func() { node.clients.Serve(hooked, bufio.NewReaderSize(hooked, message.HeadSize), "") })
-	if resp, _ := evicted.ask(view("first")); resp.StatusCode != http.StatusOK || resp.Close {
+	node.clients.AcquireSlot()
+	node.clients.Go(func() { node.clients.Serve(hooked, bufio.NewReaderSize(hooked, message.MaxHead), "") })
+	if resp, _ := evicted.roundTrip(view("first")); resp.StatusCode != http.StatusOK || resp.Close {
 		t.Fatalf("the first request: status %d, close %v; want 200 and no close", resp.StatusCode, resp.Close)
 	}
-	resp, body := evicted.ask(quote("second"))
+	resp, body := evicted.roundTrip(quote("second"))
 	if resp.StatusCode != http.StatusServiceUnavailable || body != "too many connections\n" || !resp.Close || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("the second request: status %d, body %q, close %v, Retry-After %q; want 503 for too many connections, a close and Retry-After", resp.StatusCode, body, resp.Close, resp.Header.Get("Retry-After"))
 	}
--- a/internal/node/contracts.go
+++ b/internal/node/contracts.go
@@ -16,8 +16,8 @@
 // contractTable compiles the contracts of the product's own file for the classes that the settings know. It returns nil
 // where the file has none. Where control provides the contracts it returns an empty table, so that the process share
 // and what a predecessor has spent count from the first contract on.
-func (c *Config) contracts() (*contract.Table, error) {
-	if c.followed != nil {
+func (c *Config) contractTable() (*contract.Table, error) {
+	if c.follower != nil {
 		return contract.NewTable(nil)
 	}
 	if c.Product == nil {
@@ -38,10 +38,10 @@
 
 // Explanation is a node's reply to an operator who asks how a request would be treated.
 type Explanation struct {
-	Contract string          `json:"contract"` // the contract that applies; empty: none applies to this caller
-	Rule     contract.Rule   `json:"rule"`     // the rule by which the request would be refused now; empty: it would be admitted
-	Why      string          `json:"why"`
-	Level    *contract.Level `json:"level,omitempty"`
+	Contract string           `json:"contract"` // the contract that applies; empty: none applies to this caller
+	Rule     contract.Rule    `json:"rule"`     // the rule by which the request would be refused now; empty: it would be admitted
+	Why      string           `json:"why"`
+	Level    *contract.Status `json:"level,omitempty"`
 }
 
 // Explain reports which contract a request would fall under and whether it would be admitted now. The query has tenant,
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	explanation := Explanation{Rule: verdict.Rule, Why: "it would be admitted"}
-	if verdict.Rule != contract.Kept {
+	if verdict.Rule != contract.Admitted {
 		explanation.Why = verdict.Rule.Why()
 	}
 	if verdict.Contract >= 0 {
--- a/internal/node/contracts_test.go
+++ b/internal/node/contracts_test.go
@@ -19,7 +19,7 @@
 )
 
 // withProductFile sets a node's product file.
-func under(t testing.TB, text string) func(*Config) {
+func withProductFile(t testing.TB, text string) func(*Config) {
 	t.Helper()
 	f, err := config.Parse("p.yaml", []byte(text))
 	if err != nil {
@@ -29,11 +29,11 @@
 }
 
 // withHeaders returns the text of a call with further headers.
-func with(q call, headers ...string) string {
+func withHeaders(q testRequest, headers ...string) string {
 	return strings.Replace(q.text(), "\r\n\r\n", "\r\n"+strings.Join(headers, "\r\n")+"\r\n\r\n", 1)
 }
 
-const teams = `services:
+const teamContractsYAML = `services:
 - {name: reading, classes: [{name: view}]}
 contracts:
 - {name: app, match: [{tenant: app}], rate: 0.001, burst: 2}
@@ -45,19 +45,19 @@
 // never sent. What is admitted is served.
 func TestContractsRefuse(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, teamContractsYAML), server.entry("s-1"))
 	client := node.dial(t)
 	seq := 0
-	ask := func(q func(string) call, headers ...string) *http.Response {
+	ask := func(q func(string) testRequest, headers ...string) *http.Response {
 		t.Helper()
 		seq++
-		client.send(with(q(fmt.Sprint("r", seq)), headers...))
-		resp, _ := client.answer()
+		client.send(withHeaders(q(fmt.Sprint("r", seq)), headers...))
+		resp, _ := client.readResponse()
 		return resp
 	}
 	for _, test := range []struct {
-		q       func(string) call
+		q       func(string) testRequest
 		headers []string
 		status  int
 		rule    string
@@ -85,8 +85,8 @@
 		t.Errorf("%d requests reached the web server, want the 4 that were admitted", got)
 	}
 	stats := node.core.Stats(10)
-	if stats.Open != 0 {
-		t.Errorf("%d requests are still open", stats.Open)
+	if stats.OpenRequests != 0 {
+		t.Errorf("%d requests are still open", stats.OpenRequests)
 	}
 	for _, level := range stats.Levels {
 		if level.InFlight != 0 {
@@ -98,10 +98,10 @@
 // With a contract that allows no retries a failure is the final response, at once.
 func TestContractsLimitRetries(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool { return reply(c, 500, "", "") })
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool { return writeResponse(c, 500, "", "") })
 	text := "contracts:\n- {name: all, attempts: {ratio: 0, window: 10s}}\n"
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, text), server.entry("s-1"), server.entry("s-2"))
-	if resp, _ := node.dial(t).ask(view("r1")); resp.StatusCode == 200 {
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, text), server.entry("s-1"), server.entry("s-2"))
+	if resp, _ := node.dial(t).roundTrip(view("r1")); resp.StatusCode == 200 {
 		t.Errorf("the response is %d", resp.StatusCode)
 	}
 	if got := len(server.requests()); got != 1 {
@@ -114,22 +114,22 @@
 func TestContractsReload(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	server := newSlowBox(t, hold)
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"), server.entry("s-2"))
+	server := newSlowServer(t, hold)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, teamContractsYAML), server.entry("s-1"), server.entry("s-2"))
 	slow := node.dial(t)
-	slow.send(with(view("slow"), "Authorization: Bearer secret"))
-	wait(t, "the slow request", func() bool { return len(server.requests()) == 1 })
+	slow.send(withHeaders(view("slow"), "Authorization: Bearer secret"))
+	waitFor(t, "the slow request", func() bool { return len(server.requests()) == 1 })
 	client := node.dial(t)
 	status := func(id string, headers ...string) int {
-		client.send(with(view(id), headers...))
-		resp, _ := client.answer()
+		client.send(withHeaders(view(id), headers...))
+		resp, _ := client.readResponse()
 		return resp.StatusCode
 	}
 	status("a1", "X-Tenant: app")
 	status("a2", "X-Tenant: app")
 	cfg := node.cfg
-	cfg.Discovery = node.disc.addr
-	under(t, "contracts:\n- {name: app, match: [{tenant: app}], rate: 0.001, burst: 2}\n- {name: rest}\n")(&cfg)
+	cfg.Discovery = node.discovery.addr
+	withProductFile(t, "contracts:\n- {name: app, match: [{tenant: app}], rate: 0.001, burst: 2}\n- {name: rest}\n")(&cfg)
 	node.reload(cfg)
 	if got := status("a3", "X-Tenant: app"); got != 429 {
 		t.Errorf("a reload refills the rate: %d", got)
@@ -138,7 +138,7 @@
 		t.Errorf("by the new default contract: %d", got)
 	}
 	close(hold)
-	if resp, _ := slow.answer(); resp.StatusCode != 200 {
+	if resp, _ := slow.readResponse(); resp.StatusCode != 200 {
 		t.Errorf("the request whose contract was removed: %d", resp.StatusCode)
 	}
 	bad := cfg
@@ -158,16 +158,16 @@
 // metrics.
 func TestExplain(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, teamContractsYAML), server.entry("s-1"))
 	client := node.dial(t)
 	for i := range 3 {
-		client.send(with(view(fmt.Sprint("v", i)), "X-Tenant: app"))
-		client.answer()
+		client.send(withHeaders(view(fmt.Sprint("v", i)), "X-Tenant: app"))
+		client.readResponse()
 	}
 	ln, err := standin.Listen()
 	must(t, err)
-	defer mgmt.Serve(ln, node, slog.New(slog.DiscardHandler), node.pages()...).Close()
+	defer mgmt.Serve(ln, node, slog.New(slog.DiscardHandler), node.managementPages()...).Close()
 	get := func(path string) (int, string) {
 		t.Helper()
 		resp, err := http.Get("http://" + ln.Addr().String() + "/-/" + path)
@@ -202,7 +202,7 @@
 			}
 		}
 	}
-	bare := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	bare := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	if _, err := bare.Explain(nil); err == nil {
 		t.Error("a node without contracts explains")
 	}
@@ -217,20 +217,20 @@
 		fmt.Fprintf(&text, "- {name: t%d, match: [{tenant: t%d}], rate: 1000000, in_flight: 1000, attempts: {ratio: 0.2}, "+
 			"work: {guaranteed: 1, limit: 1000000}}\n", i, i)
 	}
-	box := newBox(b, served)
-	nodes := []*client{newRig(b, newRegistry(b), settingsJSON, nil, box.entry("s-1")).dial(b),
-		newRig(b, newRegistry(b), settingsJSON, under(b, text.String()), box.entry("s-1")).dial(b)}
+	box := newStubServer(b, respondOK)
+	nodes := []*client{newTestNode(b, newStubDiscovery(b), settingsJSON, nil, box.entry("s-1")).dial(b),
+		newTestNode(b, newStubDiscovery(b), settingsJSON, withProductFile(b, text.String()), box.entry("s-1")).dial(b)}
 	var took, spent [2]time.Duration
 	n := 0
 	for b.Loop() {
 		n++
-		q := with(view(fmt.Sprint("r", n)), fmt.Sprint("X-Tenant: t", n%100))
+		q := withHeaders(view(fmt.Sprint("r", n)), fmt.Sprint("X-Tenant: t", n%100))
 		for k := range nodes {
 			i := (k + n) % 2 // each goes first as often
-			nodes[i].SetDeadline(time.Now().Add(patience))
+			nodes[i].SetDeadline(time.Now().Add(testTimeout))
 			begun, used := time.Now(), cpuTime(b)
 			nodes[i].send(q)
-			if resp, _ := nodes[i].answer(); resp.StatusCode != http.StatusOK {
+			if resp, _ := nodes[i].readResponse(); resp.StatusCode != http.StatusOK {
 				b.Fatal(resp.StatusCode)
 			}
 			took[i] += time.Since(begun)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -73,7 +73,7 @@
 func newConfigFollower(cfg Config, log *slog.Logger) *configFollower {
 	f := &configFollower{cfg: cfg, log: log, processID: fmt.Sprintf("%016x", rand.Uint64()), clock: cfg.newClock(), startedAt: time.Now(), firstApplied: make(chan struct{}), done: make(chan struct{}),
 		set: resource.NewSet(false), counts: map[resource.Kind]int{}, sources: cfg.Product.Control.Addresses}
-	f.catalog = catalog.New(catalog.Options{Effects: cfg.classEffects(), Cells: cfg.Product.Cells != nil, Even: cfg.Product.Parts == "even"})
+	f.catalog = catalog.New(catalog.Options{Effects: cfg.classEffects(), Cells: cfg.Product.Cells != nil, EvenShares: cfg.Product.Parts == "even"})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	go f.run(ctx)
@@ -108,7 +108,7 @@
 		callCtx, cancel := context.WithCancel(ctx)
 		f.mu.Lock()
 		f.cancelCalls = cancel
-		options := follow.Options{Name: f.cfg.Name, Process: f.processID, Role: "node", Sources: f.sources, Set: f.set, Take: f.applyDelta, Log: f.log, Status: &f.status, Clock: f.clock}
+		options := follow.Options{Name: f.cfg.Name, Process: f.processID, Role: "node", Sources: f.sources, Set: f.set, Apply: f.applyDelta, Log: f.log, Status: &f.status, Clock: f.clock}
 		f.mu.Unlock()
 		if f.cfg.adjustFollow != nil {
 			f.cfg.adjustFollow(&options)
@@ -164,7 +164,7 @@
 // left alone before the first configuration is in force. f.mu is held.
 func (f *configFollower) tuneGC() {
 	n := f.set.Len()
-	if !f.cfg.process || f.node == nil || f.tunedResources > 0 && n < f.tunedResources*5/4+100 && n > f.tunedResources*3/4-100 {
+	if !f.cfg.ownsProcess || f.node == nil || f.tunedResources > 0 && n < f.tunedResources*5/4+100 && n > f.tunedResources*3/4-100 {
 		return
 	}
 	f.tunedResources = max(n, 1)
@@ -184,7 +184,7 @@
 
 // freeStartupMemory frees what the first configuration was decoded from, before clients come. It is called once, with
 // no lock held.
-func (f *configFollower) settle() {
+func (f *configFollower) freeStartupMemory() {
 	if f == nil {
 		return
 	}
@@ -197,9 +197,9 @@
 // applyCatalogChange applies a checked change. The core's lock is held: requests look up their route, contract and cell
 // under it.
 func (n *node) applyCatalogChange(c *catalog.Change) {
-	n.core.Change(&c.Contracts)
-	if n.routes != nil {
-		n.routes.Change(&c.Routes)
+	n.core.ChangeContracts(&c.Contracts)
+	if n.tunnelRoutes != nil {
+		n.tunnelRoutes.ApplyChange(&c.Routes)
 	}
 	if n.cells != nil {
 		n.cells.Apply(&c.Tenants)
@@ -212,7 +212,7 @@
 	if !errors.As(err, &refusal) {
 		return err // lost, repeated or made for another content: the follower asks again
 	}
-	f.lastRefusal = &refusedChange{At: time.Now(), Version: delta.To.String(), Field: refusal.Field, Why: refusal.Why}
+	f.lastRefusal = &refusedChange{At: time.Now(), Version: delta.To.String(), Field: refusal.Field, Why: refusal.Reason}
 	if refusal.Key != (resource.Key{}) {
 		f.lastRefusal.Resource = refusal.Key.String()
 	}
@@ -221,15 +221,15 @@
 
 // updateCounts updates the counts by kind for a delta that is about to be stored in the set. f.mu is held.
 func (f *configFollower) updateCounts(delta *resource.Delta) {
-	if delta.Whole() {
+	if delta.IsSnapshot() {
 		clear(f.counts)
 	}
 	for _, added := range delta.Put {
-		if delta.Whole() || !f.set.Has(added.Key) {
+		if delta.IsSnapshot() || !f.set.Has(added.Key) {
 			f.counts[added.Kind]++
 		}
 	}
-	for _, key := range delta.Gone {
+	for _, key := range delta.Removed {
 		if f.set.Has(key) {
 			f.counts[key.Kind]--
 		}
@@ -250,14 +250,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: incompatible with configuration %s in force: %w", f.set.Version(), err)
 	}
-	change.Contracts.Even = cfg.Product.Parts == "even"
+	change.Contracts.EvenShares = cfg.Product.Parts == "even"
 	return change, nil
 }
 
 // commitReload records that other settings are in force. The calls are restarted at once where the sources have
 // changed, or where a version was refused under the previous settings. f.mu is held.
 func (f *configFollower) commitReload(cfg Config, change *catalog.Change) {
-	f.catalog.SetEven(change.Contracts.Even)
+	f.catalog.SetEvenShares(change.Contracts.EvenShares)
 	f.catalog.Commit(change)
 	elsewhere := !slices.Equal(f.sources, cfg.Product.Control.Addresses)
 	if f.sources = cfg.Product.Control.Addresses; f.cancelCalls != nil && (elsewhere || !f.status.Read().Refused.IsZero()) {
@@ -275,7 +275,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case change := <-reload:
-			change.Taken <- f.reloadBeforeStart(cfg, change.Config)
+			change.Applied <- f.reloadBeforeStart(cfg, change.Config)
 		}
 	}
 }
@@ -305,7 +305,7 @@
 	status, reason := f.status.Read(), "control has not replied"
 	switch {
 	case !status.Refused.IsZero():
-		reason = fmt.Sprintf("version %s is refused: %s", status.Refused, status.Why)
+		reason = fmt.Sprintf("version %s is refused: %s", status.Refused, status.Reason)
 	case status.LastError != "":
 		reason = status.LastError
 	}
--- a/internal/node/control_report.go
+++ b/internal/node/control_report.go
@@ -35,7 +35,7 @@
 	LastRefusal *refusedChange        `json:"last_refusal,omitempty"`
 	Refusals    int64                 `json:"refusals"`
 	Changes     int64                 `json:"changes"` // changes applied since the start, the first configuration included
-	Calls       follow.Figures        `json:"calls"`
+	Calls       follow.Stats          `json:"calls"`
 }
 
 // report returns the follower's state for operators.
@@ -43,8 +43,8 @@
 func (f *configFollower) report() Configuration {
 	status := f.status.Read()
 	report := Configuration{Source: status.Source, LastFailure: status.LastError, Calls: status}
-	if status.Heard > 0 {
-		at := time.Unix(0, int64(status.Heard)).UTC()
+	if status.LastResponse > 0 {
+		at := time.Unix(0, int64(status.LastResponse)).UTC()
 		report.LastGood = &at
 	}
 	if !status.Refused.IsZero() {
@@ -57,7 +57,7 @@
 	defer f.mu.Unlock()
 	report.Version, report.Sources, report.LastRefusal, report.Refusals, report.Changes = f.set.Version().String(), f.sources, f.lastRefusal, status.Failures[follow.Refused], f.changesApplied
 	if report.Refused != "" && (f.lastRefusal == nil || f.lastRefusal.Version != report.Refused) { // refused before it was checked here
-		report.LastRefusal = &refusedChange{At: time.Unix(0, int64(status.Heard)).UTC(), Version: report.Refused, Why: status.Why}
+		report.LastRefusal = &refusedChange{At: time.Unix(0, int64(status.LastResponse)).UTC(), Version: report.Refused, Why: status.Reason}
 	}
 	if f.changesApplied > 0 {
 		at := f.appliedAt.UTC()
--- a/internal/node/control_serve_test.go
+++ b/internal/node/control_serve_test.go
@@ -54,10 +54,10 @@
 	must(w.t, os.Rename(w.path+".new", w.path))
 	select {
 	case w.reload <- struct{}{}:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		w.t.Fatal("control does not read its file again")
 	}
-	wait(w.t, "control's next version", func() bool {
+	waitFor(w.t, "control's next version", func() bool {
 		version = w.status().Version
 		return version != before
 	})
@@ -89,17 +89,17 @@
 	t.Parallel()
 	const file = "services:\n- {name: s, classes: [{name: view%s}]}\ncontracts:\n- {name: app, match: [{tenant: app}], services: [s], rate: %d, burst: 100}\n...\n"
 	control := startControlProcess(t, fmt.Sprintf(file, "", 1000))
-	server := newBox(t, served)
-	predecessor, startSuccessor := startPredecessor(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newRegistry(t), server)
+	server := newStubServer(t, respondOK)
+	predecessor, startSuccessor := startPredecessor(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newStubDiscovery(t), server)
 	if got := predecessor.dial(t).statusOf("a", "app"); got != 200 {
 		t.Errorf("by the first configuration: %d", got)
 	}
 	version := control.change(fmt.Sprintf(file, "", 900))
-	wait(t, "the change", func() bool { return predecessor.versionInForce().String() == version })
+	waitFor(t, "the change", func() bool { return predecessor.versionInForce().String() == version })
 
 	before := predecessor.versionInForce()
 	control.change(fmt.Sprintf(file, ", effect: unsafe", 800))
-	wait(t, "the refusal at control", func() bool {
+	waitFor(t, "the refusal at control", func() bool {
 		refusals := control.status().Refusals
 		return len(refusals) == 1 && refusals[0].Name == "n0" && strings.Contains(refusals[0].Why, `service "s": classes[0].effect: unsafe`)
 	})
@@ -107,21 +107,21 @@
 		t.Errorf("%s is in force", predecessor.versionInForce())
 	}
 	version = control.change(fmt.Sprintf(file, "", 700))
-	wait(t, "the corrected change", func() bool {
+	waitFor(t, "the corrected change", func() bool {
 		return predecessor.versionInForce().String() == version && len(control.status().Refusals) == 0
 	})
 
 	successor := startSuccessor()
 	for i := range 3 {
 		version := control.change(fmt.Sprintf(file, "", 600+i))
-		wait(t, "the change at both", func() bool {
+		waitFor(t, "the change at both", func() bool {
 			return successor.versionInForce().String() == version && predecessor.versionInForce().String() == version
 		})
 	}
-	wait(t, "a watch of each at control", func() bool { status := control.status(); return status.Callers == 2 && status.Watches == 2 })
-	predecessor.cfg.followed.close()
-	wait(t, "control to forget the process that ended", func() bool { return control.status().Callers == 1 })
-	calls := predecessor.cfg.followed.status.Read().Calls + successor.cfg.followed.status.Read().Calls
+	waitFor(t, "a watch of each at control", func() bool { status := control.status(); return status.Callers == 2 && status.Watches == 2 })
+	predecessor.cfg.follower.close()
+	waitFor(t, "control to forget the process that ended", func() bool { return control.status().Callers == 1 })
+	calls := predecessor.cfg.follower.status.Read().Calls + successor.cfg.follower.status.Read().Calls
 	t.Logf("%d calls of both processes", calls)
 }
 
@@ -130,16 +130,16 @@
 func TestReloadAcceptsRefusedVersion(t *testing.T) {
 	t.Parallel()
 	control := startControlProcess(t, "contracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
-	node := newControlledNode(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newRegistry(t), "", nil)
+	node := newControlledNode(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newStubDiscovery(t), "", nil)
 	before := node.versionInForce()
 	version := control.change("services:\n- {name: s, classes: [{name: quote, effect: safe}]}\ncontracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
-	wait(t, "the refusal at control, and a later watch", func() bool { status := control.status(); return len(status.Refusals) == 1 && status.Watches == 1 })
+	waitFor(t, "the refusal at control, and a later watch", func() bool { status := control.status(); return len(status.Refusals) == 1 && status.Watches == 1 })
 	if node.versionInForce() != before {
 		t.Errorf("%s is in force", node.versionInForce())
 	}
 	set, err := wire.DecodeSettings([]byte(quoteSafeSettingsJSON))
 	must(t, err)
-	must(t, node.reload(Config{Discovery: node.disc.addr, Settings: set, Product: node.cfg.Product}))
-	wait(t, "the version that was refused", func() bool { return node.versionInForce().String() == version })
-	wait(t, "control to notice it", func() bool { return len(control.status().Refusals) == 0 })
+	must(t, node.reload(Config{Discovery: node.discovery.addr, Settings: set, Product: node.cfg.Product}))
+	waitFor(t, "the version that was refused", func() bool { return node.versionInForce().String() == version })
+	waitFor(t, "control to notice it", func() bool { return len(control.status().Refusals) == 0 })
 }
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -28,13 +28,13 @@
 // statusOf sends a request of a tenant and returns the status of its response.
 func (c *client) statusOf(id, tenant string) int {
 	c.t.Helper()
-	c.send(with(view(id), "X-Tenant: "+tenant))
-	resp, _ := c.answer()
+	c.send(withHeaders(view(id), "X-Tenant: "+tenant))
+	resp, _ := c.readResponse()
 	return resp.StatusCode
 }
 
 // hasContract reports whether a contract in force applies to the tenant's requests. It charges nothing.
-func (r *rig) hasContract(t *testing.T, tenant string) bool {
+func (r *testNode) hasContract(t *testing.T, tenant string) bool {
 	t.Helper()
 	explanation, err := r.Explain(url.Values{"tenant": {tenant}, "class": {"view"}})
 	if err != nil {
@@ -86,13 +86,13 @@
 	return l.buf.String()
 }
 
-func runFullNode(t *testing.T, product string, control string, discovery *registry, known ...listed) *fullNode {
+func runFullNode(t *testing.T, product string, control string, discovery *stubDiscovery, known ...serverEntry) *fullNode {
 	t.Helper()
 	settings, err := wire.DecodeSettings([]byte(settingsJSON))
 	must(t, err)
-	running := &fullNode{addr: free(t), mgmt: free(t), reload: make(chan Change), exited: make(chan error, 1), log: &lockedBuffer{}}
-	running.cfg = Config{Name: "n0", Listen: running.addr, Mgmt: running.mgmt, Discovery: discovery.addr, Seed: 1, Settings: settings, Known: list{Version: 1, Full: true, Servers: known}}
-	under(t, product+fmt.Sprintf("control: {addresses: [%q]}\n", control))(&running.cfg)
+	running := &fullNode{addr: freeAddr(t), mgmt: freeAddr(t), reload: make(chan Change), exited: make(chan error, 1), log: &lockedBuffer{}}
+	running.cfg = Config{Name: "n0", Listen: running.addr, Mgmt: running.mgmt, Discovery: discovery.addr, Seed: 1, Settings: settings, Known: serverList{Version: 1, Full: true, Servers: known}}
+	withProductFile(t, product+fmt.Sprintf("control: {addresses: [%q]}\n", control))(&running.cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	running.leave = cancel
 	go func() {
@@ -105,7 +105,7 @@
 			if err != nil {
 				t.Errorf("the node ended with %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the node did not end")
 		}
 	})
@@ -126,11 +126,11 @@
 // as soon as it has a configuration.
 func TestNoClientsWithoutConfiguration(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t)
-	running := runFullNode(t, "", control.Addr, newRegistry(t), server.entry("s-1"))
-	wait(t, "a call to control", func() bool { return control.Calls() > 0 })
-	wait(t, "the reason from control", func() bool {
+	running := runFullNode(t, "", control.Addr, newStubDiscovery(t), server.entry("s-1"))
+	waitFor(t, "a call to control", func() bool { return control.CallCount() > 0 })
+	waitFor(t, "the reason from control", func() bool {
 		status, text := operatorCall(t, "GET", running.mgmt, "/-/ready")
 		return status == 503 && strings.HasPrefix(text, "no configuration yet: ") && strings.Contains(text, "503")
 	})
@@ -147,14 +147,14 @@
 		t.Error("a client is accepted without a configuration")
 	}
 	version := control.change([]resource.Resource{tenantContract("app", 100)})
-	wait(t, "ready", func() bool {
+	waitFor(t, "ready", func() bool {
 		status, text := operatorCall(t, "GET", running.mgmt, "/-/ready")
 		if status == 0 {
 			t.Fatalf("operators get no response while the node starts: %s", text)
 		}
 		return status == 200
 	})
-	node := &rig{addr: running.addr}
+	node := &testNode{addr: running.addr}
 	if status := node.dial(t).statusOf("a", "app"); status != 200 {
 		t.Errorf("a tenant with a contract: %d", status)
 	}
@@ -184,32 +184,32 @@
 	until := make(chan struct{})
 	defer close(until)
 	silent := newStubControl(t)
-	silent.Say(holdResponse(until))
+	silent.RespondOnce(holdResponse(until))
 	refused := newStubControl(t, newResource(resource.Service, "s", `{"name":"s","classes":[{"name":"view","effect":"unsafe"}]}`))
 	for _, test := range []struct {
 		name, control, says string
 		nack                *stubControl // the control that must be notified of a refusal; nil: none
 	}{
 		{"silent", silent.Addr, "control has not replied", nil},
-		{"unreachable", free(t), "unreachable", nil},
+		{"unreachable", freeAddr(t), "unreachable", nil},
 		{"refused", refused.Addr, `service "s": classes[0].effect: unsafe, but the node's settings say that view is safe`, refused},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			running := runFullNode(t, "", test.control, newRegistry(t))
+			running := runFullNode(t, "", test.control, newStubDiscovery(t))
 			var text string
-			wait(t, "the reason", func() bool {
+			waitFor(t, "the reason", func() bool {
 				_, text = operatorCall(t, "GET", running.mgmt, "/-/ready")
 				return strings.HasPrefix(text, "no configuration yet") && strings.Contains(text, test.says)
 			})
 			if test.nack != nil {
-				wait(t, "control to be notified of the refusal", func() bool { return strings.Contains(test.nack.Why(test.nack.Version()), test.says) })
+				waitFor(t, "control to be notified of the refusal", func() bool { return strings.Contains(test.nack.RefusalReason(test.nack.Version()), test.says) })
 			}
 			running.leave()
 			select {
 			case err := <-running.exited:
 				must(t, err)
 				running.exited <- nil
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the node does not stop")
 			}
 			if _, err := net.Dial("tcp", running.mgmt); err == nil {
@@ -223,35 +223,35 @@
 // at once, and other settings may admit a version that was refused.
 func TestReloadWhileWaitingForConfiguration(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t, newResource(resource.Service, "s", `{"name":"s","classes":[{"name":"quote","effect":"safe"}]}`))
-	running := runFullNode(t, "", free(t), newRegistry(t), server.entry("s-1"))
-	wait(t, "the management address", func() bool { status, _ := operatorCall(t, "GET", running.mgmt, "/-/ready"); return status == 503 })
+	running := runFullNode(t, "", freeAddr(t), newStubDiscovery(t), server.entry("s-1"))
+	waitFor(t, "the management address", func() bool { status, _ := operatorCall(t, "GET", running.mgmt, "/-/ready"); return status == 503 })
 	reload := func(cfg Config) error {
 		applied := make(chan error, 1)
 		select {
 		case running.reload <- Change{cfg, applied}:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the node accepts no reload while it waits")
 		}
 		return receive(t, "the end of the reload", applied)
 	}
 	bad := running.cfg
-	under(t, "contracts: [{name: all}]\n")(&bad)
+	withProductFile(t, "contracts: [{name: all}]\n")(&bad)
 	if err := reload(bad); err == nil || !strings.Contains(err.Error(), "control: ") {
 		t.Errorf("a file without control: %v", err)
 	}
 	other := running.cfg
-	under(t, fmt.Sprintf("control: {addresses: [%q]}\n", control.Addr))(&other)
+	withProductFile(t, fmt.Sprintf("control: {addresses: [%q]}\n", control.Addr))(&other)
 	must(t, reload(other))
-	wait(t, "the refusal", func() bool { return running.configuration(t).LastRefusal != nil })
+	waitFor(t, "the refusal", func() bool { return running.configuration(t).LastRefusal != nil })
 	var err error
 	other.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settingsJSON, `"effect":"single_shot"`, `"effect":"free"`, 1)))
 	must(t, err)
 	must(t, reload(other))
-	wait(t, "ready", func() bool { status, _ := operatorCall(t, "GET", running.mgmt, "/-/ready"); return status == 200 })
-	node := &rig{addr: running.addr}
-	if resp, _ := node.dial(t).ask(call{"GET", "quote", "a", "", "", "50000m"}); resp.StatusCode != 200 {
+	waitFor(t, "ready", func() bool { status, _ := operatorCall(t, "GET", running.mgmt, "/-/ready"); return status == 200 })
+	node := &testNode{addr: running.addr}
+	if resp, _ := node.dial(t).roundTrip(testRequest{"GET", "quote", "a", "", "", "50000m"}); resp.StatusCode != 200 {
 		t.Errorf("a class of the settings that were read again: %d", resp.StatusCode)
 	}
 }
@@ -260,9 +260,9 @@
 // it does not touch keeps its budgets.
 func TestChangeIsApplied(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t, tenantContract("app", 2), tenantContract("old", 5))
-	node := newControlledNode(t, control, newRegistry(t), "cells: {size: 1, seed: 1}\n", nil, server.entry("s-1"))
+	node := newControlledNode(t, control, newStubDiscovery(t), "cells: {size: 1, seed: 1}\n", nil, server.entry("s-1"))
 	c := node.dial(t)
 	for i, want := range []int{200, 200, 429} {
 		if got := c.statusOf(fmt.Sprint("app", i), "app"); got != want {
@@ -271,7 +271,7 @@
 	}
 	version := control.change([]resource.Resource{tenantContract("new", 1), newResource(resource.Tenant, "new", `{"tenant":"new","pods":[7]}`)},
 		resource.Key{Kind: resource.Contract, Name: "old"})
-	wait(t, "the change", func() bool { return node.versionInForce() == version })
+	waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 	if got := c.statusOf("new0", "new"); got != 503 { // admitted, but its pod has no server
 		t.Errorf("a new tenant that is pinned to another pod: %d", got)
 	}
@@ -281,7 +281,7 @@
 	if got := c.statusOf("app3", "app"); got != 429 {
 		t.Errorf("an unchanged contract got a second burst: %d", got)
 	}
-	if snapshots, deltas := control.Counts(); snapshots != 1 || deltas != 1 {
+	if snapshots, deltas := control.ResponseCounts(); snapshots != 1 || deltas != 1 {
 		t.Errorf("%d full snapshots and %d deltas, want one of each", snapshots, deltas)
 	}
 }
@@ -290,14 +290,14 @@
 // next valid change is accepted.
 func TestInvalidChangeIsRefusedCompletely(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t, tenantContract("app", 100))
-	node := newControlledNode(t, control, newRegistry(t), "", nil, server.entry("s-1"))
+	node := newControlledNode(t, control, newStubDiscovery(t), "", nil, server.entry("s-1"))
 	before := node.versionInForce()
 	bad := control.change([]resource.Resource{tenantContract("good", 100),
 		newResource(resource.Contract, "wrong", `{"name":"wrong","match":[{"from":"nowhere"}],"rate":1}`)}, resource.Key{Kind: resource.Contract, Name: "app"})
-	wait(t, "the refusal", func() bool { return control.Why(bad) != "" })
-	if why := control.Why(bad); !strings.Contains(why, `contract "wrong"`) || !strings.Contains(why, "match[0].from") {
+	waitFor(t, "the refusal", func() bool { return control.RefusalReason(bad) != "" })
+	if why := control.RefusalReason(bad); !strings.Contains(why, `contract "wrong"`) || !strings.Contains(why, "match[0].from") {
 		t.Errorf("control is notified of %q", why)
 	}
 	if node.versionInForce() != before || !node.hasContract(t, "app") || node.hasContract(t, "good") {
@@ -307,16 +307,16 @@
 	if got := c.statusOf("a", "app"); got != 200 {
 		t.Errorf("by the previous version: %d", got)
 	}
-	report := node.cfg.followed.report()
+	report := node.cfg.follower.report()
 	if f := report.LastRefusal; f == nil || f.Version != bad.String() || f.Resource != `contract "wrong"` || f.Field != "match[0].from" || report.Refusals != 1 {
 		t.Errorf("the configuration page: %+v", report)
 	}
 	good := control.change([]resource.Resource{tenantContract("wrong", 100)})
-	wait(t, "the corrected change", func() bool { return node.versionInForce() == good })
+	waitFor(t, "the corrected change", func() bool { return node.versionInForce() == good })
 	if !node.hasContract(t, "good") || !node.hasContract(t, "wrong") || node.hasContract(t, "app") {
 		t.Error("the deltas of both changes are not in force")
 	}
-	if snapshots, _ := control.Counts(); snapshots != 1 {
+	if snapshots, _ := control.ResponseCounts(); snapshots != 1 {
 		t.Errorf("the full snapshot was sent %d times", snapshots)
 	}
 }
@@ -325,12 +325,12 @@
 // that it missed, not a full snapshot.
 func TestNodeServesWhileControlIsDown(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t, tenantContract("app", 1000))
-	node := newControlledNode(t, control, newRegistry(t), "", nil, server.entry("s-1"))
+	node := newControlledNode(t, control, newStubDiscovery(t), "", nil, server.entry("s-1"))
 	c := node.dial(t)
 	control.Stop()
-	wait(t, "failed calls", func() bool { return node.cfg.followed.report().Calls.Failures[follow.Unreachable] >= 2 })
+	waitFor(t, "failed calls", func() bool { return node.cfg.follower.report().Calls.Failures[follow.Unreachable] >= 2 })
 	for i := range 20 {
 		if got := c.statusOf(fmt.Sprint("a", i), "app"); got != 200 {
 			t.Fatalf("without control: %d", got)
@@ -339,11 +339,11 @@
 	control.change([]resource.Resource{tenantContract("missed", 10)})
 	last := control.change([]resource.Resource{tenantContract("too", 10)})
 	must(t, control.Start())
-	wait(t, "the missed changes", func() bool { return node.versionInForce() == last })
+	waitFor(t, "the missed changes", func() bool { return node.versionInForce() == last })
 	if got := c.statusOf("m", "missed"); got != 200 {
 		t.Errorf("by a missed change: %d", got)
 	}
-	if snapshots, deltas := control.Counts(); snapshots != 1 || deltas != 1 {
+	if snapshots, deltas := control.ResponseCounts(); snapshots != 1 || deltas != 1 {
 		t.Errorf("%d full snapshots and %d deltas, want one of each", snapshots, deltas)
 	}
 }
@@ -355,8 +355,8 @@
 	for _, test := range []struct {
 		name string
 		say  func(d *stubControl, v resource.Version) http.HandlerFunc
-		ends bool        // the response ends by the limit on its body, which the test lets expire
-		kind follow.Kind // the kind of failure that is counted; empty: none
+		ends bool               // the response ends by the limit on its body, which the test lets expire
+		kind follow.FailureKind // the kind of failure that is counted; empty: none
 	}{
 		{"a response that never ends", func(d *stubControl, v resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
@@ -402,14 +402,14 @@
 			return respondWithDelta(&resource.Delta{To: resource.Version{Epoch: v.Epoch - 1, Number: 99}})
 		}, false, ""},
 		{"the previous delta again", func(d *stubControl, v resource.Version) http.HandlerFunc {
-			return respondWithDelta(&resource.Delta{From: resource.Version{Epoch: v.Epoch, Number: v.Number - 1}, To: v, Sum: 1, Put: []resource.Resource{tenantContract("forged", 1)}})
+			return respondWithDelta(&resource.Delta{From: resource.Version{Epoch: v.Epoch, Number: v.Number - 1}, To: v, Checksum: 1, Put: []resource.Resource{tenantContract("forged", 1)}})
 		}, false, ""},
 		{"a delta with the wrong checksum", func(d *stubControl, v resource.Version) http.HandlerFunc {
-			return respondWithDelta(&resource.Delta{From: v, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, Sum: 1,
+			return respondWithDelta(&resource.Delta{From: v, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, Checksum: 1,
 				Put: []resource.Resource{tenantContract("forged", 1)}})
 		}, false, follow.Unfit},
 		{"a resource of an unknown kind", func(d *stubControl, v resource.Version) http.HandlerFunc {
-			return respondWithDelta(&resource.Delta{From: v, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 9}, Sum: 1,
+			return respondWithDelta(&resource.Delta{From: v, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 9}, Checksum: 1,
 				Put: []resource.Resource{tenantContract("forged", 1), newResource("pipe", "p", "{}")}})
 		}, false, follow.Refused},
 		{"an unexpected status", func(*stubControl, resource.Version) http.HandlerFunc {
@@ -423,30 +423,30 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			server := newBox(t, served)
+			server := newStubServer(t, respondOK)
 			control := newStubControl(t, tenantContract("app", 1000))
 			clock := &expiringClock{Clock: follow.SystemClock()}
-			node := newControlledNode(t, control, newRegistry(t), "", func(c *Config) { c.adjustFollow = func(o *follow.Options) { o.Clock = clock } }, server.entry("s-1"))
-			before, calls := node.versionInForce(), control.Calls()
-			wait(t, "the watch", func() bool { return control.Calls() > calls || control.Calls() > 1 })
-			calls = control.Calls()
+			node := newControlledNode(t, control, newStubDiscovery(t), "", func(c *Config) { c.adjustFollow = func(o *follow.Options) { o.Clock = clock } }, server.entry("s-1"))
+			before, calls := node.versionInForce(), control.CallCount()
+			waitFor(t, "the watch", func() bool { return control.CallCount() > calls || control.CallCount() > 1 })
+			calls = control.CallCount()
 			begun := make(chan struct{})
 			respond := test.say(control, before)
 			timers := clock.count()
-			control.Say(func(w http.ResponseWriter, r *http.Request) {
+			control.RespondOnce(func(w http.ResponseWriter, r *http.Request) {
 				close(begun)
 				respond(w, r)
 			})
 			receive(t, "a call with this response", begun)
 			if test.ends {
-				wait(t, "the beginning of the response", func() bool { return clock.count() > timers })
+				waitFor(t, "the beginning of the response", func() bool { return clock.count() > timers })
 				clock.expire()
 			}
-			wait(t, "the next call", func() bool { return control.Calls() > calls })
+			waitFor(t, "the next call", func() bool { return control.CallCount() > calls })
 			if node.versionInForce() != before {
 				t.Errorf("%s is in force", node.versionInForce())
 			}
-			for kind, n := range node.cfg.followed.report().Calls.Failures {
+			for kind, n := range node.cfg.follower.report().Calls.Failures {
 				if want := kind == test.kind; want != (n > 0) {
 					t.Errorf("%d calls failed as %s, want failures of kind %q alone", n, kind, test.kind)
 				}
@@ -455,7 +455,7 @@
 				t.Error("the node does not serve by the previous version")
 			}
 			good := control.change([]resource.Resource{tenantContract("next", 10)})
-			wait(t, "the next valid change", func() bool { return node.versionInForce() == good })
+			waitFor(t, "the next valid change", func() bool { return node.versionInForce() == good })
 		})
 	}
 }
@@ -504,33 +504,33 @@
 	t.Parallel()
 	// This service fits settings in which quote is unsafe, and no others.
 	unsafe := newResource(resource.Service, "s", `{"name":"s","classes":[{"name":"quote","effect":"unsafe"}]}`)
-	reload := func(node *rig) error {
+	reload := func(node *testNode) error {
 		set, err := wire.DecodeSettings([]byte(quoteSafeSettingsJSON))
 		must(t, err)
-		return node.reload(Config{Discovery: node.disc.addr, Settings: set, Product: node.cfg.Product})
+		return node.reload(Config{Discovery: node.discovery.addr, Settings: set, Product: node.cfg.Product})
 	}
 	t.Run("the change first", func(t *testing.T) {
 		t.Parallel()
 		control := newStubControl(t, tenantContract("app", 10))
-		node := newControlledNode(t, control, newRegistry(t), "", nil)
+		node := newControlledNode(t, control, newStubDiscovery(t), "", nil)
 		version := control.change([]resource.Resource{unsafe})
-		wait(t, "the change", func() bool { return node.versionInForce() == version })
+		waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 		err := reload(node)
 		if err == nil || !strings.Contains(err.Error(), `service "s": classes[0].effect: unsafe`) {
 			t.Errorf("settings that the configuration in force does not fit: %v", err)
 		}
-		if node.set.Load().effects["quote"] != node.cfg.Settings.Policy.Classes[2].Effect {
+		if node.settings.Load().effects["quote"] != node.cfg.Settings.Policy.Classes[2].Effect {
 			t.Error("a part of a refused reload is in force")
 		}
 	})
 	t.Run("the reload first", func(t *testing.T) {
 		t.Parallel()
 		control := newStubControl(t, tenantContract("app", 10))
-		node := newControlledNode(t, control, newRegistry(t), "", nil)
+		node := newControlledNode(t, control, newStubDiscovery(t), "", nil)
 		must(t, reload(node))
 		version := control.change([]resource.Resource{unsafe})
-		wait(t, "the refusal", func() bool { return control.Why(version) != "" })
-		if why := control.Why(version); !strings.Contains(why, `service "s": classes[0].effect: unsafe, but`) {
+		waitFor(t, "the refusal", func() bool { return control.RefusalReason(version) != "" })
+		if why := control.RefusalReason(version); !strings.Contains(why, `service "s": classes[0].effect: unsafe, but`) {
 			t.Errorf("control is notified of %q", why)
 		}
 	})
@@ -539,7 +539,7 @@
 		control := newStubControl(t, tenantContract("app", 10))
 		checked, goOn := make(chan struct{}), make(chan struct{})
 		first := true
-		node := newControlledNode(t, control, newRegistry(t), "", func(c *Config) {
+		node := newControlledNode(t, control, newStubDiscovery(t), "", func(c *Config) {
 			c.onPrepared = func() {
 				if !first {
 					close(checked)
@@ -552,7 +552,7 @@
 		receive(t, "the check of the change", checked)
 		done := make(chan error, 1)
 		go func() { done <- reload(node) }()
-		wait(t, "the reload to wait for the lock, or to end", func() bool {
+		waitFor(t, "the reload to wait for the lock, or to end", func() bool {
 			return len(done) > 0 || someStackContains("created by portstall/internal/node.TestChangeDuringReload", "(*configFollower).lock(")
 		})
 		if len(done) > 0 {
@@ -582,15 +582,15 @@
 // SIGHUP leaves control's configuration as it is: contracts with their budgets, and pinned tenants.
 func TestReloadKeepsControlConfiguration(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t, tenantContract("app", 1), tenantContract("far", 100), newResource(resource.Tenant, "far", `{"tenant":"far","pods":[7]}`))
-	node := newControlledNode(t, control, newRegistry(t), "cells: {size: 1, seed: 1}\n", nil, server.entry("s-1"))
+	node := newControlledNode(t, control, newStubDiscovery(t), "cells: {size: 1, seed: 1}\n", nil, server.entry("s-1"))
 	c := node.dial(t)
 	if got := c.statusOf("a", "app"); got != 200 {
 		t.Errorf("the first request: %d", got)
 	}
 	cfg := node.cfg
-	under(t, fmt.Sprintf("parts: even\ncells: {size: 2, seed: 1}\ncontrol: {addresses: [%q]}\n", control.Addr))(&cfg)
+	withProductFile(t, fmt.Sprintf("parts: even\ncells: {size: 2, seed: 1}\ncontrol: {addresses: [%q]}\n", control.Addr))(&cfg)
 	must(t, node.reload(cfg))
 	if got := c.statusOf("b", "app"); got != 429 {
 		t.Errorf("a reload gave a contract a second burst: %d", got)
@@ -602,7 +602,7 @@
 		t.Errorf("a reload removed the contracts: %d", got)
 	}
 	without := cfg
-	under(t, "cells: {size: 2, seed: 1}\ncontracts: [{name: all}]\n")(&without)
+	withProductFile(t, "cells: {size: 2, seed: 1}\ncontracts: [{name: all}]\n")(&without)
 	if err := node.reload(without); err == nil || !strings.Contains(err.Error(), "control: ") {
 		t.Errorf("a reload without control: %v", err)
 	}
@@ -612,19 +612,19 @@
 // has.
 func TestReloadSwitchesControl(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	control := newStubControl(t, tenantContract("app", 100))
-	node := newControlledNode(t, control, newRegistry(t), "", nil, server.entry("s-1"))
-	wait(t, "the watch", func() bool { return control.Calls() > 1 })
+	node := newControlledNode(t, control, newStubDiscovery(t), "", nil, server.entry("s-1"))
+	waitFor(t, "the watch", func() bool { return control.CallCount() > 1 })
 	other := newStubControl(t)
-	must(t, other.Become(control.Control))
+	must(t, other.CopyFrom(control.Control))
 	cfg := node.cfg
-	under(t, fmt.Sprintf("control: {addresses: [%q]}\n", other.Addr))(&cfg)
+	withProductFile(t, fmt.Sprintf("control: {addresses: [%q]}\n", other.Addr))(&cfg)
 	must(t, node.reload(cfg))
-	wait(t, "a call to the other control", func() bool { return other.Calls() > 0 })
+	waitFor(t, "a call to the other control", func() bool { return other.CallCount() > 0 })
 	version := other.change([]resource.Resource{tenantContract("there", 100)})
-	wait(t, "the other control's change", func() bool { return node.versionInForce() == version })
-	if snapshots, deltas := other.Counts(); snapshots != 0 || deltas != 1 {
+	waitFor(t, "the other control's change", func() bool { return node.versionInForce() == version })
+	if snapshots, deltas := other.ResponseCounts(); snapshots != 0 || deltas != 1 {
 		t.Errorf("the other control sent %d full snapshots and %d deltas", snapshots, deltas)
 	}
 }
@@ -634,26 +634,26 @@
 func TestRemovalWithRequestInFlight(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
-	server := newSlowBox(t, release)
+	server := newSlowServer(t, release)
 	service := newResource(resource.Service, "reading", `{"name":"reading","classes":[{"name":"view"}]}`)
 	limits := newResource(resource.Contract, "app", `{"name":"app","match":[{"tenant":"app"}],"services":["reading"],"rate":0.001,"burst":2}`)
 	control := newStubControl(t, service, limits, tenantContract("other", 100))
-	node := newControlledNode(t, control, newRegistry(t), "", nil, server.entry("s-1"))
+	node := newControlledNode(t, control, newStubDiscovery(t), "", nil, server.entry("s-1"))
 	slow := node.dial(t)
-	slow.send(with(view("slow"), "X-Tenant: app"))
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	slow.send(withHeaders(view("slow"), "X-Tenant: app"))
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	version := control.change(nil, service.Key, limits.Key)
-	wait(t, "the change", func() bool { return node.versionInForce() == version })
+	waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 	c := node.dial(t)
 	if got := c.statusOf("x", "app"); got != 403 {
 		t.Errorf("a request after the change: %d", got)
 	}
 	close(release)
-	if resp, body := slow.answer(); resp.StatusCode != 200 || body != "done slow" {
+	if resp, body := slow.readResponse(); resp.StatusCode != 200 || body != "done slow" {
 		t.Errorf("the request in flight: %d %q", resp.StatusCode, body)
 	}
 	version = control.change([]resource.Resource{service, limits})
-	wait(t, "the contract put again", func() bool { return node.versionInForce() == version })
+	waitFor(t, "the contract put again", func() bool { return node.versionInForce() == version })
 	for i, want := range []int{200, 429} { // one of two was spent before the removal
 		if got := c.statusOf(fmt.Sprint("again", i), "app"); got != want {
 			t.Errorf("request %d of the contract put again: %d, want %d", i, got, want)
@@ -669,18 +669,18 @@
 func TestChangeDuringHandOver(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
-	server := newSlowBox(t, release)
+	server := newSlowServer(t, release)
 	control := newStubControl(t, tenantContract("app", 2), tenantContract("slow", 100))
-	predecessor, startSuccessor := startPredecessor(t, control, newRegistry(t), server)
+	predecessor, startSuccessor := startPredecessor(t, control, newStubDiscovery(t), server)
 	c, slow := predecessor.dial(t), predecessor.dial(t)
 	if got := c.statusOf("a", "app"); got != 200 {
 		t.Fatalf("before the hand-over: %d", got)
 	}
-	slow.send(with(view("slow"), "X-Tenant: slow"))
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 2 })
+	slow.send(withHeaders(view("slow"), "X-Tenant: slow"))
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 2 })
 	successor := startSuccessor()
 	version := control.change([]resource.Resource{newResource(resource.Contract, "new", `{"name":"new","match":[{"tenant":"new"}]}`)})
-	wait(t, "the change at both", func() bool { return successor.versionInForce() == version && predecessor.versionInForce() == version })
+	waitFor(t, "the change at both", func() bool { return successor.versionInForce() == version && predecessor.versionInForce() == version })
 	next := successor.dial(t)
 	if got := next.statusOf("n", "new"); got != 200 {
 		t.Errorf("the change at the successor: %d", got)
@@ -688,18 +688,18 @@
 	if got := [2]int{next.statusOf("b", "app"), next.statusOf("c", "app")}; got != [2]int{200, 429} {
 		t.Errorf("a contract with one of two requests spent before the hand-over: %v", got)
 	}
-	if share := successor.core.Stats(0).Part; share != heirPortion {
-		t.Errorf("the successor hands out a share of %v next to its predecessor, want %v", share, heirPortion)
+	if share := successor.core.Stats(0).ContractShare; share != successorShare {
+		t.Errorf("the successor hands out a share of %v next to its predecessor, want %v", share, successorShare)
 	}
 	close(release)
-	if resp, body := slow.answer(); resp.StatusCode != 200 || body != "done slow" {
+	if resp, body := slow.readResponse(); resp.StatusCode != 200 || body != "done slow" {
 		t.Errorf("the predecessor's request: %d %q", resp.StatusCode, body)
 	}
 	select {
 	case err := <-predecessor.exited:
 		must(t, err)
 		predecessor.exited <- nil
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the predecessor does not end")
 	}
 }
@@ -709,24 +709,24 @@
 func TestRemovedContractDebtIsHandedOver(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
-	server := newSlowBox(t, release)
+	server := newSlowServer(t, release)
 	// A request of unknown cost is charged 0.05 server-seconds, which this budget refills in 500 s.
 	limits := newResource(resource.Contract, "app", `{"name":"app","match":[{"tenant":"app"}],"work":{"limit":0.0001}}`)
 	control := newStubControl(t, limits, tenantContract("other", 100))
-	predecessor, startSuccessor := startPredecessor(t, control, newRegistry(t), server)
+	predecessor, startSuccessor := startPredecessor(t, control, newStubDiscovery(t), server)
 	slow := predecessor.dial(t)
-	slow.send(with(view("slow"), "X-Tenant: app"))
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	slow.send(withHeaders(view("slow"), "X-Tenant: app"))
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	version := control.change(nil, limits.Key)
-	wait(t, "the removal", func() bool { return predecessor.versionInForce() == version })
+	waitFor(t, "the removal", func() bool { return predecessor.versionInForce() == version })
 	successor := startSuccessor()
 	version = control.change([]resource.Resource{limits})
-	wait(t, "the contract put again", func() bool { return successor.versionInForce() == version })
+	waitFor(t, "the contract put again", func() bool { return successor.versionInForce() == version })
 	if got := successor.dial(t).statusOf("a", "app"); got != 429 {
 		t.Errorf("the debt of a contract that was removed before the hand-over: %d", got)
 	}
 	close(release)
-	if resp, body := slow.answer(); resp.StatusCode != 200 || body != "done slow" {
+	if resp, body := slow.readResponse(); resp.StatusCode != 200 || body != "done slow" {
 		t.Errorf("the predecessor's request: %d %q", resp.StatusCode, body)
 	}
 }
@@ -736,26 +736,26 @@
 func TestFirstContractDuringHandOver(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
-	server := newSlowBox(t, release)
+	server := newSlowServer(t, release)
 	control := newStubControl(t, newResource(resource.Service, "s", `{"name":"s"}`))
-	predecessor, startSuccessor := startPredecessor(t, control, newRegistry(t), server)
+	predecessor, startSuccessor := startPredecessor(t, control, newStubDiscovery(t), server)
 	slow := predecessor.dial(t)
 	slow.send(view("slow").text())
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	successor := startSuccessor()
-	if st := successor.core.Stats(1); st.Contracts {
+	if st := successor.core.Stats(1); st.HasContracts {
 		t.Error("contracts are in force where control provides none")
 	}
-	if resp, _ := successor.dial(t).ask(view("a")); resp.StatusCode != 200 {
+	if resp, _ := successor.dial(t).roundTrip(view("a")); resp.StatusCode != 200 {
 		t.Errorf("without any contract: %d", resp.StatusCode)
 	}
 	version := control.change([]resource.Resource{tenantContract("app", 100)})
-	wait(t, "the change at both", func() bool { return successor.versionInForce() == version && predecessor.versionInForce() == version })
-	if successorShare, predecessorShare := successor.core.Stats(1).Part, predecessor.core.Stats(1).Part; successorShare != heirPortion || predecessorShare != 1-heirPortion {
+	waitFor(t, "the change at both", func() bool { return successor.versionInForce() == version && predecessor.versionInForce() == version })
+	if successorShare, predecessorShare := successor.core.Stats(1).ContractShare, predecessor.core.Stats(1).ContractShare; successorShare != successorShare || predecessorShare != 1-successorShare {
 		t.Errorf("the two hand out shares of %v and %v", successorShare, predecessorShare)
 	}
 	close(release)
-	if resp, _ := slow.answer(); resp.StatusCode != 200 {
+	if resp, _ := slow.readResponse(); resp.StatusCode != 200 {
 		t.Errorf("the predecessor's request: %d", resp.StatusCode)
 	}
 }
@@ -764,11 +764,11 @@
 func TestTerminationDuringChange(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
-	server := newSlowBox(t, release)
+	server := newSlowServer(t, release)
 	control := newStubControl(t, tenantContract("app", 100))
 	checked, goOn := make(chan struct{}), make(chan struct{})
 	first := true
-	node := newControlledNode(t, control, newRegistry(t), "", func(c *Config) {
+	node := newControlledNode(t, control, newStubDiscovery(t), "", func(c *Config) {
 		c.onPrepared = func() {
 			if !first {
 				close(checked)
@@ -778,15 +778,15 @@
 		}
 	}, server.entry("s-1"))
 	slow := node.dial(t)
-	slow.send(with(view("slow"), "X-Tenant: app"))
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	slow.send(withHeaders(view("slow"), "X-Tenant: app"))
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	version := control.change([]resource.Resource{tenantContract("new", 1)})
 	receive(t, "the check of the change", checked)
-	node.leave()
-	wait(t, "leaving", func() bool { return node.life.now() == leaving })
+	node.terminate()
+	waitFor(t, "leaving", func() bool { return node.lifecycle.current() == leaving })
 	closed := make(chan struct{})
 	go func() {
-		node.cfg.followed.close()
+		node.cfg.follower.close()
 		close(closed)
 	}()
 	over := func() bool {
@@ -797,23 +797,23 @@
 			return false
 		}
 	}
-	wait(t, "close to wait for the change, or to return", func() bool {
+	waitFor(t, "close to wait for the change, or to return", func() bool {
 		return over() || someStackContains("chan receive", "(*configFollower).close(", "created by portstall/internal/node.TestTerminationDuringChange")
 	})
 	if over() {
 		t.Error("the end of the process did not wait for a change that is checked and not applied")
 	}
 	close(goOn)
-	wait(t, "the change", func() bool { return node.versionInForce() == version })
+	waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 	close(release)
-	if resp, body := slow.answer(); resp.StatusCode != 200 || body != "done slow" {
+	if resp, body := slow.readResponse(); resp.StatusCode != 200 || body != "done slow" {
 		t.Errorf("the request in flight: %d %q", resp.StatusCode, body)
 	}
 	select {
 	case err := <-node.exited:
 		must(t, err)
 		node.exited <- nil
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the node does not end")
 	}
 	receive(t, "the end of the calls to control", closed)
@@ -823,31 +823,31 @@
 // moment is seen completely.
 func TestTunnelUsesRouteInForce(t *testing.T) {
 	t.Parallel()
-	server := newLines(t, nil)
+	server := newEchoServer(t, nil)
 	route := func(class string) resource.Resource {
 		return newResource(resource.Route, "lines.example.org:7", fmt.Sprintf(`{"host":"lines.example.org","port":7,"service":"lines","kind":"opaque","class":%q}`, class))
 	}
 	service := newResource(resource.Service, "lines", `{"name":"lines"}`)
 	control := newStubControl(t, service, route("quote"))
-	addr := free(t)
-	node := newControlledNode(t, control, newRegistry(t), fmt.Sprintf("tunnels: {connect: %q}\n", addr), nil, listed{ID: "s-1", Addr: server.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
+	addr := freeAddr(t)
+	node := newControlledNode(t, control, newStubDiscovery(t), fmt.Sprintf("tunnels: {connect: %q}\n", addr), nil, serverEntry{ID: "s-1", Addr: server.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	must(t, node.tunnels(ctx, node.cfg.Product.Tunnels))
-	conn, status := through(t, addr, linesConnect, 0)
+	must(t, node.openTunnelListeners(ctx, node.cfg.Product.Tunnels))
+	conn, status := openTunnel(t, addr, echoConnectOpening, 0)
 	if status != "200" {
 		t.Fatalf("a route from control: %s", status)
 	}
 	conn.echo("before")
 	version := control.change(nil, route("").Key)
-	wait(t, "the change", func() bool { return node.versionInForce() == version })
+	waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 	conn.echo("an open tunnel goes on")
-	if resp := connects(t, addr); resp.StatusCode != 403 {
+	if resp := requestConnect(t, addr); resp.StatusCode != 403 {
 		t.Errorf("a removed route: %d", resp.StatusCode)
 	}
 	version = control.change([]resource.Resource{route("view")})
-	wait(t, "the route put again", func() bool { return node.versionInForce() == version })
-	conn, status = through(t, addr, linesConnect, 0)
+	waitFor(t, "the route put again", func() bool { return node.versionInForce() == version })
+	conn, status = openTunnel(t, addr, echoConnectOpening, 0)
 	if status != "200" {
 		t.Fatalf("a route put again: %s", status)
 	}
@@ -868,7 +868,7 @@
 // many times: an opening that saw the route of one configuration and the contract of the other would be refused.
 func TestTunnelNeverSeesPartialChange(t *testing.T) {
 	t.Parallel()
-	server := newLines(t, nil)
+	server := newEchoServer(t, nil)
 	state := func(class string) []resource.Resource {
 		return []resource.Resource{
 			newResource(resource.Service, "lines", fmt.Sprintf(`{"name":"lines","classes":[{"name":%q}]}`, class)),
@@ -877,11 +877,11 @@
 		}
 	}
 	control := newStubControl(t, state("view")...)
-	addr := free(t)
-	node := newControlledNode(t, control, newRegistry(t), fmt.Sprintf("tunnels: {connect: %q}\n", addr), nil, listed{ID: "s-1", Addr: server.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
+	addr := freeAddr(t)
+	node := newControlledNode(t, control, newStubDiscovery(t), fmt.Sprintf("tunnels: {connect: %q}\n", addr), nil, serverEntry{ID: "s-1", Addr: server.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	must(t, node.tunnels(ctx, node.cfg.Product.Tunnels))
+	must(t, node.openTunnelListeners(ctx, node.cfg.Product.Tunnels))
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	opened := make([]int, 4)
@@ -898,8 +898,8 @@
 					t.Error(err)
 					return
 				}
-				io.WriteString(conn, linesConnect)
-				conn.SetReadDeadline(time.Now().Add(patience))
+				io.WriteString(conn, echoConnectOpening)
+				conn.SetReadDeadline(time.Now().Add(testTimeout))
 				resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodConnect})
 				conn.Close()
 				if err != nil || resp.StatusCode != 200 {
@@ -912,7 +912,7 @@
 	}
 	for i := range 60 {
 		version := control.change(state([]string{"quote", "view"}[i%2]))
-		wait(t, "the change", func() bool { return node.versionInForce() == version })
+		waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 		// The race detector's sync.Pool drops a quarter of its items, among them pipes of io.Copy between sockets. Each
 		// holds two descriptors until it is collected; without this call thousands accumulate, of the 20,000 that all
 		// tests of the process share.
@@ -929,12 +929,12 @@
 func TestChangeIsAppliedUnderOneLock(t *testing.T) {
 	control := newStubControl(t, newResource(resource.Service, "lines", `{"name":"lines"}`), tenantContract("app", 100),
 		newResource(resource.Route, "lines.example.org:7", `{"host":"lines.example.org","port":7,"service":"lines","kind":"opaque","class":"view"}`))
-	addr := free(t)
-	node := newControlledNode(t, control, newRegistry(t), fmt.Sprintf("tunnels: {connect: %q}\n", addr), nil)
-	wait(t, "the contract to be in force", func() bool { return node.hasContract(t, "app") })
+	addr := freeAddr(t)
+	node := newControlledNode(t, control, newStubDiscovery(t), fmt.Sprintf("tunnels: {connect: %q}\n", addr), nil)
+	waitFor(t, "the contract to be in force", func() bool { return node.hasContract(t, "app") })
 	seen := func() (inForce, route bool) { // the core's lock is held
-		_, route = node.routes.Find("lines.example.org", 7)
-		return slices.ContainsFunc(node.core.Left(), func(l contract.Left) bool { return l.Name == "app" && l.Gone == nil }), route
+		_, route = node.tunnelRoutes.Find("lines.example.org", 7)
+		return slices.ContainsFunc(node.core.ContractStates(), func(l contract.ContractState) bool { return l.Name == "app" && l.Gone == nil }), route
 	}
 	node.core.Lock()
 	if c, route := seen(); !c || !route {
@@ -946,7 +946,7 @@
 		return func() bool { return someStackContains(append(parts, "sync.(*Mutex).lockSlow")...) }
 	}
 	stood := func(what string, ok func() bool) {
-		for end := time.Now().Add(patience); !ok(); {
+		for end := time.Now().Add(testTimeout); !ok(); {
 			if time.Now().After(end) {
 				node.core.Unlock()
 				t.Fatalf("%s: did not come", what)
@@ -975,18 +975,18 @@
 	if got := receive(t, "what the next goroutine saw", next); got != [2]bool{} {
 		t.Errorf("after the change: contract %v, route %v in force", got[0], got[1])
 	}
-	wait(t, "the change", func() bool { return node.versionInForce() == version })
+	waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 }
 
 // Without control a node has no additional goroutine, page, metric or connection.
 func TestNodeWithoutControl(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams), server.entry("s-1"))
-	if node.cfg.followed != nil || node.routes != nil {
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, teamContractsYAML), server.entry("s-1"))
+	if node.cfg.follower != nil || node.tunnelRoutes != nil {
 		t.Error("the node follows control")
 	}
-	for _, p := range node.pages() {
+	for _, p := range node.managementPages() {
 		var text bytes.Buffer
 		if p.Path == "configuration" {
 			t.Error("there is a configuration page")
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -23,7 +23,7 @@
 func TestDeadlineRunsWhileBodyWaitsForBudget(t *testing.T) {
 	t.Parallel()
 	const clientTimeout = 50 * time.Second // what the clients send
-	length := flow.Keep / 2
+	length := flow.MaxBuffered / 2
 	body := strings.Repeat("x", length)
 	complete, chunks := quote("x"), quote("x")
 	complete.body = body
@@ -43,9 +43,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			clock := &stepClock{now: time.Hour}
-			server := newBox(t, served)
-			node := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
-				unhurried(cfg)
+			server := newStubServer(t, respondOK)
+			node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(cfg *Config) {
+				withTestTimeouts(cfg)
 				cfg.clock = clock
 			}, server.entry("s-1"))
 			release := node.fillBodyBudget(t)
@@ -59,10 +59,10 @@
 			clock.advance(c.waits)
 			release()
 			if c.late > 0 {
-				wait(t, "the node to read the first part", func() bool { return flow.Pending(cl.end) == flow.Nothing })
+				waitFor(t, "the node to read the first part", func() bool { return flow.PeekInput(cl.end) == flow.NoInput })
 				cl.send(c.text[len(firstPart):])
 			}
-			resp, _ := cl.answer()
+			resp, _ := cl.readResponse()
 			got := server.requests()
 			if c.left == 0 {
 				if resp.StatusCode != http.StatusServiceUnavailable || len(got) != 0 {
@@ -171,9 +171,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			clock := &stepClock{now: time.Hour}
-			server := newBox(t, served)
-			node := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
-				unhurried(cfg)
+			server := newStubServer(t, respondOK)
+			node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(cfg *Config) {
+				withTestTimeouts(cfg)
 				cfg.clock = clock
 			}, server.entry("s-1"))
 			clock.jump(c.held)
@@ -181,7 +181,7 @@
 				clock.advance(c.later)
 			}
 			cl := node.dial(t)
-			if resp, _ := cl.ask(quote("x")); c.left == 0 {
+			if resp, _ := cl.roundTrip(quote("x")); c.left == 0 {
 				if resp.StatusCode != http.StatusServiceUnavailable || len(server.requests()) != 0 {
 					t.Errorf("status %d, with %d attempts; want 503 with none", resp.StatusCode, len(server.requests()))
 				}
@@ -191,7 +191,7 @@
 			}
 			checkDeadlineHeader(t, server.requests()[0], c.left-transitAllowance)
 			if !c.timers { // everything unread is read late: the next request too
-				if resp, _ := cl.ask(quote("y")); resp.StatusCode != http.StatusOK {
+				if resp, _ := cl.roundTrip(quote("y")); resp.StatusCode != http.StatusOK {
 					t.Fatal(resp.StatusCode)
 				}
 				checkDeadlineHeader(t, server.requests()[1], c.left-transitAllowance)
@@ -227,12 +227,12 @@
 		{name: "no connection is established", dial: "before"},
 		{name: "the connection is established late", dial: "after"},
 	} {
-		for _, newRequest := range []func(string) call{view, quote} {
+		for _, newRequest := range []func(string) testRequest{view, quote} {
 			t.Run(c.name+" "+newRequest("").class, func(t *testing.T) {
 				t.Parallel()
 				var reached atomic.Bool
 				done := make(chan struct{})
-				server := newBox(t, func(conn net.Conn, r *http.Request, _ int) bool {
+				server := newStubServer(t, func(conn net.Conn, r *http.Request, _ int) bool {
 					for _, s := range c.says {
 						io.WriteString(conn, s)
 					}
@@ -247,7 +247,7 @@
 					return false
 				})
 				t.Cleanup(sync.OnceFunc(func() { close(done) }))
-				node := newRig(t, newRegistry(t), settingsJSON, unhurried, server.entry("s-1"))
+				node := newTestNode(t, newStubDiscovery(t), settingsJSON, withTestTimeouts, server.entry("s-1"))
 				if c.dial != "" {
 					node.setDial("s-1", func(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 						reached.Store(true)
@@ -261,8 +261,8 @@
 					})
 				}
 				if c.room {
-					must(t, node.budget.Answer(context.Background(), node.cfg.bodyBytes()))
-					defer node.budget.AnswerDone(node.cfg.bodyBytes())
+					must(t, node.budget.AcquireResponse(context.Background(), node.cfg.maxBodyBytes()))
+					defer node.budget.ReleaseResponse(node.cfg.maxBodyBytes())
 				}
 				// On a slow machine the time may have passed before the server has sent everything: then the test tries
 				// again with more.
@@ -273,11 +273,11 @@
 					if c.may && q.class == "quote" {
 						want = http.StatusInternalServerError
 					}
-					if resp, _ := node.dial(t).ask(q); resp.StatusCode != want && reached.Load() {
+					if resp, _ := node.dial(t).roundTrip(q); resp.StatusCode != want && reached.Load() {
 						t.Errorf("status %d, want %d", resp.StatusCode, want)
 					}
 				}
-				wait(t, "the end of all requests and connections", func() bool {
+				waitFor(t, "the end of all requests and connections", func() bool {
 					open, idle := node.pool.Counts()
 					return node.openRequests() == 0 && open == idle
 				})
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -32,11 +32,11 @@
 	for _, name := range slices.Sorted(maps.Keys(ownDescriptors)) {
 		own += ownDescriptors[name]
 	}
-	if own > ownSockets {
-		t.Errorf("the node needs %d descriptors for itself, and reserves %d", own, ownSockets)
+	if own > reservedSockets {
+		t.Errorf("the node needs %d descriptors for itself, and reserves %d", own, reservedSockets)
 	}
 	parts := &config.File{Tunnels: &config.Tunnels{}, Members: &config.Members{}, State: &config.State{},
-		Health: &config.Health{Checks: &config.Checks{}, Answer: &config.Answer{}}}
+		Health: &config.Health{Checks: &config.Checks{}, Answer: &config.Responders{}}}
 	for sockets := minSockets; sockets < 1<<14; sockets++ {
 		for _, operators := range []string{"", "127.0.0.1:1"} {
 			for _, product := range []*config.File{nil, {}, parts} {
@@ -68,12 +68,12 @@
 	must(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim))
 	system := int(min(lim.Cur, maxSockets))
 	for _, c := range []struct{ configured, most int }{{0, min(system, 1<<21)}, {maxSockets, system}, {minSockets, min(system, minSockets)}} {
-		cfg := Config{Sockets: c.configured, process: true}
-		if got := cfg.sharedSockets(); got != c.most-ownSockets {
-			t.Errorf("%d configured, %d by the system: %d are shared, want %d", c.configured, lim.Cur, got, c.most-ownSockets)
+		cfg := Config{Sockets: c.configured, ownsProcess: true}
+		if got := cfg.sharedSockets(); got != c.most-reservedSockets {
+			t.Errorf("%d configured, %d by the system: %d are shared, want %d", c.configured, lim.Cur, got, c.most-reservedSockets)
 		}
-		cfg.process = false
-		if got := cfg.sharedSockets(); c.configured == maxSockets && got != maxSockets-ownSockets {
+		cfg.ownsProcess = false
+		if got := cfg.sharedSockets(); c.configured == maxSockets && got != maxSockets-reservedSockets {
 			t.Errorf("one of many nodes in a process: %d descriptors are shared", got)
 		}
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -29,21 +29,21 @@
 	maxListBytes     = 16 << 20
 	// lastStart is the largest start time in ms that a time.Duration holds. A later one would overflow to the distant
 	// past, so that a new process would be taken for a warm one.
-	lastStart = math.MaxInt64 / int64(time.Millisecond)
+	maxStartedMS = math.MaxInt64 / int64(time.Millisecond)
 )
 
 // serverList is discovery's response: the complete server list, or the entries that changed since the version asked for.
-type list struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []listed `json:"servers"`
+type serverList struct {
+	Version int64         `json:"version"`
+	Full    bool          `json:"full"`
+	Servers []serverEntry `json:"servers"`
 	// receivedAt is when the first byte of the response arrived, on the node's clock: its contents were announced
 	// before that. 0 stands for the time at which the list is applied.
 	receivedAt time.Duration
 }
 
 // serverEntry is a web server as discovery lists it.
-type listed struct {
+type serverEntry struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
 	Zone      string `json:"zone"`
@@ -55,7 +55,7 @@
 
 // discoveryClient keeps a node's server list up to date from one discovery address. For another address the node
 // replaces the client.
-type discovery struct {
+type discoveryClient struct {
 	node   *node
 	http   *http.Client
 	addr   string
@@ -66,14 +66,14 @@
 	schedule pollSchedule // belongs to the watch loop; survives the end of one, so that the next keeps what was learned of discovery
 	// whole is set until the complete list of this discovery has arrived: until then its version numbers can't be
 	// compared with the node's. Guarded by the core's lock.
-	whole bool
+	fullListPending bool
 	// announcedBy is the time by which everything in this discovery's list counts as announced, whether or not the node
 	// asked for it. 0 stands for no such time. It is set before the client is shared.
 	announcedBy time.Duration
 }
 
-func newDiscovery(n *node, addr string) *discovery {
-	d := &discovery{node: n, addr: addr, http: &http.Client{Transport: &http.Transport{DisableCompression: true,
+func newDiscoveryClient(n *node, addr string) *discoveryClient {
+	d := &discoveryClient{node: n, addr: addr, http: &http.Client{Transport: &http.Transport{DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 	d.ctx, d.cancel = context.WithCancel(n.core.Context())
 	return d
@@ -82,17 +82,17 @@
 // switchDiscovery replaces the discovery client. The web servers stay until the new discovery returns its list. The
 // core's lock is held.
 func (n *node) switchDiscovery(addr string) {
-	n.log.Info("following another discovery", "from", n.disc.addr, "to", addr)
-	old := n.disc
+	n.log.Info("following another discovery", "from", n.discovery.addr, "to", addr)
+	old := n.discovery
 	old.cancel()
-	n.disc = newDiscovery(n, addr)
-	n.disc.whole, n.disc.announcedBy = true, n.core.Now()+reloadAnnounceDelay
-	n.disc.watch()
+	n.discovery = newDiscoveryClient(n, addr)
+	n.discovery.fullListPending, n.discovery.announcedBy = true, n.core.Now()+reloadAnnounceDelay
+	n.discovery.watch()
 	old.http.CloseIdleConnections()
 }
 
 // watch starts the watch loop unless it runs. The core's lock is held.
-func (d *discovery) watch() {
+func (d *discoveryClient) watch() {
 	if d.watching {
 		return
 	}
@@ -102,20 +102,20 @@
 
 // watchLoop watches until the client is replaced. Where lists are pushed, or a fresh list is due, it retries after a
 // failure; otherwise it reports the failure to the policy, which decides when to ask again.
-func (d *discovery) watchLoop() {
+func (d *discoveryClient) watchLoop() {
 	schedule := &d.schedule
 	schedule.reset()
 	for d.ctx.Err() == nil {
-		started, current := time.Now(), d.node.set.Load().Policy // a reload may have changed them
+		started, current := time.Now(), d.node.settings.Load().Policy // a reload may have changed them
 		schedule.push, schedule.grace = !current.MustAsk, current.DrainGrace
 		d.node.core.Lock()
-		since, full := d.node.version, d.whole
+		since, full := d.node.listVersion, d.fullListPending
 		d.node.core.Unlock()
 		if full && d.announcedBy > 0 {
 			schedule.requireFresh(d.announcedBy)
 		}
 		wait, limit := schedule.callTimes(full, rand.Float64())
-		if adjust := d.node.cfg.watch; adjust != nil {
+		if adjust := d.node.cfg.adjustWatch; adjust != nil {
 			wait, limit = adjust(wait, limit)
 		}
 		schedule.callStarted(d.node.core.Now())
@@ -131,7 +131,7 @@
 			if full || update.Full {
 				kind = policy.ListFull
 			}
-			d.news(update, kind, true)
+			d.applyResponse(update, kind, true)
 			if pause := minWatchInterval - time.Since(started); pause > 0 {
 				sleep(d.ctx, pause)
 			}
@@ -151,7 +151,7 @@
 }
 
 // watchEnded notifies the policy that the watch loop has ended.
-func (d *discovery) watchEnded() {
+func (d *discoveryClient) watchEnded() {
 	n := d.node
 	n.core.Lock()
 	defer n.core.Unlock()
@@ -162,12 +162,12 @@
 }
 
 // fetch asks for the complete list once. The core's lock is held.
-func (d *discovery) fetch() {
+func (d *discoveryClient) fetch() {
 	n := d.node
 	n.core.Go(func() {
 		update, _, err := d.call("", fetchTimeout, fetchTimeout)
 		if err == nil {
-			d.news(update, policy.ListFull, false)
+			d.applyResponse(update, policy.ListFull, false)
 			return
 		}
 		n.log.Warn("fetching the server list failed", "err", err)
@@ -180,7 +180,7 @@
 }
 
 // call sends one request. The response must begin within limit, and be complete within body of its first byte.
-func (d *discovery) call(query string, limit, body time.Duration) (update *list, failure callFailure, err error) {
+func (d *discoveryClient) call(query string, limit, body time.Duration) (update *serverList, failure callFailure, err error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
 	var timedOut atomic.Bool
@@ -220,7 +220,7 @@
 		firstByte.Store(0) // a refusal announces nothing of the list
 		return nil, callRejected, errors.New("discovery responded with status " + strconv.Itoa(resp.StatusCode))
 	}
-	update = &list{receivedAt: time.Duration(firstByte.Load())}
+	update = &serverList{receivedAt: time.Duration(firstByte.Load())}
 	if err := json.Unmarshal(text, update); err != nil {
 		return nil, callError, fmt.Errorf("decode discovery's list: %w", err)
 	}
@@ -239,29 +239,29 @@
 
 // applyResponse applies a response of discovery, unless the client was replaced or the response is older than the list
 // in force: the complete list that was asked for may cross with the response to a watch.
-func (d *discovery) news(update *list, kind policy.ListKind, watched bool) {
+func (d *discoveryClient) applyResponse(update *serverList, kind policy.ListKind, watched bool) {
 	n := d.node
 	n.core.Lock()
 	defer n.core.Unlock()
-	old := update.Version <= n.version
+	old := update.Version <= n.listVersion
 	if kind == policy.ListFull { // a discovery that starts its version numbers again sends a full list to a watch as well
-		old = update.Version < n.version && !watched && !d.whole
+		old = update.Version < n.listVersion && !watched && !d.fullListPending
 	}
 	if old || d.ctx.Err() != nil {
 		return
 	}
-	d.whole = false
-	n.takeList(update, kind)
+	d.fullListPending = false
+	n.applyList(update, kind)
 }
 
 // applyList updates the node's web servers and passes the list to the policy. The core's lock is held.
-func (n *node) takeList(update *list, kind policy.ListKind) {
+func (n *node) applyList(update *serverList, kind policy.ListKind) {
 	announced := cmp.Or(update.receivedAt, n.core.Now())
 	// A full list may be older than the one in force: its sender may lag behind the discovery that announced the newer
 	// one, or may have started its version numbers again. Such a list does not bring back a server that was announced
 	// as draining or removed; a later list does, and so does a later start of the server.
-	older := kind == policy.ListFull && update.Version < n.version
-	n.version = update.Version
+	older := kind == policy.ListFull && update.Version < n.listVersion
+	n.listVersion = update.Version
 	entries := make([]policy.Entry, 0, len(update.Servers))
 	seen := map[string]bool{}
 	for i := range update.Servers {
@@ -269,121 +269,121 @@
 	}
 	for i := range update.Servers {
 		item := &update.Servers[i]
-		if item.ID == "" || item.Addr == "" && n.names[item.ID] == nil {
+		if item.ID == "" || item.Addr == "" && n.serversByID[item.ID] == nil {
 			continue // there is no address to send to
 		}
-		entry := policy.Entry{Zone: item.Zone, Cell: item.Cell, Kind: item.Kind,
-			Launched: max(time.Duration(min(item.StartedMS, lastStart))*time.Millisecond, n.hand.returned[item.ID])}
+		entry := policy.Entry{Zone: item.Zone, Cell: item.Cell, ServerType: item.Kind,
+			Launched: max(time.Duration(min(item.StartedMS, maxStartedMS))*time.Millisecond, n.overrides.enabledAt[item.ID])}
 		switch item.State {
 		case "Ready":
 		case "Gone":
-			entry.State = policy.Left
+			entry.State = policy.Removed
 		default: // Terminating, or an unknown state: no new requests in either case
-			entry.State = policy.Leaving
+			entry.State = policy.Draining
 		}
-		server := n.names[item.ID]
+		server := n.serversByID[item.ID]
 		if older && server == nil && n.wasRemoved(item) {
 			continue
 		}
-		if older && server != nil && server.Stop.Load() != 0 && server.started == item.StartedMS && entry.State == policy.Active {
-			entry.State = policy.Leaving
+		if older && server != nil && server.StopAt.Load() != 0 && server.startedMS == item.StartedMS && entry.State == policy.Active {
+			entry.State = policy.Draining
 		}
 		if server != nil && server.Addr != item.Addr && item.Addr != "" {
 			// Another address is another process, even where the start time is the same.
-			entries = append(entries, policy.Entry{ID: server.number, State: policy.Left})
+			entries = append(entries, policy.Entry{ID: server.number, State: policy.Removed})
 			n.removeServer(server, announced)
 			server = nil
 		}
 		switch {
-		case server == nil && entry.State == policy.Left:
+		case server == nil && entry.State == policy.Removed:
 			continue
 		case server == nil:
-			for _, other := range n.addrs[item.Addr] {
-				if !other.left && !seen[other.ID] {
+			for _, other := range n.serversByAddr[item.Addr] {
+				if !other.removed && !seen[other.ID] {
 					// The process at this address must have ended: what is sent there reaches the new one.
-					entries = append(entries, policy.Entry{ID: other.number, State: policy.Left})
+					entries = append(entries, policy.Entry{ID: other.number, State: policy.Removed})
 					n.removeServer(other, announced)
 				}
 			}
-			n.nextNum++
-			server = &backend{number: n.nextNum, started: item.StartedMS, Server: &back.Server{ID: item.ID, Addr: item.Addr, Via: n.way(item.ID), Gate: n.gateFor(item.ID), Now: n.core.Now}}
-		case server.started != item.StartedMS:
+			n.lastNumber++
+			server = &webServer{number: n.lastNumber, startedMS: item.StartedMS, Server: &back.Server{ID: item.ID, Addr: item.Addr, Dial: n.proxyDial(item.ID), Gate: n.gateFor(item.ID), Now: n.core.Now}}
+		case server.startedMS != item.StartedMS:
 			old := server
 			// The policy distinguishes the two processes by their start times.
-			server = &backend{number: old.number, started: item.StartedMS, Server: &back.Server{ID: item.ID, Addr: item.Addr, Via: old.Via, Gate: old.Gate, Now: n.core.Now}}
-			n.pool.Clear(old.Server, true)
+			server = &webServer{number: old.number, startedMS: item.StartedMS, Server: &back.Server{ID: item.ID, Addr: item.Addr, Dial: old.Dial, Gate: old.Gate, Now: n.core.Now}}
+			n.pool.CloseIdle(old.Server, true)
 			n.drainServer(old, announced) // an attempt that already holds the old server is stopped by nothing else
 		}
 		current := *item
-		server.entry = &current
+		server.listEntry = &current
 		n.indexServer(server)
 		entry.ID = server.number
 		entries = append(entries, entry)
 		switch entry.State {
 		case policy.Active:
-			server.left = false
-			server.Stop.Store(0)
-		case policy.Leaving:
+			server.removed = false
+			server.StopAt.Store(0)
+		case policy.Draining:
 			n.drainServer(server, announced)
-		case policy.Left:
+		case policy.Removed:
 			n.removeServer(server, announced)
 		}
 		n.cells.serverChanged(server)
 	}
 	if kind != policy.ListDelta {
-		for id, server := range n.names {
+		for id, server := range n.serversByID {
 			if !seen[id] {
 				n.removeServer(server, announced)
 			}
 		}
 	}
 	n.core.Handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
-	n.hand.listed(n, n.core.Now())
+	n.overrides.reapply(n, n.core.Now())
 	if n.checker != nil {
 		for _, entry := range entries {
-			if server := n.backends[entry.ID]; server != nil {
+			if server := n.serversByNumber[entry.ID]; server != nil {
 				n.checker.serverChanged(server)
 			}
 		}
 	}
-	n.ready = false
-	for _, server := range n.names {
-		if server.Stop.Load() == 0 {
-			n.ready = true
+	n.anyReady = false
+	for _, server := range n.serversByID {
+		if server.StopAt.Load() == 0 {
+			n.anyReady = true
 			break
 		}
 	}
 }
 
 // indexServer makes a server the current one of its ID, number and address.
-func (n *node) indexServer(server *backend) {
-	if old := n.names[server.ID]; old != server {
+func (n *node) indexServer(server *webServer) {
+	if old := n.serversByID[server.ID]; old != server {
 		n.unindexServer(old)
-		n.names[server.ID], n.addrs[server.Addr] = server, append(n.addrs[server.Addr], server)
+		n.serversByID[server.ID], n.serversByAddr[server.Addr] = server, append(n.serversByAddr[server.Addr], server)
 	}
-	n.backends[server.number] = server
+	n.serversByNumber[server.number] = server
 }
 
 // unindexServer removes a server from the indexes by ID and address. The server may be nil.
-func (n *node) unindexServer(server *backend) {
+func (n *node) unindexServer(server *webServer) {
 	if server == nil {
 		return
 	}
-	delete(n.names, server.ID)
-	n.addrs[server.Addr] = slices.DeleteFunc(n.addrs[server.Addr], func(other *backend) bool { return other == server })
-	if len(n.addrs[server.Addr]) == 0 {
-		delete(n.addrs, server.Addr)
+	delete(n.serversByID, server.ID)
+	n.serversByAddr[server.Addr] = slices.DeleteFunc(n.serversByAddr[server.Addr], func(other *webServer) bool { return other == server })
+	if len(n.serversByAddr[server.Addr]) == 0 {
+		delete(n.serversByAddr, server.Addr)
 	}
 }
 
 // drainServer stops new writes to a server once its grace has passed, less a tenth for the time that the announcement
 // took on its way. announced is when the announcement arrived, on the node's clock. The core's lock is held.
-func (n *node) drainServer(server *backend, announced time.Duration) {
-	stop := announced + n.set.Load().Policy.DrainGrace*9/10
-	if server.Stop.CompareAndSwap(0, int64(stop)) {
+func (n *node) drainServer(server *webServer, announced time.Duration) {
+	stop := announced + n.settings.Load().Policy.DrainGrace*9/10
+	if server.StopAt.CompareAndSwap(0, int64(stop)) {
 		// The tunnels are drained after the grace, so that none that is established within it is missed.
 		time.AfterFunc(stop-n.core.Now(), func() {
-			if server.Stop.Load() != 0 {
+			if server.StopAt.Load() != 0 {
 				n.opaque.Drain(server.Server)
 			}
 		})
@@ -393,35 +393,35 @@
 // removeServer takes a server off the list. The node knows it until its grace has passed: the policy may go on with the
 // last servers of a list that became empty, and a server that is listed again keeps its number and connections.
 // announced is as for drainServer.
-func (n *node) removeServer(server *backend, announced time.Duration) {
-	if server.left {
+func (n *node) removeServer(server *webServer, announced time.Duration) {
+	if server.removed {
 		return
 	}
-	server.left = true
+	server.removed = true
 	n.drainServer(server, announced)
 	n.cells.serverChanged(server)
 	n.checker.serverChanged(server)
-	stopAt := server.Stop.Load()
-	time.AfterFunc(n.set.Load().Policy.DrainGrace, func() {
+	stopAt := server.StopAt.Load()
+	time.AfterFunc(n.settings.Load().Policy.DrainGrace, func() {
 		n.core.Lock()
 		defer n.core.Unlock()
-		if !server.left || server.Stop.Load() != stopAt {
+		if !server.removed || server.StopAt.Load() != stopAt {
 			return // listed again in the meantime
 		}
-		if n.names[server.ID] == server {
+		if n.serversByID[server.ID] == server {
 			n.unindexServer(server)
 			n.rememberRemoved(server)
 		}
-		if n.backends[server.number] == server {
-			delete(n.backends, server.number)
+		if n.serversByNumber[server.number] == server {
+			delete(n.serversByNumber, server.number)
 		}
-		n.pool.Clear(server.Server, true)
+		n.pool.CloseIdle(server.Server, true)
 	})
 }
 
 // removedServer is the process of a web server that was announced as removed. It is remembered so that an older list
 // does not bring the server back.
-type past struct {
+type removedServer struct {
 	started   int64
 	removedAt time.Duration
 }
@@ -435,17 +435,17 @@
 )
 
 // wasRemoved reports whether the process of an entry was announced as removed. The core's lock is held.
-func (n *node) wasRemoved(entry *listed) bool {
-	removed, known := n.past[entry.ID]
+func (n *node) wasRemoved(entry *serverEntry) bool {
+	removed, known := n.removedServers[entry.ID]
 	return known && removed.started == entry.StartedMS
 }
 
 // rememberRemoved records that a server was removed, and forgets those removed long ago. The core's lock is held.
-func (n *node) rememberRemoved(server *backend) {
+func (n *node) rememberRemoved(server *webServer) {
 	now := n.core.Now()
-	maps.DeleteFunc(n.past, func(_ string, removed past) bool { return now-removed.removedAt > removedRetention })
-	if len(n.past) >= maxRemoved {
-		clear(n.past)
+	maps.DeleteFunc(n.removedServers, func(_ string, removed removedServer) bool { return now-removed.removedAt > removedRetention })
+	if len(n.removedServers) >= maxRemoved {
+		clear(n.removedServers)
 	}
-	n.past[server.ID] = past{server.started, now}
+	n.removedServers[server.ID] = removedServer{server.startedMS, now}
 }
--- a/internal/node/discovery_calls_test.go
+++ b/internal/node/discovery_calls_test.go
@@ -14,21 +14,21 @@
 )
 
 // askSettingsJSON is the settings of nodes that ask for lists.
-var asked = strings.Replace(settingsJSON, `"push"`, `"ask"`, 1)
+var askSettingsJSON = strings.Replace(settingsJSON, `"push"`, `"ask"`, 1)
 
 // unavailableResponse is discovery's response where too many calls are queued.
-const refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+const unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 // fastClock is a clock that runs clockSpeed times as fast as the system's.
-type hasty struct{ start time.Time }
+type fastClock struct{ start time.Time }
 
 const clockSpeed = 20
 
-func (h hasty) Now() time.Duration {
+func (h fastClock) Now() time.Duration {
 	return time.Duration(h.start.UnixNano()) + clockSpeed*time.Since(h.start)
 }
 
-func (hasty) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d/clockSpeed, f) }
+func (fastClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d/clockSpeed, f) }
 
 // A call to discovery times out within 6 s, whether or not the response before contained a change, and carries its wait
 // to discovery. With a longer limit a silent watch would be noticed only after what it missed counts as announced.
@@ -37,32 +37,32 @@
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			server := newBox(t, served)
+			server := newStubServer(t, respondOK)
 			type times struct{ wait, limit time.Duration }
 			var mu sync.Mutex
 			var got []times
 			urls := make(chan string, 10)
-			discovery := newMute(t, func(c net.Conn, nth int64, url string) bool {
+			discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, url string) bool {
 				if nth > 4 {
 					return false
 				}
 				urls <- url
-				response := list{Version: min(1+nth, 3)} // the third and fourth contain no change
+				response := serverList{Version: min(1+nth, 3)} // the third and fourth contain no change
 				if nth < 3 {
-					response.Servers = []listed{server.entry("s-1")}
+					response.Servers = []serverEntry{server.entry("s-1")}
 				}
-				io.WriteString(c, listText(response))
+				io.WriteString(c, listResponse(response))
 				return true
 			})
-			newRig(t, &registry{addr: discovery.addr}, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), func(c *Config) {
-				c.watch = func(wait, limit time.Duration) (time.Duration, time.Duration) {
+			newTestNode(t, &stubDiscovery{addr: discovery.addr}, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), func(c *Config) {
+				c.adjustWatch = func(wait, limit time.Duration) (time.Duration, time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
 					got = append(got, times{wait, limit})
-					return wait, patience
+					return wait, testTimeout
 				}
 			}, server.entry("s-1"))
-			wait(t, "five calls", func() bool { return discovery.calls.Load() == 5 })
+			waitFor(t, "five calls", func() bool { return discovery.calls.Load() == 5 })
 			mu.Lock()
 			defer mu.Unlock()
 			for i, c := range got[:4] {
@@ -85,23 +85,23 @@
 func TestRejectedWatchWaitsLonger(t *testing.T) {
 	t.Parallel()
 	waits := make(chan time.Duration, 10)
-	discovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+	discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
 		switch nth {
 		case 1:
-			io.WriteString(c, listText(list{Version: 1}))
+			io.WriteString(c, listResponse(serverList{Version: 1}))
 		case 2:
-			io.WriteString(c, refusal)
+			io.WriteString(c, unavailableResponse)
 		}
 		return nth < 3
 	})
-	newRig(t, &registry{addr: discovery.addr}, asked, func(c *Config) {
-		c.clock = hasty{time.Now()}
-		c.watch = func(wait, _ time.Duration) (time.Duration, time.Duration) {
+	newTestNode(t, &stubDiscovery{addr: discovery.addr}, askSettingsJSON, func(c *Config) {
+		c.clock = fastClock{time.Now()}
+		c.adjustWatch = func(wait, _ time.Duration) (time.Duration, time.Duration) {
 			waits <- wait
-			return wait, patience
+			return wait, testTimeout
 		}
-	}, newBox(t, served).entry("s-1"))
-	wait(t, "the third call", func() bool { return discovery.calls.Load() == 3 })
+	}, newStubServer(t, respondOK).entry("s-1"))
+	waitFor(t, "the third call", func() bool { return discovery.calls.Load() == 3 })
 	first, second, third := receive(t, "the first wait", waits), receive(t, "the second wait", waits), receive(t, "the third wait", waits)
 	if max(first, second) > maxAskWait || third < minOverloadWait || third > maxOverloadWait {
 		t.Errorf("waits %v, %v and, after the rejection, %v", first, second, third)
@@ -113,38 +113,38 @@
 // ask.
 func TestQueuedAndRejectedCallIsRetried(t *testing.T) {
 	t.Parallel()
-	first, second := newBox(t, served), newBox(t, served)
+	first, second := newStubServer(t, respondOK), newStubServer(t, respondOK)
 	draining := first.entry("s-1")
 	draining.State = "Terminating"
 	var now, reads atomic.Int64
 	now.Store(int64(time.Hour))
-	discovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+	discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
 		switch nth {
 		case 1:
-			io.WriteString(c, listText(list{Version: 2, Servers: []listed{second.entry("s-2")}}))
+			io.WriteString(c, listResponse(serverList{Version: 2, Servers: []serverEntry{second.entry("s-2")}}))
 		case 2, 3:
 			now.Add(int64(2400 * time.Millisecond))
-			io.WriteString(c, refusal)
+			io.WriteString(c, unavailableResponse)
 		case 4:
-			io.WriteString(c, listText(list{Version: 3, Servers: []listed{draining}}))
+			io.WriteString(c, listResponse(serverList{Version: 3, Servers: []serverEntry{draining}}))
 		case 5, 6, 7, 8:
 			now.Add(int64(2400 * time.Millisecond))
-			io.WriteString(c, refusal)
+			io.WriteString(c, unavailableResponse)
 		default:
 			t.Errorf("call %d: after %v nothing asks for it", nth, maxAnnounceDelay)
 			return false
 		}
 		return true
 	})
-	node := newRig(t, &registry{addr: discovery.addr}, asked, func(c *Config) {
+	node := newTestNode(t, &stubDiscovery{addr: discovery.addr}, askSettingsJSON, func(c *Config) {
 		c.clock = manualClock{&now, &reads}
-		c.watch = longWatch
+		c.adjustWatch = longPollLimits
 	}, first.entry("s-1"), second.entry("s-2"))
-	wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
-	wait(t, "the end of the watch loop", func() bool {
+	waitFor(t, "the drain", func() bool { return node.serverByID("s-1").StopAt.Load() != 0 })
+	waitFor(t, "the end of the watch loop", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return !node.disc.watching
+		return !node.discovery.watching
 	})
 	// The grace is 2 s here: the third rejection comes 7.2 s after the latest response, the fourth 9.6 s after it.
 	if calls := discovery.calls.Load(); calls != 8 {
@@ -160,10 +160,10 @@
 	for _, cause := range []string{"down", "reload"} {
 		t.Run(cause, func(t *testing.T) {
 			t.Parallel()
-			first, second := newBox(t, served), newBox(t, served)
+			first, second := newStubServer(t, respondOK), newStubServer(t, respondOK)
 			draining := first.entry("s-1")
 			draining.State = "Terminating"
-			text := listText(list{Version: 3, Full: true, Servers: []listed{draining, second.entry("s-2")}})
+			text := listResponse(serverList{Version: 3, Full: true, Servers: []serverEntry{draining, second.entry("s-2")}})
 			urls := make(chan string, 10)
 			respond := func(c net.Conn, nth int64, url string) bool {
 				switch {
@@ -175,26 +175,26 @@
 					c.Close()
 					return false
 				default:
-					io.WriteString(c, refusal)
+					io.WriteString(c, unavailableResponse)
 				}
 				urls <- url
 				return true
 			}
 			if cause == "down" {
-				node := newRig(t, &registry{addr: newMute(t, respond).addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} },
+				node := newTestNode(t, &stubDiscovery{addr: newScriptedDiscovery(t, respond).addr}, askSettingsJSON, func(c *Config) { c.clock = fastClock{time.Now()} },
 					first.entry("s-1"), second.entry("s-2"))
-				wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+				waitFor(t, "the drain", func() bool { return node.serverByID("s-1").StopAt.Load() != 0 })
 				return
 			}
-			old, next := newMute(t, func(net.Conn, int64, string) bool { return false }), newMute(t, respond)
-			node := newRig(t, &registry{addr: old.addr}, asked, func(c *Config) {
+			old, next := newScriptedDiscovery(t, func(net.Conn, int64, string) bool { return false }), newScriptedDiscovery(t, respond)
+			node := newTestNode(t, &stubDiscovery{addr: old.addr}, askSettingsJSON, func(c *Config) {
 				c.clock = timerlessClock{follow.SystemClock()}
-				c.watch = longWatch
+				c.adjustWatch = longPollLimits
 			}, first.entry("s-1"), second.entry("s-2"))
 			cfg := node.cfg
 			cfg.Discovery = next.addr
 			node.reload(cfg)
-			wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+			waitFor(t, "the drain", func() bool { return node.serverByID("s-1").StopAt.Load() != 0 })
 			for range 3 {
 				if url := receive(t, "a call", urls); url != "/v1/endpoints" {
 					t.Errorf("asked %q, want the complete list", url)
--- a/internal/node/discovery_model_test.go
+++ b/internal/node/discovery_model_test.go
@@ -57,16 +57,16 @@
 }
 
 // deployment is the discovery of a deployment, and the settings of its nodes.
-type site struct {
-	all     time.Duration // time that discovery takes to handle one call of each node
-	stand   time.Duration // a call that has queued for this long is rejected
-	callers int           // a call that finds this many queued is rejected; 0: no bound
-	free    bool          // a call that continues a watch costs discovery nothing
-	grace   time.Duration // grace of drains, at all nodes
-	push    bool          // lists are pushed
+type deployment struct {
+	roundTime    time.Duration // time that discovery takes to handle one call of each node
+	queueTimeout time.Duration // a call that has queued for this long is rejected
+	maxQueued    int           // a call that finds this many queued is rejected; 0: no bound
+	freeRewatch  bool          // a call that continues a watch costs discovery nothing
+	grace        time.Duration // grace of drains, at all nodes
+	push         bool          // lists are pushed
 
 	// script takes a call, given its number at this discovery; where it returns false the call is handled as usual.
-	script func(h *hub, a *ask, nth int) bool
+	script func(h *discoveryModel, a *modelCall, nth int) bool
 	// announceDelay makes nodes ask for the complete list first, which is due this long after their start; 0: they
 	// watch at once.
 	announceDelay time.Duration
@@ -75,24 +75,24 @@
 // interval is a part of a scenario.
 
 // span is a part of a day.
-type span struct{ from, to time.Duration }
+type interval struct{ from, to time.Duration }
 
-func (s span) contains(t time.Duration) bool { return t >= s.from && t < s.to }
+func (s interval) contains(t time.Duration) bool { return t >= s.from && t < s.to }
 
 // scenario is the course of a simulation; times count from its start.
-type day struct {
+type scenario struct {
 	length           time.Duration
 	measureFrom      time.Duration // when measuring begins
-	start            time.Duration // nodes start spread over this time
-	down             span          // when discovery is down
-	partition        span          // when the nodes with an index below partitionedNodes can't reach discovery
+	startSpread      time.Duration // nodes start spread over this time
+	outage           interval      // when discovery is down
+	partition        interval      // when the nodes with an index below partitionedNodes can't reach discovery
 	partitionedNodes int
 	changes          []time.Duration
 	silentAt         time.Duration // when all open watches fall silent; 0: never
 }
 
 // results are the measurements of a simulation.
-type figures struct {
+type results struct {
 	// calls and rejected count the calls that reached discovery while it was up; slowedNodes counts the nodes whose watches
 	// wait longer at the end because of an overload.
 	calls, rejected, slowedNodes int
@@ -101,14 +101,14 @@
 	maxNoContact                 time.Duration // longest time for which a node that could reach discovery neither asked nor got a response
 	maxBlind                     time.Duration // longest time for which a node that could reach discovery had neither a fresh list nor a working watch
 	blindNodes                   int           // nodes that were blind for more than 6 s and the grace
-	inRow                        int           // most rejections of one node in a row
+	maxRejectedInRow             int           // most rejections of one node in a row
 	seconds                      float64
 }
 
-func (f figures) String() string {
+func (f results) String() string {
 	return fmt.Sprintf("%.1f calls/s, queue %d, handled after %.2f s, rejected %.2f%%, in a row %d, asked within %.2f s, "+
 		"blind for %.2f s (%d nodes too long), %d slowed", float64(f.calls)/f.seconds, f.maxQueue, f.maxQueueTime.Seconds(),
-		100*float64(f.rejected)/float64(max(f.calls, 1)), f.inRow, f.maxNoContact.Seconds(), f.maxBlind.Seconds(), f.blindNodes, f.slowedNodes)
+		100*float64(f.rejected)/float64(max(f.calls, 1)), f.maxRejectedInRow, f.maxNoContact.Seconds(), f.maxBlind.Seconds(), f.blindNodes, f.slowedNodes)
 }
 
 // event is an entry of the simulation's queue.
@@ -135,29 +135,29 @@
 }
 
 // discoveryModel is a simulated discovery with its nodes. It is used by one goroutine.
-type hub struct {
-	site
-	day
+type discoveryModel struct {
+	deployment
+	scenario
 	rng     *rand.Rand
 	now     time.Duration
 	events  eventQueue
 	seq     int
 	nodes   []*modelNode
-	waiting []*ask
+	waiting []*modelCall
 	busy    bool
 	version int
-	figures
+	results
 }
 
 // modelNode is a simulated node.
 type modelNode struct {
-	model           *hub
+	model           *discoveryModel
 	schedule        scheduler
 	policy          *policy.Balancer
 	index           int
 	version         int
 	connected       bool          // it has a connection to discovery
-	currentCall     *ask          // the latest call
+	currentCall     *modelCall    // the latest call
 	lastContact     time.Duration // when it last asked or got a response
 	blindSince      time.Duration // since when it has had neither a fresh list nor a working watch; -1: it has one
 	rejectedInRow   int
@@ -166,12 +166,12 @@
 	timerPending    bool          // the policy's timer is scheduled
 	timerAt         time.Duration // when the policy's timer fires
 	fullListPending bool          // it has to ask for the complete list
-	heard           time.Duration // when it got its first list; -1: not yet
+	firstListAt     time.Duration // when it got its first list; -1: not yet
 	callCount       int
 }
 
 // modelCall is a call to the simulated discovery.
-type ask struct {
+type modelCall struct {
 	node         *modelNode
 	arrived      time.Duration
 	waitEnd      time.Duration
@@ -184,18 +184,18 @@
 }
 
 // schedule runs a function at a time.
-func (h *hub) at(t time.Duration, run func()) {
+func (h *discoveryModel) schedule(t time.Duration, run func()) {
 	h.seq++
 	heap.Push(&h.events, event{t, h.seq, run})
 }
 
 // reachableSince returns since when a node can reach discovery, or false where it can't.
-func (h *hub) reachableSince(n *modelNode) (since time.Duration, ok bool) {
-	if h.down.contains(h.now) || n.index < h.partitionedNodes && h.partition.contains(h.now) {
+func (h *discoveryModel) reachableSince(n *modelNode) (since time.Duration, ok bool) {
+	if h.outage.contains(h.now) || n.index < h.partitionedNodes && h.partition.contains(h.now) {
 		return 0, false
 	}
-	if h.now >= h.down.to {
-		since = h.down.to
+	if h.now >= h.outage.to {
+		since = h.outage.to
 	}
 	if n.index < h.partitionedNodes && h.now >= h.partition.to {
 		since = max(since, h.partition.to)
@@ -205,7 +205,7 @@
 
 // recordContact measures how long a node has gone without asking, and without a fresh list. sees is whether it has one,
 // or a working watch, from now on.
-func (h *hub) recordContact(n *modelNode, sees bool) {
+func (h *discoveryModel) recordContact(n *modelNode, sees bool) {
 	if since, ok := h.reachableSince(n); ok && h.now >= h.measureFrom {
 		since = max(since, h.measureFrom)
 		h.maxNoContact = max(h.maxNoContact, h.now-max(since, n.lastContact))
@@ -225,18 +225,18 @@
 }
 
 // simulate runs a scenario with a number of nodes.
-func play(setup site, course day, count int, seed uint64, newSchedule func(grace time.Duration) scheduler) *hub {
-	h := &hub{site: setup, day: course, rng: rand.New(rand.NewPCG(seed, 31))}
+func simulate(setup deployment, course scenario, count int, seed uint64, newSchedule func(grace time.Duration) scheduler) *discoveryModel {
+	h := &discoveryModel{deployment: setup, scenario: course, rng: rand.New(rand.NewPCG(seed, 31))}
 	for i := range count {
 		set := policy.Settings{Nodes: count, MaxAttempts: 1, MustAsk: !setup.push, MustAskIn: 10 * time.Second,
-			Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second, Worth: 1}}}
+			Classes: []policy.Class{{Name: "a", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}}
 		balancer, err := policy.New(set, h.rng.Uint64())
 		if err != nil {
 			panic(err)
 		}
-		n := &modelNode{model: h, schedule: newSchedule(setup.grace), policy: balancer, index: i, fullListPending: setup.announceDelay > 0, heard: -1}
+		n := &modelNode{model: h, schedule: newSchedule(setup.grace), policy: balancer, index: i, fullListPending: setup.announceDelay > 0, firstListAt: -1}
 		h.nodes = append(h.nodes, n)
-		h.at(time.Duration(h.rng.Float64()*float64(course.start)), func() {
+		h.schedule(time.Duration(h.rng.Float64()*float64(course.startSpread)), func() {
 			n.lastContact, n.blindSince = h.now, h.now
 			if setup.push || setup.announceDelay > 0 {
 				n.watch()
@@ -245,16 +245,16 @@
 		})
 	}
 	for _, t := range course.changes {
-		h.at(t, h.publishChange)
+		h.schedule(t, h.publishChange)
 	}
 	if course.silentAt > 0 {
-		h.at(course.silentAt, func() { h.silence(func(*modelNode) bool { return true }) })
+		h.schedule(course.silentAt, func() { h.silence(func(*modelNode) bool { return true }) })
 	}
-	if course.down.to > 0 {
-		h.at(course.down.from, h.goDown)
+	if course.outage.to > 0 {
+		h.schedule(course.outage.from, h.goDown)
 	}
 	if course.partition.to > 0 {
-		h.at(course.partition.from, func() { h.silence(func(n *modelNode) bool { return n.index < course.partitionedNodes }) })
+		h.schedule(course.partition.from, func() { h.silence(func(n *modelNode) bool { return n.index < course.partitionedNodes }) })
 	}
 	for len(h.events) > 0 {
 		next := heap.Pop(&h.events).(event)
@@ -298,7 +298,7 @@
 			// most of a run's time.
 			n.timerAt = action.At - simulationEpoch
 			if n.timerPending = !n.watching; n.timerPending {
-				model.at(n.timerAt, n.tick)
+				model.schedule(n.timerAt, n.tick)
 			}
 		case policy.ActWatch:
 			n.watch()
@@ -318,22 +318,22 @@
 	}
 	n.schedule.callStarted(model.now)
 	wait, limit := n.schedule.callTimes(n.fullListPending, model.rng.Float64())
-	call := &ask{node: n, arrived: model.now, waitEnd: model.now + wait, sinceVersion: n.version, resumes: resumes}
+	call := &modelCall{node: n, arrived: model.now, waitEnd: model.now + wait, sinceVersion: n.version, resumes: resumes}
 	if n.fullListPending {
 		call.sinceVersion = -1
 	}
 	n.currentCall = call
 	n.callCount++
-	model.at(model.now+limit, func() { n.failed(call, callTimeout) })
+	model.schedule(model.now+limit, func() { n.failed(call, callTimeout) })
 	switch {
 	case n.index < model.partitionedNodes && model.partition.contains(model.now):
 		if !n.connected { // no connection is established
-			model.at(model.now+dialTimeout, func() { n.failed(call, callError) })
+			model.schedule(model.now+dialTimeout, func() { n.failed(call, callError) })
 		}
 		call.silent = true
 		return
-	case model.down.contains(model.now):
-		model.at(model.now+time.Millisecond, func() { n.failed(call, callError) })
+	case model.outage.contains(model.now):
+		model.schedule(model.now+time.Millisecond, func() { n.failed(call, callError) })
 		return
 	}
 	n.connected = true
@@ -344,22 +344,22 @@
 		model.calls++
 	}
 	switch {
-	case model.free && resumes:
-		model.turn(call)
+	case model.freeRewatch && resumes:
+		model.handle(call)
 		return
-	case model.site.callers > 0 && len(model.waiting) >= model.site.callers:
-		model.at(model.now+time.Millisecond, func() { model.refuse(call) })
+	case model.deployment.maxQueued > 0 && len(model.waiting) >= model.deployment.maxQueued:
+		model.schedule(model.now+time.Millisecond, func() { model.reject(call) })
 		return
 	}
 	model.waiting = append(model.waiting, call)
 	if model.now >= model.measureFrom {
-		model.figures.maxQueue = max(model.figures.maxQueue, len(model.waiting))
+		model.results.maxQueue = max(model.results.maxQueue, len(model.waiting))
 	}
-	model.at(model.now+model.stand, func() {
+	model.schedule(model.now+model.queueTimeout, func() {
 		for i, other := range model.waiting {
 			if other == call {
 				model.waiting = append(model.waiting[:i:i], model.waiting[i+1:]...)
-				model.refuse(call)
+				model.reject(call)
 				return
 			}
 		}
@@ -368,40 +368,40 @@
 }
 
 // reject answers a call with 503.
-func (h *hub) refuse(call *ask) {
+func (h *discoveryModel) reject(call *modelCall) {
 	if call.done {
 		return
 	}
 	if h.now >= h.measureFrom {
 		h.rejected++
 		call.node.rejectedInRow++
-		h.inRow = max(h.inRow, call.node.rejectedInRow)
+		h.maxRejectedInRow = max(h.maxRejectedInRow, call.node.rejectedInRow)
 	}
 	call.node.failed(call, callRejected)
 }
 
 // serveNext handles the next call in the queue. One that timed out takes as long as any other, as discovery doesn't
 // notice that.
-func (h *hub) serveNext() {
+func (h *discoveryModel) serveNext() {
 	if h.busy || len(h.waiting) == 0 {
 		return
 	}
 	call := h.waiting[0]
 	h.waiting, h.busy = h.waiting[1:], true
-	h.at(h.now+h.all/time.Duration(len(h.nodes)), func() {
+	h.schedule(h.now+h.roundTime/time.Duration(len(h.nodes)), func() {
 		h.busy = false
-		h.turn(call)
+		h.handle(call)
 		h.serveNext()
 	})
 }
 
 // handle answers a call whose turn has come, or holds it until there is a change or its wait ends.
-func (h *hub) turn(call *ask) {
+func (h *discoveryModel) handle(call *modelCall) {
 	if call.done || call.silent {
 		return
 	}
 	if h.now >= h.measureFrom {
-		h.figures.maxQueueTime = max(h.figures.maxQueueTime, h.now-call.arrived)
+		h.results.maxQueueTime = max(h.results.maxQueueTime, h.now-call.arrived)
 	}
 	if h.version > call.sinceVersion {
 		h.respond(call)
@@ -409,11 +409,11 @@
 	}
 	call.held = true
 	h.recordContact(call.node, true)
-	h.at(max(h.now, call.waitEnd), func() { h.respond(call) })
+	h.schedule(max(h.now, call.waitEnd), func() { h.respond(call) })
 }
 
 // respond returns the list to a call.
-func (h *hub) respond(call *ask) {
+func (h *discoveryModel) respond(call *modelCall) {
 	if call.done || call.silent {
 		return
 	}
@@ -423,16 +423,16 @@
 	h.recordContact(n, false)
 	changed := h.version > call.sinceVersion
 	n.version, n.fullListPending = h.version, false
-	if n.heard < 0 {
-		n.heard = h.now
+	if n.firstListAt < 0 {
+		n.firstListAt = h.now
 	}
 	n.schedule.callSucceeded(h.now, changed)
 	pause := max(0, minWatchInterval-(h.now-call.arrived)) + time.Millisecond + time.Duration(h.rng.Int64N(int64(2*time.Millisecond)))
-	h.at(h.now+pause, func() { n.call(true) })
+	h.schedule(h.now+pause, func() { n.call(true) })
 }
 
 // failed handles a call that failed or timed out.
-func (n *modelNode) failed(call *ask, failure callFailure) {
+func (n *modelNode) failed(call *modelCall, failure callFailure) {
 	model := n.model
 	if call.done {
 		return
@@ -440,7 +440,7 @@
 	call.done, call.held, n.connected = true, false, failure == callRejected
 	model.recordContact(n, false)
 	if pause, retry := n.schedule.callFailed(model.now, call.waitEnd, failure, model.rng.Float64()); retry {
-		model.at(model.now+pause, func() { n.call(false) })
+		model.schedule(model.now+pause, func() { n.call(false) })
 		return
 	}
 	n.watching = false
@@ -450,22 +450,22 @@
 			n.timerAt += 250 * time.Millisecond
 		}
 		n.timerPending = true
-		model.at(n.timerAt, n.tick)
+		model.schedule(n.timerAt, n.tick)
 	}
 }
 
 // publishChange makes a change of the list, and answers the open watches.
-func (h *hub) publishChange() {
+func (h *discoveryModel) publishChange() {
 	h.version++
 	for _, n := range h.nodes {
 		if call := n.currentCall; call != nil && call.held {
-			h.at(h.now+20*time.Millisecond, func() { h.respond(call) })
+			h.schedule(h.now+20*time.Millisecond, func() { h.respond(call) })
 		}
 	}
 }
 
 // silence lets the open calls of the selected nodes go without a response.
-func (h *hub) silence(selected func(*modelNode) bool) {
+func (h *discoveryModel) silence(selected func(*modelNode) bool) {
 	for _, n := range h.nodes {
 		if n.currentCall != nil && !n.currentCall.done && selected(n) {
 			n.currentCall.silent = true
@@ -477,17 +477,17 @@
 }
 
 // goDown ends all calls.
-func (h *hub) goDown() {
+func (h *discoveryModel) goDown() {
 	h.waiting = nil
 	for _, n := range h.nodes {
 		if call := n.currentCall; call != nil && !call.done {
-			h.at(h.now+time.Millisecond, func() { n.failed(call, callError) })
+			h.schedule(h.now+time.Millisecond, func() { n.failed(call, callError) })
 		}
 	}
 }
 
 // newAskSchedule returns the schedule of nodes that ask for lists.
-func paced(grace time.Duration) scheduler { return &pollSchedule{grace: grace} }
+func newAskSchedule(grace time.Duration) scheduler { return &pollSchedule{grace: grace} }
 
 // newPushSchedule returns the schedule of nodes whose lists are pushed.
 func newPushSchedule(grace time.Duration) scheduler { return &pollSchedule{grace: grace, push: true} }
@@ -503,4 +503,4 @@
 const simulationEpoch = 24 * time.Hour
 
 // fleetSize is the number of nodes in the scenarios.
-const fleet = 300
+const fleetSize = 300
