--- a/internal/node/discovery_schedule_test.go
+++ b/internal/node/discovery_schedule_test.go
@@ -8,12 +8,12 @@
 
 // The scenarios of docs/discovery.md, at a discovery that has been up for a while.
 var (
-	quietScenario  = day{length: 150 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second}
-	outageScenario = day{length: 60 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second, down: span{30 * time.Second, 38 * time.Second},
+	quietScenario  = scenario{length: 150 * time.Second, measureFrom: 30 * time.Second, startSpread: 10 * time.Second}
+	outageScenario = scenario{length: 60 * time.Second, measureFrom: 30 * time.Second, startSpread: 10 * time.Second, outage: interval{30 * time.Second, 38 * time.Second},
 		changes: []time.Duration{33 * time.Second, ms(38500), 40 * time.Second}}
-	partitionScenario = day{length: 60 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second, partition: span{30 * time.Second, 36 * time.Second},
-		partitionedNodes: fleet / 5, changes: []time.Duration{32 * time.Second}}
-	silenceScenario = day{length: 60 * time.Second, measureFrom: 30 * time.Second, start: 10 * time.Second, silentAt: ms(30300),
+	partitionScenario = scenario{length: 60 * time.Second, measureFrom: 30 * time.Second, startSpread: 10 * time.Second, partition: interval{30 * time.Second, 36 * time.Second},
+		partitionedNodes: fleetSize / 5, changes: []time.Duration{32 * time.Second}}
+	silenceScenario = scenario{length: 60 * time.Second, measureFrom: 30 * time.Second, startSpread: 10 * time.Second, silentAt: ms(30300),
 		changes: []time.Duration{30 * time.Second}} // all watches fall silent together, just after a change
 )
 
@@ -28,18 +28,18 @@
 		for _, roundTime := range []time.Duration{ms(5200), ms(7900)} {
 			for _, course := range []struct {
 				name string
-				day
+				scenario
 			}{{"quiet", quietScenario}, {"outage", outageScenario}, {"partition", partitionScenario}, {"silence", silenceScenario}} {
-				setup := site{all: roundTime, stand: ms(2400), free: free, grace: ms(500)}
+				setup := deployment{roundTime: roundTime, queueTimeout: ms(2400), freeRewatch: free, grace: ms(500)}
 				if course.name == "outage" {
-					setup.callers = 60
+					setup.maxQueued = 60
 				}
 				bearable := free || course.name == "quiet" && roundTime < maxAskWait // without free continuations, only this scenario is bearable
 				for _, seed := range []uint64{1, 2} {
 					at := fmt.Sprintf("%s, all handled in %v, free continuations %v, seed %d", course.name, roundTime, free, seed)
 					t.Run(at, func(t *testing.T) {
 						t.Parallel()
-						before, after := play(setup, course.day, fleet, seed, newFormerSchedule).figures, play(setup, course.day, fleet, seed, paced).figures
+						before, after := simulate(setup, course.scenario, fleetSize, seed, newFormerSchedule).results, simulate(setup, course.scenario, fleetSize, seed, newAskSchedule).results
 						t.Logf("%s\n  before: %v\n  now:    %v", at, before, after)
 						if before.maxNoContact <= within {
 							t.Errorf("%s: with the former schedule all nodes asked within %v: the scenario shows nothing", at, before.maxNoContact)
@@ -56,8 +56,8 @@
 						if free && course.name == "outage" && after.maxBlind > roundTime+ms(100) { // discovery is never idle while a node waits for it
 							t.Errorf("%s: a node without a fresh list or a working watch for %v, want at most %v", at, after.maxBlind, roundTime)
 						}
-						if free && after.inRow > 3*int(roundTime/time.Second) { // as many as handling all other nodes first takes, not a loop
-							t.Errorf("%s: a node was rejected %d times in a row", at, after.inRow)
+						if free && after.maxRejectedInRow > 3*int(roundTime/time.Second) { // as many as handling all other nodes first takes, not a loop
+							t.Errorf("%s: a node was rejected %d times in a row", at, after.maxRejectedInRow)
 						}
 					})
 				}
@@ -71,11 +71,11 @@
 // node wait longer.
 func TestOverloadedDiscoveryIsPolledLess(t *testing.T) {
 	t.Parallel()
-	setup := site{all: ms(7900), stand: ms(2400), grace: ms(500)}
+	setup := deployment{roundTime: ms(7900), queueTimeout: ms(2400), grace: ms(500)}
 	course := quietScenario
 	course.measureFrom = 90 * time.Second
-	got := play(setup, course, fleet, 1, paced).figures
-	if got.slowedNodes == 0 || got.slowedNodes == fleet || got.rejected > got.calls/100 || got.maxQueueTime > ms(1000) {
+	got := simulate(setup, course, fleetSize, 1, newAskSchedule).results
+	if got.slowedNodes == 0 || got.slowedNodes == fleetSize || got.rejected > got.calls/100 || got.maxQueueTime > ms(1000) {
 		t.Errorf("%v", got)
 	}
 	for _, c := range []struct {
@@ -154,21 +154,21 @@
 func TestListIsFreshAfterFailedCalls(t *testing.T) {
 	t.Parallel()
 	// rejectAfter lets the calls with the given numbers queue for a time and rejects them.
-	rejectAfter := func(queueTime time.Duration, from, to int) func(*hub, *ask, int) bool {
-		return func(model *hub, call *ask, nth int) bool {
+	rejectAfter := func(queueTime time.Duration, from, to int) func(*discoveryModel, *modelCall, int) bool {
+		return func(model *discoveryModel, call *modelCall, nth int) bool {
 			if nth >= from && nth <= to {
-				model.at(model.now+queueTime, func() { model.refuse(call) })
+				model.schedule(model.now+queueTime, func() { model.reject(call) })
 			}
 			return nth >= from && nth <= to
 		}
 	}
-	silent := func(_ *hub, call *ask, nth int) bool {
+	silent := func(_ *discoveryModel, call *modelCall, nth int) bool {
 		call.silent = nth == 2
 		return call.silent
 	}
 	for _, c := range []struct {
 		name          string
-		script        func(*hub, *ask, int) bool
+		script        func(*discoveryModel, *modelCall, int) bool
 		announceDelay time.Duration
 		down          time.Duration // discovery is down until then
 		formerFails   bool          // the former schedule is too late in some runs
@@ -179,7 +179,7 @@
 		{name: "a call is rejected twice in a row, each time after 2.4 s in the queue", script: rejectAfter(ms(2400), 2, 3), formerFails: true},
 		{name: "the complete list is rejected twice in a row at once", script: rejectAfter(ms(1), 1, 2), announceDelay: reloadAnnounceDelay},
 		{name: "the complete list is rejected twice in a row after 1.5 s in the queue", script: rejectAfter(ms(1500), 1, 2), announceDelay: reloadAnnounceDelay},
-		{name: "the call for the complete list gets no response", announceDelay: reloadAnnounceDelay, script: func(_ *hub, call *ask, nth int) bool {
+		{name: "the call for the complete list gets no response", announceDelay: reloadAnnounceDelay, script: func(_ *discoveryModel, call *modelCall, nth int) bool {
 			call.silent = nth == 1
 			return call.silent
 		}},
@@ -187,25 +187,25 @@
 	} {
 		for _, push := range []bool{false, true} {
 			for _, grace := range []time.Duration{ms(500), time.Second} {
-				newSchedule, late, worst := paced, 0, time.Duration(0)
+				newSchedule, late, worst := newAskSchedule, 0, time.Duration(0)
 				if push {
 					newSchedule = newPushSchedule
 				}
 				for seed := range uint64(300) {
-					setup := site{all: ms(20), stand: ms(2400), grace: grace, push: push, script: c.script, announceDelay: c.announceDelay}
-					course := day{length: 60 * time.Second, down: span{0, c.down}, changes: []time.Duration{c.down + 1}}
+					setup := deployment{roundTime: ms(20), queueTimeout: ms(2400), grace: grace, push: push, script: c.script, announceDelay: c.announceDelay}
+					course := scenario{length: 60 * time.Second, outage: interval{0, c.down}, changes: []time.Duration{c.down + 1}}
 					within := maxAnnounceDelay + grace
 					if c.announceDelay > 0 {
 						within = c.announceDelay + grace
 					}
-					got := play(setup, course, 1, seed, newSchedule).figures
+					got := simulate(setup, course, 1, seed, newSchedule).results
 					if worst = max(worst, got.maxBlind); got.maxBlind > within {
 						t.Fatalf("%s, push %v, grace %v, seed %d: no fresh list for %v", c.name, push, grace, seed, got.maxBlind)
 					}
 					if got.maxNoContact > maxAnnounceDelay+grace {
 						t.Fatalf("%s, push %v, grace %v, seed %d: did not ask for %v", c.name, push, grace, seed, got.maxNoContact)
 					}
-					if !push && play(setup, course, 1, seed, newFormerSchedule).maxBlind > within {
+					if !push && simulate(setup, course, 1, seed, newFormerSchedule).maxBlind > within {
 						late++
 					}
 				}
--- a/internal/node/discovery_watch_test.go
+++ b/internal/node/discovery_watch_test.go
@@ -95,7 +95,7 @@
 
 // newScriptedDiscovery starts a stub discovery. respond is called for each request, with its number from 1 on, and
 // returns whether the connection goes on; otherwise it stays silent until the node closes it.
-func newMute(t *testing.T, respond func(c net.Conn, nth int64, url string) bool) *scriptedDiscovery {
+func newScriptedDiscovery(t *testing.T, respond func(c net.Conn, nth int64, url string) bool) *scriptedDiscovery {
 	t.Helper()
 	ln, err := standin.Listen()
 	must(t, err)
@@ -124,7 +124,7 @@
 }
 
 // listResponse is a response of discovery as it is sent, with the JSON indented.
-func listText(response list) string {
+func listResponse(response serverList) string {
 	text, _ := json.MarshalIndent(response, "", "\t")
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
@@ -138,13 +138,13 @@
 			for _, silentAfter := range []string{"the call", "the head", "half a body"} {
 				t.Run(mode+" "+grace+" "+silentAfter, func(t *testing.T) {
 					t.Parallel()
-					first, second := newBox(t, served), newBox(t, served)
+					first, second := newStubServer(t, respondOK), newStubServer(t, respondOK)
 					draining := first.entry("s-1")
 					draining.State = "Terminating"
-					text := listText(list{Version: 2, Servers: []listed{draining}})
+					text := listResponse(serverList{Version: 2, Servers: []serverEntry{draining}})
 					sentBytes := map[string]int{"the call": 0, "the head": strings.Index(text, "\r\n\r\n") + 4, "half a body": len(text) - 9}[silentAfter]
 					urls := make(chan string, 10)
-					discovery := newMute(t, func(c net.Conn, nth int64, url string) bool {
+					discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, url string) bool {
 						urls <- url
 						if nth == 1 {
 							io.WriteString(c, text[:sentBytes])
@@ -153,17 +153,17 @@
 						io.WriteString(c, text)
 						return nth == 2
 					})
-					stub := &registry{addr: discovery.addr}
+					stub := &stubDiscovery{addr: discovery.addr}
 					settings := strings.NewReplacer(`"push"`, `"`+mode+`"`, `"drain_grace_s":2`, `"drain_grace_s":`+grace).Replace(settingsJSON)
-					node := newRig(t, stub, settings, func(c *Config) {
+					node := newTestNode(t, stub, settings, func(c *Config) {
 						c.clock = timerlessClock{follow.SystemClock()}
-						c.watch = func(wait, limit time.Duration) (time.Duration, time.Duration) {
+						c.adjustWatch = func(wait, limit time.Duration) (time.Duration, time.Duration) {
 							if discovery.calls.Load() == 0 {
 								return 0, 200 * time.Millisecond // until a call was accepted, which is the one that falls silent
 							}
-							return longWatch(wait, limit)
+							return longPollLimits(wait, limit)
 						}
-						hurried(c)
+						withProductTimeouts(c)
 					}, first.entry("s-1"), second.entry("s-2"))
 					for range 2 {
 						select {
@@ -171,11 +171,11 @@
 							if !strings.HasPrefix(url, "/v1/endpoints?since=1&") {
 								t.Errorf("asked %q, want a watch from version 1", url)
 							}
-						case <-time.After(patience):
+						case <-time.After(testTimeout):
 							t.Fatal("the watch is not reopened")
 						}
 					}
-					wait(t, "the missed drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+					waitFor(t, "the missed drain", func() bool { return node.serverByID("s-1").StopAt.Load() != 0 })
 				})
 			}
 		}
@@ -189,11 +189,11 @@
 	for _, how := range []string{"stalls", "cut off", "no list"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			first, second := newBox(t, served), newBox(t, served)
+			first, second := newStubServer(t, respondOK), newStubServer(t, respondOK)
 			draining := first.entry("s-1")
 			draining.State = "Terminating"
-			text := listText(list{Version: 2, Servers: []listed{draining}})
-			discovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+			text := listResponse(serverList{Version: 2, Servers: []serverEntry{draining}})
+			discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
 				switch {
 				case nth > 1:
 					io.WriteString(c, text)
@@ -208,11 +208,11 @@
 				}
 				return true
 			})
-			node := newRig(t, &registry{addr: discovery.addr}, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), func(c *Config) {
-				hurried(c)
-				c.clock, c.watch = timerlessClock{follow.SystemClock()}, longWatch
+			node := newTestNode(t, &stubDiscovery{addr: discovery.addr}, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), func(c *Config) {
+				withProductTimeouts(c)
+				c.clock, c.adjustWatch = timerlessClock{follow.SystemClock()}, longPollLimits
 			}, first.entry("s-1"), second.entry("s-2"))
-			wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
+			waitFor(t, "the drain", func() bool { return node.serverByID("s-1").StopAt.Load() != 0 })
 		})
 	}
 }
@@ -221,14 +221,14 @@
 // that.
 func TestDrainGraceStartsAtFirstResponseByte(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	draining := server.entry("s-1")
 	draining.State = "Terminating"
-	text := listText(list{Version: 2, Servers: []listed{draining}})
+	text := listResponse(serverList{Version: 2, Servers: []serverEntry{draining}})
 	var now, reads atomic.Int64
 	now.Store(int64(time.Hour))
 	callStarted, sendRest := make(chan int64), make(chan struct{})
-	discovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+	discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
 		if nth > 1 {
 			return false
 		}
@@ -238,16 +238,16 @@
 		io.WriteString(c, text[20:])
 		return true
 	})
-	node := newRig(t, &registry{addr: discovery.addr}, settingsJSON, func(c *Config) {
-		unhurried(c)
-		c.clock, c.watch = manualClock{&now, &reads}, longWatch
+	node := newTestNode(t, &stubDiscovery{addr: discovery.addr}, settingsJSON, func(c *Config) {
+		withTestTimeouts(c)
+		c.clock, c.adjustWatch = manualClock{&now, &reads}, longPollLimits
 	}, server.entry("s-1"))
 	before := receive(t, "the call to discovery", callStarted)
-	wait(t, "the node to read the first bytes", func() bool { return reads.Load() > before })
+	waitFor(t, "the node to read the first bytes", func() bool { return reads.Load() > before })
 	now.Add(int64(time.Minute)) // the delay of a node that is short of processor time
 	close(sendRest)
-	wait(t, "the drain", func() bool { return node.backendOf("s-1").Stop.Load() != 0 })
-	if stop := time.Duration(node.backendOf("s-1").Stop.Load()); stop > time.Hour+2*time.Second {
+	waitFor(t, "the drain", func() bool { return node.serverByID("s-1").StopAt.Load() != 0 })
+	if stop := time.Duration(node.serverByID("s-1").StopAt.Load()); stop > time.Hour+2*time.Second {
 		t.Errorf("sends stop %v after the first byte, want them to stop within the grace of 2 s", stop-time.Hour)
 	}
 }
@@ -266,44 +266,44 @@
 // lags or of the discovery that a reload names. A later list brings it back, and so does a later start of the server.
 func TestOlderListDoesNotUndoDrain(t *testing.T) {
 	t.Parallel()
-	first, second := newBox(t, served), newBox(t, served)
-	entry := func(state string) listed {
+	first, second := newStubServer(t, respondOK), newStubServer(t, respondOK)
+	entry := func(state string) serverEntry {
 		current := first.entry("s-1")
 		current.State = state
 		return current
 	}
 	for _, source := range []string{"watch", "reload"} {
 		for _, state := range []string{"Terminating", "Gone"} {
-			node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, entry("Ready"), second.entry("s-2"))
+			node := newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, entry("Ready"), second.entry("s-2"))
 			drained := func() bool {
-				server := node.backendOf("s-1")
-				return server == nil || server.Stop.Load() != 0
+				server := node.serverByID("s-1")
+				return server == nil || server.StopAt.Load() != 0
 			}
-			client := node.disc
-			applyFull := func(l list) {
+			client := node.discovery
+			applyFull := func(l serverList) {
 				if source == "reload" {
 					node.core.Lock()
-					client.whole = true
+					client.fullListPending = true
 					node.core.Unlock()
 				}
-				client.news(&l, policy.ListFull, true)
+				client.applyResponse(&l, policy.ListFull, true)
 			}
-			client.news(&list{Version: 9, Servers: []listed{entry(state)}}, policy.ListDelta, true)
+			client.applyResponse(&serverList{Version: 9, Servers: []serverEntry{entry(state)}}, policy.ListDelta, true)
 			if state == "Gone" {
-				wait(t, "the end of the grace", func() bool { return node.backendOf("s-1") == nil })
+				waitFor(t, "the end of the grace", func() bool { return node.serverByID("s-1") == nil })
 			}
-			applyFull(list{Version: 8, Full: true, Servers: []listed{entry("Ready"), second.entry("s-2")}})
+			applyFull(serverList{Version: 8, Full: true, Servers: []serverEntry{entry("Ready"), second.entry("s-2")}})
 			if !drained() {
 				t.Errorf("%s, announced %s: an older list brings it back", source, state)
 			}
 			restarted := entry("Ready")
 			restarted.StartedMS = time.Now().UnixMilli()
-			applyFull(list{Version: 7, Full: true, Servers: []listed{restarted, second.entry("s-2")}})
+			applyFull(serverList{Version: 7, Full: true, Servers: []serverEntry{restarted, second.entry("s-2")}})
 			if drained() {
 				t.Errorf("%s, announced %s: an older list with a later start does not bring it back", source, state)
 			}
-			client.news(&list{Version: 10, Servers: []listed{entry("Terminating")}}, policy.ListDelta, true)
-			client.news(&list{Version: 11, Servers: []listed{entry("Ready")}}, policy.ListDelta, true)
+			client.applyResponse(&serverList{Version: 10, Servers: []serverEntry{entry("Terminating")}}, policy.ListDelta, true)
+			client.applyResponse(&serverList{Version: 11, Servers: []serverEntry{entry("Ready")}}, policy.ListDelta, true)
 			if drained() {
 				t.Errorf("%s, announced %s: a later list does not bring it back", source, state)
 			}
@@ -316,20 +316,20 @@
 // announced of the new process.
 func TestSendToReplacedProcessStopsAfterGrace(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	moved := newBox(t, served).entry("s-1")
+	server := newStubServer(t, respondOK)
+	moved := newStubServer(t, respondOK).entry("s-1")
 	again := server.entry("s-1")
 	again.StartedMS = time.Now().UnixMilli()
 	other := server.entry("s-9")
-	for name, next := range map[string]listed{"restarted": again, "moved": moved, "another id there": other} {
-		node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, server.entry("s-1"))
-		held := node.backendOf("s-1").Server
-		node.lists(2, next)
+	for name, next := range map[string]serverEntry{"restarted": again, "moved": moved, "another id there": other} {
+		node := newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, server.entry("s-1"))
+		held := node.serverByID("s-1").Server
+		node.publishList(2, next)
 		drain := next
 		drain.State = "Terminating"
-		node.lists(3, drain)
-		wait(t, name+": the end of sends to the old process", func() bool {
-			return held.Pass(func() error { return nil }) == back.ErrShut
+		node.publishList(3, drain)
+		waitFor(t, name+": the end of sends to the old process", func() bool {
+			return held.Pass(func() error { return nil }) == back.ErrNoNewRequests
 		})
 	}
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -106,7 +106,7 @@
 		c.publishList(c.entries(c.targets, "Ready", c.healthy)...)
 		for _, s := range c.targets {
 			must(c.t, c.current().Disable(context.Background(), s.id))
-			c.rules.record(func(b *oracle.Book) { b.Told(c.rules.now()-trialGrace, 0, s.number, true, 0) }) // counted from the return of Disable
+			c.rules.record(func(b *oracle.Records) { b.Notified(c.rules.now()-trialGrace, 0, s.number, true, 0) }) // counted from the return of Disable
 		}
 	}},
 	{name: "the only server left is cold", inject: func(c *trial) {
@@ -124,7 +124,7 @@
 	{name: "an older list after a newer one", inject: func(c *trial) {
 		c.publishList(c.healthy.entry("Ready"))
 		n := c.current()
-		n.disc.news(&list{Version: 1, Full: true, Servers: c.entries(c.targets, "Ready")}, policy.ListFull, false)
+		n.discovery.applyResponse(&serverList{Version: 1, Full: true, Servers: c.entries(c.targets, "Ready")}, policy.ListFull, false)
 		c.recordNotified(c.targets...)
 	}},
 	{name: "the server is silent", shortTimeout: true, inject: func(c *trial) {
@@ -154,7 +154,7 @@
 	{name: "a second request has the id", inject: func(c *trial) {
 		for _, q := range c.requests() {
 			q.body = q.body[:min(len(q.body), 10)]
-			if resp, _ := c.current().dial(c.t).ask(q); resp.StatusCode != http.StatusConflict {
+			if resp, _ := c.current().dial(c.t).roundTrip(q); resp.StatusCode != http.StatusConflict {
 				c.t.Errorf("%s a second time while it is open: status %d, want 409", q.id, resp.StatusCode)
 			}
 		}
@@ -162,14 +162,14 @@
 	{name: "discovery is down", inject: func(c *trial) {
 		calls := len(c.discovery.calls())
 		for range 3 {
-			c.discovery.next <- registryAnswer{status: 503}
+			c.discovery.responses <- discoveryResponse{status: 503}
 		}
-		wait(c.t, "another call to discovery", func() bool { return len(c.discovery.calls()) > calls })
+		waitFor(c.t, "another call to discovery", func() bool { return len(c.discovery.calls()) > calls })
 	}},
 	{name: "SIGTERM", inject: func(c *trial) {
 		c.terminated = true
-		c.current().leave()
-		wait(c.t, "the start of the node's leaving", func() bool { return c.current().life.sendsAway() })
+		c.current().terminate()
+		waitFor(c.t, "the start of the node's leaving", func() bool { return c.current().lifecycle.closingConnections() })
 	}, excluded: map[stage]string{stageBeforeRead: "which clients still connect is up to the front: TestSIGTERMFinishesAcceptedRequests", stageKeptConnection: "as before the selection"}},
 	{name: "a successor takes over", inject: func(c *trial) { c.handOver() }},
 	{name: "no descriptor is left", inject: func(c *trial) {
@@ -190,10 +190,10 @@
 	{name: "a reload with another discovery and a list", inject: func(c *trial) {
 		set, err := wire.DecodeSettings([]byte(trialSettings))
 		must(c.t, err)
-		other := newRegistry(c.t)
-		other.next <- registryAnswer{200, list{Version: 1, Full: true, Servers: []listed{c.healthy.entry("Ready")}}}
+		other := newStubDiscovery(c.t)
+		other.responses <- discoveryResponse{200, serverList{Version: 1, Full: true, Servers: []serverEntry{c.healthy.entry("Ready")}}}
 		c.current().reload(Config{Discovery: other.addr, Settings: set})
-		wait(c.t, "the other discovery's list", func() bool { return c.current().backendOf(c.healthy.id) != nil })
+		waitFor(c.t, "the other discovery's list", func() bool { return c.current().serverByID(c.healthy.id) != nil })
 		c.recordNotified(c.targets...)
 	}},
 	{name: "operators drain and resume", inject: func(c *trial) {
@@ -205,7 +205,7 @@
 // Guards against broken rules, lost responses and leaks under faults: each fault is injected into requests of each
 // class at each stage. The table is that of docs/readiness-review.md.
 func TestFaultsAtEveryRequestStage(t *testing.T) {
-	free(t) // the claim on its hosts is a descriptor that stays open
+	freeAddr(t) // the claim on its hosts is a descriptor that stays open
 	openBefore := openFiles(t)
 	ignore := goleak.IgnoreCurrent()
 	t.Run("cells", func(t *testing.T) {
@@ -219,7 +219,7 @@
 					// Where this machine was too slow for a fault that a time-out ends, it is injected again with more
 					// time before that.
 					for timeout := 900 * time.Millisecond; !newTrial(t, stage).run(f, timeout); timeout *= 4 {
-						if timeout > patience {
+						if timeout > testTimeout {
 							t.Fatal("the requests ended before the fault could be injected, even with long timeouts")
 						}
 					}
@@ -227,15 +227,15 @@
 			}
 		}
 	})
-	noneStay(t, ignore)
-	wait(t, "the descriptors to be closed", func() bool { return openFiles(t) <= openBefore })
+	waitForGoroutines(t, ignore)
+	waitFor(t, "the descriptors to be closed", func() bool { return openFiles(t) <= openBefore })
 }
 
 // waitForGoroutines waits until all goroutines have ended but those to be ignored. Each check of them waits for half a
 // second by itself.
-func noneStay(t *testing.T, ignore goleak.Option) {
+func waitForGoroutines(t *testing.T, ignore goleak.Option) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		err := goleak.Find(ignore)
 		if err == nil {
 			return
@@ -260,10 +260,10 @@
 type trial struct {
 	t         *testing.T
 	stage     stage
-	rules     *judge
-	discovery *registry
+	rules     *ruleChecker
+	discovery *stubDiscovery
 	// The node, and the one that takes over from it; nil until then.
-	first, successor *rig
+	first, successor *testNode
 	targets          []*stagedServer // the servers that the fault affects
 	healthy          *stagedServer   // a healthy server, which is listed when the fault is injected
 	// Undoes the fault; may be nil.
@@ -298,14 +298,14 @@
 	must(c.t, err)
 	c.serverCount++
 	s := &stagedServer{id: id, number: c.serverCount, trial: c, ln: ln, conns: map[net.Conn]struct{}{}}
-	c.rules.record(func(b *oracle.Book) { b.AddServer(oracle.Server{ID: s.number}) })
+	c.rules.record(func(b *oracle.Records) { b.AddServer(oracle.Server{ID: s.number}) })
 	go s.accept()
 	c.t.Cleanup(s.close)
 	return s
 }
 
 // current returns the node that serves new clients.
-func (c *trial) current() *rig {
+func (c *trial) current() *testNode {
 	if c.successor != nil {
 		return c.successor
 	}
@@ -313,8 +313,8 @@
 }
 
 // requests returns the requests that the fault affects: one of each class.
-func (c *trial) requests() []call {
-	requests := []call{view("r-view"), save("r-save"), quote("r-quote")}
+func (c *trial) requests() []testRequest {
+	requests := []testRequest{view("r-view"), save("r-save"), quote("r-quote")}
 	if c.stage == stageHalfWritten {
 		requests = requests[1:] // a GET has no body
 		for i := range requests {
@@ -335,13 +335,13 @@
 	if f.shortTimeout {
 		c.clientTimeout = timeout
 	}
-	c.discovery = newRegistry(c.t)
+	c.discovery = newStubDiscovery(c.t)
 	c.targets = []*stagedServer{c.newServer("s-1")}
 	if c.stage == stageSecondAttempt {
 		c.targets = append(c.targets, c.newServer("s-2"))
 	}
 	c.healthy = c.newServer("s-9")
-	c.first = newRig(c.t, c.discovery, trialSettings, unhurried, c.entries(c.targets, "Ready")...)
+	c.first = newTestNode(c.t, c.discovery, trialSettings, withTestTimeouts, c.entries(c.targets, "Ready")...)
 	for _, s := range c.targets {
 		c.first.setDial(s.id, s.dial)
 	}
@@ -356,7 +356,7 @@
 		c.sendRequests()
 	default:
 		c.sendRequests()
-		wait(c.t, "the requests to reach their stage", func() bool { return c.reached(c.stage) >= len(c.requests()) || c.timedOut() })
+		waitFor(c.t, "the requests to reach their stage", func() bool { return c.reached(c.stage) >= len(c.requests()) || c.timedOut() })
 		f.inject(c)
 		injected = !c.timedOut()
 	}
@@ -378,9 +378,9 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, r := range []*rig{c.first, c.successor} {
+	for _, r := range []*testNode{c.first, c.successor} {
 		if r != nil {
-			wait(c.t, "the end of all requests", func() bool { return r.core.Stats(0).Open == 0 })
+			waitFor(c.t, "the end of all requests", func() bool { return r.core.Stats(0).OpenRequests == 0 })
 			if c.successor == nil { // after a hand-over part of the budget is lent
 				waitBudgetReleased(c.t, r)
 			}
@@ -402,7 +402,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
-		if c.stage == stageHalfWritten && flow.Pending(conn) != flow.Nothing {
+		if c.stage == stageHalfWritten && flow.PeekInput(conn) != flow.NoInput {
 			return true
 		}
 	}
@@ -418,26 +418,26 @@
 			c.ended.Add(1)
 		})
 		if c.stage == stageSecondAttempt { // one by one, so that each request has one attempt that is not sent
-			wait(c.t, "the second attempt to arrive", func() bool { return c.reached(stageSecondAttempt) > i || c.timedOut() })
+			waitFor(c.t, "the second attempt to arrive", func() bool { return c.reached(stageSecondAttempt) > i || c.timedOut() })
 		}
 	}
 }
 
 // recordAccepted records a request that is about to be sent.
 func (c *trial) recordAccepted(id string, class int) {
-	c.rules.record(func(b *oracle.Book) { b.Taken(c.rules.now(), 0, id, class, c.rules.now()+50*time.Second) })
+	c.rules.record(func(b *oracle.Records) { b.Accepted(c.rules.now(), 0, id, class, c.rules.now()+50*time.Second) })
 }
 
 // send sends a request over a connection of its own and records the result. It returns nil for a client that has
 // disconnected, and if there is no complete response.
-func (c *trial) send(q call, class int) *http.Response {
+func (c *trial) send(q testRequest, class int) *http.Response {
 	conn, err := net.Dial("tcp", c.current().addr)
 	if err != nil {
 		c.t.Errorf("%s: %v", q.id, err)
 		return nil
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(3 * patience)) // the client waits for the stage, for the fault and for its response
+	conn.SetDeadline(time.Now().Add(3 * testTimeout)) // the client waits for the stage, for the fault and for its response
 	c.mu.Lock()
 	c.conns[q.id] = conn
 	c.mu.Unlock()
@@ -470,10 +470,10 @@
 		c.rules.final(q.id, resp, body)
 		return resp
 	case resp != nil: // the client can tell that the response is incomplete
-		c.rules.record(func(b *oracle.Book) { b.Failed(c.rules.now(), 0, q.id) })
+		c.rules.record(func(b *oracle.Records) { b.Failed(c.rules.now(), 0, q.id) })
 	default:
 		c.rules.addViolation("%s: its connection ends without a response: %v", q.id, err)
-		c.rules.record(func(b *oracle.Book) { b.Overdue(c.rules.now(), 0, q.id) })
+		c.rules.record(func(b *oracle.Records) { b.ClientTimedOut(c.rules.now(), 0, q.id) })
 	}
 	return nil
 }
@@ -503,7 +503,7 @@
 }
 
 // entries returns the list entries of servers in the given state, and of more as ready.
-func (c *trial) entries(of []*stagedServer, state string, more ...*stagedServer) (all []listed) {
+func (c *trial) entries(of []*stagedServer, state string, more ...*stagedServer) (all []serverEntry) {
 	for _, s := range of {
 		all = append(all, s.entry(state))
 	}
@@ -514,27 +514,27 @@
 }
 
 // publishList applies a full list to the node.
-func (c *trial) publishList(servers ...listed) {
+func (c *trial) publishList(servers ...serverEntry) {
 	c.version++
-	c.current().lists(c.version, servers...)
+	c.current().publishList(c.version, servers...)
 }
 
 // publishDelta applies a delta to the node.
-func (c *trial) publishDelta(servers ...listed) {
+func (c *trial) publishDelta(servers ...serverEntry) {
 	n := c.current()
 	n.core.Lock()
 	defer n.core.Unlock()
 	c.version++
-	n.takeList(&list{Version: c.version, Servers: servers}, policy.ListDelta)
+	n.applyList(&serverList{Version: c.version, Servers: servers}, policy.ListDelta)
 }
 
 // recordNotified records that the node knows that servers are to get nothing new, and returns once their grace is over:
 // what is released then may reach none of them, however busy the machine is.
 func (c *trial) recordNotified(of ...*stagedServer) {
 	now := c.rules.now()
-	c.rules.record(func(b *oracle.Book) {
+	c.rules.record(func(b *oracle.Records) {
 		for _, s := range of {
-			b.Told(now, 0, s.number, true, 0)
+			b.Notified(now, 0, s.number, true, 0)
 		}
 	})
 	time.Sleep(trialGrace)
@@ -544,9 +544,9 @@
 func (c *trial) restartCold(s *stagedServer) {
 	s.resetConnections()
 	s.cold.Store(true)
-	c.rules.record(func(b *oracle.Book) {
-		b.Started(c.rules.now(), s.number)
-		b.Told(c.rules.now(), 0, s.number, false, c.rules.now())
+	c.rules.record(func(b *oracle.Records) {
+		b.ServerStarted(c.rules.now(), s.number)
+		b.Notified(c.rules.now(), 0, s.number, false, c.rules.now())
 	})
 }
 
@@ -567,18 +567,18 @@
 // disconnectClients closes the clients' connections, and returns once the node has noticed.
 func (c *trial) disconnectClients() {
 	for _, q := range c.requests() {
-		c.rules.record(func(b *oracle.Book) { b.Left(c.rules.now(), 0, q.id) })
+		c.rules.record(func(b *oracle.Records) { b.ClientLeft(c.rules.now(), 0, q.id) })
 		c.mu.Lock()
 		c.disconnected[q.id] = true
 		c.conns[q.id].Close()
 		c.mu.Unlock()
 	}
 	if c.stage != stageStreaming && c.stage != stageHalfWritten { // at those stages the node notices when it passes on more data
-		wait(c.t, "the node to notice the disconnect", func() bool { return c.current().core.Stats(0).Open == 0 })
+		waitFor(c.t, "the node to notice the disconnect", func() bool { return c.current().core.Stats(0).OpenRequests == 0 })
 	}
 }
 
 // handOver lets another process take over, which new clients then reach.
 func (c *trial) handOver() {
-	c.successor = startSuccessor(c.t, c.first.meet(c.t), c.discovery, trialSettings)
+	c.successor = startSuccessor(c.t, c.first.requestHandover(c.t), c.discovery, trialSettings)
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -31,13 +31,13 @@
 	predecessorTimeout = 3 * time.Second
 	// successorShare is the share of the contracts that a successor grants while its predecessor finishes; the
 	// predecessor keeps the rest for requests that still reach it.
-	heirPortion = 7.0 / 8
+	successorShare = 7.0 / 8
 )
 
 // handoverController is this process's side of a hand-over. As long as other processes of this node run, they and this
 // one act as one node. The state machine decides, and its decisions are carried out under mu, which comes before the
 // core's lock. The node owns it.
-type pair struct {
+type handoverController struct {
 	node         *node
 	accepting    atomic.Bool // this process accepts clients
 	phase        atomic.Int32
@@ -47,7 +47,7 @@
 	// then and not opened again, even if the successor ends.
 	relieved       chan struct{}
 	relieveOnce    sync.Once
-	clientListener *door
+	clientListener *sharedListener
 
 	mu              sync.Mutex
 	machine         handover.Machine
@@ -56,7 +56,7 @@
 	lastPeerID      handover.Peer
 	token           *upgrade.Token // nil: it is not needed, or not available
 	upgradeListener *upgrade.Listener
-	persister       *keeping   // nil: no state is stored on disk
+	persister       *persister // nil: no state is stored on disk
 	seenOrders      [64]uint64 // random ids of the latest orders, a ring buffer
 	orderCount      int
 	reclaimBudget   func() // takes back the lent share of the body budget; nil where the limits are not shared
@@ -64,7 +64,7 @@
 }
 
 // handedState is a predecessor's state, and the connection to that process.
-type estate struct {
+type handedState struct {
 	peer  *upgrade.Peer
 	state *state.Snapshot
 }
@@ -73,8 +73,8 @@
 // its own socket for clients: then no two can serve at a time.
 func socketPath(cfg Config) string {
 	switch {
-	case cfg.meet != "":
-		return cfg.meet
+	case cfg.upgradeSocket != "":
+		return cfg.upgradeSocket
 	case cfg.AcceptFD == 0:
 		return ""
 	}
@@ -83,8 +83,8 @@
 
 // findPredecessor asks the processes that listen at path for their state, the serving one first. A nil result with
 // later set means that a process is there and cannot hand over now.
-func findPredecessor(path string, log *slog.Logger) (old *estate, later bool) {
-	for _, at := range upgrade.Others(path) {
+func findPredecessor(path string, log *slog.Logger) (old *handedState, later bool) {
+	for _, at := range upgrade.ListenerPaths(path) {
 		peer, what, text, err := upgrade.Dial(at)
 		if errors.Is(err, syscall.ECONNREFUSED) && at != path {
 			os.Remove(at) // left behind by a process that has ended
@@ -106,14 +106,14 @@
 			peer.Close()
 			continue
 		}
-		return &estate{peer, s}, false
+		return &handedState{peer, s}, false
 	}
 	return nil, later
 }
 
 // requestHandedState asks a predecessor for its state. It returns nil if there is none or it does not reply: the node
 // then starts without.
-func requestHandedState(cfg Config, log *slog.Logger) *estate {
+func requestHandedState(cfg Config, log *slog.Logger) *handedState {
 	path := socketPath(cfg)
 	if path == "" {
 		return nil
@@ -121,7 +121,7 @@
 	for end := time.Now().Add(predecessorTimeout); ; time.Sleep(retryInterval) {
 		old, later := findPredecessor(path, log)
 		if old != nil {
-			log.Info("adopting the predecessor's state", "web_servers", len(old.state.Servers), "disabled_by_operator", len(old.state.Out), "open_requests", len(old.state.Open))
+			log.Info("adopting the predecessor's state", "web_servers", len(old.state.Servers), "disabled_by_operator", len(old.state.Disabled), "open_requests", len(old.state.OpenRequests))
 			return old
 		}
 		if !later || time.Now().After(end) {
@@ -132,13 +132,13 @@
 }
 
 // initialize prepares the controller of a node. It is called once, before anything else of it.
-func (h *pair) initialize(n *node) {
+func (h *handoverController) initialize(n *node) {
 	h.node, h.phaseChanged, h.relieved = n, make(chan struct{}, 1), make(chan struct{})
 	h.peers, h.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
 }
 
 // peerID returns the state machine's id of another process, and assigns one to a new one. h.mu is held.
-func (h *pair) peerID(peer *upgrade.Peer) handover.Peer {
+func (h *handoverController) peerID(peer *upgrade.Peer) handover.Peer {
 	if name, known := h.peerIDs[peer]; known {
 		return name
 	}
@@ -148,20 +148,20 @@
 }
 
 // adoptPredecessor adopts a predecessor's state. The core's lock is held, and nothing else knows the node yet.
-func (n *node) adoptPredecessor(old *estate) {
-	n.pair.mu.Lock()
-	from := n.pair.peerID(old.peer)
-	n.pair.machine.Before = from
-	n.pair.shareLimits()
-	n.pair.mu.Unlock()
+func (n *node) adoptPredecessor(old *handedState) {
+	n.handover.mu.Lock()
+	from := n.handover.peerID(old.peer)
+	n.handover.machine.Predecessor = from
+	n.handover.shareLimits()
+	n.handover.mu.Unlock()
 	n.ageSnapshot(old.state)
 	n.adoptSnapshot(old.state, from)
-	n.core.Portion(heirPortion, false)
-	old.peer.Follow(n)
+	n.core.SetProcessShare(successorShare, false)
+	old.peer.Receive(n)
 }
 
 // handle passes an event to the state machine.
-func (h *pair) handle(event func(m *handover.Machine, env handover.Env)) {
+func (h *handoverController) handle(event func(m *handover.Machine, env handover.Env)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -172,7 +172,7 @@
 }
 
 // publishPhase makes a change of phase visible outside the controller. h.mu is held.
-func (h *pair) publishPhase() {
+func (h *handoverController) publishPhase() {
 	if before := handover.Phase(h.phase.Swap(int32(h.machine.Phase))); before != h.machine.Phase {
 		h.node.log.Debug("hand-over", "phase", h.machine.Phase, "before", before)
 		select {
@@ -183,21 +183,21 @@
 }
 
 // currentPhase returns the latest published phase.
-func (h *pair) currentPhase() handover.Phase { return handover.Phase(h.phase.Load()) }
+func (h *handoverController) currentPhase() handover.Phase { return handover.Phase(h.phase.Load()) }
 
 // yielding reports whether a successor has the clients, or is about to.
-func (h *pair) yielding() bool {
-	return h.currentPhase() == handover.Yielding || h.currentPhase() == handover.Relieved
+func (h *handoverController) yielding() bool {
+	return h.currentPhase() == handover.Transferring || h.currentPhase() == handover.Finishing
 }
 
 // acquireClients is called once this process can serve. It returns at once; the listener opens when the clients are its
 // own.
-func (n *node) acquireClients(d *door) {
-	h := &n.pair
+func (n *node) acquireClients(d *sharedListener) {
+	h := &n.handover
 	h.clientListener = d
 	path := socketPath(n.cfg)
 	if path == "" {
-		h.handle(func(m *handover.Machine, env handover.Env) { m.Alone(env) })
+		h.handle(func(m *handover.Machine, env handover.Env) { m.ServeAlone(env) })
 		return
 	}
 	h.mu.Lock()
@@ -207,7 +207,7 @@
 	}
 	h.token = token
 	h.mu.Unlock()
-	h.handle(func(m *handover.Machine, env handover.Env) { m.Ready(env) })
+	h.handle(func(m *handover.Machine, env handover.Env) { m.ReadyToServe(env) })
 	go n.retryHandover()
 }
 
@@ -221,8 +221,8 @@
 		case <-n.core.Context().Done():
 			return
 		}
-		n.pair.handle(func(m *handover.Machine, env handover.Env) {
-			if m.Unsettled() {
+		n.handover.handle(func(m *handover.Machine, env handover.Env) {
+			if m.NeedsTick() {
 				m.Tick(env)
 			}
 		})
@@ -231,29 +231,29 @@
 
 // Lock acquires the token, and returns the number marked on it and whether it was acquired. Lock, Mark, Unlock, Accept,
 // Yield, Resume, Relieve, Tell and Seek make it a handover.Env; they are called with h.mu held.
-func (h *pair) Lock() (uint64, bool) {
+func (h *handoverController) LockToken() (uint64, bool) {
 	if h.token == nil {
 		return 0, true
 	}
 	number, had, err := h.token.Lock()
 	if err != nil { // serving takes precedence over the token
 		h.node.log.Error("cannot lock the hand-over token: unknown whether another process serves", "err", err)
-		return h.machine.Number, true
+		return h.machine.TokenNumber, true
 	}
 	return number, had
 }
 
 // Mark writes a number on the token.
-func (h *pair) Mark(number uint64) {
+func (h *handoverController) SetTokenNumber(number uint64) {
 	if h.token != nil {
-		if err := h.token.Mark(number); err != nil {
+		if err := h.token.SetNumber(number); err != nil {
 			h.node.log.Error("cannot mark the hand-over token", "err", err)
 		}
 	}
 }
 
 // Unlock releases the token.
-func (h *pair) Unlock() {
+func (h *handoverController) UnlockToken() {
 	if h.token != nil {
 		h.token.Unlock()
 	}
@@ -261,7 +261,7 @@
 
 // Accept opens or closes the clients' listener, and starts or stops storing the state. The first time that it opens,
 // this process also begins to listen for successors.
-func (h *pair) Accept(on bool) {
+func (h *handoverController) SetAccepting(on bool) {
 	h.clientListener.setOpen(on)
 	defer h.accepting.Store(on) // successors find this process from then on
 	if on {
@@ -283,34 +283,34 @@
 
 // Yield takes the state and hands the decisions to the successor within one hold of the core's lock: for each request
 // that begins after that state the successor is asked, and each one's end is reported to it.
-func (h *pair) Yield(to handover.Peer, number uint64) {
+func (h *handoverController) TransferTo(to handover.Peer, number uint64) {
 	n, peer := h.node, h.peers[to]
 	n.core.Lock()
 	s := n.snapshot(true)
-	n.core.Yield(heir{n, peer})
-	n.core.Portion(1-heirPortion, true)
-	peer.Tell(handover.Yours, number, n.stateEncoder(s))
+	n.core.SetSuccessor(remoteSuccessor{n, peer})
+	n.core.SetProcessShare(1-successorShare, true)
+	peer.Send(handover.Transfer, number, n.stateEncoder(s))
 	n.core.Unlock()
 	h.shareLimits()
 }
 
 // Resume serves alone again. What is left of the contracts is not known: the successor may have spent it.
-func (h *pair) Resume() {
+func (h *handoverController) Resume() {
 	h.node.core.Lock()
 	defer h.node.core.Unlock()
-	h.node.core.Yield(nil)
-	h.node.core.Portion(1, true)
+	h.node.core.SetSuccessor(nil)
+	h.node.core.SetProcessShare(1, true)
 	h.node.log.Warn("the successor has exited or did not take over: serving again")
 }
 
 // Relieve lets serve finish what this process has accepted, and closes relieved.
-func (h *pair) Relieve() {
+func (h *handoverController) FinishRequests() {
 	h.relieveOnce.Do(func() { close(h.relieved) })
 	h.node.log.Info("a successor serves: finishing accepted requests")
 }
 
 // Tell sends a message to another process; with handover.State it takes the state along.
-func (h *pair) Tell(to handover.Peer, what handover.Message) {
+func (h *handoverController) Send(to handover.Peer, what handover.Message) {
 	n, peer := h.node, h.peers[to]
 	if peer == nil {
 		return
@@ -321,11 +321,11 @@
 		// one, so the order is forwarded to it after the state.
 		n.core.Lock()
 		text = n.stateEncoder(n.snapshot(true))
-		peer.Tell(what, 0, text)
+		peer.Send(what, 0, text)
 		n.core.Unlock()
 		return
 	}
-	peer.Tell(what, 0, nil)
+	peer.Send(what, 0, nil)
 }
 
 // stateEncoder returns a function that encodes a snapshot; the work is done when it is called.
@@ -340,79 +340,79 @@
 }
 
 // Seek starts looking for another serving process.
-func (h *pair) Seek() {
+func (h *handoverController) Search() {
 	if h.seeking.CompareAndSwap(false, true) { // one at a time, so that a process that is slow to reply does not get more and more calls
 		go h.findServingProcess()
 	}
 }
 
 // findServingProcess looks for another serving process, adopts its state and reports the result to the state machine.
-func (h *pair) findServingProcess() {
+func (h *handoverController) findServingProcess() {
 	defer h.seeking.Store(false)
 	old, later := findPredecessor(socketPath(h.node.cfg), h.node.log)
 	if old == nil {
 		if !later {
-			h.handle(func(m *handover.Machine, env handover.Env) { m.NoOne(env) })
+			h.handle(func(m *handover.Machine, env handover.Env) { m.NoneFound(env) })
 		}
 		return
 	}
 	h.mu.Lock()
-	if h.closed || h.machine.Phase != handover.Seeking {
+	if h.closed || h.machine.Phase != handover.Searching {
 		h.mu.Unlock()
 		old.peer.Close()
 		return
 	}
 	from := h.peerID(old.peer)
 	h.adoptState(from, old.state, true)
-	h.machine.Heard(h, from, handover.State, 0)
+	h.machine.Received(h, from, handover.State, 0)
 	h.publishPhase()
 	h.shareLimits()
 	h.mu.Unlock()
-	old.peer.Follow(h.node)
+	old.peer.Receive(h.node)
 }
 
 // adoptState adopts a state. With whole set it includes the server list and the operators' orders; without, only what
 // changes with each request. h.mu is held.
-func (h *pair) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
+func (h *handoverController) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
 	n := h.node
 	n.core.Lock()
 	defer n.core.Unlock()
 	n.ageSnapshot(s)
 	if whole {
 		n.adoptSnapshot(s, from)
-		n.core.Portion(heirPortion, false)
+		n.core.SetProcessShare(successorShare, false)
 	} else {
 		n.adoptRuntimeState(s, from)
 	}
 }
 
 // remoteSuccessor asks the successor before each request that still arrives here. It is a core.Successor.
-type heir struct {
+type remoteSuccessor struct {
 	node *node
 	peer *upgrade.Peer
 }
 
 // Claim asks whether the request may begin here, and waits for claimTimeout at most.
-func (h heir) Claim(id string, until time.Duration) handover.Verdict {
+func (h remoteSuccessor) Claim(id string, until time.Duration) handover.Verdict {
 	ctx, cancel := context.WithTimeout(h.node.core.Context(), claimTimeout+h.node.cfg.slack)
 	defer cancel()
 	return h.peer.Claim(ctx, id, until)
 }
 
 // Ended reports the end of a request to the successor.
-func (h heir) Ended(id string) { h.peer.Ended(id) }
+func (h remoteSuccessor) Ended(id string) { h.peer.RequestEnded(id) }
 
 // Hello receives the first call of another process. Hello, Heard, Claim, Ended, Obey and Gone make node an
 // upgrade.Node.
-func (n *node) Hello(peer *upgrade.Peer) {
-	n.pair.handle(func(m *handover.Machine, env handover.Env) { m.Hello(env, n.pair.peerID(peer)) })
+func (n *node) StateRequested(peer *upgrade.Peer) {
+	n.handover.handle(func(m *handover.Machine, env handover.Env) { m.StateRequested(env, n.handover.peerID(peer)) })
 }
 
 // Heard receives a message of another process. With handover.Yours comes the predecessor's last state, which is adopted
 // first.
-func (n *node) Heard(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
-	h := &n.pair
-	if what == handover.Yours {
+func (n *node) Received(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
+	h := &n.handover
+	if what == handover.Transfer {
 		s, err := state.Decode(text)
 		if err != nil {
 			n.log.Error("cannot decode the predecessor's last state", "err", err)
@@ -420,36 +420,36 @@
 			return
 		}
 		h.mu.Lock()
-		if h.machine.Phase == handover.Asking && h.peerID(peer) == h.machine.Before {
-			h.adoptState(h.machine.Before, s, false)
+		if h.machine.Phase == handover.Requesting && h.peerID(peer) == h.machine.Predecessor {
+			h.adoptState(h.machine.Predecessor, s, false)
 		}
 		h.mu.Unlock()
 	}
-	h.handle(func(m *handover.Machine, env handover.Env) { m.Heard(env, h.peerID(peer), what, number) })
-	if what == handover.Later && h.currentPhase() == handover.Seeking {
+	h.handle(func(m *handover.Machine, env handover.Env) { m.Received(env, h.peerID(peer), what, number) })
+	if what == handover.NotServing && h.currentPhase() == handover.Searching {
 		peer.Close() // the next process found is dialed anew: over two connections to one process orders would circulate
 	}
 }
 
 // Claim replies whether a request that another process has received may begin there.
 func (n *node) Claim(peer *upgrade.Peer, id string, until time.Duration) handover.Verdict {
-	n.pair.mu.Lock()
-	from := n.pair.peerID(peer)
-	n.pair.mu.Unlock()
+	n.handover.mu.Lock()
+	from := n.handover.peerID(peer)
+	n.handover.mu.Unlock()
 	return n.core.Claim(from, id, until)
 }
 
 // Ended receives the end of a request at another process.
-func (n *node) Ended(_ *upgrade.Peer, id string) {
+func (n *node) RequestEnded(_ *upgrade.Peer, id string) {
 	n.core.Lock()
 	defer n.core.Unlock()
-	n.core.Ids().Ended(id)
+	n.core.RequestIDs().RemoteEnded(id)
 }
 
 // Obey carries out an operator's order that reached another process, and forwards it to processes that the other one
 // may not know.
-func (n *node) Obey(from *upgrade.Peer, o upgrade.Order) error {
-	if !n.pair.isNewOrder(o) {
+func (n *node) Execute(from *upgrade.Peer, o upgrade.Order) error {
+	if !n.handover.isNewOrder(o) {
 		return nil // it has already arrived over another connection
 	}
 	switch o.Call {
@@ -464,12 +464,12 @@
 	}
 	ctx, cancel := context.WithTimeout(n.core.Context(), orderTimeout+n.cfg.slack)
 	defer cancel()
-	return n.pair.tell(ctx, from, o)
+	return n.handover.forwardOrder(ctx, from, o)
 }
 
 // isNewOrder reports whether an order was not seen before, and records it: among three processes one can arrive over
 // two connections.
-func (h *pair) isNewOrder(o upgrade.Order) bool {
+func (h *handoverController) isNewOrder(o upgrade.Order) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if o.From == 0 || slices.Contains(h.seenOrders[:], o.From) {
@@ -482,8 +482,8 @@
 
 // Gone records that another process has exited or closed its connection. After the last of them this process uses the
 // full limits again.
-func (n *node) Gone(peer *upgrade.Peer) {
-	h := &n.pair
+func (n *node) PeerExited(peer *upgrade.Peer) {
+	h := &n.handover
 	h.mu.Lock()
 	who := h.peerID(peer)
 	delete(h.peerIDs, peer)
@@ -493,9 +493,9 @@
 		back, h.reclaimBudget = h.reclaimBudget, nil
 	}
 	n.core.Lock()
-	n.core.Ids().Gone(who)
-	if h.machine.Before == who {
-		n.core.Portion(1, false)
+	n.core.RequestIDs().PeerExited(who)
+	if h.machine.Predecessor == who {
+		n.core.SetProcessShare(1, false)
 	}
 	n.core.Unlock()
 	h.mu.Unlock()
@@ -504,16 +504,16 @@
 		back()
 		n.setLimits(1)
 	}
-	h.handle(func(m *handover.Machine, env handover.Env) { m.Gone(env, who) })
+	h.handle(func(m *handover.Machine, env handover.Env) { m.PeerExited(env, who) })
 }
 
 // tryEnd reports whether this process may end, and closes the controller if so: nothing changes afterwards. It may end
 // if it was told to. Otherwise no predecessor may be left whose claims this process answers, and either a successor
 // must be there to continue, or a third process serves and the one between has ended.
-func (h *pair) tryEnd() bool {
+func (h *handoverController) tryEnd() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.machine.Ends && (h.machine.Phase != handover.Relieved || h.machine.Before != 0 || h.machine.Heir == 0 && !h.machine.Settled()) {
+	if !h.machine.Stopping && (h.machine.Phase != handover.Finishing || h.machine.Predecessor != 0 || h.machine.Successor == 0 && !h.machine.RetakeTimedOut()) {
 		return false
 	}
 	h.closed = true
@@ -521,7 +521,7 @@
 }
 
 // close ends the communication with other processes: this one has nothing more to do.
-func (h *pair) close() {
+func (h *handoverController) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
@@ -538,7 +538,7 @@
 }
 
 // forwardOrder forwards an operator's order to the other processes except the one that it came from.
-func (h *pair) tell(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
+func (h *handoverController) forwardOrder(ctx context.Context, from *upgrade.Peer, o upgrade.Order) error {
 	if o.From == 0 { // given at this process
 		o.From = rand.Uint64()
 		h.isNewOrder(o)
@@ -553,16 +553,16 @@
 	h.mu.Unlock()
 	var errs error
 	for _, peer := range peers {
-		errs = errors.Join(errs, peer.Order(ctx, o))
+		errs = errors.Join(errs, peer.SendOrder(ctx, o))
 	}
 	return errs
 }
 
 // shareLimits leaves half of the limits to the other process, as both count together. h.mu is held.
-func (h *pair) shareLimits() {
+func (h *handoverController) shareLimits() {
 	h.node.setLimits(2)
 	if h.reclaimBudget == nil { // nil: not lent yet
-		h.reclaimBudget = h.node.budget.Lend()
+		h.reclaimBudget = h.node.budget.LendToSuccessor()
 	}
 }
 
@@ -570,7 +570,7 @@
 func (n *node) setLimits(processes int) {
 	n.pool.Resize(n.cfg.poolLimit() / processes)
 	n.clients.Resize(n.cfg.clientLimit() / processes)
-	if n.cfg.MemoryMB > 0 && n.cfg.process {
+	if n.cfg.MemoryMB > 0 && n.cfg.ownsProcess {
 		debug.SetMemoryLimit(int64(n.cfg.MemoryMB) << 20 * 3 / 4 / int64(processes))
 	}
 }
--- a/internal/node/handover_bench_test.go
+++ b/internal/node/handover_bench_test.go
@@ -19,14 +19,14 @@
 func BenchmarkHandover(b *testing.B) {
 	for _, servers := range []int{12, 1000, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			var known []listed
+			var known []serverEntry
 			for i := range servers {
-				known = append(known, listed{ID: fmt.Sprint("web-server-", i), Addr: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: "north", Kind: "standard", State: "Ready"})
+				known = append(known, serverEntry{ID: fmt.Sprint("web-server-", i), Addr: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: "north", Kind: "standard", State: "Ready"})
 			}
-			old := newRig(b, newRegistry(b), settingsJSON, nil, known...)
+			old := newTestNode(b, newStubDiscovery(b), settingsJSON, nil, known...)
 			old.core.Lock()
-			for _, server := range old.names {
-				server.Via = func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
+			for _, server := range old.serversByID {
+				server.Dial = func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
@@ -35,9 +35,9 @@
 			for i := range 5000 {
 				in, _ := http.NewRequest("GET", "http://x/api", nil)
 				up, _ := flow.NewUpload(http.NoBody, 0)
-				old.core.Begin(&core.Request{ID: fmt.Sprint("request-", i), Class: "view", Message: in, Body: up, Arrived: old.core.Now(), Patience: time.Minute})
+				old.core.Begin(&core.Request{ID: fmt.Sprint("request-", i), Class: "view", Message: in, Body: up, Arrived: old.core.Now(), Timeout: time.Minute})
 			}
-			successor := newRig(b, newRegistry(b), settingsJSON, nil)
+			successor := newTestNode(b, newStubDiscovery(b), settingsJSON, nil)
 			var locked, worst, encoded, decoding, adopted time.Duration
 			var text []byte
 			b.ResetTimer()
--- a/internal/node/headless.go
+++ b/internal/node/headless.go
@@ -10,52 +10,52 @@
 // process runs: it follows discovery's list and control's configuration, makes the policy's plans, and has contracts,
 // cells and checks by its configuration. It is for the lab, which runs many in a process: the process's limits (cores,
 // memory) are not set, and it does not wait for a first configuration, as it has no clients that must be kept waiting.
-type Hollow struct {
+type Headless struct {
 	node *node
 	stop func()
 }
 
 // StartHeadless starts a headless node. The configuration is Load's; Listen, Mgmt, AcceptFD, and the members and
 // listeners of the product's file are not used. After an error nothing is left running.
-func StartHollow(cfg Config, log *slog.Logger) (*Hollow, error) {
+func StartHeadless(cfg Config, log *slog.Logger) (*Headless, error) {
 	cfg.AcceptFD = 0 // another process of this node is not looked for
 	stopFollowing := func() {}
 	if cfg.Product != nil && cfg.Product.Control != nil {
-		cfg.followed = newConfigFollower(cfg, log)
-		stopFollowing = cfg.followed.close
+		cfg.follower = newConfigFollower(cfg, log)
+		stopFollowing = cfg.follower.close
 	}
 	n, stop, err := start(cfg, nil, log)
 	if err != nil {
 		stopFollowing()
 		return nil, err
 	}
-	return &Hollow{n, func() {
+	return &Headless{n, func() {
 		stop()
 		stopFollowing()
 	}}, nil
 }
 
 // HeadlessStatus is the state of a headless node.
-type HollowFigures struct {
-	List          int64            // version of the server list in force; 0: none
+type HeadlessStatus struct {
+	ListVersion   int64            // version of the server list in force; 0: none
 	Servers       int              // number of web servers on the list
 	Configuration resource.Version // version of control's configuration in force; zero: none
-	Taking        bool             // a change of the configuration is being applied, and Configuration is not reported
+	Applying      bool             // a change of the configuration is being applied, and Configuration is not reported
 }
 
 // Status returns the node's state, without waiting for a change that is being applied. It is safe for concurrent use.
-func (h *Hollow) Figures() (status HollowFigures) {
-	if follower := h.node.cfg.followed; follower != nil {
-		if status.Taking = !follower.mu.TryLock(); !status.Taking {
+func (h *Headless) Status() (status HeadlessStatus) {
+	if follower := h.node.cfg.follower; follower != nil {
+		if status.Applying = !follower.mu.TryLock(); !status.Applying {
 			status.Configuration = follower.set.Version()
 			follower.mu.Unlock()
 		}
 	}
 	h.node.core.Lock()
 	defer h.node.core.Unlock()
-	status.List, status.Servers = h.node.version, len(h.node.names)
+	status.ListVersion, status.Servers = h.node.listVersion, len(h.node.serversByID)
 	return status
 }
 
 // Close stops the node, and waits until everything that it runs has ended.
-func (h *Hollow) Close() { h.stop() }
+func (h *Headless) Close() { h.stop() }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -30,14 +30,14 @@
 
 // healthChecker probes the listed web servers, combines the reports about them, and passes the verdicts to the policy.
 // Where both locks are held, the core's lock is taken first and mu after it.
-type checker struct {
+type healthChecker struct {
 	node      *node
 	checks    config.Checks
 	protocols []*probeProtocol
 	slots     chan struct{} // limits the probes under way
 
 	mu      sync.Mutex // guards the fields below and the protocols' schedules
-	tracker *health.Book
+	tracker *health.Tracker
 	servers map[uint32]*checkedServer // by number
 	ids     map[string]uint32         // numbers by discovery's IDs
 	probes  int64                     // probes since the start
@@ -73,20 +73,20 @@
 }
 
 // newHealthChecker returns the checker for a file's checks, or nil where the file has none. start starts it.
-func newChecker(n *node, checks *config.Checks) (*checker, error) {
+func newHealthChecker(n *node, checks *config.Checks) (*healthChecker, error) {
 	if checks == nil {
 		return nil, nil
 	}
-	checked, err := checks.Ready()
+	checked, err := checks.WithDefaults()
 	if err != nil {
 		return nil, err
 	}
-	c := &checker{node: n, checks: checked, slots: make(chan struct{}, maxProbes), servers: map[uint32]*checkedServer{}, ids: map[string]uint32{}}
-	pace, rules := checked.Weighing(n.cfg.Settings.Policy.Nodes)
-	c.tracker = health.NewBook(rules)
+	c := &healthChecker{node: n, checks: checked, slots: make(chan struct{}, maxProbes), servers: map[uint32]*checkedServer{}, ids: map[string]uint32{}}
+	pace, rules := checked.ProbeRules(n.cfg.Settings.Policy.Nodes)
+	c.tracker = health.NewTracker(rules)
 	for name, prober := range checked.Probers() {
 		if agent, ok := prober.(*probe.AgentCheck); ok {
-			agent.Unknown = c.logUnknownWords
+			agent.OnUnknown = c.logUnknownWords
 		}
 		c.protocols = append(c.protocols, &probeProtocol{name: name, prober: prober, agent: name == "agent",
 			schedule: health.NewSchedule(pace, rand.Float64), wake: make(chan struct{}, 1)})
@@ -95,7 +95,7 @@
 }
 
 // start starts the probes.
-func (c *checker) start() {
+func (c *healthChecker) start() {
 	for _, protocol := range c.protocols {
 		c.node.core.Go(func() { c.probeLoop(protocol) })
 	}
@@ -103,7 +103,7 @@
 }
 
 // stop releases the probers' connections. The core has been closed before.
-func (c *checker) stop() {
+func (c *healthChecker) stop() {
 	if c != nil {
 		for _, protocol := range c.protocols {
 			protocol.prober.Close()
@@ -113,14 +113,14 @@
 
 // serverChanged updates the checker for a server on the list. One that is new, or has been started again, is probed
 // from now on and nothing is known of it; one that drains or was removed is no longer probed. The core's lock is held.
-func (c *checker) serverChanged(server *backend) {
+func (c *healthChecker) serverChanged(server *webServer) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.servers[server.number]
-	removed := server.left || server.Stop.Load() != 0
+	removed := server.removed || server.StopAt.Load() != 0
 	if old != nil && (removed || old.Server != server.Server) {
 		c.tracker.Remove(server.number)
 		delete(c.servers, server.number)
@@ -131,7 +131,7 @@
 				grpc.Forget(old.ID)
 			}
 		}
-		if old.applied.Out {
+		if old.applied.Ejected {
 			c.node.core.Go(func() { c.clearVerdict(old) })
 		}
 	}
@@ -149,21 +149,21 @@
 
 // clearVerdict revokes the verdict that had a server out of service, once that was started again or was removed from
 // the list: when it comes back, nothing is known of it.
-func (c *checker) clearVerdict(server *checkedServer) {
+func (c *healthChecker) clearVerdict(server *checkedServer) {
 	n := c.node
-	n.hand.callMu.Lock()
-	defer n.hand.callMu.Unlock()
+	n.overrides.callMu.Lock()
+	defer n.overrides.callMu.Unlock()
 	n.core.Lock()
-	stillOut := n.keptOut(server.ID, server.number)
+	stillOut := n.outOfService(server.ID, server.number)
 	if !stillOut {
 		n.core.Handle(&policy.Event{Kind: policy.EvEnable, Server: server.number})
 	}
 	n.core.Unlock()
-	server.Gate.Set(stillOut)
+	server.Gate.SetClosed(stillOut)
 }
 
 // probeLoop probes the servers by one protocol until the node ends.
-func (c *checker) probeLoop(protocol *probeProtocol) {
+func (c *healthChecker) probeLoop(protocol *probeProtocol) {
 	ctx := c.node.core.Context()
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -195,16 +195,16 @@
 }
 
 // probe probes one server once, and applies the result.
-func (c *checker) probe(ctx context.Context, protocol *probeProtocol, server *checkedServer) {
+func (c *healthChecker) probe(ctx context.Context, protocol *probeProtocol, server *checkedServer) {
 	dial := probe.Dial((&net.Dialer{}).DialContext)
-	if via := server.Via; via != nil {
+	if via := server.Dial; via != nil {
 		dial = func(ctx context.Context, _, addr string) (net.Conn, error) { return via(ctx, &net.Dialer{}, addr) }
 	}
 	started := time.Now()
 	limited, cancel := context.WithTimeout(ctx, c.checks.Timeout)
 	report, err := protocol.prober.Probe(limited, probe.Target{ID: server.ID, Addr: server.Addr, Dial: dial})
 	cancel()
-	late := err != nil && (time.Since(started) > c.checks.Timeout+lateProbeMargin || back.OwnTrouble(err))
+	late := err != nil && (time.Since(started) > c.checks.Timeout+lateProbeMargin || back.OutOfResources(err))
 	c.mu.Lock()
 	now := c.node.core.Now()
 	changed := false
@@ -216,16 +216,16 @@
 		case err != nil:
 			c.failed++
 			if !protocol.agent { // an agent without a reply reports nothing; its earlier reports expire
-				c.tracker.Check(now, server.number, false, protocol.name+": "+err.Error())
+				c.tracker.RecordCheck(now, server.number, false, protocol.name+": "+err.Error())
 			}
 		case protocol.agent:
-			c.tracker.Agent(now, server.number, report)
-		case report.State != health.Untold:
-			c.tracker.Check(now, server.number, report.State == health.Up, protocol.name+": "+report.Reason)
+			c.tracker.RecordAgent(now, server.number, report)
+		case report.State != health.StateUnset:
+			c.tracker.RecordCheck(now, server.number, report.State == health.Up, protocol.name+": "+report.Reason)
 		}
-		_, changed = c.tracker.Weigh(now, server.number)
+		_, changed = c.tracker.Evaluate(now, server.number)
 	}
-	protocol.schedule.Done(now, server.number, c.tracker.Spoken(now, server.number))
+	protocol.schedule.Done(now, server.number, c.tracker.ServesRequests(now, server.number))
 	c.mu.Unlock()
 	if changed {
 		c.applyVerdict(server.number)
@@ -233,17 +233,17 @@
 }
 
 // verdictLoop evaluates all verdicts every verdictInterval.
-func (c *checker) verdictLoop() {
+func (c *healthChecker) verdictLoop() {
 	for ctx := c.node.core.Context(); ctx.Err() == nil; sleep(ctx, verdictInterval) {
 		var changed []uint32
 		c.mu.Lock()
-		now, panickedBefore := c.node.core.Now(), c.tracker.Panic()
+		now, panickedBefore := c.node.core.Now(), c.tracker.InPanic()
 		for id := range c.servers {
-			if _, verdictChanged := c.tracker.Weigh(now, id); verdictChanged {
+			if _, verdictChanged := c.tracker.Evaluate(now, id); verdictChanged {
 				changed = append(changed, id)
 			}
 		}
-		panicked := c.tracker.Panic()
+		panicked := c.tracker.InPanic()
 		c.mu.Unlock()
 		if panicked != panickedBefore {
 			c.node.log.Warn("health: most of the fleet is reported unhealthy", "suspected", panicked)
@@ -255,14 +255,14 @@
 }
 
 // recordOutcome records how an attempt at a server ended.
-func (c *checker) real(target *back.Server, outcome policy.Outcome) {
-	if c == nil || !health.Tells(outcome) {
+func (c *healthChecker) recordOutcome(target *back.Server, outcome policy.Outcome) {
+	if c == nil || !health.OutcomeCounts(outcome) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, known := c.ids[target.ID]; known {
-		c.tracker.Real(c.node.core.Now(), id, outcome == policy.OK)
+		c.tracker.RecordRequest(c.node.core.Now(), id, outcome == policy.OK)
 		if server := c.servers[id]; outcome == policy.OK {
 			server.successes++
 		} else {
@@ -273,10 +273,10 @@
 
 // applyVerdict passes a server's verdict to the policy and opens or closes its gate. An operator's override has
 // precedence.
-func (c *checker) applyVerdict(id uint32) {
+func (c *healthChecker) applyVerdict(id uint32) {
 	n := c.node
-	n.hand.callMu.Lock()
-	defer n.hand.callMu.Unlock()
+	n.overrides.callMu.Lock()
+	defer n.overrides.callMu.Unlock()
 	n.core.Lock()
 	c.mu.Lock()
 	server := c.servers[id]
@@ -288,36 +288,36 @@
 	verdict, old := c.tracker.Verdict(id), server.applied
 	server.applied = verdict
 	c.mu.Unlock()
-	steps := health.Steps(id, old, verdict, n.hand.disabled[server.ID])
+	steps := health.PolicyEvents(id, old, verdict, n.overrides.disabled[server.ID])
 	for i := range steps {
 		n.core.Handle(&steps[i])
 	}
-	stillOut := n.keptOut(server.ID, id)
+	stillOut := n.outOfService(server.ID, id)
 	n.core.Unlock()
-	if verdict.Out != old.Out {
-		server.Gate.Set(stillOut) // not under the core's lock: it waits for writes under way
+	if verdict.Ejected != old.Ejected {
+		server.Gate.SetClosed(stillOut) // not under the core's lock: it waits for writes under way
 	}
 	if verdict.Drain && !old.Drain {
 		n.opaque.Drain(server.Server)
 	}
-	if verdict.Out != old.Out || verdict.Against != old.Against {
-		n.log.Info("health verdict changed", "server", server.ID, "out", verdict.Out, "weight", verdict.Weight, "why", verdict.Why, "against", verdict.Against)
+	if verdict.Ejected != old.Ejected || verdict.Conflict != old.Conflict {
+		n.log.Info("health verdict changed", "server", server.ID, "out", verdict.Ejected, "weight", verdict.Weight, "why", verdict.Reason, "against", verdict.Conflict)
 	}
 }
 
 // isUnhealthy reports whether the health verdict has a server out of service. The core's lock is held.
-func (c *checker) isUnhealthy(number uint32) bool {
+func (c *healthChecker) isUnhealthy(number uint32) bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	server := c.servers[number]
-	return server != nil && server.applied.Out
+	return server != nil && server.applied.Ejected
 }
 
 // logUnknownWords logs words of an agent's report that are not known, once until they change.
-func (c *checker) logUnknownWords(id string, words []string) {
+func (c *healthChecker) logUnknownWords(id string, words []string) {
 	c.mu.Lock()
 	server, text := c.servers[c.ids[id]], fmt.Sprint(words)
 	changed := server != nil && server.unknownWords != text
@@ -360,27 +360,27 @@
 	defer n.core.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	report := &HealthReport{Suspected: c.tracker.Panic(), Probes: c.probes, Failed: c.failed, Late: c.late, Servers: []ServerHealth{}}
+	report := &HealthReport{Suspected: c.tracker.InPanic(), Probes: c.probes, Failed: c.failed, Late: c.late, Servers: []ServerHealth{}}
 	for number, server := range c.servers {
-		verdict, byHand := c.tracker.Verdict(number), n.hand.disabled[server.ID]
-		if id == server.ID || id == "" && (byHand || verdict.Why != "" || verdict.Against != "") {
-			report.Servers = append(report.Servers, ServerHealth{server.ID, verdict.Out || byHand, verdict.Drain, verdict.Weight, verdict.MaxConn, verdict.Why, verdict.Against, byHand})
+		verdict, byHand := c.tracker.Verdict(number), n.overrides.disabled[server.ID]
+		if id == server.ID || id == "" && (byHand || verdict.Reason != "" || verdict.Conflict != "") {
+			report.Servers = append(report.Servers, ServerHealth{server.ID, verdict.Ejected || byHand, verdict.Drain, verdict.Weight, verdict.MaxConn, verdict.Reason, verdict.Conflict, byHand})
 		}
 	}
 	if id != "" && len(report.Servers) == 0 {
-		return nil, mgmt.ErrUnknown
+		return nil, mgmt.ErrUnknownServer
 	}
 	slices.SortFunc(report.Servers, func(a, b ServerHealth) int { return cmp.Compare(a.Server, b.Server) })
 	return report, nil
 }
 
 // startHealthResponder opens the listeners on which others check this node; it returns nil where the file names none.
-func (n *node) answers(ctx context.Context) (*party.Party, error) {
+func (n *node) startHealthResponder(ctx context.Context) (*party.Responder, error) {
 	product := n.cfg.Product
 	if product == nil || product.Health == nil || product.Health.Answer == nil {
 		return nil, nil
 	}
-	options := party.Options{Agent: product.Health.Answer.Agent, HTTP: product.Health.Answer.HTTP, GRPC: product.Health.Answer.GRPC, Look: n.standing, Log: n.log}
+	options := party.Options{Agent: product.Health.Answer.Agent, HTTP: product.Health.Answer.HTTP, GRPC: product.Health.Answer.GRPC, CurrentStatus: n.healthStatus, Log: n.log}
 	for _, service := range product.Services {
 		options.Services = append(options.Services, service.Name)
 	}
@@ -388,13 +388,13 @@
 }
 
 // healthStatus returns the state of the node for those that check it.
-func (n *node) standing() party.Status {
+func (n *node) healthStatus() party.Status {
 	status := party.Status{Headroom: 1 - n.core.Stats(0).Pressure}
 	n.core.Lock()
-	ready := n.ready
+	ready := n.anyReady
 	n.core.Unlock()
 	switch {
-	case n.life.sendsAway():
+	case n.lifecycle.closingConnections():
 		status.State = party.Draining
 	case !ready:
 		status.State, status.Reason = party.Down, "no web server is listed as ready"
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -16,10 +16,10 @@
 // checkedNode is a node that asks agents, and the web servers that it checks: each on a host of its own with an agent
 // beside it.
 type checkedNode struct {
-	*rig
-	servers     []*box
+	*testNode
+	servers     []*stubServer
 	agents      []*standin.Agent
-	entries     []listed
+	entries     []serverEntry
 	afterReport atomic.Bool // marks requests from now on in their IDs
 }
 
@@ -30,7 +30,7 @@
 	node := &checkedNode{}
 	const port = "9777" // each server has a host of its own, and no kernel assigns this port
 	for i := range servers {
-		server := newBox(t, served)
+		server := newStubServer(t, respondOK)
 		host, _, err := net.SplitHostPort(server.ln.Addr().String())
 		must(t, err)
 		agent, err := standin.StartAgent(net.JoinHostPort(host, port))
@@ -38,7 +38,7 @@
 		t.Cleanup(agent.Stop)
 		node.servers, node.agents, node.entries = append(node.servers, server), append(node.agents, agent), append(node.entries, server.entry(fmt.Sprint("s-", i)))
 	}
-	node.rig = newRig(t, newRegistry(t), settingsJSON, under(t, fmt.Sprintf(
+	node.testNode = newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, fmt.Sprintf(
 		"health:\n  checks: {interval: 100ms, timeout: 20s, calm: 1, per_server: 100, rate: 1000, rise: 1, agent: {port: %s}%s}\n", port, settings)), node.entries...)
 	return node
 }
@@ -47,7 +47,7 @@
 func (w *checkedNode) waitForHealth(t *testing.T, i int, what string, ok func(h ServerHealth) bool) ServerHealth {
 	t.Helper()
 	var h ServerHealth
-	wait(t, what, func() bool {
+	waitFor(t, what, func() bool {
 		c, err := w.healthOf(fmt.Sprint("s-", i))
 		if err != nil {
 			return false
@@ -74,7 +74,7 @@
 					if w.afterReport.Load() {
 						id = "after-" + id
 					}
-					client.ask(view(id))
+					client.roundTrip(view(id))
 				}
 			}
 		})
@@ -99,12 +99,12 @@
 		t.Helper()
 		for i := range node.servers {
 			node.servers[i].mu.Lock()
-			node.servers[i].got = nil
+			node.servers[i].received = nil
 			node.servers[i].mu.Unlock()
 		}
 		for range times {
 			asked++
-			if resp, _ := client.ask(view(fmt.Sprint("r", asked))); resp.StatusCode != 200 {
+			if resp, _ := client.roundTrip(view(fmt.Sprint("r", asked))); resp.StatusCode != 200 {
 				t.Fatalf("%d", resp.StatusCode)
 			}
 		}
@@ -113,19 +113,19 @@
 		}
 		return
 	}
-	node.agents[0].Says("down #disk\n")
+	node.agents[0].Reply("down #disk\n")
 	if h := node.waitForHealth(t, 0, "a server that is down", outOfService); h.Drain || !strings.Contains(h.Why, "disk") {
 		t.Errorf("%+v", h)
 	}
 	if used := ask(40); used[0] > 0 {
 		t.Errorf("used: %v", used)
 	}
-	node.agents[1].Says("drain\n")
+	node.agents[1].Reply("drain\n")
 	node.waitForHealth(t, 1, "a server that drains", func(h ServerHealth) bool { return h.Out && h.Drain })
 	if used := ask(40); used[0]+used[1] > 0 {
 		t.Errorf("used: %v", used)
 	}
-	node.agents[0].Says("up 50% purple\n")
+	node.agents[0].Reply("up 50% purple\n")
 	node.waitForHealth(t, 0, "a weight", func(h ServerHealth) bool { return h.Weight == 0.5 })
 	// Operators: a disabled server is out of service whatever its agent reports, and enabling it does not undo the
 	// agent's report.
@@ -138,7 +138,7 @@
 	if used := ask(40); used[1]+used[3] > 0 {
 		t.Errorf("used: %v", used)
 	}
-	node.agents[1].Says("ready up\n")
+	node.agents[1].Reply("ready up\n")
 	must(t, node.Enable(t.Context(), "s-3"))
 	node.waitForHealth(t, 1, "the server back in service", healthy)
 	node.waitForHealth(t, 3, "the enabled server back in service", healthy)
@@ -146,9 +146,9 @@
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
 		must(t, node.Disable(t.Context(), id))
 	}
-	wait(t, "a request at the server that came back", func() bool {
+	waitFor(t, "a request at the server that came back", func() bool {
 		asked++
-		resp, _ := client.ask(view(fmt.Sprint("r", asked)))
+		resp, _ := client.roundTrip(view(fmt.Sprint("r", asked)))
 		return resp.StatusCode == 200
 	})
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
@@ -156,33 +156,33 @@
 	}
 	// A server that is out of service is started again, and another is removed from the list and returns: nothing is
 	// known of either.
-	node.agents[0].Says("down\n")
+	node.agents[0].Reply("down\n")
 	node.waitForHealth(t, 0, "down again", outOfService)
-	node.agents[0].Says("")
-	started := append([]listed(nil), node.entries...)
+	node.agents[0].Reply("")
+	started := append([]serverEntry(nil), node.entries...)
 	started[0].StartedMS = time.Now().UnixMilli()
-	node.lists(2, started...)
+	node.publishList(2, started...)
 	node.waitForHealth(t, 0, "a new start", healthy)
-	node.agents[1].Says("drain\n")
+	node.agents[1].Reply("drain\n")
 	node.waitForHealth(t, 1, "a drain", outOfService)
-	node.agents[1].Says("")
-	node.lists(3, append(append([]listed(nil), started[0]), started[2:]...)...)
+	node.agents[1].Reply("")
+	node.publishList(3, append(append([]serverEntry(nil), started[0]), started[2:]...)...)
 	if _, err := node.healthOf("s-1"); err == nil {
 		t.Error("a server that is not listed is checked")
 	}
-	node.lists(4, started...)
+	node.publishList(4, started...)
 	node.waitForHealth(t, 1, "a server that came back", healthy)
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
 		must(t, node.Disable(t.Context(), id))
 	}
-	wait(t, "a request at the server that returned", func() bool {
+	waitFor(t, "a request at the server that returned", func() bool {
 		asked++
-		resp, _ := client.ask(view(fmt.Sprint("r", asked)))
+		resp, _ := client.roundTrip(view(fmt.Sprint("r", asked)))
 		return resp.StatusCode == 200
 	})
 	// More than half the fleet is reported unhealthy: the reports are suspected, and take no server out of service.
 	for i := range node.agents {
-		node.agents[i].Says("maint\n")
+		node.agents[i].Reply("maint\n")
 	}
 	for i := range node.agents {
 		node.waitForHealth(t, i, "suspicion", func(h ServerHealth) bool { return h.ByHand == (i != 1) && strings.Contains(h.Why, "suspected") })
@@ -206,13 +206,13 @@
 	for i := range 3 {
 		node := newCheckedNode(t, 3, "")
 		stopLoad := node.startLoad(t, 4)
-		wait(t, "load", func() bool { return len(node.servers[i].requests()) > 20 })
-		asked := node.agents[i].Asked()
-		node.agents[i].Says("drain\n")
-		wait(t, "a check of the agent", func() bool { return node.agents[i].Asked() > asked })
+		waitFor(t, "load", func() bool { return len(node.servers[i].requests()) > 20 })
+		asked := node.agents[i].QueryCount()
+		node.agents[i].Reply("drain\n")
+		waitFor(t, "a check of the agent", func() bool { return node.agents[i].QueryCount() > asked })
 		node.waitForHealth(t, i, "a drain", func(h ServerHealth) bool { return h.Out && h.Drain })
 		node.afterReport.Store(true)
-		wait(t, "requests after the report", func() bool { return node.requestsAfterReport((i+1)%3)+node.requestsAfterReport((i+2)%3) > 100 })
+		waitFor(t, "requests after the report", func() bool { return node.requestsAfterReport((i+1)%3)+node.requestsAfterReport((i+2)%3) > 100 })
 		stopLoad()
 		if n := node.requestsAfterReport(i); n > 0 {
 			t.Errorf("%d requests were sent to the server after the report", n)
@@ -226,19 +226,19 @@
 	t.Parallel()
 	var status atomic.Int64
 	status.Store(200)
-	var servers []*box
-	var list []listed
+	var servers []*stubServer
+	var list []serverEntry
 	for i := range 3 {
-		server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+		server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 			if i == 0 && r.URL.Path == "/health" {
-				return reply(c, int(status.Load()), "", "so it is")
+				return writeResponse(c, int(status.Load()), "", "so it is")
 			}
-			return served(c, r, nth)
+			return respondOK(c, r, nth)
 		})
 		servers, list = append(servers, server), append(list, server.entry(fmt.Sprint("s-", i)))
 	}
 	node := &checkedNode{entries: list}
-	node.rig = newRig(t, newRegistry(t), settingsJSON, under(t,
+	node.testNode = newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t,
 		"health: {checks: {interval: 100ms, timeout: 20s, calm: 1, per_server: 100, rate: 1000, fall: 2, http: {path: /health, status: 200-299}}}\n"), list...)
 	status.Store(500)
 	if h := node.waitForHealth(t, 0, "a server whose checks fail", outOfService); h.Drain || !strings.Contains(h.Why, "status 500") {
@@ -252,7 +252,7 @@
 		must(t, node.Disable(t.Context(), id))
 	}
 	stopLoad := node.startLoad(t, 1)
-	wait(t, "requests", func() bool { return len(servers[0].requests()) > 50 })
+	waitFor(t, "requests", func() bool { return len(servers[0].requests()) > 50 })
 	status.Store(500)
 	h := node.waitForHealth(t, 0, "a contradiction", func(h ServerHealth) bool { return h.Against != "" })
 	if h.Out || h.Weight != 0.5 || !strings.Contains(h.Against, "it answers real requests") {
@@ -262,7 +262,7 @@
 	if c, err := node.healthOf(""); err != nil || c.Probes == 0 || len(c.Servers) != 3 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	for _, p := range node.pages() {
+	for _, p := range node.managementPages() {
 		if p.Path == "health" {
 			var text strings.Builder
 			must(t, p.Write(&text, map[string][]string{"server": {"s-0"}}))
@@ -276,23 +276,23 @@
 // What the health responder reports of this node follows its drain.
 func TestHealthResponderFollowsDrain(t *testing.T) {
 	t.Parallel()
-	addr := free(t)
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, "services: [{name: placement}]\nhealth: {answer: {agent: "+addr+"}}\n"), newBox(t, served).entry("s-0"))
-	responder, err := node.answers(t.Context())
+	addr := freeAddr(t)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, "services: [{name: placement}]\nhealth: {answer: {agent: "+addr+"}}\n"), newStubServer(t, respondOK).entry("s-0"))
+	responder, err := node.startHealthResponder(t.Context())
 	must(t, err)
 	defer responder.Close()
 	agentReport := func() string {
 		c, err := net.Dial("tcp", addr)
 		must(t, err)
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		text := make([]byte, 100)
 		n, err := c.Read(text)
 		must(t, err)
 		return string(text[:n])
 	}
 	got := agentReport()
-	wait(t, "another report than that the node hangs", func() bool { // as it seems where this machine had no time for it for a second
+	waitFor(t, "another report than that the node hangs", func() bool { // as it seems where this machine had no time for it for a second
 		if strings.HasPrefix(got, "down #the node does not answer") {
 			got = agentReport()
 			return false
@@ -303,13 +303,13 @@
 		t.Errorf("%q", got)
 	}
 	must(t, node.Drain(t.Context()))
-	wait(t, "a drain", func() bool { return agentReport() == "up drain 0%\n" })
+	waitFor(t, "a drain", func() bool { return agentReport() == "up drain 0%\n" })
 	must(t, node.Resume(t.Context()))
-	wait(t, "the end of the drain", func() bool { return agentReport() == "up ready 100%\n" })
+	waitFor(t, "the end of the drain", func() bool { return agentReport() == "up ready 100%\n" })
 	must(t, node.Disable(t.Context(), "s-0"))
-	node.lists(2)
-	wait(t, "the report without a server", func() bool { return strings.HasPrefix(agentReport(), "down #no web server") })
-	if responder, err := newRig(t, newRegistry(t), settingsJSON, nil).answers(t.Context()); responder != nil || err != nil {
+	node.publishList(2)
+	waitFor(t, "the report without a server", func() bool { return strings.HasPrefix(agentReport(), "down #no web server") })
+	if responder, err := newTestNode(t, newStubDiscovery(t), settingsJSON, nil).startHealthResponder(t.Context()); responder != nil || err != nil {
 		t.Error("a node without a file opens listeners")
 	}
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -32,10 +32,10 @@
 }
 
 // closingConnections reports whether clients are to close their connections.
-func (l *lifecycle) sendsAway() bool { return l.now() != serving }
+func (l *lifecycle) closingConnections() bool { return l.current() != serving }
 
 // current returns the phase.
-func (l *lifecycle) now() phase {
+func (l *lifecycle) current() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
@@ -97,7 +97,7 @@
 // responseDeadline returns by when, on the core's clock, a request that arrives now must have its final response; 0
 // means that only its own deadline applies.
 func (n *node) responseDeadline() time.Duration {
-	timeout, bound := n.life.finalResponseTimeout(n.set.Load().longest())
+	timeout, bound := n.lifecycle.finalResponseTimeout(n.settings.Load().maxDeadline())
 	if !bound {
 		return 0
 	}
@@ -109,17 +109,17 @@
 // Drain sends the clients away. Accepted requests are answered.
 func (n *node) Drain(ctx context.Context) error {
 	n.drain()
-	n.saved()
-	return n.pair.tell(ctx, nil, upgrade.Order{Call: upgrade.Drain})
+	n.persistNow()
+	return n.handover.forwardOrder(ctx, nil, upgrade.Order{Call: upgrade.Drain})
 }
 
 func (n *node) drain() {
-	if n.life.enter(drained) {
+	if n.lifecycle.enter(drained) {
 		n.log.Info("drained by an operator: clients are sent away")
 		n.opaque.Drain(nil)
 		// The front notices after a while; until then clients use the connections that they have.
 		time.AfterFunc(acceptGrace, func() {
-			if n.life.sendsAway() {
+			if n.lifecycle.closingConnections() {
 				n.clients.CloseIdle()
 			}
 		})
@@ -128,16 +128,16 @@
 
 // Resume ends a drain.
 func (n *node) Resume(ctx context.Context) error {
-	if n.life.now() == leaving && !n.pair.yielding() {
+	if n.lifecycle.current() == leaving && !n.handover.yielding() {
 		return errLeaving
 	}
 	n.resume()
-	n.saved()
-	return n.pair.tell(ctx, nil, upgrade.Order{Call: upgrade.Resume})
+	n.persistNow()
+	return n.handover.forwardOrder(ctx, nil, upgrade.Order{Call: upgrade.Resume})
 }
 
 func (n *node) resume() {
-	if n.life.enter(serving) {
+	if n.lifecycle.enter(serving) {
 		n.log.Info("resumed by an operator")
 	}
 }
@@ -148,7 +148,7 @@
 func (n *node) Ready() error {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.now() == leaving || !n.pair.accepting.Load() {
+	if !n.anyReady || n.lifecycle.current() == leaving || !n.handover.accepting.Load() {
 		return errNotReady
 	}
 	return nil
@@ -158,7 +158,7 @@
 func (n *node) readinessStatus() int {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.ready || n.life.sendsAway() && !n.pair.yielding() { // a successor is ready on behalf of both
+	if !n.anyReady || n.lifecycle.closingConnections() && !n.handover.yielding() { // a successor is ready on behalf of both
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -11,7 +11,7 @@
 // sharedListener is the clients' listener. It can be closed and opened again while its socket stays open: while it is
 // closed, connections wait in the kernel's queue, or go to another process that listens on the same socket. It starts
 // closed. The handoverController opens it; mu guards its fields.
-type door struct {
+type sharedListener struct {
 	net.Listener
 	mu      sync.Mutex
 	open    bool
@@ -20,12 +20,12 @@
 }
 
 // newSharedListener returns a closed listener on a socket.
-func newSharedListener(ln net.Listener) *door {
-	return &door{Listener: ln, changed: make(chan struct{})}
+func newSharedListener(ln net.Listener) *sharedListener {
+	return &sharedListener{Listener: ln, changed: make(chan struct{})}
 }
 
 // setOpen opens or closes it. An Accept that is running when it is closed may still return a connection.
-func (l *door) setOpen(open bool) {
+func (l *sharedListener) setOpen(open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open == open {
@@ -44,7 +44,7 @@
 }
 
 // Accept waits until the listener is open and a connection has arrived.
-func (l *door) Accept() (net.Conn, error) {
+func (l *sharedListener) Accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
 		open, closed, changed := l.open, l.closed, l.changed
@@ -65,7 +65,7 @@
 }
 
 // Close closes the socket as well; Accept then returns net.ErrClosed.
-func (l *door) Close() error {
+func (l *sharedListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -14,12 +14,12 @@
 )
 
 // errStoppedEarly is returned where a node is stopped before it has a configuration.
-var errEnded = errors.New("stopped before the first configuration arrived")
+var errStoppedEarly = errors.New("stopped before the first configuration arrived")
 
 // awaitConfiguration waits for the first configuration from control, with the management listener open; cfg then
 // follows control until the endpoint is closed. Without control it does nothing and returns no endpoint. An error may
 // be errStoppedEarly.
-func configured(ctx context.Context, cfg *Config, reload <-chan Change, log *slog.Logger) (*managementEndpoint, error) {
+func awaitConfiguration(ctx context.Context, cfg *Config, reload <-chan Change, log *slog.Logger) (*managementEndpoint, error) {
 	if cfg.Product == nil || cfg.Product.Control == nil {
 		return nil, nil
 	}
@@ -41,9 +41,9 @@
 	if err := endpoint.follower.await(ctx, cfg, reload); err != nil {
 		log.Info("stopping before the first configuration arrived", "reason", endpoint.follower.missingConfiguration())
 		endpoint.close()
-		return nil, errEnded
+		return nil, errStoppedEarly
 	}
-	cfg.followed = endpoint.follower
+	cfg.follower = endpoint.follower
 	debug.FreeOSMemory() // memory of the response and its checks
 	return endpoint, nil
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -13,16 +13,16 @@
 const evidenceInterval = time.Second
 
 // joinMembers opens the sockets for communication with other instances; without members in the file it does nothing.
-func (n *node) join(ctx context.Context) error {
+func (n *node) joinMembers(ctx context.Context) error {
 	product := n.cfg.Product
 	if product == nil || product.Members == nil {
 		return nil
 	}
-	settings, ring, err := product.Members.Ready()
+	settings, ring, err := product.Members.Load()
 	if err != nil {
 		return err
 	}
-	n.edge, err = member.Listen(ctx, member.Options{Name: product.Members.Name, Addr: product.Members.Listen, Seeds: product.Members.Seeds, Set: settings, Keys: ring, Log: n.log})
+	n.memberTransport, err = member.Listen(ctx, member.Options{Name: product.Members.Name, Addr: product.Members.Listen, Seeds: product.Members.Seeds, Settings: settings, Keys: ring, Log: n.log})
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 // shareEvidence shares with other instances how real requests fare at web servers: evidence, never a verdict. Nothing
 // is shared of a server that no instance sees fail. A server that others see fail is probed sooner, and gets less
 // traffic until it answers here.
-func (c *checker) shareEvidence() {
+func (c *healthChecker) shareEvidence() {
 	n := c.node
 	fade := math.Exp(-evidenceInterval.Seconds() / 10)
 	for ctx := n.core.Context(); ctx.Err() == nil; sleep(ctx, evidenceInterval) {
@@ -52,17 +52,17 @@
 		}
 		c.mu.Unlock()
 		var failing []string // servers that fail for most of the instances that observed them
-		n.edge.Do(func(now time.Duration, self *member.Member) {
+		n.memberTransport.Do(func(now time.Duration, self *member.Member) {
 			doubted := map[string]bool{}
-			for _, id := range self.Doubted(now) {
+			for _, id := range self.DoubtedServers(now) {
 				doubted[id] = true
-				if doubt, _ := self.Doubt(now, id); doubt >= 0.5 {
+				if doubt, _ := self.FailureEstimate(now, id); doubt >= 0.5 {
 					failing = append(failing, id)
 				}
 			}
 			for id, seen := range observations {
 				if seen.failedShare > 0.1 || doubted[id] {
-					self.Witness(now, id, seen.failedShare, seen.requests)
+					self.ReportServer(now, id, seen.failedShare, seen.requests)
 				}
 			}
 		})
@@ -74,12 +74,12 @@
 			if !known {
 				continue
 			}
-			c.tracker.Others(now, number)
+			c.tracker.RecordPeerFailure(now, number)
 			for _, protocol := range c.protocols {
-				protocol.schedule.Sooner(now, number)
+				protocol.schedule.ProbeNow(now, number)
 				protocol.wakeUp()
 			}
-			if _, verdictChanged := c.tracker.Weigh(now, number); verdictChanged {
+			if _, verdictChanged := c.tracker.Evaluate(now, number); verdictChanged {
 				changed = append(changed, number)
 			}
 		}
@@ -91,18 +91,18 @@
 }
 
 // memberKeyring returns the keys in a file that was read again, or nil where no instances communicate.
-func (n *node) memberKeyring(cfg Config) (*member.Ring, error) {
-	if n.edge == nil || cfg.Product == nil || cfg.Product.Members == nil {
+func (n *node) memberKeyring(cfg Config) (*member.Keyring, error) {
+	if n.memberTransport == nil || cfg.Product == nil || cfg.Product.Members == nil {
 		return nil, nil
 	}
-	_, ring, err := cfg.Product.Members.Ready()
+	_, ring, err := cfg.Product.Members.Load()
 	return ring, err
 }
 
 // updateKeyring puts other keys in force. The core's lock is not held.
-func (n *node) updateKeyring(ring *member.Ring) {
+func (n *node) updateKeyring(ring *member.Keyring) {
 	if ring != nil {
-		n.edge.Do(func(now time.Duration, m *member.Member) { m.Rekey(now, ring) })
+		n.memberTransport.Do(func(now time.Duration, m *member.Member) { m.SetKeys(now, ring) })
 	}
 }
 
@@ -129,9 +129,9 @@
 
 // members returns the instances that this one knows.
 func (n *node) members() (out Members) {
-	out.Refused, out.Members, out.Sent = map[string]int{}, []Member{}, n.edge.Sent()
-	n.edge.Do(func(now time.Duration, m *member.Member) {
-		out.Name, out.Alive, out.Conflict, out.Slowness = n.cfg.Product.Members.Name, m.Alive(), m.Conflict, m.Slowness()
+	out.Refused, out.Members, out.Sent = map[string]int{}, []Member{}, n.memberTransport.BytesSent()
+	n.memberTransport.Do(func(now time.Duration, m *member.Member) {
+		out.Name, out.Alive, out.Conflict, out.Slowness = n.cfg.Product.Members.Name, m.AliveCount(), m.Conflict, m.Slowness()
 		for why, times := range m.Refused {
 			out.Refused[why.Error()] = times
 		}
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -19,7 +19,7 @@
 }
 
 // newTestMembers makes the keys and selects the addresses of n instances.
-func newFellows(t testing.TB, n int) *testMembers {
+func newTestMembers(t testing.TB, n int) *testMembers {
 	t.Helper()
 	members := &testMembers{dir: t.TempDir()}
 	for i := range n {
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		members.addrs, members.publicKeys = append(members.addrs, free(t)), append(members.publicKeys, public)
+		members.addrs, members.publicKeys = append(members.addrs, freeAddr(t)), append(members.publicKeys, public)
 	}
 	return members
 }
@@ -36,7 +36,7 @@
 func (m *testMembers) keyPath(i int) string { return filepath.Join(m.dir, fmt.Sprint("k", i)) }
 
 // productFile returns an instance's file with the first instances as members; the second one may have further keys.
-func (m *testMembers) file(i, of int, also ...string) string {
+func (m *testMembers) productFile(i, of int, also ...string) string {
 	text := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key: %s\n  seeds: [%q]\n  of:\n", i, m.addrs[i], m.keyPath(i), m.addrs[0])
 	for k, p := range m.publicKeys[:of] {
 		keys := []string{p}
@@ -54,24 +54,24 @@
 func TestMembersShareEvidence(t *testing.T) {
 	t.Parallel()
 	const count = 4
-	instances := newFellows(t, count)
+	instances := newTestMembers(t, count)
 	file := func(i int, also ...string) func(*Config) {
-		return under(t, "health: {checks: {interval: 1h, tcp: {}}}\n"+instances.file(i, count, also...))
+		return withProductFile(t, "health: {checks: {interval: 1h, tcp: {}}}\n"+instances.productFile(i, count, also...))
 	}
-	failing := newBox(t, served)
-	list := []listed{failing.entry("s-0"), newBox(t, served).entry("s-1")}
-	var nodes []*rig
+	failing := newStubServer(t, respondOK)
+	list := []serverEntry{failing.entry("s-0"), newStubServer(t, respondOK).entry("s-1")}
+	var nodes []*testNode
 	for i := range count {
-		node := newRig(t, newRegistry(t), settingsJSON, file(i), list...)
-		must(t, node.join(t.Context()))
-		t.Cleanup(node.edge.Close)
+		node := newTestNode(t, newStubDiscovery(t), settingsJSON, file(i), list...)
+		must(t, node.joinMembers(t.Context()))
+		t.Cleanup(node.memberTransport.Close)
 		nodes = append(nodes, node)
 	}
-	allAlive := func(node *rig) bool {
+	allAlive := func(node *testNode) bool {
 		all := node.members()
 		return all.Alive == count && !slices.ContainsFunc(all.Members, func(m Member) bool { return m.State != "alive" })
 	}
-	wait(t, "joining", func() bool {
+	waitFor(t, "joining", func() bool {
 		return allAlive(nodes[0]) && allAlive(nodes[1]) && allAlive(nodes[2]) && allAlive(nodes[3])
 	})
 	// Two instances see the server fail; the failures are recorded as those of attempts would be.
@@ -93,7 +93,7 @@
 			}
 		}
 	}()
-	checked := &checkedNode{rig: nodes[0]}
+	checked := &checkedNode{testNode: nodes[0]}
 	h := checked.waitForHealth(t, 0, "others' evidence", func(h ServerHealth) bool { return h.Weight == 0.5 })
 	if h.Out || h.Why != "other instances see it fail" {
 		t.Errorf("%+v", h)
@@ -101,7 +101,7 @@
 	if h := func() ServerHealth { c, _ := nodes[0].healthOf("s-1"); return c.Servers[0] }(); h.Weight != 1 {
 		t.Errorf("the other server: %+v", h)
 	}
-	wait(t, "a probe of its own", func() bool { c, _ := nodes[0].healthOf(""); return c.Probes > 0 })
+	waitFor(t, "a probe of its own", func() bool { c, _ := nodes[0].healthOf(""); return c.Probes > 0 })
 	close(stop)
 	receive(t, "the end of the failures", done)
 	// n1 replaces its key: the next key is distributed, then it is used, then the old one is removed.
@@ -119,12 +119,12 @@
 		}
 	}
 	reload(next)
-	_, err = member.UseNext(path)
+	_, err = member.ActivateNextKey(path)
 	must(t, err)
 	reload(next)
 	instances.publicKeys[1] = next
 	reload()
-	wait(t, "all instances with the new key", func() bool { return allAlive(nodes[0]) && allAlive(nodes[1]) && allAlive(nodes[3]) })
+	waitFor(t, "all instances with the new key", func() bool { return allAlive(nodes[0]) && allAlive(nodes[1]) && allAlive(nodes[3]) })
 	cfg := nodes[1].cfg
 	instances.publicKeys[1] = instances.publicKeys[2] // an invalid file changes nothing
 	if f, err := config.Parse("p.yaml", []byte("members: {name: n1, listen: 127.0.0.1:0, key: nowhere, of: [{name: n1, keys: ["+next+"]}]}")); err != nil {
@@ -132,7 +132,7 @@
 	} else if cfg.Product = f; nodes[1].reload(cfg) == nil {
 		t.Error("a missing key file is accepted")
 	}
-	for _, p := range nodes[0].pages() {
+	for _, p := range nodes[0].managementPages() {
 		if p.Path == "members" {
 			var text strings.Builder
 			must(t, p.Write(&text, nil))
@@ -141,8 +141,8 @@
 			}
 		}
 	}
-	bare := newRig(t, newRegistry(t), settingsJSON, nil, list...)
-	if must(t, bare.join(t.Context())); bare.edge != nil {
+	bare := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, list...)
+	if must(t, bare.joinMembers(t.Context())); bare.memberTransport != nil {
 		t.Error("a node without members in its file communicates")
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -31,7 +31,7 @@
 
 // managementPages returns the pages that operators can read beyond the platform's calls, for a node with the product's
 // own file.
-func (n *node) pages() []mgmt.Page {
+func (n *node) managementPages() []mgmt.Page {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{node: n})
 	pages := []mgmt.Page{
@@ -48,7 +48,7 @@
 		}},
 		{Path: "contracts", Type: "application/json", Write: func(w io.Writer, _ url.Values) error {
 			stats := n.core.Stats(maxLevels)
-			if !stats.Contracts {
+			if !stats.HasContracts {
 				return core.ErrNoContracts
 			}
 			return writeJSON(w, stats.Levels, nil)
@@ -66,7 +66,7 @@
 			return nil
 		}},
 	}
-	if n.edge != nil {
+	if n.memberTransport != nil {
 		pages = append(pages, mgmt.Page{Path: "members", Type: "application/json", Write: func(w io.Writer, _ url.Values) error {
 			return writeJSON(w, n.members(), nil)
 		}})
@@ -77,8 +77,8 @@
 			return writeJSON(w, v, err)
 		}})
 	}
-	if n.cfg.followed != nil {
-		pages = append(pages, n.cfg.followed.page())
+	if n.cfg.follower != nil {
+		pages = append(pages, n.cfg.follower.page())
 	}
 	return pages
 }
@@ -107,9 +107,9 @@
 
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	stats := c.node.core.Stats(maxLevels)
-	gauges := map[*prometheus.Desc]float64{pressureDesc: stats.Pressure, openRequestsDesc: float64(stats.Open)}
-	if stats.Contracts {
-		gauges[allowedDesc], gauges[inUseDesc], gauges[shareDesc] = stats.Allowed, stats.InUse, stats.Part
+	gauges := map[*prometheus.Desc]float64{pressureDesc: stats.Pressure, openRequestsDesc: float64(stats.OpenRequests)}
+	if stats.HasContracts {
+		gauges[allowedDesc], gauges[inUseDesc], gauges[shareDesc] = stats.AllowedWork, stats.WorkInUse, stats.ContractShare
 	}
 	tunnels := c.node.opaque.Stats()
 	gauges[tunnelsOpenDesc] = float64(tunnels.Open)
@@ -117,7 +117,7 @@
 	for cause, n := range tunnels.Ended {
 		ch <- prometheus.MustNewConstMetric(tunnelsEndedDesc, prometheus.CounterValue, float64(n), string(cause))
 	}
-	if follower := c.node.cfg.followed; follower != nil {
+	if follower := c.node.cfg.follower; follower != nil {
 		follower.collect(ch)
 	}
 	for desc, value := range gauges {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	minSockets = 64 // minimum file descriptors; with fewer a node cannot serve
-	ownSockets = 24 // file descriptors for everything but clients and web servers, listed in descriptors_test.go
+	minSockets      = 64 // minimum file descriptors; with fewer a node cannot serve
+	reservedSockets = 24 // file descriptors for everything but clients and web servers, listed in descriptors_test.go
 	// transitAllowance is the time of the way to a client and back, which is taken off each request's time.
 	transitAllowance = 10 * time.Millisecond
 	// acceptGrace is how long connections are still accepted after SIGTERM, and how long idle ones stay open in a
@@ -55,54 +55,54 @@
 // node holds the listed web servers and everything around the core. Fields that the core's lock guards change in order
 // with the core's own events, which are handled under the same lock.
 type node struct {
-	cfg     Config
-	log     *slog.Logger
-	core    *core.Core
-	pool    *back.Pool
-	http    backhttp.Back
-	opaque  *backtunnel.Back
-	set     atomic.Pointer[settings]
-	life    lifecycle
-	hand    hand
-	pair    pair
-	clients *fronthttp.Front
-	budget  *flow.Budget
+	cfg       Config
+	log       *slog.Logger
+	core      *core.Core
+	pool      *back.Pool
+	http      backhttp.Sender
+	opaque    *backtunnel.Sender
+	settings  atomic.Pointer[settings]
+	lifecycle lifecycle
+	overrides operatorOverrides
+	handover  handoverController
+	clients   *fronthttp.Front
+	budget    *flow.Budget
 
 	// Guarded by the core's lock.
-	disc     *discovery
-	names    map[string]*backend   // listed web servers by discovery's id
-	addrs    map[string][]*backend // listed web servers by address; several ids may share one
-	backends map[uint32]*backend   // web servers by the policy's number, including removed ones until their drain grace is over
+	discovery       *discoveryClient
+	serversByID     map[string]*webServer   // listed web servers by discovery's id
+	serversByAddr   map[string][]*webServer // listed web servers by address; several ids may share one
+	serversByNumber map[uint32]*webServer   // web servers by the policy's number, including removed ones until their drain grace is over
 	// The number that was given out last.
-	nextNum uint32
-	version int64 // version of the latest server list
+	lastNumber  uint32
+	listVersion int64 // version of the latest server list
 	// Processes that were listed as gone, so that an older list does not bring them back.
-	past        map[string]past
-	cells       *cells       // nil: cells are not configured
-	checker     *checker     // nil: no health checks; it has its own lock
-	edge        *member.Edge // nil: no cluster membership
-	proxyRoutes []config.Way // routes to web servers behind proxies; unchanged after the start
+	removedServers  map[string]removedServer
+	cells           *cells             // nil: cells are not configured
+	checker         *healthChecker     // nil: no health checks; it has its own lock
+	memberTransport *member.Transport  // nil: no cluster membership
+	proxyRoutes     []config.ProxyRule // routes to web servers behind proxies; unchanged after the start
 	// Routes of tunnels where control supplies them, else nil. Changed in place under the lock, read without it as
 	// well.
-	routes *tunnel.Table
-	ready  bool // some listed web server is ready
+	tunnelRoutes *tunnel.Table
+	anyReady     bool // some listed web server is ready
 }
 
 // webServer is one process of a web server as the node knows it. The core's lock guards all but the embedded Server.
-type backend struct {
+type webServer struct {
 	*back.Server
 	number uint32 // the policy's number for it
 	// When the process started as discovery says, in Unix milliseconds.
-	started int64
-	entry   *listed // its latest entry in the server list; replaced, never changed
-	left    bool    // it is no longer listed
+	startedMS int64
+	listEntry *serverEntry // its latest entry in the server list; replaced, never changed
+	removed   bool         // it is no longer listed
 }
 
 // Change is a configuration that was read again.
 type Change struct {
 	Config
 	// Applied receives nil, or the reason why nothing has changed. A send to it never blocks.
-	Taken chan<- error
+	Applied chan<- error
 }
 
 // Run serves until ctx ends, finishes the requests that it has accepted and returns. While it serves, a configuration
@@ -111,10 +111,10 @@
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	}
-	cfg.process = true
+	cfg.ownsProcess = true
 	debug.SetGCPercent(400) // the live heap is small; frequent collections would show up as latency
-	early, err := configured(ctx, &cfg, reload, log)
-	if errors.Is(err, errEnded) {
+	early, err := awaitConfiguration(ctx, &cfg, reload, log)
+	if errors.Is(err, errStoppedEarly) {
 		return nil
 	} else if err != nil {
 		return err
@@ -130,12 +130,12 @@
 		return errors.Join(err, ln.Close())
 	}
 	defer stop()
-	cfg.followed.settle()
-	if err := n.join(ctx); err != nil {
+	cfg.follower.freeStartupMemory()
+	if err := n.joinMembers(ctx); err != nil {
 		return err
 	}
-	if n.edge != nil {
-		defer n.edge.Close()
+	if n.memberTransport != nil {
+		defer n.memberTransport.Close()
 	}
 	if cfg.Mgmt != "" {
 		ln, err := early.listen(ctx, cfg.Mgmt)
@@ -144,16 +144,16 @@
 		}
 		var more []mgmt.Page
 		if cfg.Product != nil {
-			more = n.pages()
+			more = n.managementPages()
 		}
 		defer mgmt.Serve(ln, n, log, more...).Close()
 	}
 	if cfg.Product != nil && cfg.Product.Tunnels != nil {
-		if err := n.tunnels(ctx, cfg.Product.Tunnels); err != nil {
+		if err := n.openTunnelListeners(ctx, cfg.Product.Tunnels); err != nil {
 			return fmt.Errorf("tunnels: %w", err)
 		}
 	}
-	if p, err := n.answers(ctx); err != nil {
+	if p, err := n.startHealthResponder(ctx); err != nil {
 		return err
 	} else if p != nil {
 		defer p.Close()
@@ -162,7 +162,7 @@
 		for {
 			select {
 			case change := <-reload:
-				change.Taken <- n.reload(change.Config)
+				change.Applied <- n.reload(change.Config)
 			case <-n.core.Context().Done():
 				return
 			}
@@ -183,12 +183,12 @@
 
 // start sets up all of a node but its listener, with the state of a predecessor if there is one. The returned function
 // stops what was started.
-func start(cfg Config, old *estate, log *slog.Logger) (*node, func(), error) {
-	n := &node{cfg: cfg, log: log, names: map[string]*backend{}, addrs: map[string][]*backend{}, backends: map[uint32]*backend{},
-		past: map[string]past{}, hand: hand{disabled: map[string]bool{}, returned: map[string]time.Duration{}}}
-	o := core.Options{Clock: cfg.newClock(), Back: n, Roster: n, Log: log, Transit: transitAllowance}
+func start(cfg Config, old *handedState, log *slog.Logger) (*node, func(), error) {
+	n := &node{cfg: cfg, log: log, serversByID: map[string]*webServer{}, serversByAddr: map[string][]*webServer{}, serversByNumber: map[uint32]*webServer{},
+		removedServers: map[string]removedServer{}, overrides: operatorOverrides{disabled: map[string]bool{}, enabledAt: map[string]time.Duration{}}}
+	o := core.Options{Clock: cfg.newClock(), Sender: n, Discovery: n, Log: log, ClientRoundTrip: transitAllowance}
 	if cfg.Product != nil && cfg.Product.Cells != nil {
-		terms, err := cfg.Product.Cells.Terms()
+		terms, err := cfg.Product.Cells.Settings()
 		if err != nil {
 			return nil, nil, fmt.Errorf("cells: %w", err)
 		}
@@ -200,76 +200,76 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	table, err := cfg.contracts()
+	table, err := cfg.contractTable()
 	if err != nil {
 		n.core.Close()
 		return nil, nil, fmt.Errorf("contracts: %w", err)
 	}
 	if cfg.Product != nil && cfg.Product.Tunnels != nil {
-		n.proxyRoutes, err = cfg.Product.Tunnels.Ways()
-		if err == nil && cfg.followed != nil {
-			n.routes, err = cfg.Product.Tunnels.Table()
+		n.proxyRoutes, err = cfg.Product.Tunnels.ProxyRules()
+		if err == nil && cfg.follower != nil {
+			n.tunnelRoutes, err = cfg.Product.Tunnels.Table()
 		}
 		if err != nil {
 			n.core.Close()
 			return nil, nil, err
 		}
 	}
-	n.set.Store(newSettings(cfg.Settings))
-	n.pool = back.NewPool(cfg.poolLimit(), cfg.Settings.ConnectTimeout, cfg.Settings.ConnIdle)
-	n.budget = flow.NewBudget(cfg.bodyBytes())
-	n.http = backhttp.Back{Core: n.core, Pool: n.pool, Budget: n.budget, Log: log,
-		Reports: func() bool { return n.set.Load().Reports }, Slack: cfg.slack}
-	n.opaque = backtunnel.New(n.core, n.pool, n.life.sendsAway)
-	n.clients = fronthttp.New(fronthttp.Options{Core: n.core, Budget: n.budget, Limit: cfg.clientLimit(), Away: n.life.sendsAway,
-		Ready: n.readinessStatus, Until: n.responseDeadline, Fits: func(r *http.Request) error { return n.set.Load().fits(r) }, Slack: cfg.slack})
-	n.pair.initialize(n)
+	n.settings.Store(newSettings(cfg.Settings))
+	n.pool = back.NewPool(cfg.poolLimit(), cfg.Settings.ConnectTimeout, cfg.Settings.ServerIdleTimeout)
+	n.budget = flow.NewBudget(cfg.maxBodyBytes())
+	n.http = backhttp.Sender{Core: n.core, Pool: n.pool, Budget: n.budget, Log: log,
+		LoadReports: func() bool { return n.settings.Load().LoadReports }, StallSlack: cfg.slack}
+	n.opaque = backtunnel.NewSender(n.core, n.pool, n.lifecycle.closingConnections)
+	n.clients = fronthttp.New(fronthttp.Options{Core: n.core, Budget: n.budget, Limit: cfg.clientLimit(), Draining: n.lifecycle.closingConnections,
+		Ready: n.readinessStatus, Deadline: n.responseDeadline, CheckRequest: func(r *http.Request) error { return n.settings.Load().checkRequest(r) }, Slack: cfg.slack})
+	n.handover.initialize(n)
 	if cfg.Product != nil && cfg.Product.State != nil {
-		set, err := cfg.Product.State.Ready()
+		set, err := cfg.Product.State.WithDefaults()
 		if err != nil {
 			n.core.Close()
 			return nil, nil, err
 		}
-		n.pair.persister = &keeping{settings: set}
+		n.handover.persister = &persister{settings: set}
 	}
 	n.setLimits(1)
-	n.disc = newDiscovery(n, cfg.Discovery)
+	n.discovery = newDiscoveryClient(n, cfg.Discovery)
 	if cfg.Product != nil && cfg.Product.Health != nil {
-		if n.checker, err = newChecker(n, cfg.Product.Health.Checks); err != nil {
+		if n.checker, err = newHealthChecker(n, cfg.Product.Health.Checks); err != nil {
 			n.core.Close()
 			return nil, nil, err
 		}
 	}
 	// Applying the list can start a watch at once, whose response must not be applied before the list is.
-	cfg.followed.lock()
+	cfg.follower.lock()
 	n.core.Lock()
-	n.core.Bind(table)
-	cfg.followed.attach(n) // before the predecessor's contract states, which need the contracts to be there
+	n.core.SetContracts(table)
+	cfg.follower.attach(n) // before the predecessor's contract states, which need the contracts to be there
 	if old != nil {
 		n.adoptPredecessor(old)
 	} else {
 		var clients *state.Snapshot
-		if n.pair.persister != nil {
-			clients = n.loadStoredState(n.pair.persister.settings)
+		if n.handover.persister != nil {
+			clients = n.loadStoredState(n.handover.persister.settings)
 		}
-		n.takeList(&cfg.Known, policy.ListCached)
+		n.applyList(&cfg.Known, policy.ListCached)
 		if clients != nil {
 			n.ageSnapshot(clients)
 			n.adoptStoredState(clients)
 		}
 	}
 	if !cfg.Settings.Policy.MustAsk {
-		n.disc.watch() // where lists are not pushed, the policy says when to ask
+		n.discovery.watch() // where lists are not pushed, the policy says when to ask
 	}
 	if n.checker != nil {
 		n.checker.start()
 	}
 	n.core.Unlock()
-	cfg.followed.unlock()
+	cfg.follower.unlock()
 	return n, func() {
 		n.core.Close()
 		n.checker.stop()
-		n.disc.http.CloseIdleConnections()
+		n.discovery.http.CloseIdleConnections()
 		n.pool.Stop()
 	}, nil
 }
@@ -281,24 +281,24 @@
 	failed := make(chan error, 1)
 	go func() { failed <- n.clients.Accept(d) }()
 	n.acquireClients(d)
-	defer n.pair.close()
+	defer n.handover.close()
 	for {
 		select {
 		case err := <-failed:
 			return fmt.Errorf("serve: %w", errors.Join(err, d.Close()))
-		case <-n.pair.phaseChanged:
-			if n.pair.currentPhase() != handover.Relieved {
+		case <-n.handover.phaseChanged:
+			if n.handover.currentPhase() != handover.Finishing {
 				continue
 			}
-			n.life.enter(relieved)
+			n.lifecycle.enter(relieved)
 			n.opaque.Drain(nil)
 			if n.finishForSuccessor(ctx) {
 				return n.stopAccepting(d, failed)
 			}
-			n.life.endRelief()
+			n.lifecycle.endRelief()
 		case <-ctx.Done():
-			n.life.enter(leaving)
-			n.pair.handle(func(m *handover.Machine, _ handover.Env) { m.End() })
+			n.lifecycle.enter(leaving)
+			n.handover.handle(func(m *handover.Machine, _ handover.Env) { m.Stop() })
 			n.opaque.Drain(nil)
 			n.log.Info("leaving: finishing accepted requests")
 			// New connections keep arriving for a while, and clients use those that they have: each response now tells
@@ -320,13 +320,13 @@
 		defer stop()
 		for resumed.Err() == nil {
 			select {
-			case <-n.pair.phaseChanged:
-				if n.pair.currentPhase() == handover.Serves {
+			case <-n.handover.phaseChanged:
+				if n.handover.currentPhase() == handover.Active {
 					return
 				}
 			case <-ctx.Done(): // this process ends in any case
-				n.pair.handle(func(m *handover.Machine, _ handover.Env) { m.End() })
-				n.life.enter(leaving)
+				n.handover.handle(func(m *handover.Machine, _ handover.Env) { m.Stop() })
+				n.lifecycle.enter(leaving)
 				<-resumed.Done()
 			case <-resumed.Done():
 			}
@@ -334,7 +334,7 @@
 	}()
 	sleep(resumed, acceptGrace) // clients use the connections that they have until the front has noticed
 	for n.waitForClients(resumed) {
-		if n.pair.tryEnd() {
+		if n.handover.tryEnd() {
 			return true
 		}
 		sleep(resumed, retryInterval)
@@ -351,11 +351,11 @@
 		return false
 	}
 	clients.CloseIdle() // clients that have sent no request turn to other nodes
-	if clients.Wait(ctx, n.set.Load().longest()+transitAllowance) {
+	if clients.Wait(ctx, n.settings.Load().maxDeadline()+transitAllowance) {
 		return true
 	}
 	if ctx.Err() == nil {
-		clients.Cut(false) // the last deadline has passed
+		clients.Abort(false) // the last deadline has passed
 	}
 	if clients.Wait(ctx, bodyDrainTimeout) {
 		return true
@@ -363,13 +363,13 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	clients.Cut(true)
+	clients.Abort(true)
 	return clients.Wait(ctx, bodyDrainTimeout)
 }
 
 // stopAccepting closes the listener and waits until Accept has returned: every connection that it accepted by then is
 // served.
-func (n *node) stopAccepting(d *door, failed <-chan error) error {
+func (n *node) stopAccepting(d *sharedListener, failed <-chan error) error {
 	err := d.Close()
 	if e := <-failed; !errors.Is(e, net.ErrClosed) {
 		err = errors.Join(err, e)
@@ -380,7 +380,7 @@
 // Server returns the web server with the given number. Server, Watch and Fetch make node a core.Discovery; the core's
 // lock is held.
 func (n *node) Server(number uint32) (any, bool) {
-	b := n.backends[number]
+	b := n.serversByNumber[number]
 	if b == nil {
 		return nil, false
 	}
@@ -388,10 +388,10 @@
 }
 
 // Watch starts watching discovery unless a watch is running.
-func (n *node) Watch() { n.disc.watch() }
+func (n *node) Watch() { n.discovery.watch() }
 
 // Fetch asks discovery for the full list once.
-func (n *node) Fetch() { n.disc.fetch() }
+func (n *node) Fetch() { n.discovery.fetch() }
 
 // Attempt makes node a core.Back: it sends a request over the protocol that it arrived by.
 func (n *node) Attempt(ctx context.Context, a *core.Attempt) core.Result {
@@ -401,6 +401,6 @@
 	} else {
 		res = n.http.Attempt(ctx, a)
 	}
-	n.checker.real(a.Server.(*back.Server), res.Outcome)
+	n.checker.recordOutcome(a.Server.(*back.Server), res.Outcome)
 	return res
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,13 +31,13 @@
 // Guards against changes to a request or its response on the way, and against connections that are not kept.
 func TestForwardsRequestAndResponse(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
-		return reply(c, 200, "Content-Type: text/x-quote\r\nX-Load: {\"inflight\":7,\"queue\":2}\r\n", "a\x00b")
+	server := newStubServer(t, func(c net.Conn, r *http.Request, _ int) bool {
+		return writeResponse(c, 200, "Content-Type: text/x-quote\r\nX-Load: {\"inflight\":7,\"queue\":2}\r\n", "a\x00b")
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
 	for i := range 5 {
-		resp, body := c.ask(save(fmt.Sprint("id-", i)))
+		resp, body := c.roundTrip(save(fmt.Sprint("id-", i)))
 		if resp.StatusCode != 200 || body != "a\x00b" || resp.Header.Get("Content-Type") != "text/x-quote" {
 			t.Fatalf("response %d: %v with body %q", i, resp, body)
 		}
@@ -64,7 +64,7 @@
 		if nth == 1 {
 			<-release
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	}
 }
 
@@ -73,27 +73,27 @@
 func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, holdFirst(release))
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, holdFirst(release))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	first, second := node.dial(t), node.dial(t)
 	first.send(save("twin").text())
-	wait(t, "the first request at the web server", func() bool { return len(server.requests()) == 1 })
-	if resp, _ := second.ask(save("twin")); resp.StatusCode != 409 || !resp.Close {
+	waitFor(t, "the first request at the web server", func() bool { return len(server.requests()) == 1 })
+	if resp, _ := second.roundTrip(save("twin")); resp.StatusCode != 409 || !resp.Close {
 		t.Errorf("a second request with the id: status %d, close %v; want 409 and a close", resp.StatusCode, resp.Close)
 	}
 	close(release)
-	if resp, body := first.answer(); resp.StatusCode != 200 || body != "done twin" {
+	if resp, body := first.readResponse(); resp.StatusCode != 200 || body != "done twin" {
 		t.Errorf("the first request: status %d, body %q", resp.StatusCode, body)
 	}
 	if n := len(server.requests()); n != 1 {
 		t.Errorf("the web server received %d requests, want 1", n)
 	}
-	wait(t, "the end of all open requests", func() bool {
+	waitFor(t, "the end of all open requests", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return len(node.core.Open()) == 0
+		return len(node.core.OpenRequests()) == 0
 	})
-	if resp, _ := node.dial(t).ask(save("twin")); resp.StatusCode != 200 {
+	if resp, _ := node.dial(t).roundTrip(save("twin")); resp.StatusCode != 200 {
 		t.Errorf("the id used again after the end: status %d, want 200", resp.StatusCode)
 	}
 }
@@ -102,9 +102,9 @@
 // it may reach a web server. A response to it would be lost, and a body could hide a second request.
 func TestMalformedRequestsReachNoWebServer(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
-	without := func(change func(*call)) string {
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
+	without := func(change func(*testRequest)) string {
 		q := save("x")
 		change(&q)
 		return q.text()
@@ -119,28 +119,28 @@
 		text string
 		want int
 	}{
-		{"no id", without(func(q *call) { q.id = "" }), 400},
-		{"an id that is too long", without(func(q *call) { q.id = strings.Repeat("x", 256+1) }), 400},
+		{"no id", without(func(q *testRequest) { q.id = "" }), 400},
+		{"an id that is too long", without(func(q *testRequest) { q.id = strings.Repeat("x", 256+1) }), 400},
 		{"two ids", with("X-Request-Id: y"), 400},
-		{"no class", without(func(q *call) { q.class = "" }), 400},
-		{"a class that does not exist", without(func(q *call) { q.class = "sav" }), 400},
-		{"no deadline", without(func(q *call) { q.deadline = "" }), 400},
-		{"a deadline with no unit", without(func(q *call) { q.deadline = "480" }), 400},
-		{"a deadline in an unknown unit", without(func(q *call) { q.deadline = "480s" }), 400},
-		{"a deadline that is no number", without(func(q *call) { q.deadline = "NaNm" }), 400},
-		{"a deadline of zero", without(func(q *call) { q.deadline = "0m" }), 400},
-		{"a negative deadline", without(func(q *call) { q.deadline = "-5m" }), 400},
-		{"another method", without(func(q *call) { q.method = "PUT" }), 405},
-		{"a GET of a keyed class", without(func(q *call) { q.method, q.body = "GET", "" }), 400},
-		{"a POST of a safe class", call{"POST", "view", "x", "", "", "50000m"}.text(), 400},
-		{"a keyed class with no key", without(func(q *call) { q.key = "" }), 400},
-		{"an unsafe class with a key", without(func(q *call) { q.class = "quote" }), 400},
+		{"no class", without(func(q *testRequest) { q.class = "" }), 400},
+		{"a class that does not exist", without(func(q *testRequest) { q.class = "sav" }), 400},
+		{"no deadline", without(func(q *testRequest) { q.deadline = "" }), 400},
+		{"a deadline with no unit", without(func(q *testRequest) { q.deadline = "480" }), 400},
+		{"a deadline in an unknown unit", without(func(q *testRequest) { q.deadline = "480s" }), 400},
+		{"a deadline that is no number", without(func(q *testRequest) { q.deadline = "NaNm" }), 400},
+		{"a deadline of zero", without(func(q *testRequest) { q.deadline = "0m" }), 400},
+		{"a negative deadline", without(func(q *testRequest) { q.deadline = "-5m" }), 400},
+		{"another method", without(func(q *testRequest) { q.method = "PUT" }), 405},
+		{"a GET of a keyed class", without(func(q *testRequest) { q.method, q.body = "GET", "" }), 400},
+		{"a POST of a safe class", testRequest{"POST", "view", "x", "", "", "50000m"}.text(), 400},
+		{"a keyed class with no key", without(func(q *testRequest) { q.key = "" }), 400},
+		{"an unsafe class with a key", without(func(q *testRequest) { q.class = "quote" }), 400},
 		{"a GET with a body", strings.Replace(view("x").text(), "\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc", 1), 400},
 		{"no length", strings.Replace(save("x").text(), "Content-Length: 8\r\n", "", 1), 411},
 		{"a negative length", strings.Replace(save("x").text(), "Length: 8", "Length: -8", 1), 400},
 		{"a huge length", strings.Replace(save("x").text(), "Length: 8", "Length: 99999999999999999999", 1), 400},
 		{"two lengths", with("Content-Length: 7"), 400},
-		{"a body too large", strings.Replace(save("x").text(), "Length: 8", fmt.Sprint("Length: ", message.Max+1), 1), 413},
+		{"a body too large", strings.Replace(save("x").text(), "Length: 8", fmt.Sprint("Length: ", message.MaxBody+1), 1), 413},
 		{"a body too large that is not sent", strings.Replace(save("x").text(), "Length: 8", "Length: 60000000", 1), 413},
 		{"truncated", strings.TrimSuffix(save("x").text(), "ow"), 400},
 		{"invalid chunks", "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\nX-Deadline: 50000m\r\n" +
@@ -153,7 +153,7 @@
 		{"another protocol", strings.Replace(save("x").text(), "HTTP/1.1", "HTTP/1.0", 1), 505},
 		{"no host", strings.Replace(save("x").text(), "Host: backend.local\r\n", "", 1), 400},
 		{"binary noise", "\x16\x03\x01\x02\x00\x01\r\n\r\n", 400},
-		{"an endless head", "GET /api HTTP/1.1\r\n" + strings.Repeat("X-A: b\r\n", message.HeadSize), 431},
+		{"an endless head", "GET /api HTTP/1.1\r\n" + strings.Repeat("X-A: b\r\n", message.MaxHead), 431},
 		{"an expectation", with("Expect: much"), 417},
 	} {
 		cl := node.dial(t)
@@ -165,7 +165,7 @@
 				io.WriteString(cl, c.text+hidden)
 			}
 		}()
-		if resp, _ := cl.answer(); resp.StatusCode != c.want || !resp.Close {
+		if resp, _ := cl.readResponse(); resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: status %d, close %v, want %d and a close", c.name, resp.StatusCode, resp.Close, c.want)
 		}
 		if n, err := cl.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -174,7 +174,7 @@
 	}
 	large := save("whole")
 	large.body = strings.Repeat("x", 1<<20)
-	if resp, _ := node.dial(t).ask(large); resp.StatusCode != 200 {
+	if resp, _ := node.dial(t).roundTrip(large); resp.StatusCode != 200 {
 		t.Errorf("a well-formed request with a large body: status %d, want 200", resp.StatusCode)
 	}
 	if got := server.requests(); len(got) != 1 || got[0].Header.Get("X-Request-Id") != "whole" {
@@ -188,23 +188,23 @@
 func TestSlowClientsTimeOut(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if r.Header.Get("X-Request-Id") == "long" {
 			<-release
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, hurried, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductTimeouts, server.entry("s-1"))
 	waitingClient, idle := node.dial(t), node.dial(t)
 	waitingClient.send(quote("long").text())
-	if resp, _ := idle.ask(view("v")); resp.StatusCode != 200 {
+	if resp, _ := idle.roundTrip(view("v")); resp.StatusCode != 200 {
 		t.Fatalf("the request on the idle connection: status %d, want 200", resp.StatusCode)
 	}
 	for _, text := range []string{"", "POST /api HTTP/1.1\r\nHost", strings.TrimSuffix(save("x").text(), "w")} {
 		c := node.dial(t)
 		c.send(text)
 		if text != "" {
-			if resp, _ := c.answer(); resp.StatusCode != 408 {
+			if resp, _ := c.readResponse(); resp.StatusCode != 408 {
 				t.Errorf("%q: status %d, want 408", text, resp.StatusCode)
 			}
 		}
@@ -212,11 +212,11 @@
 			t.Errorf("%q: %d bytes, %v, want the connection closed", text, n, err)
 		}
 	}
-	if max(fronthttp.HeadTime, fronthttp.BodyStall) > 2800*time.Millisecond || fronthttp.IdleTime < 2*time.Second {
+	if max(fronthttp.HeadTimeout, fronthttp.BodyStallTimeout) > 2800*time.Millisecond || fronthttp.IdleTimeout < 2*time.Second {
 		t.Error("the time-outs of heads and bodies must be below 3 s, that of connections between requests at least 2 s")
 	}
 	close(release)
-	if resp, body := waitingClient.answer(); resp.StatusCode != 200 || body != "done long" {
+	if resp, body := waitingClient.readResponse(); resp.StatusCode != 200 || body != "done long" {
 		t.Errorf("the request that waited: status %d, body %q; want 200", resp.StatusCode, body)
 	}
 }
@@ -231,14 +231,14 @@
 		unsafe int // status for a request that must not run twice
 		safe   int // status for a safe request
 	}{
-		{"served", served, 200, 200},
-		{"an error", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 500, "", "") }, 500, 503},
-		{"an unknown status", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 302, "Location: /x\r\n", "") },
+		{"served", respondOK, 200, 200},
+		{"an error", func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 500, "", "") }, 500, 503},
+		{"an unknown status", func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 302, "Location: /x\r\n", "") },
 			500, 503},
-		{"rejected, not run", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 503, "X-Not-Run: 1\r\n", "") }, 503, 503},
-		{"expired, not run", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 504, "X-Not-Run: 1\r\n", "") }, 503, 503},
-		{"503 without X-Not-Run", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 503, "", "") }, 500, 503},
-		{"504 without X-Not-Run", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 504, "", "") }, 500, 503},
+		{"rejected, not run", func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 503, "X-Not-Run: 1\r\n", "") }, 503, 503},
+		{"expired, not run", func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 504, "X-Not-Run: 1\r\n", "") }, 503, 503},
+		{"503 without X-Not-Run", func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 503, "", "") }, 500, 503},
+		{"504 without X-Not-Run", func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 504, "", "") }, 500, 503},
 		{"a reset after the request", func(net.Conn, *http.Request, int) bool { return false }, 500, 503},
 		{"a truncated response", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
@@ -248,7 +248,9 @@
 			io.WriteString(c, "\x16\x03\x01\r\n\r\n")
 			return true
 		}, 500, 503},
-		{"two lengths", func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 200, "Content-Length: 3\r\n", "a door") },
+		{"two lengths", func(c net.Conn, _ *http.Request, _ int) bool {
+			return writeResponse(c, 200, "Content-Length: 3\r\n", "a door")
+		},
 			500, 503},
 		{"a length beyond the body", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
@@ -268,7 +270,7 @@
 		}, 500, 503},
 		{"an endless head", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
-			_, err := io.WriteString(c, strings.Repeat("X-A: b\r\n", 2*message.HeadSize))
+			_, err := io.WriteString(c, strings.Repeat("X-A: b\r\n", 2*message.MaxHead))
 			return err == nil
 		}, 500, 503},
 		{"a huge announced length", func(c net.Conn, _ *http.Request, _ int) bool {
@@ -277,29 +279,29 @@
 		}, 500, 503},
 		{"informational responses first", func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-			return served(c, r, n)
+			return respondOK(c, r, n)
 		}, 200, 200},
 		{"a malformed load report", func(c net.Conn, r *http.Request, _ int) bool {
-			return reply(c, 200, "X-Load: {\"inflight\":NaN\r\n", "")
+			return writeResponse(c, 200, "X-Load: {\"inflight\":NaN\r\n", "")
 		}, 200, 200},
 		{"chunks", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\na door\r\n0\r\n\r\n")
 			return true
 		}, 200, 200},
 		{"a response that is too large", func(c net.Conn, _ *http.Request, _ int) bool {
-			_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\npart", message.Max+1)
+			_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\npart", message.MaxBody+1)
 			return err == nil
 		}, 500, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, q := range []struct {
-				call
+				testRequest
 				want int
 			}{{quote("q"), c.unsafe}, {view("v"), c.safe}} {
-				server := newBox(t, c.answer)
-				node := newRig(t, newRegistry(t), settingsJSON, hurried, server.entry("s-1"))
-				resp, _ := node.dial(t).ask(q.call)
+				server := newStubServer(t, c.answer)
+				node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductTimeouts, server.entry("s-1"))
+				resp, _ := node.dial(t).roundTrip(q.testRequest)
 				if resp.StatusCode != q.want {
 					t.Errorf("%s: status %d, want %d", q.class, resp.StatusCode, q.want)
 				}
@@ -323,7 +325,7 @@
 	for _, surplus := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\x16\x03 noise"} {
 		for _, separate := range []bool{false, true} {
 			written := make(chan struct{}, 10)
-			server := newBox(t, func(c net.Conn, r *http.Request, _ int) bool {
+			server := newStubServer(t, func(c net.Conn, r *http.Request, _ int) bool {
 				var text strings.Builder
 				fmt.Fprintf(&text, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 				if !separate {
@@ -336,10 +338,10 @@
 				written <- struct{}{}
 				return true
 			})
-			node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+			node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 			c := node.dial(t)
 			for i := range 3 {
-				if resp, body := c.ask(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != "done" {
+				if resp, body := c.roundTrip(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != "done" {
 					t.Errorf("surplus written separately %v, request %d: status %d, body %q", separate, i, resp.StatusCode, body)
 				}
 				receive(t, "the end of the response at the web server", written)
@@ -355,7 +357,7 @@
 // has looked past the response, and gave 2 to 10 of 4,800 requests another one's response here.
 func TestBytesAfterResponseAreDiscardedUnderLoad(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		id := r.Header.Get("X-Request-Id")
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 		if nth%10 == 0 {
@@ -364,7 +366,7 @@
 		_, err := io.WriteString(c, text)
 		return err == nil
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	var wrong atomic.Int64
 	var wg sync.WaitGroup
 	for k := range 16 {
@@ -372,7 +374,7 @@
 		wg.Go(func() {
 			for i := range 300 {
 				id := fmt.Sprint("id-", k, "-", i)
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				io.WriteString(c, quote(id).text())
 				resp, err := http.ReadResponse(c.in, nil)
 				if err != nil {
@@ -395,17 +397,17 @@
 // write, and the request goes out on another connection.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, func(c net.Conn, r *http.Request, n int) bool {
-		served(c, r, n)
+	server := newStubServer(t, func(c net.Conn, r *http.Request, n int) bool {
+		respondOK(c, r, n)
 		return false
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
 	for i := range 3 {
-		if resp, _ := c.ask(quote(fmt.Sprint(i))); resp.StatusCode != 200 {
+		if resp, _ := c.roundTrip(quote(fmt.Sprint(i))); resp.StatusCode != 200 {
 			t.Errorf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
-		wait(t, "the close of the connection", func() bool {
+		waitFor(t, "the close of the connection", func() bool {
 			return server.closed.Load() == int64(i+1)
 		})
 	}
@@ -418,12 +420,12 @@
 // connections, one to another server is closed.
 func TestIdleConnectionIsClosedAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
-	one, two := newBox(t, served), newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, one.entry("s-1"), two.entry("s-2"))
+	one, two := newStubServer(t, respondOK), newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, one.entry("s-1"), two.entry("s-2"))
 	node.pool.Resize(1)
 	c := node.dial(t)
 	for i := range 40 {
-		if resp, _ := c.ask(view(fmt.Sprint(i))); resp.StatusCode != 200 {
+		if resp, _ := c.roundTrip(view(fmt.Sprint(i))); resp.StatusCode != 200 {
 			t.Fatalf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
@@ -439,23 +441,23 @@
 // Nothing more is sent under the old id, even before discovery reports its end.
 func TestNewIDAtOldAddressReplacesServer(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	discoveryStub := newRegistry(t)
-	node := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	discoveryStub := newStubDiscovery(t)
+	node := newTestNode(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
-	c.ask(view("x"))
-	discoveryStub.next <- registryAnswer{200, list{Version: 2, Servers: []listed{server.entry("s-2")}}}
-	wait(t, "the new list", func() bool {
+	c.roundTrip(view("x"))
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 2, Servers: []serverEntry{server.entry("s-2")}}}
+	waitFor(t, "the new list", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return node.version == 2
+		return node.listVersion == 2
 	})
-	if resp, _ := c.ask(view("y")); resp.StatusCode != 200 {
+	if resp, _ := c.roundTrip(view("y")); resp.StatusCode != 200 {
 		t.Errorf("a request after the list: status %d, want 200", resp.StatusCode)
 	}
 	node.core.Lock()
 	defer node.core.Unlock()
-	if old, current := node.names["s-1"], node.names["s-2"]; !old.left || current.left || current.number == old.number || server.connections() != 2 {
+	if old, current := node.serversByID["s-1"], node.serversByID["s-2"]; !old.removed || current.removed || current.number == old.number || server.connections() != 2 {
 		t.Errorf("old server %+v, new server %+v, %d connections; want the old one removed, the new one listed under another number, and 2 connections", old, current, server.connections())
 	}
 }
@@ -469,8 +471,8 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	node := newRig(t, newRegistry(t), settingsJSON, nil, listed{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
-	if resp, _ := node.dial(t).ask(quote("q")); resp.StatusCode != 503 {
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, serverEntry{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
+	if resp, _ := node.dial(t).roundTrip(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("status %d, want 503", resp.StatusCode)
 	}
 }
@@ -479,18 +481,18 @@
 // The policy would not know of that attempt: the web server must receive the request once.
 func TestTransportDoesNotResend(t *testing.T) {
 	t.Parallel()
-	for _, q := range []call{view("again"), save("again"), quote("again"),
+	for _, q := range []testRequest{view("again"), save("again"), quote("again"),
 		{"POST", "save", "again", "k", "", "50000m"}} {
-		server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
-			return nth == 1 && served(c, r, nth) // the second request on the connection meets its close
+		server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
+			return nth == 1 && respondOK(c, r, nth) // the second request on the connection meets its close
 		})
-		node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+		node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 		c := node.dial(t)
 		first := view("first")
-		if resp, _ := c.ask(first); resp.StatusCode != 200 {
+		if resp, _ := c.roundTrip(first); resp.StatusCode != 200 {
 			t.Fatalf("the first request: status %d, want 200", resp.StatusCode)
 		}
-		resp, _ := c.ask(q)
+		resp, _ := c.roundTrip(q)
 		if resp.StatusCode == 200 {
 			t.Errorf("%s %s: status 200, though the web server did not respond", q.method, q.class)
 		}
@@ -504,12 +506,12 @@
 // client receives only that response.
 func TestRetryAtSecondServerAfterRefusal(t *testing.T) {
 	t.Parallel()
-	full := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool { return reply(c, 503, "X-Not-Run: 1\r\n", "") })
-	healthy := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, full.entry("s-1"), healthy.entry("s-2"))
+	full := newStubServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 503, "X-Not-Run: 1\r\n", "") })
+	healthy := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, full.entry("s-1"), healthy.entry("s-2"))
 	c := node.dial(t)
 	for i := 0; i < 50 && len(full.requests()) == 0; i++ {
-		if resp, body := c.ask(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != fmt.Sprint("done ", i) {
+		if resp, body := c.roundTrip(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != fmt.Sprint("done ", i) {
 			t.Fatalf("request %d: status %d, body %q", i, resp.StatusCode, body)
 		}
 	}
@@ -521,15 +523,15 @@
 // Guards against an unsafe request reported as safe to repeat when its web server never responds: it may still run.
 func TestSilentServerFailsUnsafeRequest(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	server := newStubServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.Copy(io.Discard, c)
 		return false
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	for timeout := 300; ; timeout *= 2 {
 		q := quote(fmt.Sprint("q", timeout))
 		q.deadline = fmt.Sprint(timeout, "m")
-		resp, _ := node.dial(t).ask(q)
+		resp, _ := node.dial(t).roundTrip(q)
 		if resp.StatusCode == 503 && len(server.requests()) == 0 && timeout < 10_000 {
 			continue // its time had passed before it was sent: this machine was too slow
 		}
@@ -544,45 +546,45 @@
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	gone := make(chan struct{})
-	server := newBox(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	server := newStubServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.Copy(io.Discard, c) // until the node closes the connection
 		close(gone)
 		return false
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
 	c.send(save("x").text())
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	c.Close()
 	select {
 	case <-gone:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt was not cancelled")
 	}
-	wait(t, "the end of all open requests", func() bool {
+	waitFor(t, "the end of all open requests", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return len(node.core.Open()) == 0
+		return len(node.core.OpenRequests()) == 0
 	})
 }
 
 // Guards against a request written after its server's drain grace, when it waited for a connection meanwhile.
 func TestSendAfterGraceIsNotWritten(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	node.core.Lock()
-	listedServer := node.names["s-1"]
+	listedServer := node.serversByID["s-1"]
 	node.core.Unlock()
-	for _, q := range []call{view("v"), save("s")} {
+	for _, q := range []testRequest{view("v"), save("s")} {
 		in, _ := http.NewRequest(q.method, "http://x/api", nil)
 		up, _ := flow.NewUpload(strings.NewReader(q.body), int64(len(q.body)))
-		a := &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: listedServer.Server, Wait: patience}
-		listedServer.Stop.Store(time.Now().Add(-time.Millisecond).UnixNano())
-		if res := node.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+		a := &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: listedServer.Server, Timeout: testTimeout}
+		listedServer.StopAt.Store(time.Now().Add(-time.Millisecond).UnixNano())
+		if res := node.Attempt(context.Background(), a); res.Outcome != policy.NeverSent {
 			t.Errorf("%s: outcome %d after the grace, want NeverSent", q.method, res.Outcome)
 		}
-		listedServer.Stop.Store(0)
+		listedServer.StopAt.Store(0)
 		if res := node.Attempt(context.Background(), a); res.Outcome != policy.OK {
 			t.Errorf("%s: outcome %d for a server that is not draining, want OK", q.method, res.Outcome)
 		}
@@ -596,49 +598,49 @@
 // address under an old id, and a removal by a delta.
 func TestFollowsDiscoveryList(t *testing.T) {
 	t.Parallel()
-	old, fresh := newBox(t, served), newBox(t, served)
-	discoveryStub := newRegistry(t)
-	node := newRig(t, discoveryStub, settingsJSON, func(c *Config) { c.watch = longWatch }, old.entry("s-1"))
+	old, fresh := newStubServer(t, respondOK), newStubServer(t, respondOK)
+	discoveryStub := newStubDiscovery(t)
+	node := newTestNode(t, discoveryStub, settingsJSON, func(c *Config) { c.adjustWatch = longPollLimits }, old.entry("s-1"))
 	c := node.dial(t)
-	respondsFrom := func(b *box) func() bool {
+	respondsFrom := func(b *stubServer) func() bool {
 		return func() bool {
 			before := len(b.requests())
-			resp, _ := c.ask(view("x"))
+			resp, _ := c.roundTrip(view("x"))
 			return resp.StatusCode == 200 && len(b.requests()) == before+1
 		}
 	}
-	wait(t, "a response of the known web server", respondsFrom(old))
-	discoveryStub.next <- registryAnswer{status: 503} // a failed call is retried
+	waitFor(t, "a response of the known web server", respondsFrom(old))
+	discoveryStub.responses <- discoveryResponse{status: 503} // a failed call is retried
 	draining := old.entry("s-1")
 	draining.State = "Terminating"
-	discoveryStub.next <- registryAnswer{200, list{Version: 2, Servers: []listed{draining, fresh.entry("s-2")}}}
-	wait(t, "a response of the new web server", respondsFrom(fresh))
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 2, Servers: []serverEntry{draining, fresh.entry("s-2")}}}
+	waitFor(t, "a response of the new web server", respondsFrom(fresh))
 	sent := len(old.requests())
 	for range 20 {
-		if resp, _ := c.ask(view("x")); resp.StatusCode != 200 {
+		if resp, _ := c.roundTrip(view("x")); resp.StatusCode != 200 {
 			t.Fatalf("a request during the drain: status %d, want 200", resp.StatusCode)
 		}
 	}
 	if n := len(old.requests()); n != sent {
 		t.Errorf("a draining web server received %d new requests", n-sent)
 	}
-	discoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{fresh.entry("s-2")}}}
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 3, Full: true, Servers: []serverEntry{fresh.entry("s-2")}}}
 	select {
 	case <-old.closedByNode:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("connections to a web server that a full list leaves out stay open")
 	}
 	moved := old.entry("s-2") // the same id and start time at another address is another process
-	discoveryStub.next <- registryAnswer{200, list{Version: 4, Servers: []listed{moved}}}
-	wait(t, "a response from the new address", respondsFrom(old))
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 4, Servers: []serverEntry{moved}}}
+	waitFor(t, "a response from the new address", respondsFrom(old))
 	gone := moved
 	gone.State = "Gone"
-	discoveryStub.next <- registryAnswer{200, list{Version: 5, Servers: []listed{gone}}}
-	wait(t, "a refusal with no web server left", func() bool {
-		resp, _ := c.ask(view("x"))
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 5, Servers: []serverEntry{gone}}}
+	waitFor(t, "a refusal with no web server left", func() bool {
+		resp, _ := c.roundTrip(view("x"))
 		return resp.StatusCode == 503
 	})
-	if resp, _ := c.ask(call{method: "GET"}); resp.StatusCode != 400 {
+	if resp, _ := c.roundTrip(testRequest{method: "GET"}); resp.StatusCode != 400 {
 		t.Errorf("a request without headers: status %d, want 400", resp.StatusCode)
 	}
 	for i, url := range discoveryStub.calls() {
@@ -657,31 +659,31 @@
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			before, after := newBox(t, served), newBox(t, served)
-			oldDiscovery, newDiscoveryStub := newRegistry(t), newRegistry(t)
-			oldDiscovery.next <- registryAnswer{200, list{Version: 700, Full: true, Servers: []listed{before.entry("s-1")}}}
-			node := newRig(t, oldDiscovery, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), func(c *Config) { c.watch = longWatch })
+			before, after := newStubServer(t, respondOK), newStubServer(t, respondOK)
+			oldDiscovery, newDiscoveryStub := newStubDiscovery(t), newStubDiscovery(t)
+			oldDiscovery.responses <- discoveryResponse{200, serverList{Version: 700, Full: true, Servers: []serverEntry{before.entry("s-1")}}}
+			node := newTestNode(t, oldDiscovery, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), func(c *Config) { c.adjustWatch = longPollLimits })
 			c := node.dial(t)
-			wait(t, "a response of the old discovery's web server", func() bool {
-				resp, _ := c.ask(view("x"))
+			waitFor(t, "a response of the old discovery's web server", func() bool {
+				resp, _ := c.roundTrip(view("x"))
 				return resp.StatusCode == 200
 			})
-			wait(t, "an open watch at the old discovery", func() bool { return len(oldDiscovery.calls()) == 2 })
+			waitFor(t, "an open watch at the old discovery", func() bool { return len(oldDiscovery.calls()) == 2 })
 			cfg := node.cfg
 			cfg.Discovery = newDiscoveryStub.addr
-			newDiscoveryStub.next <- registryAnswer{status: 503} // the new discovery may fail at first
-			newDiscoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{after.entry("s-2")}}}
+			newDiscoveryStub.responses <- discoveryResponse{status: 503} // the new discovery may fail at first
+			newDiscoveryStub.responses <- discoveryResponse{200, serverList{Version: 3, Full: true, Servers: []serverEntry{after.entry("s-2")}}}
 			node.reload(cfg)
 			select {
 			case <-oldDiscovery.abandoned:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the watch at the old discovery stays open")
 			}
-			wait(t, "a response of the new discovery's web server", func() bool {
-				resp, _ := c.ask(view("y"))
+			waitFor(t, "a response of the new discovery's web server", func() bool {
+				resp, _ := c.roundTrip(view("y"))
 				return resp.StatusCode == 200 && len(after.requests()) > 0
 			})
-			wait(t, "a watch at the new discovery", func() bool { return len(newDiscoveryStub.calls()) == 3 })
+			waitFor(t, "a watch at the new discovery", func() bool { return len(newDiscoveryStub.calls()) == 3 })
 			calls := newDiscoveryStub.calls()
 			if calls[0] != "/v1/endpoints" || calls[1] != "/v1/endpoints" || !strings.Contains(calls[2], "since=3&") {
 				t.Errorf("calls to the new discovery: %q, want its full list first and then a watch from that version", calls)
@@ -701,38 +703,38 @@
 // after a failed call.
 func TestPolledDiscoveryIsAskedAgainAfterFailure(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	discoveryStub := newRegistry(t)
-	discoveryStub.next <- registryAnswer{status: 503}
-	discoveryStub.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{server.entry("s-1")}}}
-	node := newRig(t, discoveryStub, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
+	server := newStubServer(t, respondOK)
+	discoveryStub := newStubDiscovery(t)
+	discoveryStub.responses <- discoveryResponse{status: 503}
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 2, Full: true, Servers: []serverEntry{server.entry("s-1")}}}
+	node := newTestNode(t, discoveryStub, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
 	c := node.dial(t)
-	wait(t, "a response after the list of the second call", func() bool {
-		resp, _ := c.ask(view("x"))
+	waitFor(t, "a response after the list of the second call", func() bool {
+		resp, _ := c.roundTrip(view("x"))
 		return resp.StatusCode == 200
 	})
 }
 
 // readyStatus returns the status of GET /ready.
-func readyStatus(t *testing.T, node *rig) int {
+func readyStatus(t *testing.T, node *testNode) int {
 	t.Helper()
 	c := node.dial(t)
 	c.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	resp, _ := c.answer()
+	resp, _ := c.readResponse()
 	return resp.StatusCode
 }
 
 // Guards against a node that reports ready before it has a web server, or not after.
 func TestReadyOnceServerIsListed(t *testing.T) {
 	t.Parallel()
-	discoveryStub := newRegistry(t)
-	server := newBox(t, served)
-	node := newRig(t, discoveryStub, settingsJSON, nil)
+	discoveryStub := newStubDiscovery(t)
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, discoveryStub, settingsJSON, nil)
 	if s := readyStatus(t, node); s != 503 {
 		t.Errorf("GET /ready without a web server: status %d, want 503", s)
 	}
-	discoveryStub.next <- registryAnswer{200, list{Version: 2, Full: true, Servers: []listed{server.entry("s-1")}}}
-	wait(t, "GET /ready to return 200", func() bool { return readyStatus(t, node) == 200 })
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 2, Full: true, Servers: []serverEntry{server.entry("s-1")}}}
+	waitFor(t, "GET /ready to return 200", func() bool { return readyStatus(t, node) == 200 })
 }
 
 // Guards against requests lost at SIGTERM: connections are accepted for a while longer, all accepted requests are
@@ -740,19 +742,19 @@
 func TestSIGTERMFinishesAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, holdFirst(release))
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, holdFirst(release))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
 	c.send(quote("slow").text())
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	late, silent := node.dial(t), node.dial(t)
 	// The time in which connections are still accepted does not begin before the late request has its response.
-	node.pair.mu.Lock()
-	begin := sync.OnceFunc(node.pair.mu.Unlock)
+	node.handover.mu.Lock()
+	begin := sync.OnceFunc(node.handover.mu.Unlock)
 	t.Cleanup(begin)
-	node.leave()
-	wait(t, "the start of the node's leaving", node.life.sendsAway)
-	if resp, body := late.ask(quote("late")); resp.StatusCode != 200 || body != "done late" || !resp.Close {
+	node.terminate()
+	waitFor(t, "the start of the node's leaving", node.lifecycle.closingConnections)
+	if resp, body := late.roundTrip(quote("late")); resp.StatusCode != 200 || body != "done late" || !resp.Close {
 		t.Errorf("a request after SIGTERM: status %d, body %q, close %v; want it served and a close", resp.StatusCode, body, resp.Close)
 	}
 	begin()
@@ -760,7 +762,7 @@
 		t.Errorf("a connection with no request after SIGTERM: %d bytes, %v; want it closed", n, err)
 	}
 	close(release)
-	if resp, body := c.answer(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
+	if resp, body := c.readResponse(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
 		t.Errorf("the request accepted before SIGTERM: status %d, body %q, close %v; want it served and a close", resp.StatusCode, body, resp.Close)
 	}
 	select {
@@ -769,7 +771,7 @@
 			t.Error(err)
 		}
 		node.exited <- err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the node does not end after its last response")
 	}
 }
@@ -779,21 +781,21 @@
 func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "slow") {
 			<-release
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.Sockets = 64 + ownSockets }, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) { c.Sockets = 64 + reservedSockets }, server.entry("s-1"))
 	idle := node.dial(t)
-	if resp, _ := idle.ask(view("x")); resp.StatusCode != 200 {
+	if resp, _ := idle.roundTrip(view("x")); resp.StatusCode != 200 {
 		t.Fatalf("the first request: status %d, want 200", resp.StatusCode)
 	}
 	for range 100 {
 		node.dial(t) // sends nothing
 	}
-	if resp, _ := node.dial(t).ask(view("y")); resp.StatusCode != 200 {
+	if resp, _ := node.dial(t).roundTrip(view("y")); resp.StatusCode != 200 {
 		t.Errorf("a request after a hundred idle connections: status %d, want 200", resp.StatusCode)
 	}
 	var busy []*client
@@ -802,7 +804,7 @@
 		c.send(quote(fmt.Sprint("slow-", i)).text())
 		busy = append(busy, c)
 	}
-	wait(t, "the requests at the web server", func() bool { return len(server.requests()) >= 2+len(busy)-1 })
+	waitFor(t, "the requests at the web server", func() bool { return len(server.requests()) >= 2+len(busy)-1 })
 	for i := range 8 {
 		c := node.dial(t)
 		c.send(quote(fmt.Sprint("slower-", i)).text()) // no descriptor is left for these: refused, as they never ran
@@ -810,7 +812,7 @@
 	}
 	close(release)
 	for _, c := range busy {
-		if resp, _ := c.answer(); resp.StatusCode != 200 && resp.StatusCode != 503 {
+		if resp, _ := c.readResponse(); resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Errorf("a request at the limit: status %d, want 200 or 503", resp.StatusCode)
 		}
 	}
@@ -821,25 +823,25 @@
 func TestConnectionBeyondLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		<-release
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.Sockets = 64 }, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) { c.Sockets = 64 }, server.entry("s-1"))
 	node.pool.Resize(100)
 	var open []*client
-	for i := range (64 - ownSockets) / 2 {
+	for i := range (64 - reservedSockets) / 2 {
 		c := node.dial(t)
 		c.send(quote(fmt.Sprint("slow-", i)).text())
 		open = append(open, c)
 	}
-	wait(t, "the requests at the web server", func() bool { return len(server.requests()) == len(open) })
-	if resp, _ := node.dial(t).ask(quote("more")); resp.StatusCode != 503 || !resp.Close {
+	waitFor(t, "the requests at the web server", func() bool { return len(server.requests()) == len(open) })
+	if resp, _ := node.dial(t).roundTrip(quote("more")); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("a request on one connection more: status %d, close %v; want 503 and a close", resp.StatusCode, resp.Close)
 	}
 	close(release)
 	for _, c := range open {
-		if resp, _ := c.answer(); resp.StatusCode != 200 {
+		if resp, _ := c.readResponse(); resp.StatusCode != 200 {
 			t.Errorf("a request accepted before: status %d, want 200", resp.StatusCode)
 		}
 	}
@@ -850,13 +852,13 @@
 // served.
 func TestNewConnectionIsNotEvictedByNext(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		unhurried(c) // the connections count as new however long they take
-		c.Sockets = 64 + ownSockets
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
+		withTestTimeouts(c) // the connections count as new however long they take
+		c.Sockets = 64 + reservedSockets
 	}, server.entry("s-1"))
 	for i := range 32 {
-		if resp, _ := node.dial(t).ask(view(fmt.Sprint("kept-", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).roundTrip(view(fmt.Sprint("kept-", i))); resp.StatusCode != 200 {
 			t.Fatalf("a request on a kept connection: status %d, want 200", resp.StatusCode)
 		}
 	}
@@ -865,20 +867,20 @@
 		fresh = append(fresh, node.dial(t))
 	}
 	for i, c := range fresh {
-		if resp, _ := c.ask(view(fmt.Sprint("new-", i))); resp.StatusCode != 200 {
+		if resp, _ := c.roundTrip(view(fmt.Sprint("new-", i))); resp.StatusCode != 200 {
 			t.Errorf("a request on new connection %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
 }
 
 // connectSilent makes a connection that sends nothing. The channel is closed once the node waits for its first byte.
-func (n *rig) connectSilent(t *testing.T) (observedClient, <-chan struct{}) {
+func (n *testNode) connectSilent(t *testing.T) (observedClient, <-chan struct{}) {
 	t.Helper()
 	c := newUnattachedClient(t)
 	waits := make(chan struct{})
 	notifying := &readNotifyConn{TCPConn: c.end.(*net.TCPConn), read: sync.OnceFunc(func() { close(waits) })}
-	wait(t, "capacity for the connection", n.clients.Take)
-	n.clients.Go(func() { n.clients.Serve(notifying, bufio.NewReaderSize(notifying, message.HeadSize), "") })
+	waitFor(t, "capacity for the connection", n.clients.AcquireSlot)
+	n.clients.Go(func() { n.clients.Serve(notifying, bufio.NewReaderSize(notifying, message.MaxHead), "") })
 	return c, waits
 }
 
@@ -898,14 +900,14 @@
 // connection that a client has used and will use again stays.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		hurried(c)
-		c.Sockets = 64 + ownSockets
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
+		withProductTimeouts(c)
+		c.Sockets = 64 + reservedSockets
 	}, server.entry("s-1"))
 	used := node.dial(t)
 	for i := range 5 {
-		if resp, _ := used.ask(view(fmt.Sprint("u-", i))); resp.StatusCode != 200 {
+		if resp, _ := used.roundTrip(view(fmt.Sprint("u-", i))); resp.StatusCode != 200 {
 			t.Fatalf("a request on the used connection: status %d, want 200", resp.StatusCode)
 		}
 		var all []<-chan struct{}
@@ -916,8 +918,8 @@
 		for _, waits := range all {
 			receive(t, "the node to wait for a first byte", waits)
 		}
-		time.Sleep(2 * fronthttp.SilentTime) // counted from when the node has accepted the last one; waiting longer does no harm
-		if resp, _ := node.dial(t).ask(view(fmt.Sprint("n-", i))); resp.StatusCode != 200 {
+		time.Sleep(2 * fronthttp.NewConnGrace) // counted from when the node has accepted the last one; waiting longer does no harm
+		if resp, _ := node.dial(t).roundTrip(view(fmt.Sprint("n-", i))); resp.StatusCode != 200 {
 			t.Errorf("a request on a new connection among silent ones: status %d, want 200", resp.StatusCode)
 		}
 	}
@@ -930,7 +932,7 @@
 	const kept = 8
 	var silent atomic.Bool
 	allConnected := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if silent.Load() {
 			io.Copy(io.Discard, c)
 			return false
@@ -939,22 +941,22 @@
 			close(allConnected)
 		}
 		<-allConnected // so that each of the first requests has a connection of its own
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	node.core.Lock()
-	listedServer := node.names["s-1"]
+	listedServer := node.serversByID["s-1"]
 	node.core.Unlock()
 	run := func(wait time.Duration) core.Result {
 		in, _ := http.NewRequest("POST", "http://x/api", nil)
 		up, _ := flow.NewUpload(strings.NewReader("a door"), 6)
-		a := &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: listedServer.Server, Wait: wait}
+		a := &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: listedServer.Server, Timeout: wait}
 		return node.Attempt(context.Background(), a)
 	}
 	var wg sync.WaitGroup
 	for range kept {
 		wg.Go(func() {
-			if res := run(patience); res.Outcome != policy.OK {
+			if res := run(testTimeout); res.Outcome != policy.OK {
 				t.Errorf("outcome %d before the silence, want OK", res.Outcome)
 			}
 		})
@@ -963,7 +965,7 @@
 	silent.Store(true)
 	for wait := 200 * time.Millisecond; ; wait *= 2 {
 		res := run(wait)
-		if (res.Outcome == policy.Moot || res.Outcome == policy.ConnectFailed) && len(server.requests()) == kept && wait < 10*time.Second {
+		if (res.Outcome == policy.NeverSent || res.Outcome == policy.ConnectFailed) && len(server.requests()) == kept && wait < 10*time.Second {
 			continue // its time had passed before it was sent: this machine was too slow
 		}
 		if res.Outcome != policy.TimedOut {
@@ -974,12 +976,12 @@
 	for range kept - 1 { // the connection of the attempt is closed in any case
 		select {
 		case <-server.closedByNode:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("connections from before the silence are still open")
 		}
 	}
 	silent.Store(false)
-	if res := run(patience); res.Outcome != policy.OK {
+	if res := run(testTimeout); res.Outcome != policy.OK {
 		t.Errorf("outcome %d on a new connection, want OK", res.Outcome)
 	}
 }
@@ -989,26 +991,26 @@
 func TestResetClosesOnlyOneConnection(t *testing.T) {
 	t.Parallel()
 	both := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if nth == 2 {
 			close(both)
 		}
 		<-both // so that each of the first two requests has a connection of its own
-		return r.Header.Get("X-Request-Id") != "reset" && served(c, r, nth)
+		return r.Header.Get("X-Request-Id") != "reset" && respondOK(c, r, nth)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	one, two := node.dial(t), node.dial(t)
 	one.send(quote("one").text())
 	two.send(quote("two").text())
 	for _, c := range []*client{one, two} {
-		if resp, _ := c.answer(); resp.StatusCode != 200 {
+		if resp, _ := c.readResponse(); resp.StatusCode != 200 {
 			t.Fatalf("a request before the reset: status %d, want 200", resp.StatusCode)
 		}
 	}
-	if resp, _ := one.ask(quote("reset")); resp.StatusCode != 500 {
+	if resp, _ := one.roundTrip(quote("reset")); resp.StatusCode != 500 {
 		t.Errorf("a request that was reset: status %d, want 500", resp.StatusCode)
 	}
-	if resp, _ := one.ask(quote("next")); resp.StatusCode != 200 || server.connections() != 2 {
+	if resp, _ := one.roundTrip(quote("next")); resp.StatusCode != 200 || server.connections() != 2 {
 		t.Errorf("the next request: status %d on connection %d, want 200 on one of the first two", resp.StatusCode, server.connections())
 	}
 }
@@ -1016,25 +1018,25 @@
 // Guards against the loss of connections and statistics when a list is empty by mistake.
 func TestServersSurviveEmptyList(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	discoveryStub := newRegistry(t)
-	node := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, respondOK)
+	discoveryStub := newStubDiscovery(t)
+	node := newTestNode(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
 	c := node.dial(t)
-	c.ask(view("x"))
-	discoveryStub.next <- registryAnswer{200, list{Version: 2, Full: true}}
-	discoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{server.entry("s-1")}}}
-	discoveryStub.next <- registryAnswer{200, list{Version: 3, Full: true, Servers: []listed{server.entry("s-1")}}}
-	wait(t, "the list after the empty one", func() bool {
+	c.roundTrip(view("x"))
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 2, Full: true}}
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 3, Full: true, Servers: []serverEntry{server.entry("s-1")}}}
+	discoveryStub.responses <- discoveryResponse{200, serverList{Version: 3, Full: true, Servers: []serverEntry{server.entry("s-1")}}}
+	waitFor(t, "the list after the empty one", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return node.version == 3
+		return node.listVersion == 3
 	})
-	if resp, _ := c.ask(view("y")); resp.StatusCode != 200 {
+	if resp, _ := c.roundTrip(view("y")); resp.StatusCode != 200 {
 		t.Errorf("a request after the empty list: status %d, want 200", resp.StatusCode)
 	}
 	node.core.Lock()
 	defer node.core.Unlock()
-	if n := node.names["s-1"].number; n != 1 || server.connections() != 1 {
+	if n := node.serversByID["s-1"].number; n != 1 || server.connections() != 1 {
 		t.Errorf("web server number %d with %d connections, want number 1 with 1 as before", n, server.connections())
 	}
 }
@@ -1061,16 +1063,16 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	wait(t, "a full backlog, after which the kernel no longer accepts", func() bool {
+	waitFor(t, "a full backlog, after which the kernel no longer accepts", func() bool {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return info.Unacked > info.Sacked // of a listener: how many connections wait, and how many may
 	})
-	node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"connect_timeout_s":5`, `"connect_timeout_s":0.2`, 1), nil,
-		listed{ID: "s-1", Addr: addr, State: "Ready"})
-	if resp, _ := node.dial(t).ask(quote("q")); resp.StatusCode != 503 {
+	node := newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"connect_timeout_s":5`, `"connect_timeout_s":0.2`, 1), nil,
+		serverEntry{ID: "s-1", Addr: addr, State: "Ready"})
+	if resp, _ := node.dial(t).roundTrip(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("status %d, want 503", resp.StatusCode)
 	}
 }
@@ -1079,13 +1081,13 @@
 // an attempt without a connection is no failure to connect.
 func TestLocalFailureIsNotCountedAgainstServer(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
-	a := node.newAttempt("s-1", patience)
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
+	a := node.newAttempt("s-1", testTimeout)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	node.pool.Resize(0)
-	if res := node.Attempt(ctx, a); res.Outcome != policy.Moot {
+	if res := node.Attempt(ctx, a); res.Outcome != policy.NeverSent {
 		t.Errorf("with no descriptor: outcome %d, want NeverSent", res.Outcome)
 	}
 	node.pool.Resize(100)
@@ -1102,14 +1104,14 @@
 // closing as idle: the node closes idle connections first.
 func TestIdleConnectionsAreClosedInTime(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
-	node := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"conn_idle_s":60`, `"conn_idle_s":0.3`, 1), nil, server.entry("s-1"))
-	if resp, _ := node.dial(t).ask(view("x")); resp.StatusCode != 200 {
+	server := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"conn_idle_s":60`, `"conn_idle_s":0.3`, 1), nil, server.entry("s-1"))
+	if resp, _ := node.dial(t).roundTrip(view("x")); resp.StatusCode != 200 {
 		t.Fatalf("status %d, want 200", resp.StatusCode)
 	}
 	select {
 	case <-server.closedByNode:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the node keeps an idle connection longer than its settings allow")
 	}
 }
@@ -1132,7 +1134,7 @@
 	}
 	env["GW_NAME"] = "n7"
 	cfg, err := load(good)
-	if err != nil || cfg.Name != "n7" || cfg.Sockets != 1024 || cfg.Settings.ConnIdle != time.Minute {
+	if err != nil || cfg.Name != "n7" || cfg.Sockets != 1024 || cfg.Settings.ServerIdleTimeout != time.Minute {
 		t.Fatalf("a valid file: %+v, %v", cfg, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/node/opaque_tunnel_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -41,7 +41,7 @@
 
 // newEchoServer starts a server; serve replaces the echo where it is not nil.
 // newEchoServer starts a server; serve replaces the echo where it is not nil.
-func newLines(t testing.TB, serve func(c net.Conn)) *echoServer {
+func newEchoServer(t testing.TB, serve func(c net.Conn)) *echoServer {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
@@ -79,28 +79,28 @@
 }
 
 // entry returns the server's entry in a server list, as ready.
-func (l *echoServer) entry(id string) listed {
-	return listed{ID: id, Addr: l.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (l *echoServer) entry(id string) serverEntry {
+	return serverEntry{ID: id, Addr: l.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // newOpaqueNode starts a node with an opaque route; limits are further fields of the route, more is the rest of the
 // section tunnels and of the file.
-func newOpaqueNode(t testing.TB, limits, more string, known ...listed) (node *rig, socks, connect string) {
+func newOpaqueNode(t testing.TB, limits, more string, known ...serverEntry) (node *testNode, socks, connect string) {
 	t.Helper()
-	socks, connect = free(t), free(t)
-	product := under(t, fmt.Sprintf(`services: [{name: lines}]
+	socks, connect = freeAddr(t), freeAddr(t)
+	product := withProductFile(t, fmt.Sprintf(`services: [{name: lines}]
 tunnels:
   socks5: %s
   connect: %s
   routes: [{host: lines.example.org, port: 7, service: lines, kind: opaque, class: quote%s}]
 %s`, socks, connect, limits, more))
-	node = newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
+	node = newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
 		product(c)
 		c.Sockets = 16000
 	}, known...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	if err := node.tunnels(ctx, node.cfg.Product.Tunnels); err != nil {
+	if err := node.openTunnelListeners(ctx, node.cfg.Product.Tunnels); err != nil {
 		t.Fatal(err)
 	}
 	return node, socks, connect
@@ -108,7 +108,7 @@
 
 const (
 	echoSOCKSOpening     = "\x05\x01\x00\x05\x01\x00\x03\x11lines.example.org\x00\x07"
-	linesConnect         = "CONNECT lines.example.org:7 HTTP/1.1\r\nHost: lines.example.org:7\r\n\r\n"
+	echoConnectOpening   = "CONNECT lines.example.org:7 HTTP/1.1\r\nHost: lines.example.org:7\r\n\r\n"
 	echoSOCKSReplyLength = 2 + 10
 )
 
@@ -123,21 +123,21 @@
 }
 
 // requestConnect asks for a tunnel by CONNECT and returns the response.
-func connects(t *testing.T, addr string) *http.Response {
+func requestConnect(t *testing.T, addr string) *http.Response {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	must(t, err)
 	defer conn.Close()
-	io.WriteString(conn, linesConnect)
+	io.WriteString(conn, echoConnectOpening)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodConnect})
 	must(t, err)
 	return resp
 }
 
 // waitTunnelsEnded waits until so many tunnels have ended for a cause.
-func (n *rig) waitTunnelsEnded(t testing.TB, cause backtunnel.Cause, times uint64) {
+func (n *testNode) waitTunnelsEnded(t testing.TB, cause backtunnel.Cause, times uint64) {
 	t.Helper()
-	wait(t, fmt.Sprintf("the end of %d tunnels for cause %q", times, cause), func() bool { return n.opaque.Stats().Ended[cause] >= times })
+	waitFor(t, fmt.Sprintf("the end of %d tunnels for cause %q", times, cause), func() bool { return n.opaque.Stats().Ended[cause] >= times })
 }
 
 // Guards against wrong or missing replies and leaks when opaque tunnels are opened, over each way in and out and with
@@ -151,7 +151,7 @@
 			}
 			t.Run(fmt.Sprintf("via %s %s", via, trouble), func(t *testing.T) {
 				t.Parallel()
-				target := newLines(t, nil)
+				target := newEchoServer(t, nil)
 				p := &standin.Proxy{SOCKS5: via == "socks5"}
 				if err := p.Start(); err != nil {
 					t.Fatal(err)
@@ -162,22 +162,22 @@
 					more = fmt.Sprintf("  proxies: [{servers: \"s-*\", %s: %q}]\n", via, p.Addr())
 				}
 				down := target.entry("s-2")
-				down.Addr = free(t)
-				known := []listed{target.entry("s-1")}
+				down.Addr = freeAddr(t)
+				known := []serverEntry{target.entry("s-1")}
 				reachable := true
 				switch trouble {
 				case "server down":
-					known, reachable = []listed{down}, false
+					known, reachable = []serverEntry{down}, false
 				case "one of two down":
 					known = append(known, down)
 				case "proxy down":
 					p.Stop()
 					reachable = false
 				case "proxy malformed":
-					p.Trouble(standin.Nonsense, 0)
+					p.SetFault(standin.MalformedReply, 0)
 					reachable = false
 				case "proxy refuses":
-					p.Trouble(standin.Refuses, 0)
+					p.SetFault(standin.RefuseAll, 0)
 					reachable = false
 				}
 				node, socks, connect := newOpaqueNode(t, "", more, known...)
@@ -188,9 +188,9 @@
 				for i := range 4 {
 					addr, message, length := socks, echoSOCKSOpening, echoSOCKSReplyLength
 					if i%2 == 1 {
-						addr, message, length = connect, linesConnect, 0
+						addr, message, length = connect, echoConnectOpening, 0
 					}
-					c, reply := through(t, addr, message+ahead, length)
+					c, reply := openTunnel(t, addr, message+ahead, length)
 					if ok := reply == "200" || reply == "\x05\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00"; ok != reachable {
 						t.Fatalf("tunnel %d: reply %q to the opening", i, reply)
 					}
@@ -220,16 +220,16 @@
 					}
 				}
 				if reachable {
-					node.waitTunnelsEnded(t, backtunnel.Done, 4)
+					node.waitTunnelsEnded(t, backtunnel.CauseDone, 4)
 					if n := target.opened.Load(); n != 4 {
 						t.Errorf("%d connections for 4 tunnels, want 4", n)
 					}
 				}
-				wait(t, "the end of all requests", func() bool { return node.core.Stats(0).Open == 0 })
+				waitFor(t, "the end of all requests", func() bool { return node.core.Stats(0).OpenRequests == 0 })
 				if stats := node.opaque.Stats(); stats.Open != 0 {
 					t.Errorf("open tunnels remain: %+v", stats)
 				}
-				wait(t, "the end of the server's connections", func() bool { return target.open.Load() == 0 })
+				waitFor(t, "the end of the server's connections", func() bool { return target.open.Load() == 0 })
 			})
 		}
 	}
@@ -244,7 +244,7 @@
 		talk         func(c *client)
 		cause        backtunnel.Cause
 	}{
-		{"a client that sends nothing", ", idle: 100ms", nil, func(c *client) {}, backtunnel.Idle},
+		{"a client that sends nothing", ", idle: 100ms", nil, func(c *client) {}, backtunnel.CauseIdle},
 		{"total, however busy", ", total: 300ms, idle: 10s", nil, func(c *client) {
 			for {
 				if _, err := c.Write([]byte("x")); err != nil {
@@ -254,43 +254,43 @@
 					return
 				}
 			}
-		}, backtunnel.Total},
+		}, backtunnel.CauseTotal},
 		{"a server that never replies", ", stall: 100ms", func(c net.Conn) { io.Copy(io.Discard, c) },
-			func(c *client) { c.send("anybody there?") }, backtunnel.Stall},
+			func(c *client) { c.send("anybody there?") }, backtunnel.CauseStall},
 		{"a server that goes silent", ", stall: 3s", func(c net.Conn) {
 			io.CopyN(c, c, 5)
 			io.Copy(io.Discard, c)
 		}, func(c *client) {
 			c.echo("hello")
 			c.send("again")
-		}, backtunnel.Stall},
+		}, backtunnel.CauseStall},
 		{"a protocol without replies", ", idle: 2s", func(c net.Conn) { io.Copy(io.Discard, c) },
-			func(c *client) { c.send("a log line") }, backtunnel.Idle},
+			func(c *client) { c.send("a log line") }, backtunnel.CauseIdle},
 		{"a server that breaks the connection", "", func(c net.Conn) {
 			io.CopyN(c, c, 5)
 			c.(*net.TCPConn).SetLinger(0)
-		}, func(c *client) { c.echo("hello") }, backtunnel.Server},
+		}, func(c *client) { c.echo("hello") }, backtunnel.CauseServer},
 		{"a client that breaks the connection", "", nil, func(c *client) {
 			c.echo("hello")
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
-		}, backtunnel.Client},
+		}, backtunnel.CauseClient},
 		{"a client that reads nothing of 10 MB", ", idle: 300ms", func(c net.Conn) {
 			c.Write(make([]byte, 10<<20))
 			io.Copy(io.Discard, c)
-		}, func(c *client) {}, backtunnel.Idle},
+		}, func(c *client) {}, backtunnel.CauseIdle},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			target := newLines(t, c.serve)
+			target := newEchoServer(t, c.serve)
 			node, _, connect := newOpaqueNode(t, c.limits, "", target.entry("s-1"))
-			cl, reply := through(t, connect, linesConnect, 0)
+			cl, reply := openTunnel(t, connect, echoConnectOpening, 0)
 			if reply != "200" {
 				t.Fatalf("CONNECT: status %q, want 200", reply)
 			}
 			c.talk(cl)
 			node.waitTunnelsEnded(t, c.cause, 1)
-			wait(t, "the end of the server's connections", func() bool { return target.open.Load() == 0 })
+			waitFor(t, "the end of the server's connections", func() bool { return target.open.Load() == 0 })
 			if st := node.opaque.Stats(); len(st.Ended) != 1 || st.Open != 0 {
 				t.Errorf("want one tunnel ended and none open: %+v", st)
 			}
@@ -301,9 +301,9 @@
 // Guards against opaque tunnels that bypass contracts: who may have one, how many, and at what bandwidth.
 func TestOpaqueContracts(t *testing.T) {
 	t.Parallel()
-	target := newLines(t, nil)
+	target := newEchoServer(t, nil)
 	node, socks, connect := newOpaqueNode(t, "", "contracts: [{name: all, in_flight: 1, bandwidth: 4000000}]\n", target.entry("s-1"))
-	c, _ := through(t, connect, linesConnect, 0)
+	c, _ := openTunnel(t, connect, echoConnectOpening, 0)
 	begun := time.Now()
 	text := distinctBody(3 << 20)
 	go c.send(text)
@@ -316,16 +316,16 @@
 	if took := time.Since(begun); took < 400*time.Millisecond {
 		t.Errorf("6 MB passed in %v, want at least 400 ms", took)
 	}
-	resp := connects(t, connect)
+	resp := requestConnect(t, connect)
 	if resp.StatusCode != 429 || !strings.HasPrefix(resp.Header.Get("Portstall-Refusal"), "rule=in-flight") || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("a second tunnel: status %d, headers %v; want 429 by the in-flight limit", resp.StatusCode, resp.Header)
 	}
-	if _, reply := through(t, socks, echoSOCKSOpening, echoSOCKSReplyLength); reply[3] != 2 {
+	if _, reply := openTunnel(t, socks, echoSOCKSOpening, echoSOCKSReplyLength); reply[3] != 2 {
 		t.Errorf("a second tunnel by SOCKS5: reply %q, want it refused by the rules", reply)
 	}
 	c.Close()
-	wait(t, "the end of the first tunnel", func() bool { return node.core.Stats(0).Open == 0 })
-	if _, reply := through(t, connect, linesConnect, 0); reply != "200" {
+	waitFor(t, "the end of the first tunnel", func() bool { return node.core.Stats(0).OpenRequests == 0 })
+	if _, reply := openTunnel(t, connect, echoConnectOpening, 0); reply != "200" {
 		t.Errorf("a tunnel after the first has ended: status %s, want 200", reply)
 	}
 }
@@ -349,19 +349,19 @@
 func TestStallIsDetectedAfterDelayedCopy(t *testing.T) {
 	t.Parallel()
 	secondReceived := make(chan struct{})
-	target := newLines(t, func(c net.Conn) {
+	target := newEchoServer(t, func(c net.Conn) {
 		io.CopyN(c, c, 5)
 		io.CopyN(io.Discard, c, 5)
 		close(secondReceived)
 		io.Copy(io.Discard, c)
 	})
 	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
-	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute, Stall: 3 * time.Second}}
-	req := &core.Request{ID: "late", Class: "quote", Message: stream, Body: stream, Arrived: node.core.Now(), Patience: patience}
+	stream := &message.Stream{Limits: message.TunnelLimits{Idle: time.Minute, Total: time.Minute, Stall: 3 * time.Second}}
+	req := &core.Request{ID: "late", Class: "quote", Message: stream, Body: stream, Arrived: node.core.Now(), Timeout: testTimeout}
 	if !node.core.Begin(req) {
 		t.Fatal("the request was not accepted")
 	}
-	response := receive(t, "the response", req.Answer())
+	response := receive(t, "the response", req.Response())
 	if response.Kind != core.Served {
 		t.Fatalf("response %+v, want Served", response)
 	}
@@ -369,37 +369,37 @@
 	late := delayedCopyConn{end.(*net.TCPConn), make(chan struct{})}
 	go response.Payload.(message.Tunnel).Relay(late, bufio.NewReader(end))
 	c := &client{t, conn, bufio.NewReader(conn)}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	c.echo("hello")
 	c.send("again")
 	receive(t, "the client's second message at the server", secondReceived)
 	time.Sleep(20 * time.Millisecond) // for the node to record that, too
 	close(late.release)
-	node.waitTunnelsEnded(t, backtunnel.Stall, 1)
+	node.waitTunnelsEnded(t, backtunnel.CauseStall, 1)
 }
 
 // Guards against tunnels to a server that drains or is disabled between its selection and the connection: the tunnel is
 // not opened, and that proves that nothing ran.
 func TestOpaqueServerLeavesBeforeConnection(t *testing.T) {
 	t.Parallel()
-	target := newLines(t, nil)
+	target := newEchoServer(t, nil)
 	node, _, _ := newOpaqueNode(t, "", "", target.entry("s-1"))
 	node.core.Lock()
-	server := node.names["s-1"].Server
+	server := node.serversByID["s-1"].Server
 	node.core.Unlock()
-	stream := &message.Stream{Limits: message.Limits{Idle: time.Minute, Total: time.Minute}}
-	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream}, Server: server, Wait: patience}
-	server.Stop.Store(time.Now().Add(-time.Millisecond).UnixNano())
-	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+	stream := &message.Stream{Limits: message.TunnelLimits{Idle: time.Minute, Total: time.Minute}}
+	a := &core.Attempt{Request: &core.Request{Message: stream, Body: stream}, Server: server, Timeout: testTimeout}
+	server.StopAt.Store(time.Now().Add(-time.Millisecond).UnixNano())
+	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.NeverSent {
 		t.Errorf("after the drain grace: outcome %d, want NeverSent", res.Outcome)
 	}
-	server.Stop.Store(0)
-	server.Gate.Set(true)
-	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+	server.StopAt.Store(0)
+	server.Gate.SetClosed(true)
+	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.NeverSent {
 		t.Errorf("for a disabled server: outcome %d, want NeverSent", res.Outcome)
 	}
 	node.pool.Resize(0)
-	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.Moot {
+	if res := node.opaque.Attempt(context.Background(), a); res.Outcome != policy.NeverSent {
 		t.Errorf("with no descriptor: outcome %d, want NeverSent", res.Outcome)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -421,8 +421,8 @@
 		t.Skip("a thousand tunnels")
 	}
 	for _, disabled := range []bool{false, true} {
-		one, two := newLines(t, nil), newLines(t, nil)
-		var fleet, draining []listed // one process under many ids, as the policy lets each hold about a hundred before it knows more
+		one, two := newEchoServer(t, nil), newEchoServer(t, nil)
+		var fleet, draining []serverEntry // one process under many ids, as the policy lets each hold about a hundred before it knows more
 		for i := range 14 {
 			e := one.entry(fmt.Sprint("s-", i))
 			fleet = append(fleet, e)
@@ -432,7 +432,7 @@
 		node, _, connect := newOpaqueNode(t, ", drain: 300ms", "", fleet...)
 		var tunnels []*client
 		for range 1000 {
-			c, reply := through(t, connect, linesConnect, 0)
+			c, reply := openTunnel(t, connect, echoConnectOpening, 0)
 			if reply != "200" {
 				t.Fatalf("tunnel %d: status %s, want 200", len(tunnels), reply)
 			}
@@ -440,22 +440,22 @@
 		}
 		notified := time.Now()
 		if disabled {
-			node.lists(2, append(fleet, two.entry("t-1"))...)
+			node.publishList(2, append(fleet, two.entry("t-1"))...)
 			for _, e := range fleet {
 				must(t, node.Disable(context.Background(), e.ID))
 			}
 		} else {
-			node.lists(2, append(draining, two.entry("t-1"))...)
+			node.publishList(2, append(draining, two.entry("t-1"))...)
 		}
 		for range 200 {
-			if c, reply := through(t, connect, linesConnect, 0); reply != "200" {
+			if c, reply := openTunnel(t, connect, echoConnectOpening, 0); reply != "200" {
 				t.Fatalf("a tunnel during the drain: status %s, want 200", reply)
 			} else {
 				c.echo("hello")
 				c.Close()
 			}
 		}
-		node.waitTunnelsEnded(t, backtunnel.Draining, 1000)
+		node.waitTunnelsEnded(t, backtunnel.CauseDraining, 1000)
 		if delay := time.Unix(0, one.latest.Load()).Sub(notified); delay > 2*time.Second { // the grace period in these settings
 			t.Errorf("disabled by an operator %v: a new connection %v after the order", disabled, delay)
 		}
@@ -463,7 +463,7 @@
 			t.Errorf("%d new connections to a disabled server", one.opened.Load()-1000)
 		}
 		for _, c := range tunnels {
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := c.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatalf("a tunnel is still open after the drain: %v", err)
 			}
@@ -476,24 +476,24 @@
 // limit. The same holds when the node leaves.
 func TestOpaqueTunnelsEndWithDrainedNode(t *testing.T) {
 	t.Parallel()
-	target := newLines(t, nil)
+	target := newEchoServer(t, nil)
 	node, _, connect := newOpaqueNode(t, ", drain: 200ms", "", target.entry("s-1"))
-	c, _ := through(t, connect, linesConnect, 0)
+	c, _ := openTunnel(t, connect, echoConnectOpening, 0)
 	c.echo("hello")
 	must(t, node.Drain(context.Background()))
-	resp := connects(t, connect)
+	resp := requestConnect(t, connect)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("CONNECT during a drain: status %d, Retry-After %q; want 503 with Retry-After", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	node.waitTunnelsEnded(t, backtunnel.Draining, 1)
+	node.waitTunnelsEnded(t, backtunnel.CauseDraining, 1)
 	must(t, node.Resume(context.Background()))
-	c, reply := through(t, connect, linesConnect, 0)
+	c, reply := openTunnel(t, connect, echoConnectOpening, 0)
 	if reply != "200" {
 		t.Fatalf("CONNECT after the drain: status %s, want 200", reply)
 	}
 	c.echo("hello")
-	node.leave()
-	node.waitTunnelsEnded(t, backtunnel.Draining, 2)
+	node.terminate()
+	node.waitTunnelsEnded(t, backtunnel.CauseDraining, 2)
 }
 
 // Guards against deviations that standard clients do not accept: golang.org/x/net/proxy by SOCKS5, and net/http with a
@@ -502,7 +502,7 @@
 	t.Parallel()
 	web := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "hello "+r.Host) }))
 	defer web.Close()
-	_, socks, connect := newOpaqueNode(t, "", "", listed{ID: "s-1", Addr: web.Listener.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
+	_, socks, connect := newOpaqueNode(t, "", "", serverEntry{ID: "s-1", Addr: web.Listener.Addr().String(), Zone: "north", Kind: "k", State: "Ready"})
 	for _, proxyURL := range []string{"http://" + connect, "socks5://" + socks} {
 		u, err := url.Parse(proxyURL)
 		must(t, err)
@@ -534,12 +534,12 @@
 // Guards against a request smuggled by two framings inside an HTTP tunnel: it is refused, and reaches no server.
 func TestSmuggledRequestInTunnelIsRejected(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	_, _, connect := newTunnelNode(t, "", server.entry("s-1"))
-	c, _ := through(t, connect, connectOpening("secret"), 0)
+	c, _ := openTunnel(t, connect, connectOpening("secret"), 0)
 	smuggling := strings.Replace(save("outer").text(), "Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ", 1)
 	c.send(smuggling + "0\r\n\r\n" + view("inner").text())
-	if resp, _ := c.answer(); resp.StatusCode != 400 || !resp.Close {
+	if resp, _ := c.readResponse(); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("a request with two framings: status %d, close %v; want 400 and a close", resp.StatusCode, resp.Close)
 	}
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -583,8 +583,8 @@
 
 // BenchmarkTunnel sends 16 MB through an open tunnel and through a bare relay in turn, and opens short ones in turn.
 func BenchmarkTunnel(b *testing.B) {
-	target := newLines(b, func(c net.Conn) { io.Copy(io.Discard, c) })
-	echo := newLines(b, nil)
+	target := newEchoServer(b, func(c net.Conn) { io.Copy(io.Discard, c) })
+	echo := newEchoServer(b, nil)
 	_, _, connect := newOpaqueNode(b, "", "", target.entry("s-1"))
 	_, _, shortTunnels := newOpaqueNode(b, "", "", echo.entry("s-1"))
 	bare, bareShort := bareRelay(b, target.ln.Addr().String()), bareRelay(b, echo.ln.Addr().String())
@@ -594,7 +594,7 @@
 			b.Fatal(err)
 		}
 		if tunnel {
-			io.WriteString(c, linesConnect)
+			io.WriteString(c, echoConnectOpening)
 			resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: http.MethodConnect})
 			if err != nil || resp.StatusCode != 200 {
 				b.Fatal(resp, err)
@@ -640,11 +640,11 @@
 func BenchmarkIdleTunnels(b *testing.B) {
 	for _, count := range []int{400, 4000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			target := newLines(b, func(c net.Conn) {
+			target := newEchoServer(b, func(c net.Conn) {
 				var one [1]byte
 				c.Read(one[:])
 			})
-			var servers []listed
+			var servers []serverEntry
 			for i := range 60 {
 				servers = append(servers, target.entry(fmt.Sprint("s-", i)))
 			}
@@ -663,7 +663,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				io.WriteString(c, linesConnect)
+				io.WriteString(c, echoConnectOpening)
 				if _, err := io.ReadFull(c, reply); err != nil {
 					b.Fatalf("tunnel %d: %q %v", len(conns), reply, err)
 				}
