--- a/internal/node/operation_test.go
+++ b/internal/node/operation_test.go
@@ -15,10 +15,10 @@
 )
 
 // publishList applies a full list to the node.
-func (n *rig) lists(version int64, servers ...listed) {
+func (n *testNode) publishList(version int64, servers ...serverEntry) {
 	n.core.Lock()
 	defer n.core.Unlock()
-	n.takeList(&list{Version: version, Full: true, Servers: servers}, 1)
+	n.applyList(&serverList{Version: version, Full: true, Servers: servers}, 1)
 }
 
 // must fails the test at once if there is an error.
@@ -34,49 +34,49 @@
 func TestDisabledServerGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	ctx := context.Background()
-	serverA, serverB := newBox(t, served), newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
+	serverA, serverB := newStubServer(t, respondOK), newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, serverA.entry("s-1"), serverB.entry("s-2"))
 	c := node.dial(t)
 	n := 0
 	requestTimes := func(times int) {
 		t.Helper()
 		for range times {
 			n++
-			if resp, _ := c.ask(view(fmt.Sprint("v", n))); resp.StatusCode != 200 {
+			if resp, _ := c.roundTrip(view(fmt.Sprint("v", n))); resp.StatusCode != 200 {
 				t.Fatalf("request %d: status %d, want 200", n, resp.StatusCode)
 			}
 		}
 	}
-	if err := node.Disable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknown) {
+	if err := node.Disable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknownServer) {
 		t.Errorf("Disable of an unknown id: %v, want ErrUnknown", err)
 	}
-	if err := node.Enable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknown) {
+	if err := node.Enable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknownServer) {
 		t.Errorf("Enable of an unknown id: %v, want ErrUnknown", err)
 	}
 	must(t, node.Disable(ctx, "s-1"))
 	must(t, node.Disable(ctx, "s-1"))
 	before := len(serverA.requests())
 	requestTimes(20)
-	node.lists(2, serverA.entry("s-1"), serverB.entry("s-2"))
+	node.publishList(2, serverA.entry("s-1"), serverB.entry("s-2"))
 	requestTimes(20)
 	restarted := serverA.entry("s-1")
 	restarted.StartedMS = time.Now().UnixMilli()
-	node.lists(3, restarted, serverB.entry("s-2"))
+	node.publishList(3, restarted, serverB.entry("s-2"))
 	requestTimes(20)
-	node.lists(4, serverB.entry("s-2"))
+	node.publishList(4, serverB.entry("s-2"))
 	must(t, node.Disable(ctx, "s-1")) // still known, though no longer listed
-	moved := newBox(t, served)
-	node.lists(5, moved.entry("s-1"), serverB.entry("s-2"))
+	moved := newStubServer(t, respondOK)
+	node.publishList(5, moved.entry("s-1"), serverB.entry("s-2"))
 	requestTimes(20)
 	if got := len(serverA.requests()) - before + len(moved.requests()); got != 0 {
 		t.Errorf("a disabled web server has received %d requests", got)
 	}
 	must(t, node.Enable(ctx, "s-1"))
 	must(t, node.Enable(ctx, "s-1"))
-	node.lists(6, moved.entry("s-1"))
-	wait(t, "a request at the web server that was enabled again", func() bool { // it is cold, and gets few requests
+	node.publishList(6, moved.entry("s-1"))
+	waitFor(t, "a request at the web server that was enabled again", func() bool { // it is cold, and gets few requests
 		n++
-		c.ask(view(fmt.Sprint("v", n)))
+		c.roundTrip(view(fmt.Sprint("v", n)))
 		return len(moved.requests()) > 0
 	})
 }
@@ -84,16 +84,16 @@
 // Guards against requests written to a web server after Disable has returned, also those that already had a connection.
 func TestDisableStopsPendingWrites(t *testing.T) {
 	t.Parallel()
-	stub := newBox(t, served)
-	node := newRig(t, newRegistry(t), settingsJSON, nil, stub.entry("s-1"))
+	stub := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, stub.entry("s-1"))
 	conn, err := net.Dial("tcp", stub.ln.Addr().String())
 	must(t, err)
 	defer conn.Close()
 	node.core.Lock()
-	server := node.names["s-1"].Server
+	server := node.serversByID["s-1"].Server
 	node.core.Unlock()
 	must(t, node.Disable(context.Background(), "s-1"))
-	if n, err := back.NewGated(conn, server, func() bool { return true }).Write([]byte("GET")); n != 0 || !errors.Is(err, back.ErrShut) {
+	if n, err := back.NewGatedConn(conn, server, func() bool { return true }).Write([]byte("GET")); n != 0 || !errors.Is(err, back.ErrNoNewRequests) {
 		t.Errorf("wrote %d bytes after Disable, error %v; want none and ErrShut", n, err)
 	}
 }
@@ -104,12 +104,12 @@
 	t.Parallel()
 	ctx := context.Background()
 	release := make(chan struct{})
-	server := newBox(t, holdFirst(release))
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	server := newStubServer(t, holdFirst(release))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	busy, idle := node.dial(t), node.dial(t)
 	busy.send(quote("slow").text())
-	wait(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
-	if resp, _ := idle.ask(view("v")); resp.StatusCode != 200 || resp.Close {
+	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
+	if resp, _ := idle.roundTrip(view("v")); resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("before the drain: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	late, waits := node.connectSilent(t)
@@ -125,14 +125,14 @@
 		late.client = node.dial(t) // this machine was too slow: the connection was closed with the idle ones, and the client reconnects
 		late.send(view("late").text())
 	}
-	if resp, _ := late.answer(); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := late.readResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a request in a drain: status %d, close %v; want it served and a close", resp.StatusCode, resp.Close)
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection in a drain: %v, want it closed", err)
 	}
 	close(release)
-	if resp, body := busy.answer(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
+	if resp, body := busy.readResponse(); resp.StatusCode != 200 || body != "done slow" || !resp.Close {
 		t.Errorf("the request accepted before the drain: status %d, body %q, close %v; want it served and a close", resp.StatusCode, body, resp.Close)
 	}
 	must(t, node.Resume(ctx))
@@ -142,12 +142,12 @@
 	}
 	c := node.dial(t)
 	for _, id := range []string{"x", "y"} {
-		if resp, _ := c.ask(view(id)); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := c.roundTrip(view(id)); resp.StatusCode != 200 || resp.Close {
 			t.Errorf("a request after the drain: status %d, close %v; want 200 and no close", resp.StatusCode, resp.Close)
 		}
 	}
-	node.leave()
-	wait(t, "the start of the node's leaving", node.life.sendsAway)
+	node.terminate()
+	waitFor(t, "the start of the node's leaving", node.lifecycle.closingConnections)
 	if err := node.Resume(ctx); err == nil {
 		t.Error("Resume has succeeded on a node that leaves")
 	}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -13,10 +13,10 @@
 
 // operatorOverrides records which web servers operators disabled, by discovery's IDs. It is separate from discovery's
 // list, which can neither undo nor forget an override.
-type hand struct {
-	callMu   sync.Mutex               // held for the whole of a call, so that calls are carried out one after the other
-	disabled map[string]bool          // guarded by the core's lock
-	returned map[string]time.Duration // when an ID was enabled again: its server counts as started then. Guarded by the core's lock
+type operatorOverrides struct {
+	callMu    sync.Mutex               // held for the whole of a call, so that calls are carried out one after the other
+	disabled  map[string]bool          // guarded by the core's lock
+	enabledAt map[string]time.Duration // when an ID was enabled again: its server counts as started then. Guarded by the core's lock
 }
 
 // Disable takes a web server out of service. For one that is disabled already it changes nothing.
@@ -33,27 +33,27 @@
 func (n *node) applyOverride(ctx context.Context, order upgrade.Order) error {
 	order.At = int64(n.core.Now())
 	if !n.knowsServer(order.ID) {
-		return mgmt.ErrUnknown
+		return mgmt.ErrUnknownServer
 	}
 	n.setDisabled(order)
-	n.saved()
-	return n.pair.tell(ctx, nil, order)
+	n.persistNow()
+	return n.handover.forwardOrder(ctx, nil, order)
 }
 
 // knowsServer reports whether a web server has the ID, or had it when it was disabled.
 func (n *node) knowsServer(id string) bool {
 	n.core.Lock()
 	defer n.core.Unlock()
-	return n.names[id] != nil || n.hand.disabled[id]
+	return n.serversByID[id] != nil || n.overrides.disabled[id]
 }
 
 // setDisabled applies an operator's order, without storing it or sending it on.
 func (n *node) setDisabled(order upgrade.Order) {
-	n.hand.callMu.Lock()
-	defer n.hand.callMu.Unlock()
+	n.overrides.callMu.Lock()
+	defer n.overrides.callMu.Unlock()
 	disable := order.Call == upgrade.Disable
 	if server, stillOut := n.recordOverride(order.ID, disable, time.Duration(order.At)); server != nil {
-		server.Gate.Set(stillOut) // not under the core's lock: it waits for writes under way
+		server.Gate.SetClosed(stillOut) // not under the core's lock: it waits for writes under way
 		if disable {
 			n.opaque.Drain(server.Server)
 		}
@@ -62,23 +62,23 @@
 
 // recordOverride records an operator's call for an ID and notifies the policy. It returns the server listed under the
 // ID, if any, and whether that is out of service now.
-func (n *node) recordOverride(id string, disable bool, at time.Duration) (server *backend, stillOut bool) {
+func (n *node) recordOverride(id string, disable bool, at time.Duration) (server *webServer, stillOut bool) {
 	n.core.Lock()
 	defer n.core.Unlock()
-	before := n.hand.disabled[id]
+	before := n.overrides.disabled[id]
 	event := policy.Event{Kind: policy.EvEnable}
 	switch {
 	case disable:
 		event.Kind = policy.EvDisable
-		n.hand.disabled[id] = true
+		n.overrides.disabled[id] = true
 	case before:
-		delete(n.hand.disabled, id)
-		n.hand.returned[id] = at
+		delete(n.overrides.disabled, id)
+		n.overrides.enabledAt[id] = at
 	}
-	if server = n.names[id]; server == nil {
+	if server = n.serversByID[id]; server == nil {
 		return nil, disable
 	}
-	stillOut = n.keptOut(id, server.number)
+	stillOut = n.outOfService(id, server.number)
 	if before != disable && stillOut == disable { // otherwise nothing changes, or a health verdict still keeps the server out
 		event.Server = server.number
 		n.core.Handle(&event)
@@ -87,29 +87,29 @@
 }
 
 // outOfService reports whether an operator or a health verdict has a web server out of service. The core's lock is held.
-func (n *node) keptOut(id string, number uint32) bool {
-	return n.hand.disabled[id] || n.checker.isUnhealthy(number)
+func (n *node) outOfService(id string, number uint32) bool {
+	return n.overrides.disabled[id] || n.checker.isUnhealthy(number)
 }
 
 // reapply is called after each list that was passed to the policy: a disabled web server stays disabled under a new
 // number. The core's lock is held.
-func (h *hand) listed(n *node, now time.Duration) {
+func (h *operatorOverrides) reapply(n *node, now time.Duration) {
 	for id := range h.disabled {
-		if server := n.names[id]; server != nil {
+		if server := n.serversByID[id]; server != nil {
 			n.core.Handle(&policy.Event{Kind: policy.EvDisable, Server: server.number})
 		}
 	}
-	for id, at := range h.returned {
-		if now-at > n.set.Load().Policy.ColdFor {
-			delete(h.returned, id)
+	for id, at := range h.enabledAt {
+		if now-at > n.settings.Load().Policy.ColdFor {
+			delete(h.enabledAt, id)
 		}
 	}
 }
 
 // gateFor returns the gate of an ID. The core's lock is held.
 func (n *node) gateFor(id string) *back.Gate {
-	if server := n.names[id]; server != nil {
+	if server := n.serversByID[id]; server != nil {
 		return server.Gate
 	}
-	return back.NewGate(n.hand.disabled[id])
+	return back.NewGate(n.overrides.disabled[id])
 }
--- a/internal/node/persist.go
+++ b/internal/node/persist.go
@@ -14,10 +14,10 @@
 
 // persister stores the node's state on a persistent disk. The handoverController owns it and guards it by its mu: the
 // process that serves writes.
-type keeping struct {
+type persister struct {
 	settings config.State
 	dir      *disk.Dir
-	writer   *disk.Keeper
+	writer   *disk.Persister
 }
 
 // loadStoredState reads the state that an earlier process of this node has stored. It returns nil if there is none that
@@ -32,14 +32,14 @@
 		return nil
 	}
 	n.log.Info("starting with a stored state", "dir", set.Dir, "age", (n.core.Now() - s.Taken).Round(time.Millisecond), "web_servers", len(s.Servers),
-		"disabled_by_operator", len(s.Out))
+		"disabled_by_operator", len(s.Disabled))
 	s.Exact = false // it was taken at some moment before the process ended
 	return s
 }
 
 // start stores the state from now on, as this process serves. If another process writes to the directory, that is
 // logged, and the directory is left alone.
-func (p *keeping) start(n *node) {
+func (p *persister) start(n *node) {
 	if p == nil || p.dir != nil {
 		return
 	}
@@ -48,7 +48,7 @@
 		n.log.Error("the state is not stored", "err", err)
 		return
 	}
-	p.writer = disk.Keep(p.dir, p.settings.Every, func() ([]byte, error) {
+	p.writer = disk.StartPersister(p.dir, p.settings.Every, func() ([]byte, error) {
 		n.core.Lock()
 		s := n.snapshot(false)
 		n.core.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // stop stores the state once more and leaves the directory to the process that serves next.
-func (p *keeping) stop() {
+func (p *persister) stop() {
 	if p == nil || p.dir == nil {
 		return
 	}
@@ -73,17 +73,17 @@
 }
 
 // persistNow stores the state at once, after an operator's call.
-func (n *node) saved() {
-	n.pair.mu.Lock()
-	var keeper *disk.Keeper
-	if n.pair.persister != nil {
-		keeper = n.pair.persister.writer
+func (n *node) persistNow() {
+	n.handover.mu.Lock()
+	var keeper *disk.Persister
+	if n.handover.persister != nil {
+		keeper = n.handover.persister.writer
 	}
-	n.pair.mu.Unlock()
+	n.handover.mu.Unlock()
 	if keeper == nil {
 		return
 	}
-	if err := keeper.Now(persistTimeout); err != nil {
+	if err := keeper.WriteNow(persistTimeout); err != nil {
 		n.log.Warn("the call took effect, but may not have reached the disk", "err", errors.Unwrap(err))
 	}
 }
--- a/internal/node/robustness_test.go
+++ b/internal/node/robustness_test.go
@@ -27,32 +27,32 @@
 )
 
 // serverByID returns the web server that is listed under an id.
-func (n *node) backendOf(id string) *backend {
+func (n *node) serverByID(id string) *webServer {
 	n.core.Lock()
 	defer n.core.Unlock()
-	return n.names[id]
+	return n.serversByID[id]
 }
 
 // newAttempt returns an attempt at a listed server.
-func (n *rig) newAttempt(id string, wait time.Duration) *core.Attempt {
+func (n *testNode) newAttempt(id string, wait time.Duration) *core.Attempt {
 	in, _ := http.NewRequest("GET", "http://x/api", nil)
 	up, _ := flow.NewUpload(http.NoBody, 0)
-	return &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: n.backendOf(id).Server, Wait: wait}
+	return &core.Attempt{Request: &core.Request{Message: in, Body: up}, Server: n.serverByID(id).Server, Timeout: wait}
 }
 
 // setDial replaces the way in which a server is dialed.
-func (n *rig) setDial(id string, via back.Dial) {
-	server := n.backendOf(id)
+func (n *testNode) setDial(id string, via back.Dial) {
+	server := n.serverByID(id)
 	n.core.Lock()
 	defer n.core.Unlock()
-	server.Via = via
+	server.Dial = via
 }
 
 // Guards against connect failures held against a server that did not cause them: not where this machine has no
 // descriptor left, nor where the client's time had passed before any server could have responded.
 func TestConnectFailureIsAttributed(t *testing.T) {
 	t.Parallel()
-	node := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, served).entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, newStubServer(t, respondOK).entry("s-1"))
 	never := func(ctx context.Context, _ *net.Dialer, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -68,11 +68,11 @@
 		wait time.Duration
 		want policy.Outcome
 	}{
-		{"no descriptor for the process", fails(syscall.EMFILE), patience, policy.Moot},
-		{"none for the machine", fails(syscall.ENFILE), patience, policy.Moot},
-		{"no memory for a socket", fails(syscall.ENOBUFS), patience, policy.Moot},
-		{"refused", fails(syscall.ECONNREFUSED), patience, policy.ConnectFailed},
-		{"a client with a short timeout", never, time.Millisecond, policy.Moot},
+		{"no descriptor for the process", fails(syscall.EMFILE), testTimeout, policy.NeverSent},
+		{"none for the machine", fails(syscall.ENFILE), testTimeout, policy.NeverSent},
+		{"no memory for a socket", fails(syscall.ENOBUFS), testTimeout, policy.NeverSent},
+		{"refused", fails(syscall.ECONNREFUSED), testTimeout, policy.ConnectFailed},
+		{"a client with a short timeout", never, time.Millisecond, policy.NeverSent},
 		{"a client with a longer timeout", never, 300 * time.Millisecond, policy.ConnectFailed},
 	} {
 		node.setDial("s-1", c.via)
@@ -89,12 +89,12 @@
 // Retry-After.
 func TestBodyBeyondBudgetIsRefused(t *testing.T) {
 	t.Parallel()
-	node := newRig(t, newRegistry(t), settingsJSON, hurried, newBox(t, served).entry("s-1"))
-	must(t, node.budget.Request(context.Background(), node.cfg.bodyBytes()/2))
-	defer node.budget.RequestDone(node.cfg.bodyBytes() / 2)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductTimeouts, newStubServer(t, respondOK).entry("s-1"))
+	must(t, node.budget.AcquireRequest(context.Background(), node.cfg.maxBodyBytes()/2))
+	defer node.budget.ReleaseRequest(node.cfg.maxBodyBytes() / 2)
 	q := save("s")
-	q.body = strings.Repeat("x", flow.Keep)
-	resp, _ := node.dial(t).ask(q)
+	q.body = strings.Repeat("x", flow.MaxBuffered)
+	resp, _ := node.dial(t).roundTrip(q)
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
 		t.Errorf("status %d with Retry-After %q, want 503 with at most 2 s", resp.StatusCode, resp.Header.Get("Retry-After"))
@@ -105,22 +105,22 @@
 // impossible start time counts as cold, not as long running.
 func TestMalformedListEntriesAreSkipped(t *testing.T) {
 	t.Parallel()
-	server := newBox(t, served)
+	server := newStubServer(t, respondOK)
 	far := server.entry("s-2")
 	far.StartedMS = 1 << 62
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"), listed{ID: "s-9", State: "Ready"}, listed{Addr: "127.0.0.1:1", State: "Ready"}, far)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"), serverEntry{ID: "s-9", State: "Ready"}, serverEntry{Addr: "127.0.0.1:1", State: "Ready"}, far)
 	node.core.Lock()
-	if len(node.names) != 2 || node.names["s-1"] == nil || node.names["s-2"] == nil {
-		t.Errorf("%d web servers, want s-1 and s-2 alone", len(node.names))
+	if len(node.serversByID) != 2 || node.serversByID["s-1"] == nil || node.serversByID["s-2"] == nil {
+		t.Errorf("%d web servers, want s-1 and s-2 alone", len(node.serversByID))
 	}
 	node.core.Unlock()
 	for i := range 40 {
-		if resp, _ := node.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).roundTrip(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
 			t.Errorf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
-	node.lists(2, listed{ID: "s-1", State: "Gone"}, far) // the address of a known server may be missing
-	if node.backendOf("s-1") != nil && !node.backendOf("s-1").left {
+	node.publishList(2, serverEntry{ID: "s-1", State: "Gone"}, far) // the address of a known server may be missing
+	if node.serverByID("s-1") != nil && !node.serverByID("s-1").removed {
 		t.Error("a web server that was listed as gone is still listed")
 	}
 }
@@ -128,24 +128,24 @@
 // Guards against a rejected configuration that takes effect in part: here its keys would have excluded a member.
 func TestRejectedReloadChangesNothing(t *testing.T) {
 	t.Parallel()
-	peers := newFellows(t, 2)
-	var nodes [2]*rig
+	peers := newTestMembers(t, 2)
+	var nodes [2]*testNode
 	for i := range nodes {
-		nodes[i] = newRig(t, newRegistry(t), settingsJSON, under(t, peers.file(i, 2)))
-		must(t, nodes[i].join(t.Context()))
-		t.Cleanup(nodes[i].edge.Close)
+		nodes[i] = newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, peers.productFile(i, 2)))
+		must(t, nodes[i].joinMembers(t.Context()))
+		t.Cleanup(nodes[i].memberTransport.Close)
 	}
 	node := nodes[0]
-	wait(t, "both nodes to join", func() bool { return node.members().Alive == 2 && len(node.members().Members) == 1 })
+	waitFor(t, "both nodes to join", func() bool { return node.members().Alive == 2 && len(node.members().Members) == 1 })
 	cfg := node.cfg
-	cfg.Discovery = node.disc.addr
+	cfg.Discovery = node.discovery.addr
 	cfg.Settings.Policy.MaxAttempts = 1
-	under(t, peers.file(0, 1)+"cells: {size: 2}\n")(&cfg)
+	withProductFile(t, peers.productFile(0, 1)+"cells: {size: 2}\n")(&cfg)
 	node.reload(cfg)
 	if all := node.members(); len(all.Members) != 1 {
 		t.Errorf("members after a rejected reload: %+v, want the one from before", all.Members)
 	}
-	if got := node.set.Load().Policy.MaxAttempts; got != 3 {
+	if got := node.settings.Load().Policy.MaxAttempts; got != 3 {
 		t.Errorf("at most %d attempts after a rejected reload, want 3", got)
 	}
 }
@@ -155,7 +155,7 @@
 func TestTruncatedOrInvalidFilesAreRejected(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
-	good := strings.Replace(goodFile, `"report"`, `"projects":[{"name":"a","quota_per_s":5},{"name":"b","quota_per_s":5}],"report"`, 1)
+	good := strings.Replace(validConfigJSON, `"report"`, `"projects":[{"name":"a","quota_per_s":5},{"name":"b","quota_per_s":5}],"report"`, 1)
 	getenv := func(name string) string { return map[string]string{"GW_CONFIG": path}[name] }
 	must(t, os.WriteFile(path, []byte(good), 0o600))
 	inForce, err := Load(getenv)
@@ -209,48 +209,48 @@
 // them.
 func TestOrdersReachThreeProcesses(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	release, hold := make(chan struct{}), make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		switch r.Header.Get("X-Request-Id") {
 		case "open":
 			<-release
 		case "slow":
 			<-hold
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
 	releaseSlow := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(releaseSlow)
-	discoveryStub := newRegistry(t)
-	disabled := func(node *rig, id string) bool {
+	discoveryStub := newStubDiscovery(t)
+	disabled := func(node *testNode, id string) bool {
 		node.core.Lock()
 		defer node.core.Unlock()
-		return node.hand.disabled[id]
+		return node.overrides.disabled[id]
 	}
-	first := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"), newBox(t, served).entry("s-2"))
-	first.lists(2, server.entry("s-1"))
+	first := newTestNode(t, discoveryStub, settingsJSON, nil, server.entry("s-1"), newStubServer(t, respondOK).entry("s-2"))
+	first.publishList(2, server.entry("s-1"))
 	busy := first.dial(t)
 	busy.send(quote("open").text())
-	wait(t, "the first process's request at the server", func() bool { return len(server.requests()) == 1 })
-	second := startSuccessor(t, first.meet(t), discoveryStub, settingsJSON)
+	waitFor(t, "the first process's request at the server", func() bool { return len(server.requests()) == 1 })
+	second := startSuccessor(t, first.requestHandover(t), discoveryStub, settingsJSON)
 	held := second.dial(t) // the second process ends after the first, and not before it has answered this request
 	held.send(quote("slow").text())
-	wait(t, "the second process's request at the server", func() bool { return len(server.requests()) == 2 })
-	third := startSuccessor(t, second.meet(t), discoveryStub, settingsJSON)
+	waitFor(t, "the second process's request at the server", func() bool { return len(server.requests()) == 2 })
+	third := startSuccessor(t, second.requestHandover(t), discoveryStub, settingsJSON)
 	must(t, third.Disable(ctx, "s-1"))
 	if !disabled(first, "s-1") || !disabled(second, "s-1") {
 		t.Errorf("disabled at the first process: %v, at the second: %v; want both", disabled(first, "s-1"), disabled(second, "s-1"))
 	}
 	close(release)
-	if resp, _ := busy.answer(); resp.StatusCode != 200 {
+	if resp, _ := busy.readResponse(); resp.StatusCode != 200 {
 		t.Errorf("the first process's request: status %d, want 200", resp.StatusCode)
 	}
-	second.pair.mu.Lock()
-	exited := second.pair.peers[second.pair.machine.Before]
-	second.pair.mu.Unlock()
-	second.Gone(exited) // as at the exit of its process
+	second.handover.mu.Lock()
+	exited := second.handover.peers[second.handover.machine.Predecessor]
+	second.handover.mu.Unlock()
+	second.PeerExited(exited) // as at the exit of its process
 	must(t, third.Enable(ctx, "s-1"))
 	if disabled(second, "s-1") {
 		t.Error("an order given to the third process did not reach the second")
@@ -260,7 +260,7 @@
 		t.Error("an order given to the second process did not reach the third")
 	}
 	releaseSlow()
-	if resp, _ := held.answer(); resp.StatusCode != 200 {
+	if resp, _ := held.readResponse(); resp.StatusCode != 200 {
 		t.Errorf("the second process's request: status %d, want 200", resp.StatusCode)
 	}
 }
@@ -271,12 +271,12 @@
 	t.Parallel()
 	ctx := context.Background()
 	report := func(c net.Conn, r *http.Request, nth int) bool {
-		return reply(c, 200, fmt.Sprintf("X-Load: {\"depth\": %d}\r\n", nth%9), "done "+r.Header.Get("X-Request-Id"))
+		return writeResponse(c, 200, fmt.Sprintf("X-Load: {\"depth\": %d}\r\n", nth%9), "done "+r.Header.Get("X-Request-Id"))
 	}
-	serverA, serverB := newBox(t, report), newBox(t, report)
-	node := newRig(t, newRegistry(t), settingsJSON, under(t, teams+"- {name: rest}\nhealth: {checks: {interval: 100ms, tcp: {}}}\n"), serverA.entry("s-1"), serverB.entry("s-2"))
+	serverA, serverB := newStubServer(t, report), newStubServer(t, report)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t, teamContractsYAML+"- {name: rest}\nhealth: {checks: {interval: 100ms, tcp: {}}}\n"), serverA.entry("s-1"), serverB.entry("s-2"))
 	cfg := node.cfg
-	cfg.Discovery = node.disc.addr
+	cfg.Discovery = node.discovery.addr
 	set, err := wire.DecodeSettings([]byte(strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":2`, 1)))
 	must(t, err)
 	var sent, answered atomic.Int64
@@ -287,9 +287,9 @@
 			c := node.dial(t)
 			for n := range 60 {
 				sent.Add(1)
-				text := with(view(fmt.Sprint("v", i, "-", n)), "X-Tenant: somebody")
+				text := withHeaders(view(fmt.Sprint("v", i, "-", n)), "X-Tenant: somebody")
 				for tries := 0; ; tries++ { // a close may cross a request that was not read: it is sent again, and would be rejected if it had been accepted
-					c.SetDeadline(time.Now().Add(patience))
+					c.SetDeadline(time.Now().Add(testTimeout))
 					io.WriteString(c, text)
 					resp, err := http.ReadResponse(c.in, nil)
 					if err == nil {
@@ -313,13 +313,13 @@
 	}
 	version := int64(1)
 	for _, act := range []func(n int){
-		func(n int) { version++; node.lists(version, serverA.entry("s-1"), serverB.entry("s-2")) },
+		func(n int) { version++; node.publishList(version, serverA.entry("s-1"), serverB.entry("s-2")) },
 		func(n int) {
 			e := serverB.entry("s-2")
 			e.State = []string{"Ready", "Terminating", "Ready"}[n%3]
 			node.core.Lock()
 			defer node.core.Unlock()
-			node.takeList(&list{Version: node.version, Servers: []listed{e}}, policy.ListDelta)
+			node.applyList(&serverList{Version: node.listVersion, Servers: []serverEntry{e}}, policy.ListDelta)
 		},
 		func(n int) { node.Disable(ctx, "s-1"); node.Enable(ctx, "s-1") },
 		func(n int) {
@@ -330,7 +330,7 @@
 			node.reload(change)
 		},
 		func(n int) { node.core.Stats(10); node.core.Explain(&contract.Caller{Tenant: "app"}, "view", false) },
-		func(n int) { node.healthOf(""); node.readinessStatus(); node.Ready(); node.standing() },
+		func(n int) { node.healthOf(""); node.readinessStatus(); node.Ready(); node.healthStatus() },
 		func(n int) {
 			node.pool.Resize(10 + n%20)
 			node.pool.Counts()
@@ -353,20 +353,20 @@
 	if sent.Load() != answered.Load() || sent.Load() != 360 {
 		t.Errorf("%d requests sent, %d answered; want 360 of both", sent.Load(), answered.Load())
 	}
-	wait(t, "the end of all requests", func() bool { return node.core.Stats(0).Open == 0 })
+	waitFor(t, "the end of all requests", func() bool { return node.core.Stats(0).OpenRequests == 0 })
 }
 
 // Guards against attempts spent on a disabled server that returns at another address: the policy knows that it is
 // disabled, not only its gate.
 func TestDisabledServerCostsNoAttempt(t *testing.T) {
 	t.Parallel()
-	serverA, moved, serverB := newBox(t, served), newBox(t, served), newBox(t, served)
+	serverA, moved, serverB := newStubServer(t, respondOK), newStubServer(t, respondOK), newStubServer(t, respondOK)
 	oneAttempt := strings.Replace(settingsJSON, `"max_attempts":3`, `"max_attempts":1`, 1)
-	node := newRig(t, newRegistry(t), oneAttempt, nil, serverA.entry("s-1"), serverB.entry("s-2"))
+	node := newTestNode(t, newStubDiscovery(t), oneAttempt, nil, serverA.entry("s-1"), serverB.entry("s-2"))
 	must(t, node.Disable(context.Background(), "s-1"))
-	node.lists(2, moved.entry("s-1"), serverB.entry("s-2"))
+	node.publishList(2, moved.entry("s-1"), serverB.entry("s-2"))
 	for i := range 40 {
-		if resp, _ := node.dial(t).ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
+		if resp, _ := node.dial(t).roundTrip(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
 			t.Errorf("request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
@@ -380,22 +380,22 @@
 func TestIDAcceptedByPredecessorAfterHandover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if r.Header.Get("X-Request-Id") == "late" && nth == 2 {
 			<-release
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
 	defer close(release)
-	discoveryStub := newRegistry(t)
-	old := newRig(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
+	discoveryStub := newStubDiscovery(t)
+	old := newTestNode(t, discoveryStub, settingsJSON, nil, server.entry("s-1"))
 	keptConn := old.dial(t)
-	keptConn.ask(view("v"))
-	offer := old.meet(t)
+	keptConn.roundTrip(view("v"))
+	offer := old.requestHandover(t)
 	keptConn.send(quote("late").text()) // accepted after the state was taken
-	wait(t, "the request at the server", func() bool { return len(server.requests()) == 2 })
+	waitFor(t, "the request at the server", func() bool { return len(server.requests()) == 2 })
 	successor := startSuccessor(t, offer, discoveryStub, settingsJSON)
-	if resp, _ := successor.dial(t).ask(quote("late")); resp.StatusCode != http.StatusConflict {
+	if resp, _ := successor.dial(t).roundTrip(quote("late")); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the id of a request that the predecessor accepted after its state was taken: status %d, want 409", resp.StatusCode)
 	}
 }
@@ -406,37 +406,37 @@
 func TestOpenIDsAreSharedAfterHandover(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	server := newSlowBox(t, hold)
-	discoveryStub := newRegistry(t)
-	old := newRig(t, discoveryStub, settingsJSON, unhurried, server.entry("s-1"))
+	server := newSlowServer(t, hold)
+	discoveryStub := newStubDiscovery(t)
+	old := newTestNode(t, discoveryStub, settingsJSON, withTestTimeouts, server.entry("s-1"))
 	keptConn, keptConn2 := old.dial(t), old.dial(t)
-	keptConn.ask(view("v"))
-	keptConn2.ask(view("w"))
-	offer := old.meet(t)
+	keptConn.roundTrip(view("v"))
+	keptConn2.roundTrip(view("w"))
+	offer := old.requestHandover(t)
 	keptConn.send(quote("slow").text()[:40]) // its first bytes keep the connection open while others are closed
 	keptConn2.send(view("free").text()[:40])
 	successor := startSuccessor(t, offer, discoveryStub, settingsJSON)
 	successorConn := successor.dial(t)
 	successorConn.send(quote("slow").text())
-	wait(t, "the request at the server", func() bool { return len(server.requests()) == 3 })
+	waitFor(t, "the request at the server", func() bool { return len(server.requests()) == 3 })
 	keptConn.send(quote("slow").text()[40:])
-	if resp, _ := keptConn.answer(); resp.StatusCode != http.StatusConflict {
+	if resp, _ := keptConn.readResponse(); resp.StatusCode != http.StatusConflict {
 		t.Errorf("an id that is open at the successor: status %d at the predecessor, want 409", resp.StatusCode)
 	}
 	keptConn2.send(view("free").text()[40:])
-	if resp, _ := keptConn2.answer(); resp.StatusCode != http.StatusOK {
+	if resp, _ := keptConn2.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("another id at the predecessor: status %d, want 200", resp.StatusCode)
 	}
-	wait(t, "the notice of that request's end at the successor", func() bool {
+	waitFor(t, "the notice of that request's end at the successor", func() bool {
 		successor.core.Lock()
 		defer successor.core.Unlock()
-		return len(successor.core.Ids().Theirs(successor.core.Now())) == 0
+		return len(successor.core.RequestIDs().Remote(successor.core.Now())) == 0
 	})
-	if resp, _ := successor.dial(t).ask(view("free")); resp.StatusCode != http.StatusOK {
+	if resp, _ := successor.dial(t).roundTrip(view("free")); resp.StatusCode != http.StatusOK {
 		t.Errorf("an id that has ended at the predecessor: status %d at the successor, want 200", resp.StatusCode)
 	}
 	close(hold)
-	if resp, _ := successorConn.answer(); resp.StatusCode != http.StatusOK {
+	if resp, _ := successorConn.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("the request at the successor: status %d, want 200", resp.StatusCode)
 	}
 }
@@ -446,48 +446,48 @@
 func TestRelievedProcessEndsOnSIGTERM(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	server := newSlowBox(t, hold)
-	discoveryStub := newRegistry(t)
-	old := newRig(t, discoveryStub, settingsJSON, unhurried, server.entry("s-1"))
+	server := newSlowServer(t, hold)
+	discoveryStub := newStubDiscovery(t)
+	old := newTestNode(t, discoveryStub, settingsJSON, withTestTimeouts, server.entry("s-1"))
 	busy := old.dial(t)
 	busy.send(view("slow").text())
-	wait(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
-	successor := startSuccessor(t, old.meet(t), discoveryStub, settingsJSON)
-	wait(t, "the predecessor to be relieved", func() bool { return old.life.now() == relieved })
-	old.leave()
-	wait(t, "the predecessor to be leaving", func() bool { return old.life.now() == leaving })
-	successor.leave()
+	waitFor(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
+	successor := startSuccessor(t, old.requestHandover(t), discoveryStub, settingsJSON)
+	waitFor(t, "the predecessor to be relieved", func() bool { return old.lifecycle.current() == relieved })
+	old.terminate()
+	waitFor(t, "the predecessor to be leaving", func() bool { return old.lifecycle.current() == leaving })
+	successor.terminate()
 	successor.exited <- receive(t, "the successor to exit", successor.exited)
-	wait(t, "the predecessor to notice that", func() bool { return old.pair.currentPhase() == handover.Serves })
+	waitFor(t, "the predecessor to notice that", func() bool { return old.handover.currentPhase() == handover.Active })
 	close(hold)
-	if resp, _ := busy.answer(); resp.StatusCode != http.StatusOK {
+	if resp, _ := busy.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("the request that it had accepted: status %d, want 200", resp.StatusCode)
 	}
 	select {
 	case err := <-old.exited:
 		must(t, err)
 		old.exited <- err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the predecessor does not end")
 	}
 }
 
 // scriptedSuccessor is the other end of a hand-over as a test wants it: it sends only what the test sends, and passes
 // on the messages that it receives. It is an upgrade.Node.
-type successor struct {
+type scriptedSuccessor struct {
 	messages chan handover.Message
 }
 
-func (s successor) Heard(_ *upgrade.Peer, what handover.Message, _ uint64, _ []byte) {
+func (s scriptedSuccessor) Received(_ *upgrade.Peer, what handover.Message, _ uint64, _ []byte) {
 	s.messages <- what
 }
-func (successor) Hello(*upgrade.Peer) {}
-func (successor) Claim(*upgrade.Peer, string, time.Duration) handover.Verdict {
+func (scriptedSuccessor) StateRequested(*upgrade.Peer) {}
+func (scriptedSuccessor) Claim(*upgrade.Peer, string, time.Duration) handover.Verdict {
 	return handover.Granted
 }
-func (successor) Ended(*upgrade.Peer, string)             {}
-func (successor) Obey(*upgrade.Peer, upgrade.Order) error { return nil }
-func (successor) Gone(*upgrade.Peer)                      {}
+func (scriptedSuccessor) RequestEnded(*upgrade.Peer, string)         {}
+func (scriptedSuccessor) Execute(*upgrade.Peer, upgrade.Order) error { return nil }
+func (scriptedSuccessor) PeerExited(*upgrade.Peer)                   {}
 
 // Guards against a hand-over after which no process serves. A predecessor serves again, with its listener, when its
 // successor exits: before it was notified that the clients are its own, after that, and after it has reported that it
@@ -502,16 +502,16 @@
 		{"it hangs once it is notified", true, false, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			server := newBox(t, served)
-			path := meetAt(t)
-			old := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.meet = path }, server.entry("s-1"))
-			offer := old.meet(t)
-			successor := successor{make(chan handover.Message, 10)}
-			offer.peer.Follow(successor)
+			server := newStubServer(t, respondOK)
+			path := newSocketPath(t)
+			old := newTestNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) { c.upgradeSocket = path }, server.entry("s-1"))
+			offer := old.requestHandover(t)
+			successor := scriptedSuccessor{make(chan handover.Message, 10)}
+			offer.peer.Receive(successor)
 			var token *upgrade.Token
 			if c.ready {
-				offer.peer.Tell(handover.Ready, 0, nil)
-				if what := receive(t, "the predecessor's message", successor.messages); what != handover.Yours {
+				offer.peer.Send(handover.Ready, 0, nil)
+				if what := receive(t, "the predecessor's message", successor.messages); what != handover.Transfer {
 					t.Fatalf("received message %d, want Yours", what)
 				}
 			}
@@ -523,9 +523,9 @@
 				if !had || err != nil {
 					t.Fatal("cannot lock the token", err)
 				}
-				must(t, token.Mark(number+1))
-				offer.peer.Tell(handover.Serving, 0, nil)
-				wait(t, "the predecessor to be relieved", func() bool { return old.pair.currentPhase() == handover.Relieved })
+				must(t, token.SetNumber(number+1))
+				offer.peer.Send(handover.Serving, 0, nil)
+				waitFor(t, "the predecessor to be relieved", func() bool { return old.handover.currentPhase() == handover.Finishing })
 			}
 			if c.ends {
 				if token != nil {
@@ -534,10 +534,10 @@
 				offer.peer.Close()
 			}
 			if c.ready {
-				wait(t, "the predecessor to serve", func() bool { return old.pair.currentPhase() == handover.Serves })
+				waitFor(t, "the predecessor to serve", func() bool { return old.handover.currentPhase() == handover.Active })
 			}
-			wait(t, "the predecessor to keep its clients", func() bool { return !old.life.sendsAway() })
-			if resp, _ := old.dial(t).ask(view("v")); resp.StatusCode != http.StatusOK || resp.Close {
+			waitFor(t, "the predecessor to keep its clients", func() bool { return !old.lifecycle.closingConnections() })
+			if resp, _ := old.dial(t).roundTrip(view("v")); resp.StatusCode != http.StatusOK || resp.Close {
 				t.Errorf("a request at the predecessor: status %d, close %v; want 200 and no close", resp.StatusCode, resp.Close)
 			}
 			if !c.ends {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -24,12 +24,12 @@
 // ruleChecker checks what web servers and clients saw against the rules for requests, by the lab's records. Each
 // observer reports an event before anything can react to it, so that no result depends on which goroutine runs first.
 // mu guards all but start and maxWait.
-type judge struct {
+type ruleChecker struct {
 	start   time.Time
 	maxWait time.Duration // limit on the wait for a web server to notice an attempt's end
 
 	mu      sync.Mutex
-	records *oracle.Book
+	records *oracle.Records
 	open    map[string]int // open attempts at web servers by request
 	// Number of attempts that web servers have received, by request.
 	sends      map[string]int
@@ -49,24 +49,24 @@
 	{Name: "quote", Effect: "unsafe"}}
 
 // newRuleChecker returns a checker without records.
-func newRuleChecker() *judge {
+func newRuleChecker() *ruleChecker {
 	// The records take 0 for never: an hour has passed before anything happens.
-	return &judge{start: time.Now().Add(-time.Hour), maxWait: patience, open: map[string]int{}, sends: map[string]int{}, records: oracle.New(oracle.Figures{MaxAttempts: 3,
-		AnswerSlack: patience, DrainGrace: trialGrace, FallMultiple: 4, FallFor: 1500 * time.Millisecond, MeanWork: coldWork}, checkedClasses, 1, true)}
+	return &ruleChecker{start: time.Now().Add(-time.Hour), maxWait: testTimeout, open: map[string]int{}, sends: map[string]int{}, records: oracle.New(oracle.Limits{MaxAttempts: 3,
+		ResponseSlack: testTimeout, DrainGrace: trialGrace, ColdMultiple: 4, ColdWindow: 1500 * time.Millisecond, MeanWork: coldWork}, checkedClasses, 1, true)}
 }
 
 // now returns the checker's time.
-func (c *judge) now() time.Duration { return time.Since(c.start) }
+func (c *ruleChecker) now() time.Duration { return time.Since(c.start) }
 
 // record makes an entry in the records.
-func (c *judge) record(f func(r *oracle.Book)) {
+func (c *ruleChecker) record(f func(r *oracle.Records)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.records)
 }
 
 // addViolation adds a violation that the records do not cover.
-func (c *judge) addViolation(format string, args ...any) {
+func (c *ruleChecker) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
@@ -74,7 +74,7 @@
 
 // waitForEnds returns once a web server has recorded the end of each attempt of a request. What the node gave up, or
 // saw break, may still be on its way to the web server; an attempt that stays open is left to the records.
-func (c *judge) waitForEnds(id string) {
+func (c *ruleChecker) waitForEnds(id string) {
 	for end := time.Now().Add(c.maxWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
 		open := c.open[id]
@@ -86,7 +86,7 @@
 }
 
 // sent records an attempt that a web server has received, and returns its index.
-func (c *judge) sent(at time.Duration, id string, s *stagedServer) int {
+func (c *ruleChecker) sent(at time.Duration, id string, s *stagedServer) int {
 	c.waitForEnds(id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,15 +101,15 @@
 }
 
 // ended records the end of an attempt.
-func (c *judge) ended(id string, index int, what string, neverRan bool) {
-	c.record(func(r *oracle.Book) {
+func (c *ruleChecker) ended(id string, index int, what string, neverRan bool) {
+	c.record(func(r *oracle.Records) {
 		c.open[id]--
-		r.Ended(c.now(), 0, id, index, what, neverRan, false)
+		r.AttemptEnded(c.now(), 0, id, index, what, neverRan, false)
 	})
 }
 
 // final records the final response to a client, and checks its body and its Retry-After.
-func (c *judge) final(id string, resp *http.Response, body []byte) {
+func (c *ruleChecker) final(id string, resp *http.Response, body []byte) {
 	if resp.StatusCode != 200 { // one that is served was recorded before its response was sent
 		c.waitForEnds(id)
 	}
@@ -118,22 +118,22 @@
 		c.addViolation("%s received %d bytes that no web server made for it", id, len(body))
 		fallthrough
 	case resp.StatusCode == 200:
-		c.record(func(r *oracle.Book) { r.Served(c.now(), 0, id) })
+		c.record(func(r *oracle.Records) { r.Served(c.now(), 0, id) })
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
 		if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || after <= 0 || after > 2 {
 			c.addViolation("%s is refused with Retry-After %q, want more than 0 and at most the settings' 2", id, resp.Header.Get("Retry-After"))
 		}
-		c.record(func(r *oracle.Book) { r.Refused(c.now(), 0, id) })
+		c.record(func(r *oracle.Records) { r.Refused(c.now(), 0, id) })
 	default:
 		if after := resp.Header.Get("Retry-After"); after != "" {
 			c.addViolation("%s has failed, and its response has Retry-After %s", id, after)
 		}
-		c.record(func(r *oracle.Book) { r.Failed(c.now(), 0, id) })
+		c.record(func(r *oracle.Records) { r.Failed(c.now(), 0, id) })
 	}
 }
 
 // findings returns all violations, once everything has ended.
-func (c *judge) findings() []string {
+func (c *ruleChecker) findings() []string {
 	c.mu.Lock()
 	sent := slices.Collect(maps.Keys(c.sends))
 	c.mu.Unlock()
@@ -184,8 +184,8 @@
 }
 
 // entry returns the server's entry in a server list.
-func (s *stagedServer) entry(state string) listed {
-	return listed{ID: s.id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: state}
+func (s *stagedServer) entry(state string) serverEntry {
+	return serverEntry{ID: s.id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: state}
 }
 
 // accept serves connections until the listener is closed.
@@ -308,7 +308,7 @@
 		if _, err := conn.Write(body[len(body)/2:]); err != nil {
 			return false
 		}
-	} else if !reply(conn, 200, headers, string(body)) {
+	} else if !writeResponse(conn, 200, headers, string(body)) {
 		return false
 	}
 	<-looked
@@ -336,12 +336,12 @@
 		return nil
 	}
 	if c.stage == stageSecondAttempt && c.dials.Add(1)%2 == 1 && c.reached(stageSecondAttempt) < len(c.requests()) {
-		return nil, back.ErrSockets // the first attempt is never sent, which is held against no server
+		return nil, back.ErrNoSockets // the first attempt is never sent, which is held against no server
 	}
 	if err := wait(stageSelected); err != nil {
 		return nil, err
 	}
-	conn, err := back.Direct(ctx, d, addr)
+	conn, err := back.DialDirect(ctx, d, addr)
 	if err == nil {
 		if err = wait(stageConnecting); err != nil {
 			conn.Close()
@@ -373,7 +373,7 @@
 		{"no final answer", "one final answer", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
 			sendDirect(c, serverA, "x")
-			c.rules.record(func(k *oracle.Book) { k.Overdue(c.rules.now(), 0, "x") })
+			c.rules.record(func(k *oracle.Records) { k.ClientTimedOut(c.rules.now(), 0, "x") })
 		}},
 		{"an unsafe request twice", "repeat rule", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 2)
@@ -386,10 +386,10 @@
 			c.recordAccepted("x", 0)
 			serverA.behavior.Store(int32(staySilent))
 			go sendDirect(c, serverA, "x")
-			wait(c.t, "the first attempt", func() bool { return c.reached(stageHalfWritten) > 0 })
+			waitFor(c.t, "the first attempt", func() bool { return c.reached(stageHalfWritten) > 0 })
 			c.rules.final("x", sendDirect(c, serverB, "x"), bodyFor("x", false))
 			close(c.finished)
-			wait(c.t, "the end of the first attempt", func() bool {
+			waitFor(c.t, "the end of the first attempt", func() bool {
 				c.rules.mu.Lock()
 				defer c.rules.mu.Unlock()
 				return c.rules.open["x"] == 0
@@ -397,20 +397,20 @@
 		}},
 		{"sent to a draining server", "drains kept", func(c *trial, serverA, serverB *stagedServer) {
 			c.recordAccepted("x", 0)
-			c.rules.record(func(k *oracle.Book) { k.Told(c.rules.now(), 0, serverA.number, true, 0) })
+			c.rules.record(func(k *oracle.Records) { k.Notified(c.rules.now(), 0, serverA.number, true, 0) })
 			time.Sleep(trialGrace)
 			c.rules.final("x", sendDirect(c, serverA, "x"), bodyFor("x", false))
 		}},
 		{"a cold server overloaded", "cold budget", func(c *trial, serverA, serverB *stagedServer) {
 			serverA.cold.Store(true)
-			c.rules.record(func(k *oracle.Book) {
-				k.Started(time.Nanosecond, serverA.number)
-				k.Told(c.rules.now(), 0, serverA.number, false, time.Nanosecond)
+			c.rules.record(func(k *oracle.Records) {
+				k.ServerStarted(time.Nanosecond, serverA.number)
+				k.Notified(c.rules.now(), 0, serverA.number, false, time.Nanosecond)
 				for i := range 60 { // all at one instant, so that no machine is too slow for it
 					id := fmt.Sprint("x", i)
-					k.Taken(time.Second, 0, id, 0, time.Minute)
+					k.Accepted(time.Second, 0, id, 0, time.Minute)
 					k.Sent(time.Second, 0, id, serverA.number, coldWork, coldRate)
-					k.Ended(time.Second, 0, id, 0, "OK", false, true)
+					k.AttemptEnded(time.Second, 0, id, 0, "OK", false, true)
 				}
 			})
 		}},
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -37,7 +37,7 @@
 }
 
 // maxDeadline returns the longest time that a client waits for its response; 3 s where no class has a deadline.
-func (s *settings) longest() time.Duration {
+func (s *settings) maxDeadline() time.Duration {
 	var longest time.Duration
 	for _, c := range s.Policy.Classes {
 		longest = max(longest, c.Deadline)
@@ -55,7 +55,7 @@
 
 // checkRequest reports whether a request's method and headers fit its class, by the settings in force or, shortly after
 // a reload, by the previous ones.
-func (s *settings) fits(r *http.Request) error {
+func (s *settings) checkRequest(r *http.Request) error {
 	err := checkHeaders(s.effects, r)
 	if err != nil && time.Now().Before(s.previousUntil) && checkHeaders(s.previousEffects, r) == nil {
 		return nil
@@ -79,10 +79,10 @@
 // applySettings replaces the settings. Accepted requests keep their class, and the statistics of the web servers stay.
 // The core's lock is held.
 func (n *node) applySettings(set wire.Settings) {
-	s, old := newSettings(set), n.set.Load()
+	s, old := newSettings(set), n.settings.Load()
 	s.previousEffects, s.previousUntil = old.effects, time.Now().Add(previousSettingsGrace)
-	n.set.Store(s)
-	n.pool.Tune(set.ConnectTimeout, set.ConnIdle)
+	n.settings.Store(s)
+	n.pool.SetTimeouts(set.ConnectTimeout, set.ServerIdleTimeout)
 	n.core.Handle(&policy.Event{Kind: policy.EvSettings, Settings: &s.Policy})
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	table, err := cfg.contracts()
+	table, err := cfg.contractTable()
 	if err != nil {
 		return fmt.Errorf("contracts: %w", err)
 	}
@@ -113,7 +113,7 @@
 	if err := cfg.Settings.Policy.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	follower := n.cfg.followed
+	follower := n.cfg.follower
 	follower.lock() // a change from control is applied before all of this or after it
 	defer follower.unlock()
 	var recompiled *catalog.Change
@@ -132,18 +132,18 @@
 		if follower != nil {
 			terms.Tenants = n.cells.Tenants() // control owns the pinned tenants
 		}
-		n.cells.Change(terms)
+		n.cells.Reconfigure(terms)
 	}
 	n.applySettings(cfg.Settings)
 	if follower != nil {
 		n.applyCatalogChange(recompiled)
 		follower.commitReload(cfg, recompiled)
 	} else {
-		n.core.Bind(table)
+		n.core.SetContracts(table)
 	}
 	n.log.Info("new settings applied", "classes", len(cfg.Settings.Policy.Classes),
 		"max_attempts", cfg.Settings.Policy.MaxAttempts)
-	if cfg.Discovery != n.disc.addr {
+	if cfg.Discovery != n.discovery.addr {
 		n.switchDiscovery(cfg.Discovery)
 	}
 	return nil
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -18,52 +18,52 @@
 func TestSettingsReloadKeepsRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	server := newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	server := newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if nth == 1 {
 			<-release
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
-	node := newRig(t, newRegistry(t), settingsJSON, nil, server.entry("s-1"))
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
 	early, late := node.dial(t), node.dial(t)
 	early.send(view("early").text())
-	wait(t, "the first request at the web server", func() bool { return len(server.requests()) == 1 })
-	if resp, _ := node.dial(t).ask(call{"GET", "look", "x", "", "", "50000m"}); resp.StatusCode != 400 {
+	waitFor(t, "the first request at the web server", func() bool { return len(server.requests()) == 1 })
+	if resp, _ := node.dial(t).roundTrip(testRequest{"GET", "look", "x", "", "", "50000m"}); resp.StatusCode != 400 {
 		t.Errorf("a class that is not known yet: %d", resp.StatusCode)
 	}
 	text := strings.NewReplacer(`"view"`, `"look"`, `"name":"quote","aim_s":30,"deadline_s":60,"gain":2,"effect":"single_shot"`,
 		`"name":"quote","aim_s":30,"deadline_s":60,"gain":2,"effect":"free"`, `"max_attempts":3`, `"max_attempts":1`).Replace(settingsJSON)
 	set, err := wire.DecodeSettings([]byte(text))
 	must(t, err)
-	node.reload(Config{Discovery: node.disc.addr, Settings: set})
-	for _, request := range []call{{"GET", "look", "a", "", "", "50000m"}, {"GET", "quote", "b", "", "", "50000m"}, quote("c"), view("d")} {
-		if resp, _ := late.ask(request); resp.StatusCode != 200 {
+	node.reload(Config{Discovery: node.discovery.addr, Settings: set})
+	for _, request := range []testRequest{{"GET", "look", "a", "", "", "50000m"}, {"GET", "quote", "b", "", "", "50000m"}, quote("c"), view("d")} {
+		if resp, _ := late.roundTrip(request); resp.StatusCode != 200 {
 			t.Errorf("%s %s just after the reload: %d", request.method, request.class, resp.StatusCode)
 		}
 	}
-	current := *node.set.Load()
+	current := *node.settings.Load()
 	current.previousUntil = time.Now() // the previous settings no longer apply
-	node.set.Store(&current)
-	for _, request := range []call{quote("e"), view("f")} {
-		if resp, _ := node.dial(t).ask(request); resp.StatusCode != 400 {
+	node.settings.Store(&current)
+	for _, request := range []testRequest{quote("e"), view("f")} {
+		if resp, _ := node.dial(t).roundTrip(request); resp.StatusCode != 400 {
 			t.Errorf("%s %s later: %d", request.method, request.class, resp.StatusCode)
 		}
 	}
 	close(release)
-	if resp, body := early.answer(); resp.StatusCode != 200 || body != "done early" {
+	if resp, body := early.readResponse(); resp.StatusCode != 200 || body != "done early" {
 		t.Errorf("the request in flight: %d %q", resp.StatusCode, body)
 	}
 }
 
 // validConfigJSON is a complete configuration file.
-const goodFile = `{"name":"n7","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","mgmt":"127.0.0.1:3","seed":"1",` +
+const validConfigJSON = `{"name":"n7","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","mgmt":"127.0.0.1:3","seed":"1",` +
 	`"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[]},"settings":` + settingsJSON + `}`
 
 // A broken file changes nothing at a reload, and the error names what is wrong.
 func TestInvalidFileIsRejected(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
-	good := goodFile
+	good := validConfigJSON
 	env := map[string]string{"GW_CONFIG": path}
 	getenv := func(name string) string { return env[name] }
 	must(t, os.WriteFile(path, []byte(good), 0o600))
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -31,20 +31,20 @@
 	} {
 		delays := make([]time.Duration, 1000)
 		for seed := range delays {
-			s := site{all: ms(20), stand: ms(2400), grace: ms(500)}
-			s.script = func(h *hub, a *ask, nth int) bool {
+			s := deployment{roundTime: ms(20), queueTimeout: ms(2400), grace: ms(500)}
+			s.script = func(h *discoveryModel, a *modelCall, nth int) bool {
 				switch {
 				case nth <= c.refuse:
-					h.at(h.now+c.behind, func() { h.refuse(a) })
+					h.schedule(h.now+c.behind, func() { h.reject(a) })
 				case c.refuse == 0 && c.behind > 0:
-					h.at(h.now+c.behind, func() { h.turn(a) })
+					h.schedule(h.now+c.behind, func() { h.handle(a) })
 				default:
 					return false
 				}
 				return true
 			}
-			d := day{length: 40 * time.Second, down: span{0, c.down}, changes: []time.Duration{1}}
-			delays[seed] = play(s, d, 1, uint64(seed), paced).nodes[0].heard
+			d := scenario{length: 40 * time.Second, outage: interval{0, c.down}, changes: []time.Duration{1}}
+			delays[seed] = simulate(s, d, 1, uint64(seed), newAskSchedule).nodes[0].firstListAt
 			if delays[seed] < 0 {
 				t.Fatalf("%s, seed %d: the node never got a list", c.name, seed)
 			}
@@ -65,20 +65,20 @@
 	for _, all := range []time.Duration{ms(5200), ms(7900)} {
 		for _, down := range []time.Duration{0, 8 * time.Second} {
 			for _, seed := range []uint64{1, 2} {
-				s := site{all: all * 210 / fleet, stand: time.Second, callers: 60, free: true, grace: ms(500)}
-				d := day{length: 40 * time.Second, start: ms(200), down: span{0, down}, changes: []time.Duration{1}}
-				h := play(s, d, 210, seed, paced)
+				s := deployment{roundTime: all * 210 / fleetSize, queueTimeout: time.Second, maxQueued: 60, freeRewatch: true, grace: ms(500)}
+				d := scenario{length: 40 * time.Second, startSpread: ms(200), outage: interval{0, down}, changes: []time.Duration{1}}
+				h := simulate(s, d, 210, seed, newAskSchedule)
 				delays := make([]time.Duration, 0, len(h.nodes))
 				for _, n := range h.nodes {
-					if n.heard < 0 {
+					if n.firstListAt < 0 {
 						t.Fatal("a node never got a list")
 					}
-					delays = append(delays, n.heard)
+					delays = append(delays, n.firstListAt)
 				}
 				slices.Sort(delays)
-				if maxDelay := down + all*210/fleet + 4*time.Second; delays[len(delays)-1] > maxDelay || h.inRow > 10 {
+				if maxDelay := down + all*210/fleetSize + 4*time.Second; delays[len(delays)-1] > maxDelay || h.maxRejectedInRow > 10 {
 					t.Errorf("discovery needs %v for all nodes, down for %v, seed %d: the last list arrived at %v, want it within %v; %d refusals in a row, want at most 10", all, down, seed,
-						delays[len(delays)-1], maxDelay, h.inRow)
+						delays[len(delays)-1], maxDelay, h.maxRejectedInRow)
 				}
 				prompt := 0
 				for prompt < len(delays) && delays[prompt] <= readyWithin {
@@ -88,17 +88,17 @@
 					t.Errorf("discovery needs %v for all nodes, seed %d: %d of %d nodes have a list within %v, want nine in ten", all, seed, prompt, len(delays), readyWithin)
 				}
 				t.Logf("discovery needs %v for all nodes, down for %v, seed %d: %d of %d nodes have a list within %v, nine in ten after %v, all after %v; %v",
-					all, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], h.figures)
+					all, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], h.results)
 			}
 		}
 	}
 }
 
 // manyServers returns a list of n web servers.
-func manyServers(n int) list {
-	l := list{Version: 2, Full: true}
+func manyServers(n int) serverList {
+	l := serverList{Version: 2, Full: true}
 	for i := range n {
-		l.Servers = append(l.Servers, listed{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:5000", i>>16, i>>8&255, i&255),
+		l.Servers = append(l.Servers, serverEntry{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:5000", i>>16, i>>8&255, i&255),
 			Zone: fmt.Sprintf("z%d", i%11), Kind: fmt.Sprintf("m%d", i%3), Cell: int64(i % 40), State: "Ready"})
 	}
 	return l
@@ -111,17 +111,17 @@
 	for _, reaction := range []string{"reset", "503", "silent"} {
 		t.Run(reaction, func(t *testing.T) {
 			t.Parallel()
-			silentDiscovery := newMute(t, func(c net.Conn, _ int64, _ string) bool {
+			silentDiscovery := newScriptedDiscovery(t, func(c net.Conn, _ int64, _ string) bool {
 				switch reaction {
 				case "503":
-					io.WriteString(c, refusal)
+					io.WriteString(c, unavailableResponse)
 				case "reset":
 					c.Close()
 				}
 				return reaction == "503"
 			})
 			began := time.Now()
-			node := newRig(t, &registry{addr: silentDiscovery.addr}, asked, nil, manyServers(6600).Servers...)
+			node := newTestNode(t, &stubDiscovery{addr: silentDiscovery.addr}, askSettingsJSON, nil, manyServers(6600).Servers...)
 			if s := readyStatus(t, node); s != 200 {
 				t.Errorf("GET /ready at the start with 6,600 web servers known: status %d, want 200", s)
 			}
@@ -135,12 +135,12 @@
 func TestReadyAfterDiscoveryRefusals(t *testing.T) {
 	t.Parallel()
 	const servers = 6600
-	text := listText(manyServers(servers))
+	text := listResponse(manyServers(servers))
 	var written time.Time
-	refusingDiscovery := newMute(t, func(c net.Conn, nth int64, _ string) bool {
+	refusingDiscovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
 		switch {
 		case nth <= 5:
-			io.WriteString(c, refusal)
+			io.WriteString(c, unavailableResponse)
 		case nth == 6:
 			written = time.Now()
 			io.WriteString(c, text)
@@ -149,20 +149,20 @@
 		}
 		return true
 	})
-	node := newRig(t, &registry{addr: refusingDiscovery.addr}, asked, func(c *Config) { c.clock = hasty{time.Now()} })
+	node := newTestNode(t, &stubDiscovery{addr: refusingDiscovery.addr}, askSettingsJSON, func(c *Config) { c.clock = fastClock{time.Now()} })
 	if s := readyStatus(t, node); s != 503 {
 		t.Errorf("GET /ready without a list: status %d, want 503", s)
 	}
-	wait(t, "GET /ready to return 200", func() bool { return readyStatus(t, node) == 200 })
+	waitFor(t, "GET /ready to return 200", func() bool { return readyStatus(t, node) == 200 })
 	t.Logf("%d web servers in %d bytes of indented JSON: ready after %v", servers, len(text), time.Since(written))
 	node.core.Lock()
 	defer node.core.Unlock()
-	if len(node.names) != servers || len(node.backends) != servers || node.version != 2 {
-		t.Errorf("%d web servers by id, %d by number, list version %d; want 6,600, 6,600 and 2", len(node.names), len(node.backends), node.version)
+	if len(node.serversByID) != servers || len(node.serversByNumber) != servers || node.listVersion != 2 {
+		t.Errorf("%d web servers by id, %d by number, list version %d; want 6,600, 6,600 and 2", len(node.serversByID), len(node.serversByNumber), node.listVersion)
 	}
-	for _, b := range node.names {
-		if b.Stop.Load() != 0 || !strings.HasPrefix(b.Addr, "10.") {
-			t.Fatalf("web server %s at %s, draining since %d; want an address in 10.0.0.0/8 and no drain", b.ID, b.Addr, b.Stop.Load())
+	for _, b := range node.serversByID {
+		if b.StopAt.Load() != 0 || !strings.HasPrefix(b.Addr, "10.") {
+			t.Fatalf("web server %s at %s, draining since %d; want an address in 10.0.0.0/8 and no drain", b.ID, b.Addr, b.StopAt.Load())
 		}
 	}
 }
--- a/internal/node/stub_control_test.go
+++ b/internal/node/stub_control_test.go
@@ -32,7 +32,7 @@
 // change puts and removes resources as the next version, and returns that version.
 func (d *stubControl) change(put []resource.Resource, gone ...resource.Key) resource.Version {
 	d.t.Helper()
-	v, err := d.Change(put, gone...)
+	v, err := d.ApplyChange(put, gone...)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -72,24 +72,24 @@
 }
 
 // newControlledNode starts a node that follows control, and returns once that has its first configuration.
-func newControlledNode(t testing.TB, control *stubControl, discovery *registry, product string, more func(*Config), known ...listed) *rig {
+func newControlledNode(t testing.TB, control *stubControl, discovery *stubDiscovery, product string, more func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
 	return newControlledSuccessor(t, nil, control, discovery, product, more, known...)
 }
 
 // newControlledSuccessor starts a node like newControlledNode's, with the state that a predecessor handed over; nil: none.
-func newControlledSuccessor(t testing.TB, old *estate, control *stubControl, discovery *registry, product string, more func(*Config), known ...listed) *rig {
+func newControlledSuccessor(t testing.TB, old *handedState, control *stubControl, discovery *stubDiscovery, product string, more func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
-	file := under(t, product+fmt.Sprintf("control: {addresses: [%q]}\n", control.Addr))
+	file := withProductFile(t, product+fmt.Sprintf("control: {addresses: [%q]}\n", control.Addr))
 	var follower *configFollower
-	node := newHeir(t, old, discovery, settingsJSON, func(c *Config) {
+	node := newSuccessorNode(t, old, discovery, settingsJSON, func(c *Config) {
 		file(c)
 		if more != nil {
 			more(c)
 		}
 		follower = newConfigFollower(*c, slog.New(slog.DiscardHandler))
-		c.followed = follower
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		c.follower = follower
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		if err := follower.await(ctx, c, nil); err != nil {
 			t.Fatal(follower.missingConfiguration())
@@ -108,26 +108,26 @@
 
 // startPredecessor starts a node that follows control, and returns once it is ready. startSuccessor starts a process
 // that takes the clients over from it, and returns once that is ready; the predecessor finishes what it has accepted.
-func startPredecessor(t testing.TB, control *stubControl, discovery *registry, server *box) (node *rig, startSuccessor func() *rig) {
+func startPredecessor(t testing.TB, control *stubControl, discovery *stubDiscovery, server *stubServer) (node *testNode, startSuccessor func() *testNode) {
 	t.Helper()
-	path := meetAt(t)
-	meets := func(c *Config) { c.meet = path }
+	path := newSocketPath(t)
+	meets := func(c *Config) { c.upgradeSocket = path }
 	node = newControlledNode(t, control, discovery, "", meets, server.entry("s-1"))
-	wait(t, "the predecessor", func() bool { return node.Ready() == nil })
-	return node, func() *rig {
+	waitFor(t, "the predecessor", func() bool { return node.Ready() == nil })
+	return node, func() *testNode {
 		t.Helper()
-		successor := newControlledSuccessor(t, node.meet(t).estate, control, discovery, "", func(c *Config) {
-			unhurried(c)
+		successor := newControlledSuccessor(t, node.requestHandover(t).handedState, control, discovery, "", func(c *Config) {
+			withTestTimeouts(c)
 			meets(c)
 		}, server.entry("s-1"))
-		wait(t, "the successor", func() bool { return successor.Ready() == nil })
+		waitFor(t, "the successor", func() bool { return successor.Ready() == nil })
 		return successor
 	}
 }
 
 // versionInForce returns the version of control's configuration in force at the node.
-func (r *rig) versionInForce() resource.Version {
-	follower := r.cfg.followed
+func (r *testNode) versionInForce() resource.Version {
+	follower := r.cfg.follower
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
 	return follower.set.Version()
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -30,7 +30,7 @@
 }
 
 // testTimeout is how long a test waits for what must happen: far longer than it takes on a busy machine.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // settingsJSON are settings with one class of each effect.
 const settingsJSON = `{"balancers":1,"zone":"north","discovery":"push","grades":[
@@ -43,7 +43,7 @@
  "invariants":{"drain_grace_s":2,"cold_s":8,"cold_share":0.3,"fall_s":1.5,"overload_factor":4,"must_ask_in_s":10}}`
 
 // stubServer is a web server whose responses a test decides. It records each request whose last byte has arrived.
-type box struct {
+type stubServer struct {
 	ln net.Listener
 	// Writes the response to the nth request; false closes the connection.
 	respond func(c net.Conn, r *http.Request, nth int) bool
@@ -51,19 +51,19 @@
 	closed atomic.Int64 // connections that the server closed
 
 	mu           sync.Mutex
-	got          []*http.Request
+	received     []*http.Request
 	conns        []net.Conn
 	closedByNode chan struct{} // one value for each connection that the node closed
 }
 
 // newStubServer starts a web server that responds by the given function.
-func newBox(t testing.TB, answer func(c net.Conn, r *http.Request, nth int) bool) *box {
+func newStubServer(t testing.TB, answer func(c net.Conn, r *http.Request, nth int) bool) *stubServer {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &box{ln: ln, respond: answer, closedByNode: make(chan struct{}, 1000)}
+	s := &stubServer{ln: ln, respond: answer, closedByNode: make(chan struct{}, 1000)}
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
@@ -99,7 +99,7 @@
 		// failure.
 		select {
 		case <-done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("a handler of a stub server still waits for its test")
 		}
 	})
@@ -107,7 +107,7 @@
 }
 
 // serveConn serves the requests of one connection.
-func (s *box) serveConn(c net.Conn) {
+func (s *stubServer) serveConn(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.closed.Add(1)
@@ -125,8 +125,8 @@
 		}
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		s.mu.Lock()
-		s.got = append(s.got, r)
-		nth := len(s.got)
+		s.received = append(s.received, r)
+		nth := len(s.received)
 		s.mu.Unlock()
 		if !s.respond(c, r, nth) {
 			return
@@ -135,77 +135,77 @@
 }
 
 // requests returns the requests received so far.
-func (s *box) requests() []*http.Request {
+func (s *stubServer) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*http.Request(nil), s.got...)
+	return append([]*http.Request(nil), s.received...)
 }
 
 // connections returns the number of connections accepted so far.
-func (s *box) connections() int {
+func (s *stubServer) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // entry returns the server's entry in a server list, as ready.
-func (s *box) entry(id string) listed {
-	return listed{ID: id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (s *stubServer) entry(id string) serverEntry {
+	return serverEntry{ID: id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // writeResponse writes a response; headers are lines that end in \r\n.
-func reply(c net.Conn, status int, headers, body string) bool {
+func writeResponse(c net.Conn, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers,
 		len(body), body)
 	return err == nil
 }
 
 // respondOK responds to any request with 200 and a body made from its id.
-func served(c net.Conn, r *http.Request, _ int) bool {
-	return reply(c, 200, "", "done "+r.Header.Get("X-Request-Id"))
+func respondOK(c net.Conn, r *http.Request, _ int) bool {
+	return writeResponse(c, 200, "", "done "+r.Header.Get("X-Request-Id"))
 }
 
 // newSlowServer returns a web server that responds to everything at once except the request "slow", which waits until
 // hold is closed.
-func newSlowBox(t testing.TB, hold <-chan bool) *box {
+func newSlowServer(t testing.TB, hold <-chan bool) *stubServer {
 	t.Helper()
-	return newBox(t, func(c net.Conn, r *http.Request, nth int) bool {
+	return newStubServer(t, func(c net.Conn, r *http.Request, nth int) bool {
 		if r.Header.Get("X-Request-Id") == "slow" {
 			<-hold
 		}
-		return served(c, r, nth)
+		return respondOK(c, r, nth)
 	})
 }
 
 // stubDiscovery is a discovery whose responses a test supplies one by one.
-type registry struct {
+type stubDiscovery struct {
 	addr      string
 	mu        sync.Mutex
 	urls      []string
-	next      chan registryAnswer
+	responses chan discoveryResponse
 	abandoned chan struct{} // one value for each call that the node gave up
 }
 
 // discoveryResponse is one response of a stubDiscovery.
-type registryAnswer struct {
+type discoveryResponse struct {
 	status int
-	list   list
+	list   serverList
 }
 
 // newStubDiscovery starts a discovery that holds each call until a test supplies its response.
-func newRegistry(t testing.TB) *registry {
+func newStubDiscovery(t testing.TB) *stubDiscovery {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), abandoned: make(chan struct{}, 100)}
+	d := &stubDiscovery{addr: ln.Addr().String(), responses: make(chan discoveryResponse, 100), abandoned: make(chan struct{}, 100)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.urls = append(d.urls, r.URL.String())
 		d.mu.Unlock()
 		select {
-		case response := <-d.next:
+		case response := <-d.responses:
 			w.WriteHeader(response.status)
 			json.NewEncoder(w).Encode(response.list)
 		case <-r.Context().Done():
@@ -225,44 +225,44 @@
 }
 
 // waitAbandoned waits until the node has given up an open call.
-func (d *registry) leaves(t testing.TB) {
+func (d *stubDiscovery) waitAbandoned(t testing.TB) {
 	t.Helper()
 	select {
 	case <-d.abandoned:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the node did not give up its call to discovery")
 	}
 }
 
 // calls returns the URLs of all calls so far.
-func (d *registry) calls() []string {
+func (d *stubDiscovery) calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.urls...)
 }
 
 // testNode is a node that serves on loopback.
-type rig struct {
+type testNode struct {
 	*node
-	addr   string
-	leave  context.CancelFunc // does what SIGTERM does
-	exited chan error
+	addr      string
+	terminate context.CancelFunc // does what SIGTERM does
+	exited    chan error
 }
 
 // newTestNode starts a node. Its limits on waiting are those of withTestTimeouts unless change sets others.
-func newRig(t testing.TB, discoveryStub *registry, settings string, change func(*Config), known ...listed) *rig {
+func newTestNode(t testing.TB, discoveryStub *stubDiscovery, settings string, change func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
-	return newHeir(t, nil, discoveryStub, settings, change, known...)
+	return newSuccessorNode(t, nil, discoveryStub, settings, change, known...)
 }
 
 // newSuccessorNode starts a node that takes over with the state of another one.
-func newHeir(t testing.TB, old *estate, discoveryStub *registry, settings string, change func(*Config), known ...listed) *rig {
+func newSuccessorNode(t testing.TB, old *handedState, discoveryStub *stubDiscovery, settings string, change func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Name: "n0", Discovery: discoveryStub.addr, Seed: 1, Settings: set, Known: list{Version: 1, Full: true, Servers: known}, slack: patience}
+	cfg := Config{Name: "n0", Discovery: discoveryStub.addr, Seed: 1, Settings: set, Known: serverList{Version: 1, Full: true, Servers: known}, slack: testTimeout}
 	if change != nil {
 		change(&cfg)
 	}
@@ -275,13 +275,13 @@
 		t.Fatal(err)
 	}
 	ctx, leave := context.WithCancel(context.Background())
-	result := &rig{node: n, addr: ln.Addr().String(), leave: leave, exited: make(chan error, 1)}
+	result := &testNode{node: n, addr: ln.Addr().String(), terminate: leave, exited: make(chan error, 1)}
 	go func() { result.exited <- n.serve(ctx, ln) }()
 	t.Cleanup(func() {
 		leave()
 		select {
 		case <-result.exited:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the node did not stop after SIGTERM")
 		}
 		stopped := make(chan struct{})
@@ -296,13 +296,13 @@
 
 // handoverOffer is a predecessor's state, and the path of the socket where the processes of its node meet.
 type handoverOffer struct {
-	*estate
+	*handedState
 	path string
 }
 
 // newSocketPath returns a path for the socket where processes of one node meet. It is short, as a socket's path must
 // be.
-func meetAt(t testing.TB) string {
+func newSocketPath(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "ps")
 	if err != nil {
@@ -313,26 +313,26 @@
 }
 
 // requestHandover does what a successor does first: it asks for the state, and is one node with n from then on.
-func (n *rig) meet(t testing.TB) handoverOffer {
+func (n *testNode) requestHandover(t testing.TB) handoverOffer {
 	t.Helper()
 	path := socketPath(n.cfg)
 	if path == "" {
-		path = meetAt(t)
+		path = newSocketPath(t)
 		l, err := upgrade.Listen(path, n, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		n.pair.mu.Lock()
-		n.pair.token, err = upgrade.OpenToken(path + "-token")
+		n.handover.mu.Lock()
+		n.handover.token, err = upgrade.OpenToken(path + "-token")
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.pair.Lock()
-		n.pair.mu.Unlock()
+		n.handover.LockToken()
+		n.handover.mu.Unlock()
 		go n.retryHandover() // as acquireClients does: a token that is released shortly after the notice of its holder's end is acquired by a later try
 	}
-	wait(t, "the predecessor to be ready", func() bool { return n.Ready() == nil })
+	waitFor(t, "the predecessor to be ready", func() bool { return n.Ready() == nil })
 	old, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
 	if old == nil {
 		t.Fatal("no process hands over its state")
@@ -341,34 +341,34 @@
 }
 
 // startSuccessor starts the node that takes over with the given state, and returns once it serves.
-func startSuccessor(t testing.TB, offer handoverOffer, discoveryStub *registry, settings string) *rig {
+func startSuccessor(t testing.TB, offer handoverOffer, discoveryStub *stubDiscovery, settings string) *testNode {
 	t.Helper()
-	node := newHeir(t, offer.estate, discoveryStub, settings, func(c *Config) {
-		unhurried(c)
-		c.meet = offer.path
+	node := newSuccessorNode(t, offer.handedState, discoveryStub, settings, func(c *Config) {
+		withTestTimeouts(c)
+		c.upgradeSocket = offer.path
 	})
-	wait(t, "the successor to be ready", func() bool { return node.Ready() == nil })
+	waitFor(t, "the successor to be ready", func() bool { return node.Ready() == nil })
 	return node
 }
 
 // withTestTimeouts gives a node's clients, servers and other processes as much time as a test has. newTestNode does so
 // where a test sets nothing else; tests that depend on it name it.
-func unhurried(c *Config) { c.slack = patience }
+func withTestTimeouts(c *Config) { c.slack = testTimeout }
 
 // withProductTimeouts keeps the product's own limits, for tests of those limits.
-func hurried(c *Config) { c.slack = 0 }
+func withProductTimeouts(c *Config) { c.slack = 0 }
 
 // longPollLimits lets a call to discovery wait as long as a test does, however short the product's own limit is: for
 // tests that count calls.
-func longWatch(wait, _ time.Duration) (time.Duration, time.Duration) { return wait, patience }
+func longPollLimits(wait, _ time.Duration) (time.Duration, time.Duration) { return wait, testTimeout }
 
 // testRequest is a request of a client. The fields are the values of its headers, and its body.
-type call struct {
+type testRequest struct {
 	method, class, id, key, body, deadline string
 }
 
 // text returns the request as it is sent.
-func (c call) text() string {
+func (c testRequest) text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", c.method)
 	for _, h := range []struct{ name, value string }{{"X-Request-Id", c.id}, {"X-Class", c.class}, {"X-Deadline", c.deadline},
@@ -384,10 +384,12 @@
 }
 
 // view, save and quote return requests of the settings' classes: safe, keyed and unsafe.
-func view(id string) call { return call{"GET", "view", id, "", "", "50000m"} }
-func save(id string) call { return call{"POST", "save", id, "k-" + id, "a window", "50000m"} }
-func quote(id string) call {
-	return call{"POST", "quote", id, "", "a door", "50000m"}
+func view(id string) testRequest { return testRequest{"GET", "view", id, "", "", "50000m"} }
+func save(id string) testRequest {
+	return testRequest{"POST", "save", id, "k-" + id, "a window", "50000m"}
+}
+func quote(id string) testRequest {
+	return testRequest{"POST", "quote", id, "", "a door", "50000m"}
 }
 
 // client is one client's connection to a node.
@@ -398,30 +400,30 @@
 }
 
 // dial opens a client's connection to the node.
-func (n *rig) dial(t testing.TB) *client {
+func (n *testNode) dial(t testing.TB) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{t, c, bufio.NewReader(c)}
 }
 
 // send sends text. send and readResponse have testTimeout each, however long ago the connection was made.
 func (c *client) send(text string) {
 	c.t.Helper()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // readResponse reads one response with its body.
-func (c *client) answer() (*http.Response, string) {
+func (c *client) readResponse() (*http.Response, string) {
 	c.t.Helper()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.t.Fatalf("no response: %v", err)
@@ -434,10 +436,10 @@
 }
 
 // roundTrip sends a request and reads its response.
-func (c *client) ask(q call) (*http.Response, string) {
+func (c *client) roundTrip(q testRequest) (*http.Response, string) {
 	c.t.Helper()
 	c.send(q.text())
-	return c.answer()
+	return c.readResponse()
 }
 
 // receive returns the next value of a channel, or the zero value if it is closed; the test fails if that takes too
@@ -447,16 +449,16 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s: did not happen within the test's time-out", what)
 		panic("")
 	}
 }
 
 // waitFor returns once ok does, and fails the test if that takes too long.
-func wait(t testing.TB, what string, ok func() bool) {
+func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: did not happen within the test's time-out", what)
 		}
--- a/internal/node/tunnel.go
+++ b/internal/node/tunnel.go
@@ -22,18 +22,18 @@
 // openTunnelListeners opens the listeners on which clients ask for tunnels. A tunnel with HTTP inside is treated like
 // any other client connection: each request in it is read, decided, limited and drained like any other. An opaque
 // tunnel is itself one request. The listeners close when ctx ends or a successor serves.
-func (n *node) tunnels(ctx context.Context, t *config.Tunnels) error {
-	table := n.routes // from control
+func (n *node) openTunnelListeners(ctx context.Context, t *config.Tunnels) error {
+	table := n.tunnelRoutes // from control
 	if table == nil {
 		var err error
 		if table, err = t.Table(); err != nil {
 			return err
 		}
 	}
-	f := tunnel.NewFront(tunnel.Options{Core: n.core, Table: table, Log: n.log, Away: n.life.sendsAway, Go: n.clients.Go,
-		Take: n.clients.Take, Leave: n.clients.Leave, HTTP: n.clients.Serve,
+	f := tunnel.NewFront(tunnel.Options{Core: n.core, Table: table, Log: n.log, Draining: n.lifecycle.closingConnections, Go: n.clients.Go,
+		AcquireSlot: n.clients.AcquireSlot, ReleaseSlot: n.clients.ReleaseSlot, ServeRequests: n.clients.Serve,
 		Caller: func(conn net.Conn, user string) contract.Caller {
-			return fronthttp.Caller(nil, fronthttp.Address(conn), user)
+			return fronthttp.Caller(nil, fronthttp.RemoteAddr(conn), user)
 		}})
 	ctx, cancel := context.WithCancel(ctx)
 	context.AfterFunc(n.core.Context(), cancel)
@@ -42,13 +42,13 @@
 	n.core.Go(func() {
 		select {
 		case <-ctx.Done():
-		case <-n.pair.relieved:
+		case <-n.handover.relieved:
 			cancel()
 		}
 	})
 	for _, l := range []struct {
 		addr string
-		read tunnel.Opener
+		read tunnel.RequestReader
 	}{{t.SOCKS5, tunnel.SOCKS5}, {t.Connect, tunnel.Connect}} {
 		if l.addr == "" {
 			continue
@@ -88,23 +88,23 @@
 }
 
 // checkOpaqueClasses checks that the classes of opaque routes are classes of the settings.
-func (c *Config) opaque() error {
+func (c *Config) checkOpaqueClasses() error {
 	if c.Product == nil || c.Product.Tunnels == nil {
 		return nil
 	}
 	effects := newSettings(c.Settings).effects
 	for i, r := range c.Product.Tunnels.Routes {
 		if _, known := effects[r.Class]; r.Kind == "opaque" && !known {
-			return &config.FieldError{Path: fmt.Sprintf("tunnels.routes[%d].class", i), Why: fmt.Sprintf("%q is no class of the node's settings", r.Class)}
+			return &config.FieldError{Path: fmt.Sprintf("tunnels.routes[%d].class", i), Reason: fmt.Sprintf("%q is no class of the node's settings", r.Class)}
 		}
 	}
 	return nil
 }
 
 // proxyDial returns how a web server is dialed through its proxy; nil means directly.
-func (n *node) way(id string) back.Dial {
+func (n *node) proxyDial(id string) back.Dial {
 	for _, route := range n.proxyRoutes {
-		if match, _ := filepath.Match(route.Servers, id); match {
+		if match, _ := filepath.Match(route.Pattern, id); match {
 			return route.Proxy.Dial
 		}
 	}
--- a/internal/resource/catalog/catalog.go
+++ b/internal/resource/catalog/catalog.go
@@ -19,9 +19,9 @@
 type Options struct {
 	// Effects has the effects of the classes in the node's settings, by name: safe, keyed or unsafe. If it is nil, they are
 	// unknown and not checked.
-	Effects map[string]string
-	Cells   bool // there are cells, to which tenants can be pinned
-	Even    bool // each node gets an even share of contracts
+	Effects    map[string]string
+	Cells      bool // there are cells, to which tenants can be pinned
+	EvenShares bool // each node gets an even share of contracts
 }
 
 // Catalog holds the decoded resources that are in force. It has one owner and is not safe for concurrent use, except that
@@ -114,7 +114,7 @@
 }
 
 // SetEvenShares sets whether each node gets an even share of contracts, from the next change on.
-func (c *Catalog) SetEven(even bool) { c.options.Even = even }
+func (c *Catalog) SetEvenShares(even bool) { c.options.EvenShares = even }
 
 // Change is a checked delta and the changes it causes. It is valid until another change is committed.
 type Change struct {
--- a/internal/resource/catalog/catalog_test.go
+++ b/internal/resource/catalog/catalog_test.go
@@ -41,7 +41,7 @@
 		case resource.Resource:
 			d.Put = append(d.Put, w)
 		case string:
-			d.Gone = append(d.Gone, parseKey(w))
+			d.Removed = append(d.Removed, parseKey(w))
 		}
 	}
 	return d
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &testState{New(o), contract.NewLedger(tab, 0, 1), routes, cell.NewPlacer(cell.Terms{Plan: cell.Plan{Size: 2}, Memory: 10}), 0}
+	return &testState{New(o), contract.NewLedger(tab, 0, 1), routes, cell.NewPlacer(cell.Settings{Plan: cell.Plan{Size: 2}, MaxKeys: 10}), 0}
 }
 
 // apply applies a delta or returns why it is refused. A change that the catalog accepts must also be valid for the tables.
@@ -85,8 +85,8 @@
 		t.Fatalf("%+v: the routes' table refuses it: %v", d, err)
 	}
 	at := time.Now()
-	w.ledger.Change(0, &ch.Contracts)
-	w.routes.Change(&ch.Routes)
+	w.ledger.ApplyChange(0, &ch.Contracts)
+	w.routes.ApplyChange(&ch.Routes)
 	w.placer.Apply(&ch.Tenants)
 	w.lockTime += time.Since(at)
 	w.Commit(ch)
@@ -198,7 +198,7 @@
 	} {
 		good := newDelta(newResource("contract good", `{"name":"good","match":[{"tenant":"good"}]}`), newResource("service good", `{"name":"good"}`),
 			newResource("tenant good", `{"tenant":"good","pods":[3]}`), newResource("route good.org:1", `{"host":"good.org","port":1,"service":"idle"}`), "contract two")
-		good.Put, good.Gone = append(good.Put, c.delta.Put...), append(good.Gone, c.delta.Gone...)
+		good.Put, good.Removed = append(good.Put, c.delta.Put...), append(good.Removed, c.delta.Removed...)
 		for _, d := range []*resource.Delta{c.delta, good} {
 			if err := w.apply(t, d); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("%+v: %v, want %q", d, err, c.want)
@@ -254,7 +254,7 @@
 		t.Fatal(err)
 	}
 	same := func(a, b map[string]bool) bool { return reflect.ValueOf(a).Pointer() == reflect.ValueOf(b).Pointer() }
-	if !same(terms("one").Classes, terms("a").Classes) || !same(terms("one").Retries, terms("a").Retries) || !same(terms("b").Classes, terms("c").Classes) {
+	if !same(terms("one").Classes, terms("a").Classes) || !same(terms("one").RetryClasses, terms("a").RetryClasses) || !same(terms("b").Classes, terms("c").Classes) {
 		t.Error("contracts that name the same classes do not share the set")
 	}
 	if len(terms("a").Classes) != 3 || len(terms("b").Classes) != 4 {
@@ -329,8 +329,8 @@
 	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}],"retries":["buy"]}`))); err == nil {
 		t.Error("retries of a class that a service declares unsafe are accepted")
 	}
-	w.SetEven(true)
-	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]}`))); err != nil || !w.ledger.Table().EvenParts {
+	w.SetEvenShares(true)
+	if err := w.apply(t, newDelta(newResource("contract a", `{"name":"a","match":[{"tenant":"a"}]}`))); err != nil || !w.ledger.Table().EvenShares {
 		t.Error("shares are not even", err)
 	}
 }
@@ -374,7 +374,7 @@
 		}
 		return of(resource.Route, r.Host+":1", r)
 	}
-	p := config.Pinned{Tenant: name("t", 2), Pods: []int64{rapid.Int64Range(1, 3).Draw(t, "pod")}}
+	p := config.PinnedTenant{Tenant: name("t", 2), Pods: []int64{rapid.Int64Range(1, 3).Draw(t, "pod")}}
 	return of(resource.Tenant, p.Tenant, p)
 }
 
@@ -394,7 +394,7 @@
 				}
 				named[r.Key] = true
 				if rapid.IntRange(0, 2).Draw(rt, "removed") == 0 {
-					d.Gone = append(d.Gone, r.Key)
+					d.Removed = append(d.Removed, r.Key)
 					delete(after, r.Key)
 				} else {
 					d.Put = append(d.Put, r)
@@ -467,7 +467,7 @@
 	if err != nil || len(all) != 8 {
 		t.Fatal(len(all), err)
 	}
-	parsed, lines, err := Parts("p.yaml", []byte(productFile))
+	parsed, lines, err := ParseFile("p.yaml", []byte(productFile))
 	if err != nil || !reflect.DeepEqual(all, parsed) {
 		t.Fatalf("%v, %v, want %v", err, parsed, all)
 	}
@@ -476,7 +476,7 @@
 			t.Errorf("%s is at line %d, want %d", key, got, line)
 		}
 	}
-	w := newTestState(t, Options{Effects: effects, Cells: true, Even: true})
+	w := newTestState(t, Options{Effects: effects, Cells: true, EvenShares: true})
 	if err := w.apply(t, &resource.Delta{Put: all}); err != nil {
 		t.Fatal(err)
 	}
@@ -491,8 +491,8 @@
 			t.Errorf("%+v, from the file %+v", got, want.Terms(i))
 		}
 	}
-	if tab.Count() != want.Count() || tab.EvenParts != want.EvenParts {
-		t.Error(tab.Count(), tab.EvenParts)
+	if tab.Count() != want.Count() || tab.EvenShares != want.EvenShares {
+		t.Error(tab.Count(), tab.EvenShares)
 	}
 	routes, err := f.Tunnels.Table()
 	if err != nil {
@@ -504,7 +504,7 @@
 			t.Errorf("%+v, from the file %+v", got, r)
 		}
 	}
-	cells, err := f.Cells.Terms()
+	cells, err := f.Cells.Settings()
 	if err != nil || !reflect.DeepEqual(w.placer.Tenants(), cells.Tenants) {
 		t.Errorf("%+v, from the file %+v, %v", w.placer.Tenants(), cells.Tenants, err)
 	}
@@ -523,7 +523,7 @@
 		{"tunnels: {routes: [{host: a.b, port: 1, service: elsewhere}]}\n", 1}, {"cells: {tenants: [{tenant: a, pods: [1]}]}\n", 1},
 		{"health: {checks: {tcp: {}}}\nparts: even\nservices: []\n", 0}, {"tunnels: {connect: nowhere}\ncells: {size: 0}\n", 0},
 	} {
-		if all, _, err := Parts("p.yaml", []byte(c.text)); err != nil || len(all) != c.want {
+		if all, _, err := ParseFile("p.yaml", []byte(c.text)); err != nil || len(all) != c.want {
 			t.Errorf("%q: %d resources, %v", c.text, len(all), err)
 		}
 	}
@@ -540,7 +540,7 @@
 		{"cells:\n  tenants:\n  - {pods: [1]}\n", "p.yaml:3: cells.tenants[0].tenant: missing"},
 		{"cells:\n  tenants:\n  - {tenant: a, pods: [1, 1]}\n", "p.yaml:3: cells.tenants[0].pods"},
 	} {
-		if _, _, err := Parts("p.yaml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, _, err := ParseFile("p.yaml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.want)
 		}
 	}
--- a/internal/resource/catalog/prepare.go
+++ b/internal/resource/catalog/prepare.go
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	for _, k := range d.Gone {
+	for _, k := range d.Removed {
 		switch k.Kind {
 		case resource.Service:
 			if old := c.services[k.Name]; old != nil {
@@ -35,17 +35,17 @@
 		case resource.Contract:
 			if c.contracts[k.Name] != nil {
 				ch.contracts[k.Name] = nil
-				ch.Contracts.Gone = append(ch.Contracts.Gone, k.Name)
+				ch.Contracts.Removed = append(ch.Contracts.Removed, k.Name)
 			}
 		case resource.Route:
 			if _, known := c.routes[k.Name]; known {
 				ch.routes[k.Name] = routeTarget{}
-				ch.Routes.Gone = append(ch.Routes.Gone, k.Name)
+				ch.Routes.Removed = append(ch.Routes.Removed, k.Name)
 			}
 		case resource.Tenant:
 			if _, known := c.tenants[k.Name]; known {
 				ch.tenants[k.Name] = false
-				ch.Tenants.Gone = append(ch.Tenants.Gone, k.Name)
+				ch.Tenants.Removed = append(ch.Tenants.Removed, k.Name)
 			}
 		}
 	}
@@ -73,16 +73,16 @@
 
 // newChange returns a change without content.
 func (c *Catalog) newChange() *Change {
-	return &Change{Contracts: contract.Change{Even: c.options.Even}, baseCommits: c.commits, services: map[string]*service{}, routes: map[string]routeTarget{},
+	return &Change{Contracts: contract.Change{EvenShares: c.options.EvenShares}, baseCommits: c.commits, services: map[string]*service{}, routes: map[string]routeTarget{},
 		tenants: map[string]bool{}, fallback: c.fallback, unsafeCounts: map[string]int{}, classSets: map[string]map[string]bool{}}
 }
 
 // checkForm checks the form of a delta and records the contracts that it names.
 func (c *Catalog) checkForm(ch *Change, d *resource.Delta) error {
 	contracts := countKind(d, resource.Contract)
-	ch.contracts, ch.inDelta = make(map[string]*contractEntry, contracts), make(map[string]bool, contracts+len(d.Gone))
+	ch.contracts, ch.inDelta = make(map[string]*contractEntry, contracts), make(map[string]bool, contracts+len(d.Removed))
 	ch.matches = newMatchIndex(contracts)
-	seen, total := make(map[resource.Key]bool, len(d.Put)+len(d.Gone)), c.Len()
+	seen, total := make(map[resource.Key]bool, len(d.Put)+len(d.Removed)), c.Len()
 	checkKey := func(k resource.Key) error {
 		switch k.Kind {
 		case resource.Service, resource.Contract, resource.Route, resource.Tenant:
@@ -118,7 +118,7 @@
 			total++
 		}
 	}
-	for _, k := range d.Gone {
+	for _, k := range d.Removed {
 		if err := checkKey(k); err != nil {
 			return err
 		}
--- a/internal/resource/catalog/put.go
+++ b/internal/resource/catalog/put.go
@@ -35,7 +35,7 @@
 	if err := spec.Check("", c.options.Effects); err != nil {
 		return refusalOf(r.Key, err)
 	}
-	s := &service{name: r.Name, classes: spec.Set()}
+	s := &service{name: r.Name, classes: spec.ClassSet()}
 	for _, class := range spec.Classes {
 		if class.Effect != "" {
 			s.withEffect = append(s.withEffect, class)
@@ -103,8 +103,8 @@
 	if len(spec.Services) > 1 {
 		t.Classes = c.sharedSet(ch, t.Classes)
 	}
-	t.Retries = c.sharedSet(ch, t.Retries)
-	return t, &contractEntry{text, spec.Services, t.Matches, t.Retries}, nil
+	t.RetryClasses = c.sharedSet(ch, t.RetryClasses)
+	return t, &contractEntry{text, spec.Services, t.Matches, t.RetryClasses}, nil
 }
 
 // sharedSet returns the stored set of the same classes, or else stores this one.
@@ -163,14 +163,14 @@
 	if !c.options.Cells {
 		return refuse(r.Key, "", "is pinned to pods, but there are no cells here")
 	}
-	var spec config.Pinned
+	var spec config.PinnedTenant
 	if err := decode(r, &spec); err != nil {
 		return err
 	}
 	if spec.Tenant != r.Name {
 		return refuse(r.Key, "tenant", "%q is not the name of the resource", spec.Tenant)
 	}
-	t, err := spec.Ready("")
+	t, err := spec.Compile("")
 	if err != nil {
 		return refusalOf(r.Key, err)
 	}
--- a/internal/resource/catalog/refuse.go
+++ b/internal/resource/catalog/refuse.go
@@ -40,14 +40,14 @@
 
 // refuse returns a *resource.Refusal as an error.
 func refuse(k resource.Key, field, reason string, args ...any) error {
-	return &resource.Refusal{Key: k, Field: field, Why: fmt.Sprintf(reason, args...)}
+	return &resource.Refusal{Key: k, Field: field, Reason: fmt.Sprintf(reason, args...)}
 }
 
 // refusalOf returns the refusal of a resource that is invalid by itself, with the path of a *config.FieldError.
 func refusalOf(k resource.Key, err error) error {
 	var bad *config.FieldError
 	if errors.As(err, &bad) {
-		return refuse(k, bad.Path, "%s", bad.Why)
+		return refuse(k, bad.Path, "%s", bad.Reason)
 	}
 	return refuse(k, "", "%v", err)
 }
--- a/internal/resource/catalog/size_test.go
+++ b/internal/resource/catalog/size_test.go
@@ -84,7 +84,7 @@
 		if err := w.apply(t, &resource.Delta{Put: all}); err != nil {
 			t.Fatal(err)
 		}
-		if err := set.Apply(set.Next(resource.Version{Epoch: 1}, all, nil)); err != nil {
+		if err := set.Apply(set.NewDelta(resource.Version{Epoch: 1}, all, nil)); err != nil {
 			t.Fatal(err)
 		}
 		services := n * 250 / 17000
@@ -93,7 +93,7 @@
 			if err := w.apply(t, &resource.Delta{Put: put}); err != nil {
 				t.Fatal(err)
 			}
-			if err := set.Apply(set.Next(resource.Version{Epoch: 1, Number: uint64(i + 1)}, put, nil)); err != nil {
+			if err := set.Apply(set.NewDelta(resource.Version{Epoch: 1, Number: uint64(i + 1)}, put, nil)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/resource/catalog/source.go
+++ b/internal/resource/catalog/source.go
@@ -15,8 +15,8 @@
 // a node itself; they are allowed so that one file can serve both, and are ignored. Each value is checked by itself and not against
 // others: what a contract names may be in another file. The result has the line on which each resource begins. An error names file,
 // line and field.
-func Parts(name string, text []byte) ([]resource.Resource, map[resource.Key]int, error) {
-	f, line, err := config.ParsePart(name, text)
+func ParseFile(name string, text []byte) ([]resource.Resource, map[resource.Key]int, error) {
+	f, line, err := config.ParsePartial(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -27,9 +27,9 @@
 		_, dup := lines[key]
 		switch {
 		case key.Name == "":
-			check = &config.FieldError{Path: path + "." + field, Why: "missing"}
+			check = &config.FieldError{Path: path + "." + field, Reason: "missing"}
 		case check == nil && dup:
-			check = &config.FieldError{Path: path + "." + field, Why: fmt.Sprintf("%s is at line %d already", key, lines[key])}
+			check = &config.FieldError{Path: path + "." + field, Reason: fmt.Sprintf("%s is at line %d already", key, lines[key])}
 		}
 		var bad *config.FieldError
 		if errors.As(check, &bad) {
@@ -96,7 +96,7 @@
 	if f.Cells != nil {
 		for i := range f.Cells.Tenants {
 			t, path := &f.Cells.Tenants[i], fmt.Sprintf("cells.tenants[%d]", i)
-			_, check := t.Ready(path + ".")
+			_, check := t.Compile(path + ".")
 			if err := do(path, "tenant", resource.Key{Kind: resource.Tenant, Name: t.Tenant}, t, check); err != nil {
 				return err
 			}
@@ -113,12 +113,12 @@
 
 // readyRoute returns a route ready for use, checked by itself. An error is a *config.FieldError.
 func readyRoute(r *config.Route, path string) (tunnel.Route, error) {
-	ready, err := r.Ready(path)
+	ready, err := r.Compile(path)
 	if err != nil {
 		return ready, err
 	}
 	if field, reason := ready.Check(); field != "" {
-		return ready, &config.FieldError{Path: path + field, Why: reason}
+		return ready, &config.FieldError{Path: path + field, Reason: reason}
 	}
 	return ready, nil
 }
--- a/internal/resource/follower.go
+++ b/internal/resource/follower.go
@@ -10,17 +10,17 @@
 // PollSchedule holds the intervals at which a follower calls its sources. A lost response to a watch is detected only when
 // the call times out, so MaxWait, Grace and the time for one more call together must fit into the time within which a
 // change has to be in force.
-type Pace struct {
-	WaitLeast, WaitMost time.Duration // range of a watch's waiting time, selected at random for each watch
-	Grace               time.Duration // added to the waiting time to give a call's timeout; alone the timeout of a call without waiting
-	LookLeast, LookMost time.Duration // range of the interval between checks of another source
+type PollSchedule struct {
+	MinWait, MaxWait                   time.Duration // range of a watch's waiting time, selected at random for each watch
+	Grace                              time.Duration // added to the waiting time to give a call's timeout; alone the timeout of a call without waiting
+	MinCheckInterval, MaxCheckInterval time.Duration // range of the interval between checks of another source
 }
 
 var (
 	// NodeSchedule is the default schedule, for nodes: 450 nodes make about 130 calls a second in all.
-	NodePace = Pace{6 * time.Second, 10 * time.Second, 2 * time.Second, 4 * time.Second, 7 * time.Second}
+	NodeSchedule = PollSchedule{6 * time.Second, 10 * time.Second, 2 * time.Second, 4 * time.Second, 7 * time.Second}
 	// ControlSchedule is the schedule of control processes that follow another one. There are few of them.
-	ControlPace = Pace{2 * time.Second, 4 * time.Second, time.Second, time.Second, 2 * time.Second}
+	ControlSchedule = PollSchedule{2 * time.Second, 4 * time.Second, time.Second, time.Second, 2 * time.Second}
 )
 
 // Delays between calls and limits on responses. The delay that is used is random, between half the named value and the
@@ -36,7 +36,7 @@
 	// as one.
 	delayAfterChange = 100 * time.Millisecond
 	// MaxRetryAfter bounds the delay taken from a Retry-After header.
-	MaxRetry = 30 * time.Second
+	MaxRetryAfter = 30 * time.Second
 	// checksumRefusalLifetime is how long a snapshot with a wrong checksum is refused, selected between half of it and the
 	// whole. It also bounds the delay before a snapshot is requested.
 	checksumRefusalLifetime = time.Minute
@@ -50,7 +50,7 @@
 
 // BodyTimeout returns how long a response body of a length in bytes may take after the response's head. A negative length
 // means that the length is not specified.
-func BodyLimit(length int64) time.Duration {
+func BodyTimeout(length int64) time.Duration {
 	if length < 0 {
 		return maxBodyTimeout
 	}
@@ -59,14 +59,14 @@
 
 // Call describes the next call: its delay, its source and its parameters.
 type Call struct {
-	Rest    time.Duration // before the call
-	Source  int           // index of the source to call
-	Since   Version       // the version held; zero: request a snapshot
-	Sum     Sum           // of the content held at Since
-	Refused Version       // the version last refused; zero: none
-	Why     string        // of the refusal
-	Wait    time.Duration // how long the source may wait for a change; 0: it responds at once
-	Limit   time.Duration // from the call to the head of its response; BodyTimeout counts from there
+	Delay    time.Duration // before the call
+	Source   int           // index of the source to call
+	Since    Version       // the version held; zero: request a snapshot
+	Checksum Checksum      // of the content held at Since
+	Refused  Version       // the version last refused; zero: none
+	Reason   string        // of the refusal
+	Wait     time.Duration // how long the source may wait for a change; 0: it responds at once
+	Timeout  time.Duration // from the call to the head of its response; BodyTimeout counts from there
 }
 
 // FailureKind is the way in which a call failed.
@@ -95,16 +95,16 @@
 
 // Status is the state of a follower as shown to operators.
 type Status struct {
-	Version    Version
-	Sum        Sum
-	Resources  int
-	Source     int           // index of the source that is followed
-	Refused    Version       // the version last refused; zero: none
-	Why        string        // of the refusal
-	Failures   int           // consecutive failed calls to followed sources
-	LastErr    string        // of the last call if it failed; empty after a success
-	LastAnswer time.Duration // Unix time of the last valid response; 0: none
-	LastChange time.Duration // Unix time at which a version was last applied; 0: never
+	Version      Version
+	Checksum     Checksum
+	Resources    int
+	Source       int           // index of the source that is followed
+	Refused      Version       // the version last refused; zero: none
+	Reason       string        // of the refusal
+	Failures     int           // consecutive failed calls to followed sources
+	LastError    string        // of the last call if it failed; empty after a success
+	LastResponse time.Duration // Unix time of the last valid response; 0: none
+	LastChange   time.Duration // Unix time at which a version was last applied; 0: never
 }
 
 // Follower decides which source to call when, with which request, and which responses to apply. Its caller makes one call
@@ -116,7 +116,7 @@
 // version, and back to the first one as soon as that is not behind.
 type Follower struct {
 	set      *Set
-	schedule Pace
+	schedule PollSchedule
 	sources  int
 
 	current         int             // index of the source that is followed
@@ -145,17 +145,17 @@
 
 // NewFollower returns a follower of a set that calls sources, the nearest first, on NodeSchedule.
 func NewFollower(base *Set, sources int) *Follower {
-	return &Follower{set: base, sources: max(sources, 1), schedule: NodePace, busyUntil: make([]time.Duration, max(sources, 1)), random: 0.5}
+	return &Follower{set: base, sources: max(sources, 1), schedule: NodeSchedule, busyUntil: make([]time.Duration, max(sources, 1)), random: 0.5}
 }
 
 // SetSchedule changes the schedule. It may be called only before the first call to Next.
-func (f *Follower) SetPace(schedule Pace) { f.schedule = schedule }
+func (f *Follower) SetSchedule(schedule PollSchedule) { f.schedule = schedule }
 
 // Status returns the current state.
 func (f *Follower) Status() Status {
 	s := f.status
-	s.Version, s.Sum, s.Resources = f.set.Version(), f.set.Sum(), f.set.Len()
-	s.Source, s.Refused, s.Why, s.Failures = f.current, f.refused, f.reason, f.failures
+	s.Version, s.Checksum, s.Resources = f.set.Version(), f.set.Checksum(), f.set.Len()
+	s.Source, s.Refused, s.Reason, s.Failures = f.current, f.refused, f.reason, f.failures
 	return s
 }
 
@@ -173,26 +173,26 @@
 	if !f.refused.IsZero() && (f.refusalExpiry > 0 && now >= f.refusalExpiry || f.refusedForEpoch && !f.refused.TooFarAhead(now)) {
 		f.clearRefusal()
 	}
-	c := Call{Rest: max(f.nextCall-now, 0), Source: f.current, Limit: f.schedule.Grace, Refused: f.refused, Why: f.reason}
+	c := Call{Delay: max(f.nextCall-now, 0), Source: f.current, Timeout: f.schedule.Grace, Refused: f.refused, Reason: f.reason}
 	if f.needSnapshot {
-		c.Rest = max(c.Rest, f.nextSnapshot-now)
+		c.Delay = max(c.Delay, f.nextSnapshot-now)
 	} else {
-		c.Since, c.Sum = f.set.Version(), f.set.Sum()
+		c.Since, c.Checksum = f.set.Version(), f.set.Checksum()
 	}
-	begin := now + c.Rest
+	begin := now + c.Delay
 	if f.nextCheck == 0 {
-		f.nextCheck = begin + f.randomBetween(f.schedule.LookLeast, f.schedule.LookMost)
+		f.nextCheck = begin + f.randomBetween(f.schedule.MinCheckInterval, f.schedule.MaxCheckInterval)
 	}
 	switch {
 	case c.Since.IsZero() && f.refused.IsZero() || !f.mayWait: // request an immediate response, whatever the source has
 	case f.checkDue(begin):
 		c.Source = f.lastChecked
 	default:
-		c.Wait = f.randomBetween(f.schedule.WaitLeast, f.schedule.WaitMost)
+		c.Wait = f.randomBetween(f.schedule.MinWait, f.schedule.MaxWait)
 		if f.sources > 1 {
 			c.Wait = min(c.Wait, f.nextCheck-begin)
 		}
-		c.Limit = c.Wait + f.schedule.Grace
+		c.Timeout = c.Wait + f.schedule.Grace
 	}
 	f.called, f.callStart, f.callWait, f.callSince = c.Source, begin, c.Wait, c.Since
 	return c
@@ -203,7 +203,7 @@
 	if f.sources == 1 || begin+f.schedule.Grace/4 < f.nextCheck {
 		return false
 	}
-	f.nextCheck = begin + f.randomBetween(f.schedule.LookLeast, f.schedule.LookMost)
+	f.nextCheck = begin + f.randomBetween(f.schedule.MinCheckInterval, f.schedule.MaxCheckInterval)
 	for range f.sources {
 		f.lastChecked = (f.lastChecked + 1) % f.sources
 		if f.lastChecked != f.current && f.busyUntil[f.lastChecked] <= begin {
@@ -223,12 +223,12 @@
 func (f *Follower) Failed(now time.Duration, failure Failure, random float64) {
 	f.random = random
 	if failure.Kind == Busy && failure.RetryAfter > 0 {
-		after := min(failure.RetryAfter, MaxRetry)
+		after := min(failure.RetryAfter, MaxRetryAfter)
 		f.busyUntil[f.called] = now + f.randomBetween(after, after+after/2)
 	}
-	f.status.LastErr = failure.Kind.String()
+	f.status.LastError = failure.Kind.String()
 	if failure.Err != nil {
-		f.status.LastErr += ": " + truncate(failure.Err.Error(), MaxWhy)
+		f.status.LastError += ": " + truncate(failure.Err.Error(), MaxReason)
 	}
 	f.recordFailure(now)
 }
@@ -275,7 +275,7 @@
 		f.failures, f.emptyResponses = 0, 0
 	}
 	f.mayWait, f.nextCall = true, now
-	f.status.LastErr, f.status.LastAnswer = "", now
+	f.status.LastError, f.status.LastResponse = "", now
 }
 
 // sourceWaited reports whether the source held the call for at least half of its waiting time.
@@ -295,11 +295,11 @@
 // it is or reduced by Set.Difference) and calls Applied. If it returns an error, there is nothing to apply: a *Refusal is
 // reported to the control process by the next calls, any other error has been counted as a failure. A delta that is not
 // later than the held version is ignored without an error, so that a node's version never decreases.
-func (f *Follower) Told(now time.Duration, d *Delta) (apply bool, err error) {
+func (f *Follower) Received(now time.Duration, d *Delta) (apply bool, err error) {
 	held := f.set.Version()
-	if d.From == d.To && len(d.Put)+len(d.Gone) == 0 && (d.To == held || d.To == f.callSince) {
-		if d.To == held && d.Sum != f.set.Sum() {
-			err = fmt.Errorf("%v: checksum %016x, announced %016x: %w", held, uint64(f.set.Sum()), uint64(d.Sum), ErrSum)
+	if d.From == d.To && len(d.Put)+len(d.Removed) == 0 && (d.To == held || d.To == f.callSince) {
+		if d.To == held && d.Checksum != f.set.Checksum() {
+			err = fmt.Errorf("%v: checksum %016x, announced %016x: %w", held, uint64(f.set.Checksum()), uint64(d.Checksum), ErrChecksum)
 			f.requireSnapshot(now, err)
 			return false, err
 		}
@@ -311,7 +311,7 @@
 		return false, nil
 	}
 	if d.To.TooFarAhead(now) {
-		r := &Refusal{Field: "to", Why: fmt.Sprintf("epoch of %v is over a day ahead of this clock, %d", d.To, now.Milliseconds())}
+		r := &Refusal{Field: "to", Reason: fmt.Sprintf("epoch of %v is over a day ahead of this clock, %d", d.To, now.Milliseconds())}
 		f.recordRefusal(now, d.To, r)
 		f.refusedForEpoch = true
 		return false, r
@@ -330,12 +330,12 @@
 	case errors.As(err, &r):
 		f.recordRefusal(now, d.To, r)
 		return false, r
-	case d.Whole(): // the source computed a wrong checksum, and another snapshot is expensive
-		r = &Refusal{Field: "sum", Why: err.Error()}
+	case d.IsSnapshot(): // the source computed a wrong checksum, and another snapshot is expensive
+		r = &Refusal{Field: "sum", Reason: err.Error()}
 		f.recordRefusal(now, d.To, r)
 		f.refusalExpiry = now + f.randomBetween(checksumRefusalLifetime/2, checksumRefusalLifetime)
 		f.delaySnapshot(now)
-		f.status.LastErr = r.Why
+		f.status.LastError = r.Reason
 		return false, r
 	}
 	f.requireSnapshot(now, err)
@@ -344,7 +344,7 @@
 
 // requireSnapshot records a response that does not match the held content: the next request is for a snapshot, after a delay.
 func (f *Follower) requireSnapshot(now time.Duration, err error) {
-	f.status.LastErr = err.Error()
+	f.status.LastError = err.Error()
 	f.needSnapshot = true
 	f.delaySnapshot(now)
 	f.current = f.called
@@ -360,7 +360,7 @@
 // recordRefusal stores a refused version to be reported, and delays the next call: less than after a failure, doubling each
 // time.
 func (f *Follower) recordRefusal(now time.Duration, v Version, err error) {
-	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = v, truncate(err.Error(), MaxWhy), 0, false
+	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = v, truncate(err.Error(), MaxReason), 0, false
 	f.recordSuccess(now, f.called == 0)
 	f.nextCall = now + f.jitter(backoff(emptyResponseBackoff, f.emptyResponses))
 	f.emptyResponses++
@@ -373,7 +373,7 @@
 
 // Applied reports the outcome of applying a delta that Received accepted: nil if it is in force and in the set, else the reason
 // for which it was refused.
-func (f *Follower) Took(now time.Duration, err error) {
+func (f *Follower) Applied(now time.Duration, err error) {
 	if err != nil {
 		f.recordRefusal(now, f.pending, err)
 		return
--- a/internal/resource/follower_test.go
+++ b/internal/resource/follower_test.go
@@ -43,7 +43,7 @@
 		r.t.Fatal("the number of calls is unlimited")
 	}
 	c := r.follower.Next(r.now, r.random.Float64())
-	r.now += c.Rest
+	r.now += c.Delay
 	return c
 }
 
@@ -51,9 +51,9 @@
 func (r *followerTest) respond(after time.Duration, d *Delta) bool {
 	r.now += after
 	var apply bool
-	if apply, r.err = r.follower.Told(r.now, d); apply {
+	if apply, r.err = r.follower.Received(r.now, d); apply {
 		r.err = r.set.Apply(r.set.Difference(d))
-		r.follower.Took(r.now, r.err)
+		r.follower.Applied(r.now, r.err)
 	}
 	return apply
 }
@@ -66,13 +66,13 @@
 
 // emptyDelta returns a response without changes.
 func (r *followerTest) emptyDelta(c Call) *Delta {
-	return &Delta{From: c.Since, To: c.Since, Sum: c.Sum}
+	return &Delta{From: c.Since, To: c.Since, Checksum: c.Checksum}
 }
 
 // nextDelta returns the delta that leads on from the held version by putting the given resources.
 func (r *followerTest) nextDelta(all ...Resource) *Delta {
 	v := r.set.Version()
-	return r.set.Next(version(v.Epoch, v.Number+1), all, nil)
+	return r.set.NewDelta(version(v.Epoch, v.Number+1), all, nil)
 }
 
 func requireWithin(t *testing.T, what string, d, lower, upper time.Duration) {
@@ -85,7 +85,7 @@
 func TestFirstCallRequestsSnapshotWithoutWaiting(t *testing.T) {
 	r := newFollowerTest(t, 3)
 	c := r.nextCall()
-	if c != (Call{Limit: NodePace.Grace}) {
+	if c != (Call{Timeout: NodeSchedule.Grace}) {
 		t.Fatalf("%+v", c)
 	}
 	s := setWith(t, true, version(5, 1), contract("a", 1))
@@ -93,16 +93,16 @@
 		t.Fatal(r.err)
 	}
 	c = r.nextCall()
-	requireWithin(t, "delay after a change", c.Rest, delayAfterChange/2, delayAfterChange)
-	if c.Since != version(5, 1) || c.Sum != s.Sum() || c.Source != 1 || c.Wait != 0 {
+	requireWithin(t, "delay after a change", c.Delay, delayAfterChange/2, delayAfterChange)
+	if c.Since != version(5, 1) || c.Checksum != s.Checksum() || c.Source != 1 || c.Wait != 0 {
 		t.Fatalf("another source is not checked after the first version: %+v", c)
 	}
 	r.respond(0, r.emptyDelta(c))
-	if c = r.nextCall(); c.Since != version(5, 1) || c.Sum != s.Sum() || c.Source != 0 || c.Wait == 0 {
+	if c = r.nextCall(); c.Since != version(5, 1) || c.Checksum != s.Checksum() || c.Source != 0 || c.Wait == 0 {
 		t.Fatalf("%+v", c)
 	}
 	st := r.follower.Status()
-	if st.Version != version(5, 1) || st.Resources != 1 || st.LastAnswer != r.now-c.Rest || st.LastChange != startTime+time.Second || st.LastErr != "" {
+	if st.Version != version(5, 1) || st.Resources != 1 || st.LastResponse != r.now-c.Delay || st.LastChange != startTime+time.Second || st.LastError != "" {
 		t.Fatalf("%+v", st)
 	}
 }
@@ -116,7 +116,7 @@
 		r.respond(0, r.emptyDelta(r.nextCall()))
 		for range 2000 {
 			c := r.nextCall()
-			if c.Limit != c.Wait+NodePace.Grace {
+			if c.Timeout != c.Wait+NodeSchedule.Grace {
 				t.Fatalf("%+v", c)
 			}
 			if c.Source == r.follower.current && c.Wait > 0 {
@@ -126,15 +126,17 @@
 		}
 		slices.Sort(waits)
 		shortest, longest := waits[0], waits[len(waits)-1]
-		requireWithin(t, "shortest wait", shortest, NodePace.Grace/4, NodePace.WaitLeast+time.Second/2)
-		requireWithin(t, "longest wait", longest, NodePace.LookMost-time.Second, NodePace.WaitMost)
-		if sources == 1 && (shortest < NodePace.WaitLeast || longest < NodePace.WaitMost-time.Second/2) {
+		requireWithin(t, "shortest wait", shortest, NodeSchedule.Grace/4, NodeSchedule.MinWait+time.Second/2)
+		requireWithin(t, "longest wait", longest, NodeSchedule.MaxCheckInterval-time.Second, NodeSchedule.MaxWait)
+		if sources == 1 && (shortest < NodeSchedule.MinWait || longest < NodeSchedule.MaxWait-time.Second/2) {
 			t.Fatal(shortest, longest)
 		}
 		t.Logf("%d sources: waits of %v to %v", sources, shortest, longest)
 	}
-	detection := func(p Pace) time.Duration { return max(p.WaitMost, p.LookMost) + p.Grace + firstBackoff + p.Grace }
-	if total := detection(NodePace) + detection(ControlPace) - NodePace.Grace - ControlPace.Grace; total > 18*time.Second {
+	detection := func(p PollSchedule) time.Duration {
+		return max(p.MaxWait, p.MaxCheckInterval) + p.Grace + firstBackoff + p.Grace
+	}
+	if total := detection(NodeSchedule) + detection(ControlSchedule) - NodeSchedule.Grace - ControlSchedule.Grace; total > 18*time.Second {
 		t.Fatal(total)
 	}
 }
@@ -147,13 +149,13 @@
 		for range 9 {
 			r.fail(0, Unreachable)
 			c := r.nextCall()
-			requireWithin(t, "delay", c.Rest, want/2, want)
-			if c.Wait != 0 || c.Limit != NodePace.Grace {
+			requireWithin(t, "delay", c.Delay, want/2, want)
+			if c.Wait != 0 || c.Timeout != NodeSchedule.Grace {
 				t.Fatalf("a call after a failure waits: %+v", c)
 			}
 			want = min(2*want, maxBackoff)
 		}
-		if st := r.follower.Status(); st.Failures != 9 || st.LastErr != "unreachable: injected" {
+		if st := r.follower.Status(); st.Failures != 9 || st.LastError != "unreachable: injected" {
 			t.Fatalf("%+v", st)
 		}
 		if round == 0 { // a change
@@ -166,7 +168,7 @@
 			c = r.nextCall()
 			r.respond(c.Wait, r.emptyDelta(c))
 		}
-		if st := r.follower.Status(); st.Failures != 0 || st.LastErr != "" {
+		if st := r.follower.Status(); st.Failures != 0 || st.LastError != "" {
 			t.Fatalf("%+v", st)
 		}
 	}
@@ -182,7 +184,7 @@
 		for range 7 {
 			r.fail(0, Unreachable)
 		}
-		counts[int((r.nextCall().Rest-maxBackoff/2)*time.Duration(len(counts))/(maxBackoff/2+1))]++
+		counts[int((r.nextCall().Delay-maxBackoff/2)*time.Duration(len(counts))/(maxBackoff/2+1))]++
 	}
 	for i, n := range counts {
 		if n < 120 || n > 280 { // 200 expected, give or take six standard deviations
@@ -202,7 +204,7 @@
 		if !slices.Equal(called, []int{0, 1, 2, 0, 1}) {
 			t.Fatal(k, called)
 		}
-		if err := r.follower.Status().LastErr; !strings.HasPrefix(err, k.String()) {
+		if err := r.follower.Status().LastError; !strings.HasPrefix(err, k.String()) {
 			t.Fatal(err)
 		}
 	}
@@ -216,10 +218,10 @@
 	for range 8 {
 		for range 2 {
 			r.fail(0, Unreachable)
-			requireWithin(t, "delay within a round", r.nextCall().Rest, firstBackoff/2, firstBackoff)
+			requireWithin(t, "delay within a round", r.nextCall().Delay, firstBackoff/2, firstBackoff)
 		}
 		r.fail(0, Unreachable)
-		requireWithin(t, "delay after a round", r.nextCall().Rest, longest/2, longest)
+		requireWithin(t, "delay after a round", r.nextCall().Delay, longest/2, longest)
 		longest = min(2*longest, maxBackoff)
 	}
 }
@@ -250,7 +252,7 @@
 	if c.Source != 1 {
 		t.Fatal(c)
 	}
-	requireWithin(t, "delay", c.Rest, MaxRetry-5*time.Second, MaxRetry*3/2)
+	requireWithin(t, "delay", c.Delay, MaxRetryAfter-5*time.Second, MaxRetryAfter*3/2)
 }
 
 // A followed source that responds well but is cut off itself would hide changes. Another source is checked soon and followed for
@@ -266,7 +268,7 @@
 			case 0:
 				r.respond(c.Wait, r.emptyDelta(c))
 			case 1:
-				r.fail(c.Limit, Silent) // does not respond
+				r.fail(c.Timeout, Silent) // does not respond
 			case 2:
 				r.respond(0, change)
 			}
@@ -282,7 +284,7 @@
 			case 0:
 				r.fail(0, Behind)
 			case 1:
-				r.fail(c.Limit, Silent)
+				r.fail(c.Timeout, Silent)
 			case 2:
 				r.respond(c.Wait, r.emptyDelta(c))
 			}
@@ -294,7 +296,7 @@
 		for r.follower.Status().Source != 0 {
 			c := r.nextCall()
 			if c.Source == 1 {
-				r.fail(c.Limit, Silent)
+				r.fail(c.Timeout, Silent)
 			} else {
 				r.respond(c.Wait, r.emptyDelta(c))
 			}
@@ -333,7 +335,7 @@
 			}
 			// A later delta is applied nevertheless, and ends the delays.
 			r.nextCall()
-			if !r.respond(0, r.nextDelta(contract("b", 1))) || r.nextCall().Rest > delayAfterChange {
+			if !r.respond(0, r.nextDelta(contract("b", 1))) || r.nextCall().Delay > delayAfterChange {
 				t.Fatal(r.err)
 			}
 		})
@@ -343,10 +345,10 @@
 func TestMismatchedDeltaCausesSnapshotRequest(t *testing.T) {
 	ahead := setWith(t, true, version(5, 3), contract("a", 9), contract("b", 1))
 	for name, d := range map[string]*Delta{
-		"a delta was lost":                     {From: version(5, 2), To: version(5, 3), Sum: ahead.Sum(), Put: resources(contract("b", 1))},
-		"another checksum":                     {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum() + 1, Put: resources(contract("a", 9), contract("b", 1))},
-		"removed resource is not held":         {From: version(5, 1), To: version(5, 3), Sum: ahead.Sum(), Gone: []Key{contractKey("x")}},
-		"another checksum of the held version": {From: version(5, 1), To: version(5, 1), Sum: 7},
+		"a delta was lost":                     {From: version(5, 2), To: version(5, 3), Checksum: ahead.Checksum(), Put: resources(contract("b", 1))},
+		"another checksum":                     {From: version(5, 1), To: version(5, 3), Checksum: ahead.Checksum() + 1, Put: resources(contract("a", 9), contract("b", 1))},
+		"removed resource is not held":         {From: version(5, 1), To: version(5, 3), Checksum: ahead.Checksum(), Removed: []Key{contractKey("x")}},
+		"another checksum of the held version": {From: version(5, 1), To: version(5, 1), Checksum: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFollowerTest(t, 1, contract("a", 1))
@@ -356,7 +358,7 @@
 			}
 			requireContent(t, r.set, version(5, 1), contract("a", 1))
 			c := r.nextCall()
-			if !c.Since.IsZero() || c.Sum != 0 || !c.Refused.IsZero() || c.Rest < firstBackoff/2 {
+			if !c.Since.IsZero() || c.Checksum != 0 || !c.Refused.IsZero() || c.Delay < firstBackoff/2 {
 				t.Fatalf("%+v", c)
 			}
 			if !r.respond(0, ahead.Snapshot()) {
@@ -375,8 +377,8 @@
 	r := newFollowerTest(t, 3, contract("a", 1))
 	control := setWith(t, true, version(5, 2), contract("a", 2))
 	bad := control.Snapshot()
-	bad.Sum++
-	delta := &Delta{From: version(5, 1), To: version(5, 2), Sum: bad.Sum, Put: bad.Put}
+	bad.Checksum++
+	delta := &Delta{From: version(5, 1), To: version(5, 2), Checksum: bad.Checksum, Put: bad.Put}
 	start, snapshots, calls, reported := r.now, 0, 0, 0
 	for r.now-start < time.Hour {
 		c := r.nextCall()
@@ -405,7 +407,7 @@
 		if c := r.nextCall(); c.Since.IsZero() {
 			r.respond(0, good)
 		} else {
-			r.respond(0, &Delta{From: version(5, 1), To: version(5, 3), Sum: good.Sum, Put: good.Put})
+			r.respond(0, &Delta{From: version(5, 1), To: version(5, 3), Checksum: good.Checksum, Put: good.Put})
 		}
 	}
 	if c := r.nextCall(); !c.Refused.IsZero() {
@@ -421,7 +423,7 @@
 		c := r.nextCall()
 		r.now += time.Second
 		bad := setWith(t, true, version(5, uint64((r.now-start)/time.Second)+2), contract("a", 2)).Snapshot()
-		bad.Sum++
+		bad.Checksum++
 		if c.Since.IsZero() {
 			snapshots++
 		} else {
@@ -448,18 +450,18 @@
 	}
 	for range 5 {
 		c := r.nextCall()
-		if c.Since != version(5, 1) || c.Refused != bad.To || c.Why != refusal.Error() || c.Wait == 0 {
+		if c.Since != version(5, 1) || c.Refused != bad.To || c.Reason != refusal.Error() || c.Wait == 0 {
 			t.Fatalf("%+v", c)
 		}
 		r.respond(c.Wait, r.emptyDelta(c))
 	}
 	// The merged delta from the same base has no such resource.
 	r.nextCall()
-	good := &Delta{From: version(5, 1), To: version(5, 3), Put: resources(contract("a", 2)), Sum: setWith(t, true, version(1, 1), contract("a", 2)).Sum()}
+	good := &Delta{From: version(5, 1), To: version(5, 3), Put: resources(contract("a", 2)), Checksum: setWith(t, true, version(1, 1), contract("a", 2)).Checksum()}
 	if !r.respond(0, good) {
 		t.Fatal(r.err)
 	}
-	if c := r.nextCall(); !c.Refused.IsZero() || c.Why != "" || c.Since != version(5, 3) {
+	if c := r.nextCall(); !c.Refused.IsZero() || c.Reason != "" || c.Since != version(5, 3) {
 		t.Fatalf("%+v", c)
 	}
 }
@@ -469,11 +471,11 @@
 	r := newFollowerTest(t, 1, contract("a", 1))
 	c := r.nextCall()
 	d := r.nextDelta(contract("a", 2))
-	if apply, err := r.follower.Told(r.now, d); !apply || err != nil {
+	if apply, err := r.follower.Received(r.now, d); !apply || err != nil {
 		t.Fatal(apply, err)
 	}
-	r.follower.Took(r.now, &Refusal{contractKey("a"), "rate", strings.Repeat("é", MaxWhy)})
-	if c = r.nextCall(); c.Since != version(5, 1) || c.Refused != d.To || len(c.Why) > MaxWhy || !strings.HasPrefix(c.Why, `contract "a": rate: é`) {
+	r.follower.Applied(r.now, &Refusal{contractKey("a"), "rate", strings.Repeat("é", MaxReason)})
+	if c = r.nextCall(); c.Since != version(5, 1) || c.Refused != d.To || len(c.Reason) > MaxReason || !strings.HasPrefix(c.Reason, `contract "a": rate: é`) {
 		t.Fatalf("%+v", c)
 	}
 	// The refusal is still reported after failed calls and after responses without a change.
@@ -542,7 +544,7 @@
 	if r.respond(0, far) || !errors.As(r.err, &refusal) || refusal.Field != "to" {
 		t.Fatal(r.err)
 	}
-	if c := r.nextCall(); c.Refused != far.To || !strings.Contains(c.Why, "over a day ahead") {
+	if c := r.nextCall(); c.Refused != far.To || !strings.Contains(c.Reason, "over a day ahead") {
 		t.Fatalf("%+v", c)
 	}
 	r.now += time.Hour + time.Second // the clock is corrected, or time has passed
@@ -573,7 +575,7 @@
 
 func TestBodyTimeoutDependsOnLength(t *testing.T) {
 	for length, want := range map[int64]time.Duration{-1: maxBodyTimeout, 0: minBodyTimeout, 64 << 10: minBodyTimeout + time.Second, 1 << 40: maxBodyTimeout} {
-		if d := BodyLimit(length); d != want {
+		if d := BodyTimeout(length); d != want {
 			t.Errorf("%d bytes: %v, want %v", length, d, want)
 		}
 	}
@@ -585,29 +587,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		// Some versions of a control process in two epochs, and the deltas between any two of them.
 		s, h := NewSet(true), NewHistory(HistoryLimits{})
-		checksums, snapshots := map[Version]Sum{}, map[Version]*Delta{}
+		checksums, snapshots := map[Version]Checksum{}, map[Version]*Delta{}
 		var versions []Version
 		for i := range 6 {
 			to := version(5+uint64(i/3), uint64(i))
-			d := s.Next(to, resources(contract(fmt.Sprint(i%4), i)), nil)
+			d := s.NewDelta(to, resources(contract(fmt.Sprint(i%4), i)), nil)
 			h.Add(0, d)
 			if err := s.Apply(d); err != nil {
 				t.Fatal(err)
 			}
-			versions, checksums[to], snapshots[to] = append(versions, to), s.Sum(), s.Snapshot()
+			versions, checksums[to], snapshots[to] = append(versions, to), s.Checksum(), s.Snapshot()
 		}
 		node := NewSet(false)
 		f := NewFollower(node, 3)
 		now, calls := startTime, 0
 		for range rapid.IntRange(1, 60).Draw(t, "responses") {
 			c := f.Next(now, rapid.Float64Range(0, 0.999).Draw(t, "random"))
-			now += c.Rest
+			now += c.Delay
 			calls++
-			if c.Source < 0 || c.Source > 2 || c.Rest < 0 || c.Rest > checksumRefusalLifetime || c.Wait < 0 || c.Wait > NodePace.WaitMost || c.Limit != c.Wait+NodePace.Grace {
+			if c.Source < 0 || c.Source > 2 || c.Delay < 0 || c.Delay > checksumRefusalLifetime || c.Wait < 0 || c.Wait > NodeSchedule.MaxWait || c.Timeout != c.Wait+NodeSchedule.Grace {
 				t.Fatalf("%+v", c)
 			}
 			before := node.Version()
-			d := &Delta{From: c.Since, To: c.Since, Sum: c.Sum}
+			d := &Delta{From: c.Since, To: c.Since, Checksum: c.Checksum}
 			v := rapid.SampledFrom(versions).Draw(t, "version")
 			switch rapid.IntRange(0, 4).Draw(t, "response") {
 			case 0:
@@ -621,17 +623,17 @@
 				}
 			case 3:
 				damaged := *snapshots[v]
-				damaged.Sum++
+				damaged.Checksum++
 				d = &damaged
 			}
-			if apply, _ := f.Told(now, d); apply {
+			if apply, _ := f.Received(now, d); apply {
 				err := node.Apply(node.Difference(d))
-				f.Took(now, err)
+				f.Applied(now, err)
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
-			if node.Version().Compare(before) < 0 || node.Sum() != checksums[node.Version()] {
+			if node.Version().Compare(before) < 0 || node.Checksum() != checksums[node.Version()] {
 				t.Fatal(before, node.Version())
 			}
 			now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.Wait}).Draw(t, "after")
--- a/internal/resource/history.go
+++ b/internal/resource/history.go
@@ -14,7 +14,7 @@
 
 // DefaultHistory stores a day's 2,300 changes, or two hours of changes at a hundred times that rate, and at most half the size
 // of a response.
-var DefaultHistory = HistoryLimits{Age: 24 * time.Hour, Deltas: 20_000, Bytes: MaxAnswer / 2}
+var DefaultHistory = HistoryLimits{Age: 24 * time.Hour, Deltas: 20_000, Bytes: MaxResponse / 2}
 
 // History stores the deltas of a limited time, each leading on from the one before. It is not safe for concurrent use.
 type History struct {
@@ -30,7 +30,7 @@
 	*Delta
 	at             time.Duration // when it was added
 	size           int           // upper bound of its JSON in bytes
-	checksumBefore Sum           // of the content before the delta
+	checksumBefore Checksum      // of the content before the delta
 	checksumKnown  bool          // whether checksumBefore is known
 }
 
@@ -48,7 +48,7 @@
 	if limits.Bytes <= 0 {
 		limits.Bytes = DefaultHistory.Bytes
 	}
-	limits.Bytes = min(limits.Bytes, MaxAnswer) // else a merged delta might be too large for a response
+	limits.Bytes = min(limits.Bytes, MaxResponse) // else a merged delta might be too large for a response
 	return &History{limits: limits, merged: map[Version]*Delta{}}
 }
 
@@ -56,17 +56,17 @@
 // no stored delta leads to it.
 func (h *History) Add(now time.Duration, d *Delta) {
 	clear(h.merged)
-	if n := len(h.deltas); d.Whole() || n > 0 && h.deltas[n-1].To != d.From {
+	if n := len(h.deltas); d.IsSnapshot() || n > 0 && h.deltas[n-1].To != d.From {
 		h.deltas, h.bytes = nil, 0
 	}
 	last := h.last
-	h.last = &Delta{To: d.To, Sum: d.Sum}
-	if d.Whole() {
+	h.last = &Delta{To: d.To, Checksum: d.Checksum}
+	if d.IsSnapshot() {
 		return
 	}
 	e := entry{Delta: d, at: now, size: d.size()}
 	if last != nil && last.To == d.From {
-		e.checksumBefore, e.checksumKnown = last.Sum, true
+		e.checksumBefore, e.checksumKnown = last.Checksum, true
 	}
 	h.deltas = append(h.deltas, e)
 	h.bytes += e.size
@@ -103,7 +103,7 @@
 
 // BehindSince returns when the delta that leads on from v was added: a caller at v has been behind since then. It returns
 // false if there is no such delta.
-func (h *History) Left(v Version) (time.Duration, bool) {
+func (h *History) BehindSince(v Version) (time.Duration, bool) {
 	i, ok := h.index(v)
 	if !ok {
 		return 0, false
@@ -133,7 +133,7 @@
 
 // SinceChecksum is for a version that is not stored, such as one of an epoch before a restart. If the content had this checksum
 // at some point of the history, the changes since then lead on from v.
-func (h *History) SinceSum(v Version, checksum Sum) (*Delta, bool) {
+func (h *History) SinceChecksum(v Version, checksum Checksum) (*Delta, bool) {
 	for i, e := range h.deltas {
 		if e.checksumKnown && e.checksumBefore == checksum && v.Compare(e.To) < 0 {
 			return merge(v, h.deltas[i:]), true
@@ -150,19 +150,19 @@
 		for i := range e.Put {
 			last[e.Put[i].Key] = &e.Put[i]
 		}
-		for _, k := range e.Gone {
+		for _, k := range e.Removed {
 			last[k] = nil
 		}
 	}
 	end := entries[len(entries)-1]
-	d := &Delta{From: v, To: end.To, Sum: end.Sum}
+	d := &Delta{From: v, To: end.To, Checksum: end.Checksum}
 	for k, r := range last {
 		if r != nil {
 			d.Put = append(d.Put, *r)
 		} else {
-			d.Gone = append(d.Gone, k)
+			d.Removed = append(d.Removed, k)
 		}
 	}
-	sortDelta(d.Put, d.Gone)
+	sortDelta(d.Put, d.Removed)
 	return d
 }
--- a/internal/resource/history_test.go
+++ b/internal/resource/history_test.go
@@ -16,7 +16,7 @@
 
 func newVersionedSet(t *testing.T, limits HistoryLimits, all ...Resource) *versionedSet {
 	c := &versionedSet{t: t, set: NewSet(true), history: NewHistory(limits)}
-	c.add(c.set.Next(version(1, 0), all, nil))
+	c.add(c.set.NewDelta(version(1, 0), all, nil))
 	return c
 }
 
@@ -32,7 +32,7 @@
 func (c *versionedSet) change(put []Resource, removed ...Key) {
 	c.t.Helper()
 	v := c.set.Version()
-	c.add(c.set.Next(version(v.Epoch, v.Number+1), put, removed))
+	c.add(c.set.NewDelta(version(v.Epoch, v.Number+1), put, removed))
 }
 
 func resources(all ...Resource) []Resource { return all }
@@ -44,15 +44,15 @@
 	c.change(resources(contract("new-removed", 5)), contractKey("late"))
 	c.change(nil, contractKey("new-removed"))
 	d, ok := c.history.Since(version(1, 0))
-	want := &Delta{From: version(1, 0), To: version(1, 4), Sum: c.set.Sum(), Put: resources(contract("added-again", 3), contract("changed", 3), contract("new", 2)),
-		Gone: []Key{contractKey("changed-removed"), contractKey("late"), contractKey("new-removed"), contractKey("removed")}}
+	want := &Delta{From: version(1, 0), To: version(1, 4), Checksum: c.set.Checksum(), Put: resources(contract("added-again", 3), contract("changed", 3), contract("new", 2)),
+		Removed: []Key{contractKey("changed-removed"), contractKey("late"), contractKey("new-removed"), contractKey("removed")}}
 	if !ok || !reflect.DeepEqual(d, want) {
 		t.Fatalf("%+v\nwant %+v", d, want)
 	}
 	if again, _ := c.history.Since(version(1, 0)); again != d {
 		t.Fatal("the deltas are merged again for each node")
 	}
-	if d, ok := c.history.Since(version(1, 3)); !ok || len(d.Put) != 0 || !reflect.DeepEqual(d.Gone, []Key{contractKey("new-removed")}) {
+	if d, ok := c.history.Since(version(1, 3)); !ok || len(d.Put) != 0 || !reflect.DeepEqual(d.Removed, []Key{contractKey("new-removed")}) {
 		t.Fatalf("%+v", d)
 	}
 	c.change(resources(contract("more", 1)))
@@ -89,10 +89,10 @@
 					t.Fatal(v, d)
 				}
 			}
-			if at, ok := c.history.Left(version(1, 7)); !ok || at != 7*time.Second {
+			if at, ok := c.history.BehindSince(version(1, 7)); !ok || at != 7*time.Second {
 				t.Fatal(at, ok)
 			}
-			if _, ok := c.history.Left(version(1, 9)); ok {
+			if _, ok := c.history.BehindSince(version(1, 9)); ok {
 				t.Fatal("the latest version is reported as behind")
 			}
 		})
@@ -104,7 +104,7 @@
 	if _, ok := c.history.Since(version(1, 0)); ok || c.history.Len() != 0 {
 		t.Fatal("a delta past its age is stored")
 	}
-	if h := NewHistory(HistoryLimits{Bytes: MaxAnswer + 1}); h.limits.Bytes != MaxAnswer || h.limits.Deltas != DefaultHistory.Deltas || h.limits.Age != DefaultHistory.Age {
+	if h := NewHistory(HistoryLimits{Bytes: MaxResponse + 1}); h.limits.Bytes != MaxResponse || h.limits.Deltas != DefaultHistory.Deltas || h.limits.Age != DefaultHistory.Age {
 		t.Fatalf("%+v", h.limits)
 	}
 }
@@ -116,7 +116,7 @@
 		t.Fatal("the delta is not stored")
 	}
 	// A snapshot: no delta leads to it.
-	d := &Delta{To: version(2, 0), Sum: c.set.Sum(), Put: resources(contract("a", 1))}
+	d := &Delta{To: version(2, 0), Checksum: c.set.Checksum(), Put: resources(contract("a", 1))}
 	c.add(d)
 	if c.history.Len() != 0 {
 		t.Fatal(c.history.Len())
@@ -154,11 +154,11 @@
 		t.Fatal(err)
 	}
 	requireContent(t, node, version(1, 3), contract("a", 1), contract("b", 2))
-	if at, ok := follower.Left(version(1, 2)); !ok || at != 0 {
+	if at, ok := follower.BehindSince(version(1, 2)); !ok || at != 0 {
 		t.Fatal(at, ok)
 	}
 
-	c.add(c.set.Next(version(9, 0), nil, nil))
+	c.add(c.set.NewDelta(version(9, 0), nil, nil))
 	c.change(resources(contract("c", 1)))
 	c.change(nil, contractKey("c"))
 	d, _ = c.history.Since(version(1, 2))
@@ -181,7 +181,7 @@
 func TestHistorySpansNewEpoch(t *testing.T) {
 	c := newVersionedSet(t, HistoryLimits{}, contract("a", 1))
 	c.change(resources(contract("a", 2)))
-	c.add(c.set.Next(version(9, 0), nil, nil))
+	c.add(c.set.NewDelta(version(9, 0), nil, nil))
 	c.change(resources(contract("b", 1)))
 	d, ok := c.history.Since(version(1, 0))
 	if !ok || d.To != version(9, 1) || len(d.Put) != 2 {
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -28,8 +28,8 @@
 	MaxResources  = 100_000          // resources of a set
 	MaxSpec       = 64 << 10         // bytes of one spec
 	MaxName       = 300              // bytes of a name
-	MaxAnswer     = 16 << 20         // bytes of a response's JSON, before compression
-	MaxWhy        = 1 << 10          // bytes of the reason of a refusal as it is reported
+	MaxResponse   = 16 << 20         // bytes of a response's JSON, before compression
+	MaxReason     = 1 << 10          // bytes of the reason of a refusal as it is reported
 	MaxEpochAhead = 24 * 3600 * 1000 // milliseconds that an epoch may be ahead of the clock
 )
 
@@ -88,40 +88,40 @@
 }
 
 // Checksum is the sum of the hashes of a set's resources, independent of their order. It is written as 16 hex digits.
-type Sum uint64
+type Checksum uint64
 
 // MarshalText writes the checksum as 16 hex digits.
-func (s Sum) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%016x", uint64(s)), nil }
+func (s Checksum) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%016x", uint64(s)), nil }
 
 // UnmarshalText reads a checksum that MarshalText wrote.
-func (s *Sum) UnmarshalText(text []byte) error {
+func (s *Checksum) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil || len(text) != 16 {
 		return fmt.Errorf("%q is no sum: want 16 hex digits", text)
 	}
-	*s = Sum(n)
+	*s = Checksum(n)
 	return nil
 }
 
 // Delta leads from one version to a later one. A delta from the zero version is a snapshot: resources that it does not name are
 // removed.
 type Delta struct {
-	From Version    `json:"from"`
-	To   Version    `json:"to"`
-	Sum  Sum        `json:"sum"` // of the whole set at To
-	Put  []Resource `json:"put,omitempty"`
-	Gone []Key      `json:"gone,omitempty"`
+	From     Version    `json:"from"`
+	To       Version    `json:"to"`
+	Checksum Checksum   `json:"sum"` // of the whole set at To
+	Put      []Resource `json:"put,omitempty"`
+	Removed  []Key      `json:"gone,omitempty"`
 }
 
 // IsSnapshot reports whether the delta is a snapshot.
-func (d *Delta) Whole() bool { return d.From.IsZero() }
+func (d *Delta) IsSnapshot() bool { return d.From.IsZero() }
 
 // Refusal is the error for a delta that is refused, with the resource and field at fault. A node reports it to the control
 // process (NACK).
 type Refusal struct {
-	Key   Key    // zero: the delta as a whole
-	Field string // as in match[0].from; empty: the resource as a whole
-	Why   string
+	Key    Key    // zero: the delta as a whole
+	Field  string // as in match[0].from; empty: the resource as a whole
+	Reason string
 }
 
 // Error returns the resource, the field and the reason.
@@ -133,5 +133,5 @@
 	if r.Field != "" {
 		s += r.Field + ": "
 	}
-	return s + r.Why
+	return s + r.Reason
 }
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -22,7 +22,7 @@
 	// ErrBase is the error for a delta that leads on from another version.
 	ErrBase = errors.New("made for another version")
 	// ErrChecksum is the error for a delta whose checksum is not that of the resulting content.
-	ErrSum = errors.New("the sum does not fit: computed over different content")
+	ErrChecksum = errors.New("the sum does not fit: computed over different content")
 )
 
 // kinds are the known kinds. A set has one map for each.
@@ -38,7 +38,7 @@
 // as its catalog has the decoded specs. It is not safe for concurrent use.
 type Set struct {
 	version  Version
-	checksum Sum
+	checksum Checksum
 	count    int
 	size     int // upper bound of the snapshot's JSON in bytes; only with specs
 	hashes   [len(kinds)]map[string]uint64
@@ -70,7 +70,7 @@
 func (s *Set) Version() Version { return s.version }
 
 // Checksum returns the checksum of all held resources.
-func (s *Set) Sum() Sum { return s.checksum }
+func (s *Set) Checksum() Checksum { return s.checksum }
 
 // Len returns the number of resources.
 func (s *Set) Len() int { return s.count }
@@ -110,7 +110,7 @@
 	for i := range d.Put {
 		n += d.Put[i].size()
 	}
-	for _, k := range d.Gone {
+	for _, k := range d.Removed {
 		n += k.size()
 	}
 	return n
@@ -122,7 +122,7 @@
 	switch {
 	case kindIndex(k.Kind) < 0:
 		k.Kind, k.Name = Kind(truncate(string(k.Kind), 40)), truncate(k.Name, 40)
-		return &Refusal{Key: k, Field: "kind", Why: "not known: want contract, route, service or tenant"}
+		return &Refusal{Key: k, Field: "kind", Reason: "not known: want contract, route, service or tenant"}
 	case k.Name == "":
 		reason = "empty"
 	case len(k.Name) > MaxName:
@@ -135,7 +135,7 @@
 	default:
 		return nil
 	}
-	return &Refusal{Key: k, Field: "name", Why: reason}
+	return &Refusal{Key: k, Field: "name", Reason: reason}
 }
 
 // checkSpec checks that a spec is valid, compact JSON. Its meaning is checked by the catalog. The buffer is scratch space.
@@ -156,7 +156,7 @@
 	default:
 		return nil
 	}
-	return &Refusal{Key: r.Key, Field: "spec", Why: reason}
+	return &Refusal{Key: r.Key, Field: "spec", Reason: reason}
 }
 
 // truncate shortens s to at most n bytes, between characters.
@@ -182,29 +182,29 @@
 
 // check does the work of Check and returns the hashes of the resources that are put.
 func (s *Set) check(d *Delta) ([]uint64, error) {
-	snapshot := d.Whole()
+	snapshot := d.IsSnapshot()
 	switch {
 	case d.To.Compare(d.From) <= 0:
-		return nil, &Refusal{Field: "to", Why: fmt.Sprintf("%v is not later than from, %v", d.To, d.From)}
-	case snapshot && len(d.Gone) > 0:
-		return nil, &Refusal{Field: "gone", Why: "a snapshot cannot name removed resources"}
+		return nil, &Refusal{Field: "to", Reason: fmt.Sprintf("%v is not later than from, %v", d.To, d.From)}
+	case snapshot && len(d.Removed) > 0:
+		return nil, &Refusal{Field: "gone", Reason: "a snapshot cannot name removed resources"}
 	case d.To.Compare(s.version) <= 0:
 		return nil, fmt.Errorf("%v: %w, %v", d.To, ErrStale, s.version)
 	case !snapshot && d.From != s.version:
 		return nil, fmt.Errorf("delta from %v to %v: %w than %v", d.From, d.To, ErrBase, s.version)
 	}
 	if n := len(d.Put); n > MaxResources {
-		return nil, &Refusal{Why: fmt.Sprintf("%d resources: at most %d", n, MaxResources)}
+		return nil, &Refusal{Reason: fmt.Sprintf("%d resources: at most %d", n, MaxResources)}
 	}
-	if n := d.size(); n > MaxAnswer {
-		return nil, &Refusal{Why: fmt.Sprintf("%d bytes: at most %d", n, MaxAnswer)}
+	if n := d.size(); n > MaxResponse {
+		return nil, &Refusal{Reason: fmt.Sprintf("%d bytes: at most %d", n, MaxResponse)}
 	}
 	count, sum, after := s.count, uint64(s.checksum), s.size
 	if snapshot {
 		count, sum, after = 0, 0, envelopeSize
 	}
 	hashes := make([]uint64, len(d.Put))
-	seen := make(map[Key]struct{}, len(d.Put)+len(d.Gone))
+	seen := make(map[Key]struct{}, len(d.Put)+len(d.Removed))
 	var buf bytes.Buffer
 	for i := range d.Put {
 		r := &d.Put[i]
@@ -213,7 +213,7 @@
 		}
 		seen[r.Key] = struct{}{}
 		if len(seen) != i+1 {
-			return nil, &Refusal{Key: r.Key, Why: "put twice"}
+			return nil, &Refusal{Key: r.Key, Reason: "put twice"}
 		}
 		hashes[i] = hashOf(r)
 		sum += hashes[i]
@@ -225,13 +225,13 @@
 		}
 		after += r.size()
 	}
-	for i, k := range d.Gone {
+	for i, k := range d.Removed {
 		if refusal := checkKey(k); refusal != nil {
 			return nil, refusal
 		}
 		seen[k] = struct{}{}
 		if len(seen) != len(d.Put)+i+1 {
-			return nil, &Refusal{Key: k, Why: "gone twice, or put and gone at once"}
+			return nil, &Refusal{Key: k, Reason: "gone twice, or put and gone at once"}
 		}
 		if old, ok := s.hash(k); ok { // a resource that was added and removed between From and To need not be there
 			sum -= old
@@ -241,11 +241,11 @@
 	}
 	switch {
 	case count > MaxResources:
-		return nil, &Refusal{Why: fmt.Sprintf("%d resources: at most %d", count, MaxResources)}
-	case s.specs != nil && after > MaxAnswer:
-		return nil, &Refusal{Why: fmt.Sprintf("%d bytes of all resources: at most %d", after, MaxAnswer)}
-	case Sum(sum) != d.Sum:
-		return nil, fmt.Errorf("%v: checksum %016x, announced %016x: %w", d.To, sum, uint64(d.Sum), ErrSum)
+		return nil, &Refusal{Reason: fmt.Sprintf("%d resources: at most %d", count, MaxResources)}
+	case s.specs != nil && after > MaxResponse:
+		return nil, &Refusal{Reason: fmt.Sprintf("%d bytes of all resources: at most %d", after, MaxResponse)}
+	case Checksum(sum) != d.Checksum:
+		return nil, fmt.Errorf("%v: checksum %016x, announced %016x: %w", d.To, sum, uint64(d.Checksum), ErrChecksum)
 	}
 	return hashes, nil
 }
@@ -266,10 +266,10 @@
 	if err != nil {
 		return err
 	}
-	if d.Whole() {
+	if d.IsSnapshot() {
 		s.clear()
 	}
-	for _, k := range d.Gone {
+	for _, k := range d.Removed {
 		s.remove(k)
 	}
 	for i := range d.Put {
@@ -277,7 +277,7 @@
 		s.remove(r.Key)
 		kind := kindIndex(r.Kind)
 		s.hashes[kind][r.Name] = hashes[i]
-		s.checksum += Sum(hashes[i])
+		s.checksum += Checksum(hashes[i])
 		s.count++
 		if s.specs != nil {
 			s.specs[kind][r.Name] = r.Spec
@@ -295,7 +295,7 @@
 		return
 	}
 	kind := kindIndex(k.Kind)
-	s.checksum -= Sum(h)
+	s.checksum -= Checksum(h)
 	s.count--
 	delete(s.hashes[kind], k.Name)
 	if s.specs != nil {
@@ -332,13 +332,13 @@
 // Difference reduces a delta that Check accepted to what differs from the held content: a resource that is put is new or has
 // another spec, a resource that is removed is held. Its cost depends on the size of the delta or snapshot.
 func (s *Set) Difference(d *Delta) *Delta {
-	if !d.Whole() {
-		exact := s.Next(d.To, d.Put, d.Gone)
-		exact.Sum = d.Sum
+	if !d.IsSnapshot() {
+		exact := s.NewDelta(d.To, d.Put, d.Removed)
+		exact.Checksum = d.Checksum
 		return exact
 	}
 	put, removed := s.Compare(d.Put)
-	return &Delta{From: s.version, To: d.To, Sum: d.Sum, Put: put, Gone: removed}
+	return &Delta{From: s.version, To: d.To, Checksum: d.Checksum, Put: put, Removed: removed}
 }
 
 // Snapshot returns all held resources, sorted by kind and name. It panics for a set without specs.
@@ -346,7 +346,7 @@
 	if s.specs == nil {
 		panic("resource: snapshot of a set without specs")
 	}
-	d := &Delta{To: s.version, Sum: s.checksum, Put: make([]Resource, 0, s.count)}
+	d := &Delta{To: s.version, Checksum: s.checksum, Put: make([]Resource, 0, s.count)}
 	for i, kind := range kinds {
 		for name, spec := range s.specs[i] {
 			d.Put = append(d.Put, Resource{Key{kind, name}, spec})
@@ -359,7 +359,7 @@
 // NewDelta returns the delta from the held version to another one, with its checksum. It leaves out resources to put that are
 // held unchanged and keys to remove that are not held, so a delta without either changes nothing. It checks nothing else, as Apply
 // does.
-func (s *Set) Next(to Version, put []Resource, removed []Key) *Delta {
+func (s *Set) NewDelta(to Version, put []Resource, removed []Key) *Delta {
 	d := &Delta{From: s.version, To: to}
 	sum := uint64(s.checksum)
 	for i := range put {
@@ -376,11 +376,11 @@
 	for _, k := range removed {
 		if old, ok := s.hash(k); ok {
 			sum -= old
-			d.Gone = append(d.Gone, k)
+			d.Removed = append(d.Removed, k)
 		}
 	}
-	d.Sum = Sum(sum)
-	sortDelta(d.Put, d.Gone)
+	d.Checksum = Checksum(sum)
+	sortDelta(d.Put, d.Removed)
 	return d
 }
 
--- a/internal/resource/set_test.go
+++ b/internal/resource/set_test.go
@@ -31,7 +31,7 @@
 func setWith(t testing.TB, specs bool, v Version, all ...Resource) *Set {
 	t.Helper()
 	s := NewSet(specs)
-	if err := s.Apply(s.Next(v, all, nil)); err != nil {
+	if err := s.Apply(s.NewDelta(v, all, nil)); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -42,7 +42,7 @@
 	t.Helper()
 	want := setWith(t, true, v, all...)
 	put, removed := s.Compare(all)
-	if s.Version() != v || s.Sum() != want.Sum() || s.Len() != len(all) || len(put)+len(removed) != 0 {
+	if s.Version() != v || s.Checksum() != want.Checksum() || s.Len() != len(all) || len(put)+len(removed) != 0 {
 		t.Fatalf("at %v with %d: differs by %v and %v; want %d at %v", s.Version(), s.Len(), put, removed, len(all), v)
 	}
 }
@@ -62,7 +62,7 @@
 		{name: "to equals from", d: Delta{From: from, To: from}, field: "to", why: "5.1 is not later than from, 5.1"},
 		{name: "to before from", d: Delta{From: from, To: version(4, 9)}, field: "to", why: "4.9 is not later than from, 5.1"},
 		{name: "snapshot to the zero version", d: Delta{}, field: "to", why: "0.0 is not later than from, 0.0"},
-		{name: "snapshot with removed resources", d: Delta{To: to, Gone: []Key{contractKey("a")}}, field: "gone", why: "a snapshot cannot name removed resources"},
+		{name: "snapshot with removed resources", d: Delta{To: to, Removed: []Key{contractKey("a")}}, field: "gone", why: "a snapshot cannot name removed resources"},
 		{name: "same version", d: Delta{From: version(5, 0), To: from}, is: ErrStale},
 		{name: "older snapshot", d: Delta{To: version(4, 7)}, is: ErrStale},
 		{name: "older epoch, greater number", d: Delta{From: version(4, 7), To: version(4, 8)}, is: ErrStale},
@@ -70,7 +70,7 @@
 		{name: "from after the held version", d: Delta{From: version(5, 2), To: version(5, 3)}, is: ErrBase},
 		{name: "unknown kind", d: Delta{From: from, To: to, Put: []Resource{newResource("cluster", "a", "{}")}}, key: Key{"cluster", "a"}, field: "kind",
 			why: "not known: want contract, route, service or tenant"},
-		{name: "unknown kind of a removed resource", d: Delta{From: from, To: to, Gone: []Key{{"", "a"}}}, key: Key{"", "a"}, field: "kind",
+		{name: "unknown kind of a removed resource", d: Delta{From: from, To: to, Removed: []Key{{"", "a"}}}, key: Key{"", "a"}, field: "kind",
 			why: "not known: want contract, route, service or tenant"},
 		{name: "empty name", d: Delta{From: from, To: to, Put: []Resource{contract("", 1)}}, key: contractKey(""), field: "name", why: "empty"},
 		{name: "long name", d: Delta{From: from, To: to, Put: []Resource{contract(long, 1)}}, key: contractKey(long[:40]), field: "name", why: "301 bytes: at most 300"},
@@ -86,13 +86,13 @@
 		{name: "spec too long", d: Delta{From: from, To: to, Put: []Resource{newResource(Contract, "a", `{"x":"`+strings.Repeat("x", MaxSpec)+`"}`)}}, key: contractKey("a"), field: "spec",
 			why: "65544 bytes: at most 65536"},
 		{name: "put twice", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2), contract("a", 3)}}, key: contractKey("a"), why: "put twice"},
-		{name: "removed twice", d: Delta{From: from, To: to, Gone: []Key{contractKey("a"), contractKey("a")}}, key: contractKey("a"), why: "gone twice, or put and gone at once"},
-		{name: "put and removed", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Gone: []Key{contractKey("a")}}, key: contractKey("a"),
+		{name: "removed twice", d: Delta{From: from, To: to, Removed: []Key{contractKey("a"), contractKey("a")}}, key: contractKey("a"), why: "gone twice, or put and gone at once"},
+		{name: "put and removed", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Removed: []Key{contractKey("a")}}, key: contractKey("a"),
 			why: "gone twice, or put and gone at once"},
-		{name: "removed resource not held, other content", d: Delta{From: from, To: to, Gone: []Key{contractKey("c")}, Sum: 1}, is: ErrSum},
-		{name: "removed under another kind", d: Delta{From: from, To: to, Gone: []Key{{Route, "b"}}, Sum: 1}, is: ErrSum},
-		{name: "wrong checksum", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
-		{name: "wrong checksum of a snapshot", d: Delta{To: to, Put: []Resource{contract("a", 2)}, Sum: 1}, is: ErrSum},
+		{name: "removed resource not held, other content", d: Delta{From: from, To: to, Removed: []Key{contractKey("c")}, Checksum: 1}, is: ErrChecksum},
+		{name: "removed under another kind", d: Delta{From: from, To: to, Removed: []Key{{Route, "b"}}, Checksum: 1}, is: ErrChecksum},
+		{name: "wrong checksum", d: Delta{From: from, To: to, Put: []Resource{contract("a", 2)}, Checksum: 1}, is: ErrChecksum},
+		{name: "wrong checksum of a snapshot", d: Delta{To: to, Put: []Resource{contract("a", 2)}, Checksum: 1}, is: ErrChecksum},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, specs := range []bool{true, false} {
@@ -123,11 +123,11 @@
 	s := setWith(t, false, version(1, 1), newResource(Route, "a", "{}"))
 	var r *Refusal
 	for n, want := range map[int]string{MaxResources + 1: "100001 resources: at most 100000", MaxResources: "100001 resources: at most 100000"} {
-		if err := s.Check(&Delta{From: version(1, 1), To: version(1, 2), Put: many[:n]}); !errors.As(err, &r) || r.Why != want {
+		if err := s.Check(&Delta{From: version(1, 1), To: version(1, 2), Put: many[:n]}); !errors.As(err, &r) || r.Reason != want {
 			t.Fatal(n, err)
 		}
 	}
-	if err := s.Apply(s.Next(version(1, 2), many[:MaxResources], []Key{{Route, "a"}})); err != nil || s.Len() != MaxResources {
+	if err := s.Apply(s.NewDelta(version(1, 2), many[:MaxResources], []Key{{Route, "a"}})); err != nil || s.Len() != MaxResources {
 		t.Fatal(s.Len(), err)
 	}
 }
@@ -140,7 +140,7 @@
 	spec := `{"x":"` + strings.Repeat("x", MaxSpec-8) + `"}`
 	var r *Refusal
 	for i := 0; ; i++ {
-		d := s.Next(version(1, uint64(i)+1), []Resource{newResource(Service, fmt.Sprint(i), spec)}, nil)
+		d := s.NewDelta(version(1, uint64(i)+1), []Resource{newResource(Service, fmt.Sprint(i), spec)}, nil)
 		if i == 0 {
 			d.From = Version{}
 		}
@@ -148,22 +148,22 @@
 		if err == nil {
 			continue
 		}
-		if !errors.As(err, &r) || !strings.Contains(r.Why, "of all resources: at most 16777216") || s.Len() != i {
+		if !errors.As(err, &r) || !strings.Contains(r.Reason, "of all resources: at most 16777216") || s.Len() != i {
 			t.Fatal(i, err)
 		}
 		break
 	}
-	if data, err := Encode(s.Snapshot()); err != nil || len(data) < MaxAnswer-MaxSpec-MaxName-200 {
+	if data, err := Encode(s.Snapshot()); err != nil || len(data) < MaxResponse-MaxSpec-MaxName-200 {
 		t.Fatal(len(data), err)
 	}
 	// In the full set, replacing a resource by another of its size works. A smaller resource frees bytes, and so does a removal.
-	if err := s.Apply(s.Next(version(1, 1<<20), []Resource{newResource(Service, "n", spec)}, []Key{{Service, "2"}})); err != nil {
+	if err := s.Apply(s.NewDelta(version(1, 1<<20), []Resource{newResource(Service, "n", spec)}, []Key{{Service, "2"}})); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Apply(s.Next(version(2, 0), []Resource{newResource(Service, "0", "{}"), newResource(Service, "new", "{}")}, []Key{{Service, "1"}})); err != nil {
+	if err := s.Apply(s.NewDelta(version(2, 0), []Resource{newResource(Service, "0", "{}"), newResource(Service, "new", "{}")}, []Key{{Service, "1"}})); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Apply(s.Next(version(3, 0), []Resource{newResource(Service, "1", spec)}, nil)); err != nil {
+	if err := s.Apply(s.NewDelta(version(3, 0), []Resource{newResource(Service, "1", spec)}, nil)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -171,12 +171,12 @@
 func TestDeltaOverResponseSizeIsRefused(t *testing.T) {
 	var d Delta
 	spec := `{"x":"` + strings.Repeat("x", MaxSpec-8) + `"}`
-	for i := range MaxAnswer/MaxSpec + 1 {
+	for i := range MaxResponse/MaxSpec + 1 {
 		d.Put = append(d.Put, newResource(Service, fmt.Sprint(i), spec))
 	}
 	d.To = version(1, 0)
 	var r *Refusal
-	if err := NewSet(false).Check(&d); !errors.As(err, &r) || !strings.Contains(r.Why, "at most 16777216") {
+	if err := NewSet(false).Check(&d); !errors.As(err, &r) || !strings.Contains(r.Reason, "at most 16777216") {
 		t.Fatal(err)
 	}
 }
@@ -184,13 +184,13 @@
 // The computed size is never below the size of the JSON, including names with escapes.
 func TestSizeIsUpperBoundOfJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &Delta{From: version(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number")), To: version(1<<64-1, 1<<64-1), Sum: 1<<64 - 1}
+		d := &Delta{From: version(rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "number")), To: version(1<<64-1, 1<<64-1), Checksum: 1<<64 - 1}
 		name := rapid.StringN(1, 20, MaxName).Filter(func(s string) bool { return checkKey(contractKey(s)) == nil })
 		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "put") {
 			d.Put = append(d.Put, newResource(Contract, n, `{"a":"<&>"}`))
 		}
 		for _, n := range rapid.SliceOfN(name, 0, 5).Draw(t, "removed") {
-			d.Gone = append(d.Gone, Key{Tenant, n})
+			d.Removed = append(d.Removed, Key{Tenant, n})
 		}
 		data, err := Encode(d)
 		if err != nil || len(data) > d.size() {
@@ -220,7 +220,7 @@
 }
 
 func TestDecodeRejectsOversizedAndTruncated(t *testing.T) {
-	if _, err := Decode(make([]byte, MaxAnswer+1)); err == nil || !strings.Contains(err.Error(), "at most 16777216") {
+	if _, err := Decode(make([]byte, MaxResponse+1)); err == nil || !strings.Contains(err.Error(), "at most 16777216") {
 		t.Fatal(err)
 	}
 	if _, err := Decode([]byte(`{"from":"0.0","to":"1.1","sum":"0000000000000000"`)); err == nil {
@@ -232,15 +232,15 @@
 	all := []Resource{contract("a", 1), contract("b", 2), newResource(Route, "a", "{}")}
 	s := setWith(t, false, version(1, 0), contract("b", 9), contract("z", 1))
 	put, removed := s.Compare(all)
-	if err := s.Apply(s.Next(version(1, 1), put, removed)); err != nil {
+	if err := s.Apply(s.NewDelta(version(1, 1), put, removed)); err != nil {
 		t.Fatal(err)
 	}
 	slices.Reverse(all)
-	if o := setWith(t, true, version(7, 7), all...); o.Sum() != s.Sum() {
-		t.Fatal(o.Sum(), s.Sum())
+	if o := setWith(t, true, version(7, 7), all...); o.Checksum() != s.Checksum() {
+		t.Fatal(o.Checksum(), s.Checksum())
 	}
 	// The boundary between name and spec counts.
-	if NewSet(false).Next(version(1, 1), []Resource{newResource(Contract, "ab", "{}")}, nil).Sum == NewSet(false).Next(version(1, 1), []Resource{newResource(Contract, "a", "b{}")}, nil).Sum {
+	if NewSet(false).NewDelta(version(1, 1), []Resource{newResource(Contract, "ab", "{}")}, nil).Checksum == NewSet(false).NewDelta(version(1, 1), []Resource{newResource(Contract, "a", "b{}")}, nil).Checksum {
 		t.Fatal("moving bytes from the name to the spec does not change the checksum")
 	}
 }
@@ -253,7 +253,7 @@
 		t.Fatal(err)
 	}
 	d := node.Difference(snapshot)
-	want := &Delta{From: version(8, 1), To: version(9, 3), Sum: control.Sum(), Put: []Resource{contract("b", 2), contract("new", 3)}, Gone: []Key{contractKey("old")}}
+	want := &Delta{From: version(8, 1), To: version(9, 3), Checksum: control.Checksum(), Put: []Resource{contract("b", 2), contract("new", 3)}, Removed: []Key{contractKey("old")}}
 	if !reflect.DeepEqual(d, want) {
 		t.Fatalf("%+v", d)
 	}
@@ -262,7 +262,7 @@
 	}
 	// A delta may name more than what differs here: resources added and removed in between, or put unchanged.
 	inexact := *d
-	inexact.Put, inexact.Gone = append([]Resource{contract("a", 1)}, d.Put...), append([]Key{contractKey("temporary")}, d.Gone...)
+	inexact.Put, inexact.Removed = append([]Resource{contract("a", 1)}, d.Put...), append([]Key{contractKey("temporary")}, d.Removed...)
 	if got := node.Difference(&inexact); node.Check(&inexact) != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
 	}
@@ -283,12 +283,12 @@
 
 func TestNewDeltaOmitsUnchangedResources(t *testing.T) {
 	s := setWith(t, true, version(1, 1), contract("a", 1), contract("b", 1))
-	d := s.Next(version(1, 2), []Resource{contract("a", 1)}, []Key{contractKey("c"), {"cluster", "x"}})
-	if len(d.Put)+len(d.Gone) != 0 || d.Sum != s.Sum() {
+	d := s.NewDelta(version(1, 2), []Resource{contract("a", 1)}, []Key{contractKey("c"), {"cluster", "x"}})
+	if len(d.Put)+len(d.Removed) != 0 || d.Checksum != s.Checksum() {
 		t.Fatalf("%+v", d)
 	}
-	d = s.Next(version(1, 2), []Resource{contract("d", 1), contract("b", 2), contract("a", 1)}, []Key{contractKey("c"), contractKey("a")})
-	if !reflect.DeepEqual(d.Put, []Resource{contract("b", 2), contract("d", 1)}) || !reflect.DeepEqual(d.Gone, []Key{contractKey("a")}) {
+	d = s.NewDelta(version(1, 2), []Resource{contract("d", 1), contract("b", 2), contract("a", 1)}, []Key{contractKey("c"), contractKey("a")})
+	if !reflect.DeepEqual(d.Put, []Resource{contract("b", 2), contract("d", 1)}) || !reflect.DeepEqual(d.Removed, []Key{contractKey("a")}) {
 		t.Fatalf("%+v", d)
 	}
 	if err := s.Apply(d); err != nil {
@@ -303,7 +303,7 @@
 		if parsed, err := ParseVersion(v.String()); err != nil || parsed != v {
 			t.Fatal(v, parsed, err)
 		}
-		s, parsed := Sum(rapid.Uint64().Draw(t, "checksum")), Sum(0)
+		s, parsed := Checksum(rapid.Uint64().Draw(t, "checksum")), Checksum(0)
 		text, _ := s.MarshalText()
 		if err := parsed.UnmarshalText(text); err != nil || parsed != s {
 			t.Fatal(s, parsed, err)
@@ -338,7 +338,7 @@
 			put = append(put, contract(name, rapid.IntRange(0, 2).Draw(t, "rate")))
 		}
 	}
-	return s.Next(to, put, removed)
+	return s.NewDelta(to, put, removed)
 }
 
 // Since(v), applied to a set at v, results in the current set, with and without specs and for any limits of the history. It also
@@ -348,7 +348,7 @@
 		now := time.Duration(0)
 		h := NewHistory(HistoryLimits{Deltas: rapid.IntRange(1, 12).Draw(t, "limit")})
 		s := NewSet(true)
-		first := s.Next(version(1, 0), []Resource{contract("0", 0), contract("1", 1)}, nil)
+		first := s.NewDelta(version(1, 0), []Resource{contract("0", 0), contract("1", 1)}, nil)
 		if err := s.Apply(first); err != nil {
 			t.Fatal(err)
 		}
@@ -383,7 +383,7 @@
 			}
 			for _, specs := range []bool{true, false} {
 				node := NewSet(specs)
-				if err := node.Apply(node.Next(v, before.all, nil)); err != nil {
+				if err := node.Apply(node.NewDelta(v, before.all, nil)); err != nil {
 					t.Fatal(err)
 				}
 				if rapid.Bool().Draw(t, "exact") {
@@ -392,7 +392,7 @@
 				if err := node.Apply(d); err != nil {
 					t.Fatal(v, err)
 				}
-				if put, removed := node.Compare(s.Snapshot().Put); len(put)+len(removed) != 0 || node.Sum() != s.Sum() || node.Version() != s.Version() || node.Len() != s.Len() {
+				if put, removed := node.Compare(s.Snapshot().Put); len(put)+len(removed) != 0 || node.Checksum() != s.Checksum() || node.Version() != s.Version() || node.Len() != s.Len() {
 					t.Fatal(v, put, removed)
 				}
 			}
@@ -422,7 +422,7 @@
 		if err := a.Apply(a.Difference(snapshot)); err != nil {
 			t.Fatal(err)
 		}
-		if a.Sum() != b.Sum() || a.Version() != b.Version() || a.Len() != b.Len() {
+		if a.Checksum() != b.Checksum() || a.Version() != b.Version() || a.Len() != b.Len() {
 			t.Fatal(a, b)
 		}
 	})
@@ -433,7 +433,7 @@
 func FuzzDelta(f *testing.F) {
 	base := []Resource{contract("a", 1), contract("b", 1), newResource(Route, "h:1", "{}")}
 	s := setWith(f, true, version(5, 1), base...)
-	for _, d := range []*Delta{s.Snapshot(), s.Next(version(5, 2), []Resource{contract("a", 2), contract("c", 1)}, []Key{contractKey("b")}), s.Next(version(6, 0), nil, nil)} {
+	for _, d := range []*Delta{s.Snapshot(), s.NewDelta(version(5, 2), []Resource{contract("a", 2), contract("c", 1)}, []Key{contractKey("b")}), s.NewDelta(version(6, 0), nil, nil)} {
 		data, err := Encode(d)
 		if err != nil {
 			f.Fatal(err)
@@ -460,7 +460,7 @@
 				continue
 			}
 			want := d.Put
-			if !d.Whole() {
+			if !d.IsSnapshot() {
 				o := setWith(t, true, version(5, 1), base...)
 				if err := o.Apply(d); err != nil {
 					t.Fatal(err)
@@ -468,8 +468,8 @@
 				want = o.Snapshot().Put
 			}
 			requireContent(t, s, d.To, want...)
-			if s.Sum() != d.Sum {
-				t.Fatal(s.Sum(), d.Sum)
+			if s.Checksum() != d.Checksum {
+				t.Fatal(s.Checksum(), d.Checksum)
 			}
 			if _, err := Encode(d); err != nil {
 				t.Fatal(err)
@@ -501,7 +501,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				name := fmt.Sprintf("tenant-%05d", r.IntN(n))
-				if err := s.Apply(s.Next(version(1, uint64(i)+1), []Resource{newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, i))}, nil)); err != nil {
+				if err := s.Apply(s.NewDelta(version(1, uint64(i)+1), []Resource{newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, i))}, nil)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -517,7 +517,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				name := fmt.Sprintf("tenant-%05d", i%n)
-				d := s.Next(version(1, uint64(i)+1), []Resource{newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, i+10))}, nil)
+				d := s.NewDelta(version(1, uint64(i)+1), []Resource{newResource(Contract, name, fmt.Sprintf(`{"rate":%d}`, i+10))}, nil)
 				h.Add(0, d)
 				if err := s.Apply(d); err != nil {
 					b.Fatal(err)
--- a/internal/resource/wire.go
+++ b/internal/resource/wire.go
@@ -15,16 +15,16 @@
 	if err := e.Encode(d); err != nil {
 		return nil, fmt.Errorf("delta to %v: %w", d.To, err)
 	}
-	if buf.Len() > MaxAnswer {
-		return nil, fmt.Errorf("delta to %v: %d bytes: at most %d", d.To, buf.Len(), MaxAnswer)
+	if buf.Len() > MaxResponse {
+		return nil, fmt.Errorf("delta to %v: %d bytes: at most %d", d.To, buf.Len(), MaxResponse)
 	}
 	return buf.Bytes(), nil
 }
 
 // Decode reads a delta that Encode wrote and ignores unknown fields. The content is checked by Set.Check.
 func Decode(data []byte) (*Delta, error) {
-	if len(data) > MaxAnswer {
-		return nil, fmt.Errorf("delta: %d bytes: at most %d", len(data), MaxAnswer)
+	if len(data) > MaxResponse {
+		return nil, fmt.Errorf("delta: %d bytes: at most %d", len(data), MaxResponse)
 	}
 	d := new(Delta)
 	if err := json.Unmarshal(data, d); err != nil {
--- a/internal/state/age.go
+++ b/internal/state/age.go
@@ -32,14 +32,14 @@
 )
 
 // LoadContext holds what Age needs to know about the node that reads a snapshot.
-type Reader struct {
+type LoadContext struct {
 	Now     time.Duration // on the node's clock
 	Fleet   string        // see Snapshot.Fleet
 	ColdFor time.Duration // how long a server that was enabled by an operator counts as cold
 }
 
 // DroppedPart names a part of a snapshot that is not used, and the reason. Both are texts for people.
-type Drop struct{ Field, Why string }
+type DroppedPart struct{ Field, Reason string }
 
 // Age changes a snapshot to what is valid for its reader at the time of reading, and returns the parts that it drops.
 // Each field has its rule:
@@ -54,8 +54,10 @@
 //	retry budget             stays, up to a maximum
 //
 // From a snapshot of another fleet no state of servers is used; from one written in the future, no decaying values.
-func (s *Snapshot) Age(r Reader) (drops []Drop) {
-	drop := func(field, why string, args ...any) { drops = append(drops, Drop{field, fmt.Sprintf(why, args...)}) }
+func (s *Snapshot) Age(r LoadContext) (drops []DroppedPart) {
+	drop := func(field, why string, args ...any) {
+		drops = append(drops, DroppedPart{field, fmt.Sprintf(why, args...)})
+	}
 	age := r.Now - s.Taken
 	if s.Exact && (age < -clockTolerance || age > 10*clockTolerance) {
 		s.shiftClock(age) // writer and reader run at the same time, so their clocks differ
@@ -63,28 +65,28 @@
 	}
 	if !s.Exact && s.Fleet != r.Fleet {
 		drop("disabled and enabled servers, server list, learned state", "written for another fleet, %q", s.Fleet)
-		s.Out, s.Returned, s.Servers, s.Version, s.Keys, s.Open, s.Hearsay = nil, nil, nil, 0, nil, nil, nil
+		s.Disabled, s.Enabled, s.Servers, s.ListVersion, s.Keys, s.OpenRequests, s.PeerOpenRequests = nil, nil, nil, 0, nil, nil, nil
 	}
 	future := age < -clockTolerance
 	if future {
 		drop("learned state, open requests, keys", "written %v in the future", -age)
-		s.Open, s.Hearsay, s.Keys = nil, nil, nil
-		for i := range s.Returned {
-			s.Returned[i].At = r.Now
+		s.OpenRequests, s.PeerOpenRequests, s.Keys = nil, nil, nil
+		for i := range s.Enabled {
+			s.Enabled[i].At = r.Now
 		}
 	}
-	s.Returned = filter(s.Returned, func(a At) bool { return r.Now-a.At < r.ColdFor })
-	s.Open = filter(s.Open, func(a At) bool { return r.Now < a.At })
-	s.Hearsay = filter(s.Hearsay, func(a At) bool { return r.Now < a.At })
-	s.Keys = filter(s.Keys, func(k Key) bool { return r.Now < k.Until })
+	s.Enabled = filter(s.Enabled, func(a TimedID) bool { return r.Now-a.At < r.ColdFor })
+	s.OpenRequests = filter(s.OpenRequests, func(a TimedID) bool { return r.Now < a.At })
+	s.PeerOpenRequests = filter(s.PeerOpenRequests, func(a TimedID) bool { return r.Now < a.At })
+	s.Keys = filter(s.Keys, func(k KeyRecord) bool { return r.Now < k.Until })
 	if age > maxFadingAge {
 		drop("learned state", "%v old", age.Round(time.Second))
 	}
 	if future || age > maxFadingAge {
 		for i := range s.Servers {
-			s.Servers[i].Known = nil
+			s.Servers[i].Stats = nil
 		}
-		s.Classes, s.Totals = nil, policy.Totals{Retries: s.Totals.Retries}
+		s.Classes, s.Totals = nil, policy.TotalStats{Retries: s.Totals.Retries}
 	} else {
 		s.fade(max(0, age).Seconds(), r.Now.Seconds())
 	}
@@ -108,7 +110,7 @@
 // shiftClock moves all times of a snapshot from the writer's clock to the reader's.
 func (s *Snapshot) shiftClock(by time.Duration) {
 	s.Taken += by
-	for _, list := range [][]At{s.Returned, s.Open, s.Hearsay} {
+	for _, list := range [][]TimedID{s.Enabled, s.OpenRequests, s.PeerOpenRequests} {
 		for i := range list {
 			list[i].At += by
 		}
@@ -117,7 +119,7 @@
 		s.Keys[i].Until += by
 	}
 	for i := range s.Servers {
-		if e := s.Servers[i].Known; e != nil {
+		if e := s.Servers[i].Stats; e != nil {
 			for _, t := range []*float64{&e.Ejected, &e.ReportAt, &e.FullAt, &e.LastOK} {
 				if *t > 0 {
 					*t = max(0, *t+by.Seconds())
@@ -132,7 +134,7 @@
 	sumsDecay, capacityDecay, slotsDecay := math.Exp(-dt/sumsTimeConstant), math.Exp(-dt/capacityTimeConstant),
 		math.Exp(-dt/slotsTimeConstant)
 	for i := range s.Servers {
-		e := s.Servers[i].Known
+		e := s.Servers[i].Stats
 		if e == nil {
 			continue
 		}
@@ -152,7 +154,7 @@
 		}
 	}
 	for i := range s.Classes {
-		c := &s.Classes[i].Sums
+		c := &s.Classes[i].Stats
 		c.Requests, c.Latency, c.Answers = c.Requests*capacityDecay, c.Latency*capacityDecay, c.Answers*capacityDecay
 	}
 	t := &s.Totals
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -112,8 +112,8 @@
 	malformed := func(what string, args ...any) error {
 		return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(what, args...))
 	}
-	if s.Taken < 0 || s.Version < 0 {
-		return malformed("negative time or version: taken at %d, server list version %d", s.Taken, s.Version)
+	if s.Taken < 0 || s.ListVersion < 0 {
+		return malformed("negative time or version: taken at %d, server list version %d", s.Taken, s.ListVersion)
 	}
 	seen := map[string]bool{}
 	for i := range s.Servers {
@@ -122,27 +122,27 @@
 			return malformed("servers[%d]: empty, duplicate or too long id %q, or empty address %q", i, v.ID, v.Addr)
 		}
 		seen[v.ID] = true
-		if v.Known != nil && !v.Known.valid() {
-			v.Known = nil
+		if v.Stats != nil && !v.Stats.valid() {
+			v.Stats = nil
 		}
 	}
-	for _, list := range [][]At{s.Returned, s.Open, s.Hearsay} {
+	for _, list := range [][]TimedID{s.Enabled, s.OpenRequests, s.PeerOpenRequests} {
 		for i, a := range list {
 			if a.ID == "" || len(a.ID) > maxIDLen || a.At < 0 {
 				return malformed("invalid id %q or time %d (entry %d)", a.ID, a.At, i)
 			}
 		}
 	}
-	if i := slices.IndexFunc(s.Out, func(id string) bool { return id == "" || len(id) > maxIDLen }); i >= 0 {
-		return malformed("disabled servers: invalid id at [%d]: %q", i, s.Out[i])
+	if i := slices.IndexFunc(s.Disabled, func(id string) bool { return id == "" || len(id) > maxIDLen }); i >= 0 {
+		return malformed("disabled servers: invalid id at [%d]: %q", i, s.Disabled[i])
 	}
 	t := &s.Totals
 	if !allFiniteNonNegative(t.Total, t.Lessers, t.Picks, t.Span, t.Seen, t.Mean, t.Strain, t.Retries) {
 		return malformed("totals: negative or not finite: %+v", *t)
 	}
 	for _, c := range s.Classes {
-		if !allFiniteNonNegative(c.Sums.Requests, c.Sums.Latency, c.Sums.Answers, c.Sums.Least) {
-			return malformed("class %q: negative or not finite: %+v", c.Name, c.Sums)
+		if !allFiniteNonNegative(c.Stats.Requests, c.Stats.Latency, c.Stats.Answers, c.Stats.Least) {
+			return malformed("class %q: negative or not finite: %+v", c.Name, c.Stats)
 		}
 	}
 	for _, c := range s.Contracts {
@@ -154,7 +154,7 @@
 }
 
 // valid reports whether a node could have written these statistics.
-func (e *Evidence) valid() bool {
+func (e *ServerStats) valid() bool {
 	return allFiniteNonNegative(e.Ejected, e.ReportAt, e.Full, e.FullAt, e.Slots, e.Latency, e.Occupancy, e.LastOK, e.Work, e.Bad, e.Served) &&
 		allFinite(e.Others) && e.Room > 0 && e.Base > 0 && e.Mode <= 2 && e.Ejections >= 0 && e.Ejections < 1<<20
 }
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -117,7 +117,7 @@
 
 // Persister writes the state of a node periodically in its own goroutine, so that a slow or full disk blocks nothing
 // else. It owns the Dir until Stop. Its methods are safe for concurrent use.
-type Keeper struct {
+type Persister struct {
 	dir           *Dir
 	interval      time.Duration
 	encode        func() ([]byte, error)
@@ -129,14 +129,14 @@
 
 // StartPersister writes what encode returns at each interval until Stop. Both functions are called in the Persister's
 // goroutine.
-func Keep(dir *Dir, interval time.Duration, encode func() ([]byte, error), notify func(error)) *Keeper {
-	p := &Keeper{dir: dir, interval: interval, encode: encode, notify: notify, writeRequests: make(chan chan error),
+func StartPersister(dir *Dir, interval time.Duration, encode func() ([]byte, error), notify func(error)) *Persister {
+	p := &Persister{dir: dir, interval: interval, encode: encode, notify: notify, writeRequests: make(chan chan error),
 		stop: make(chan struct{}), done: make(chan struct{})}
 	go p.run()
 	return p
 }
 
-func (p *Keeper) run() {
+func (p *Persister) run() {
 	defer close(p.done)
 	var failed error
 	delay := p.interval
@@ -174,7 +174,7 @@
 
 // WriteNow writes at once and waits for the write, for the given time at most. After an error the state may not be
 // stored.
-func (p *Keeper) Now(wait time.Duration) error {
+func (p *Persister) WriteNow(wait time.Duration) error {
 	reply, t := make(chan error, 1), time.NewTimer(wait)
 	defer t.Stop()
 	select {
@@ -193,7 +193,7 @@
 }
 
 // Stop writes a last time and returns when that has ended.
-func (p *Keeper) Stop() {
+func (p *Persister) Stop() {
 	close(p.stop)
 	<-p.done
 }
--- a/internal/state/disk/disk_test.go
+++ b/internal/state/disk/disk_test.go
@@ -16,9 +16,9 @@
 // encodedState returns a snapshot whose list version, and whose servers' start times, are the given number.
 func encodedState(t *testing.T, version int64) []byte {
 	t.Helper()
-	s := &state.Snapshot{Taken: time.Duration(version) * time.Second, Version: version}
+	s := &state.Snapshot{Taken: time.Duration(version) * time.Second, ListVersion: version}
 	for i := range 20 {
-		s.Servers = append(s.Servers, state.Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", State: "Ready", Started: version})
+		s.Servers = append(s.Servers, state.Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", State: "Ready", StartedMS: version})
 	}
 	b, err := state.Encode(s)
 	if err != nil {
@@ -47,11 +47,11 @@
 		return 0
 	}
 	for _, v := range s.Servers {
-		if v.Started != s.Version || len(s.Servers) != 20 {
-			t.Fatalf("the state mixes versions %d and %d", s.Version, v.Started)
+		if v.StartedMS != s.ListVersion || len(s.Servers) != 20 {
+			t.Fatalf("the state mixes versions %d and %d", s.ListVersion, v.StartedMS)
 		}
 	}
-	return s.Version
+	return s.ListVersion
 }
 
 // tornFile is a file on which writing breaks off after a number of bytes, as on a full disk or in a crash.
@@ -147,7 +147,7 @@
 	if err := os.WriteFile(name, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, invalid := Read(path); s == nil || s.Version != 1 || len(invalid) != 1 || !errors.Is(invalid[0], state.ErrChecksum) {
+	if s, _, invalid := Read(path); s == nil || s.ListVersion != 1 || len(invalid) != 1 || !errors.Is(invalid[0], state.ErrChecksum) {
 		t.Errorf("read %+v with errors %v, want version 1 and one ErrChecksum", s, invalid)
 	}
 }
@@ -161,21 +161,21 @@
 	release := make(chan struct{})
 	d.open = func(string) (file, error) { return nil, syscall.ENOSPC }
 	notified := make(chan error, 10)
-	persister := Keep(d, time.Hour, func() ([]byte, error) { return encodedState(t, 9), nil }, func(err error) { notified <- err })
+	persister := StartPersister(d, time.Hour, func() ([]byte, error) { return encodedState(t, 9), nil }, func(err error) { notified <- err })
 	for range 3 {
-		if err := persister.Now(time.Minute); !errors.Is(err, syscall.ENOSPC) {
+		if err := persister.WriteNow(time.Minute); !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("full disk: error %v, want ENOSPC", err)
 		}
 	}
 	d.open = openFile // no write is in progress
-	if err := persister.Now(time.Minute); err != nil || readVersion(t, path) != 9 {
+	if err := persister.WriteNow(time.Minute); err != nil || readVersion(t, path) != 9 {
 		t.Error("after the disk has space again:", err)
 	}
 	d.open = func(name string) (file, error) {
 		<-release
 		return openFile(name)
 	}
-	if err := persister.Now(time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := persister.WriteNow(time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("disk that does not respond: error %v, want os.ErrDeadlineExceeded", err)
 	}
 	close(release)
@@ -183,7 +183,7 @@
 	if first, second := <-notified, <-notified; !errors.Is(first, syscall.ENOSPC) || second != nil || len(notified) > 0 {
 		t.Errorf("notified of %v and %v, want ENOSPC, then nil, and no more", first, second)
 	}
-	if err := persister.Now(time.Millisecond); err == nil {
+	if err := persister.WriteNow(time.Millisecond); err == nil {
 		t.Error("a Persister that has stopped accepts a write")
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -13,39 +13,39 @@
 // Snapshot is a node's state at one moment. Times are on the node's clock: Unix time that does not step. The numbers in
 // the tags are the stored format and stay.
 type Snapshot struct {
-	Taken     time.Duration   `cbor:"1,keyasint"`
-	Fleet     string          `cbor:"2,keyasint"` // where the server list comes from: its version and ids are valid only there
-	Exact     bool            `cbor:"3,keyasint"` // written for a successor: what is not in it has not happened
-	Drained   bool            `cbor:"4,keyasint"` // an operator has drained the node of its clients
-	Version   int64           `cbor:"5,keyasint"` // of the server list
-	Servers   []Server        `cbor:"6,keyasint"`
-	Out       []string        `cbor:"7,keyasint"`  // ids of servers that an operator has disabled
-	Returned  []At            `cbor:"8,keyasint"`  // servers that an operator has enabled again, and when
-	Open      []At            `cbor:"9,keyasint"`  // ids of open requests, and the latest time at which each ends
-	Hearsay   []At            `cbor:"10,keyasint"` // the same for other processes of the node
-	Keys      []Key           `cbor:"11,keyasint"` // idempotency keys, and where they may have run
-	Classes   []Class         `cbor:"12,keyasint"`
-	Totals    policy.Totals   `cbor:"13,keyasint"`
-	Contracts []contract.Left `cbor:"14,keyasint"`
+	Taken            time.Duration            `cbor:"1,keyasint"`
+	Fleet            string                   `cbor:"2,keyasint"` // where the server list comes from: its version and ids are valid only there
+	Exact            bool                     `cbor:"3,keyasint"` // written for a successor: what is not in it has not happened
+	Drained          bool                     `cbor:"4,keyasint"` // an operator has drained the node of its clients
+	ListVersion      int64                    `cbor:"5,keyasint"` // of the server list
+	Servers          []Server                 `cbor:"6,keyasint"`
+	Disabled         []string                 `cbor:"7,keyasint"`  // ids of servers that an operator has disabled
+	Enabled          []TimedID                `cbor:"8,keyasint"`  // servers that an operator has enabled again, and when
+	OpenRequests     []TimedID                `cbor:"9,keyasint"`  // ids of open requests, and the latest time at which each ends
+	PeerOpenRequests []TimedID                `cbor:"10,keyasint"` // the same for other processes of the node
+	Keys             []KeyRecord              `cbor:"11,keyasint"` // idempotency keys, and where they may have run
+	Classes          []Class                  `cbor:"12,keyasint"`
+	Totals           policy.TotalStats        `cbor:"13,keyasint"`
+	Contracts        []contract.ContractState `cbor:"14,keyasint"`
 }
 
 // Server is an entry of the server list with the statistics of that server. The numbers in the tags are the stored
 // format.
 type Server struct {
-	ID      string    `cbor:"1,keyasint"`
-	Addr    string    `cbor:"2,keyasint"`
-	Zone    string    `cbor:"3,keyasint,omitempty"`
-	Kind    string    `cbor:"4,keyasint,omitempty"`
-	Cell    int64     `cbor:"5,keyasint,omitempty"`
-	State   string    `cbor:"6,keyasint"`
-	Started int64     `cbor:"7,keyasint,omitempty"` // Unix milliseconds, as discovery reports it
-	Known   *Evidence `cbor:"8,keyasint,omitempty"`
+	ID         string       `cbor:"1,keyasint"`
+	Addr       string       `cbor:"2,keyasint"`
+	Zone       string       `cbor:"3,keyasint,omitempty"`
+	ServerType string       `cbor:"4,keyasint,omitempty"`
+	Cell       int64        `cbor:"5,keyasint,omitempty"`
+	State      string       `cbor:"6,keyasint"`
+	StartedMS  int64        `cbor:"7,keyasint,omitempty"` // Unix milliseconds, as discovery reports it
+	Stats      *ServerStats `cbor:"8,keyasint,omitempty"`
 }
 
 // ServerStats is policy.ServerStats with tags that keep the stored form short: zero values are left out. The two types
 // must have the same fields, as they are converted into each other. Fields without a number in the tag are stored under
 // their Go names.
-type Evidence struct {
+type ServerStats struct {
 	Mode               policy.Mode `cbor:"1,keyasint,omitempty"`
 	Trial              bool        `cbor:"2,keyasint,omitempty"`
 	Ejected            float64     `cbor:"3,keyasint,omitempty"`
@@ -61,26 +61,26 @@
 }
 
 // StatsOf returns a copy of a server's statistics in the stored form.
-func Of(e policy.Evidence) *Evidence {
-	stored := Evidence(e)
+func StatsOf(e policy.ServerStats) *ServerStats {
+	stored := ServerStats(e)
 	return &stored
 }
 
 // LearnedState returns the learned state for the policy to adopt. The function same returns the number that the
 // reader's policy has for a server and the server's start time, or false for a server that is not in the reader's list
 // or has restarted since.
-func (s *Snapshot) Learnt(same func(*Server) (number uint32, launched time.Duration, ok bool)) *policy.Learnt {
-	learned := &policy.Learnt{Totals: s.Totals, Classes: map[string]policy.ClassSums{}}
+func (s *Snapshot) LearnedState(same func(*Server) (number uint32, launched time.Duration, ok bool)) *policy.LearnedState {
+	learned := &policy.LearnedState{TotalStats: s.Totals, Classes: map[string]policy.ClassStats{}}
 	for _, c := range s.Classes {
-		learned.Classes[c.Name] = c.Sums
+		learned.Classes[c.Name] = c.Stats
 	}
 	for i := range s.Servers {
 		v := &s.Servers[i]
-		if v.Known == nil {
+		if v.Stats == nil {
 			continue
 		}
 		if number, launched, ok := same(v); ok {
-			learned.Servers = append(learned.Servers, policy.Known{ID: number, Launched: launched.Seconds(), Evidence: policy.Evidence(*v.Known)})
+			learned.Servers = append(learned.Servers, policy.LearnedServer{ID: number, Launched: launched.Seconds(), ServerStats: policy.ServerStats(*v.Stats)})
 		}
 	}
 	return learned
@@ -88,19 +88,19 @@
 
 // Class holds the statistics of a class of requests.
 type Class struct {
-	Name string           `cbor:"1,keyasint"`
-	Sums policy.ClassSums `cbor:"2,keyasint"`
+	Name  string            `cbor:"1,keyasint"`
+	Stats policy.ClassStats `cbor:"2,keyasint"`
 }
 
 // TimedID is an id and a time.
-type At struct {
+type TimedID struct {
 	ID string        `cbor:"1,keyasint"`
 	At time.Duration `cbor:"2,keyasint"`
 }
 
 // KeyRecord says in which pod a request with an idempotency key may have run, and until when repeats of it are dropped
 // there. It has the same fields as cell.KeyRecord, which it is converted to and from.
-type Key struct {
+type KeyRecord struct {
 	Key   uint64        `cbor:"1,keyasint"`
 	Pod   int64         `cbor:"2,keyasint"`
 	Until time.Duration `cbor:"3,keyasint"`
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -17,13 +17,13 @@
 
 // fullSnapshot returns a snapshot with entries in each list and the given number of servers.
 func fullSnapshot(servers int) *Snapshot {
-	s := &Snapshot{Taken: now, Fleet: "f", Version: 7, Out: []string{"s-1"}, Returned: []At{{"s-2", now - time.Second}},
-		Open: []At{{"x", now + time.Second}}, Hearsay: []At{{"y", now + 2*time.Second}}, Keys: []Key{{9, 3, now + time.Minute}},
-		Classes: []Class{{"view", policy.ClassSums{Requests: 8, Latency: 1, Answers: 7, Least: 2}}}, Totals: policy.Totals{Total: 9, Picks: 8, Retries: 4},
-		Contracts: []contract.Left{{Name: "app", Tokens: -3, Work: 5}}}
+	s := &Snapshot{Taken: now, Fleet: "f", ListVersion: 7, Disabled: []string{"s-1"}, Enabled: []TimedID{{"s-2", now - time.Second}},
+		OpenRequests: []TimedID{{"x", now + time.Second}}, PeerOpenRequests: []TimedID{{"y", now + 2*time.Second}}, Keys: []KeyRecord{{9, 3, now + time.Minute}},
+		Classes: []Class{{"view", policy.ClassStats{Requests: 8, Latency: 1, Answers: 7, Least: 2}}}, Totals: policy.TotalStats{Total: 9, Picks: 8, Retries: 4},
+		Contracts: []contract.ContractState{{Name: "app", Tokens: -3, Work: 5}}}
 	for i := range servers {
-		e := policy.Evidence{Mode: 1, Others: 4, ReportAt: now.Seconds(), Room: math.Inf(1), Base: 0.2, Latency: 3, Occupancy: 30, Served: 20, LastOK: now.Seconds(), Slots: 4}
-		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "north", Kind: "k", State: "Ready", Started: int64(i), Known: Of(e)})
+		e := policy.ServerStats{Mode: 1, Others: 4, ReportAt: now.Seconds(), Room: math.Inf(1), Base: 0.2, Latency: 3, Occupancy: 30, Served: 20, LastOK: now.Seconds(), Slots: 4}
+		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "north", ServerType: "k", State: "Ready", StartedMS: int64(i), Stats: StatsOf(e)})
 	}
 	return s
 }
@@ -78,11 +78,11 @@
 	for name, change := range map[string]func(s *Snapshot){
 		"duplicate server":        func(s *Snapshot) { s.Servers[1].ID = "s-0" },
 		"empty address":           func(s *Snapshot) { s.Servers[0].Addr = "" },
-		"id too long":             func(s *Snapshot) { s.Out[0] = strings.Repeat("x", 600) },
-		"empty id":                func(s *Snapshot) { s.Open[0].ID = "" },
+		"id too long":             func(s *Snapshot) { s.Disabled[0] = strings.Repeat("x", 600) },
+		"empty id":                func(s *Snapshot) { s.OpenRequests[0].ID = "" },
 		"negative time":           func(s *Snapshot) { s.Taken = -1 },
 		"infinite mean in totals": func(s *Snapshot) { s.Totals.Mean = math.Inf(1) },
-		"NaN in a class":          func(s *Snapshot) { s.Classes[0].Sums.Least = math.NaN() },
+		"NaN in a class":          func(s *Snapshot) { s.Classes[0].Stats.Least = math.NaN() },
 		"NaN in a contract":       func(s *Snapshot) { s.Contracts[0].Work = math.NaN() },
 	} {
 		s := fullSnapshot(2)
@@ -91,12 +91,12 @@
 			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
-	for name, change := range map[string]func(e *Evidence){
-		"negative latency": func(e *Evidence) { e.Latency = -1 }, "unknown mode": func(e *Evidence) { e.Mode = 3 }, "NaN capacity": func(e *Evidence) { e.Room = math.NaN() },
+	for name, change := range map[string]func(e *ServerStats){
+		"negative latency": func(e *ServerStats) { e.Latency = -1 }, "unknown mode": func(e *ServerStats) { e.Mode = 3 }, "NaN capacity": func(e *ServerStats) { e.Room = math.NaN() },
 	} {
 		s := fullSnapshot(2)
-		change(s.Servers[0].Known)
-		if got, err := Decode(mustEncode(t, s)); err != nil || got.Servers[0].Known != nil || got.Servers[1].Known == nil {
+		change(s.Servers[0].Stats)
+		if got, err := Decode(mustEncode(t, s)); err != nil || got.Servers[0].Stats != nil || got.Servers[1].Stats == nil {
 			t.Errorf("%s: error %v, or statistics are not removed for this server alone", name, err)
 		}
 	}
@@ -125,13 +125,13 @@
 		s := fullSnapshot(2)
 		s.Exact = c.exact
 		at := now + c.after
-		drops := s.Age(Reader{Now: at, Fleet: c.fleet, ColdFor: 8 * time.Second})
-		var e Evidence
-		learned := len(s.Servers) > 0 && s.Servers[0].Known != nil
+		drops := s.Age(LoadContext{Now: at, Fleet: c.fleet, ColdFor: 8 * time.Second})
+		var e ServerStats
+		learned := len(s.Servers) > 0 && s.Servers[0].Stats != nil
 		if learned {
-			e = *s.Servers[0].Known
+			e = *s.Servers[0].Stats
 		}
-		got := [...]bool{len(s.Out) == 1, len(s.Returned) == 1, len(s.Servers) == 2, len(s.Open) == 1 && s.Open[0].At > at, learned,
+		got := [...]bool{len(s.Disabled) == 1, len(s.Enabled) == 1, len(s.Servers) == 2, len(s.OpenRequests) == 1 && s.OpenRequests[0].At > at, learned,
 			e.Others == 4 && e.Mode == 1, learned && e.Latency > 0 && math.Abs(e.Latency/e.Occupancy-0.1) < 1e-9}
 		if want := [...]bool{c.disabled, c.enabled, c.list, c.open, c.learned, c.queues, c.times}; got != want || len(drops) != c.drops {
 			t.Errorf("%s: disabled, enabled, server list, open requests, learned state, queues, service times kept: %v, want %v; dropped %v",
@@ -140,7 +140,7 @@
 		if s.Totals.Retries != 4 || s.Contracts[0].Tokens != -3 {
 			t.Errorf("%s: %v retries and %v tokens, want 4 and -3", c.name, s.Totals.Retries, s.Contracts[0].Tokens)
 		}
-		for _, r := range s.Returned {
+		for _, r := range s.Enabled {
 			if r.At > at {
 				t.Errorf("%s: server enabled by an operator %v in the future", c.name, r.At-at)
 			}
@@ -163,7 +163,7 @@
 		if err != nil {
 			return
 		}
-		s.Age(Reader{Now: now, Fleet: "f", ColdFor: time.Second})
+		s.Age(LoadContext{Now: now, Fleet: "f", ColdFor: time.Second})
 		if _, err := Encode(s); err != nil {
 			t.Errorf("a snapshot that was decoded cannot be encoded: %v", err)
 		}
--- a/internal/upgrade/token.go
+++ b/internal/upgrade/token.go
@@ -43,7 +43,7 @@
 }
 
 // SetNumber writes a number to the token, which must be held.
-func (t *Token) Mark(number uint64) error {
+func (t *Token) SetNumber(number uint64) error {
 	_, err := t.file.WriteAt(binary.LittleEndian.AppendUint64(nil, number), 0)
 	return err
 }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -52,17 +52,17 @@
 // come one after the other.
 type Node interface {
 	// StateRequested handles a process's request for the state; the first Send to that process is the reply.
-	Hello(*Peer)
+	StateRequested(*Peer)
 	// Received handles a message of the hand-over. State is nil except for State and Transfer.
-	Heard(p *Peer, what handover.Message, number uint64, state []byte)
+	Received(p *Peer, what handover.Message, number uint64, state []byte)
 	// Claim decides on a request that is about to begin at a predecessor, and that ends at until at the latest.
 	Claim(p *Peer, id string, until time.Duration) handover.Verdict
 	// RequestEnded handles the end of a request at another process.
-	Ended(p *Peer, id string)
+	RequestEnded(p *Peer, id string)
 	// Execute carries out an operator's call that was made at another process.
-	Obey(*Peer, Order) error
+	Execute(*Peer, Order) error
 	// PeerExited handles the exit of the other process.
-	Gone(*Peer)
+	PeerExited(*Peer)
 }
 
 // message is one line on the socket. A claim or an order is replied to by an ack with the same number. The keys, the
@@ -144,12 +144,12 @@
 }
 
 // Receive starts to pass the other process's messages to node, until that process exits.
-func (p *Peer) Follow(node Node) {
+func (p *Peer) Receive(node Node) {
 	go p.readLoop(node)
 }
 
 // Send sends a message of the hand-over. State, which may be nil, is called when the message is written.
-func (p *Peer) Tell(what handover.Message, number uint64, state func() []byte) {
+func (p *Peer) Send(what handover.Message, number uint64, state func() []byte) {
 	p.enqueue(func() message {
 		m := message{Kind: kindHandover, What: what, Token: number}
 		if state != nil {
@@ -164,19 +164,19 @@
 func (p *Peer) Claim(ctx context.Context, id string, until time.Duration) handover.Verdict {
 	a, err := p.call(ctx, message{Kind: kindClaim, ID: id, Until: int64(until)})
 	if err != nil {
-		return handover.Busy
+		return handover.Undecided
 	}
 	return a.Verdict
 }
 
 // RequestEnded reports that a request has ended here.
-func (p *Peer) Ended(id string) {
+func (p *Peer) RequestEnded(id string) {
 	p.enqueue(func() message { return message{Kind: kindEnded, ID: id} })
 }
 
 // SendOrder passes an operator's call on, and returns once it was carried out there. A process that has exited needs no
 // order.
-func (p *Peer) Order(ctx context.Context, o Order) error {
+func (p *Peer) SendOrder(ctx context.Context, o Order) error {
 	_, err := p.call(ctx, message{Kind: kindOrder, Order: &o})
 	if errors.Is(err, ErrPeerExited) {
 		return nil
@@ -288,7 +288,7 @@
 		defer close(executed)
 		for m := range orders {
 			a := message{}
-			if err := node.Obey(p, *m.Order); err != nil {
+			if err := node.Execute(p, *m.Order); err != nil {
 				a.Error = err.Error()
 			}
 			reply(m, a)
@@ -308,11 +308,11 @@
 			}
 			p.mu.Unlock()
 		case m.Kind == kindHandover:
-			node.Heard(p, m.What, m.Token, m.State)
+			node.Received(p, m.What, m.Token, m.State)
 		case m.Kind == kindClaim:
 			reply(m, message{Verdict: node.Claim(p, m.ID, time.Duration(m.Until))})
 		case m.Kind == kindEnded:
-			node.Ended(p, m.ID)
+			node.RequestEnded(p, m.ID)
 		case m.Kind == kindOrder && m.Order != nil:
 			orders <- m
 		default:
@@ -323,7 +323,7 @@
 	p.conn.Close()
 	p.shutdown()
 	<-executed
-	node.Gone(p)
+	node.PeerExited(p)
 }
 
 // Listener accepts successors.
@@ -362,7 +362,7 @@
 }
 
 // ListenerPaths returns the sockets of all processes that have listened at path, first the one that path leads to.
-func Others(path string) []string {
+func ListenerPaths(path string) []string {
 	all, _ := filepath.Glob(path + ".*") // the only error is a malformed pattern
 	return append([]string{path}, all...)
 }
@@ -407,6 +407,6 @@
 	conn.SetReadDeadline(time.Time{})
 	p := newPeer(conn)
 	p.decoder = decoder
-	l.node.Hello(p)
+	l.node.StateRequested(p)
 	p.readLoop(l.node)
 }
