--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -30,26 +30,26 @@
 	return &stubNode{state: state, peers: make(chan *Peer, 10), received: make(chan string, 10), orders: make(chan Order, 10), exited: make(chan struct{}, 10)}
 }
 
-func (f *stubNode) Hello(p *Peer) {
+func (f *stubNode) StateRequested(p *Peer) {
 	if f.state == "" {
-		p.Tell(handover.Later, 0, nil)
+		p.Send(handover.NotServing, 0, nil)
 	} else {
-		p.Tell(handover.State, 0, func() []byte { return []byte(f.state) })
+		p.Send(handover.State, 0, func() []byte { return []byte(f.state) })
 	}
 	f.peers <- p
 }
-func (f *stubNode) Heard(_ *Peer, what handover.Message, number uint64, state []byte) {
+func (f *stubNode) Received(_ *Peer, what handover.Message, number uint64, state []byte) {
 	f.received <- string(rune('0'+what)) + string(rune('0'+number)) + string(state)
 }
 func (f *stubNode) Claim(_ *Peer, id string, until time.Duration) handover.Verdict {
 	if id == "open" || until != time.Hour {
-		return handover.Open
+		return handover.AlreadyOpen
 	}
 	return handover.Granted
 }
-func (f *stubNode) Ended(_ *Peer, id string)    { f.received <- id }
-func (f *stubNode) Obey(_ *Peer, o Order) error { f.orders <- o; return f.orderErr }
-func (f *stubNode) Gone(*Peer)                  { f.exited <- struct{}{} }
+func (f *stubNode) RequestEnded(_ *Peer, id string) { f.received <- id }
+func (f *stubNode) Execute(_ *Peer, o Order) error  { f.orders <- o; return f.orderErr }
+func (f *stubNode) PeerExited(*Peer)                { f.exited <- struct{}{} }
 
 // receive returns the next value of c, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
@@ -89,17 +89,17 @@
 	q := receive(t, "the successor", predecessor.peers)
 	// An order that is sent before the successor reads must reach it.
 	done := make(chan error, 1)
-	go func() { done <- q.Order(ctx, Order{Call: Disable, ID: "s-1"}) }()
-	p.Follow(successor)
+	go func() { done <- q.SendOrder(ctx, Order{Call: Disable, ID: "s-1"}) }()
+	p.Receive(successor)
 	if o := receive(t, "the order", successor.orders); o.Call != Disable || o.ID != "s-1" {
 		t.Errorf("got %+v", o)
 	}
 	if err := receive(t, "its ack", done); err != nil {
 		t.Error(err)
 	}
-	p.Tell(handover.Ready, 0, nil)
-	p.Ended("x")
-	q.Tell(handover.Yours, 7, func() []byte { return []byte("eight") })
+	p.Send(handover.Ready, 0, nil)
+	p.RequestEnded("x")
+	q.Send(handover.Transfer, 7, func() []byte { return []byte("eight") })
 	for _, c := range []struct {
 		received chan string
 		want     string
@@ -108,11 +108,11 @@
 			t.Errorf("received %q, want %q", got, c.want)
 		}
 	}
-	if a, b := q.Claim(ctx, "open", time.Hour), q.Claim(ctx, "free", time.Hour); a != handover.Open || b != handover.Granted {
+	if a, b := q.Claim(ctx, "open", time.Hour), q.Claim(ctx, "free", time.Hour); a != handover.AlreadyOpen || b != handover.Granted {
 		t.Errorf("verdicts %d and %d", a, b)
 	}
 	predecessor.orderErr = errors.New("not here")
-	if err := p.Order(ctx, Order{Call: Drain}); err == nil || !strings.Contains(err.Error(), "not here") {
+	if err := p.SendOrder(ctx, Order{Call: Drain}); err == nil || !strings.Contains(err.Error(), "not here") {
 		t.Errorf("order that the other process refuses: %v", err)
 	}
 	// A successor takes over the path while the old process still listens, and both are found.
@@ -121,7 +121,7 @@
 		t.Errorf("Dial after another process took the path: state %q, error %v", state, err)
 	}
 	found := map[string]bool{}
-	for _, at := range Others(path) {
+	for _, at := range ListenerPaths(path) {
 		if p, _, state, err := Dial(at); err == nil {
 			found[string(state)] = true
 			p.Close()
@@ -133,10 +133,10 @@
 	l.Close()
 	q.conn.Close()
 	receive(t, "the predecessor's exit", successor.exited)
-	if err := p.Order(ctx, Order{Call: Drain}); err != nil {
+	if err := p.SendOrder(ctx, Order{Call: Drain}); err != nil {
 		t.Errorf("order to an exited process: %v", err)
 	}
-	if v := p.Claim(ctx, "free", time.Hour); v != handover.Busy {
+	if v := p.Claim(ctx, "free", time.Hour); v != handover.Undecided {
 		t.Errorf("claim at an exited process: verdict %d", v)
 	}
 }
@@ -154,7 +154,7 @@
 		t.Error("Dial succeeded at the socket of an exited process")
 	}
 	listen(t, path, newStubNode(""))
-	if p, what, _, err := Dial(path); err != nil || what != handover.Later {
+	if p, what, _, err := Dial(path); err != nil || what != handover.NotServing {
 		t.Errorf("process that cannot hand over: message %d, error %v", what, err)
 	} else {
 		p.Close()
@@ -183,7 +183,7 @@
 	defer cancel()
 	p := newPeer(a)
 	defer p.Close()
-	if err := p.Order(ctx, Order{Call: Drain}); !errors.Is(err, context.DeadlineExceeded) {
+	if err := p.SendOrder(ctx, Order{Call: Drain}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("got error %v, want a deadline exceeded", err)
 	}
 }
@@ -204,7 +204,7 @@
 	if n, had, err := a.Lock(); n != 0 || !had || err != nil {
 		t.Error("new token:", n, had, err)
 	}
-	if err := a.Mark(5); err != nil {
+	if err := a.SetNumber(5); err != nil {
 		t.Error(err)
 	}
 	if _, had, err := b.Lock(); had || err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -103,18 +103,18 @@
 		if d.present(3) && d.row[3].Type() == fastjson.TypeString { // the simulator sends 0 if there is no tenant
 			ev.Tenant = d.text(3, "client_group", false)
 		}
-		ev.Left = d.seconds(5, "grace_s", true)
+		ev.TimeLeft = d.seconds(5, "grace_s", true)
 		if d.present(7) {
 			ev.Repeat = d.boolean(7, "repeat")
 		}
 	case "ended":
 		ev.Kind, ev.ID = policy.EvOutcome, d.text(1, "corr", true)
 		ev.Attempt, ev.Server = int(d.integer(2, "seq_no")), d.server(3)
-		ev.Took, ev.Last = d.seconds(4, "wait_time_s", true), d.boolean(5, "last")
+		ev.Elapsed, ev.Final = d.seconds(4, "wait_time_s", true), d.boolean(5, "last")
 		ev.Outcome = d.outcome(6)
 		ev.Load = d.load(7)
 	case "abandoned":
-		ev.Kind, ev.ID = policy.EvGone, d.text(1, "corr", true)
+		ev.Kind, ev.ID = policy.EvClientGone, d.text(1, "corr", true)
 	case "targets":
 		ev.Kind = policy.EvList
 		d.list(ev)
@@ -258,7 +258,7 @@
 	case "Failed":
 		return policy.Failed
 	case "QueueFull":
-		return policy.Full
+		return policy.QueueFull
 	case "TimedOut":
 		return policy.TimedOut
 	case "ConnectError":
@@ -268,7 +268,7 @@
 	case "Canceled":
 		return policy.Canceled
 	case "Ignored":
-		return policy.Moot
+		return policy.NeverSent
 	}
 	d.fail("outcome", "unknown value "+strconv.Quote(name))
 	return policy.OK
@@ -334,7 +334,7 @@
 			return
 		}
 		d.row = row
-		e := policy.Entry{Zone: d.text(1, "az", false), Kind: d.text(3, "shape", false),
+		e := policy.Entry{Zone: d.text(1, "az", false), ServerType: d.text(3, "shape", false),
 			Launched: d.seconds(4, "launched_s", false), ID: d.server(6)}
 		if d.present(2) {
 			e.Cell = d.integer(2, "unit_group")
@@ -343,9 +343,9 @@
 		case "active":
 			e.State = policy.Active
 		case "leaving":
-			e.State = policy.Leaving
+			e.State = policy.Draining
 		case "left":
-			e.State = policy.Left
+			e.State = policy.Removed
 		default:
 			d.fail("availability", "unknown value "+strconv.Quote(s))
 		}
@@ -357,10 +357,10 @@
 
 // Settings is the decoded settings object: the policy's settings, and those of the node that carries out its decisions.
 type Settings struct {
-	Policy         policy.Settings
-	ConnIdle       time.Duration // web servers close connections that are idle for this long; 0 if not specified
-	ConnectTimeout time.Duration // a connection not established within this time has failed; 0 if not specified
-	Reports        bool          // responses may carry load reports
+	Policy            policy.Settings
+	ServerIdleTimeout time.Duration // web servers close connections that are idle for this long; 0 if not specified
+	ConnectTimeout    time.Duration // a connection not established within this time has failed; 0 if not specified
+	LoadReports       bool          // responses may carry load reports
 }
 
 // settingsObject is the settings object of a create message. Keys that are not named here are ignored.
@@ -457,14 +457,14 @@
 		if !ok || !ok2 {
 			return Settings{}, fmt.Errorf("grades: %s: unknown effect %q or group %q", g.Name, g.Effect, g.Group)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: g.Name, Aim: seconds(g.Aim), Deadline: seconds(g.Deadline),
-			Worth: g.Gain, LateWorth: g.LateWorth, Effect: effect, Group: group, Window: seconds(g.Window)})
+		s.Classes = append(s.Classes, policy.Class{Name: g.Name, TargetLatency: seconds(g.Aim), Deadline: seconds(g.Deadline),
+			Value: g.Gain, LateValue: g.LateWorth, Effect: effect, Group: group, Window: seconds(g.Window)})
 	}
 	for _, t := range in.Projects {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, QuotaPerS: t.Quota})
 	}
-	return Settings{Policy: s, ConnIdle: seconds(in.Limits.ConnIdle), ConnectTimeout: seconds(in.Limits.ConnectTimeout),
-		Reports: in.Report.How == "piggyback"}, nil
+	return Settings{Policy: s, ServerIdleTimeout: seconds(in.Limits.ConnIdle), ConnectTimeout: seconds(in.Limits.ConnectTimeout),
+		LoadReports: in.Report.How == "piggyback"}, nil
 }
 
 // maxSettingSeconds is the longest time that settings may contain, in seconds. A much longer one does not fit a
@@ -557,7 +557,7 @@
 
 // DecodeLoadReport decodes a load report that a response carries by itself, with the names of this protocol or with the
 // simulator's own. One invalid value makes the whole report invalid.
-func DecodeLoad(text string) (policy.Load, error) {
+func DecodeLoadReport(text string) (policy.Load, error) {
 	var in struct {
 		Depth      *float64 `json:"depth"`
 		Queue      *float64 `json:"queue"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,25 +23,25 @@
 		`["your_turn"]`:        {Kind: BatchEnd},
 		`["power_off",3]`:      {Kind: PowerOff, Instance: 3},
 		`["demand",3,"r-b","route",null,"k:1",0.24,0.012,false,false]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvRequest, ID: "r-b", Class: "route", Left: 240 * time.Millisecond}},
+			Kind: policy.EvRequest, ID: "r-b", Class: "route", TimeLeft: 240 * time.Millisecond}},
 		`["demand",3,"r-b","route",null,null,0.24,null,true]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvRequest, ID: "r-b", Class: "route", Left: 240 * time.Millisecond, Repeat: true}},
+			Kind: policy.EvRequest, ID: "r-b", Class: "route", TimeLeft: 240 * time.Millisecond, Repeat: true}},
 		`["demand",3,"r-b","route","t",null,0.24]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvRequest, ID: "r-b", Class: "route", Tenant: "t", Left: 240 * time.Millisecond}},
+			Kind: policy.EvRequest, ID: "r-b", Class: "route", Tenant: "t", TimeLeft: 240 * time.Millisecond}},
 		`["ended",3,"r-b",1,4294967295,0.0185,true,"Ok",{"depth":3,"mean_ms":14.5}]`: {Kind: Event, Instance: 3,
-			Event: policy.Event{Kind: policy.EvOutcome, ID: "r-b", Attempt: 1, Server: 4294967295, Last: true,
-				Took: 18500 * time.Microsecond, Load: policy.Load{Known: true, Queue: 3, Held: -1, Work: 0.0145}}},
+			Event: policy.Event{Kind: policy.EvOutcome, ID: "r-b", Attempt: 1, Server: 4294967295, Final: true,
+				Elapsed: 18500 * time.Microsecond, Load: policy.Load{Known: true, Queue: 3, Held: -1, Work: 0.0145}}},
 		`["ended",3,"r-b",0,5,0.2,false,"ConnectError",null]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvOutcome, ID: "r-b", Server: 5, Took: 200 * time.Millisecond,
+			Kind: policy.EvOutcome, ID: "r-b", Server: 5, Elapsed: 200 * time.Millisecond,
 			Outcome: policy.ConnectFailed}},
-		`["abandoned",5,"r-a"]`:            {Kind: Event, Instance: 5, Event: policy.Event{Kind: policy.EvGone, ID: "r-a"}},
+		`["abandoned",5,"r-a"]`:            {Kind: Event, Instance: 5, Event: policy.Event{Kind: policy.EvClientGone, ID: "r-a"}},
 		`["tick_due",3,"sweep"]`:           {Kind: Event, Instance: 3, Event: policy.Event{Kind: policy.EvTimer, Token: "sweep"}},
 		`["checked",3,7,"Ok",0.0014,null]`: {Kind: Event, Instance: 3, Event: policy.Event{Kind: policy.EvOther}},
 		`["targets",3,"lost",4,null]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvList, List: policy.ListFailed}},
 		`["targets",3,"incr",41,[[1.5,"n",2,"std",6.1,"leaving",7]]]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Zone: "n", Cell: 2, Kind: "std",
-				Launched: 6100 * time.Millisecond, State: policy.Leaving}}}},
+			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Zone: "n", Cell: 2, ServerType: "std",
+				Launched: 6100 * time.Millisecond, State: policy.Draining}}}},
 	} {
 		var d Decoder
 		m, err := d.Decode([]byte(line))
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	want := policy.Settings{Zone: "n", Nodes: 2, MustAsk: true, MustAskIn: 10 * time.Second, OverShare: 0.1,
-		Classes: []policy.Class{{Name: "a", Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 3,
+		Classes: []policy.Class{{Name: "a", TargetLatency: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 3,
 			Effect: policy.Keyed, Group: policy.GroupZone, Window: 2 * time.Second}},
 		Tenants:     []policy.Tenant{{Name: "t", QuotaPerS: 9.5}},
 		MaxAttempts: 6, Cancel: true, RetryAfter: 2 * time.Second,
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	m, err := d.Decode([]byte(`["demand",3,"q","c",null,null,1]`))
-	if err != nil || m.Event.Last || m.Event.Load.Known || m.Event.Outcome != policy.OK {
+	if err != nil || m.Event.Final || m.Event.Load.Known || m.Event.Outcome != policy.OK {
 		t.Errorf("message after one with other fields: %+v, error %v", m, err)
 	}
 }
@@ -198,7 +198,7 @@
 		{`{"concurrent":7`, 0, false},
 		{`7`, 0, false},
 	} {
-		l, err := DecodeLoad(c.text)
+		l, err := DecodeLoadReport(c.text)
 		if (err == nil) != c.ok || c.ok && l.Queue != c.queue || l.Known != (c.ok && c.queue >= 0) {
 			t.Errorf("%s: load %+v, error %v", c.text, l, err)
 		}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -48,11 +48,11 @@
 	var value, cost float64
 	for _, c := range b.classes {
 		c.Requests, c.Latency, c.Answers = c.Requests*decay, c.Latency*decay, c.Answers*decay
-		value += c.Requests * c.Worth
+		value += c.Requests * c.Value
 		cost += c.Requests * c.cost()
 	}
 	for _, c := range b.classes {
-		c.lowPriority = c.Worth*cost < value*c.cost()
+		c.lowPriority = c.Value*cost < value*c.cost()
 	}
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -29,11 +29,11 @@
 type Class struct {
 	Name string
 	// Target latency: a response within it earns the full value.
-	Aim time.Duration
+	TargetLatency time.Duration
 	// Longest time that a client waits; 0: not specified.
 	Deadline time.Duration
 	// Value of a response in time, and the share of it that a response after the target latency still earns.
-	Worth, LateWorth float64
+	Value, LateValue float64
 	Effect           Effect
 	Group            Group
 	// Keyed only: how long repeats are dropped, from the send of the first attempt.
@@ -96,8 +96,8 @@
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d] (%s): ", i, c.Name)
 		check(!classes[c.Name], "Classes[%d].Name: %q is empty or used twice", i, c.Name)
-		numbers(at, "Aim Deadline Window Worth LateWorth", c.Aim.Seconds(), c.Deadline.Seconds(),
-			c.Window.Seconds(), c.Worth, c.LateWorth)
+		numbers(at, "Aim Deadline Window Worth LateWorth", c.TargetLatency.Seconds(), c.Deadline.Seconds(),
+			c.Window.Seconds(), c.Value, c.LateValue)
 		check(c.Effect <= Unsafe, "%sEffect: unknown value %d", at, c.Effect)
 		check(c.Group <= GroupCell, "%sGroup: unknown value %d", at, c.Group)
 		classes[c.Name] = true
@@ -120,16 +120,16 @@
 type EventKind uint8
 
 const (
-	EvRequest  EventKind = iota // a client request arrived
-	EvOutcome                   // an attempt ended
-	EvGone                      // the client disconnected or stopped waiting
-	EvList                      // an update of the server list
-	EvTimer                     // a timer set by ActTimer is due
-	EvDisable                   // an operator disabled a server: it gets no new requests, whatever the list says
-	EvEnable                    // an operator enabled it again: it may have been restarted and counts as cold
-	EvWeigh                     // health information: the server is to get Weight of its usual share
-	EvSettings                  // new settings apply: statistics stay, and open requests keep their class
-	EvOther                     // anything that the policy does not act on
+	EvRequest    EventKind = iota // a client request arrived
+	EvOutcome                     // an attempt ended
+	EvClientGone                  // the client disconnected or stopped waiting
+	EvList                        // an update of the server list
+	EvTimer                       // a timer set by ActTimer is due
+	EvDisable                     // an operator disabled a server: it gets no new requests, whatever the list says
+	EvEnable                      // an operator enabled it again: it may have been restarted and counts as cold
+	EvSetWeight                   // health information: the server is to get Weight of its usual share
+	EvSettings                    // new settings apply: statistics stay, and open requests keep their class
+	EvOther                       // anything that the policy does not act on
 )
 
 // Outcome says how an attempt ended.
@@ -138,12 +138,12 @@
 const (
 	OK            Outcome = iota
 	Failed                // an error response; the request may have run
-	Full                  // rejected by the server's queue; never ran
+	QueueFull             // rejected by the server's queue; never ran
 	TimedOut              // no response in time; may have run
 	ConnectFailed         // no connection in time; never ran
 	Reset                 // the connection broke; may have run
 	Canceled              // cancelled by the node; may have run
-	Moot                  // the node did not send it; never ran
+	NeverSent             // the node did not send it; never ran
 )
 
 // Load is a server's load report. Queue and Held are negative when the report does not carry them.
@@ -170,16 +170,16 @@
 
 const (
 	Active State = iota
-	Leaving
-	Left
+	Draining
+	Removed
 )
 
 // Entry is one server in the server list.
 type Entry struct {
-	ID   uint32
-	Zone string
-	Cell int64
-	Kind string // machine type; only compared for equality
+	ID         uint32
+	Zone       string
+	Cell       int64
+	ServerType string // machine type; only compared for equality
 	// Time of its latest start on the node's clock; 0: long ago.
 	Launched time.Duration
 	State    State
@@ -193,25 +193,25 @@
 	// EvRequest.
 	Class, Tenant string
 	// EvRequest: the client stops waiting after this time.
-	Left time.Duration
+	TimeLeft time.Duration
 	// EvRequest: the client repeats an earlier request of its own, where clients say so.
 	Repeat bool
 	// EvRequest: ids of the servers that the request may go to; nil: all. Must not be changed afterwards.
-	Among []uint32
+	Candidates []uint32
 	// EvRequest: it is over its contract's guarantee and uses capacity that others leave unused; diverted first.
-	Borrowed bool
+	OverQuota bool
 	// EvOutcome, EvDisable, EvEnable, EvSetWeight.
 	Server uint32
 	// EvSetWeight: from 0 (as little as possible) to 1 (the usual share).
 	Weight float64
 	// EvSetWeight: limit on concurrent requests at the server, of all nodes together; 0: no limit.
-	Most int
+	MaxConcurrent int
 	// EvOutcome: number of the attempt, from 0 in the order of the sends.
 	Attempt int
 	// EvOutcome: time since the send.
-	Took time.Duration
+	Elapsed time.Duration
 	// EvOutcome: the request is finished; a part of its body was consumed, so it can't be sent again.
-	Last, Spent bool
+	Final, BodySpent bool
 	// EvOutcome.
 	Outcome Outcome
 	// EvOutcome.
@@ -250,22 +250,22 @@
 
 // LearnedState holds a node's statistics of its servers and classes, for a successor process. Times are seconds on the
 // node's clock, and all of it is as of At: a caller that passes it to Adopt later ages it first.
-type Learnt struct {
+type LearnedState struct {
 	At      float64
-	Servers []Known
-	Classes map[string]ClassSums
-	Totals
+	Servers []LearnedServer
+	Classes map[string]ClassStats
+	TotalStats
 }
 
 // LearnedServer holds the statistics of a server that was started at Launched, in seconds on the node's clock.
-type Known struct {
+type LearnedServer struct {
 	ID       uint32
 	Launched float64
-	Evidence
+	ServerStats
 }
 
 // ClassStats holds the decayed sums of a class. It is stored under its field names.
-type ClassSums struct {
+type ClassStats struct {
 	// Decayed count of requests.
 	Requests float64
 	// Decayed sum of latencies in seconds, and the count of responses in it.
@@ -275,7 +275,7 @@
 }
 
 // TotalStats holds decayed sums over all requests and servers. It is stored under its field names.
-type Totals struct {
+type TotalStats struct {
 	// Requests, and those of low priority among them.
 	Total, Lessers float64
 	// Initial selections of requests, and the seconds over which they were counted.
@@ -290,7 +290,7 @@
 
 // ServerStats holds what requests and load reports have shown of a server. Times are seconds on the node's clock. The
 // fields that each selection reads come first: in a list of thousands none of them is in the processor's cache.
-type Evidence struct {
+type ServerStats struct {
 	Mode Mode
 	// Half-open after an ejection: one attempt at a time until one succeeds.
 	Trial bool
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -20,7 +20,7 @@
 			now := time.Hour
 			ev := policy.Event{Kind: policy.EvList, List: policy.ListCached}
 			for i := range servers {
-				ev.Entries = append(ev.Entries, policy.Entry{ID: uint32(i + 1), Zone: "east", Kind: "k"})
+				ev.Entries = append(ev.Entries, policy.Entry{ID: uint32(i + 1), Zone: "east", ServerType: "k"})
 			}
 			node.Handle(now, &ev, nil)
 			var out []policy.Action
@@ -33,11 +33,11 @@
 				id++
 				now += ms
 				name := names[id%len(names)]
-				out = node.Handle(now, &policy.Event{Kind: policy.EvRequest, ID: name, Class: "read", Left: time.Second}, out[:0])
+				out = node.Handle(now, &policy.Event{Kind: policy.EvRequest, ID: name, Class: "read", TimeLeft: time.Second}, out[:0])
 				for _, a := range out {
 					if a.Kind == policy.ActSend {
-						out = node.Handle(now+ms/2, &policy.Event{Kind: policy.EvOutcome, ID: name, Server: a.Server, Took: ms / 2,
-							Last: true, Load: policy.Load{Known: true, Held: -1}}, out[:0])
+						out = node.Handle(now+ms/2, &policy.Event{Kind: policy.EvOutcome, ID: name, Server: a.Server, Elapsed: ms / 2,
+							Final: true, Load: policy.Load{Known: true, Held: -1}}, out[:0])
 						break
 					}
 				}
@@ -57,7 +57,7 @@
 		now := time.Hour
 		full := policy.Event{Kind: policy.EvList, List: policy.ListFull}
 		for i := range servers {
-			full.Entries = append(full.Entries, policy.Entry{ID: uint32(i + 1), Zone: fmt.Sprint(i % 3), Kind: "k"})
+			full.Entries = append(full.Entries, policy.Entry{ID: uint32(i + 1), Zone: fmt.Sprint(i % 3), ServerType: "k"})
 		}
 		var out []policy.Action
 		b.Run(fmt.Sprintf("full/servers=%d", servers), func(b *testing.B) {
--- a/policy/edgecases_test.go
+++ b/policy/edgecases_test.go
@@ -14,8 +14,8 @@
 func shortWindowSettings() Settings {
 	return Settings{Nodes: 1, MaxAttempts: 4, Cancel: true, RetryAfter: 2 * time.Second, DrainGrace: time.Second,
 		ColdShare: 0.3, ColdFor: 8 * time.Second, FallFactor: 2.5, FallFor: 1500 * time.Millisecond, Classes: []Class{
-			{Name: "view", Aim: 3 * time.Second, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "save", Aim: 3 * time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: Keyed,
+			{Name: "view", TargetLatency: 3 * time.Second, Deadline: 4 * time.Second, Value: 1},
+			{Name: "save", TargetLatency: 3 * time.Second, Deadline: 4 * time.Second, Value: 1, Effect: Keyed,
 				Window: time.Second}}}
 }
 
@@ -28,7 +28,7 @@
 	}
 	var list []Entry
 	for id := range servers {
-		list = append(list, Entry{ID: id + 1, Kind: "k"})
+		list = append(list, Entry{ID: id + 1, ServerType: "k"})
 	}
 	b.Handle(0, &Event{Kind: EvList, List: ListFull, Entries: list}, nil)
 	return b
@@ -60,10 +60,10 @@
 		{"slow response that ends after the window", 1100 * time.Millisecond, 300 * time.Millisecond, false, 0},
 	} {
 		b := newListedNode(t, shortWindowSettings(), 3)
-		if findSend(b.Handle(0, &Event{Kind: EvRequest, ID: "r", Class: "save", Left: 4 * time.Second}, nil)) == nil {
+		if findSend(b.Handle(0, &Event{Kind: EvRequest, ID: "r", Class: "save", TimeLeft: 4 * time.Second}, nil)) == nil {
 			t.Fatalf("%s: the request was not sent", c.name)
 		}
-		s := findSend(b.Handle(c.ends, &Event{Kind: EvOutcome, ID: "r", Took: c.firstByte, Outcome: Failed,
+		s := findSend(b.Handle(c.ends, &Event{Kind: EvOutcome, ID: "r", Elapsed: c.firstByte, Outcome: Failed,
 			Load: Load{Queue: -1, Held: -1}}, nil))
 		if (s != nil) != c.retried {
 			t.Errorf("%s: retried %v, want %v", c.name, s != nil, c.retried)
@@ -77,11 +77,11 @@
 // requests again.
 func TestServerIsUsedAgainAfterARejectionWithoutADeadline(t *testing.T) {
 	set := shortWindowSettings()
-	set.Classes = []Class{{Name: "view", Worth: 1}}
+	set.Classes = []Class{{Name: "view", Value: 1}}
 	b := newListedNode(t, set, 1)
 	for i, at := 0, time.Duration(0); ; i, at = i+1, at+100*time.Millisecond {
 		id := "r" + string(rune('a'+i))
-		s := findSend(b.Handle(at, &Event{Kind: EvRequest, ID: id, Class: "view", Left: time.Minute}, nil))
+		s := findSend(b.Handle(at, &Event{Kind: EvRequest, ID: id, Class: "view", TimeLeft: time.Minute}, nil))
 		switch {
 		case s == nil && i == 20:
 			t.Fatal("two seconds after the rejection the server still gets no request")
@@ -90,7 +90,7 @@
 		case i > 0:
 			return
 		}
-		b.Handle(at, &Event{Kind: EvOutcome, ID: id, Outcome: Full, Last: true, Load: Load{Queue: -1, Held: -1}}, nil)
+		b.Handle(at, &Event{Kind: EvOutcome, ID: id, Outcome: QueueFull, Final: true, Load: Load{Queue: -1, Held: -1}}, nil)
 	}
 }
 
@@ -98,7 +98,7 @@
 func TestShortClientTimeoutDoesNotHideTheAgeOfRepeats(t *testing.T) {
 	b := newListedNode(t, shortWindowSettings(), 3)
 	request := func(id string, timeLeft time.Duration, repeat bool) *Action {
-		return findSend(b.Handle(0, &Event{Kind: EvRequest, ID: id, Class: "view", Left: timeLeft, Repeat: repeat}, nil))
+		return findSend(b.Handle(0, &Event{Kind: EvRequest, ID: id, Class: "view", TimeLeft: timeLeft, Repeat: repeat}, nil))
 	}
 	request("first", 4*time.Second, false)
 	request("short timeout", time.Millisecond, false)
@@ -121,7 +121,7 @@
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	s := b.servers[1]
 	setOccupancy(s, t0, 2)
-	report(b, t0, submit(b, t0, "r", "top"), Full, Load{Queue: -1, Held: -1})
+	report(b, t0, submit(b, t0, "r", "top"), QueueFull, Load{Queue: -1, Held: -1})
 	if s.Mode != discard {
 		t.Errorf("mode %d after a rejection, want discard", s.Mode)
 	}
@@ -143,7 +143,7 @@
 		if i%5 == 0 {
 			name = "small"
 		}
-		b.Handle(now, &Event{Kind: EvRequest, ID: "r", Class: "view", Tenant: name, Left: 4 * time.Second}, nil)
+		b.Handle(now, &Event{Kind: EvRequest, ID: "r", Class: "view", Tenant: name, TimeLeft: 4 * time.Second}, nil)
 		r := b.requests["r"]
 		if r == nil {
 			t.Fatalf("request %d was refused", i)
@@ -151,7 +151,7 @@
 		if r.lowPriority && i >= 1000 {
 			low[name]++
 		}
-		b.Handle(now, &Event{Kind: EvOutcome, ID: "r", Took: time.Millisecond, Last: true,
+		b.Handle(now, &Event{Kind: EvOutcome, ID: "r", Elapsed: time.Millisecond, Final: true,
 			Load: Load{Queue: -1, Held: -1}}, nil)
 	}
 	if low["big"] < 300 || low["big"] > 500 || low["small"] > 0 {
@@ -170,7 +170,7 @@
 			return math.Inf(1)
 		}
 		b := &Balancer{halfMinDeadline: maybe("half"), minTargetLatency: maybe("aim")}
-		s := &server{Evidence: Evidence{Room: maybe("room"), Slots: rapid.Float64Range(0, 1e5).Draw(t, "slots")}}
+		s := &server{ServerStats: ServerStats{Room: maybe("room"), Slots: rapid.Float64Range(0, 1e5).Draw(t, "slots")}}
 		service := rapid.Float64Range(1e-6, 1e3).Draw(t, "service")
 		r := s.discardThreshold(b, service)
 		h := s.onsetThreshold(b, r, service)
@@ -183,7 +183,7 @@
 // A balancer that adopts the state of another has the same estimates and selections, other than for a server that was
 // restarted meanwhile, of which nothing is known. Requests in flight of the old one are remote load to the new one.
 func TestAdoptedStateGivesTheSameEstimates(t *testing.T) {
-	entries := []Entry{{ID: 1, Kind: "k", Zone: "a"}, {ID: 2, Kind: "k", Zone: "a"}, {ID: 3, Kind: "k", Zone: "a"}}
+	entries := []Entry{{ID: 1, ServerType: "k", Zone: "a"}, {ID: 2, ServerType: "k", Zone: "a"}, {ID: 3, ServerType: "k", Zone: "a"}}
 	old := newNode(t, defaultSettings(), entries...)
 	for i := range 300 {
 		now := t0 + time.Duration(i)*10*time.Millisecond
@@ -194,9 +194,9 @@
 		}
 	}
 	at := t0 + 3*time.Second
-	learned := old.Learnt()
+	learned := old.LearnedState()
 	old.servers[1].localInFlight = 2
-	if n := old.Learnt().Servers[0].Others - learned.Servers[0].Others; n != 2 {
+	if n := old.LearnedState().Servers[0].Others - learned.Servers[0].Others; n != 2 {
 		t.Errorf("two requests in flight are %.1f of remote load, want 2", n)
 	}
 	old.servers[1].localInFlight = 0
@@ -213,7 +213,7 @@
 		}
 	}
 	if s := adopter.servers[3]; s.Served != 0 || s.Latency != 0 || adopter.capacityShare(s, at.Seconds()) == 1 {
-		t.Errorf("restarted server: %+v, want no statistics and a cold server", s.Evidence)
+		t.Errorf("restarted server: %+v, want no statistics and a cold server", s.ServerStats)
 	}
 	if adopter.Retries != old.Retries || adopter.Picks == 0 || adopter.servers[3].warmShare == 0 {
 		t.Errorf("%.1f retries adopted of %.1f, %.0f selections, share of the cold server %.3f",
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,7 +11,7 @@
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Zone: "north", Nodes: 2, MaxAttempts: 3, DrainGrace: time.Second,
-		Classes: []policy.Class{{Name: "page", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Classes: []policy.Class{{Name: "page", TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -32,19 +32,19 @@
 	list := []policy.Entry{{ID: 1, Zone: "north"}}
 	step(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: list})
 
-	send := step(policy.Event{Kind: policy.EvRequest, ID: "r1", Class: "page", Left: 2 * time.Second})
+	send := step(policy.Event{Kind: policy.EvRequest, ID: "r1", Class: "page", TimeLeft: 2 * time.Second})
 	fmt.Println("send to", send.Server, "for at most", send.Wait)
 
 	now += 30 * time.Millisecond
-	step(policy.Event{Kind: policy.EvOutcome, ID: "r1", Server: 1, Took: 30 * time.Millisecond, Last: true,
+	step(policy.Event{Kind: policy.EvOutcome, ID: "r1", Server: 1, Elapsed: 30 * time.Millisecond, Final: true,
 		Outcome: policy.OK, Load: policy.Load{Known: true, Queue: 2}})
 
 	now += 250 * time.Millisecond
 	step(policy.Event{Kind: policy.EvTimer, Token: "tick"})
 
-	list[0].State = policy.Leaving
+	list[0].State = policy.Draining
 	step(policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: list})
-	response := step(policy.Event{Kind: policy.EvRequest, ID: "r2", Class: "page", Left: 2 * time.Second})
+	response := step(policy.Event{Kind: policy.EvRequest, ID: "r2", Class: "page", TimeLeft: 2 * time.Second})
 	fmt.Println("refused:", response.Kind == policy.ActRefuse)
 	// Output:
 	// send to 1 for at most 2s
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -6,7 +6,7 @@
 func (b *Balancer) recordOutcome(now float64, s *server, r *request, ev *Event) {
 	s.updateLagged(now)
 	s.localInFlight = max(0, s.localInFlight-1)
-	elapsed := max(0, ev.Took.Seconds())
+	elapsed := max(0, ev.Elapsed.Seconds())
 	n := max(ev.Load.Queue, ev.Load.Held, 0)
 	if work := ev.Load.Work; ev.Load.Held < 0 && work > 0 && work < math.MaxInt32 && b.capacityShare(s, now) == 1 {
 		// Where only the queue is reported, a server with many slots can be overloaded by the requests in work while
@@ -37,7 +37,7 @@
 			b.logf("backend %d answers again", s.ID)
 		}
 		b.recordLatency(s, r, ev.Attempt, elapsed)
-	case Full:
+	case QueueFull:
 		// A draining or broken server rejects requests with nothing waiting: that shows no limit.
 		if n := b.estimateOccupancy(s, now) + 1; n >= minOnset {
 			s.Room = min(s.Room, n)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0)), servers: map[uint32]*server{},
-		requests: map[string]*request{}, Totals: Totals{Retries: maxSavedRetries}}
+		requests: map[string]*request{}, TotalStats: TotalStats{Retries: maxSavedRetries}}
 	b.applySettings(&set)
 	return b, nil
 }
@@ -115,7 +115,7 @@
 	classes, tenants := b.classes, b.tenants
 	b.classes, b.tenants, b.settings, b.minTargetLatency, b.halfMinDeadline = nil, nil, *set, math.Inf(1), math.Inf(1)
 	for _, c := range set.Classes {
-		state := &classState{Class: c, ClassSums: ClassSums{Least: c.Deadline.Seconds()}}
+		state := &classState{Class: c, ClassStats: ClassStats{Least: c.Deadline.Seconds()}}
 		if i := slices.IndexFunc(classes, func(old *classState) bool { return old.Name == c.Name }); i >= 0 {
 			*state = *classes[i] // a copy: open requests keep the old one
 			state.Class, state.Least = c, min(state.Least, c.Deadline.Seconds())
@@ -124,7 +124,7 @@
 		if deadline := c.Deadline.Seconds(); deadline > 0 {
 			b.halfMinDeadline = min(b.halfMinDeadline, deadline/2)
 		}
-		if target := c.Aim.Seconds(); target > 0 {
+		if target := c.TargetLatency.Seconds(); target > 0 {
 			b.minTargetLatency = min(b.minTargetLatency, target)
 		}
 	}
@@ -139,32 +139,32 @@
 }
 
 // LearnedState returns a copy of the statistics.
-func (b *Balancer) Learnt() *Learnt {
-	l := &Learnt{At: b.now, Totals: b.Totals, Servers: make([]Known, len(b.sorted)),
-		Classes: map[string]ClassSums{}}
+func (b *Balancer) LearnedState() *LearnedState {
+	l := &LearnedState{At: b.now, TotalStats: b.TotalStats, Servers: make([]LearnedServer, len(b.sorted)),
+		Classes: map[string]ClassStats{}}
 	for i, s := range b.sorted {
-		l.Servers[i] = Known{s.ID, s.launchedAt, s.Evidence}
+		l.Servers[i] = LearnedServer{s.ID, s.launchedAt, s.ServerStats}
 		l.Servers[i].Others += s.localInFlight // requests of this process are remote load to its successor
 	}
 	for _, c := range b.classes {
-		l.Classes[c.Name] = c.ClassSums
+		l.Classes[c.Name] = c.ClassStats
 	}
 	return l
 }
 
 // Adopt adopts the statistics of another process: of the servers that were not restarted since, and of the classes that
 // are present. It must follow a server list and precede the first request.
-func (b *Balancer) Adopt(now time.Duration, l *Learnt) {
-	b.now, b.Totals, b.statsStart = max(now.Seconds(), b.now), l.Totals, math.Inf(-1)
+func (b *Balancer) Adopt(now time.Duration, l *LearnedState) {
+	b.now, b.TotalStats, b.statsStart = max(now.Seconds(), b.now), l.TotalStats, math.Inf(-1)
 	for i := range l.Servers {
 		if known := &l.Servers[i]; b.servers[known.ID] != nil && b.servers[known.ID].launchedAt == known.Launched {
-			b.servers[known.ID].Evidence = known.Evidence
+			b.servers[known.ID].ServerStats = known.ServerStats
 		}
 	}
 	for _, c := range b.classes {
 		if stats, present := l.Classes[c.Name]; present {
 			stats.Least = min(stats.Least, c.Least)
-			c.ClassSums = stats
+			c.ClassStats = stats
 		}
 	}
 	b.refresh(b.now)
@@ -180,17 +180,17 @@
 		b.handleRequest(t, ev)
 	case EvOutcome:
 		b.handleOutcome(t, ev)
-	case EvGone:
+	case EvClientGone:
 		b.handleClientGone(ev)
 	case EvList:
 		b.handleList(t, ev)
 	case EvEnable:
 		b.handleEnable(t, ev)
-	case EvDisable, EvWeigh:
+	case EvDisable, EvSetWeight:
 		if s := b.servers[ev.Server]; s != nil && ev.Kind == EvDisable {
 			s.disabled = true
 		} else if s != nil {
-			s.weightReduction, s.maxConcurrent = 1-min(1, max(1e-3, ev.Weight)), float64(ev.Most)
+			s.weightReduction, s.maxConcurrent = 1-min(1, max(1e-3, ev.Weight)), float64(ev.MaxConcurrent)
 		}
 	case EvSettings:
 		b.applySettings(ev.Settings)
@@ -230,7 +230,7 @@
 		c = &classState{Class: Class{Name: ev.Class, Effect: Unsafe}}
 	}
 	c.Requests++
-	timeLeft := ev.Left.Seconds()
+	timeLeft := ev.TimeLeft.Seconds()
 	var r *request
 	if n := len(b.freeRequests); n > 0 {
 		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
@@ -239,7 +239,7 @@
 	}
 	*r = request{id: ev.ID, class: c, expiresAt: now + timeLeft, usefulUntil: now + timeLeft,
 		maxAttempts: b.settings.MaxAttempts, attempts: r.attempts[:0]}
-	if target := c.Aim.Seconds(); target > 0 && c.LateWorth == 0 {
+	if target := c.TargetLatency.Seconds(); target > 0 && c.LateValue == 0 {
 		// A repeat with less time left than any recent first request has what remains of the deadline, which shows the
 		// age of the original request. Work on one past its target latency earns nothing and only delays others. A
 		// first request with a short timeout says nothing of the time that other clients have.
@@ -252,8 +252,8 @@
 	}
 	b.requests[ev.ID] = r
 	b.Total++
-	r.candidates = ev.Among
-	r.overQuota = ev.Borrowed // guarantees of others come first wherever anything waits
+	r.candidates = ev.Candidates
+	r.overQuota = ev.OverQuota // guarantees of others come first wherever anything waits
 	if r.lowPriority = b.exceedsQuota(ev.Tenant) || c.lowPriority || r.overQuota; r.lowPriority {
 		b.Lessers++
 	}
@@ -308,7 +308,7 @@
 
 // TrafficShare returns this node's share of the requests that the servers hold. It is known only where the latest
 // report had the number of requests held: it can't be derived from the length of a queue alone.
-func (b *Balancer) Part() (share float64, known bool) { return b.trafficShare, b.heldReported }
+func (b *Balancer) TrafficShare() (share float64, known bool) { return b.trafficShare, b.heldReported }
 
 // finish gives the final response: a refusal where the client may safely retry, a failure elsewhere.
 func (b *Balancer) finish(now float64, r *request) {
@@ -336,18 +336,18 @@
 	r.attempts[ev.Attempt].pending = false
 	r.pending--
 	b.recordOutcome(now, s, r, ev)
-	r.finished = r.finished || ev.Last
+	r.finished = r.finished || ev.Final
 	if r.finished {
 		if r.pending == 0 {
 			b.release(r)
 		}
 		return
 	}
-	if r.mayHaveRunOn == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != Moot {
+	if r.mayHaveRunOn == nil && ev.Outcome != QueueFull && ev.Outcome != ConnectFailed && ev.Outcome != NeverSent {
 		r.mayHaveRunOn, r.mayHaveRunAt = s, r.attempts[ev.Attempt].sentAt
 	}
 	r.lastTried = s
-	if !ev.Spent && b.canRetry(now, r) && b.dispatch(now, r) {
+	if !ev.BodySpent && b.canRetry(now, r) && b.dispatch(now, r) {
 		b.Retries--
 	} else {
 		b.finish(now, r)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,11 +20,11 @@
 	s := Settings{
 		Zone: "a", Nodes: 2,
 		Classes: []Class{
-			{Name: "top", Aim: time.Second, Deadline: 2 * time.Second, Worth: 10},
-			{Name: "low", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "key", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: Keyed, Group: GroupZone,
+			{Name: "top", TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 10},
+			{Name: "low", TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 1},
+			{Name: "key", TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 1, Effect: Keyed, Group: GroupZone,
 				Window: time.Second},
-			{Name: "once", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: Unsafe},
+			{Name: "once", TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 1, Effect: Unsafe},
 		},
 		MaxAttempts: 3, Cancel: true, RetryAfter: time.Second, DrainGrace: time.Second,
 		ColdShare: 0.25, ColdFor: 10 * time.Second, FallFactor: 3, FallFor: 2 * time.Second,
@@ -51,7 +51,7 @@
 
 // submit passes a request to a balancer and returns the send or the final response.
 func submit(b *Balancer, now time.Duration, id, class string) Action {
-	out := b.Handle(now, &Event{Kind: EvRequest, ID: id, Class: class, Left: 2 * time.Second}, nil)
+	out := b.Handle(now, &Event{Kind: EvRequest, ID: id, Class: class, TimeLeft: 2 * time.Second}, nil)
 	return lastAction(out)
 }
 
@@ -59,7 +59,7 @@
 // any.
 func report(b *Balancer, now time.Duration, send Action, o Outcome, load Load) Action {
 	out := b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Server: send.Server, Attempt: send.Attempt,
-		Took: 50 * time.Millisecond, Outcome: o, Last: o == OK, Load: load}, nil)
+		Elapsed: 50 * time.Millisecond, Outcome: o, Final: o == OK, Load: load}, nil)
 	return lastAction(out)
 }
 
@@ -85,7 +85,7 @@
 	r := 20.0
 	set := defaultSettings()
 	set.Classes = set.Classes[:2]
-	set.Classes[0].Aim, set.Classes[1].Aim = 0, 0 // H is then 0.9 R: no target latency limits it
+	set.Classes[0].TargetLatency, set.Classes[1].TargetLatency = 0, 0 // H is then 0.9 R: no target latency limits it
 	h := onset * r
 	l := h * abatement / onset
 	below := func(x float64) float64 { return x - 1e-6 }
@@ -210,7 +210,7 @@
 		{"rejected with nothing waiting: a drain, no limit", 2 * time.Second, 0, 20},
 	} {
 		set := defaultSettings(func(s *Settings) {
-			s.Classes = []Class{{Name: "top", Deadline: c.deadline, Worth: 1}}
+			s.Classes = []Class{{Name: "top", Deadline: c.deadline, Value: 1}}
 		})
 		b := newNode(t, set, Entry{ID: 1, Zone: "a"})
 		s := b.servers[1]
@@ -219,7 +219,7 @@
 			send := submit(b, now, "r", "top")
 			setOccupancy(s, now, c.full)
 			s.localInFlight = 1
-			report(b, now, send, Full, Load{})
+			report(b, now, send, QueueFull, Load{})
 		}
 		if r := s.discardThreshold(b, b.serviceTime(s)); math.Abs(r-c.want) > 0.5 && r != c.want {
 			t.Errorf("%s: R %v, want %v", c.name, r, c.want)
@@ -234,7 +234,7 @@
 	s := b.servers[1]
 	setOccupancy(s, t0, 7)
 	send := submit(b, t0, "r", "top")
-	report(b, t0, send, Full, Load{Known: true, Queue: 1})
+	report(b, t0, send, QueueFull, Load{Known: true, Queue: 1})
 	if s.Mode == normal {
 		t.Fatalf("mode %d after a rejection with a report from before it, want a mode other than normal", s.Mode)
 	}
@@ -379,7 +379,7 @@
 		if send.Kind != ActSend {
 			t.Fatalf("attempt %d: got %+v, want a send", i, send)
 		}
-		report(b, t0, send, Full, Load{})
+		report(b, t0, send, QueueFull, Load{})
 	}
 	if s.Ejected <= t0.Seconds() {
 		t.Error("not ejected after it rejected all requests")
@@ -442,10 +442,10 @@
 		o     Outcome
 		want  ActionKind
 	}{
-		{"top", Failed, ActSend}, {"top", TimedOut, ActSend}, {"top", Full, ActSend},
-		{"key", Full, ActSend}, {"key", ConnectFailed, ActSend}, {"key", Moot, ActSend},
+		{"top", Failed, ActSend}, {"top", TimedOut, ActSend}, {"top", QueueFull, ActSend},
+		{"key", QueueFull, ActSend}, {"key", ConnectFailed, ActSend}, {"key", NeverSent, ActSend},
 		{"key", Failed, ActFail}, {"key", Reset, ActFail}, // the only other server is in another zone
-		{"once", Full, ActSend}, {"once", Failed, ActFail}, {"once", TimedOut, ActFail},
+		{"once", QueueFull, ActSend}, {"once", Failed, ActFail}, {"once", TimedOut, ActFail},
 		{"once", Reset, ActFail}, {"once", Canceled, ActFail}, {"unknown", Failed, ActFail},
 	} {
 		b := newNode(t, defaultSettings(), two...)
@@ -500,7 +500,7 @@
 func TestDisconnectCancelsAndLateEventsChangeNothing(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	send := submit(b, t0, "r", "top")
-	out := b.Handle(t0, &Event{Kind: EvGone, ID: "r"}, nil)
+	out := b.Handle(t0, &Event{Kind: EvClientGone, ID: "r"}, nil)
 	if len(out) != 1 || out[0].Kind != ActCancel || out[0].Attempt != 0 {
 		t.Errorf("client disconnected: %+v, want a cancel", out)
 	}
@@ -510,7 +510,7 @@
 	}
 	inFlight := b.servers[1].localInFlight
 	for _, ev := range []Event{
-		{Kind: EvGone, ID: "r"}, {Kind: EvGone, ID: "unknown"},
+		{Kind: EvClientGone, ID: "r"}, {Kind: EvClientGone, ID: "unknown"},
 		{Kind: EvOutcome, ID: "r", Server: 1}, {Kind: EvOutcome, ID: "unknown", Server: 9, Attempt: -1},
 		{Kind: EvOther},
 	} {
@@ -538,7 +538,7 @@
 	}
 	entry := func(id uint32, s State) Entry { return Entry{ID: id, Zone: "a", State: s} }
 	b := newNode(t, defaultSettings(), entry(1, Active), entry(2, Active))
-	b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{entry(1, Leaving)}}, nil)
+	b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{entry(1, Draining)}}, nil)
 	if got := serversInUse(b, t0); got[1] || !got[2] {
 		t.Errorf("server 1 drains: sent to %v, want 2 alone", got)
 	}
@@ -565,7 +565,7 @@
 
 // An empty list must not put a draining server back into use.
 func TestEmptyListDoesNotEndADrain(t *testing.T) {
-	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a", State: Leaving})
+	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a", State: Draining})
 	b.Handle(t0, &Event{Kind: EvList, List: ListFull}, nil)
 	if a := submit(b, t0+time.Millisecond, "r", "top"); a.Kind != ActRefuse {
 		t.Errorf("request with only a draining server: %+v, want a refusal", a)
@@ -613,7 +613,7 @@
 
 // A cold server gets no more requests than its share of capacity allows, compared with a warm one, bursts included.
 func TestColdServerGetsAGrowingShare(t *testing.T) {
-	warm := []Entry{{ID: 1, Zone: "a", Kind: "k"}, {ID: 2, Zone: "a", Kind: "k"}}
+	warm := []Entry{{ID: 1, Zone: "a", ServerType: "k"}, {ID: 2, Zone: "a", ServerType: "k"}}
 	b := newNode(t, defaultSettings(), warm...)
 	run := func(from time.Duration, n int) map[uint32]int {
 		to := map[uint32]int{}
@@ -631,7 +631,7 @@
 	run(t0, 1000)
 	start := t0 + 10*time.Second
 	b.Handle(start, &Event{Kind: EvList, List: ListDelta,
-		Entries: []Entry{{ID: 3, Zone: "a", Kind: "k", Launched: start}}}, nil)
+		Entries: []Entry{{ID: 3, Zone: "a", ServerType: "k", Launched: start}}}, nil)
 	if got := run(start, 200)[3]; got == 0 || got > 60 {
 		t.Errorf("%d of 200 requests in 2 s went to a cold server, want 1 to 60: a warm one gets 100, the share of capacity is"+
 			" 0.25 to 0.4, and half of FallFactor 1.5", got)
@@ -647,7 +647,7 @@
 // idle.
 func TestLimitOfAColdServerHoldsNextToOverloadedOnes(t *testing.T) {
 	set := defaultSettings()
-	b := newNode(t, set, Entry{ID: 1, Zone: "a", Kind: "k"}, Entry{ID: 2, Zone: "a", Kind: "k"})
+	b := newNode(t, set, Entry{ID: 1, Zone: "a", ServerType: "k"}, Entry{ID: 2, Zone: "a", ServerType: "k"})
 	now, n, got := t0, 0, 0
 	type pending struct {
 		send Action
@@ -681,7 +681,7 @@
 		step()
 	}
 	b.Handle(now, &Event{Kind: EvList, List: ListDelta,
-		Entries: []Entry{{ID: 3, Zone: "a", Kind: "k", Launched: now}}}, nil)
+		Entries: []Entry{{ID: 3, Zone: "a", ServerType: "k", Launched: now}}}, nil)
 	for range 200 {
 		if step().Server == 3 {
 			got++
@@ -806,7 +806,7 @@
 
 // A new server has the service time of its type until it has enough responses itself.
 func TestServiceTimeStartsFromTheServerType(t *testing.T) {
-	b := newNode(t, defaultSettings(), Entry{ID: 1, Kind: "slow"}, Entry{ID: 2, Kind: "fast"}, Entry{ID: 3, Kind: "slow"})
+	b := newNode(t, defaultSettings(), Entry{ID: 1, ServerType: "slow"}, Entry{ID: 2, ServerType: "fast"}, Entry{ID: 3, ServerType: "slow"})
 	b.servers[1].Latency, b.servers[1].Occupancy = 400, 1000
 	b.servers[2].Latency, b.servers[2].Occupancy = 50, 1000
 	b.refresh(t0.Seconds() + 0.25)
@@ -845,7 +845,7 @@
 func TestServerWeightAndConcurrencyLimit(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	setWeight := func(weight float64, maxConcurrent int) {
-		b.Handle(t0, &Event{Kind: EvWeigh, Server: 1, Weight: weight, Most: maxConcurrent}, nil)
+		b.Handle(t0, &Event{Kind: EvSetWeight, Server: 1, Weight: weight, MaxConcurrent: maxConcurrent}, nil)
 	}
 	requests := 0
 	share := func(held float64) float64 {
@@ -858,7 +858,7 @@
 		}
 		return float64(to[1]) / 400
 	}
-	b.Handle(t0, &Event{Kind: EvWeigh, Server: 7, Weight: 1}, nil)
+	b.Handle(t0, &Event{Kind: EvSetWeight, Server: 7, Weight: 1}, nil)
 	for _, c := range []struct{ weight, low, high float64 }{{1, 0.4, 0.6}, {0.25, 0.12, 0.28}, {0, 0, 0.01}, {7, 0.4, 0.6}} {
 		setWeight(c.weight, 0)
 		if got := share(1); got < c.low || got > c.high {
@@ -904,8 +904,8 @@
 		{true, 1e300, -1, 1e300}, {true, 1, -1, math.NaN()}, {true, 1, -1, -3}, {true, 1, -1, math.Inf(1)}} {
 		for j := 0; j < 4; j++ {
 			send := submit(b, t0-time.Duration(i)*time.Hour, string(rune(1000+10*i+j)), "top") // the clock steps back
-			b.Handle(t0, &Event{Kind: EvOutcome, ID: send.ID, Server: send.Server, Took: -time.Hour, Load: l,
-				Last: true}, nil)
+			b.Handle(t0, &Event{Kind: EvOutcome, ID: send.ID, Server: send.Server, Elapsed: -time.Hour, Load: l,
+				Final: true}, nil)
 		}
 	}
 	if send := submit(b, t0+time.Second, "r", "top"); send.Kind != ActSend || send.Wait != 2*time.Second {
@@ -917,10 +917,10 @@
 	for key, invalidate := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"Name":        func(s *Settings) { s.Classes[0].Name = "" },
-		"Aim":         func(s *Settings) { s.Classes[0].Aim = -1 },
+		"Aim":         func(s *Settings) { s.Classes[0].TargetLatency = -1 },
 		"Effect":      func(s *Settings) { s.Classes[0].Effect = 9 },
 		"Group":       func(s *Settings) { s.Classes[0].Group = 9 },
-		"Worth":       func(s *Settings) { s.Classes[0].Worth = math.NaN() },
+		"Worth":       func(s *Settings) { s.Classes[0].Value = math.NaN() },
 		"Nodes":       func(s *Settings) { s.Nodes = 0 },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"DrainGrace":  func(s *Settings) { s.DrainGrace = -1 },
@@ -929,7 +929,7 @@
 		"FallFactor":  func(s *Settings) { s.FallFactor = -1 },
 		"Deadline":    func(s *Settings) { s.Classes[0].Deadline = -1 },
 		"Window":      func(s *Settings) { s.Classes[2].Window = -1 },
-		"LateWorth":   func(s *Settings) { s.Classes[0].LateWorth = math.Inf(1) },
+		"LateWorth":   func(s *Settings) { s.Classes[0].LateValue = math.Inf(1) },
 		"MustAskIn":   func(s *Settings) { s.MustAskIn = -1 },
 		"RetryAfter":  func(s *Settings) { s.RetryAfter = -1 },
 		"ColdFor":     func(s *Settings) { s.ColdFor = -1 },
@@ -1062,10 +1062,10 @@
 		{"repeat that is 1.5 s old, where late responses have value", true, 500 * time.Millisecond, 0.5,
 			ActSend, 500 * time.Millisecond},
 	} {
-		b := newNode(t, defaultSettings(func(s *Settings) { s.Classes[1].LateWorth = c.lateValue }), Entry{ID: 1, Zone: "a"})
+		b := newNode(t, defaultSettings(func(s *Settings) { s.Classes[1].LateValue = c.lateValue }), Entry{ID: 1, Zone: "a"})
 		request := func(id string, timeLeft time.Duration, repeat bool) Action {
 			return lastAction(b.Handle(t0,
-				&Event{Kind: EvRequest, ID: id, Class: "low", Left: timeLeft, Repeat: repeat}, nil))
+				&Event{Kind: EvRequest, ID: id, Class: "low", TimeLeft: timeLeft, Repeat: repeat}, nil))
 		}
 		setOccupancy(b.servers[1], t0, 0)
 		request("earlier", 1200*time.Millisecond, false)
@@ -1081,7 +1081,7 @@
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	send := submit(b, t0, "r", "once")
 	b.servers[1].LastOK = t0.Seconds() - 0.1
-	if report(b, t0, send, Full, Load{}); b.servers[1].Bad > 0 {
+	if report(b, t0, send, QueueFull, Load{}); b.servers[1].Bad > 0 {
 		t.Error("a rejection counts as a failure of a server that responded 0.1 s before")
 	}
 }
@@ -1094,7 +1094,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{Evidence: Evidence{Bad: 1}}
+		s := &server{ServerStats: ServerStats{Bad: 1}}
 		b.recordFailure(100, s, unreachableTimeConstant)
 		ends[s.Ejected] = true
 	}
@@ -1107,13 +1107,13 @@
 func TestRepeatedEventsChangeNothing(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	submit(b, t0, "r", "low")
-	if out := b.Handle(t0, &Event{Kind: EvRequest, ID: "r", Class: "low", Left: time.Second}, nil); len(out) > 0 {
+	if out := b.Handle(t0, &Event{Kind: EvRequest, ID: "r", Class: "low", TimeLeft: time.Second}, nil); len(out) > 0 {
 		t.Errorf("the same request again: %+v, want no action", out)
 	}
-	if out := b.Handle(t0, &Event{Kind: EvGone, ID: "r"}, nil); len(out) != 1 || out[0].Kind != ActCancel {
+	if out := b.Handle(t0, &Event{Kind: EvClientGone, ID: "r"}, nil); len(out) != 1 || out[0].Kind != ActCancel {
 		t.Errorf("client disconnected: %+v, want a cancel", out)
 	}
-	if out := b.Handle(t0, &Event{Kind: EvGone, ID: "r"}, nil); len(out) > 0 {
+	if out := b.Handle(t0, &Event{Kind: EvClientGone, ID: "r"}, nil); len(out) > 0 {
 		t.Errorf("client disconnected, again: %+v, want no action", out)
 	}
 	if b.Handle(t0-time.Hour, &Event{Kind: EvOther}, nil); b.now != t0.Seconds() {
@@ -1165,7 +1165,7 @@
 // A cold server of a type without a warm server gets half of what the warm ones of other types get: its type may be
 // slower.
 func TestColdServerOfAnUnknownType(t *testing.T) {
-	b := newNode(t, defaultSettings(), Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "new", Launched: t0})
+	b := newNode(t, defaultSettings(), Entry{ID: 1, ServerType: "k"}, Entry{ID: 2, ServerType: "new", Launched: t0})
 	b.servers[1].Served, b.Picks = 60, 119
 	b.refresh(b.lastRefreshAt)
 	if got := b.servers[2].warmShare; math.Abs(got-0.25) > 0.01 {
@@ -1182,7 +1182,7 @@
 	var fleet []*Balancer
 	var entries []Entry
 	for i := range servers {
-		entries = append(entries, Entry{ID: uint32(i + 1), Kind: "k"})
+		entries = append(entries, Entry{ID: uint32(i + 1), ServerType: "k"})
 	}
 	for i := range nodes {
 		b, _ := New(set, uint64(i))
@@ -1198,7 +1198,7 @@
 		if now == start {
 			for _, b := range fleet {
 				b.Handle(now, &Event{Kind: EvList, List: ListDelta,
-					Entries: []Entry{{ID: 99, Kind: "k", Launched: now}}}, nil)
+					Entries: []Entry{{ID: 99, ServerType: "k", Launched: now}}}, nil)
 			}
 		}
 		b := fleet[rng.IntN(nodes)]
@@ -1249,13 +1249,13 @@
 		limit float64
 	}{{20, 160, 0.25}, {10, 50, 0.25}, {3, 30, 0.14}, {3, 9, 0.45}, {20, 20, 0}, {0.3, 0.3, 0}} {
 		b := newNode(t, defaultSettings(func(s *Settings) { s.ColdFor = time.Minute }),
-			Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "k", Launched: t0})
+			Entry{ID: 1, ServerType: "k"}, Entry{ID: 2, ServerType: "k", Launched: t0})
 		now := t0
 		run := func(rate float64, span time.Duration) (share float64) {
 			next := now.Seconds()
 			for end := now + span; now < end; now += 250 * time.Millisecond {
 				for ; next < now.Seconds(); next += 1 / rate {
-					b.handleRequest(next, &Event{ID: fmt.Sprint(rate, next), Class: "low", Left: time.Second})
+					b.handleRequest(next, &Event{ID: fmt.Sprint(rate, next), Class: "low", TimeLeft: time.Second})
 					b.servers[1].Served += c.before / rate
 				}
 				b.refresh(now.Seconds())
@@ -1279,7 +1279,7 @@
 func TestNewNodeWithColdServersOnly(t *testing.T) {
 	const nodes, rate = 100, 10.0
 	set := defaultSettings(func(s *Settings) { s.Nodes, s.ColdFor = nodes, time.Minute })
-	b := newNode(t, set, Entry{ID: 1, Kind: "k", Launched: t0}, Entry{ID: 2, Kind: "k", Launched: t0})
+	b := newNode(t, set, Entry{ID: 1, ServerType: "k", Launched: t0}, Entry{ID: 2, ServerType: "k", Launched: t0})
 	next, got := t0.Seconds(), 0.0
 	for now := t0; now < t0+20*time.Second; now += 250 * time.Millisecond {
 		b.refresh(now.Seconds())
@@ -1289,7 +1289,7 @@
 			t.Errorf("after %v: %.2f of the intended share, want at most 1.05", now-t0, got)
 		}
 		for ; next < (now + 250*time.Millisecond).Seconds(); next += 1 / rate {
-			b.handleRequest(next, &Event{ID: fmt.Sprint(next), Class: "low", Left: time.Second})
+			b.handleRequest(next, &Event{ID: fmt.Sprint(next), Class: "low", TimeLeft: time.Second})
 		}
 	}
 	if got < 0.9 {
@@ -1302,7 +1302,7 @@
 // counted.
 func TestColdShareAppliesToInitialSelections(t *testing.T) {
 	b := newNode(t, defaultSettings(func(s *Settings) { s.Nodes = 100 }),
-		Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "k"}, Entry{ID: 3, Kind: "k", Launched: t0})
+		Entry{ID: 1, ServerType: "k"}, Entry{ID: 2, ServerType: "k"}, Entry{ID: 3, ServerType: "k", Launched: t0})
 	b.servers[3].warmShare = 1e9 // every request that may go to it does
 	for _, c := range []struct {
 		name     string
@@ -1391,7 +1391,7 @@
 	once, safe := submit(b, t0, "once", "once"), submit(b, t0, "safe", "low")
 	b.servers[1].Latency, b.classes[1].Requests = 7, 9
 	set := defaultSettings(func(s *Settings) {
-		s.Classes = []Class{{Name: "low", Deadline: time.Second, Worth: 1, Effect: Unsafe},
+		s.Classes = []Class{{Name: "low", Deadline: time.Second, Value: 1, Effect: Unsafe},
 			{Name: "new", Deadline: time.Second}}
 		s.MaxAttempts = 2
 	})
@@ -1422,7 +1422,7 @@
 func manyServers(n int) []Entry {
 	var all []Entry
 	for i := range n {
-		all = append(all, Entry{ID: uint32(i + 1), Zone: fmt.Sprint("z", i%3), Cell: int64(i / 4), Kind: "k"})
+		all = append(all, Entry{ID: uint32(i + 1), Zone: fmt.Sprint("z", i%3), Cell: int64(i / 4), ServerType: "k"})
 	}
 	return all
 }
@@ -1442,8 +1442,8 @@
 			t.Fatalf("request %d: %+v, want a send", i, a)
 		}
 		got[a.Server]++
-		b.Handle(now, &Event{Kind: EvOutcome, ID: fmt.Sprint(i), Server: a.Server, Outcome: OK, Last: true,
-			Took: time.Millisecond, Load: Load{Queue: -1, Held: -1}}, nil)
+		b.Handle(now, &Event{Kind: EvOutcome, ID: fmt.Sprint(i), Server: a.Server, Outcome: OK, Final: true,
+			Elapsed: time.Millisecond, Load: Load{Queue: -1, Held: -1}}, nil)
 		b.servers[a.Server].Latency, b.servers[a.Server].Occupancy = 0, 0 // so that they stay equal
 	}
 	zone := func(z int) (sum, low, high int) {
@@ -1474,8 +1474,8 @@
 	for i := range 200 {
 		if a := submit(b, now, fmt.Sprint("x", i), "read"); a.Kind == ActSend && a.Server%20 == 0 {
 			sent++
-			b.Handle(now, &Event{Kind: EvOutcome, ID: fmt.Sprint("x", i), Server: a.Server, Outcome: OK, Last: true,
-				Took: time.Millisecond, Load: Load{Queue: -1, Held: -1}}, nil)
+			b.Handle(now, &Event{Kind: EvOutcome, ID: fmt.Sprint("x", i), Server: a.Server, Outcome: OK, Final: true,
+				Elapsed: time.Millisecond, Load: Load{Queue: -1, Held: -1}}, nil)
 		} else if a.Kind == ActSend {
 			t.Fatalf("sent to server %d, which is full", a.Server)
 		}
@@ -1496,9 +1496,9 @@
 		e := &entries[rng.IntN(len(entries))]
 		switch rng.IntN(4) {
 		case 0:
-			e.State = Leaving
+			e.State = Draining
 		case 1:
-			e.State = Left
+			e.State = Removed
 		case 2:
 			e.State, e.Launched = Active, now
 		default:
@@ -1523,7 +1523,7 @@
 		}
 		listed := 0
 		for _, e := range entries {
-			if e.State != Left {
+			if e.State != Removed {
 				listed++
 			}
 		}
@@ -1538,13 +1538,13 @@
 // A keyed request that may have run is retried only within its cell, also where the list is long.
 func TestRetriesStayInTheirCellOfALongList(t *testing.T) {
 	b := newNode(t, defaultSettings(func(s *Settings) {
-		s.Classes = append(s.Classes, Class{Name: "by-cell", Deadline: 10 * time.Second, Aim: 5 * time.Second, Worth: 1,
+		s.Classes = append(s.Classes, Class{Name: "by-cell", Deadline: 10 * time.Second, TargetLatency: 5 * time.Second, Value: 1,
 			Effect: Keyed, Group: GroupCell, Window: 5 * time.Second})
 	}), manyServers(400)...)
 	retries := 0
 	for i := range 200 {
 		id := fmt.Sprint(i)
-		first := lastAction(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "by-cell", Left: 5 * time.Second}, nil))
+		first := lastAction(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "by-cell", TimeLeft: 5 * time.Second}, nil))
 		next := lastAction(b.Handle(t0+time.Millisecond, &Event{Kind: EvOutcome, ID: id, Server: first.Server, Outcome: Reset,
 			Load: Load{Queue: -1, Held: -1}}, nil))
 		if next.Kind == ActSend {
@@ -1573,11 +1573,11 @@
 			candidates = nil
 		}
 		a := lastAction(b.Handle(t0,
-			&Event{Kind: EvRequest, ID: id, Class: "read", Left: time.Second, Among: candidates}, nil))
+			&Event{Kind: EvRequest, ID: id, Class: "read", TimeLeft: time.Second, Candidates: candidates}, nil))
 		if candidates != nil && a.Server > 40 {
 			t.Fatalf("request %d with the first 40 servers as candidates went to %d", i, a.Server)
 		}
-		b.Handle(t0, &Event{Kind: EvOutcome, ID: id, Server: a.Server, Outcome: OK, Last: true, Took: time.Millisecond,
+		b.Handle(t0, &Event{Kind: EvOutcome, ID: id, Server: a.Server, Outcome: OK, Final: true, Elapsed: time.Millisecond,
 			Load: Load{Queue: -1, Held: -1}}, nil)
 	}
 }
@@ -1586,14 +1586,14 @@
 func TestNewServerTypeInALongList(t *testing.T) {
 	entries := manyServers(60)
 	for i := range entries {
-		entries[i].Kind = fmt.Sprint("k", i%7)
+		entries[i].ServerType = fmt.Sprint("k", i%7)
 	}
 	for range 20 {
 		b := newNode(t, defaultSettings(), entries...)
 		for i, k := range []string{"k0", "k1", "k2", "k3", "k4", "k5", "k6"} {
 			b.serverTypes[k].serviceTime = float64(i)
 		}
-		b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{{ID: 900, Zone: "z1", Kind: "new"}}}, nil)
+		b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{{ID: 900, Zone: "z1", ServerType: "new"}}}, nil)
 		if s := b.servers[900]; s.typeStats != b.allTypes || s.typeServiceTime != b.allTypes.serviceTime {
 			t.Fatalf("new server type has the statistics %+v, want those of all servers", s.typeStats)
 		}
@@ -1609,7 +1609,7 @@
 		for i := range 50 {
 			id := fmt.Sprint(i)
 			a := lastAction(b.Handle(t0,
-				&Event{Kind: EvRequest, ID: id, Class: "read", Left: time.Second, Among: candidates}, nil))
+				&Event{Kind: EvRequest, ID: id, Class: "read", TimeLeft: time.Second, Candidates: candidates}, nil))
 			for range 3 {
 				if a.Kind != ActSend {
 					break
@@ -1618,12 +1618,12 @@
 					t.Fatalf("sent to server %d, which is not a candidate", a.Server)
 				}
 				a = lastAction(b.Handle(t0, &Event{Kind: EvOutcome, ID: id, Server: a.Server, Attempt: a.Attempt,
-					Outcome: Full, Load: Load{Queue: -1, Held: -1}}, nil))
+					Outcome: QueueFull, Load: Load{Queue: -1, Held: -1}}, nil))
 			}
 		}
 		for _, empty := range [][]uint32{{}, {4000}} {
-			if a := lastAction(b.Handle(t0, &Event{Kind: EvRequest, ID: "none", Class: "read", Left: time.Second,
-				Among: empty}, nil)); a.Kind != ActRefuse {
+			if a := lastAction(b.Handle(t0, &Event{Kind: EvRequest, ID: "none", Class: "read", TimeLeft: time.Second,
+				Candidates: empty}, nil)); a.Kind != ActRefuse {
 				t.Errorf("candidates %v: %+v, want a refusal", empty, a)
 			}
 		}
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -33,7 +33,7 @@
 			if s.State == Active {
 				s.graceUntil = graceUntil
 			}
-			s.State = Left // the listed ones are restored below
+			s.State = Removed // the listed ones are restored below
 		}
 		if graceUntil > 0 {
 			return
@@ -66,11 +66,11 @@
 
 // addServer adds a server to a long list, with the statistics of its type. A server that was removed is dropped.
 func (b *Balancer) addServer(s *server) {
-	if s.State == Left {
+	if s.State == Removed {
 		delete(b.servers, s.ID)
 		return
 	}
-	s.typeStats = cmp.Or(b.serverTypes[s.Kind], b.allTypes) // until the next refresh, a new type has those of all
+	s.typeStats = cmp.Or(b.serverTypes[s.ServerType], b.allTypes) // until the next refresh, a new type has those of all
 	s.applyType(b)
 	b.updateIndexes(s, true)
 }
@@ -100,7 +100,7 @@
 func newServer(now, launchedAt float64) *server {
 	inf := math.Inf(1)
 	return &server{launchedAt: launchedAt, laggedAt: now,
-		Evidence: Evidence{Room: inf, Base: inf, ReportAt: now, LastOK: now}}
+		ServerStats: ServerStats{Room: inf, Base: inf, ReportAt: now, LastOK: now}}
 }
 
 // handleEnable enables a server that an operator had disabled. It may have been restarted meanwhile, which the list
@@ -121,7 +121,7 @@
 // rebuildIndexes drops the servers that were removed or restarted, adds the given ones, and orders the lists by id.
 func (b *Balancer) rebuildIndexes(added ...*server) {
 	// Pending attempts hold on to the servers that are dropped.
-	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Left })
+	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Removed })
 	b.sorted = slices.DeleteFunc(append(b.sorted, added...), func(s *server) bool { return b.servers[s.ID] != s })
 	slices.SortFunc(b.sorted, byID)
 	b.byZone, b.byCell = map[string][]*server{}, map[int64][]*server{}
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -20,14 +20,14 @@
 	return policy.Settings{
 		Zone: "east", Nodes: nodes, MustAsk: subscribe, MustAskIn: 10 * time.Second,
 		Classes: []policy.Class{
-			{Name: "read", Aim: 400 * ms, Deadline: time.Second, Worth: 10, Effect: policy.Safe},
-			{Name: "put", Aim: 300 * ms, Deadline: time.Second, Worth: 1, Effect: policy.Keyed,
+			{Name: "read", TargetLatency: 400 * ms, Deadline: time.Second, Value: 10, Effect: policy.Safe},
+			{Name: "put", TargetLatency: 300 * ms, Deadline: time.Second, Value: 1, Effect: policy.Keyed,
 				Group: policy.GroupZone, Window: 120 * ms},
-			{Name: "note", Aim: 300 * ms, Deadline: time.Second, Worth: 1, Effect: policy.Keyed,
+			{Name: "note", TargetLatency: 300 * ms, Deadline: time.Second, Value: 1, Effect: policy.Keyed,
 				Group: policy.GroupCell, Window: 90 * ms},
-			{Name: "mark", Aim: 300 * ms, Deadline: time.Second, Worth: 1, Effect: policy.Keyed,
+			{Name: "mark", TargetLatency: 300 * ms, Deadline: time.Second, Value: 1, Effect: policy.Keyed,
 				Group: policy.GroupAll, Window: 600 * ms},
-			{Name: "pay", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: policy.Unsafe},
+			{Name: "pay", TargetLatency: 400 * ms, Deadline: 2 * time.Second, Value: 2, Effect: policy.Unsafe},
 		},
 		MaxAttempts: 4, Cancel: true, RetryAfter: time.Second, DrainGrace: 500 * ms,
 		ColdShare: 0.3, ColdFor: 8 * time.Second, FallFactor: 3, FallFor: time.Second,
@@ -129,7 +129,7 @@
 	start := time.Hour
 	var list []policy.Entry
 	for i := 0; i < servers; i++ {
-		e := policy.Entry{ID: uint32(100 + i*7), Zone: []string{"east", "west"}[i%2], Cell: int64(i % 4), Kind: "k"}
+		e := policy.Entry{ID: uint32(100 + i*7), Zone: []string{"east", "west"}[i%2], Cell: int64(i % 4), ServerType: "k"}
 		sim.servers[e.ID] = &stubServer{Entry: e, drainedAt: make([]time.Duration, nodes)}
 		sim.ids = append(sim.ids, e.ID)
 		list = append(list, e)
@@ -152,10 +152,10 @@
 				timeLeft = 0
 			}
 			id := fmt.Sprintf("r%d-%d", n, i)
-			sim.schedule(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Left: timeLeft,
+			sim.schedule(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, TimeLeft: timeLeft,
 				Repeat: sim.rng.IntN(4) == 0})
 			if sim.rng.IntN(50) == 0 {
-				sim.schedule(at+time.Duration(sim.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvGone, ID: id})
+				sim.schedule(at+time.Duration(sim.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvClientGone, ID: id})
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 			sim.servers[id].fault = sim.rng.IntN(4)
 		case 1:
 			old := sim.servers[id].Entry
-			old.State = policy.Leaving
+			old.State = policy.Draining
 			replacement := old
 			replacement.ID, replacement.State, replacement.Launched = uint32(10000+len(sim.ids)), policy.Active, at
 			sim.servers[replacement.ID] = &stubServer{Entry: replacement, drainedAt: make([]time.Duration, nodes)}
@@ -175,9 +175,9 @@
 			for n := range sim.nodes {
 				notifiedAt := at + time.Duration(sim.rng.Int64N(int64(time.Second)))
 				sim.scheduleList(notifiedAt, n, policy.ListDelta, old, replacement)
-				old.State = policy.Left
+				old.State = policy.Removed
 				sim.scheduleList(notifiedAt+time.Second, n, policy.ListDelta, old)
-				old.State = policy.Leaving
+				old.State = policy.Draining
 			}
 		case 2:
 			for n := range sim.nodes {
@@ -215,10 +215,10 @@
 	case policy.EvRequest:
 		for _, c := range sim.settings.Classes {
 			if c.Name == ev.Class {
-				requests[ev.ID] = &requestRecord{class: c, expiresAt: e.at + ev.Left}
+				requests[ev.ID] = &requestRecord{class: c, expiresAt: e.at + ev.TimeLeft}
 			}
 		}
-	case policy.EvGone:
+	case policy.EvClientGone:
 		requests[ev.ID].clientGone = true
 	case policy.EvOutcome:
 		r := requests[ev.ID]
@@ -228,11 +228,11 @@
 		a := &r.attempts[ev.Attempt]
 		a.pending = false
 		sim.servers[ev.Server].inFlight--
-		a.mayHaveRun = ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.Moot
+		a.mayHaveRun = ev.Outcome != policy.QueueFull && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.NeverSent
 		if ev.Outcome == policy.OK && r.responses == 0 {
 			r.responses++
 		}
-		ev.Last = r.responses > 0 || r.clientGone
+		ev.Final = r.responses > 0 || r.clientGone
 	case policy.EvList:
 		for _, entry := range ev.Entries {
 			s := sim.servers[entry.ID]
@@ -318,11 +318,11 @@
 	case s.fault == 3:
 		outcome, elapsed = policy.ConnectFailed, 100*ms
 	case s.inFlight > 20:
-		outcome, elapsed = policy.Full, ms
+		outcome, elapsed = policy.QueueFull, ms
 	case sim.rng.IntN(300) == 0:
 		outcome, elapsed = policy.Reset, 5*ms
 	case sim.rng.IntN(500) == 0:
-		outcome, elapsed = policy.Moot, 0
+		outcome, elapsed = policy.NeverSent, 0
 	}
 	limit := r.expiresAt - now
 	if action.Wait > 0 {
@@ -332,7 +332,7 @@
 		outcome, elapsed = policy.TimedOut, max(limit, 0)
 	}
 	ev := policy.Event{Kind: policy.EvOutcome, ID: action.ID, Server: action.Server, Attempt: len(r.attempts) - 1,
-		Took: elapsed, Outcome: outcome}
+		Elapsed: elapsed, Outcome: outcome}
 	if outcome == policy.OK {
 		ev.Load = policy.Load{Known: true, Queue: float64(max(0, s.inFlight-4)), Held: float64(s.inFlight)}
 		switch sim.rng.IntN(40) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,7 +5,7 @@
 // classState is a class with its statistics.
 type classState struct {
 	Class
-	ClassSums
+	ClassStats
 	lowPriority bool // worth less than the average for its cost
 }
 
@@ -49,7 +49,7 @@
 // seconds on the node's clock.
 type server struct {
 	Entry
-	Evidence
+	ServerStats
 	// Disabled by an operator; in this node's own zone.
 	disabled, inLocalZone bool
 	// Share of its usual weight that it does not get; limit on the requests that it holds, 0: no limit.
@@ -99,5 +99,5 @@
 	// Time of the latest refresh; time when the next is due; time to subscribe to the list again, 0: not due.
 	lastRefreshAt, nextRefreshAt, resubscribeAt float64
 	actions                                     []Action
-	Totals
+	TotalStats
 }
--- a/policy/statistics.go
+++ b/policy/statistics.go
@@ -23,10 +23,10 @@
 		s.Latency, s.Occupancy, s.Served = s.Latency*decay, s.Occupancy*decay, s.Served*decay
 		s.Room *= growth
 		s.Slots *= slotsDecay
-		t := b.serverTypes[s.Kind]
+		t := b.serverTypes[s.ServerType]
 		if t == nil {
 			t = &serverType{}
-			b.serverTypes[s.Kind] = t
+			b.serverTypes[s.ServerType] = t
 		}
 		s.typeStats = t
 		for _, stats := range [...]*serverType{t, all} {
