--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -751,8 +751,8 @@
 	}
 	version := control.change([]resource.Resource{tenantContract("app", 100)})
 	waitFor(t, "the change at both", func() bool { return successor.versionInForce() == version && predecessor.versionInForce() == version })
-	if successorShare, predecessorShare := successor.core.Stats(1).ContractShare, predecessor.core.Stats(1).ContractShare; successorShare != successorShare || predecessorShare != 1-successorShare {
-		t.Errorf("the two hand out shares of %v and %v", successorShare, predecessorShare)
+	if gotSuccessor, gotPredecessor := successor.core.Stats(1).ContractShare, predecessor.core.Stats(1).ContractShare; gotSuccessor != successorShare || gotPredecessor != 1-successorShare {
+		t.Errorf("the two hand out shares of %v and %v", gotSuccessor, gotPredecessor)
 	}
 	close(release)
 	if resp, _ := slow.readResponse(); resp.StatusCode != 200 {
