--- a/internal/back/http/attempt.go
+++ b/internal/back/http/attempt.go
@@ -26,15 +26,15 @@
 // errTimeout is the cause of a context that ended because the attempt's time was up.
 var errTimeout = errors.New("attempt timed out")
 
-// maxHeadBytes limits the head of a response.
+// maxHeadBytes is the maximum size of a response's head.
 const maxHeadBytes = 16 << 10
 
 const (
 	// bufferedStallTimeout is how long a response that is buffered, so that its request can still be retried, may stall
 	// once it has begun.
 	bufferedStallTimeout = 250 * time.Millisecond
-	// minConnectTimeout is the longest that a healthy web server takes to accept a connection under load. Failing to
-	// connect in less time says nothing about a server.
+	// minConnectTimeout is the longest time that a healthy web server takes to accept a connection under load. A
+	// failure to connect in less time does not show that a server is unhealthy.
 	minConnectTimeout = 100 * time.Millisecond
 	// streamStallTimeout is how long a response that is streamed to the client may stall.
 	streamStallTimeout = 5 * time.Second
@@ -51,7 +51,7 @@
 }
 
 // Attempt sends the request once and waits for the response. An attempt that is given up returns only after its
-// connection is closed, so that a following attempt never runs beside it as a second copy.
+// connection is closed, so that a retry never runs concurrently as a second copy.
 func (s *Sender) Attempt(ctx context.Context, a *core.Attempt) core.Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -136,16 +136,16 @@
 		return core.Result{Outcome: outcome}
 	}
 	res := s.classify(server, got)
-	full := &message.Response{Body: got.body, HeldBytes: got.heldBytes, Budget: s.Budget}
+	payload := &message.Response{Body: got.body, HeldBytes: got.heldBytes, Budget: s.Budget}
 	if got.streamed {
-		full = &message.Response{Stream: newDownload(s, c, got), Length: got.resp.ContentLength, Budget: s.Budget}
+		payload = &message.Response{Stream: newDownload(s, c, got), Length: got.resp.ContentLength, Budget: s.Budget}
 	}
 	if res.Outcome != policy.OK {
-		full.Release() // the body of a failed response is not passed on
+		payload.Release() // the body of a failed response is not passed on
 		return res
 	}
-	full.ContentType = got.resp.Header.Get("Content-Type")
-	res.Payload = full
+	payload.ContentType = got.resp.Header.Get("Content-Type")
+	res.Payload = payload
 	return res
 }
 
--- a/internal/back/http/download.go
+++ b/internal/back/http/download.go
@@ -11,8 +11,8 @@
 	"portstall/internal/message"
 )
 
-// download is the body of a large response, streamed from a web server. It owns the connection and a part of the budget
-// until Close. It has one reader at a time.
+// download is the body of a large response, streamed from a web server. It owns the connection and a share of the
+// budget until Close. It has one reader at a time.
 type download struct {
 	io.Reader        // the body
 	readAhead  int64 // bytes of the body that were read before the download began
--- a/internal/back/pool.go
+++ b/internal/back/pool.go
@@ -17,13 +17,13 @@
 )
 
 // reuseDelay is how long a connection stays idle after a response before it is used again. Surplus bytes that a web
-// server writes after a response must have arrived before the next request is sent, or they would be taken for that
-// request's response.
+// server writes after a response must have arrived before the next request is sent, or they would be mistaken for
+// that request's response.
 const reuseDelay = 3 * time.Millisecond
 
 const (
 	// surplusReuseDelay replaces reuseDelay while surplus has been seen recently. A second copy of a response may
-	// arrive some milliseconds late, when the next request may already be on its way; this delay is longer than such a
+	// arrive some milliseconds late, when the next request may already have been sent. This delay is longer than such a
 	// copy takes.
 	surplusReuseDelay = 12 * time.Millisecond
 	// surplusWindow is how long surplus from any web server keeps surplusReuseDelay in force for all connections.
@@ -119,8 +119,8 @@
 	return n, err
 }
 
-// Get returns an idle connection to s on which no input is pending, or opens a new one. The caller owns it until it
-// calls Put or Close.
+// Get returns an idle connection to s on which no input is pending, or opens a new one. It waits until the connection's
+// reuse delay has passed. The caller owns the connection until it calls Put or Close.
 func (p *Pool) Get(ctx context.Context, s *Server) (*Conn, error) {
 	for {
 		c, wait := p.takeIdle(s)
--- a/internal/back/pool_test.go
+++ b/internal/back/pool_test.go
@@ -10,7 +10,7 @@
 	"portstall/internal/lab/standin"
 )
 
-// A second copy of a response may arrive later than reuseDelay and would then be taken for the response to the next
+// A second copy of a response may arrive later than reuseDelay and would then be mistaken for the response to the next
 // request. While surplus has been seen recently, a connection is checked only after surplusReuseDelay: here the copy
 // arrives between the two delays and must be detected. After surplusWindow without surplus the shorter delay applies
 // again.
@@ -31,21 +31,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end, err := ln.Accept()
+		serverEnd, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c, end
+		return c, serverEnd
 	}
-	c, end := open()
-	defer end.Close()
+	c, serverEnd := open()
+	defer serverEnd.Close()
 	waits := 0
 	p.sleep = func(_ context.Context, d time.Duration) {
 		waits++
 		if now = now.Add(d); now.Sub(c.idleSince) < 10*time.Millisecond {
 			return // the copy has not arrived yet
 		}
-		if _, err := end.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
+		if _, err := serverEnd.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 			t.Error(err)
 		}
 		if _, err := flow.WaitReadable(c.Conn); err != nil { // wait until it has passed the loopback interface
--- a/internal/back/server.go
+++ b/internal/back/server.go
@@ -43,7 +43,7 @@
 	Addr      string
 	Dial      Dial                 // opens connections to it; nil: DialDirect
 	Gate      *Gate                // closed while the server is disabled by an operator
-	StopAt    atomic.Int64         // end of a drain's grace period in nanoseconds on Now: no new send may begin from then; 0: none
+	StopAt    atomic.Int64         // end of a drain's grace period: from then no send may begin; in ns on Now, 0: none
 	Responses atomic.Int64         // attempts on which a response, if only a malformed one, was received
 	Now       func() time.Duration // a clock that does not step when the system clock is set; nil: the system clock
 
--- a/internal/back/tunnel/opaque.go
+++ b/internal/back/tunnel/opaque.go
@@ -17,13 +17,14 @@
 	"portstall/policy"
 )
 
-// Cause is why an opaque tunnel ended.
+// Cause is the reason why an opaque tunnel ended.
 type Cause string
 
 const (
 	// CauseDone: both sides have ended their sending.
 	CauseDone Cause = "done"
-	// CauseUnused: the client disconnected before the tunnel was established.
+	// CauseUnused: the tunnel was closed before it carried a byte. The client had disconnected or could not be replied
+	// to, or the server accepted no new requests.
 	CauseUnused Cause = "unused"
 	// CauseClient: the client's connection broke.
 	CauseClient Cause = "client"
@@ -37,7 +38,7 @@
 	CauseStall Cause = "stall"
 	// CauseDraining: message.TunnelLimits.Drain passed since the server or the node began to drain.
 	CauseDraining Cause = "draining"
-	// CauseClosing: the node ended.
+	// CauseClosing: the attempt was canceled, or the node stopped.
 	CauseClosing Cause = "closing"
 )
 
@@ -142,7 +143,7 @@
 		t.end(CauseUnused)
 		return core.Result{Outcome: policy.NeverSent}
 	}
-	first := s.Core.Now()
+	establishedAt := s.Core.Now()
 	established := s.Core.Established(a, t)
 	if !established {
 		t.end(CauseUnused)
@@ -151,10 +152,10 @@
 	case <-t.done:
 	case <-ctx.Done():
 		t.end(CauseClosing)
-		<-t.done // another goroutine may be ending it and not be finished
+		<-t.done // another goroutine may still be ending it
 	}
 	server.Responses.Add(1)
-	res := core.Result{Outcome: policy.OK, FirstByteAt: first, Load: policy.Load{Queue: -1, Held: -1}}
+	res := core.Result{Outcome: policy.OK, FirstByteAt: establishedAt, Load: policy.Load{Queue: -1, Held: -1}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -353,7 +354,8 @@
 	case s.pipesInUse <- struct{}{}:
 		defer func() { <-s.pipesInUse }()
 	default:
-		dst, src = struct{ io.Writer }{dst}, struct{ io.Reader }{src} // hides that they are sockets, so that io.CopyN does not use splice
+		// Hide that both are sockets, so that io.CopyN does not use splice.
+		dst, src = struct{ io.Writer }{dst}, struct{ io.Reader }{src}
 	}
 	return io.CopyN(dst, src, n)
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -19,7 +19,7 @@
 	MaxBuffered = 64 << 10
 	// StreamBuffer is the memory in bytes that a streamed body uses, buffers on both sides included.
 	StreamBuffer = 64 << 10
-	// MaxUncounted is the size in bytes up to which a body is not counted, so that small ones never wait for large ones.
+	// MaxUncounted is the size in bytes up to which a body is not counted: small ones never wait for large ones.
 	MaxUncounted = 4 << 10
 )
 
@@ -34,7 +34,7 @@
 	return length
 }
 
-// Budget limits the bytes that a process holds of all bodies together. Whoever needs more waits, which is the
+// Budget limits the bytes that a process holds of all bodies together. A body that needs more waits, which gives
 // backpressure. It is safe for concurrent use.
 type Budget struct {
 	total *semaphore.Weighted
@@ -82,8 +82,8 @@
 	b.requests.Release(n)
 }
 
-// LendToSuccessor leaves a quarter of the budget to another process, as soon as it is free, until the returned function
-// is called. This is half of what requests cannot use, so responses still make progress.
+// LendToSuccessor takes a quarter of the budget as soon as it is free, so that another process can use it, until the
+// returned function is called. This is half of what requests cannot use, so responses still make progress.
 func (b *Budget) LendToSuccessor() (release func()) {
 	ctx, release := context.WithCancel(context.Background())
 	go func() {
@@ -102,7 +102,7 @@
 
 	head       []byte
 	complete   bool
-	restTaken  atomic.Bool // the part behind head was read: no other attempt can send the body
+	restRead   atomic.Bool // reading of the bytes behind head has begun: no other attempt can send the body
 	restReader *io.PipeReader
 	restWriter *io.PipeWriter
 	ended      chan struct{} // closed once the last byte has arrived, or is known not to arrive
@@ -149,8 +149,8 @@
 	return StreamBuffer
 }
 
-// Spent reports whether part of the body is no longer available, so that it cannot be sent again.
-func (u *Upload) Spent() bool { return u.restTaken.Load() }
+// Spent reports whether bytes of the body are no longer available, so that it cannot be sent again.
+func (u *Upload) Spent() bool { return u.restRead.Load() }
 
 // Reader returns the body for one attempt. It must not be called once the body is spent.
 func (u *Upload) Reader() io.Reader {
@@ -160,11 +160,11 @@
 	return io.MultiReader(bytes.NewReader(u.head), markingReader{u})
 }
 
-// markingReader marks the body as spent when the part behind the head is read.
+// markingReader marks the body as spent when the bytes behind the head are read.
 type markingReader struct{ *Upload }
 
 func (r markingReader) Read(p []byte) (int, error) {
-	r.restTaken.Store(true)
+	r.restRead.Store(true)
 	return r.restReader.Read(p)
 }
 
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A larger upload is streamed to one reader, and counts as spent once the part behind its head is read.
+// A larger upload is streamed to one reader, and counts as spent once the bytes behind its head are read.
 func TestLargeUploadIsStreamedOnce(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", 40<<10/16*10)
 	for _, length := range []int64{int64(len(text)), -1} {
--- a/internal/flow/socket.go
+++ b/internal/flow/socket.go
@@ -50,19 +50,20 @@
 	if err != nil {
 		return InputEnded
 	}
-	w := InputEnded
+	state := InputEnded
 	raw.Control(func(fd uintptr) { // an error means that the socket is closed on this side
 		switch n, err := peekByte(fd); {
 		case n > 0:
-			w = InputAvailable
+			state = InputAvailable
 		case err == syscall.EAGAIN:
-			w = NoInput
+			state = NoInput
 		}
 	})
-	return w
+	return state
 }
 
-// peekByte looks for a first byte. A socket reports its error only once, so the next reader will not see it.
+// peekByte peeks for one byte. A socket reports its error only once, so the next reader does not see an error that this
+// returns.
 func peekByte(fd uintptr) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -86,8 +87,8 @@
 	// its end. It is well below what closes the receive window (72 KB or more on Linux, however small the segments):
 	// up to that the end still arrives behind the bytes.
 	unreadThreshold = 16 << 10
-	// discardDelay is how long that many bytes may remain before they are discarded: a request that is answered at once
-	// loses nothing, and the end is still seen well within 0.1 s.
+	// discardDelay is how long that many bytes may remain before they are discarded. A client that gets its response at
+	// once loses nothing, and the end is still seen well within 0.1 s.
 	discardDelay = 50 * time.Millisecond
 	// MaxDiscard is how many bytes are discarded at most: more than a peer that has closed the connection can have left
 	// in its own kernel (4 MB on Linux). A peer that sends more ahead of a response does not get the response.
@@ -100,11 +101,11 @@
 )
 
 // WatchPeer closes end once the peer has closed its sending side or the connection broke. What the peer sends in the
-// meantime stays in the reader while there is room, and then in the socket; the end is seen behind it, unless there is
-// so much that the receive window closes and the end cannot arrive. With discard such input is discarded, so that the end
-// is always seen, and end is also closed after MaxDiscard bytes. Stop reports whether input was discarded, after which the
-// connection must not be used any further. No read deadline may be set when WatchPeer is called; stop sets one, and
-// returns once the caller may use the reader again. After end is closed, calling stop is optional.
+// meantime stays in the reader while it has space, and then in the socket. The end is seen behind it, unless there is
+// so much that the receive window closes and the end cannot arrive. With discard such input is discarded, so that the
+// end is always seen, and end is also closed after MaxDiscard bytes. Stop reports whether input was discarded, after
+// which the connection must not be used any further. No read deadline may be set when WatchPeer is called; stop sets
+// one, and returns once the caller may use the reader again. After end is closed, calling stop is optional.
 func WatchPeer(socket net.Conn, in *bufio.Reader, discard bool) (end <-chan struct{}, stop func() (discarded bool)) {
 	ended, stopped, stopping := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	discarded := false // set before stopped is closed
@@ -150,13 +151,14 @@
 	return n
 }
 
-// WindowMayBeClosed reports, without waiting, whether so many bytes are unread in a socket that its receive window may be
-// closed, in which case the peer's end cannot arrive. A request that is buffered completely does not cause that by itself.
+// WindowMayBeClosed reports, without waiting, whether so many bytes are unread in a socket that its receive window may
+// be closed, in which case the peer's end cannot arrive. A request that is buffered completely does not cause that by
+// itself.
 func WindowMayBeClosed(c net.Conn) bool { return UnreadBytes(c) > minClosedWindow }
 
 // DiscardInput discards what the peer has sent, so that its end can arrive. It reports whether there was any input, and
-// whether the end arrived, the connection broke or MaxDiscard bytes were read. It reads until nothing arrives for 50 ms,
-// and for 1 s at most. It sets the read deadline and leaves it set.
+// whether the end arrived, the connection broke or MaxDiscard bytes were read. It reads until nothing arrives for
+// discardDelay, and for discardTimeout at most. It sets the read deadline and leaves it set.
 func DiscardInput(socket net.Conn, in *bufio.Reader) (discarded, ended bool) {
 	got, _ := in.Discard(in.Buffered())
 	buf := make([]byte, 8<<10)
@@ -172,7 +174,7 @@
 		case err == nil:
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return got > 0, true
-		case PeekInput(socket) == NoInput: // otherwise this process was late, not the peer
+		case PeekInput(socket) == NoInput: // otherwise this process was delayed, not the peer
 			return got > 0, false
 		}
 	}
@@ -232,9 +234,9 @@
 	if n <= 0 {
 		return err != syscall.EAGAIN && err != syscall.EINTR
 	}
-	p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	m, err := unix.Poll(p, 0)
-	return err == nil && m == 1 && p[0].Revents&unix.POLLNVAL == 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	ready, err := unix.Poll(polled, 0)
+	return err == nil && ready == 1 && polled[0].Revents&unix.POLLNVAL == 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // WaitReadable waits until a connection has bytes or its end to read, and returns how many bytes are available; 0 means
--- a/internal/flow/socket_test.go
+++ b/internal/flow/socket_test.go
@@ -14,7 +14,8 @@
 	"portstall/internal/lab/standin"
 )
 
-// sendUnread writes up to limit bytes in pieces, as long as the kernel accepts them at once, and returns how many it took.
+// sendUnread writes up to limit bytes in pieces, as long as the kernel accepts them at once, and returns how many it
+// accepted.
 func sendUnread(t *testing.T, c *net.TCPConn, limit, piece int) int {
 	t.Helper()
 	sent, err := standin.FillSendBuffer(c, strings.Repeat("x", limit), piece)
@@ -37,13 +38,13 @@
 // A close is seen behind any number of unread bytes, unless they have closed the window; then only a reset is seen.
 func TestPeerClosedIsSeenBehindUnreadBytes(t *testing.T) {
 	t.Parallel()
-	for manner, closeConn := range waysToClose {
+	for way, closeConn := range waysToClose {
 		for _, piece := range []int{1, 100, 64 << 10} {
 			for _, unread := range []int{0, 1, 3000, 48 << 10, 16 << 20} {
-				if unread > 1<<20 && (manner != "reset" || piece == 1) {
-					continue // the end cannot arrive; see TestWatchSeesCloseBehindFullWindow
+				if unread > 1<<20 && (way != "reset" || piece == 1) {
+					continue // the end cannot arrive: see TestWatchSeesCloseBehindFullWindow
 				}
-				t.Run(fmt.Sprint(manner, " behind ", unread, " in pieces of ", piece), func(t *testing.T) {
+				t.Run(fmt.Sprint(way, " behind ", unread, " in pieces of ", piece), func(t *testing.T) {
 					t.Parallel()
 					far, near := standin.TestConnPair(t)
 					sendUnread(t, far, unread, piece)
@@ -69,9 +70,9 @@
 // request is lost, and stop reports that.
 func TestWatchSeesCloseBehindFullWindow(t *testing.T) {
 	t.Parallel()
-	for manner, closeConn := range waysToClose {
+	for way, closeConn := range waysToClose {
 		for _, piece := range []int{100, 64 << 10} {
-			t.Run(fmt.Sprint(manner, " in pieces of ", piece), func(t *testing.T) {
+			t.Run(fmt.Sprint(way, " in pieces of ", piece), func(t *testing.T) {
 				t.Parallel()
 				far, near := standin.TestConnPair(t)
 				if n := sendUnread(t, far, 16<<20, piece); n < 200<<10 {
@@ -84,7 +85,7 @@
 				case <-time.After(testTimeout):
 					t.Fatal("the close was not seen")
 				}
-				if !stop() && manner != "reset" {
+				if !stop() && way != "reset" {
 					t.Error("stop does not report discarded input")
 				}
 			})
@@ -96,18 +97,18 @@
 // open.
 func TestDiscardInputSeesCloseBehindFullWindow(t *testing.T) {
 	t.Parallel()
-	for manner, closeConn := range waysToClose {
+	for way, closeConn := range waysToClose {
 		for _, piece := range []int{1, 100, 64 << 10} {
-			t.Run(fmt.Sprint(manner, " in pieces of ", piece), func(t *testing.T) {
+			t.Run(fmt.Sprint(way, " in pieces of ", piece), func(t *testing.T) {
 				t.Parallel()
 				far, near := standin.TestConnPair(t)
 				// Single bytes are slow to send: 256 KB of them also close the window.
 				if n := sendUnread(t, far, min(16<<20, piece*256<<10), piece); n < 200<<10 || n > MaxDiscard {
 					t.Fatalf("the kernel accepted %d bytes", n)
 				}
-				waitForShut(t, near, true)
+				waitForWindow(t, near, true)
 				closeConn(far)
-				if discarded, ended := DiscardInput(near, bufio.NewReaderSize(near, unreadThreshold)); !ended || !discarded && manner != "reset" {
+				if discarded, ended := DiscardInput(near, bufio.NewReaderSize(near, unreadThreshold)); !ended || !discarded && way != "reset" {
 					t.Errorf("ended %v, discarded %v", ended, discarded)
 				}
 			})
@@ -121,15 +122,15 @@
 		if n := sendUnread(t, far, c.bytes, 100); n != c.bytes {
 			t.Fatalf("the kernel accepted %d bytes", n)
 		}
-		waitForShut(t, near, c.closed)
+		waitForWindow(t, near, c.closed)
 		if discarded, ended := DiscardInput(near, bufio.NewReaderSize(near, unreadThreshold)); ended || discarded != (c.bytes > 0) {
 			t.Errorf("open connection with %d unread bytes: ended %v, discarded %v", c.bytes, ended, discarded)
 		}
 	}
 }
 
-// waitForShut waits until a socket's window counts as closed or as open: the bytes may take a moment through loopback.
-func waitForShut(t *testing.T, near net.Conn, want bool) {
+// waitForWindow waits until WindowMayBeClosed returns the given value: bytes may take a moment through loopback.
+func waitForWindow(t *testing.T, near net.Conn, want bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); WindowMayBeClosed(near) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -180,7 +181,8 @@
 	}
 }
 
-// endlessSender is a peer that sends size bytes per interval without end. It has only the methods that DiscardInput calls.
+// endlessSender is a peer that sends size bytes per interval without end. It has only the methods that DiscardInput
+// calls.
 type endlessSender struct {
 	net.Conn
 	size     int
@@ -197,8 +199,8 @@
 	return n, nil
 }
 
-// On a fake clock that stands still while bytes are available: a flood ends the reading at MaxDiscard and at most a piece
-// later, and a trickle is read for a second and reported as open.
+// On a fake clock that does not advance while bytes are available: a flood ends the reading at MaxDiscard or at most
+// one piece later, and a trickle is read for a second and reported as open.
 func TestDiscardInputIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -231,7 +233,7 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// Input behind a request stays available if the request is answered soon, if it does not exceed the reader and the
+// Input behind a request stays available if the response follows soon, if the input does not exceed the reader and the
 // threshold, or if nothing may be discarded.
 func TestWatchKeepsInputThatIsReadLater(t *testing.T) {
 	t.Parallel()
@@ -241,7 +243,7 @@
 		discard bool
 		wait    bool // for longer than too much input may remain unread
 	}{
-		{"answered at once", 60 << 10, true, false},
+		{"response at once", 60 << 10, true, false},
 		{"below the threshold", unreadThreshold + unreadThreshold/2, true, true},
 		{"nothing may be discarded", 60 << 10, false, true},
 	} {
@@ -263,7 +265,7 @@
 			}
 			if stop() {
 				if !c.wait && time.Since(begun) >= discardDelay {
-					return // this machine was too slow to answer at once
+					return // this machine was too slow to stop the watch at once
 				}
 				t.Fatal("input was discarded")
 			}
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -1,5 +1,5 @@
-// Package http is the front for clients that speak HTTP/1.1, over any kind of connection: it reads requests, passes them
-// to the core and writes the final responses.
+// Package http is the front for clients that speak HTTP/1.1, over any kind of connection. It reads requests, passes
+// them to the core and writes the final responses.
 package http
 
 import (
@@ -26,8 +26,9 @@
 const (
 	maxRequestIDLength = 256 // bytes
 
-	// HeadTimeout is the time for a request's head to arrive: for the first request from the start of the connection, for later
-	// ones from their first byte. A client must receive an error or a close within 3 s of connecting, whatever it sends.
+	// HeadTimeout is the time for a request's head to arrive: for the first request from the start of the connection,
+	// for later ones from their first byte. A client must receive an error or a close within 3 s of connecting,
+	// whatever it sends.
 	HeadTimeout = 2500 * time.Millisecond
 	// BodyStallTimeout is how long a client may pause within a body.
 	BodyStallTimeout = 2 * time.Second
@@ -37,21 +38,22 @@
 	minBodyRate = 32 << 10
 	// budgetTimeout is how long a request may wait for its share of the bytes that bodies may hold.
 	budgetTimeout = time.Second
-	// shortWait is a wait for budget after which the client need not be checked: one that disconnected during the wait did so
-	// just now.
-	shortWait = 50 * time.Millisecond
+	// maxUncheckedWait is the longest wait for budget after which the client is not checked. A client that disconnected
+	// during such a wait has done so only just now.
+	maxUncheckedWait = 50 * time.Millisecond
 	// arrivalTime is the time from a request's first byte within which most of its other bytes arrive.
 	arrivalTime = 50 * time.Millisecond
-	// NewConnGrace is how long a new connection may be silent before it is the first to be evicted: its request usually follows
-	// at once.
+	// NewConnGrace is how long a new connection may be silent before it becomes the first to be evicted. Its request
+	// usually follows at once.
 	NewConnGrace = 200 * time.Millisecond
 	// IdleTimeout is how long a connection without a request stays open. Some clients never close theirs.
 	IdleTimeout = 5 * time.Second
-	// lateBodyTimeout is the time for the rest of a request that has been responded to already.
+	// lateBodyTimeout is the time for the remainder of a request that has been responded to already.
 	lateBodyTimeout = 30 * time.Second
 	// lingerTimeout is how long a rejected client may take to read the reason before its connection is reset.
 	lingerTimeout = 100 * time.Millisecond
-	// overloadRetryAfter is when a client may return that found no capacity, or that disconnected before it had any.
+	// overloadRetryAfter is when a client may return that found no capacity, or that disconnected before its request
+	// was sent.
 	overloadRetryAfter = 250 * time.Millisecond
 	// maxLingerBytes is how much of a rejected client's further input is read within lingerTimeout.
 	maxLingerBytes = 256 << 10
@@ -64,8 +66,8 @@
 	Limit    int         // maximum number of connections
 	Draining func() bool // reports whether clients are to close their connections and go to another node or process
 	Ready    func() int  // returns the status for GET /ready
-	// Deadline returns the latest time, on the core's clock, for the response to a request that arrives now; 0: the request's own
-	// deadline alone counts.
+	// Deadline returns the latest time, on the core's clock, for the response to a request that arrives now; 0: only
+	// the request's own deadline applies.
 	Deadline func() time.Duration
 	// CheckRequest returns an error if a request's head does not meet the requirements of its class.
 	CheckRequest func(*stdhttp.Request) error
@@ -74,8 +76,8 @@
 }
 
 // Front holds the connections of this node's clients. At the limit a new connection replaces one that carries no
-// request; if there is none, its request is rejected. An eighth beyond the limit further connections wait in the
-// listener's backlog. It is safe for concurrent use.
+// request; if there is none, its request is rejected. Once the limit is exceeded by an eighth, further connections wait
+// in the listener's backlog. It is safe for concurrent use.
 type Front struct {
 	Options
 	slots chan struct{} // holds one element per accepted connection; its capacity is the initial limit and an eighth
@@ -91,10 +93,10 @@
 	net.Conn
 	accepted time.Time
 	reader   *bufio.Reader
-	// closeAfterNext is set when the connection exceeds the limit or cannot carry another request: the next response is the
-	// last one, and a request that has not begun is rejected.
+	// closeAfterNext is set when the connection exceeds the limit or cannot carry another request. The next response is
+	// then the last one, and a request that has not begun is rejected.
 	closeAfterNext bool
-	inputDiscarded bool            // input that the client sent ahead of its response was discarded, and more may arrive
+	inputDiscarded bool            // input sent ahead of a response was discarded, and more may arrive
 	clientLeft     <-chan struct{} // closed once the client is seen to disconnect; nil: not watched
 	stopWatch      func() bool     // ends that watch and reports whether input was discarded
 	user           string          // the user that the tunnel was opened for; empty: no tunnel, or one without a user
@@ -115,60 +117,60 @@
 }
 
 // Resize sets the maximum number of connections. While there are more, each new connection evicts an idle one.
-func (s *Front) Resize(limit int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.Limit = limit
+func (f *Front) Resize(limit int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.Limit = limit
 }
 
 // Accept accepts and serves connections until ln is closed.
-func (s *Front) Accept(ln net.Listener) error {
+func (f *Front) Accept(ln net.Listener) error {
 	for {
-		s.slots <- struct{}{}
+		f.slots <- struct{}{}
 		socket, err := ln.Accept()
 		if err != nil {
-			<-s.slots
+			<-f.slots
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) {
 				time.Sleep(5 * time.Millisecond)
 				continue
 			}
 			return err
 		}
-		s.Go(func() { s.Serve(socket, bufio.NewReaderSize(socket, message.MaxHead), "") })
+		f.Go(func() { f.Serve(socket, bufio.NewReaderSize(socket, message.MaxHead), "") })
 	}
 }
 
 // Go runs f in a goroutine that Wait waits for.
-func (s *Front) Go(f func()) {
-	s.mu.Lock()
-	s.active++
-	s.mu.Unlock()
+func (f *Front) Go(run func()) {
+	f.mu.Lock()
+	f.active++
+	f.mu.Unlock()
 	go func() {
 		defer func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			if s.active--; s.active == 0 && s.finished != nil {
-				close(s.finished)
-				s.finished = nil
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			if f.active--; f.active == 0 && f.finished != nil {
+				close(f.finished)
+				f.finished = nil
 			}
 		}()
-		f()
+		run()
 	}()
 }
 
 // Wait returns true once no connection is left and all functions that Go runs have returned; false if ctx ends or d
 // elapses before. New connections may arrive after it has returned.
-func (s *Front) Wait(ctx context.Context, d time.Duration) bool {
-	s.mu.Lock()
-	if s.active == 0 {
-		s.mu.Unlock()
+func (f *Front) Wait(ctx context.Context, d time.Duration) bool {
+	f.mu.Lock()
+	if f.active == 0 {
+		f.mu.Unlock()
 		return true
 	}
-	if s.finished == nil {
-		s.finished = make(chan struct{})
+	if f.finished == nil {
+		f.finished = make(chan struct{})
 	}
-	finished := s.finished
-	s.mu.Unlock()
+	finished := f.finished
+	f.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -181,9 +183,9 @@
 }
 
 // AcquireSlot reserves a slot for one more connection, if one is free. Serve releases it, or ReleaseSlot.
-func (s *Front) AcquireSlot() bool {
+func (f *Front) AcquireSlot() bool {
 	select {
-	case s.slots <- struct{}{}:
+	case f.slots <- struct{}{}:
 		return true
 	default:
 		return false
@@ -191,39 +193,39 @@
 }
 
 // ReleaseSlot releases a slot that AcquireSlot reserved.
-func (s *Front) ReleaseSlot() { <-s.slots }
+func (f *Front) ReleaseSlot() { <-f.slots }
 
 // Serve responds to the requests of one connection until it is closed. The caller holds a slot, which Serve releases.
 // What reader has buffered already is part of the input; its buffer has message.MaxHead bytes. User is the user that a
 // tunnel was opened for, empty for none.
-func (s *Front) Serve(socket net.Conn, reader *bufio.Reader, user string) {
+func (f *Front) Serve(socket net.Conn, reader *bufio.Reader, user string) {
 	c := &conn{Conn: socket, accepted: time.Now(), reader: reader, user: user}
 	c.lastChange = c.accepted
-	s.mu.Lock()
-	if len(s.conns) >= s.Limit {
-		c.closeAfterNext = !s.evictIdle()
+	f.mu.Lock()
+	if len(f.conns) >= f.Limit {
+		c.closeAfterNext = !f.evictIdle()
 	}
-	s.conns[c] = struct{}{}
-	s.mu.Unlock()
-	s.serveRequests(c)
+	f.conns[c] = struct{}{}
+	f.mu.Unlock()
+	f.serveRequests(c)
 	c.Close()
-	s.mu.Lock()
-	delete(s.conns, c)
-	s.mu.Unlock()
-	<-s.slots
+	f.mu.Lock()
+	delete(f.conns, c)
+	f.mu.Unlock()
+	<-f.slots
 }
 
 // evictIdle closes a connection that carries no request, and reports whether there was one. In order of preference: one
-// that has sent nothing within NewConnGrace, one that a client keeps open after a request, a new one; among equals the one
-// unchanged for longest. A new connection whose request is waiting to be read, or is being read, is not closed. s.mu is
-// held.
-func (s *Front) evictIdle() bool {
+// that has sent nothing within NewConnGrace, one that a client keeps open after a request, a new one; among equals the
+// one unchanged for longest. A new connection whose request is waiting to be read, or is being read, is not closed.
+// f.mu is held.
+func (f *Front) evictIdle() bool {
 	var candidate *conn
 	bestRank := 3
-	for c := range s.conns {
+	for c := range f.conns {
 		rank := 1
 		if !c.servedRequest {
-			if rank = 0; time.Since(c.accepted) < NewConnGrace+s.Slack {
+			if rank = 0; time.Since(c.accepted) < NewConnGrace+f.Slack {
 				rank = 2
 			}
 		}
@@ -235,36 +237,36 @@
 		}
 	}
 	if candidate != nil {
-		s.evict(candidate)
+		f.evict(candidate)
 	}
 	return candidate != nil
 }
 
 // evict removes a connection from those that are counted and ends its reading, so that it closes. A request that has
-// just been read is still responded to. s.mu is held.
-func (s *Front) evict(c *conn) {
+// just been read is still responded to. f.mu is held.
+func (f *Front) evict(c *conn) {
 	if !c.closing {
 		c.closing = true
-		delete(s.conns, c)
+		delete(f.conns, c)
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 // setReadDeadline bounds the next reads from a connection, unless it is closing. A request that has begun is read
 // completely even then.
-func (s *Front) setReadDeadline(c *conn, t time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *Front) setReadDeadline(c *conn, t time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if !c.closing || c.reading || c.busy {
 		c.SetReadDeadline(t)
 	}
 }
 
 // Abort closes connections at once: those without a large body in transfer, or all.
-func (s *Front) Abort(all bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+func (f *Front) Abort(all bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c := range f.conns {
 		if all || !c.streaming {
 			c.Close()
 		}
@@ -272,22 +274,22 @@
 }
 
 // CloseIdle closes the connections that carry no request.
-func (s *Front) CloseIdle() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+func (f *Front) CloseIdle() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c := range f.conns {
 		if !c.busy && !c.reading && flow.PeekInput(c.Conn) == flow.NoInput {
-			s.evict(c) // a request that is arriving is still responded to
+			f.evict(c) // a request that is arriving is still responded to
 		}
 	}
 }
 
 // setBusy records that a request was read (busy) or responded to, and reports whether the connection stays open.
-func (s *Front) setBusy(c *conn, busy bool) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *Front) setBusy(c *conn, busy bool) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	c.busy, c.servedRequest, c.reading, c.streaming, c.lastChange = busy, true, false, false, time.Now()
-	return !c.closing && (busy || !s.Draining())
+	return !c.closing && (busy || !f.Draining())
 }
 
 // request is a request that was read. core.Request is nil for GET /ready, which the front responds to itself.
@@ -295,12 +297,13 @@
 	*core.Request
 	httpRequest *stdhttp.Request
 	body        *flow.Upload
-	// windowClosed: the request waited for budget while so much input was unread that the client may have disconnected unseen.
-	windowClosed bool
+	// windowMayBeClosed is set if, after a long wait for budget, so much input was unread that a disconnect of the
+	// client may not have been visible.
+	windowMayBeClosed bool
 }
 
 // rejection is the response to input that is not passed to the core. The connection is closed after it: what follows
-// cannot be told apart from the rest of that request.
+// cannot be told apart from the remainder of that request.
 type rejection struct {
 	status     int
 	text       string
@@ -308,9 +311,9 @@
 }
 
 // serveRequests responds to the requests of a connection, one after the other.
-func (s *Front) serveRequests(c *conn) {
+func (f *Front) serveRequests(c *conn) {
 	for {
-		r, rejected := s.readRequest(c)
+		r, rejected := f.readRequest(c)
 		if rejected != nil {
 			c.reject(rejected)
 			return
@@ -318,54 +321,54 @@
 		if r == nil {
 			return
 		}
-		if !s.setBusy(c, true) && !s.Draining() {
+		if !f.setBusy(c, true) && !f.Draining() {
 			c.closeAfterNext = true
 		}
-		if !s.serveRequest(c, r) || !s.setBusy(c, false) {
+		if !f.serveRequest(c, r) || !f.setBusy(c, false) {
 			return
 		}
 	}
 }
 
 // serveRequest responds to one request and reports whether the connection stays open.
-func (s *Front) serveRequest(c *conn, r *request) bool {
-	defer s.Budget.ReleaseRequest(r.body.HeldBytes())
+func (f *Front) serveRequest(c *conn, r *request) bool {
+	defer f.Budget.ReleaseRequest(r.body.HeldBytes())
 	stays := true
 	if !r.body.Complete() {
-		s.markStreaming(c)
+		f.markStreaming(c)
 		pumped := make(chan struct{})
 		go func() {
 			defer close(pumped)
-			r.body.Pump(s.timedReader(c, r.httpRequest.Body))
+			r.body.Pump(f.timedReader(c, r.httpRequest.Body))
 		}()
 		defer func() {
 			r.body.Discard()
 			if !stays { // the client may still be sending: let it read its response first
-				s.awaitBody(c, pumped)
+				f.awaitBody(c, pumped)
 			}
 			<-pumped
 		}()
 	}
-	a, ok := s.respond(c, r)
+	final, ok := f.respond(c, r)
 	if !ok {
 		c.Close() // also ends the pump
 		stays = false
 		return false
 	}
-	early := false // the response came before the end of the request: what follows cannot be told apart from its rest
+	early := false // the response came before the end of the request: further input may still belong to that request
 	select {
 	case <-r.body.Ended():
 	default:
 		early = true
 	}
-	if a.Stream != nil {
-		s.markStreaming(c)
+	if final.Stream != nil {
+		f.markStreaming(c)
 	}
-	last := r.httpRequest.Close || c.closeAfterNext || early || s.Draining()
-	stays = c.writeResponse(r.httpRequest, a, last) == nil && !last
-	a.release()
+	last := r.httpRequest.Close || c.closeAfterNext || early || f.Draining()
+	stays = c.writeResponse(r.httpRequest, final, last) == nil && !last
+	final.release()
 	if r.Request != nil {
-		s.Core.ResponseWritten(r.Request)
+		f.Core.ResponseWritten(r.Request)
 	}
 	if c.inputDiscarded {
 		c.closeAfterResponse()
@@ -374,15 +377,15 @@
 }
 
 // markStreaming records that a large body is being transferred.
-func (s *Front) markStreaming(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *Front) markStreaming(c *conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	c.streaming = true
 }
 
 // awaitBody lets a client finish its request before the connection is closed: closing a connection with unread input
 // resets it, and the client loses the response that it has not read.
-func (s *Front) awaitBody(c *conn, pumped <-chan struct{}) {
+func (f *Front) awaitBody(c *conn, pumped <-chan struct{}) {
 	select {
 	case <-pumped:
 	case <-time.After(lateBodyTimeout):
@@ -390,26 +393,26 @@
 	}
 }
 
-// readRequest reads the next request, and its body if that is small. Both results are nil if the connection ends
-// without a request, or nobody is left to receive a rejection.
-func (s *Front) readRequest(c *conn) (*request, *rejection) {
-	end := c.accepted.Add(HeadTimeout + s.Slack)
+// readRequest reads the next request, and its body if that is small. Both results are nil if no byte of a request
+// arrives.
+func (f *Front) readRequest(c *conn) (*request, *rejection) {
+	end := c.accepted.Add(HeadTimeout + f.Slack)
 	if c.servedRequest {
-		s.setReadDeadline(c, time.Now().Add(IdleTimeout+s.Slack))
+		f.setReadDeadline(c, time.Now().Add(IdleTimeout+f.Slack))
 	} else {
-		s.setReadDeadline(c, end)
+		f.setReadDeadline(c, end)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, nil
 	}
 	begun := time.Now()
 	if c.servedRequest {
-		end = begun.Add(HeadTimeout + s.Slack)
+		end = begun.Add(HeadTimeout + f.Slack)
 	}
-	s.mu.Lock()
+	f.mu.Lock()
 	c.reading, c.requestStart = true, begun
-	s.mu.Unlock()
-	s.setReadDeadline(c, end) // also if it was evicted as idle right after its first byte
+	f.mu.Unlock()
+	f.setReadDeadline(c, end) // also if it was evicted as idle right after its first byte
 	head, err := c.peekHead()
 	if err != nil && !time.Now().Before(end) {
 		return nil, &rejection{status: stdhttp.StatusRequestTimeout, text: "the head did not come in time"}
@@ -421,8 +424,8 @@
 		return nil, &rejection{status: stdhttp.StatusBadRequest, text: err.Error()}
 	}
 	if hasTwoFramings(head) {
-		// net/http ignores a Content-Length next to Transfer-Encoding. Readers that disagree about the framing allow request
-		// smuggling.
+		// net/http ignores a Content-Length next to Transfer-Encoding. Readers that disagree about the framing allow
+		// request smuggling.
 		return nil, &rejection{status: stdhttp.StatusBadRequest, text: "Content-Length beside Transfer-Encoding"}
 	}
 	req, err := stdhttp.ReadRequest(c.reader)
@@ -430,25 +433,26 @@
 		return nil, &rejection{status: stdhttp.StatusBadRequest, text: err.Error()}
 	}
 	r := &request{httpRequest: req}
-	if rejected := s.checkHead(r, c); rejected != nil {
+	if rejected := f.checkHead(r, c); rejected != nil {
 		return nil, rejected
 	}
-	return r, s.readBody(c, r)
+	return r, f.readBody(c, r)
 }
 
 // readBody reads the body of a request if it is small. A large one is passed on as it arrives.
-func (s *Front) readBody(c *conn, r *request) *rejection {
+func (f *Front) readBody(c *conn, r *request) *rejection {
 	req := r.httpRequest
 	held := flow.BudgetFor(req.ContentLength)
-	begun := s.Core.Now()
-	ctx, cancel := context.WithTimeout(s.Core.Context(), budgetTimeout+s.Slack)
+	begun := f.Core.Now()
+	ctx, cancel := context.WithTimeout(f.Core.Context(), budgetTimeout+f.Slack)
 	defer cancel()
-	if s.Budget.AcquireRequest(ctx, held) != nil {
+	if f.Budget.AcquireRequest(ctx, held) != nil {
 		return &rejection{status: stdhttp.StatusServiceUnavailable, text: "too many bodies are on their way", retryAfter: budgetTimeout}
 	}
-	var waitedComplete time.Duration // how long the complete request waited here; its client's deadline was running meanwhile
-	if waited := s.Core.Now() - begun; waited > shortWait {
-		r.windowClosed = flow.WindowMayBeClosed(c.Conn)
+	// How long the complete request waited here. Its client's deadline was running meanwhile.
+	var waitedComplete time.Duration
+	if waited := f.Core.Now() - begun; waited > maxUncheckedWait {
+		r.windowMayBeClosed = flow.WindowMayBeClosed(c.Conn)
 		// Whether a chunked body has arrived completely is not known: it counts as complete.
 		if req.ContentLength < 0 || int64(c.reader.Buffered()+flow.UnreadBytes(c.Conn)) >= req.ContentLength {
 			waitedComplete = waited
@@ -458,20 +462,20 @@
 		c.SetWriteDeadline(time.Now().Add(BodyStallTimeout))
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error shows up when the body is read
 	}
-	upload, err := flow.NewUpload(s.timedReader(c, req.Body), req.ContentLength)
+	upload, err := flow.NewUpload(f.timedReader(c, req.Body), req.ContentLength)
 	if err != nil {
-		s.Budget.ReleaseRequest(held)
+		f.Budget.ReleaseRequest(held)
 		return bodyRejection(err)
 	}
 	if upload.HeldBytes() < held {
-		s.Budget.ReleaseRequest(held - upload.HeldBytes())
+		f.Budget.ReleaseRequest(held - upload.HeldBytes())
 	}
 	if r.body = upload; r.Request != nil {
-		r.Body, r.Arrived = upload, s.Core.Now()
+		r.Body, r.Arrived = upload, f.Core.Now()
 		if upload.Complete() {
 			r.Arrived -= waitedComplete
 		}
-		if until := s.Deadline(); until > 0 {
+		if until := f.Deadline(); until > 0 {
 			r.Timeout = min(r.Timeout, until-r.Arrived)
 		}
 	}
@@ -491,8 +495,8 @@
 }
 
 // timedReader returns a reader of a request's body that fails once the client stalls or is too slow.
-func (s *Front) timedReader(c *conn, body io.Reader) io.Reader {
-	return &timedBody{front: s, conn: c, body: body}
+func (f *Front) timedReader(c *conn, body io.Reader) io.Reader {
+	return &timedBody{front: f, conn: c, body: body}
 }
 
 // timedBody reads the body of a request within BodyStallTimeout, bodyTimeout and minBodyRate. It is used by one
@@ -568,7 +572,7 @@
 
 // checkHead returns the rejection of a request whose head is invalid, or nil. It sets core.Request, except for GET
 // /ready.
-func (s *Front) checkHead(r *request, c *conn) *rejection {
+func (f *Front) checkHead(r *request, c *conn) *rejection {
 	req := r.httpRequest
 	rejectf := func(status int, format string, args ...any) *rejection {
 		return &rejection{status: status, text: fmt.Sprintf(format, args...)}
@@ -591,7 +595,8 @@
 		return rejectf(stdhttp.StatusLengthRequired, "Content-Length: missing")
 	}
 	for name := range req.Header {
-		if strings.Contains(name, " ") { // net/http accepts it, and does not treat "Transfer-Encoding :" as Transfer-Encoding
+		// net/http accepts a name with a space, and does not treat "Transfer-Encoding :" as Transfer-Encoding.
+		if strings.Contains(name, " ") {
 			return rejectf(bad, "%q is no name of a header", name)
 		}
 	}
@@ -615,7 +620,7 @@
 	if r.Timeout, err = parseDeadline(req.Header.Get("X-Deadline")); err != nil {
 		return rejectf(bad, "X-Deadline: %v", err)
 	}
-	if err := s.CheckRequest(req); err != nil {
+	if err := f.CheckRequest(req); err != nil {
 		return rejectf(bad, "%v", err)
 	}
 	return nil
@@ -623,56 +628,56 @@
 
 // respond returns exactly one response to a request. False: a rejection was written already, or the client has
 // disconnected.
-func (s *Front) respond(c *conn, r *request) (response, bool) {
+func (f *Front) respond(c *conn, r *request) (response, bool) {
 	if r.Request == nil {
-		return response{status: s.Ready()}, true
+		return response{status: f.Ready()}, true
 	}
 	if c.closeAfterNext { // nothing was sent: rejecting is safe for every class
 		return response{status: stdhttp.StatusServiceUnavailable, Response: message.Response{Body: []byte("too many connections\n")},
 			retryAfter: overloadRetryAfter}, true
 	}
-	whole := r.body.Complete()
-	if whole && r.windowClosed && c.discardAndCheckLeft() {
+	complete := r.body.Complete()
+	if complete && r.windowMayBeClosed && c.discardAndCheckDisconnected() {
 		return toResponse(core.Response{Kind: core.Refused, RetryAfter: overloadRetryAfter}), true
 	}
-	if whole {
+	if complete {
 		r.BeforeWait = c.watchClient
 	}
-	if !s.Core.Begin(r.Request) {
+	if !f.Core.Begin(r.Request) {
 		c.stopWatching()
 		c.reject(&rejection{status: stdhttp.StatusConflict, text: "X-Request-Id: a request with this id is open"})
 		return response{}, false
 	}
 	select {
-	case a := <-r.Response():
+	case final := <-r.Response():
 		c.stopWatching()
-		return toResponse(a), true
+		return toResponse(final), true
 	default:
 	}
-	if !whole {
+	if !complete {
 		select {
-		case a := <-r.Response():
-			return toResponse(a), true
+		case final := <-r.Response():
+			return toResponse(final), true
 		case <-r.body.Ended():
 		}
 		if err := r.body.Err(); err != nil {
-			s.Core.ClientGone(r.Request)
+			f.Core.ClientGone(r.Request)
 			c.reject(bodyRejection(err))
 			return response{}, false
 		}
 	}
 	c.watchClient()
-	a, ok := r.Await(c.clientLeft)
+	final, ok := r.Await(c.clientLeft)
 	c.stopWatching()
 	if !ok {
 		// The client may have closed only its sending side and still wait for the response.
-		c.closeAfterNext, a = true, core.Response{Kind: core.Failed}
-		if !s.Core.ClientGone(r.Request) {
-			a = core.Response{Kind: core.Refused, RetryAfter: overloadRetryAfter}
+		c.closeAfterNext, final = true, core.Response{Kind: core.Failed}
+		if !f.Core.ClientGone(r.Request) {
+			final = core.Response{Kind: core.Refused, RetryAfter: overloadRetryAfter}
 		}
-		return toResponse(a), true
+		return toResponse(final), true
 	}
-	return toResponse(a), true
+	return toResponse(final), true
 }
 
 // reject writes the response to invalid input and ends the connection.
--- a/internal/front/http/fuzz_test.go
+++ b/internal/front/http/fuzz_test.go
@@ -54,20 +54,20 @@
 	f.Add([]byte("\r\n\n"+good+"Expect: 100-continue\r\nContent-Length: 0\r\n\r\n"), 3)
 	f.Add([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"), 9)
 	f.Add([]byte("CONNECT a:1 HTTP/1.1\r\nHost : a\r\n\r\n"), 2)
-	c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", TargetLatency: 1, Deadline: 1}}}, 1,
+	stubCore, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", TargetLatency: 1, Deadline: 1}}}, 1,
 		core.Options{Clock: stubServices{}, Sender: stubServices{}, Discovery: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, text []byte, pieceSize int) {
 		budget := flow.NewBudget(1 << 20)
-		s := New(Options{Deadline: func() time.Duration { return 0 }, Core: c, Budget: budget, Limit: 1,
+		front := New(Options{Deadline: func() time.Duration { return 0 }, Core: stubCore, Budget: budget, Limit: 1,
 			Draining: func() bool { return false }, Ready: func() int { return 200 },
 			CheckRequest: func(*stdhttp.Request) error { return nil }})
 		socket := &scriptedConn{Reader: pieceReader{bytes.NewReader(text), max(1, pieceSize&0xff)}}
-		k := &conn{Conn: socket, accepted: time.Now(), reader: bufio.NewReaderSize(socket, message.MaxHead)}
+		client := &conn{Conn: socket, accepted: time.Now(), reader: bufio.NewReaderSize(socket, message.MaxHead)}
 		for range 8 {
-			r, rejected := s.readRequest(k)
+			r, rejected := front.readRequest(client)
 			if r == nil || rejected != nil {
 				break
 			}
@@ -86,7 +86,7 @@
 			if !complete {
 				break
 			}
-			k.servedRequest = true
+			client.servedRequest = true
 		}
 	})
 }
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -29,8 +29,8 @@
 		} else if two := hasTwoFramings([]byte(c.text[:n])); two != c.two {
 			t.Errorf("%q: got two framings: %v", c.text, two)
 		}
-		cl := &conn{reader: bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.text)), message.MaxHead)}
-		if head, err := cl.peekHead(); c.end > 0 && string(head) != c.text[:c.end] || (err == nil) != (c.end > 0) {
+		client := &conn{reader: bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.text)), message.MaxHead)}
+		if head, err := client.peekHead(); c.end > 0 && string(head) != c.text[:c.end] || (err == nil) != (c.end > 0) {
 			t.Errorf("%q byte by byte: got head %q, error %v", c.text, head, err)
 		}
 	}
--- a/internal/front/http/response.go
+++ b/internal/front/http/response.go
@@ -28,13 +28,13 @@
 }
 
 // toResponse translates a final response of the core into HTTP.
-func toResponse(a core.Response) response {
-	if a.Kind == core.Served {
-		return response{status: stdhttp.StatusOK, Response: *a.Payload.(*message.Response)}
+func toResponse(final core.Response) response {
+	if final.Kind == core.Served {
+		return response{status: stdhttp.StatusOK, Response: *final.Payload.(*message.Response)}
 	}
 	out := response{}
-	if out.status, out.retryAfter, out.refusal = message.Refusal(a); out.refusal != "" {
-		out.Body = []byte("refused: " + a.Rule.Why() + "\n")
+	if out.status, out.retryAfter, out.refusal = message.Refusal(final); out.refusal != "" {
+		out.Body = []byte("refused: " + final.Rule.Why() + "\n")
 	}
 	return out
 }
--- a/internal/front/http/watch.go
+++ b/internal/front/http/watch.go
@@ -10,7 +10,7 @@
 // read completely. Until stopWatching is called nothing else reads from the connection.
 func (c *conn) watchClient() {
 	if c.clientLeft == nil {
-		c.SetReadDeadline(time.Time{}) // waiting is unbounded, even if the connection is to be closed after this response
+		c.SetReadDeadline(time.Time{}) // the wait is unbounded, even if this response is the connection's last
 		c.clientLeft, c.stopWatch = flow.WatchPeer(c.Conn, c.reader, true)
 	}
 }
@@ -24,9 +24,9 @@
 }
 
 // discardAndCheckLeft discards what the client sent ahead and reports whether it has disconnected. It is for a client
-// whose receive window may have been closed while its request waited for budget: it may have left long ago without that
-// being visible. The request has been read completely, and nothing watches the client.
-func (c *conn) discardAndCheckLeft() bool {
+// whose receive window may have been closed while its request waited for budget: it may have disconnected long ago
+// without that being visible. The request has been read completely, and nothing watches the client.
+func (c *conn) discardAndCheckDisconnected() bool {
 	discarded, ended := flow.DiscardInput(c.Conn, c.reader)
 	c.noteDiscarded(discarded)
 	return ended
--- a/internal/front/http/watch_test.go
+++ b/internal/front/http/watch_test.go
@@ -54,17 +54,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			h := &stubSuccessor{claimed: make(chan struct{}), verdict: make(chan handover.Verdict, 1)}
-			k, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", TargetLatency: 1, Deadline: 1}}}, 1,
+			successor := &stubSuccessor{claimed: make(chan struct{}), verdict: make(chan handover.Verdict, 1)}
+			testCore, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{{Name: "save", TargetLatency: 1, Deadline: 1}}}, 1,
 				core.Options{Clock: stubServices{}, Sender: stubServices{}, Discovery: stubServices{}, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer k.Close()
-			k.Lock()
-			k.SetSuccessor(h)
-			k.Unlock()
-			f := New(Options{Core: k, Budget: flow.NewBudget(1 << 20), Limit: 1,
+			defer testCore.Close()
+			testCore.Lock()
+			testCore.SetSuccessor(successor)
+			testCore.Unlock()
+			f := New(Options{Core: testCore, Budget: flow.NewBudget(1 << 20), Limit: 1,
 				Draining: func() bool { return true }, Ready: func() int { return 200 },
 				Deadline: func() time.Duration { return 0 }, CheckRequest: func(*stdhttp.Request) error { return nil }})
 			client, server, err := standin.NewConnPair()
@@ -78,7 +78,7 @@
 			}
 			f.AcquireSlot()
 			f.Go(func() { f.Serve(server, bufio.NewReaderSize(server, message.MaxHead), "") })
-			<-h.claimed
+			<-successor.claimed
 			if c.leaves {
 				client.Close()
 				for end := time.Now().Add(testTimeout); !flow.PeerClosed(server); time.Sleep(time.Millisecond) {
@@ -88,7 +88,7 @@
 					}
 				}
 			}
-			h.verdict <- c.verdict
+			successor.verdict <- c.verdict
 			if c.status != "" {
 				resp, err := stdhttp.ReadResponse(bufio.NewReader(client), nil)
 				if err != nil || fmt.Sprint(resp.StatusCode) != c.status {
@@ -99,7 +99,7 @@
 			if !f.Wait(t.Context(), testTimeout) {
 				t.Error("connection was not closed")
 			}
-			if len(k.OpenRequests()) != 0 {
+			if len(testCore.OpenRequests()) != 0 {
 				t.Error("request is still open")
 			}
 		})
--- a/internal/front/tunnel/connect.go
+++ b/internal/front/tunnel/connect.go
@@ -43,14 +43,14 @@
 		respond(http.StatusBadRequest, "")
 		return nil, fmt.Errorf("%w: CONNECT has content", ErrMalformed)
 	}
-	o := &Request{}
+	request := &Request{}
 	if !t.AllowsAnonymous() {
 		user, password, ok := parseBasic(req.Header.Get("Proxy-Authorization"))
 		if !ok || !t.Authenticate(user, password) {
 			respond(http.StatusProxyAuthRequired, "Proxy-Authenticate: Basic realm=\"portstall\"\r\n")
 			return nil, ErrCredentials
 		}
-		o.User = user
+		request.User = user
 	}
 	host, portText, err := net.SplitHostPort(req.Host)
 	port, portErr := strconv.ParseUint(portText, 10, 16)
@@ -59,11 +59,11 @@
 		return nil, fmt.Errorf("%w: %q is not host:port", ErrMalformed, req.Host)
 	}
 	var ok bool
-	if o.Route, ok = t.Find(host, uint16(port)); !ok {
+	if request.Route, ok = t.Find(host, uint16(port)); !ok {
 		respond(http.StatusForbidden, "")
 		return nil, ErrNoRoute
 	}
-	o.reply = func(status int, after time.Duration, reason string) error {
+	request.reply = func(status int, after time.Duration, reason string) error {
 		if status == http.StatusOK {
 			_, err := io.WriteString(out, "HTTP/1.1 200 Connection established\r\n\r\n")
 			return err
@@ -77,7 +77,7 @@
 		}
 		return respond(status, headers)
 	}
-	return o, nil
+	return request, nil
 }
 
 // awaitHead waits until a head is in the buffer, so that one without an end takes no more memory than the buffer.
--- a/internal/front/tunnel/front.go
+++ b/internal/front/tunnel/front.go
@@ -27,7 +27,7 @@
 	Core        *core.Core
 	Table       *Table
 	Log         *slog.Logger
-	Draining    func() bool  // reports whether clients are to go to another node or process
+	Draining    func() bool  // reports whether clients are sent to another node or process
 	Go          func(func()) // runs a function that is waited for when the node stops
 	AcquireSlot func() bool  // reserves a slot for a connection, if one is free
 	ReleaseSlot func()       // releases the slot
@@ -42,7 +42,7 @@
 	Options
 	opening      chan struct{} // holds one element per client that is requesting a tunnel
 	requestCount atomic.Uint64 // numbers the ids of the requests for opaque tunnels
-	idPrefix     string        // begins those ids; differs between processes
+	idPrefix     string        // prefix of those ids; differs between processes
 }
 
 // NewFront returns a Front that accepts no clients yet.
@@ -66,20 +66,20 @@
 		}
 		f.opening <- struct{}{}
 		f.Go(func() {
-			in, o := f.readRequest(conn, read)
+			in, tunnelReq := f.readRequest(conn, read)
 			<-f.opening
 			switch {
-			case o == nil:
+			case tunnelReq == nil:
 				conn.Close()
-			case o.Route.Opaque && f.serveOpaque(conn, in, o):
+			case tunnelReq.Route.Opaque && f.serveOpaque(conn, in, tunnelReq):
 				conn.Close()
 				f.ReleaseSlot()
-			case o.Accept() != nil: // the route is for requests, or has become so meanwhile
+			case tunnelReq.Accept() != nil: // the route is for requests, or has become so meanwhile
 				conn.Close()
 				f.ReleaseSlot()
 			default:
 				conn.SetDeadline(time.Time{})
-				f.ServeRequests(conn, in, o.User)
+				f.ServeRequests(conn, in, tunnelReq.User)
 			}
 		})
 	}
@@ -90,36 +90,36 @@
 func (f *Front) readRequest(conn net.Conn, read RequestReader) (*bufio.Reader, *Request) {
 	conn.SetDeadline(time.Now().Add(openTimeout))
 	in := bufio.NewReaderSize(conn, message.MaxHead)
-	o, err := read(in, conn, f.Table)
+	tunnelReq, err := read(in, conn, f.Table)
 	if err != nil {
 		f.Log.Info("tunnel request failed", "client", conn.RemoteAddr(), "err", err)
 		return nil, nil
 	}
 	if f.Draining() || !f.AcquireSlot() {
-		o.Refuse(http.StatusServiceUnavailable, time.Second, "")
+		tunnelReq.Refuse(http.StatusServiceUnavailable, time.Second, "")
 		return nil, nil
 	}
-	return in, o
+	return in, tunnelReq
 }
 
 // serveOpaque handles an opaque tunnel as one request: the request's final response is the reply to the client, and the
 // tunnel's lifetime follows. False: the route has changed to one for requests, and the client has received nothing.
-func (f *Front) serveOpaque(conn net.Conn, in *bufio.Reader, o *Request) bool {
-	r := f.beginRequest(conn, o)
+func (f *Front) serveOpaque(conn net.Conn, in *bufio.Reader, tunnelReq *Request) bool {
+	r := f.beginRequest(conn, tunnelReq)
 	if r == nil {
-		return o.Route.Opaque
+		return tunnelReq.Route.Opaque
 	}
-	f.respondAndRelay(conn, in, o, r)
+	f.respondAndRelay(conn, in, tunnelReq, r)
 	return true
 }
 
 // beginRequest passes a request for an opaque tunnel to the core. The route must be the current one when the request's
 // contract and cell are looked up: if it has changed since the client named it, it is looked up again. Nil: the tunnel
 // was refused and the client notified, unless the route is no longer opaque.
-func (f *Front) beginRequest(conn net.Conn, o *Request) *core.Request {
-	caller := f.Caller(conn, o.User)
+func (f *Front) beginRequest(conn net.Conn, tunnelReq *Request) *core.Request {
+	caller := f.Caller(conn, tunnelReq.User)
 	for {
-		route := o.Route
+		route := tunnelReq.Route
 		stream := &message.Stream{Limits: route.Limits}
 		r := &core.Request{ID: fmt.Sprint(f.idPrefix, f.requestCount.Add(1)), Class: route.Class, Tenant: caller.Tenant, Caller: caller,
 			Arrived: f.Core.Now(), Timeout: openTimeout, Body: stream, Message: stream, ClientLeft: func() bool { return flow.PeerClosed(conn) }}
@@ -132,13 +132,13 @@
 		case f.Core.Begin(r):
 			return r
 		case !exists:
-			o.Refuse(http.StatusForbidden, 0, "")
+			tunnelReq.Refuse(http.StatusForbidden, 0, "")
 			return nil
 		case current == route: // the core cannot accept it; no other request has its id
-			o.Refuse(http.StatusServiceUnavailable, time.Second, "")
+			tunnelReq.Refuse(http.StatusServiceUnavailable, time.Second, "")
 			return nil
 		}
-		if o.Route = current; !current.Opaque {
+		if tunnelReq.Route = current; !current.Opaque {
 			return nil
 		}
 	}
@@ -146,27 +146,27 @@
 
 // respondAndRelay waits for a request's final response, replies to the client and, if the tunnel is established, relays
 // until it ends.
-func (f *Front) respondAndRelay(conn net.Conn, in *bufio.Reader, o *Request, r *core.Request) {
-	a, ok := f.awaitResponse(conn, in, r)
+func (f *Front) respondAndRelay(conn net.Conn, in *bufio.Reader, tunnelReq *Request, r *core.Request) {
+	final, ok := f.awaitResponse(conn, in, r)
 	if !ok {
 		return
 	}
 	defer f.Core.ResponseWritten(r)
-	if a.Kind != core.Served {
-		status, after, reason := message.Refusal(a)
-		if a.Kind == core.Failed {
+	if final.Kind != core.Served {
+		status, after, reason := message.Refusal(final)
+		if final.Kind == core.Failed {
 			status = http.StatusBadGateway
 		}
-		o.Refuse(status, after, reason)
+		tunnelReq.Refuse(status, after, reason)
 		return
 	}
-	defer a.Payload.Release()
+	defer final.Payload.Release()
 	conn.SetDeadline(time.Now().Add(openTimeout))
-	if o.Accept() != nil {
+	if tunnelReq.Accept() != nil {
 		return
 	}
 	conn.SetDeadline(time.Time{})
-	a.Payload.(message.Tunnel).Relay(conn, in)
+	final.Payload.(message.Tunnel).Relay(conn, in)
 }
 
 // awaitResponse waits for the final response. Not ok: the client has disconnected before it, and the core has been
@@ -175,11 +175,11 @@
 	conn.SetDeadline(time.Time{})
 	// What the client sends before the reply stays unread, in the reader or in the socket.
 	clientLeft, stop := flow.WatchPeer(conn, in, false)
-	a, ok := r.Await(clientLeft)
+	final, ok := r.Await(clientLeft)
 	if !ok {
 		f.Core.ClientGone(r)
 		return core.Response{}, false
 	}
 	stop()
-	return a, true
+	return final, true
 }
--- a/internal/front/tunnel/front_test.go
+++ b/internal/front/tunnel/front_test.go
@@ -32,7 +32,7 @@
 	other := before
 	other.Class, other.Limits.Idle = "buy", time.Minute
 	plain := Route{Host: before.Host, Port: before.Port, Service: "s"}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name     string
 		change   Change
 		class    string // of the request that the core accepts; empty: none is accepted
@@ -45,7 +45,7 @@
 		{"route removed", Change{Removed: []string{"a.example.org:7"}}, "", "HTTP/1.1 403 ", true},
 		{"no longer opaque", Change{Put: []Route{plain}}, "", "", false},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c, err := core.New(policy.Settings{Nodes: 1, MaxAttempts: 1, Classes: []policy.Class{
 				{Name: "view", TargetLatency: time.Second, Deadline: time.Second, Value: 1}, {Name: "buy", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}},
 				1, core.Options{Clock: stubServices{}, Sender: stubServices{}, Discovery: stubServices{}, Log: slog.New(slog.DiscardHandler)})
@@ -60,22 +60,22 @@
 			f := NewFront(Options{Core: c, Table: table, Caller: func(net.Conn, string) contract.Caller { return contract.Caller{Tenant: "t"} }})
 			var written bytes.Buffer
 			in := bufio.NewReaderSize(strings.NewReader("CONNECT a.example.org:7 HTTP/1.1\r\nHost: a.example.org:7\r\n\r\n"), maxConnectHead)
-			o, err := Connect(in, &written, table)
+			request, err := Connect(in, &written, table)
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.Lock()
-			table.ApplyChange(&k.change)
+			table.ApplyChange(&test.change)
 			c.Unlock()
-			r := f.beginRequest(nil, o)
-			if (r != nil) != (k.class != "") || r != nil && r.Class != k.class || o.Route.Opaque != k.opaque {
-				t.Errorf("accepted %+v by route %+v, want class %q", r, o.Route, k.class)
+			r := f.beginRequest(nil, request)
+			if (r != nil) != (test.class != "") || r != nil && r.Class != test.class || request.Route.Opaque != test.opaque {
+				t.Errorf("accepted %+v by route %+v, want class %q", r, request.Route, test.class)
 			}
-			if !strings.HasPrefix(written.String(), k.response) || k.response == "" && written.Len() > 0 {
-				t.Errorf("response %q, want %q", written.String(), k.response)
+			if !strings.HasPrefix(written.String(), test.response) || test.response == "" && written.Len() > 0 {
+				t.Errorf("response %q, want %q", written.String(), test.response)
 			}
-			if r != nil && o.Route.Class != r.Class {
-				t.Errorf("the request is of class %q, the route of %q", r.Class, o.Route.Class)
+			if r != nil && request.Route.Class != r.Class {
+				t.Errorf("the request is of class %q, the route of %q", r.Class, request.Route.Class)
 			}
 		})
 	}
--- a/internal/front/tunnel/routes.go
+++ b/internal/front/tunnel/routes.go
@@ -1,6 +1,7 @@
-// Package tunnel is the client side of tunnels: it speaks SOCKS5 (RFC 1928, RFC 1929) and HTTP CONNECT (RFC 9110, 9.3.6)
-// until a tunnel is established, and holds the names that clients may request. What then arrives through the tunnel is
-// handled by the functions in Options. It makes no decision about web servers.
+// Package tunnel is the client side of tunnels. It speaks SOCKS5 (RFC 1928, RFC 1929) and HTTP CONNECT (RFC 9110,
+// 9.3.6) until a tunnel is established, and holds the names that clients may request. HTTP requests that arrive through
+// a tunnel are handled by Options.ServeRequests, and an opaque tunnel is a request to Options.Core. The package makes
+// no decision about web servers.
 package tunnel
 
 import (
@@ -44,7 +45,8 @@
 
 func (a address) String() string { return fmt.Sprintf("%s:%d", a.host, a.port) }
 
-// NewTable returns a table. Without users no password is required. An error names the route at fault.
+// NewTable returns a table of the routes and of users with the SHA-256 of their passwords. Without users no password is
+// required. An error names the route at fault.
 func NewTable(routes []Route, users map[string][sha256.Size]byte) (*Table, error) {
 	t := &Table{routes: make(map[address]Route, len(routes)), users: users}
 	for i, r := range routes {
--- a/internal/front/tunnel/routes_test.go
+++ b/internal/front/tunnel/routes_test.go
@@ -27,7 +27,7 @@
 		current := map[string]Route{}
 		for range rapid.IntRange(1, 20).Draw(rt, "changes") {
 			c := Change{Put: rapid.SliceOfN(rapid.Custom(genRoute), 0, 3).Draw(rt, "put"),
-				Removed: rapid.SliceOfN(rapid.SampledFrom([]string{"a.org:80", "b.org:443", "c.org:80", "d.org:1", "none"}), 0, 2).Draw(rt, "gone")}
+				Removed: rapid.SliceOfN(rapid.SampledFrom([]string{"a.org:80", "b.org:443", "c.org:80", "d.org:1", "none"}), 0, 2).Draw(rt, "removed")}
 			next, named := maps.Clone(current), map[string]bool{}
 			for _, n := range c.Removed {
 				delete(next, n)
--- a/internal/front/tunnel/socks5.go
+++ b/internal/front/tunnel/socks5.go
@@ -46,13 +46,13 @@
 	reply func(status int, after time.Duration, reason string) error
 }
 
-// Accept tells the client that its tunnel is established.
-func (o *Request) Accept() error { return o.reply(http.StatusOK, 0, "") }
+// Accept reports to the client that its tunnel is established.
+func (r *Request) Accept() error { return r.reply(http.StatusOK, 0, "") }
 
-// Refuse tells the client that it gets no tunnel: an HTTP status, when to retry (0: not specified) and the reason for
-// programs. SOCKS5 maps the status to a reply code and drops the rest.
-func (o *Request) Refuse(status int, after time.Duration, reason string) error {
-	return o.reply(status, after, reason)
+// Refuse reports to the client that it gets no tunnel, by an HTTP status, the time after which to retry (0: not
+// specified) and a machine-readable reason. SOCKS5 maps the status to a reply code and omits the other two.
+func (r *Request) Refuse(status int, after time.Duration, reason string) error {
+	return r.reply(status, after, reason)
 }
 
 // SOCKS5 reads a client's greeting, password and request, and finds its route. It reads nothing beyond the request. An
@@ -85,7 +85,7 @@
 	if _, err := out.Write([]byte{socksVersion, want}); err != nil {
 		return nil, err
 	}
-	o := &Request{}
+	request := &Request{}
 	if want == methodPassword {
 		user, password, err := readPassword(in)
 		if err != nil {
@@ -98,7 +98,7 @@
 		if _, err := out.Write([]byte{passwordVersion, 0}); err != nil {
 			return nil, err
 		}
-		o.User = user
+		request.User = user
 	}
 	reply := func(code byte) error {
 		// The address that the node uses towards web servers is not disclosed: all zeros, as is common.
@@ -129,11 +129,11 @@
 		return nil, fmt.Errorf("%w: command %d", ErrCommand, req[1])
 	}
 	var ok bool
-	if o.Route, ok = t.Find(host, uint16(port[0])<<8|uint16(port[1])); !ok {
+	if request.Route, ok = t.Find(host, uint16(port[0])<<8|uint16(port[1])); !ok {
 		reply(replyNotAllowed)
 		return nil, ErrNoRoute
 	}
-	o.reply = func(status int, _ time.Duration, _ string) error {
+	request.reply = func(status int, _ time.Duration, _ string) error {
 		switch status {
 		case http.StatusOK:
 			return reply(replySucceeded)
@@ -144,7 +144,7 @@
 		}
 		return reply(replyServerFailure)
 	}
-	return o, nil
+	return request, nil
 }
 
 // readPassword reads a user and a password (RFC 1929, 2).
--- a/internal/front/tunnel/tunnel_test.go
+++ b/internal/front/tunnel/tunnel_test.go
@@ -73,7 +73,7 @@
 	} {
 		var out bytes.Buffer
 		in := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.in+trailing)), maxConnectHead)
-		o, err := SOCKS5(in, &out, testTable(t, c.users))
+		request, err := SOCKS5(in, &out, testTable(t, c.users))
 		if !errors.Is(err, c.err) || (err == nil) != (c.err == nil) || out.String() != c.out {
 			t.Errorf("%s: error %v, wrote %q; want error %v, %q", c.name, err, out.String(), c.err, c.out)
 		}
@@ -81,12 +81,12 @@
 			continue
 		}
 		out.Reset()
-		o.Accept()
-		if unread, _ := io.ReadAll(in); string(unread) != trailing || out.String() != fail(0) || o.Route.Service != "placement" {
-			t.Errorf("%s: Accept wrote %q, unread %q, route %+v", c.name, out.String(), unread, o.Route)
+		request.Accept()
+		if unread, _ := io.ReadAll(in); string(unread) != trailing || out.String() != fail(0) || request.Route.Service != "placement" {
+			t.Errorf("%s: Accept wrote %q, unread %q, route %+v", c.name, out.String(), unread, request.Route)
 		}
 		out.Reset()
-		if o.Refuse(503, time.Second, ""); out.String() != fail(1) {
+		if request.Refuse(503, time.Second, ""); out.String() != fail(1) {
 			t.Errorf("%s: Refuse wrote %q", c.name, out.String())
 		}
 	}
@@ -132,7 +132,7 @@
 	} {
 		var out bytes.Buffer
 		in := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.in+trailing)), 2*maxConnectHead)
-		o, err := Connect(in, &out, testTable(t, c.users))
+		request, err := Connect(in, &out, testTable(t, c.users))
 		if !errors.Is(err, c.err) || (err == nil) != (c.err == nil) || !strings.HasPrefix(strings.TrimPrefix(out.String(), "HTTP/1.1 "), c.status) ||
 			(c.status == "") != (out.Len() == 0) {
 			t.Errorf("%s: error %v, wrote %q; want error %v, %q", c.name, err, out.String(), c.err, c.status)
@@ -140,12 +140,12 @@
 		if err != nil {
 			continue
 		}
-		o.Accept()
+		request.Accept()
 		if unread, _ := io.ReadAll(in); string(unread) != trailing || !strings.HasPrefix(out.String(), "HTTP/1.1 200 ") || strings.Contains(out.String(), "Content-Length") {
 			t.Errorf("%s: Accept wrote %q, unread %q", c.name, out.String(), unread)
 		}
 		out.Reset()
-		if o.Refuse(503, time.Second, ""); !strings.HasPrefix(out.String(), "HTTP/1.1 503 ") {
+		if request.Refuse(503, time.Second, ""); !strings.HasPrefix(out.String(), "HTTP/1.1 503 ") {
 			t.Errorf("%s: Refuse wrote %q", c.name, out.String())
 		}
 	}
@@ -177,8 +177,8 @@
 	table := testTable(f, false)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for _, read := range []func(*bufio.Reader, io.Writer, *Table) (*Request, error){SOCKS5, Connect} {
-			if o, err := read(bufio.NewReaderSize(bytes.NewReader(text), maxConnectHead), io.Discard, table); err == nil && o.Route.Service != "placement" {
-				t.Errorf("%q was accepted with route %+v", text, o.Route)
+			if request, err := read(bufio.NewReaderSize(bytes.NewReader(text), maxConnectHead), io.Discard, table); err == nil && request.Route.Service != "placement" {
+				t.Errorf("%q was accepted with route %+v", text, request.Route)
 			}
 		}
 	})
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -13,7 +13,7 @@
 // between.
 package handover
 
-// Peer names another process at a Machine; 0: none.
+// Peer identifies another process to a Machine; 0: none.
 type Peer int
 
 // Message is a message between two processes of a node. Its values are sent to processes of other builds: their order
@@ -27,7 +27,8 @@
 	NotServing
 	// Ready goes to a predecessor: the successor is initialized and requests the clients.
 	Ready
-	// Transfer goes to a successor: this process begins no more requests on its own. It carries what has changed since State.
+	// Transfer goes to a successor: this process begins no more requests on its own. It carries what has changed since
+	// State.
 	Transfer
 	// Serving goes to a predecessor: the successor holds the token and accepts clients.
 	Serving
@@ -41,7 +42,7 @@
 	Starting Phase = iota
 	// Searching: it searches for the process that serves.
 	Searching
-	// Requesting: it has told its predecessor that it is ready.
+	// Requesting: it has notified its predecessor that it is ready.
 	Requesting
 	// Active: it holds the token and accepts clients.
 	Active
@@ -70,8 +71,8 @@
 	// SetAccepting starts or stops accepting clients. A process that starts becomes the one that successors find. The
 	// listener stays open in both cases.
 	SetAccepting(on bool)
-	// TransferTo begins to ask that process before each new request, and sends it Transfer with the number and all that it
-	// needs.
+	// TransferTo begins to ask that process before each new request, and sends it Transfer with the number and all that
+	// it needs.
 	TransferTo(to Peer, number uint64)
 	// FinishRequests begins to close the clients' connections and to finish the requests that were accepted.
 	FinishRequests()
@@ -79,9 +80,9 @@
 	Resume()
 	// Send sends a message without waiting.
 	Send(to Peer, m Message)
-	// Search looks for a process that serves, or that has served and has not exited. Its State or NotServing is passed to
-	// Machine.Received; if there is none, Machine.NoneFound is called. A process that has no clients left but unfinished
-	// requests must be found: their ids are still in use.
+	// Search looks for a process that serves, or that has served and has not exited. Its State or NotServing is passed
+	// to Machine.Received; if there is none, Machine.NoneFound is called. A process that has unfinished requests but no
+	// clients any more must be found too: the ids of the requests are still in use.
 	Search()
 }
 
@@ -89,7 +90,7 @@
 // predecessor.
 type Machine struct {
 	Phase        Phase
-	Predecessor  Peer   // the predecessor
+	Predecessor  Peer   // 0: none, or it has exited
 	Successor    Peer   // the successor, in the phases Transferring and Finishing; 0 once it has exited
 	Initialized  bool   // the process can serve
 	Stopping     bool   // the process was asked to stop: it accepts no clients again
@@ -100,8 +101,7 @@
 // enter changes the phase.
 func (m *Machine) enter(p Phase) { m.Phase, m.ticksInPhase = p, 0 }
 
-// ReadyToServe records that the process is initialized and can serve. Before that it does not search for other
-// processes.
+// ReadyToServe records that the process is initialized and can serve. In the phase Starting it requests the clients.
 func (m *Machine) ReadyToServe(env Env) {
 	m.Initialized = true
 	if m.Phase == Starting {
@@ -237,14 +237,14 @@
 	if !held {
 		return
 	}
-	// The successor raised the number by one when it took the token, and by one more if it released it for a third process.
-	// That one may take it, unless it exits too.
+	// The successor raised the number by one when it took the token, and by one more if it released it for a third
+	// process. The third process may take it, unless it exits too.
 	if n > m.TokenNumber+1 && m.ticksInPhase < 2*transferTicks {
 		env.UnlockToken()
 		return
 	}
 	m.Successor = 0
-	m.setTokenNumber(env, n+1) // the number that the successor received is outdated from now on, even if this process exits
+	m.setTokenNumber(env, n+1) // outdates the number that the successor received, even if this process exits
 	m.enter(Active)
 	env.Resume()
 	if !m.Stopping { // else the process is only found by the next successor
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -59,7 +59,7 @@
 	claim         Verdict // AskFirst: a claim; Granted, AlreadyOpen, Undecided: the reply to one
 	isClaim       bool
 	requestEnded  bool // the request with the id has ended at the sender
-	openHere      bool // with State and Transfer: the id is open or pending at the sender
+	openHere      bool // with State and Transfer: the id is open at the sender, or its claim is pending there
 	openElsewhere bool // with State and Transfer: the sender knows the id to be open at another process
 }
 
@@ -101,9 +101,9 @@
 	}
 }
 
-func (e env) send(to Peer, l packet) {
+func (e env) send(to Peer, msg packet) {
 	if e.sim.procs[to].up {
-		e.sim.channels[e.index][to] = append(slices.Clone(e.sim.channels[e.index][to]), l)
+		e.sim.channels[e.index][to] = append(slices.Clone(e.sim.channels[e.index][to]), msg)
 	}
 }
 
@@ -114,7 +114,7 @@
 	e.send(to, packet{what: Transfer, number: number, openHere: e.reportsOpen(), openElsewhere: len(e.process().requestIDs.Remote(0)) > 0})
 }
 
-// reportsOpen reports whether a process tells others that the id is open here.
+// reportsOpen reports whether State and Transfer say that the id is open here.
 func (e env) reportsOpen() bool {
 	return e.process().open || e.process().claimPending && e.sim.fault != omitsPending
 }
@@ -175,9 +175,9 @@
 	}
 	for i := range s.channels {
 		for k := range s.channels[i] {
-			for _, l := range s.channels[i][k] {
-				bit(l.closed, l.isClaim, l.requestEnded, l.openHere, l.openElsewhere)
-				b = append(b, byte(l.what), byte(l.claim), byte(l.number))
+			for _, msg := range s.channels[i][k] {
+				bit(msg.closed, msg.isClaim, msg.requestEnded, msg.openHere, msg.openElsewhere)
+				b = append(b, byte(msg.what), byte(msg.claim), byte(msg.number))
 			}
 			b = append(b, 0xfe)
 		}
@@ -187,16 +187,16 @@
 
 // beginRequest lets a request with the id begin at a process, if it may.
 func (s *simulation) beginRequest(p int) {
-	q := &s.procs[p]
-	switch q.requestIDs.Begin(0, id, q.open) {
+	proc := &s.procs[p]
+	switch proc.requestIDs.Begin(0, id, proc.open) {
 	case Granted:
 		s.sendAttempt(p)
 	case AskFirst:
-		if q.Successor != 0 && s.procs[q.Successor].up {
-			q.claimPending = true
-			env{s, p}.send(q.Successor, packet{isClaim: true, claim: AskFirst})
+		if proc.Successor != 0 && s.procs[proc.Successor].up {
+			proc.claimPending = true
+			env{s, p}.send(proc.Successor, packet{isClaim: true, claim: AskFirst})
 		} else {
-			q.requestIDs.Resolved(id) // rejected
+			proc.requestIDs.Resolved(id) // rejected
 		}
 	}
 }
@@ -213,45 +213,45 @@
 
 // receive lets a process handle the next packet from another one.
 func (s *simulation) receive(to, from int) {
-	l := s.channels[from][to][0]
+	msg := s.channels[from][to][0]
 	s.channels[from][to] = s.channels[from][to][1:]
 	p, e := &s.procs[to], env{s, to}
 	switch {
-	case l.closed:
+	case msg.closed:
 		p.requestIDs.PeerExited(Peer(from))
 		if p.claimPending && p.Successor == Peer(from) {
 			p.claimPending = false
 			p.requestIDs.Resolved(id)
 		}
 		p.PeerExited(e, Peer(from))
-	case l.requestEnded:
+	case msg.requestEnded:
 		p.requestIDs.RemoteEnded(id)
-	case l.isClaim && l.claim == AskFirst:
+	case msg.isClaim && msg.claim == AskFirst:
 		e.send(Peer(from), packet{isClaim: true, claim: p.requestIDs.Claim(0, Peer(from), id, p.open, noDeadline)})
-	case l.isClaim:
+	case msg.isClaim:
 		if p.claimPending {
 			p.claimPending = false
 			p.requestIDs.Resolved(id)
-			if l.claim == Granted {
+			if msg.claim == Granted {
 				s.sendAttempt(to)
 			}
 		}
 	default:
-		if l.what == State || l.what == Transfer {
+		if msg.what == State || msg.what == Transfer {
 			at := func(on bool) map[string]time.Duration {
 				if on {
 					return map[string]time.Duration{id: noDeadline}
 				}
 				return nil
 			}
-			p.requestIDs.SetRemote(Peer(from), at(l.openHere), at(l.openElsewhere))
+			p.requestIDs.SetRemote(Peer(from), at(msg.openHere), at(msg.openElsewhere))
 		}
-		p.Received(e, Peer(from), l.what, l.number)
+		p.Received(e, Peer(from), msg.what, msg.number)
 	}
 }
 
-// crash ends a process. Its token becomes free and its connections end after what was written. Which of the two another
-// process notices first is open, as nobody checks the token without a reason.
+// crash ends a process. Its token becomes free and its connections end after what was written. Another process may
+// notice either of the two first, as no process checks the token without a reason.
 func (s *simulation) crash(p int) {
 	s.procs[p].up = false
 	if s.tokenHolder == p {
@@ -267,9 +267,10 @@
 
 // mayExit reports whether a process may exit by itself: its successor serves and nothing is left to do here.
 func (s *simulation) mayExit(p int) bool {
-	q := &s.procs[p]
-	hasPredecessor := q.Predecessor != 0 && s.procs[q.Predecessor].up // it decides on claims of its own predecessor
-	return q.Phase == Finishing && q.Successor != 0 && !q.open && !q.claimPending && !hasPredecessor
+	proc := &s.procs[p]
+	// A process decides on the claims of its own predecessor.
+	hasPredecessor := proc.Predecessor != 0 && s.procs[proc.Predecessor].up
+	return proc.Phase == Finishing && proc.Successor != 0 && !proc.open && !proc.claimPending && !hasPredecessor
 }
 
 // nextStates returns the simulations that can follow this one, with the name of the event that leads to each.
@@ -280,21 +281,21 @@
 		names, next = append(names, name), append(next, c)
 	}
 	for p := 1; p < len(s.procs); p++ {
-		q := &s.procs[p]
-		if !q.up {
+		proc := &s.procs[p]
+		if !proc.up {
 			continue
 		}
 		if s.crashesLeft > 0 {
 			add(fmt.Sprint("crash of ", p), func(c *simulation) { c.crashesLeft--; c.crash(p) })
 		}
-		if q.hung {
+		if proc.hung {
 			add(fmt.Sprint(p, " resumes"), func(c *simulation) { c.procs[p].hung = false })
 			continue
 		}
-		if s.hangsLeft > 0 && q.Initialized && p > 1 {
+		if s.hangsLeft > 0 && proc.Initialized && p > 1 {
 			add(fmt.Sprint(p, " hangs"), func(c *simulation) { c.hangsLeft--; c.procs[p].hung = true })
 		}
-		if !q.initialized {
+		if !proc.initialized {
 			add(fmt.Sprint(p, " is initialized"), func(c *simulation) { c.procs[p].initialized = true; c.procs[p].ReadyToServe(env{c, p}) })
 		}
 		for from := 1; from < len(s.procs); from++ {
@@ -302,21 +303,21 @@
 				add(fmt.Sprint(p, " receives from ", from), func(c *simulation) { c.receive(p, from) })
 			}
 		}
-		if s.ticksLeft > 0 && q.NeedsTick() {
+		if s.ticksLeft > 0 && proc.NeedsTick() {
 			add(fmt.Sprint(p, " ticks"), func(c *simulation) {
 				c.ticksLeft--
 				c.procs[p].ticksInPhase = transferTicks - 1 // any number of ticks may have passed
 				c.procs[p].Tick(env{c, p})
 			})
 		}
-		if s.requestsLeft > 0 && q.servedBefore {
+		if s.requestsLeft > 0 && proc.servedBefore {
 			add(fmt.Sprint("a client sends a request to ", p), func(c *simulation) { c.requestsLeft--; c.beginRequest(p) })
 		}
-		if q.open {
+		if proc.open {
 			add(fmt.Sprint(p, " completes its request"), func(c *simulation) {
 				c.procs[p].open = false
-				if h := c.procs[p].Successor; c.procs[p].requestIDs.AskSuccessor && h != 0 {
-					env{c, p}.send(h, packet{requestEnded: true})
+				if successor := c.procs[p].Successor; c.procs[p].requestIDs.AskSuccessor && successor != 0 {
+					env{c, p}.send(successor, packet{requestEnded: true})
 				}
 			})
 		}
@@ -355,14 +356,14 @@
 	for settled := false; !settled; {
 		settled = true
 		for p := 1; p < len(c.procs); p++ {
-			q := &c.procs[p]
-			if !q.up {
+			proc := &c.procs[p]
+			if !proc.up {
 				continue
 			}
-			alive, q.hung = true, false
-			if !q.initialized {
-				settled, q.initialized = false, true
-				q.ReadyToServe(env{c, p})
+			alive, proc.hung = true, false
+			if !proc.initialized {
+				settled, proc.initialized = false, true
+				proc.ReadyToServe(env{c, p})
 			}
 			for from := 1; from < len(c.procs); from++ {
 				for len(c.channels[from][p]) > 0 && c.procs[p].up {
@@ -370,9 +371,9 @@
 					c.receive(p, from)
 				}
 			}
-			if rounds++; q.NeedsTick() && rounds < 200 {
+			if rounds++; proc.NeedsTick() && rounds < 200 {
 				settled = false
-				q.Tick(env{c, p})
+				proc.Tick(env{c, p})
 			}
 		}
 	}
@@ -402,7 +403,7 @@
 	return s
 }
 
-// explore plays all interleavings of a simulation, up to maxStates, and returns the number of states and the first
+// explore runs all interleavings of a simulation, up to maxStates, and returns the number of states and the first
 // trace that violates an invariant.
 func explore(s *simulation, maxStates int) (states int, wrong string) {
 	type step struct {
@@ -470,11 +471,11 @@
 
 // The search finds violations: it must find each injected fault.
 func TestInjectedFaultsAreFound(t *testing.T) {
-	for _, p := range []injectedFault{noTokenNumber, neverAsks, omitsPending, noLock} {
+	for _, fault := range []injectedFault{noTokenNumber, neverAsks, omitsPending, noLock} {
 		s := newSimulation(1, 2, 1, 0, 2)
-		s.fault = p
+		s.fault = fault
 		if states, wrong := explore(s, 300_000); wrong == "" {
-			t.Errorf("injected fault %d was not found in %d states", p, states)
+			t.Errorf("injected fault %d was not found in %d states", fault, states)
 		}
 	}
 }
--- a/internal/handover/request_ids.go
+++ b/internal/handover/request_ids.go
@@ -31,16 +31,17 @@
 	until time.Duration // its deadline
 }
 
-// Begin decides on a request that is about to begin. Here is whether a request with its id is open in this process.
-func (i *RequestIDs) Begin(now time.Duration, id string, here bool) Verdict {
+// Begin decides on a request that is about to begin. The argument here says whether a request with its id is open in
+// this process.
+func (r *RequestIDs) Begin(now time.Duration, id string, here bool) Verdict {
 	switch {
-	case here || i.pending[id] || now < i.remote[id].until:
+	case here || r.pending[id] || now < r.remote[id].until:
 		return AlreadyOpen
-	case i.AskSuccessor:
-		if i.pending == nil {
-			i.pending = map[string]bool{}
+	case r.AskSuccessor:
+		if r.pending == nil {
+			r.pending = map[string]bool{}
 		}
-		i.pending[id] = true
+		r.pending[id] = true
 		return AskFirst
 	}
 	return Granted
@@ -48,68 +49,68 @@
 
 // Pending returns the ids whose begin waits for a successor's reply. For a process that adopts the state they are open
 // here.
-func (i *RequestIDs) Pending() (ids []string) {
-	for id := range i.pending {
+func (r *RequestIDs) Pending() (ids []string) {
+	for id := range r.pending {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
 // Resolved ends the wait that Begin started with AskFirst.
-func (i *RequestIDs) Resolved(id string) { delete(i.pending, id) }
+func (r *RequestIDs) Resolved(id string) { delete(r.pending, id) }
 
 // Claim decides on a request that a predecessor is about to begin, and that ends at until at the latest.
-func (i *RequestIDs) Claim(now time.Duration, from Peer, id string, here bool, until time.Duration) Verdict {
+func (r *RequestIDs) Claim(now time.Duration, from Peer, id string, here bool, until time.Duration) Verdict {
 	switch {
-	case here || i.pending[id] || now < i.remote[id].until:
+	case here || r.pending[id] || now < r.remote[id].until:
 		return AlreadyOpen
-	case i.AskSuccessor: // another process decides now, and this one may exit before the request has ended
+	case r.AskSuccessor: // another process decides now, and this one may exit before the request has ended
 		return Undecided
 	}
-	i.addRemote(id, remoteRequest{from, until})
+	r.addRemote(id, remoteRequest{from, until})
 	return Granted
 }
 
 // addRemote records a request that is open at another process.
-func (i *RequestIDs) addRemote(id string, t remoteRequest) {
-	if i.remote == nil {
-		i.remote = map[string]remoteRequest{}
+func (r *RequestIDs) addRemote(id string, request remoteRequest) {
+	if r.remote == nil {
+		r.remote = map[string]remoteRequest{}
 	}
-	i.remote[id] = t
+	r.remote[id] = request
 }
 
 // SetRemote replaces what is known about another process: the requests that it has open, and those that it knows to be
 // open elsewhere (indirect), each with its deadline.
-func (i *RequestIDs) SetRemote(from Peer, open, indirect map[string]time.Duration) {
-	i.PeerExited(from)
+func (r *RequestIDs) SetRemote(from Peer, open, indirect map[string]time.Duration) {
+	r.PeerExited(from)
 	for id, until := range indirect {
-		i.addRemote(id, remoteRequest{0, until})
+		r.addRemote(id, remoteRequest{0, until})
 	}
 	for id, until := range open {
-		i.addRemote(id, remoteRequest{from, until})
+		r.addRemote(id, remoteRequest{from, until})
 	}
 }
 
 // RemoteEnded records that a request has ended at another process.
-func (i *RequestIDs) RemoteEnded(id string) { delete(i.remote, id) }
+func (r *RequestIDs) RemoteEnded(id string) { delete(r.remote, id) }
 
 // PeerExited records that another process has exited, which ends its requests.
-func (i *RequestIDs) PeerExited(from Peer) {
-	for id, t := range i.remote {
-		if t.peer == from && from != 0 {
-			delete(i.remote, id)
+func (r *RequestIDs) PeerExited(from Peer) {
+	for id, request := range r.remote {
+		if request.peer == from && from != 0 {
+			delete(r.remote, id)
 		}
 	}
 }
 
 // Remote returns the requests that are open at other processes, and drops those past their deadline.
-func (i *RequestIDs) Remote(now time.Duration) map[string]time.Duration {
-	all := make(map[string]time.Duration, len(i.remote))
-	for id, t := range i.remote {
-		if now < t.until {
-			all[id] = t.until
+func (r *RequestIDs) Remote(now time.Duration) map[string]time.Duration {
+	all := make(map[string]time.Duration, len(r.remote))
+	for id, request := range r.remote {
+		if now < request.until {
+			all[id] = request.until
 		} else {
-			delete(i.remote, id)
+			delete(r.remote, id)
 		}
 	}
 	return all
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -32,9 +32,9 @@
 }
 
 // Release returns what the response held, whether it was forwarded or not.
-func (a *Response) Release() {
-	a.Budget.ReleaseResponse(a.HeldBytes)
-	if a.Stream != nil {
-		a.Stream.Close()
+func (r *Response) Release() {
+	r.Budget.ReleaseResponse(r.HeldBytes)
+	if r.Stream != nil {
+		r.Stream.Close()
 	}
 }
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -13,7 +13,7 @@
 type TunnelLimits struct {
 	Idle  time.Duration // time without a byte in either direction
 	Total time.Duration // time since it was opened
-	Stall time.Duration // time without a byte from the server since the client's latest; 0: no limit, as the protocol may be silent
+	Stall time.Duration // time without a byte from the server since the client's latest; 0: no limit, for silent protocols
 	Drain time.Duration // time since its server or the node started to drain
 }
 
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// MaxConns is the maximum number of open connections. Above it the oldest is closed: calls are answered within
+	// MaxConns is the maximum number of open connections. Above it the oldest is closed: calls are replied to within
 	// milliseconds, so the oldest connection is most likely one that has not sent its call.
 	MaxConns = 24
 	// connTimeout limits how long a caller may take to send its call and to read the reply.
@@ -96,8 +96,8 @@
 		}
 		s.conns = append(s.conns, c)
 	case http.StateClosed, http.StateHijacked:
-		for i, o := range s.conns {
-			if o == c {
+		for i, open := range s.conns {
+			if open == c {
 				s.conns = append(s.conns[:i:i], s.conns[i+1:]...)
 				break
 			}
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -25,33 +25,33 @@
 	readyErr error
 }
 
-func (f *stubNode) record(call string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.calls = append(f.calls, call)
+func (n *stubNode) record(call string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.calls = append(n.calls, call)
 }
 
-func (f *stubNode) recordFor(call, id string) error {
+func (n *stubNode) recordFor(call, id string) error {
 	if id != "s-1" {
 		return ErrUnknownServer
 	}
-	f.record(call + " " + id)
+	n.record(call + " " + id)
 	return nil
 }
 
-func (f *stubNode) Ready() error                               { return f.readyErr }
-func (f *stubNode) Disable(_ context.Context, id string) error { return f.recordFor("disable", id) }
-func (f *stubNode) Enable(_ context.Context, id string) error  { return f.recordFor("enable", id) }
-func (f *stubNode) Drain(context.Context) error                { f.record("drain"); return nil }
-func (f *stubNode) Resume(context.Context) error               { return errors.New("shutting down") }
+func (n *stubNode) Ready() error                               { return n.readyErr }
+func (n *stubNode) Disable(_ context.Context, id string) error { return n.recordFor("disable", id) }
+func (n *stubNode) Enable(_ context.Context, id string) error  { return n.recordFor("enable", id) }
+func (n *stubNode) Drain(context.Context) error                { n.record("drain"); return nil }
+func (n *stubNode) Resume(context.Context) error               { return errors.New("shutting down") }
 
-func startServer(t *testing.T, f *stubNode) string {
+func startServer(t *testing.T, node *stubNode) string {
 	t.Helper()
 	ln, err := standin.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Serve(ln, f, slog.New(slog.DiscardHandler))
+	s := Serve(ln, node, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { s.Close() })
 	return ln.Addr().String()
 }
@@ -81,8 +81,8 @@
 // Each call reaches the node and returns its status; wrong methods, paths and web servers are rejected.
 func TestEachCallReturnsItsStatus(t *testing.T) {
 	t.Parallel()
-	f := &stubNode{}
-	addr := startServer(t, f)
+	node := &stubNode{}
+	addr := startServer(t, node)
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -108,8 +108,8 @@
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
 		}
 	}
-	if want := []string{"disable s-1", "enable s-1", "drain"}; !slices.Equal(f.calls, want) {
-		t.Errorf("the node got the calls %v, want %v", f.calls, want)
+	if want := []string{"disable s-1", "enable s-1", "drain"}; !slices.Equal(node.calls, want) {
+		t.Errorf("the node got the calls %v, want %v", node.calls, want)
 	}
 }
 
--- a/internal/state/age.go
+++ b/internal/state/age.go
@@ -17,7 +17,7 @@
 	capacityTimeConstant = 10.0
 	// slotsTimeConstant is for the largest number of attempts that a server had in work at once.
 	slotsTimeConstant = 60.0
-	// pressureTimeConstant is for the share of initial selections that met no server in normal mode.
+	// pressureTimeConstant is for the share of initial selections that found no server in normal mode.
 	pressureTimeConstant = 0.7
 )
 
@@ -45,7 +45,7 @@
 // Each field has its rule:
 //
 //	disabled by an operator  never expires
-//	enabled by an operator   until the end of the server's time as cold; if written in the future, it was enabled just now
+//	enabled by an operator   until the server's time as cold ends; if written in the future, it was enabled just now
 //	server list              any age: it has a version, and discovery is asked for a newer list at once
 //	open requests, keys      until each one's end; if written in the future none, as their end would not come
 //	service times, limits    decay as they do in a node; dropped after a minute
@@ -119,8 +119,8 @@
 		s.Keys[i].Until += by
 	}
 	for i := range s.Servers {
-		if e := s.Servers[i].Stats; e != nil {
-			for _, t := range []*float64{&e.Ejected, &e.ReportAt, &e.FullAt, &e.LastOK} {
+		if stats := s.Servers[i].Stats; stats != nil {
+			for _, t := range []*float64{&stats.Ejected, &stats.ReportAt, &stats.FullAt, &stats.LastOK} {
 				if *t > 0 {
 					*t = max(0, *t+by.Seconds())
 				}
@@ -129,37 +129,38 @@
 	}
 }
 
-// fade ages the decaying values by dt seconds; now is the reader's time in seconds.
+// fade ages the decaying values by dt seconds; now is the reader's time in seconds. An ejection ends maxEjection from
+// now at the latest. Queues are dropped, with their modes, once they must have cleared.
 func (s *Snapshot) fade(dt, now float64) {
 	sumsDecay, capacityDecay, slotsDecay := math.Exp(-dt/sumsTimeConstant), math.Exp(-dt/capacityTimeConstant),
 		math.Exp(-dt/slotsTimeConstant)
 	for i := range s.Servers {
-		e := s.Servers[i].Stats
-		if e == nil {
+		stats := s.Servers[i].Stats
+		if stats == nil {
 			continue
 		}
-		service := 0.1 // seconds a request, if no response has been measured
-		if e.Occupancy > 0 {
-			service = e.Latency / e.Occupancy
+		serviceTime := 0.1 // seconds a request, if no response has been measured
+		if stats.Occupancy > 0 {
+			serviceTime = stats.Latency / stats.Occupancy
 		}
-		e.Latency, e.Occupancy, e.Served = e.Latency*sumsDecay, e.Occupancy*sumsDecay, e.Served*sumsDecay
-		e.Room, e.Slots, e.Bad = e.Room/capacityDecay, e.Slots*slotsDecay, e.Bad*capacityDecay
-		e.Ejected = min(e.Ejected, now+maxEjection)
-		e.ReportAt, e.FullAt, e.LastOK = min(e.ReportAt, now), min(e.FullAt, now), min(e.LastOK, now)
-		if drainTime := max(0, e.Others) * service; now-e.ReportAt > drainTime+1 {
-			e.Others, e.Mode = 0, 0
+		stats.Latency, stats.Occupancy, stats.Served = stats.Latency*sumsDecay, stats.Occupancy*sumsDecay, stats.Served*sumsDecay
+		stats.Room, stats.Slots, stats.Bad = stats.Room/capacityDecay, stats.Slots*slotsDecay, stats.Bad*capacityDecay
+		stats.Ejected = min(stats.Ejected, now+maxEjection)
+		stats.ReportAt, stats.FullAt, stats.LastOK = min(stats.ReportAt, now), min(stats.FullAt, now), min(stats.LastOK, now)
+		if drainTime := max(0, stats.Others) * serviceTime; now-stats.ReportAt > drainTime+1 {
+			stats.Others, stats.Mode = 0, 0
 		}
-		if now-e.FullAt > e.Full*service {
-			e.Full, e.FullAt = 0, 0
+		if now-stats.FullAt > stats.Full*serviceTime {
+			stats.Full, stats.FullAt = 0, 0
 		}
 	}
 	for i := range s.Classes {
-		c := &s.Classes[i].Stats
-		c.Requests, c.Latency, c.Answers = c.Requests*capacityDecay, c.Latency*capacityDecay, c.Answers*capacityDecay
+		class := &s.Classes[i].Stats
+		class.Requests, class.Latency, class.Answers = class.Requests*capacityDecay, class.Latency*capacityDecay, class.Answers*capacityDecay
 	}
-	t := &s.Totals
-	t.Total, t.Lessers, t.Picks, t.Span, t.Seen = t.Total*capacityDecay, t.Lessers*capacityDecay,
-		t.Picks*sumsDecay, t.Span*sumsDecay, t.Seen*sumsDecay
-	t.Strain *= math.Exp(-dt / pressureTimeConstant)
-	t.Retries = min(t.Retries, 10)
+	totals := &s.Totals
+	totals.Total, totals.Lessers, totals.Picks, totals.Span, totals.Seen = totals.Total*capacityDecay, totals.Lessers*capacityDecay,
+		totals.Picks*sumsDecay, totals.Span*sumsDecay, totals.Seen*sumsDecay
+	totals.Strain *= math.Exp(-dt / pressureTimeConstant)
+	totals.Retries = min(totals.Retries, 10) // maxSavedRetries of the policy
 }
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -117,13 +117,13 @@
 	}
 	seen := map[string]bool{}
 	for i := range s.Servers {
-		v := &s.Servers[i]
-		if v.ID == "" || len(v.ID) > maxIDLen || seen[v.ID] || v.Addr == "" {
-			return malformed("servers[%d]: empty, duplicate or too long id %q, or empty address %q", i, v.ID, v.Addr)
+		server := &s.Servers[i]
+		if server.ID == "" || len(server.ID) > maxIDLen || seen[server.ID] || server.Addr == "" {
+			return malformed("servers[%d]: empty, duplicate or too long id %q, or empty address %q", i, server.ID, server.Addr)
 		}
-		seen[v.ID] = true
-		if v.Stats != nil && !v.Stats.valid() {
-			v.Stats = nil
+		seen[server.ID] = true
+		if server.Stats != nil && !server.Stats.valid() {
+			server.Stats = nil
 		}
 	}
 	for _, list := range [][]TimedID{s.Enabled, s.OpenRequests, s.PeerOpenRequests} {
@@ -136,9 +136,9 @@
 	if i := slices.IndexFunc(s.Disabled, func(id string) bool { return id == "" || len(id) > maxIDLen }); i >= 0 {
 		return malformed("disabled servers: invalid id at [%d]: %q", i, s.Disabled[i])
 	}
-	t := &s.Totals
-	if !allFiniteNonNegative(t.Total, t.Lessers, t.Picks, t.Span, t.Seen, t.Mean, t.Strain, t.Retries) {
-		return malformed("totals: negative or not finite: %+v", *t)
+	totals := &s.Totals
+	if !allFiniteNonNegative(totals.Total, totals.Lessers, totals.Picks, totals.Span, totals.Seen, totals.Mean, totals.Strain, totals.Retries) {
+		return malformed("totals: negative or not finite: %+v", *totals)
 	}
 	for _, c := range s.Classes {
 		if !allFiniteNonNegative(c.Stats.Requests, c.Stats.Latency, c.Stats.Answers, c.Stats.Least) {
@@ -154,9 +154,9 @@
 }
 
 // valid reports whether a node could have written these statistics.
-func (e *ServerStats) valid() bool {
-	return allFiniteNonNegative(e.Ejected, e.ReportAt, e.Full, e.FullAt, e.Slots, e.Latency, e.Occupancy, e.LastOK, e.Work, e.Bad, e.Served) &&
-		allFinite(e.Others) && e.Room > 0 && e.Base > 0 && e.Mode <= 2 && e.Ejections >= 0 && e.Ejections < 1<<20
+func (s *ServerStats) valid() bool {
+	return allFiniteNonNegative(s.Ejected, s.ReportAt, s.Full, s.FullAt, s.Slots, s.Latency, s.Occupancy, s.LastOK, s.Work, s.Bad, s.Served) &&
+		allFinite(s.Others) && s.Room > 0 && s.Base > 0 && s.Mode <= 2 && s.Ejections >= 0 && s.Ejections < 1<<20
 }
 
 // allFinite reports whether all values are finite numbers.
--- a/internal/state/disk/disk_test.go
+++ b/internal/state/disk/disk_test.go
@@ -89,7 +89,8 @@
 		if complete := err == nil; complete != (cutAt == len(newState)) || !complete && !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("write cut at %d of %d bytes: error %v", cutAt, len(newState), err)
 		}
-		if err != nil && point%2 == 0 { // a crash: unsynced bytes may have reached the disk in part, or over older bytes
+		// Every second broken write is a crash: unsynced bytes may have reached the disk in part, or over older bytes.
+		if err != nil && point%2 == 0 {
 			image := append([]byte(nil), newState[:rng.IntN(cutAt+1)]...)
 			if rng.IntN(2) == 0 && len(oldBytes) > len(image) {
 				image = append(image, oldBytes[len(image):]...)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -10,18 +10,19 @@
 	"portstall/policy"
 )
 
-// Snapshot is a node's state at one moment. Times are on the node's clock: Unix time that does not step. The numbers in
-// the tags are the stored format and stay.
+// Snapshot is a node's state at one moment. Times are on the node's clock: Unix time that does not step. The version and
+// the ids of the server list are valid only in the Fleet that it comes from. In an Exact snapshot, what is missing has
+// not happened. The numbers in the tags are the stored format and stay.
 type Snapshot struct {
 	Taken            time.Duration            `cbor:"1,keyasint"`
-	Fleet            string                   `cbor:"2,keyasint"` // where the server list comes from: its version and ids are valid only there
-	Exact            bool                     `cbor:"3,keyasint"` // written for a successor: what is not in it has not happened
+	Fleet            string                   `cbor:"2,keyasint"` // source of the server list, its version and its ids
+	Exact            bool                     `cbor:"3,keyasint"` // written for a successor
 	Drained          bool                     `cbor:"4,keyasint"` // an operator has drained the node of its clients
 	ListVersion      int64                    `cbor:"5,keyasint"` // of the server list
 	Servers          []Server                 `cbor:"6,keyasint"`
 	Disabled         []string                 `cbor:"7,keyasint"`  // ids of servers that an operator has disabled
-	Enabled          []TimedID                `cbor:"8,keyasint"`  // servers that an operator has enabled again, and when
-	OpenRequests     []TimedID                `cbor:"9,keyasint"`  // ids of open requests, and the latest time at which each ends
+	Enabled          []TimedID                `cbor:"8,keyasint"`  // servers that an operator enabled again, and when
+	OpenRequests     []TimedID                `cbor:"9,keyasint"`  // ids of open requests, and each one's latest end
 	PeerOpenRequests []TimedID                `cbor:"10,keyasint"` // the same for other processes of the node
 	Keys             []KeyRecord              `cbor:"11,keyasint"` // idempotency keys, and where they may have run
 	Classes          []Class                  `cbor:"12,keyasint"`
@@ -61,8 +62,8 @@
 }
 
 // StatsOf returns a copy of a server's statistics in the stored form.
-func StatsOf(e policy.ServerStats) *ServerStats {
-	stored := ServerStats(e)
+func StatsOf(stats policy.ServerStats) *ServerStats {
+	stored := ServerStats(stats)
 	return &stored
 }
 
@@ -75,12 +76,12 @@
 		learned.Classes[c.Name] = c.Stats
 	}
 	for i := range s.Servers {
-		v := &s.Servers[i]
-		if v.Stats == nil {
+		server := &s.Servers[i]
+		if server.Stats == nil {
 			continue
 		}
-		if number, launched, ok := same(v); ok {
-			learned.Servers = append(learned.Servers, policy.LearnedServer{ID: number, Launched: launched.Seconds(), ServerStats: policy.ServerStats(*v.Stats)})
+		if number, launched, ok := same(server); ok {
+			learned.Servers = append(learned.Servers, policy.LearnedServer{ID: number, Launched: launched.Seconds(), ServerStats: policy.ServerStats(*server.Stats)})
 		}
 	}
 	return learned
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,8 +22,8 @@
 		Classes: []Class{{"view", policy.ClassStats{Requests: 8, Latency: 1, Answers: 7, Least: 2}}}, Totals: policy.TotalStats{Total: 9, Picks: 8, Retries: 4},
 		Contracts: []contract.ContractState{{Name: "app", Tokens: -3, Work: 5}}}
 	for i := range servers {
-		e := policy.ServerStats{Mode: 1, Others: 4, ReportAt: now.Seconds(), Room: math.Inf(1), Base: 0.2, Latency: 3, Occupancy: 30, Served: 20, LastOK: now.Seconds(), Slots: 4}
-		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "north", ServerType: "k", State: "Ready", StartedMS: int64(i), Stats: StatsOf(e)})
+		stats := policy.ServerStats{Mode: 1, Others: 4, ReportAt: now.Seconds(), Room: math.Inf(1), Base: 0.2, Latency: 3, Occupancy: 30, Served: 20, LastOK: now.Seconds(), Slots: 4}
+		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "north", ServerType: "k", State: "Ready", StartedMS: int64(i), Stats: StatsOf(stats)})
 	}
 	return s
 }
@@ -126,13 +126,13 @@
 		s.Exact = c.exact
 		at := now + c.after
 		drops := s.Age(LoadContext{Now: at, Fleet: c.fleet, ColdFor: 8 * time.Second})
-		var e ServerStats
+		var stats ServerStats
 		learned := len(s.Servers) > 0 && s.Servers[0].Stats != nil
 		if learned {
-			e = *s.Servers[0].Stats
+			stats = *s.Servers[0].Stats
 		}
 		got := [...]bool{len(s.Disabled) == 1, len(s.Enabled) == 1, len(s.Servers) == 2, len(s.OpenRequests) == 1 && s.OpenRequests[0].At > at, learned,
-			e.Others == 4 && e.Mode == 1, learned && e.Latency > 0 && math.Abs(e.Latency/e.Occupancy-0.1) < 1e-9}
+			stats.Others == 4 && stats.Mode == 1, learned && stats.Latency > 0 && math.Abs(stats.Latency/stats.Occupancy-0.1) < 1e-9}
 		if want := [...]bool{c.disabled, c.enabled, c.list, c.open, c.learned, c.queues, c.times}; got != want || len(drops) != c.drops {
 			t.Errorf("%s: disabled, enabled, server list, open requests, learned state, queues, service times kept: %v, want %v; dropped %v",
 				c.name, got, want, drops)
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -25,7 +25,7 @@
 const (
 	stateTimeout = 2 * time.Second // for a predecessor to hand over its state; one that takes longer counts as exited
 	sendTimeout  = time.Second     // for one message to be written: the receiver reads at once
-	maxQueued    = 100_000         // messages waiting to be written; a peer that reads more slowly is disconnected
+	maxQueued    = 100_000         // messages waiting to be written; a peer that lets more accumulate is disconnected
 )
 
 // Call is an operator's command that one process passes on to another.
@@ -70,15 +70,15 @@
 type message struct {
 	Kind    messageKind      `json:"kind"`
 	Number  uint64           `json:"number,omitempty"`
-	Version int              `json:"version,omitempty"` // hello
-	What    handover.Message `json:"what,omitempty"`    // word
-	Token   uint64           `json:"token,omitempty"`   // word with Transfer: the token's number
-	State   []byte           `json:"state,omitempty"`   // word with State or Transfer
-	ID      string           `json:"id,omitempty"`      // claim, ended: the request's id
-	Until   int64            `json:"until,omitempty"`   // claim: the request's deadline on the core's clock, in nanoseconds
-	Verdict handover.Verdict `json:"verdict,omitempty"` // ack of a claim
-	Order   *Order           `json:"order,omitempty"`   // order
-	Error   string           `json:"error,omitempty"`   // ack
+	Version int              `json:"version,omitempty"` // kindHello
+	What    handover.Message `json:"what,omitempty"`    // kindHandover
+	Token   uint64           `json:"token,omitempty"`   // kindHandover with Transfer: the token's number
+	State   []byte           `json:"state,omitempty"`   // kindHandover with State or Transfer
+	ID      string           `json:"id,omitempty"`      // kindClaim, kindEnded: the request's id
+	Until   int64            `json:"until,omitempty"`   // kindClaim: the request's deadline in ns on the core's clock
+	Verdict handover.Verdict `json:"verdict,omitempty"` // kindAck of a claim
+	Order   *Order           `json:"order,omitempty"`   // kindOrder
+	Error   string           `json:"error,omitempty"`   // kindAck
 }
 
 // messageKind is the kind of a message on the socket.
@@ -162,11 +162,11 @@
 // Claim asks whether a request may begin here that ends at until at the latest. Without a reply the verdict is
 // Undecided.
 func (p *Peer) Claim(ctx context.Context, id string, until time.Duration) handover.Verdict {
-	a, err := p.call(ctx, message{Kind: kindClaim, ID: id, Until: int64(until)})
+	ack, err := p.call(ctx, message{Kind: kindClaim, ID: id, Until: int64(until)})
 	if err != nil {
 		return handover.Undecided
 	}
-	return a.Verdict
+	return ack.Verdict
 }
 
 // RequestEnded reports that a request has ended here.
@@ -224,21 +224,21 @@
 		delete(p.pending, m.Number)
 	}()
 	select {
-	case a, ok := <-reply:
+	case ack, ok := <-reply:
 		if !ok {
-			return a, ErrPeerExited
+			return ack, ErrPeerExited
 		}
-		if a.Error != "" {
-			return a, errors.New(a.Error)
+		if ack.Error != "" {
+			return ack, errors.New(ack.Error)
 		}
-		return a, nil
+		return ack, nil
 	case <-ctx.Done():
 		return message{}, fmt.Errorf("no reply from the other process: %w", ctx.Err())
 	}
 }
 
 // enqueue appends a message to the queue. It does not wait.
-func (p *Peer) enqueue(f func() message) {
+func (p *Peer) enqueue(makeMessage func() message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -248,7 +248,7 @@
 		p.conn.Close() // readLoop notices the end
 		return
 	}
-	p.queue = append(p.queue, f)
+	p.queue = append(p.queue, makeMessage)
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -265,12 +265,12 @@
 				p.mu.Unlock()
 				break
 			}
-			f := p.queue[0]
+			makeMessage := p.queue[0]
 			p.queue = p.queue[1:]
 			p.mu.Unlock()
 			p.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
-			if out.Encode(f()) != nil {
-				p.conn.Close() // a part of a message may have been sent
+			if out.Encode(makeMessage()) != nil {
+				p.conn.Close() // the message may have been sent incompletely
 			}
 		}
 	}
@@ -280,18 +280,18 @@
 func (p *Peer) readLoop(node Node) {
 	orders := make(chan message, 100) // orders may wait for other processes, and must not delay other messages
 	executed := make(chan struct{})
-	reply := func(m message, a message) {
-		a.Kind, a.Number = kindAck, m.Number
-		p.enqueue(func() message { return a })
+	reply := func(m message, ack message) {
+		ack.Kind, ack.Number = kindAck, m.Number
+		p.enqueue(func() message { return ack })
 	}
 	go func() {
 		defer close(executed)
 		for m := range orders {
-			a := message{}
+			ack := message{}
 			if err := node.Execute(p, *m.Order); err != nil {
-				a.Error = err.Error()
+				ack.Error = err.Error()
 			}
-			reply(m, a)
+			reply(m, ack)
 		}
 	}()
 	for {
@@ -331,7 +331,7 @@
 	ln      net.Listener
 	node    Node
 	log     *slog.Logger
-	ownPath string // the name of its socket that is its own; the shared path may lead to another process's
+	ownPath string // a path of this socket alone; the shared path may lead to another process's socket
 }
 
 // Listen takes over the shared path from the process that has it. When another process takes the path over in turn,
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -30,26 +30,26 @@
 	return &stubNode{state: state, peers: make(chan *Peer, 10), received: make(chan string, 10), orders: make(chan Order, 10), exited: make(chan struct{}, 10)}
 }
 
-func (f *stubNode) StateRequested(p *Peer) {
-	if f.state == "" {
+func (n *stubNode) StateRequested(p *Peer) {
+	if n.state == "" {
 		p.Send(handover.NotServing, 0, nil)
 	} else {
-		p.Send(handover.State, 0, func() []byte { return []byte(f.state) })
+		p.Send(handover.State, 0, func() []byte { return []byte(n.state) })
 	}
-	f.peers <- p
+	n.peers <- p
 }
-func (f *stubNode) Received(_ *Peer, what handover.Message, number uint64, state []byte) {
-	f.received <- string(rune('0'+what)) + string(rune('0'+number)) + string(state)
+func (n *stubNode) Received(_ *Peer, what handover.Message, number uint64, state []byte) {
+	n.received <- string(rune('0'+what)) + string(rune('0'+number)) + string(state)
 }
-func (f *stubNode) Claim(_ *Peer, id string, until time.Duration) handover.Verdict {
+func (n *stubNode) Claim(_ *Peer, id string, until time.Duration) handover.Verdict {
 	if id == "open" || until != time.Hour {
 		return handover.AlreadyOpen
 	}
 	return handover.Granted
 }
-func (f *stubNode) RequestEnded(_ *Peer, id string) { f.received <- id }
-func (f *stubNode) Execute(_ *Peer, o Order) error  { f.orders <- o; return f.orderErr }
-func (f *stubNode) PeerExited(*Peer)                { f.exited <- struct{}{} }
+func (n *stubNode) RequestEnded(_ *Peer, id string) { n.received <- id }
+func (n *stubNode) Execute(_ *Peer, o Order) error  { n.orders <- o; return n.orderErr }
+func (n *stubNode) PeerExited(*Peer)                { n.exited <- struct{}{} }
 
 // receive returns the next value of c, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
@@ -63,9 +63,9 @@
 	}
 }
 
-func listen(t *testing.T, path string, f *stubNode) *Listener {
+func listen(t *testing.T, path string, node *stubNode) *Listener {
 	t.Helper()
-	l, err := Listen(path, f, slog.New(slog.DiscardHandler))
+	l, err := Listen(path, node, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,17 +201,17 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	if n, had, err := a.Lock(); n != 0 || !had || err != nil {
-		t.Error("new token:", n, had, err)
+	if n, held, err := a.Lock(); n != 0 || !held || err != nil {
+		t.Error("new token:", n, held, err)
 	}
 	if err := a.SetNumber(5); err != nil {
 		t.Error(err)
 	}
-	if _, had, err := b.Lock(); had || err != nil {
+	if _, held, err := b.Lock(); held || err != nil {
 		t.Error("two processes hold the token:", err)
 	}
 	a.Close()
-	if n, had, err := b.Lock(); n != 5 || !had || err != nil {
-		t.Error("after the holder closed it:", n, had, err)
+	if n, held, err := b.Lock(); n != 5 || !held || err != nil {
+		t.Error("after the holder closed it:", n, held, err)
 	}
 }
