--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -34,7 +34,6 @@
 }
 
 // Check returns the first invalid field and the reason, or two empty strings.
-
 func (p Plan) Check() (field, why string) {
 	if p.Size < 1 || p.Size > 10000 {
 		return "size", fmt.Sprintf("%d is outside 1 to 10000", p.Size)
@@ -54,7 +53,6 @@
 }
 
 // NewMap returns a map of the servers, in any order. If an id occurs more than once the last one counts.
-
 func NewMap(p Plan, servers ...Server) *Map {
 	m := &Map{plan: p, indexByID: make(map[string]int, len(servers)), zoneSizes: map[string]int{}}
 	for _, s := range servers {
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -59,7 +59,8 @@
 			zoneSizes[s.Zone]++
 		}
 		for z := range zoneSizes {
-			for o := range zoneSizes { // a zone may have fewer by more than one only if all its servers are in the subset
+			for o := range zoneSizes {
+				// A zone may have fewer by more than one only if all its servers are in the subset.
 				if perZone[z] < perZone[o]-1 && perZone[z] < zoneSizes[z] {
 					t.Fatalf("servers by zone: subset %v, fleet %v", perZone, zoneSizes)
 				}
--- a/internal/cell/keys.go
+++ b/internal/cell/keys.go
@@ -89,7 +89,8 @@
 
 // Restore adds the keys that another process recorded.
 func (k *KeyTracker) Restore(now time.Duration, all []KeyRecord) {
-	slices.SortFunc(all, func(a, b KeyRecord) int { return cmp.Compare(a.Until, b.Until) }) // the oldest is evicted first
+	// The oldest is evicted first.
+	slices.SortFunc(all, func(a, b KeyRecord) int { return cmp.Compare(a.Until, b.Until) })
 	for _, e := range all {
 		k.Sent(now, e.Key, e.Pod, e.Until-now)
 	}
--- a/internal/cell/move.go
+++ b/internal/cell/move.go
@@ -37,8 +37,10 @@
 	KeyFrom, KeyBelow float64
 	Start             time.Duration
 	Prepare, Both     time.Duration
-	Stop              time.Duration // a move that has not reached its cut by then stays in its current step; 0 if not stopped
-	Back              time.Duration // all requests go back to where they came from; 0 if not reverted
+	// A move that has not reached its cut by then stays in the step that it is in; 0 if not stopped.
+	Stop time.Duration
+	// From then on all requests go back to where they came from; 0 if not reverted.
+	Back time.Duration
 }
 
 // MinPrepare is the shortest time that a move can be prepared for. Nodes read a new file within it.
--- a/internal/cell/move_test.go
+++ b/internal/cell/move_test.go
@@ -279,8 +279,8 @@
 				if then == first && reads1 > 0 {
 					continue
 				}
-				// Bits 0 and 1 select the nodes of the two repeats; then for each repeat, a bit per node makes the node restart
-				// before it.
+				// Bits 0 and 1 select the nodes of the two repeats. Then for each repeat, a bit per node makes the node
+				// restart before it.
 				for plan := range 1 << 6 {
 					if plan>>3&1 == 1 || plan>>5&1 == 1 && plan&1 == 0 {
 						continue // the restarted node has no memory yet
--- a/internal/cell/placer.go
+++ b/internal/cell/placer.go
@@ -55,11 +55,12 @@
 
 // subsetKey identifies a cached subset.
 type subsetKey struct {
-	tenant        string
-	pods, newPods *int64 // the lists of pods, identified by the address of their first element in the settings; nil if not used
-	keyBound      bool   // the subset is of the servers in a key's home
-	home          int64  // the home, if keyBound is set
-	neighbor      bool   // the subset is the tenant's neighbor cell
+	tenant string
+	// The lists of pods, identified by the address of their first element in the settings; nil if not used.
+	pods, newPods *int64
+	keyBound      bool  // the subset is of the servers in a key's home
+	home          int64 // the home, if keyBound is set
+	neighbor      bool  // the subset is the tenant's neighbor cell
 }
 
 // subset is a cached subset, with what decides whether a change of a server affects it.
@@ -83,23 +84,23 @@
 }
 
 // NewPlacer returns a Placer without servers.
-func NewPlacer(t Settings) *Placer {
-	p := &Placer{serverMap: NewMap(t.Plan), keys: NewKeyTracker(t.MaxKeys)}
-	p.Reconfigure(t)
+func NewPlacer(settings Settings) *Placer {
+	p := &Placer{serverMap: NewMap(settings.Plan), keys: NewKeyTracker(settings.MaxKeys)}
+	p.Reconfigure(settings)
 	return p
 }
 
 // Reconfigure puts other settings in force. The known servers and keys stay.
-func (p *Placer) Reconfigure(t Settings) {
-	if t.Plan != p.serverMap.plan {
-		p.serverMap = NewMap(t.Plan, p.serverMap.servers...)
+func (p *Placer) Reconfigure(settings Settings) {
+	if settings.Plan != p.serverMap.plan {
+		p.serverMap = NewMap(settings.Plan, p.serverMap.servers...)
 	}
-	p.settings = t
+	p.settings = settings
 	p.tenants, p.subsets, p.traffic = map[string]*Tenant{}, map[subsetKey]*subset{}, map[string]*tenantTraffic{}
-	for i := range t.Tenants {
-		p.tenants[t.Tenants[i].Name] = &t.Tenants[i]
+	for i := range settings.Tenants {
+		p.tenants[settings.Tenants[i].Name] = &settings.Tenants[i]
 	}
-	p.keys.maxKeys = max(1, t.MaxKeys)
+	p.keys.maxKeys = max(1, settings.MaxKeys)
 }
 
 // Set adds a server, or updates it. Subsets that it does not affect stay cached, so that one entry of a long server
@@ -236,7 +237,7 @@
 	v := &subset{servers: []uint32{}, pods: pods, newPods: newPods} // an empty list means no server, nil would mean all
 	tenant := s.tenant
 	if s.neighbor {
-		tenant += "\x00neighbour"
+		tenant += "\x00neighbour" // it is hashed, so all nodes must use the same text
 	}
 	v.hash = xxhash.Sum64String(tenant)
 	if pods == nil {
@@ -299,7 +300,7 @@
 	Harmful               bool    // recent attempts were harmful, and no requests spill
 }
 
-// Report describes a tenant's cell.
+// Report returns the description of a tenant's cell.
 func (p *Placer) Report(now time.Duration, tenant string) Report {
 	r := Report{KeyCount: p.keys.Len(), KeysEvicted: p.keys.Evicted(), SameSubsetProbability: p.serverMap.SameSubsetProbability()}
 	if t := p.tenants[tenant]; t != nil {
--- a/internal/contract/change.go
+++ b/internal/contract/change.go
@@ -291,8 +291,8 @@
 )
 
 // removedContracts retains the state of contracts that a change removed, so that a contract added again under the same
-// name still owes its debts and gets no second burst, and so that requests that outlive their contract are counted. It is
-// bounded: above maxRemoved the oldest is discarded. A contract that is added again after that, or after
+// name still owes its debts and gets no second burst, and so that requests that outlive their contract are counted. It
+// is bounded: above maxRemoved the oldest is discarded. A contract that is added again after that, or after
 // removedRetention, starts as a new one: debts and spent burst are forgiven, and requests still in flight from its
 // predecessor are not counted. It belongs to a Ledger and is protected by the same lock.
 type removedContracts struct {
--- a/internal/contract/change_test.go
+++ b/internal/contract/change_test.go
@@ -206,8 +206,8 @@
 	}
 	two.Burst, two.Limit, two.Guaranteed, two.Bandwidth, two.InFlight = 2, 1, 1, 10, 1
 	applyChange(t, l, 0, Change{Put: []Terms{two}})
-	if level := l.Status(0, 1); level.Tokens != 2 || level.Work != 1 || level.Kept != 1 || level.InFlight != 1 || l.states[1].bytesLeft != 10 {
-		t.Errorf("after the limits were reduced: %+v", level)
+	if status := l.Status(0, 1); status.Tokens != 2 || status.Work != 1 || status.Kept != 1 || status.InFlight != 1 || l.states[1].bytesLeft != 10 {
+		t.Errorf("after the limits were reduced: %+v", status)
 	}
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != InFlight {
 		t.Errorf("a change reset the requests in flight: %+v", got)
@@ -218,13 +218,13 @@
 	}
 	two.Burst = 100
 	applyChange(t, l, 0, Change{Put: []Terms{two}})
-	if level := l.Status(0, 1); level.Tokens != 1 {
-		t.Errorf("a larger burst was filled at once: %v tokens, want 1", level.Tokens)
+	if status := l.Status(0, 1); status.Tokens != 1 {
+		t.Errorf("a larger burst was filled at once: %v tokens, want 1", status.Tokens)
 	}
 	two.Rate = 50
 	applyChange(t, l, 2*time.Second, Change{Put: []Terms{two}})
-	if level := l.Status(2*time.Second, 1); level.Tokens != 3 {
-		t.Errorf("the time before the change was refilled at the new rate: %v tokens, want 3", level.Tokens)
+	if status := l.Status(2*time.Second, 1); status.Tokens != 3 {
+		t.Errorf("the time before the change was refilled at the new rate: %v tokens, want 3", status.Tokens)
 	}
 	applyChange(t, l, 0, Change{EvenShares: true})
 	if !l.table.EvenShares {
@@ -232,8 +232,8 @@
 	}
 }
 
-// levelOf returns the status of a contract by name.
-func levelOf(t testing.TB, l *Ledger, now time.Duration, name string) Status {
+// statusOf returns the status of a contract by name.
+func statusOf(t testing.TB, l *Ledger, now time.Duration, name string) Status {
 	t.Helper()
 	i, known := l.table.Slot(name)
 	if !known {
@@ -297,7 +297,7 @@
 			reference.Done(now, "c", r.a, 0.1)
 			changed.Done(now, "c", r.b, 0.1)
 		}
-		a, b := levelOf(t, reference, now, "c"), levelOf(t, changed, now, "c")
+		a, b := statusOf(t, reference, now, "c"), statusOf(t, changed, now, "c")
 		if math.Abs(a.Tokens-b.Tokens)+math.Abs(a.Work-b.Work)+math.Abs(a.Kept-b.Kept)+math.Abs(a.Furthers-b.Furthers) > 1e-6 || b.InFlight != 0 ||
 			a.Admitted != b.Admitted {
 			rt.Fatalf("%+v, a contract that was never removed has %+v", b, a)
@@ -354,12 +354,12 @@
 		t.Errorf("a request of the removed contract ended one of %+v", got)
 	}
 	applyChange(t, l, 0, Change{Put: []Terms{one}})
-	if got := levelOf(t, l, 0, "one"); got.InFlight != 1 || math.Abs(got.Work - -2.1) > 1e-9 {
+	if got := statusOf(t, l, 0, "one"); got.InFlight != 1 || math.Abs(got.Work - -2.1) > 1e-9 {
 		t.Errorf("added again: %+v, want one request in flight and a debt of 2.1", got)
 	}
 	l.Done(0, "one", second, 0.1)
 	l.Done(0, "three", third, 0.1)
-	if a, b := levelOf(t, l, 0, "one"), l.Status(0, 0); a.InFlight != 0 || b.InFlight != 0 {
+	if a, b := statusOf(t, l, 0, "one"), l.Status(0, 0); a.InFlight != 0 || b.InFlight != 0 {
 		t.Errorf("requests left in flight: %+v, %+v", a, b)
 	}
 	if got := l.Statuses(0, 10); len(got) != 2 { // contract two was never used
@@ -393,11 +393,11 @@
 	}
 	applyChange(t, l, 0, Change{Put: []Terms{terms(0)}})
 	l.Done(0, "c0", old, 1)
-	if got := levelOf(t, l, 0, "c0"); got.InFlight != 1 {
+	if got := statusOf(t, l, 0, "c0"); got.InFlight != 1 {
 		t.Errorf("a request of the forgotten contract ended one of the new: %+v", got)
 	}
 	l.Done(0, "c0", v, 1)
-	if got := levelOf(t, l, 0, "c0"); got.InFlight != 0 {
+	if got := statusOf(t, l, 0, "c0"); got.InFlight != 0 {
 		t.Errorf("Done did not end the new contract's request: %+v", got)
 	}
 	applyChange(t, l, 0, Change{Put: []Terms{terms(3)}})
@@ -588,9 +588,9 @@
 	}
 }
 
-// The state of a removed contract is handed over and refills by its former terms. Added again at the successor, it equals
-// that of a contract that was never removed, whichever of the two processes saw the removal and however many hand-overs
-// there were.
+// The state of a removed contract is handed over and refills by its former terms. Added again at the successor, it
+// equals that of a contract that was never removed, whichever of the two processes saw the removal and however many
+// hand-overs there were.
 func TestRemovedContractStateSurvivesHandOver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := Terms{Name: "c", Rate: rapid.Float64Range(0.1, 5).Draw(rt, "rate"), Burst: rapid.Float64Range(1, 5).Draw(rt, "burst"),
@@ -637,7 +637,7 @@
 		if !present {
 			applyChange(t, changed, now, Change{Put: []Terms{terms}})
 		}
-		a, b := levelOf(t, reference, now, "c"), levelOf(t, changed, now, "c")
+		a, b := statusOf(t, reference, now, "c"), statusOf(t, changed, now, "c")
 		if math.Abs(a.Tokens-b.Tokens)+math.Abs(a.Work-b.Work)+math.Abs(a.Kept-b.Kept)+math.Abs(a.Furthers-b.Furthers) > 1e-6 {
 			rt.Fatalf("%+v, a contract that was never removed has %+v", b, a)
 		}
@@ -657,7 +657,7 @@
 		l := NewLedger(newTable(t), 0, 1)
 		l.Restore(0, predecessor.States(0), credit)
 		applyChange(t, l, 0, Change{Put: []Terms{terms}})
-		if got := levelOf(t, l, 0, "c"); got.Work != -3 || !credit && got.Tokens != 0 || got.Tokens > 4 {
+		if got := statusOf(t, l, 0, "c"); got.Work != -3 || !credit && got.Tokens != 0 || got.Tokens > 4 {
 			t.Errorf("credit %v: %+v", credit, got)
 		}
 	}
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -50,10 +50,11 @@
 	Token  string                   // empty if the caller presented none
 }
 
-// Terms are the terms of a contract, for all nodes together. Zero means unlimited, except for Guaranteed.
+// Terms are the terms of a contract, for all nodes together. Rate, InFlight, Limit and Bandwidth are unlimited if zero.
 type Terms struct {
-	Name           string
-	Matches        []Match         // any of them selects a caller; none: the default contract, for callers that no other selects
+	Name string
+	// Any of them selects a caller. A contract without any is the default, for callers that no other contract selects.
+	Matches        []Match
 	Classes        map[string]bool // request classes that the contract covers; nil: all
 	Rate           float64         // requests per second
 	Burst          float64         // requests that may arrive at once
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -249,7 +249,8 @@
 	if admitted[0] < 5 || admitted[0]+admitted[1] > 12 {
 		t.Errorf("flood admitted %.2f, calm %.2f: want the unused capacity of 10 lent to the flood", admitted[0], admitted[1])
 	}
-	admitted = simulate(l, 20*time.Second, 250*ms, []float64{100, 3, 0}) // unchanged demand, measured for the comparison below
+	// Unchanged demand, measured for the comparison below.
+	admitted = simulate(l, 20*time.Second, 250*ms, []float64{100, 3, 0})
 	before := admitted[0]
 	admitted = simulate(l, 20250*ms, 250*ms, []float64{100, 3, 5})
 	if admitted[2] < 4.5 {
@@ -301,8 +302,8 @@
 	l.Done(0, "two", v, 0.1) // its contract is removed: no effect
 	one.Burst = 1
 	l.ReplaceTable(newTable(t, one))
-	if level := l.Status(time.Hour, 0); level.Tokens > 1 {
-		t.Errorf("%v tokens left after the burst was reduced to 1", level.Tokens)
+	if status := l.Status(time.Hour, 0); status.Tokens > 1 {
+		t.Errorf("%v tokens left after the burst was reduced to 1", status.Tokens)
 	}
 }
 
@@ -313,7 +314,8 @@
 		l := NewLedger(newTable(t, Terms{Name: "c", Rate: rate, Burst: burst, Guaranteed: rapid.Float64Range(0, 5).Draw(rt, "g")}), 0, 1)
 		now, latest, n := time.Duration(0), time.Duration(0), 0
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
-			now += time.Duration(rapid.Int64Range(int64(-time.Second), int64(time.Second)).Draw(rt, "dt")) // the clock also jumps back
+			// The clock also jumps back.
+			now += time.Duration(rapid.Int64Range(int64(-time.Second), int64(time.Second)).Draw(rt, "dt"))
 			latest = max(latest, now)
 			l.SetPressure(now, rapid.Float64Range(0, 1).Draw(rt, "pressure"))
 			if v := l.Admit(now, 0, "r", 0.01, false); v.Rule == Admitted {
@@ -366,9 +368,9 @@
 			l.Done(now, fmt.Sprint(v.Contract), v, 0.1)
 		}
 		for i := range n {
-			level := l.Status(now, i)
-			if level.InFlight != 0 || level.Work > 6+1e-9 || level.Kept > terms[i].Guaranteed*guaranteeCarryOver.Seconds()+1e-9 {
-				rt.Fatalf("after all requests ended: %+v", level)
+			status := l.Status(now, i)
+			if status.InFlight != 0 || status.Work > 6+1e-9 || status.Kept > terms[i].Guaranteed*guaranteeCarryOver.Seconds()+1e-9 {
+				rt.Fatalf("after all requests ended: %+v", status)
 			}
 		}
 	})
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -83,7 +83,8 @@
 	unlimitedAfter = time.Second
 	// cutInterval is the minimum time between two cuts: queues take this long to show the effect of one.
 	cutInterval = 250 * time.Millisecond
-	// maxLendableShare is the fraction of unused quota that is lent; the rest covers changes in demand before the next tick.
+	// maxLendableShare is the fraction of unused quota that is lent; the rest covers changes in demand before the next
+	// tick.
 	maxLendableShare = 0.9
 	// negligibleDemand counts as no demand, in server-seconds per second.
 	negligibleDemand = 0.01
@@ -101,8 +102,8 @@
 	never = math.MinInt64
 )
 
-// state is what one contract has left at one node. Budgets refill lazily, when the state is accessed. Negative budgets
-// are debts. It belongs to a Ledger and is protected by the same lock.
+// state holds what one contract has left at one node. Budgets refill lazily, when the state is accessed. Negative
+// budgets are debts. It belongs to a Ledger and is protected by the same lock.
 type state struct {
 	slot           int           // slot of its contract; forgottenSlot: the state is discarded
 	refilledAt     time.Duration // time up to which the budgets are refilled
@@ -142,7 +143,7 @@
 	shareUpdated time.Duration // time of the last update of nodeShare
 	emptiedAt    time.Duration // unused contracts refill from empty since then; never: they start full
 	processShare float64       // fraction of the node's share that this process enforces
-	allowedWork  float64       // server-seconds per second that all contracts may use together; infinite without pressure
+	allowedWork  float64       // server-seconds per second that all contracts may use; infinite without pressure
 	workInUse    float64       // smoothed server-seconds per second in use
 	chargedWork  float64       // server-seconds charged since the last tick
 	lastCut      time.Duration // time of the last cut of allowedWork
@@ -157,10 +158,11 @@
 		shareUpdated: now, emptiedAt: never, processShare: 1, allowedWork: math.Inf(1)}
 }
 
-// ContractState is what a contract has left, for a successor process. It is stored under its Go field names.
+// ContractState holds what a contract has left, for a successor process. It is stored under its Go field names.
 type ContractState struct {
-	Name                      string
-	Tokens, Work, Bytes, Kept float64          // left of the rate, the work limit, the bandwidth and the guarantee; negative: debt
+	Name string
+	// Left of the rate, the work limit, the bandwidth and the guarantee; negative: debt.
+	Tokens, Work, Bytes, Kept float64
 	Firsts, Furthers          float64          // first attempts; retries and client repeats
 	Cost, Demand              float64          // mean cost of a request; smoothed demand
 	Gone                      *RemovedContract `cbor:",omitempty"` // nil: the contract is in force
@@ -443,8 +445,8 @@
 	return s.retries+1 <= c.RetryRatio*s.firstAttempts+c.RetryFloor*l.nodeShare*c.RetryWindow.Seconds()
 }
 
-// AllowRetry reports whether a request of a contract may be retried, and charges the retry if so. It is to be called only
-// after the policy has decided that the class allows the retry.
+// AllowRetry reports whether a request of a contract may be retried, and charges the retry if so. It is to be called
+// only after the policy has decided that the class allows the retry.
 func (l *Ledger) AllowRetry(now time.Duration, contract int, class string) bool {
 	if contract < 0 || contract >= len(l.states) {
 		return true
--- a/internal/core/contract_change_test.go
+++ b/internal/core/contract_change_test.go
@@ -136,11 +136,11 @@
 		c.Unlock()
 		levels := c.Stats(10).Levels
 		if len(levels) != 4 {
-			t.Fatalf("levels %+v, want four", levels)
+			t.Fatalf("contracts %+v, want four", levels)
 		}
 		for _, l := range levels {
 			if l.InFlight != 0 || l.Admitted == 0 {
-				t.Errorf("level at the end: %+v, want none in flight and some admitted", l)
+				t.Errorf("contract at the end: %+v, want none in flight and some admitted", l)
 			}
 		}
 	})
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -112,13 +112,13 @@
 	}
 	i, known := c.ledger.Table().Slot(r.admission.contract)
 	if !known {
-		return true // its contract was removed, which limits nothing any more: open requests stay admitted
+		return true // a contract that was removed limits nothing: open requests stay admitted
 	}
 	return c.ledger.AllowRetry(now, i, r.Class)
 }
 
-// Pace charges bytes of a request's body or tunnel to its contract, and returns how long to wait before more bytes are
-// passed on.
+// Pace charges bytes of a request's tunnel to its contract, and returns how long to wait before more bytes are passed
+// on.
 func (c *Core) Pace(r *Request, bytes int) time.Duration {
 	c.Lock()
 	defer c.Unlock()
@@ -128,8 +128,8 @@
 	return c.ledger.Pace(c.Now(), r.admission.contract, r.admission.verdict, bytes)
 }
 
-// Explain returns the verdict that the contracts would give a caller now, without charging it, and the level of its
-// contract. If the verdict's Contract is -1 the caller has none, and the level is zero. The only error is
+// Explain returns the verdict that the contracts would give a caller now, without charging it, and the status of its
+// contract. If the verdict's Contract is -1 the caller has none, and the status is zero. The only error is
 // ErrNoContracts.
 func (c *Core) Explain(who *contract.Caller, class string, repeat bool) (contract.Verdict, contract.Status, error) {
 	c.Lock()
@@ -152,11 +152,11 @@
 	// AllowedWork is the work that all requests together may use, in server-seconds per second; it is infinite without
 	// pressure. WorkInUse is the work that they do use.
 	AllowedWork, WorkInUse float64
-	ContractShare          float64 // share of the contracts that this node hands out
-	Levels                 []contract.Status
+	ContractShare          float64           // share of the contracts that this node hands out
+	Levels                 []contract.Status // of contracts that have been used
 }
 
-// Stats returns the current figures, with the levels of at most the given number of contracts.
+// Stats returns the current figures, with the status of at most the given number of contracts.
 func (c *Core) Stats(levels int) Stats {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -84,7 +84,7 @@
 // The unexported ones are guarded by the core's lock, except clientGone and the channel.
 type Request struct {
 	ID, Class, Tenant string
-	IdempotencyKey    string          // idempotency key; empty if the client sent none
+	IdempotencyKey    string          // empty if the client sent none
 	Repeat            bool            // the client marked it as a repeat of an earlier request
 	CostHint          float64         // expected cost in seconds; 0 if not specified
 	Caller            contract.Caller // identity by which the contract is found
@@ -120,15 +120,15 @@
 
 // Await waits for the final response. ok is false if end was closed before the response arrived; the caller must then
 // call Core.ClientGone.
-func (r *Request) Await(end <-chan struct{}) (a Response, ok bool) {
+func (r *Request) Await(end <-chan struct{}) (response Response, ok bool) {
 	select {
-	case a = <-r.response:
-		return a, true
+	case response = <-r.response:
+		return response, true
 	case <-end:
 	}
 	select {
-	case a = <-r.response: // it arrived before end was closed
-		return a, true
+	case response = <-r.response: // it arrived before end was closed
+		return response, true
 	default:
 		return Response{}, false
 	}
@@ -406,10 +406,10 @@
 }
 
 // respond gives a request its final response, unless it has one.
-func (c *Core) respond(id string, a Response) {
+func (c *Core) respond(id string, response Response) {
 	if r := c.requests[id]; r != nil && !r.responded {
 		r.responded = true
-		r.response <- a
+		r.response <- response
 		c.removeIfDone(r)
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -254,9 +254,9 @@
 			// each of the two nodes hands out half of the burst of two
 			t.Errorf("request beyond the contract's rate: %+v", a)
 		}
-		v, level, err := c.Explain(&contract.Caller{Tenant: "one"}, "view", false)
-		if err != nil || level.Name != "one" || v.Contract != 0 || level.Admitted != 1 {
-			t.Errorf("Explain returned %+v, level %+v, error %v", v, level, err)
+		v, status, err := c.Explain(&contract.Caller{Tenant: "one"}, "view", false)
+		if err != nil || status.Name != "one" || v.Contract != 0 || status.Admitted != 1 {
+			t.Errorf("Explain returned %+v, status %+v, error %v", v, status, err)
 		}
 		if st := c.Stats(10); st.OpenRequests != 0 || !st.HasContracts || len(st.Levels) != 1 || st.ContractShare != 0.5 {
 			t.Errorf("statistics %+v", st)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -452,9 +452,9 @@
 	effects := map[string]policy.Effect{"free": policy.Safe, "guarded": policy.Keyed, "single_shot": policy.Unsafe}
 	groups := map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
 	for _, g := range in.Grades {
-		effect, ok := effects[g.Effect]
-		group, ok2 := groups[g.Group]
-		if !ok || !ok2 {
+		effect, effectKnown := effects[g.Effect]
+		group, groupKnown := groups[g.Group]
+		if !effectKnown || !groupKnown {
 			return Settings{}, fmt.Errorf("grades: %s: unknown effect %q or group %q", g.Name, g.Effect, g.Group)
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: g.Name, TargetLatency: seconds(g.Aim), Deadline: seconds(g.Deadline),
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// exceedsQuota decides at random whether a request counts as over its tenant's quota. The node takes its share of the
-// quota, and of the requests beyond it as many count as there are too many.
+// exceedsQuota decides at random whether a request counts as over its tenant's quota. The node grants its traffic share
+// of the quota, and the probability is the fraction by which the tenant's rate here has to fall to stay within it: a half
+// at twice the quota.
 func (b *Balancer) exceedsQuota(name string) bool {
 	i := slices.IndexFunc(b.tenants, func(t *tenantState) bool { return t.Name == name })
 	if i < 0 || b.settings.OverShare >= 1 {
@@ -41,8 +42,8 @@
 // however slow the response is.
 func (r *request) repeatWindowEnd() float64 { return r.mayHaveRunAt + r.class.Window.Seconds() }
 
-// classifyClasses finds the classes of low priority, those worth less than the average for their cost. There is no
-// further order among them, as requests of the worst class count too.
+// classifyClasses finds the classes of low priority, those worth less than the average for their cost. They are not
+// ranked further, because the lowest class counts too: under overload a strict order would leave it unserved.
 func (b *Balancer) classifyClasses(decay float64) {
 	b.Total, b.Lessers = b.Total*decay, b.Lessers*decay
 	var value, cost float64
--- a/policy/api.go
+++ b/policy/api.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Effect says what repeating a request would do.
+// Effect is the consequence of running a request more than once.
 type Effect uint8
 
 const (
@@ -16,7 +16,7 @@
 	Unsafe               // must never run twice
 )
 
-// Group says which servers share the memory that drops repeats of a keyed request.
+// Group is the set of servers that drop repeats of a keyed request by one shared record of its key.
 type Group uint8
 
 const (
@@ -62,9 +62,9 @@
 	OverShare float64
 	// Attempts allowed for one request, the first included; at least 1.
 	MaxAttempts int
-	// Whether attempts may be cancelled.
+	// Whether attempts may be canceled.
 	Cancel bool
-	// Longest Retry-After that clients honour; 0 when clients see none.
+	// Longest Retry-After that clients honor; 0 when clients see none.
 	RetryAfter time.Duration
 	// How long after the notice that a server drains or was removed requests may still be sent to it.
 	DrainGrace time.Duration
@@ -72,9 +72,9 @@
 	ColdShare float64
 	// Time from its start until a server has its full capacity.
 	ColdFor time.Duration
-	// A cold server collapses under this multiple of its present capacity,
+	// A cold server collapses under a load of this multiple of its present capacity that lasts for FallFor.
 	FallFactor float64
-	// when the load lasts this long.
+	// See FallFactor.
 	FallFor time.Duration
 }
 
@@ -116,7 +116,7 @@
 	return err
 }
 
-// EventKind says what happened.
+// EventKind is the kind of an event. It determines which fields of the Event are read.
 type EventKind uint8
 
 const (
@@ -132,7 +132,7 @@
 	EvOther                       // anything that the policy does not act on
 )
 
-// Outcome says how an attempt ended.
+// Outcome is the way in which an attempt ended.
 type Outcome uint8
 
 const (
@@ -142,7 +142,7 @@
 	TimedOut              // no response in time; may have run
 	ConnectFailed         // no connection in time; never ran
 	Reset                 // the connection broke; may have run
-	Canceled              // cancelled by the node; may have run
+	Canceled              // canceled by the node; may have run
 	NeverSent             // the node did not send it; never ran
 )
 
@@ -155,7 +155,7 @@
 	Work float64
 }
 
-// ListKind says how Event.Entries is to be read.
+// ListKind is the kind of an update of the server list. It determines what Event.Entries holds.
 type ListKind uint8
 
 const (
@@ -169,8 +169,8 @@
 type State uint8
 
 const (
-	Active State = iota
-	Draining
+	Active   State = iota
+	Draining       // finishes its requests and gets no new ones
 	Removed
 )
 
@@ -198,7 +198,8 @@
 	Repeat bool
 	// EvRequest: ids of the servers that the request may go to; nil: all. Must not be changed afterwards.
 	Candidates []uint32
-	// EvRequest: it is over its contract's guarantee and uses capacity that others leave unused; diverted first.
+	// EvRequest: it is over its contract's guarantee and uses capacity that others leave unused. A server in overload
+	// always diverts it.
 	OverQuota bool
 	// EvOutcome, EvDisable, EvEnable, EvSetWeight.
 	Server uint32
@@ -224,7 +225,7 @@
 	Settings *Settings
 }
 
-// ActionKind says what the node is to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
 const (
@@ -249,7 +250,7 @@
 }
 
 // LearnedState holds a node's statistics of its servers and classes, for a successor process. Times are seconds on the
-// node's clock, and all of it is as of At: a caller that passes it to Adopt later ages it first.
+// node's clock, and all of it is as of At: a caller that passes it to Adopt later must age it first.
 type LearnedState struct {
 	At      float64
 	Servers []LearnedServer
@@ -270,7 +271,7 @@
 	Requests float64
 	// Decayed sum of latencies in seconds, and the count of responses in it.
 	Latency, Answers float64
-	// Least time left, in seconds, of a recent first request of a client (one that is not a repeat).
+	// Least time left, in seconds, of the recent first requests (those that are not a client's repeats).
 	Least float64
 }
 
@@ -282,7 +283,7 @@
 	Picks, Span float64
 	// Load reports, and the mean of the load that other nodes have at a server by these reports.
 	Seen, Mean float64
-	// Share of the latest selections that found no server in normal mode.
+	// Share of the latest selections that did not find a server in normal mode.
 	Strain float64
 	// Retries that the budget allows.
 	Retries float64
@@ -300,7 +301,8 @@
 	Others, ReportAt float64
 	// Occupancy when the server last rejected a request as full, and the time of that.
 	Full, FullAt float64
-	// Smallest occupancy at which it rejected a request as full, infinite before; most requests in work at once.
+	// Smallest recent occupancy at which it rejected a request as full, infinite before the first one; most requests
+	// lately in work at once. With time Room rises and Slots falls.
 	Room, Slots float64
 	// Decayed sums of latencies, and of the occupancies plus one at which their attempts were sent.
 	Latency, Occupancy float64
@@ -312,6 +314,6 @@
 	Bad float64
 	// Consecutive ejections.
 	Ejections int
-	// Decayed count of responses. A count of sends would include those that an overloaded server rejects.
+	// Decayed count of successful responses. A count of sends would include those that an overloaded server rejects.
 	Served float64
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -72,7 +72,7 @@
 				now += ms
 				i++
 				e := full.Entries[i%servers]
-				e.State = policy.State(i / servers % 2) // active, leaving
+				e.State = policy.State(i / servers % 2) // Active and Draining in turn
 				out = node.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{e}}, out[:0])
 			}
 		})
--- a/policy/edgecases_test.go
+++ b/policy/edgecases_test.go
@@ -97,12 +97,12 @@
 // One client with a short timeout must not change the node's estimate of the time that first requests have.
 func TestShortClientTimeoutDoesNotHideTheAgeOfRepeats(t *testing.T) {
 	b := newListedNode(t, shortWindowSettings(), 3)
-	request := func(id string, timeLeft time.Duration, repeat bool) *Action {
+	submitRequest := func(id string, timeLeft time.Duration, repeat bool) *Action {
 		return findSend(b.Handle(0, &Event{Kind: EvRequest, ID: id, Class: "view", TimeLeft: timeLeft, Repeat: repeat}, nil))
 	}
-	request("first", 4*time.Second, false)
-	request("short timeout", time.Millisecond, false)
-	if request("repeat", 500*time.Millisecond, true) != nil { // 3.5 s old, past its target latency of 3 s
+	submitRequest("first", 4*time.Second, false)
+	submitRequest("short timeout", time.Millisecond, false)
+	if submitRequest("repeat", 500*time.Millisecond, true) != nil { // 3.5 s old, past its target latency of 3 s
 		t.Error("a repeat past its target latency was sent")
 	}
 }
@@ -169,7 +169,7 @@
 			}
 			return math.Inf(1)
 		}
-		b := &Balancer{halfMinDeadline: maybe("half"), minTargetLatency: maybe("aim")}
+		b := &Balancer{halfMinDeadline: maybe("half the shortest deadline"), minTargetLatency: maybe("shortest target latency")}
 		s := &server{ServerStats: ServerStats{Room: maybe("room"), Slots: rapid.Float64Range(0, 1e5).Draw(t, "slots")}}
 		service := rapid.Float64Range(1e-6, 1e3).Draw(t, "service")
 		r := s.discardThreshold(b, service)
@@ -204,12 +204,12 @@
 	adopter := newNode(t, defaultSettings(), entries...)
 	adopter.Adopt(at, learned)
 	for id := uint32(1); id <= 2; id++ {
-		o, y := old.servers[id], adopter.servers[id]
-		if n, m := old.estimateOccupancy(o, at.Seconds()), adopter.estimateOccupancy(y, at.Seconds()); !approxEqual(m, n) {
+		former, adopted := old.servers[id], adopter.servers[id]
+		if n, m := old.estimateOccupancy(former, at.Seconds()), adopter.estimateOccupancy(adopted, at.Seconds()); !approxEqual(m, n) {
 			t.Errorf("server %d: an occupancy of %.3f is %.3f to the new balancer", id, n, m)
 		}
-		if x, y := o.Latency/o.Occupancy, y.Latency/y.Occupancy; !approxEqual(y, x) || y == 0 {
-			t.Errorf("server %d: %.4f s per request are %.4f to the new balancer", id, x, y)
+		if want, got := former.Latency/former.Occupancy, adopted.Latency/adopted.Occupancy; !approxEqual(got, want) || got == 0 {
+			t.Errorf("server %d: %.4f s per request are %.4f to the new balancer", id, want, got)
 		}
 	}
 	if s := adopter.servers[3]; s.Served != 0 || s.Latency != 0 || adopter.capacityShare(s, at.Seconds()) == 1 {
--- a/policy/modes.go
+++ b/policy/modes.go
@@ -25,7 +25,7 @@
 	s.updateLagged(now)
 	n := max(0, b.Mean+(s.Others-b.Mean)*math.Exp((s.ReportAt-now)/reportFadeTimeConstant)+s.localInFlight)
 	if s.Full > 0 {
-		n = max(n, s.Full-(now-s.FullAt)/b.serviceTime(s)) // it can't have completed more than this
+		n = max(n, s.Full-(now-s.FullAt)/b.serviceTime(s)) // it can't have completed more requests since then
 	}
 	return n
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -10,7 +10,7 @@
 	n := max(ev.Load.Queue, ev.Load.Held, 0)
 	if work := ev.Load.Work; ev.Load.Held < 0 && work > 0 && work < math.MaxInt32 && b.capacityShare(s, now) == 1 {
 		// Where only the queue is reported, a server with many slots can be overloaded by the requests in work while
-		// nothing waits. Requests then take many times as long as at their best.
+		// none waits. Requests then take many times as long as at their best.
 		if s.Work == 0 {
 			s.Work = work
 		}
@@ -18,7 +18,7 @@
 		n += max(0, s.Work/s.Base/contentionFactor-1)
 	}
 	if queue, held := ev.Load.Queue, ev.Load.Held; queue >= 0 && held-queue < math.MaxInt32 {
-		s.Slots = max(s.Slots, held-queue) // as many are in work at once
+		s.Slots = max(s.Slots, held-queue) // the requests in work at once
 	}
 	if ev.Load.Known && n < math.MaxInt32 { // and not NaN
 		b.heldReported = ev.Load.Held >= 0
@@ -32,7 +32,7 @@
 		s.LastOK = now
 		s.Served++
 		s.Bad *= 1 - 1/failureTimeConstant
-		if s.Trial && s.Bad < ejectionFailureShare { // also when an attempt that was in flight shows it to be healthy
+		if s.Trial && s.Bad < ejectionFailureShare { // also if the attempt was in flight before the ejection
 			s.Trial, s.Ejections, s.Ejected = false, 0, now
 			b.logf("backend %d answers again", s.ID)
 		}
@@ -81,8 +81,8 @@
 
 // recordFailure counts a failed attempt with the given time constant, in attempts. A broken server can look best (fast
 // errors, an empty queue), so one that fails too often is ejected for a growing time and comes back with one attempt at
-// a time. However many servers are ejected, the others are not overloaded by that: their modes refuse what exceeds
-// their capacity.
+// a time. However many servers are ejected, the others are not overloaded: requests beyond their capacity are
+// refused because of their modes.
 func (b *Balancer) recordFailure(now float64, s *server, timeConstant float64) {
 	s.Bad = min(maxFailureShare, s.Bad+(1-s.Bad)/timeConstant)
 	if now < s.Ejected || !s.Trial && s.Bad < ejectionFailureShare {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -5,8 +5,8 @@
 // Each server has a mode, after Abaev et al., "Simulation of Overload Control in SIP Server Networks": normal, overload
 // (each request is diverted with a probability q) and discard (nothing is sent). A diverted request goes to a server in
 // normal mode or is refused at once. A server's occupancy, the number of requests that it holds, decides on its mode:
-// from the onset threshold H on it is in overload, from R on in discard, and below the abatement threshold L it is in
-// normal mode again. docs/design.md describes the design.
+// from the onset threshold H on it is in overload, from the discard threshold R on in discard, and below the abatement
+// threshold L it is in normal mode again.
 package policy
 
 import (
@@ -20,7 +20,7 @@
 // Parameters of the algorithms. A time constant is that of an exponential decay. The values lie in the middle of ranges
 // that serve unlike fleets equally well.
 const (
-	// Onset threshold H, as a share of R.
+	// Onset threshold H, as a share of the discard threshold R.
 	onset = 0.90
 	// Abatement threshold L, as a share of R.
 	abatement = 0.78
@@ -31,7 +31,7 @@
 	// H is at most this share of an occupancy at which the server rejected a request as full: reports show such an
 	// occupancy too late.
 	onsetQueueFullShare = 0.80
-	// Least value of H, in requests. Below it the random variation of single requests would decide on the modes.
+	// Least value of H, in requests. Below it the random variation of single requests would determine the modes.
 	minOnset = 1.6
 	// Factor on the weight of a server in this node's own zone.
 	localZoneWeight = 1.5
@@ -62,10 +62,10 @@
 	ejectionFailureShare = 0.5
 	// Upper limit of the remembered share of failures, so that two responses bring a server back.
 	maxFailureShare = 0.6
-	// Time constant of the share of failures, in attempts. A broken connection shows as little of a server as one
-	// response.
+	// Time constant of the share of failures, in attempts. A broken connection says as little about a server as
+	// one response does.
 	failureTimeConstant = 10.0
-	// The same, in attempts, for failures that show more: the server could not be reached or was silent lately.
+	// The same, in attempts, for failures that say more: the server could not be reached or has not responded lately.
 	unreachableTimeConstant = 4.0
 	// Duration of the first ejection, in seconds. Each further one in a row doubles it.
 	minEjection = 1.0
@@ -75,7 +75,7 @@
 	contentionFactor = 5.0
 	// Load that a cold server gets at most, as a share of the multiple of its capacity under which it collapses.
 	coldLoadShare = 0.67
-	// Largest number of nodes that may each have an attempt at a cold server because no other server accepts a request.
+	// Largest number of nodes with which each of them may send a cold server the requests that no other server accepts.
 	maxSpareNodes = 4
 	// Retries that each first attempt adds to the budget.
 	retriesPerRequest = 0.2
@@ -112,12 +112,12 @@
 
 // applySettings applies new settings. The statistics of a class or tenant pass to the one of the same name.
 func (b *Balancer) applySettings(set *Settings) {
-	classes, tenants := b.classes, b.tenants
+	oldClasses, oldTenants := b.classes, b.tenants
 	b.classes, b.tenants, b.settings, b.minTargetLatency, b.halfMinDeadline = nil, nil, *set, math.Inf(1), math.Inf(1)
 	for _, c := range set.Classes {
 		state := &classState{Class: c, ClassStats: ClassStats{Least: c.Deadline.Seconds()}}
-		if i := slices.IndexFunc(classes, func(old *classState) bool { return old.Name == c.Name }); i >= 0 {
-			*state = *classes[i] // a copy: open requests keep the old one
+		if i := slices.IndexFunc(oldClasses, func(old *classState) bool { return old.Name == c.Name }); i >= 0 {
+			*state = *oldClasses[i] // a copy: open requests keep the old one
 			state.Class, state.Least = c, min(state.Least, c.Deadline.Seconds())
 		}
 		b.classes = append(b.classes, state)
@@ -130,8 +130,8 @@
 	}
 	for _, t := range set.Tenants {
 		state := &tenantState{Tenant: t}
-		if i := slices.IndexFunc(tenants, func(old *tenantState) bool { return old.Name == t.Name }); i >= 0 {
-			*state = *tenants[i]
+		if i := slices.IndexFunc(oldTenants, func(old *tenantState) bool { return old.Name == t.Name }); i >= 0 {
+			*state = *oldTenants[i]
 			state.Tenant = t
 		}
 		b.tenants = append(b.tenants, state)
@@ -242,7 +242,7 @@
 	if target := c.TargetLatency.Seconds(); target > 0 && c.LateValue == 0 {
 		// A repeat with less time left than any recent first request has what remains of the deadline, which shows the
 		// age of the original request. Work on one past its target latency earns nothing and only delays others. A
-		// first request with a short timeout says nothing of the time that other clients have.
+		// first request with a short timeout says nothing about the time that other clients have.
 		if ev.Repeat && timeLeft < c.Least-1e-3 {
 			target -= max(0, c.Deadline.Seconds()-timeLeft)
 		} else if !ev.Repeat && timeLeft > c.Deadline.Seconds()/2 {
@@ -253,7 +253,7 @@
 	b.requests[ev.ID] = r
 	b.Total++
 	r.candidates = ev.Candidates
-	r.overQuota = ev.OverQuota // guarantees of others come first wherever anything waits
+	r.overQuota = ev.OverQuota // the guaranteed requests of others come first wherever requests wait
 	if r.lowPriority = b.exceedsQuota(ev.Tenant) || c.lowPriority || r.overQuota; r.lowPriority {
 		b.Lessers++
 	}
@@ -264,7 +264,7 @@
 	b.Retries = min(maxSavedRetries, b.Retries+retriesPerRequest)
 }
 
-// release forgets a request that no event can concern any more, and puts it on the free list.
+// release removes a request that no further event can concern, and puts it on the free list.
 func (b *Balancer) release(r *request) {
 	delete(b.requests, r.id)
 	b.freeRequests = append(b.freeRequests[:min(len(b.freeRequests), maxFreeRequests-1)], r)
@@ -293,7 +293,7 @@
 	r.attempts = append(r.attempts, attempt{s, true, b.estimateOccupancy(s, now) + 1, now})
 	r.pending++
 	s.localInFlight++
-	until := r.expiresAt // ended at its target latency, it would cause a client's retry that has no value
+	until := r.expiresAt // if it ended at its target latency, the client would send a retry that has no value
 	if s.Mode != normal {
 		until = r.usefulUntil // in this mode it mostly waits, and keeps others from being in time
 	}
@@ -319,7 +319,7 @@
 		return
 	}
 	wait := b.settings.RetryAfter.Seconds()
-	if now < r.usefulUntil { // soon enough for the target latency, after a server completed a good part of its queue
+	if now < r.usefulUntil { // by then much of the queues is done, and the target latency can still be met
 		wait = min(wait, b.minTargetLatency/4)
 	}
 	b.emit(Action{Kind: ActRefuse, ID: r.id, Wait: duration(wait)})
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -386,7 +386,8 @@
 	}
 }
 
-// A server that has become silent, and so holds all that it was sent, must lose weight long before the first timeout.
+// A server that has stopped responding, and so holds all that it was sent, must lose weight long before the first
+// timeout.
 func TestSilentServerLosesWeight(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	silent, other := b.servers[1], b.servers[2]
@@ -496,7 +497,7 @@
 	}
 }
 
-// A client that disconnects has its attempt cancelled. Events that arrive after the end of a request change nothing.
+// A client that disconnects has its attempt canceled. Events that arrive after the end of a request change nothing.
 func TestDisconnectCancelsAndLateEventsChangeNothing(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	send := submit(b, t0, "r", "top")
@@ -729,7 +730,7 @@
 		want Mode
 	}{{0.05, normal}, {0.2, normal}, {4, overload}} {
 		b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a", Launched: t0})
-		report := func(now time.Duration, id uint32, work float64) {
+		reportServiceTime := func(now time.Duration, id uint32, work float64) {
 			s := b.servers[id]
 			send := Action{ID: now.String()}
 			b.requests[send.ID] = &request{id: send.ID, class: b.classes[0], pending: 1,
@@ -739,12 +740,12 @@
 		}
 		now := t0
 		for ; now < t0+9*time.Second; now += 250 * time.Millisecond {
-			report(now, 1, 0.05)
-			report(now, 2, 1) // cold: slow without being overloaded
+			reportServiceTime(now, 1, 0.05)
+			reportServiceTime(now, 2, 1) // cold: slow without being overloaded
 		}
 		for range 100 {
 			now += 250 * time.Millisecond
-			report(now, 1, c.work)
+			reportServiceTime(now, 1, c.work)
 		}
 		s := b.servers[1]
 		setOccupancy(s, now, s.Others)
@@ -1063,14 +1064,14 @@
 			ActSend, 500 * time.Millisecond},
 	} {
 		b := newNode(t, defaultSettings(func(s *Settings) { s.Classes[1].LateValue = c.lateValue }), Entry{ID: 1, Zone: "a"})
-		request := func(id string, timeLeft time.Duration, repeat bool) Action {
+		submitRequest := func(id string, timeLeft time.Duration, repeat bool) Action {
 			return lastAction(b.Handle(t0,
 				&Event{Kind: EvRequest, ID: id, Class: "low", TimeLeft: timeLeft, Repeat: repeat}, nil))
 		}
 		setOccupancy(b.servers[1], t0, 0)
-		request("earlier", 1200*time.Millisecond, false)
+		submitRequest("earlier", 1200*time.Millisecond, false)
 		b.servers[1].localInFlight = 0
-		if got := request("r", c.timeLeft, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
+		if got := submitRequest("r", c.timeLeft, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
 			t.Errorf("%s: %+v, want action kind %d with %v", c.name, got, c.want, c.wait)
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -35,17 +35,18 @@
 	if initial {
 		b.Picks, b.selectionsSinceRefresh = b.Picks+1, b.selectionsSinceRefresh+1
 	}
-	first, at, step, sampledShare, n := 0, 0, 1, 1.0, len(candidates)
-	if n > maxFullScan { // each candidate is as likely to be sampled as any other, and none twice
-		for at, step = b.rng.IntN(n), n; gcd(step, n) > 1; step = 1 + b.rng.IntN(n-1) {
+	first, position, step, sampledShare, count := 0, 0, 1, 1.0, len(candidates)
+	if count > maxFullScan {
+		// The step has no common divisor with the count: each candidate is equally likely to be sampled, and none twice.
+		for position, step = b.rng.IntN(count), count; gcd(step, count) > 1; step = 1 + b.rng.IntN(count-1) {
 		}
-		sampledShare = sampleSize / float64(n)
+		sampledShare = sampleSize / float64(count)
 		if r.candidates == nil { // also look at the recently selected ones; a request's own candidates may lack them
 			first = -len(b.recentlySelected)
 		}
 	}
-	for i := first; i < n; i++ {
-		if n > maxFullScan && i > 0 && i%sampleSize == 0 && (chosen != nil || i == maxSampled) {
+	for i := first; i < count; i++ {
+		if count > maxFullScan && i > 0 && i%sampleSize == 0 && (chosen != nil || i == maxSampled) {
 			break
 		}
 		var s *server
@@ -54,9 +55,9 @@
 				continue
 			}
 		} else {
-			s, at = candidates[at], (at+step)%n
+			s, position = candidates[position], (position+step)%count
 			if first < 0 && slices.Contains(b.recentlySelected[:], s) && b.capacityShare(s, now) == 1 {
-				continue // it was looked at already
+				continue // it has been looked at already
 			}
 		}
 		occupancy, service := s.updateMode(now, b)
@@ -70,13 +71,13 @@
 			// that hundreds of nodes begin at the same start would all be spent at the same time. In a sampled list,
 			// the share is divided by the probability that the server is sampled. Only the initial selection of a
 			// request counts: the others come in bursts, and all at once, when the warm servers fill.
-			if initial && (n <= maxFullScan || i < sampleSize) &&
+			if initial && (count <= maxFullScan || i < sampleSize) &&
 				b.rng.Float64() < s.warmShare*capacity*b.settings.FallFactor*coldLoadShare/sampledShare {
 				return s
 			}
-			// It may also get a request that no other server accepts: with a limit on the requests in flight, of a few
-			// nodes together, it gets them only as fast as it responds. The limit is half of what the rule on cold
-			// servers leaves beyond its capacity.
+			// Where there are few nodes, it may also get a request that no other server accepts. A limit on the requests
+			// in flight from all nodes together makes sure that it gets them only as fast as it responds. The limit is
+			// half of the load beyond its capacity that it can take without a collapse.
 			maxInFlight := max(1, (b.settings.FallFactor-1)/2*capacity*b.settings.FallFor.Seconds()/s.typeServiceTime)
 			idle := s.Mode == normal && s.localInFlight < max(1, maxInFlight/float64(b.settings.Nodes)) &&
 				occupancy < maxInFlight
@@ -97,7 +98,7 @@
 		}
 		weight *= 1 - s.weightReduction
 		weightSum += weight
-		if b.rng.Float64()*weightSum < weight { // so that each is selected with its share of the complete sum
+		if b.rng.Float64()*weightSum < weight { // in the end each is chosen in proportion to its weight
 			chosen = s
 		}
 	}
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -58,7 +58,7 @@
 			b.addServer(s)
 		}
 	}
-	if !incremental { // otherwise the next refresh is early enough, and a long list is not walked for one entry of it
+	if !incremental { // otherwise the next refresh is early enough: a long list is not scanned for one entry
 		b.rebuildIndexes(added...)
 		b.refresh(now)
 	}
@@ -113,14 +113,14 @@
 	s := newServer(now, now)
 	s.Entry, s.graceUntil, s.weightReduction, s.maxConcurrent = old.Entry, old.graceUntil, old.weightReduction,
 		old.maxConcurrent
-	b.servers[ev.Server] = s // pending attempts hold on to the old one
+	b.servers[ev.Server] = s // pending attempts keep their references to the old one
 	b.rebuildIndexes(s)
 	b.refresh(now)
 }
 
 // rebuildIndexes drops the servers that were removed or restarted, adds the given ones, and orders the lists by id.
 func (b *Balancer) rebuildIndexes(added ...*server) {
-	// Pending attempts hold on to the servers that are dropped.
+	// Pending attempts keep their references to the servers that are dropped.
 	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Removed })
 	b.sorted = slices.DeleteFunc(append(b.sorted, added...), func(s *server) bool { return b.servers[s.ID] != s })
 	slices.SortFunc(b.sorted, byID)
--- a/policy/state.go
+++ b/policy/state.go
@@ -22,7 +22,7 @@
 	occupancy, sentAt float64 // occupancy plus one of the server at the send; time of the send
 }
 
-// request is a request that has not been answered, or that still has a pending attempt.
+// request is a request without a final response, or with a pending attempt.
 type request struct {
 	id                     string
 	class                  *classState
@@ -39,14 +39,16 @@
 
 // serverType holds the statistics of all servers of one type together, as of the latest refresh.
 type serverType struct {
-	latency, occupancy, served, warmServers, timeInWork, reporting float64 // sums over the servers
+	// Sums over the servers: latencies, occupancies and reported service times, and the number of servers that report
+	// them; over the warm servers in use alone: responses, and their number.
+	latency, occupancy, served, warmServers, reportedServiceTimes, reportingServers float64
 	// Values for each server: service time in seconds, the share of initial selections that a warm one serves, and the
-	// mean of the reported service times.
-	serviceTime, warmShare, baseTimeInWork float64
+	// mean of the reported service times, which is infinite if none is reported.
+	serviceTime, warmShare, meanReportedServiceTime float64
 }
 
-// server is a server of the list. An attempt holds on to its server after that one is removed or restarted. Times are
-// seconds on the node's clock.
+// server is a server of the list. An attempt keeps its reference to a server that is removed or restarted meanwhile.
+// Times are seconds on the node's clock.
 type server struct {
 	Entry
 	ServerStats
@@ -93,8 +95,8 @@
 	trafficShare, now float64
 	// Whether the latest report had the number of requests that its server holds.
 	heldReported bool
-	// Initial selections since the latest refresh; their recent rate per second; time when the long-term counts were
-	// empty.
+	// Initial selections since the latest refresh; their recent rate per second; time at which the long-term counts
+	// started from zero.
 	selectionsSinceRefresh, selectionRate, statsStart float64
 	// Time of the latest refresh; time when the next is due; time to subscribe to the list again, 0: not due.
 	lastRefreshAt, nextRefreshAt, resubscribeAt float64
--- a/policy/statistics.go
+++ b/policy/statistics.go
@@ -14,7 +14,7 @@
 	decay, growth, slotsDecay := math.Exp(-dt/rateTimeConstant), math.Exp(dt/longTimeConstant),
 		math.Exp(-dt/slotsTimeConstant)
 	b.Seen *= decay
-	b.Strain *= math.Exp(-dt / pressureTimeConstant) // else a node that refuses all requests would do so forever
+	b.Strain *= math.Exp(-dt / pressureTimeConstant) // otherwise a node that refuses all requests would never stop
 	b.Picks, b.Span = b.Picks*decay, b.Span*decay+rateTimeConstant*(1-decay)
 	b.selectionRate, b.selectionsSinceRefresh, b.statsStart =
 		b.selectionRate+(b.selectionsSinceRefresh/dt-b.selectionRate)*(1-math.Exp(-dt/riseTimeConstant)), 0,
@@ -32,8 +32,8 @@
 		for _, stats := range [...]*serverType{t, all} {
 			stats.latency += s.Latency
 			if s.Work > 0 {
-				stats.timeInWork += s.Work
-				stats.reporting++
+				stats.reportedServiceTimes += s.Work
+				stats.reportingServers++
 			}
 			stats.occupancy += s.Occupancy
 			if s.State == Active && !s.disabled && now >= s.Ejected && b.capacityShare(s, now) == 1 {
@@ -63,21 +63,22 @@
 // derive computes the values for each server of a type from the type's sums; all holds the sums over all servers.
 func (t *serverType) derive(b *Balancer, all *serverType, fleetServiceTime float64) {
 	t.serviceTime = (t.latency + priorRequests*fleetServiceTime) / (t.occupancy + priorRequests)
-	t.baseTimeInWork = math.Inf(1)
-	if t.reporting > 0 {
-		t.baseTimeInWork = t.timeInWork / t.reporting
+	t.meanReportedServiceTime = math.Inf(1)
+	if t.reportingServers > 0 {
+		t.meanReportedServiceTime = t.reportedServiceTimes / t.reportingServers
 	}
 	// The selections of a node that has just started were counted over less than the long-term span.
 	span := b.Span * (1 - math.Exp((b.statsStart-b.lastRefreshAt)/rateTimeConstant))
-	t.warmShare = span / t.serviceTime / float64(b.settings.Nodes) // one after the other, where no server is warm
+	// Where no server is warm: as if all nodes together sent each one request after the other.
+	t.warmShare = span / t.serviceTime / float64(b.settings.Nodes)
 	if t.warmServers > 0 {
 		t.warmShare = t.served / t.warmServers
 	} else if all.warmServers > 0 {
 		t.warmShare = all.served / all.warmServers / 2 // this type may be slower
 	}
 	// Hundreds of nodes see a rise of their selections at the same time, and by the long-term count alone each of them
-	// sees it too late. A rise of more than a standard deviation counts in full: random variation evens out among the
-	// nodes, while a rise that all of them have adds up.
+	// would see it too late. A rise of more than a standard deviation counts in full: random variation evens out among
+	// the nodes, while a rise that all of them have adds up.
 	selections := b.Picks + 1
 	if (b.selectionRate-math.Sqrt(b.selectionRate/2/riseTimeConstant))*span > selections {
 		selections = b.selectionRate * span
@@ -88,6 +89,6 @@
 // applyType copies the values of a server's type to the server, and notes whether it is in this node's zone.
 func (s *server) applyType(b *Balancer) {
 	s.typeServiceTime, s.warmShare, s.Base = s.typeStats.serviceTime, s.typeStats.warmShare,
-		min(s.Base, s.typeStats.baseTimeInWork)
+		min(s.Base, s.typeStats.meanReportedServiceTime)
 	s.inLocalZone = s.Zone == b.settings.Zone
 }
