--- a/internal/core/contract_change_test.go
+++ b/internal/core/contract_change_test.go
@@ -17,9 +17,9 @@
 // once the last contract is removed every caller is admitted, as without contracts.
 func TestContractChangesTakeEffectInPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newStubServers(t, 1)
-		b.maxServiceTime, b.outcomes = 100*time.Millisecond, []policy.Outcome{policy.OK}
-		c := newCore(t, b, 1)
+		servers := newStubServers(t, 1)
+		servers.maxServiceTime, servers.outcomes = 100*time.Millisecond, []policy.Outcome{policy.OK}
+		c := newCore(t, servers, 1)
 		defer c.Close()
 		change := func(ch contract.Change) {
 			c.Lock()
@@ -35,10 +35,10 @@
 			return q
 		}
 		end := func(q *Request) Response {
-			a := <-q.Response()
-			releasePayload(a.Payload)
+			response := <-q.Response()
+			releasePayload(response.Payload)
 			c.ResponseWritten(q)
-			return a
+			return response
 		}
 		change(contract.Change{Removed: []string{"none"}})
 		if c.Stats(10).HasContracts {
@@ -78,9 +78,9 @@
 // remembered one.
 func TestContractChangesDuringOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newStubServers(t, 1)
-		b.maxServiceTime, b.outcomes = 30*time.Millisecond, []policy.Outcome{policy.OK, policy.Failed, policy.Reset}
-		c := newCore(t, b, 1)
+		servers := newStubServers(t, 1)
+		servers.maxServiceTime, servers.outcomes = 30*time.Millisecond, []policy.Outcome{policy.OK, policy.Failed, policy.Reset}
+		c := newCore(t, servers, 1)
 		defer c.Close()
 		r := rand.New(rand.NewPCG(1, 2))
 		name := func() string { return fmt.Sprint("t", r.IntN(4)) }
@@ -106,13 +106,13 @@
 				t.Fatalf("Begin did not accept %s", q.ID)
 			}
 			all.Go(func() {
-				a := <-q.Response()
-				releasePayload(a.Payload)
-				b.mu.Lock()
-				if responses[i]++; a.Kind == RejectedByContract {
+				response := <-q.Response()
+				releasePayload(response.Payload)
+				servers.mu.Lock()
+				if responses[i]++; response.Kind == RejectedByContract {
 					rejected++
 				}
-				b.mu.Unlock()
+				servers.mu.Unlock()
 				c.ResponseWritten(q)
 			})
 			time.Sleep(time.Duration(r.IntN(10)) * time.Millisecond)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -96,9 +96,9 @@
 			policy.QueueFull, policy.ConnectFailed, policy.Reset, policy.TimedOut}}
 }
 
-func newCore(t *testing.T, b Sender, seed uint64) *Core {
+func newCore(t *testing.T, sender Sender, seed uint64) *Core {
 	set := settings()
-	c, err := New(set, seed, Options{Clock: stubEnvironment{}, Sender: b, Discovery: stubEnvironment{}, Log: slog.New(slog.DiscardHandler), ClientRoundTrip: 10 * time.Millisecond})
+	c, err := New(set, seed, Options{Clock: stubEnvironment{}, Sender: sender, Discovery: stubEnvironment{}, Log: slog.New(slog.DiscardHandler), ClientRoundTrip: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,8 +119,8 @@
 	responses, attempts := make([]int, 4), 0
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			b := newStubServers(t, seed)
-			c := newCore(t, b, seed)
+			servers := newStubServers(t, seed)
+			c := newCore(t, servers, seed)
 			r := rand.New(rand.NewPCG(seed, 2))
 			var wg sync.WaitGroup
 			for i := range 40 {
@@ -141,11 +141,11 @@
 						disconnected = time.After(disconnect)
 					}
 					select {
-					case a := <-q.Response():
-						b.mu.Lock()
-						responses[a.Kind]++
-						b.mu.Unlock()
-						releasePayload(a.Payload)
+					case response := <-q.Response():
+						servers.mu.Lock()
+						responses[response.Kind]++
+						servers.mu.Unlock()
+						releasePayload(response.Payload)
 						c.ResponseWritten(q)
 					case <-disconnected:
 						c.ClientGone(q)
@@ -162,12 +162,12 @@
 			if st := c.Stats(0); st.OpenRequests != 0 {
 				t.Errorf("%d requests are still open at the end, want 0", st.OpenRequests)
 			}
-			for id, released := range b.served {
+			for id, released := range servers.served {
 				if *released != 1 {
 					t.Errorf("%s: its payload was released %d times, want once", id, *released)
 				}
 			}
-			attempts += b.attempts
+			attempts += servers.attempts
 			c.Close()
 		})
 	}
@@ -198,11 +198,11 @@
 		if _, ok := begin("b"); ok {
 			t.Error("a request was accepted that another process has open")
 		}
-		a := <-first.Response()
+		response := <-first.Response()
 		if _, again := begin("a"); again {
 			t.Error("an id was accepted again before its response was written")
 		}
-		releasePayload(a.Payload)
+		releasePayload(response.Payload)
 		c.ResponseWritten(first)
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"a", "b"} {
@@ -216,9 +216,9 @@
 // A request that the contracts reject gets its response at once, reaches no server and does not stay in the core.
 func TestRequestRejectedByContractReachesNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newStubServers(t, 1)
-		b.maxServiceTime, b.outcomes = 10*time.Millisecond, []policy.Outcome{policy.OK}
-		c := newCore(t, b, 1)
+		servers := newStubServers(t, 1)
+		servers.maxServiceTime, servers.outcomes = 10*time.Millisecond, []policy.Outcome{policy.OK}
+		c := newCore(t, servers, 1)
 		defer c.Close()
 		table, err := contract.NewTable([]contract.Terms{{Name: "one", Matches: []contract.Match{{Tenant: "one"}}, Rate: 1, Burst: 2, Weight: 1}})
 		if err != nil {
@@ -236,16 +236,16 @@
 			if !c.Begin(q) {
 				t.Fatalf("Begin did not accept %s", id)
 			}
-			a := <-q.Response()
-			releasePayload(a.Payload)
+			response := <-q.Response()
+			releasePayload(response.Payload)
 			c.ResponseWritten(q)
-			return a
+			return response
 		}
 		if a := request("a", "none"); a.Kind != RejectedByContract || a.Rule != contract.None || a.Contract != "" {
 			t.Errorf("response to a caller without a contract: %+v", a)
 		}
-		if b.attempts != 0 {
-			t.Errorf("%d attempts for a rejected request", b.attempts)
+		if servers.attempts != 0 {
+			t.Errorf("%d attempts for a rejected request", servers.attempts)
 		}
 		if a := request("b", "one"); a.Kind == RejectedByContract {
 			t.Errorf("request within the contract's rate: %+v", a)
