--- a/cmd/portstall/cli_test.go
+++ b/cmd/portstall/cli_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// The exit code of each command line and a text in its output: mistakes end with 2 and name what is wrong, failures with 1.
+// The exit code of each command line and a text in its output: mistakes end with 2 and name what is wrong, failures
+// with 1.
 func TestExitCodesAndMessages(t *testing.T) {
 	bin := buildBinary(t)
 	good := writeConfig(t, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+settingsJSON+`}`)
@@ -86,11 +87,11 @@
 		{"members", 2, "--mgmt"},
 	} {
 		cmd := exec.Command(bin, strings.Fields(c.args)...)
-		var out bytes.Buffer
-		cmd.Stdout, cmd.Stderr = &out, &out
+		var output bytes.Buffer
+		cmd.Stdout, cmd.Stderr = &output, &output
 		cmd.Run()
-		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(out.String(), c.want) {
-			t.Errorf("%s: exit code %d, want %d, and %q in\n%s", c.args, code, c.code, c.want, out.String())
+		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(output.String(), c.want) {
+			t.Errorf("%s: exit code %d, want %d, and %q in\n%s", c.args, code, c.code, c.want, output.String())
 		}
 	}
 }
--- a/cmd/portstall/control_node_test.go
+++ b/cmd/portstall/control_node_test.go
@@ -171,7 +171,7 @@
 	})
 	waiting.terminate(t)
 
-	// By the stacks of all goroutines, a process without control follows nothing, and one with it does.
+	// The stacks of all goroutines show that a process follows control only if it is configured to.
 	if err := control.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/portstall/descriptors_test.go
+++ b/cmd/portstall/descriptors_test.go
@@ -78,7 +78,8 @@
 	return &delayedDiscovery{freeAddr(t), list, make(chan struct{})}
 }
 
-// open starts to listen. It sends the list to callers with an older version, and holds the watches of callers that have it.
+// open starts to listen. It sends the list to callers with an older version, and holds the watches of callers that have
+// it.
 func (d *delayedDiscovery) open(t *testing.T, version string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", d.addr)
@@ -98,7 +99,8 @@
 	t.Cleanup(s.Close)
 }
 
-// persistentClient is a client that keeps its connection, and opens a new one if the node closed it between two requests.
+// persistentClient is a client that keeps its connection, and opens a new one if the node closed it between two
+// requests.
 type persistentClient struct {
 	addr             string
 	conn             net.Conn
@@ -109,9 +111,9 @@
 
 // request sends a request and returns the status and body of the response of a web server. It uses the open connection,
 // and tries again on a new one only in two cases: the node closed the connection without a response, or it refused the
-// request with "too many connections". A new connection may be refused like any idle client's. An open one may be refused
-// if the node closes it in favour of another at the moment at which its request arrives (a test in internal/node forces
-// this); that moment is so short that it is accepted once at most.
+// request with "too many connections". A new connection may be refused like any idle client's. An open one may be
+// refused if the node closes it, to accept another connection, at the moment at which its request arrives (a test in
+// internal/node forces this); that moment is so short that a second such refusal fails the test.
 func (client *persistentClient) request(t *testing.T) (int, string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -172,10 +174,10 @@
 }
 
 // Idle clients take all connections that they can get while discovery is down, also on the management address. Once
-// discovery is back the node must get its list and reliably connect to the new web server in it: no system call fails for
-// want of a descriptor, neither for discovery, nor for a web server, nor for the file that is read on SIGHUP. The same
-// holds for a process that starts among such clients and for a change to another discovery; both where the configuration
-// states the system's limit and where the system's limit is lower than the configuration states.
+// discovery is back the node must get its list and reliably connect to the new web server in it: no system call fails
+// for lack of a descriptor, neither for discovery, nor for a web server, nor for the file that is read on SIGHUP. The
+// same holds for a process that starts while such clients connect, and for a change to another discovery. The test runs
+// with a configured limit equal to the system's, and with one above it.
 func TestIdleClientsLeaveDescriptorsForNode(t *testing.T) {
 	bin := buildBinary(t)
 	for _, configured := range []int{72, 1024} {
@@ -215,7 +217,7 @@
 				}
 			}
 			client := &persistentClient{addr: p.addr}
-			served := func(by string) {
+			requireServedBy := func(by string) {
 				t.Helper()
 				for end := time.Now().Add(testTimeout); ; {
 					status, body := client.request(t)
@@ -240,19 +242,19 @@
 			}
 
 			launch()
-			served("a")
+			requireServedBy("a")
 			idle := startIdleClients(t, p.addr, 4*limit, "")
 			startIdleClients(t, p.mgmt, limit, "")
 			waitUntilFull(idle)
-			served("a")
+			requireServedBy("a")
 			p.cmd.Process.Kill()
 			<-p.exited
 			launch() // while the idle clients connect again
 			waitUntilFull(idle)
-			served("a")
+			requireServedBy("a")
 			first.open(t, "2")
 			waitForList(first)
-			served("b")
+			requireServedBy("b")
 
 			if err := os.WriteFile(p.config, []byte(file(second.addr)), 0o600); err != nil {
 				t.Fatal(err)
@@ -268,9 +270,9 @@
 			}
 			second.open(t, "3")
 			waitForList(second)
-			served("c")
+			requireServedBy("c")
 			if strings.Contains(p.log.String(), syscall.EMFILE.Error()) {
-				t.Errorf("a system call failed for want of a descriptor\n%s", p.log.String())
+				t.Errorf("a system call failed for lack of a descriptor\n%s", p.log.String())
 			}
 			if n := openDescriptors(t, p.cmd.Process.Pid); n > limit {
 				t.Errorf("%d descriptors are open, over the limit", n)
--- a/cmd/portstall/main.go
+++ b/cmd/portstall/main.go
@@ -1,5 +1,6 @@
 // Command portstall is the one binary of this project: the load-balancing node, the control process that distributes
-// configuration to nodes, and the lab that tests both at scale and under faults. `portstall --help` lists the subcommands.
+// configuration to nodes, and the lab that tests both at scale and under faults. `portstall --help` lists the
+// subcommands.
 package main
 
 import (
--- a/cmd/portstall/main_test.go
+++ b/cmd/portstall/main_test.go
@@ -98,9 +98,9 @@
 	p.terminate(t)
 }
 
-// SIGHUP once ended the process. It must make the node read its configuration again: an invalid one changes nothing, the
-// discovery address of a valid one goes before GW_DISCOVERY, and a SIGHUP during another reload or after SIGTERM does no
-// harm.
+// SIGHUP, which by default ends a process, makes the node read its configuration again: an invalid one has no effect,
+// the discovery address of a valid one takes precedence over GW_DISCOVERY, and a SIGHUP during another reload or after
+// SIGTERM does no harm.
 func TestNodeReloadsOnSIGHUP(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
@@ -134,8 +134,8 @@
 	p.terminate(t)
 }
 
-// stubDiscovery is a discovery with a list of one web server. It answers callers that have an older version, and holds the
-// watches of callers that have this one.
+// stubDiscovery is a discovery with a list of one web server. It sends the list to callers that have an older version,
+// and holds the watches of callers that have this one.
 type stubDiscovery struct {
 	*httptest.Server
 	requests chan struct{} // one value for each request
--- a/cmd/portstall/node.go
+++ b/cmd/portstall/node.go
@@ -10,8 +10,8 @@
 	"portstall/internal/node"
 )
 
-// nodeCmd is the node command, which runs a node. SIGHUP makes it read its configuration again. On SIGTERM it ends once all
-// accepted requests have been answered.
+// nodeCmd is the node command, which runs a node. SIGHUP makes it read its configuration again. On SIGTERM it ends once
+// all accepted requests have had their final response.
 type nodeCmd struct{}
 
 // Run serves until SIGTERM or an interrupt. A configuration that can't be loaded is a usage error.
--- a/cmd/portstall/scale.go
+++ b/cmd/portstall/scale.go
@@ -26,8 +26,8 @@
 	Tenants int           `default:"0" help:"With --beside: number of contracts, instead of the plan's size."`
 }
 
-// Run runs a plan. It returns errRuleBroken if a mandatory budget or a bound of the run is exceeded. What was measured is
-// printed and written even if the run ended early.
+// Run runs a plan. It returns errRuleBroken if a mandatory budget or a bound of the run is exceeded. What was measured
+// is printed and written even if the run ended early.
 func (c *labScaleCmd) Run() error {
 	if c.Quick {
 		c.Name = "quick"
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// compareBuilds runs no plan: it sends requests to nodes of two builds in turn. It returns errRuleBroken if a request was
-// lost.
+// compareBuilds runs no plan: it sends requests to nodes of two builds in turn. It returns errRuleBroken if a request
+// was lost.
 func (c *labScaleCmd) compareBuilds(ctx context.Context, plan *scale.Plan, self string) error {
 	if _, err := os.Stat(c.Beside); err != nil {
 		return usageError{fmt.Errorf("--beside: %w", err)}
--- a/cmd/portstall/state.go
+++ b/cmd/portstall/state.go
@@ -17,8 +17,8 @@
 	Check stateCheckCmd `cmd:"" help:"Check whether a node would start with a stored state, and print what it would not use."`
 }
 
-// stateFile is the argument of the state commands: a file of a node's state directory, or the directory, which stands for
-// its newest valid file.
+// stateFile is the argument of the state commands: a file of a node's state directory, or the directory, whose newest
+// valid file is then used.
 type stateFile struct {
 	File string `arg:"" help:"A file such as state.a, or the directory that contains it."`
 }
--- a/cmd/portstall/upgrade_test.go
+++ b/cmd/portstall/upgrade_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// A successor process takes over from its predecessor while clients send requests without a pause: no request is refused,
-// a web server that an operator disabled stays disabled, and the predecessor exits by itself. A process that was killed
-// does not hinder the next one.
+// A successor process takes over from its predecessor while clients send requests without a pause: no request is
+// refused, a web server that an operator disabled stays disabled, and the predecessor exits by itself. A process that
+// was killed does not hinder the next one.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	var disabledHits atomic.Int64 // requests to the disabled web server
 	newServer := func(hits *atomic.Int64) string {
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -63,7 +63,7 @@
 	for _, l := range limits {
 		maximum := 24 * time.Hour
 		if l.name == "drain" {
-			maximum = time.Minute // a process that is told to stop waits no longer than this for anything
+			maximum = time.Minute // the longest time for which a stopping process waits
 		}
 		if l.value < 0 || l.value > maximum {
 			return out, &FieldError{path + l.name, fmt.Sprintf("%s is outside 0 to %s", l.value, maximum)}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,7 +58,7 @@
 type Cells struct {
 	Size    int            `yaml:"size"`    // web servers per tenant
 	Seed    uint64         `yaml:"seed"`    // another seed selects other subsets
-	Spill   float64        `yaml:"spill"`   // share of a tenant's requests that may go to its neighbour's servers where its own accept none
+	Spill   float64        `yaml:"spill"`   // share of a tenant's requests that may go to its neighbor cell if its own servers accept none
 	Memory  int            `yaml:"memory"`  // maximum number of keys of pinned tenants that a node remembers; default 100,000
 	Marked  bool           `yaml:"marked"`  // clients always mark repeated requests
 	Skew    time.Duration  `yaml:"skew"`    // maximum difference between the clocks of nodes; default 1 s
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -143,28 +143,28 @@
 	}
 	if h := c.HTTP; h != nil {
 		ports = append(ports, namedPort{"http", h.Port})
-		page := *h
-		if page.Method == "" {
-			page.Method = "GET"
+		check := *h
+		if check.Method == "" {
+			check.Method = "GET"
 		}
-		if page.Path == "" {
-			page.Path = "/"
+		if check.Path == "" {
+			check.Path = "/"
 		}
-		if page.Status == "" {
-			page.Status = "200-399"
+		if check.Status == "" {
+			check.Status = "200-399"
 		}
 		switch {
-		case page.Method != "GET" && page.Method != "HEAD":
-			return out, &FieldError{"health.checks.http.method", fmt.Sprintf("%q is neither GET nor HEAD", page.Method)}
-		case page.Method == "HEAD" && page.Body != "":
+		case check.Method != "GET" && check.Method != "HEAD":
+			return out, &FieldError{"health.checks.http.method", fmt.Sprintf("%q is neither GET nor HEAD", check.Method)}
+		case check.Method == "HEAD" && check.Body != "":
 			return out, &FieldError{"health.checks.http.body", "a response to HEAD has no body"}
-		case !strings.HasPrefix(page.Path, "/"):
-			return out, &FieldError{"health.checks.http.path", fmt.Sprintf("%q does not begin with /", page.Path)}
+		case !strings.HasPrefix(check.Path, "/"):
+			return out, &FieldError{"health.checks.http.path", fmt.Sprintf("%q does not begin with /", check.Path)}
 		}
-		if _, err := parseStatuses(page.Status); err != nil {
+		if _, err := parseStatuses(check.Status); err != nil {
 			return out, &FieldError{"health.checks.http.status", err.Error()}
 		}
-		out.HTTP = &page
+		out.HTTP = &check
 	}
 	for _, v := range ports {
 		if v.port < 0 || v.port > 65535 {
@@ -195,14 +195,14 @@
 	return all, nil
 }
 
-// ProbeRules returns how often a server is probed where so many nodes probe alike, and the rules by which the outcomes
-// are judged. Defaults must have been filled in.
+// ProbeRules returns the limits on this node's probes, where the given number of nodes probe with the same settings, and
+// the rules by which the outcomes are judged. Defaults must have been filled in.
 func (c *Checks) ProbeRules(nodes int) (health.ProbeSettings, health.Rules) {
 	share := float64(len(c.Probers())) // the protocols share the budget
-	pace := health.ProbeSettings{Interval: c.Interval, IntervalFactor: c.Calm, MaxPerServer: c.PerServer / share, MaxRate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
-	rules := health.DefaultRules(pace.MaxInterval())
+	settings := health.ProbeSettings{Interval: c.Interval, IntervalFactor: c.Calm, MaxPerServer: c.PerServer / share, MaxRate: c.Rate / share, Nodes: nodes, Jitter: 0.1}
+	rules := health.DefaultRules(settings.MaxInterval())
 	rules.PanicThreshold, rules.Rise, rules.Fall = c.Panic, c.Rise, c.Fall
-	return pace, rules
+	return settings, rules
 }
 
 // Probers returns the configured probers by protocol name. Defaults must have been filled in.
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return settings, nil, &FieldError{"members.of", err.Error()}
 	}
-	if message := []byte("is it mine"); keyring.Verify(m.Name, message, keyring.Sign(message)) != nil {
+	if sample := []byte("key check"); keyring.Verify(m.Name, sample, keyring.Sign(sample)) != nil {
 		return settings, nil, &FieldError{"members.key", fmt.Sprintf("%s: its public key, %s, is none of the keys of %s in members.of", m.Key, member.PublicText(key), m.Name)}
 	}
 	return settings, keyring, nil
--- a/internal/control/callers.go
+++ b/internal/control/callers.go
@@ -82,7 +82,7 @@
 }
 
 // callerDisconnected notes that a process ended its held call itself. Where another process of its name is known, the
-// process is taken to have exited and is forgotten.
+// process is assumed to have exited and is forgotten.
 func (vs *VersionStore) callerDisconnected(name string, c *caller) {
 	vs.releaseWatch(c)
 	if c.disconnected = true; len(vs.callers[name]) > 1 {
@@ -172,7 +172,7 @@
 // CallerStatus is what is known of one process that called.
 type CallerStatus struct {
 	Name      string
-	Process   string // tells processes of one name apart; may be empty
+	Process   string // distinguishes processes of one name; may be empty
 	Role      string
 	Version   resource.Version // in force at the caller
 	Refused   resource.Version // zero: none
--- a/internal/control/responses.go
+++ b/internal/control/responses.go
@@ -47,48 +47,48 @@
 }
 
 // clear empties the cache, since another version is in force.
-func (a *responseCache) clear() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	clear(a.responses)
-	a.bytes = 0
+func (c *responseCache) clear() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	clear(c.responses)
+	c.bytes = 0
 }
 
 // body returns a delta's encoded body, compressed where that is accepted and worth its cost. The body is shared and
 // must not be changed. A call during the encoding of the same body waits for it.
-func (a *responseCache) body(d *resource.Delta, zip bool) (body []byte, zipped bool, err error) {
+func (c *responseCache) body(d *resource.Delta, zip bool) (body []byte, zipped bool, err error) {
 	if len(d.Put)+len(d.Removed) == 0 { // empty deltas differ from caller to caller and are small
 		body, err = resource.Encode(d)
 		return body, false, err
 	}
-	a.mu.Lock()
-	one := a.responses[d]
-	if one == nil {
-		if a.bytes > maxCachedBytes {
-			clear(a.responses)
-			a.bytes = 0
+	c.mu.Lock()
+	cached := c.responses[d]
+	if cached == nil {
+		if c.bytes > maxCachedBytes {
+			clear(c.responses)
+			c.bytes = 0
 		}
-		one = &cachedResponse{}
-		a.responses[d] = one
+		cached = &cachedResponse{}
+		c.responses[d] = cached
 	}
-	a.mu.Unlock()
+	c.mu.Unlock()
 	zip = zip && approximateSize(d) >= minCompressBytes
-	t := &one.plain
+	encoded := &cached.plain
 	if zip {
-		t = &one.gzipped
+		encoded = &cached.gzipped
 	}
-	t.once.Do(func() {
-		a.encodingSlots <- struct{}{}
-		defer func() { <-a.encodingSlots }()
-		if t.bytes, t.err = resource.Encode(d); t.err == nil && zip {
-			t.bytes, t.err = compress(t.bytes)
+	encoded.once.Do(func() {
+		c.encodingSlots <- struct{}{}
+		defer func() { <-c.encodingSlots }()
+		if encoded.bytes, encoded.err = resource.Encode(d); encoded.err == nil && zip {
+			encoded.bytes, encoded.err = compress(encoded.bytes)
 		}
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		a.encodedCount++
-		a.bytes += len(t.bytes)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.encodedCount++
+		c.bytes += len(encoded.bytes)
 	})
-	return t.bytes, zip, t.err
+	return encoded.bytes, zip, encoded.err
 }
 
 // approximateSize returns about how many bytes of JSON a delta makes. It stops counting past minCompressBytes.
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -122,9 +122,9 @@
 	}
 	stop()
 	s.endWatches()
-	down, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if srv.Shutdown(down) != nil {
+	if srv.Shutdown(shutdownCtx) != nil {
 		srv.Close()
 	}
 	group.Wait()
@@ -154,7 +154,7 @@
 	return s, nil
 }
 
-// runUpdates keeps the store up to date, as a writer or as a follower, until ctx ends.
+// runUpdates updates the store, as a writer or as a follower, until ctx ends.
 func (s *server) runUpdates(ctx context.Context) error {
 	if s.writer != nil {
 		return s.runWriter(ctx)
--- a/internal/control/serve_test.go
+++ b/internal/control/serve_test.go
@@ -61,12 +61,12 @@
 		f(p.server)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- p.run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- p.run(ctx) }()
 	p.stop = sync.OnceValue(func() error {
 		cancel()
 		select {
-		case err := <-over:
+		case err := <-done:
 			return err
 		case <-time.After(testTimeout):
 			t.Error("the control process did not end in time")
@@ -406,24 +406,24 @@
 	p.waitForVersion(t, resource.Version{})
 	armed.Store(true)
 	writeFile(t, filepath.Join(p.Files, "a.yaml"), contractText("a", "b"))
-	over := make(chan *httpResponse, maxConcurrentReloads+1)
+	done := make(chan *httpResponse, maxConcurrentReloads+1)
 	for range maxConcurrentReloads + 1 {
 		go func() {
 			r, err := fetch("POST", p.addr, "/v1/reload")
 			if err != nil {
 				r = &httpResponse{body: err.Error()}
 			}
-			over <- r
+			done <- r
 		}()
 	}
-	first := receive(t, "a response while the files are being read", over)
+	first := receive(t, "a response while the files are being read", done)
 	close(resume)
 	if first.status != 503 || first.header.Get("Retry-After") != "1" || !strings.Contains(first.body, "being read for others") {
 		t.Errorf("the call past %d got status %d, header %v, body %s", maxConcurrentReloads, first.status, first.header, first.body)
 	}
 	changed := 0
 	for range maxConcurrentReloads {
-		r := receive(t, "a response to a reload", over)
+		r := receive(t, "a response to a reload", done)
 		if r.status != 200 {
 			t.Errorf("status %d, body %s", r.status, r.body)
 		}
@@ -496,10 +496,10 @@
 	set := resource.NewSet(false)
 	refused := make(chan *resource.Delta, 10)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan error, 1)
+	done := make(chan error, 1)
 	var status follow.Status
 	go func() {
-		over <- follow.Run(ctx, follow.Options{Name: "n7", Role: "node", Sources: []string{p.addr}, Set: set, Status: &status, Apply: func(d *resource.Delta) error {
+		done <- follow.Run(ctx, follow.Options{Name: "n7", Role: "node", Sources: []string{p.addr}, Set: set, Status: &status, Apply: func(d *resource.Delta) error {
 			if len(d.Put) == 1 && d.Put[0].Name == "odd" {
 				refused <- d
 				return &resource.Refusal{Key: d.Put[0].Key, Field: "match[0].from", Reason: "not here"}
@@ -529,7 +529,7 @@
 	}
 	p.waitForHeldCall(t)
 	cancel()
-	if err := receive(t, "the end of the follow loop", over); err != nil || !set.Has(resource.Key{Kind: resource.Contract, Name: "even"}) || set.Has(bad.Put[0].Key) || len(refused) > 0 {
+	if err := receive(t, "the end of the follow loop", done); err != nil || !set.Has(resource.Key{Kind: resource.Contract, Name: "even"}) || set.Has(bad.Put[0].Key) || len(refused) > 0 {
 		t.Errorf("error %v, resources %v; want the later change without the refused one", err, set)
 	}
 }
@@ -618,8 +618,8 @@
 			<-resume
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		over := make(chan error, 1)
-		go func() { over <- s.run(ctx) }()
+		done := make(chan error, 1)
+		go func() { done <- s.run(ctx) }()
 		receive(t, "the read of a file", reading)
 		for _, path := range []string{"/-/ready", snapshotQuery} {
 			if r := call(t, "GET", ln.Addr().String(), path); r.status != 503 {
@@ -629,13 +629,13 @@
 		close(resume)
 		var bad *FilesError
 		if strings.Contains(text, "rats") {
-			if err := receive(t, "the end of the process", over); !errors.As(err, &bad) || !strings.Contains(err.Error(), `a.yaml:3: unknown field "rats"`) {
+			if err := receive(t, "the end of the process", done); !errors.As(err, &bad) || !strings.Contains(err.Error(), `a.yaml:3: unknown field "rats"`) {
 				t.Error(err)
 			}
 		} else {
 			(&testProcess{server: s}).waitForVersion(t, resource.Version{})
 			cancel()
-			if err := receive(t, "the end of the process", over); err != nil {
+			if err := receive(t, "the end of the process", done); err != nil {
 				t.Error(err)
 			}
 		}
@@ -816,10 +816,10 @@
 	set := resource.NewSet(false)
 	applied := make(chan *resource.Delta, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan error, 1)
+	done := make(chan error, 1)
 	var status follow.Status
 	go func() {
-		over <- follow.Run(ctx, follow.Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: set, Status: &status, Apply: func(d *resource.Delta) error {
+		done <- follow.Run(ctx, follow.Options{Name: "n0", Role: "node", Sources: []string{addr}, Set: set, Status: &status, Apply: func(d *resource.Delta) error {
 			applied <- d
 			return set.Apply(d)
 		}})
@@ -828,7 +828,7 @@
 	startProcess(t, addr, ServeOptions{Files: writeFolder(t, map[string]string{"a.yaml": contractText("a")})})
 	d := receive(t, "the change", applied)
 	cancel()
-	if err := receive(t, "the end of the follow loop", over); err != nil || resourceNames(d.Put) != "contract a" || status.Read().Failures[follow.Broken] != 1 {
+	if err := receive(t, "the end of the follow loop", done); err != nil || resourceNames(d.Put) != "contract a" || status.Read().Failures[follow.Broken] != 1 {
 		t.Errorf("error %v, delta %+v, follow status %+v", err, d, status.Read())
 	}
 }
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -81,8 +81,8 @@
 	responseCounts     map[int]int     // by status
 }
 
-// up reports whether the process runs.
-func (p *simControl) up() bool { return p.incarnation%2 == 1 }
+// running reports whether the process runs.
+func (p *simControl) running() bool { return p.incarnation%2 == 1 }
 
 // heldCall is a call that has arrived at a control process.
 type heldCall struct {
@@ -181,22 +181,22 @@
 func (sim *simulation) nextCall(c *simFollower) {
 	c.currentCall++
 	call := c.currentCall
-	ask := c.decider.Next(sim.now, sim.random.Float64())
-	sim.after(ask.Delay, func() {
+	next := c.decider.Next(sim.now, sim.random.Float64())
+	sim.after(next.Delay, func() {
 		if c.currentCall != call || c.incarnation != nil && *c.incarnation%2 == 0 {
 			return
 		}
-		sim.after(ask.Timeout, func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Silent}) })
-		p := sim.processes[c.sources[ask.Source]]
-		q := Query{Since: ask.Since, Sum: ask.Checksum, Name: c.name, Process: c.process, Role: c.role, Refused: ask.Refused, Why: ask.Reason, MaxWait: ask.Wait}
+		sim.after(next.Timeout, func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Silent}) })
+		p := sim.processes[c.sources[next.Source]]
+		q := Query{Since: next.Since, Sum: next.Checksum, Name: c.name, Process: c.process, Role: c.role, Refused: next.Refused, Why: next.Reason, MaxWait: next.Wait}
 		sim.after(sim.delay(c.region, p.region), func() {
 			switch {
 			case sim.partitioned[c.region][p.region]:
-			case !p.up():
+			case !p.running():
 				sim.after(sim.delay(c.region, p.region), func() { sim.callFailed(c, call, resource.Failure{Kind: resource.Unreachable}) })
 			default:
 				p.callTimes = append(p.callTimes, sim.now)
-				if ask.Wait == 0 {
+				if next.Wait == 0 {
 					p.immediateCallTimes = append(p.immediateCallTimes, sim.now)
 				}
 				sim.serve(p, &heldCall{c, call, q})
@@ -314,8 +314,8 @@
 
 // applyResponse applies a response's delta, if the follower accepts it, and makes the next call.
 func (sim *simulation) applyResponse(c *simFollower, r Reply) {
-	take, err := c.decider.Received(sim.now, r.Delta)
-	if take {
+	accepted, err := c.decider.Received(sim.now, r.Delta)
+	if accepted {
 		if c.reject != nil {
 			err = c.reject(r.Delta)
 		}
@@ -368,15 +368,15 @@
 }
 
 // change makes an operator's change: in the files always, and at the writer if it runs.
-func (sim *simulation) change(put []resource.Resource, gone ...resource.Key) {
+func (sim *simulation) change(put []resource.Resource, removed ...resource.Key) {
 	for _, r := range put {
 		sim.files[r.Key] = r
 	}
-	for _, k := range gone {
+	for _, k := range removed {
 		delete(sim.files, k)
 	}
-	if p := sim.processes[0]; p.up() {
-		d, err := p.store.Change(sim.now, put, gone)
+	if p := sim.processes[0]; p.running() {
+		d, err := p.store.Change(sim.now, put, removed)
 		if err != nil {
 			sim.t.Fatal(err)
 		}
@@ -412,7 +412,7 @@
 func (sim *simulation) beginEpoch() {
 	var known []*resource.Delta
 	for _, o := range sim.processes[1:] {
-		if o.up() && o.store != nil && !sim.partitioned[0][o.region] && !o.store.Set().Version().IsZero() {
+		if o.running() && o.store != nil && !sim.partitioned[0][o.region] && !o.store.Set().Version().IsZero() {
 			known = append(known, o.store.Set().Snapshot())
 		}
 	}
@@ -471,19 +471,19 @@
 }
 
 // setPartition cuts the network between two regions, or restores it.
-func (sim *simulation) setPartition(a, b int, is bool) {
-	sim.partitioned[a][b], sim.partitioned[b][a] = is, is
+func (sim *simulation) setPartition(a, b int, partitioned bool) {
+	sim.partitioned[a][b], sim.partitioned[b][a] = partitioned, partitioned
 	sim.updateReachability()
 }
 
 // updateReachability updates since when the writer can reach the nodes of each region, directly or through other
 // control processes.
 func (sim *simulation) updateReachability() {
-	connected := [3]bool{sim.processes[0].up()}
+	connected := [3]bool{sim.processes[0].running()}
 	for range sim.processes {
 		for i, p := range sim.processes {
 			for j, o := range sim.processes {
-				connected[i] = connected[i] || p.up() && connected[j] && !sim.partitioned[p.region][o.region]
+				connected[i] = connected[i] || p.running() && connected[j] && !sim.partitioned[p.region][o.region]
 			}
 		}
 	}
@@ -509,7 +509,7 @@
 		for b := range a {
 			sim.setPartition(a, b, false)
 		}
-		if !sim.processes[a].up() {
+		if !sim.processes[a].running() {
 			sim.startControl(a)
 		}
 	}
@@ -522,9 +522,9 @@
 func (sim *simulation) checkConverged() {
 	sim.t.Helper()
 	set := sim.processes[0].store.Set()
-	put, gone := set.Compare(slices.Collect(maps.Values(sim.files)))
-	if len(put)+len(gone) != 0 {
-		sim.t.Fatalf("the writer differs from its files: put %v, removed %v", put, gone)
+	put, removed := set.Compare(slices.Collect(maps.Values(sim.files)))
+	if len(put)+len(removed) != 0 {
+		sim.t.Fatalf("the writer differs from its files: put %v, removed %v", put, removed)
 	}
 	for _, c := range append(slices.Clone(sim.nodes), sim.processes[1].follower, sim.processes[2].follower) {
 		if c.set.Version() != set.Version() || c.set.Checksum() != set.Checksum() || c.set.Len() != set.Len() {
@@ -621,10 +621,10 @@
 		duration := time.Duration((0.2 + sim.random.ExpFloat64()) * float64(meanInterval))
 		switch i := sim.random.IntN(3); sim.random.IntN(3) {
 		case 0:
-			if sim.processes[i].up() {
+			if sim.processes[i].running() {
 				sim.killControl(i)
 				sim.after(duration, func() {
-					if !sim.processes[i].up() {
+					if !sim.processes[i].running() {
 						sim.startControl(i)
 					}
 				})
@@ -658,7 +658,7 @@
 			announced := sim.versions[len(sim.versions)-1].version
 			sim.run(time.Duration(seed%4) * 3 * time.Millisecond) // responses are under way: those to other regions take 10 ms or more
 			if seed == 5 {
-				// A second change, which is announced to nobody.
+				// A second change, which no caller receives.
 				sim.run(time.Second)
 				sim.change([]resource.Resource{contract("c0007", 78)})
 			}
@@ -868,7 +868,7 @@
 		}
 		sim.startNode(c)
 		c.versionsSeen-- // the delay of the latest version counts from the node's start
-		take, at := c.apply, time.Duration(0)
+		apply, at := c.apply, time.Duration(0)
 		c.apply = func(d *resource.Delta) error {
 			switch {
 			case d.To == old:
@@ -876,7 +876,7 @@
 			case at > 0:
 				worst, at = max(worst, sim.now-at), 0
 			}
-			return take(d)
+			return apply(d)
 		}
 	}
 	sim.run(18 * time.Second)
--- a/internal/control/size_test.go
+++ b/internal/control/size_test.go
@@ -17,7 +17,7 @@
 	"portstall/internal/resource"
 )
 
-// writeFleetFiles writes a configuration for a number of contracts into so many files of a folder: 17,000 contracts
+// writeFleetFiles writes a configuration with a number of contracts into a number of files of a folder: 17,000 contracts
 // with 3,800 routes and 250 services, or fewer in the same proportion.
 func writeFleetFiles(t testing.TB, contracts, files int) string {
 	t.Helper()
@@ -29,7 +29,7 @@
 	return dir
 }
 
-// fleetFileText returns the text of file f of so many, with its share of the resources.
+// fleetFileText returns the text of file f, from 0 to files-1, with its share of the resources.
 func fleetFileText(f, files, contracts, services, routes int, rate float64) string {
 	var b strings.Builder
 	share := func(n int) (from, to int) { return n * f / files, n * (f + 1) / files }
@@ -120,7 +120,8 @@
 	}
 }
 
-// rawWatchers hold calls on raw connections without decoding the responses, so that the measured cost is that of control.
+// rawWatchers hold calls on raw connections without decoding the responses, so that the measured cost is that of
+// control.
 type rawWatchers struct {
 	t           testing.TB
 	connections []net.Conn
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -56,7 +56,7 @@
 // filesReport describes the latest reload of a writer's files.
 type filesReport struct {
 	Path    string  `json:"path"`
-	Error   string  `json:"error,omitempty"` // of the latest reload, if it failed; it changed nothing then
+	Error   string  `json:"error,omitempty"` // of the latest reload, if it failed; it had no effect then
 	ReadS   float64 `json:"read_s_ago"`      // 0: no reload since the start
 	TookS   float64 `json:"took_s"`
 	Reloads int64   `json:"reloads"`
@@ -98,13 +98,13 @@
 }
 
 // callerReports converts the store's caller statuses; the result is not nil, so that JSON has an empty list.
-func callerReports(nodes []CallerStatus) []callerReport {
-	out := []callerReport{}
-	for _, n := range nodes {
-		out = append(out, callerReport{n.Name, n.Process, n.Role, n.Version, n.Refused, n.Why,
-			n.HeardAgo.Seconds(), n.BehindFor.Seconds()})
+func callerReports(callers []CallerStatus) []callerReport {
+	reports := []callerReport{}
+	for _, c := range callers {
+		reports = append(reports, callerReport{c.Name, c.Process, c.Role, c.Version, c.Refused, c.Why,
+			c.HeardAgo.Seconds(), c.BehindFor.Seconds()})
 	}
-	return out
+	return reports
 }
 
 // metrics returns the handler of GET /metrics, in Prometheus's text format.
@@ -118,7 +118,8 @@
 	})
 }
 
-// collector is a prometheus.Collector that reads the server's state when it is scraped, so that calls pay nothing for it.
+// collector is a prometheus.Collector that reads the server's state when it is scraped, so that calls have no cost for
+// metrics.
 type collector struct{ *server }
 
 // describe returns the description of one of control's metrics.
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -1,6 +1,7 @@
-// Package control implements a control process: it numbers changes of the configuration, retains the deltas of a limited
-// time, and serves watches (held HTTP calls) to nodes and to the control processes that follow it. VersionStore makes the
-// decisions and is pure: it does no I/O and reads no clock. Loader reads a writer's files; Serve runs the process.
+// Package control implements a control process: it numbers changes of the configuration, retains the deltas of a
+// limited time, and serves watches (held HTTP calls) to nodes and to the control processes that follow it. VersionStore
+// makes the decisions and is pure: it does no I/O and reads no clock. Loader reads a writer's files; Serve runs the
+// process.
 package control
 
 import (
@@ -31,8 +32,8 @@
 // DefaultLimits serve 450 nodes, with capacity for four times as many.
 var DefaultLimits = Limits{resource.DefaultHistory, 2000, 10_000, 10 * time.Minute, 18 * time.Second}
 
-// maxProcessMark is the greatest length of Query.Process, in bytes.
-const maxProcessMark = 64
+// maxProcessBytes is the maximum length of Query.Process.
+const maxProcessBytes = 64
 
 // retryAfter is the pause that a 503 reply asks for.
 const retryAfter = 2 * time.Second
@@ -42,7 +43,7 @@
 	Since      resource.Version  // version in force at the caller; zero: none
 	Sum        resource.Checksum // checksum of the caller's content at Since
 	Name       string            // caller's name: a node's or a control process's
-	Process    string            // tells processes of one name apart; may be empty
+	Process    string            // distinguishes processes of one name; may be empty
 	Role       string            // "node" or "control"
 	Refused    resource.Version  // version that the caller refused; zero: none
 	Why        string            // reason of the refusal
@@ -111,7 +112,7 @@
 // differs. BeginEpoch may be called again, to pass an epoch that callers were seen to have (Status.Ahead). It returns
 // the delta from the base to the new version.
 func (vs *VersionStore) BeginEpoch(now time.Duration, peerSnapshots []*resource.Delta, all []resource.Resource) (*resource.Delta, error) {
-	base, high := (*resource.Delta)(nil), max(vs.set.Version().Epoch, vs.ahead.Epoch)
+	base, highestEpoch := (*resource.Delta)(nil), max(vs.set.Version().Epoch, vs.ahead.Epoch)
 	for _, d := range peerSnapshots {
 		switch {
 		case d == nil || d.To.IsZero():
@@ -125,7 +126,7 @@
 		if d.To.Compare(vs.set.Version()) > 0 && (base == nil || d.To.Compare(base.To) > 0) {
 			base = d
 		}
-		high = max(high, d.To.Epoch)
+		highestEpoch = max(highestEpoch, d.To.Epoch)
 	}
 	seen := make(map[resource.Key]bool, len(all))
 	for i := range all {
@@ -134,7 +135,7 @@
 		}
 		seen[all[i].Key] = true
 	}
-	to := resource.Version{Epoch: max(uint64(max(now.Milliseconds(), 1)), high+1)}
+	to := resource.Version{Epoch: max(uint64(max(now.Milliseconds(), 1)), highestEpoch+1)}
 	if to.TooFarAhead(now) {
 		return nil, fmt.Errorf("epoch %d is over a day ahead of this clock, %d: no node accepts it",
 			to.Epoch, now.Milliseconds())
@@ -147,8 +148,8 @@
 			return nil, fmt.Errorf("peer version %v: %w", base.To, err)
 		}
 	}
-	put, gone := trial.Compare(all)
-	d := trial.NewDelta(to, put, gone)
+	put, removed := trial.Compare(all)
+	d := trial.NewDelta(to, put, removed)
 	if err := trial.Check(d); err != nil {
 		return nil, err
 	}
@@ -178,15 +179,15 @@
 	return nil
 }
 
-// Change numbers a writer's change of the resources and applies it. It returns nil where nothing would change: no
-// version is made then. An error (a *resource.Refusal) leaves the store unchanged. The caller has checked the meaning
+// Change numbers a writer's change of the resources and applies it. It returns nil, and makes no version, where the
+// change has no effect. An error (a *resource.Refusal) leaves the store unchanged. The caller has checked the meaning
 // of the resources.
-func (vs *VersionStore) Change(now time.Duration, put []resource.Resource, gone []resource.Key) (*resource.Delta, error) {
+func (vs *VersionStore) Change(now time.Duration, put []resource.Resource, removed []resource.Key) (*resource.Delta, error) {
 	v := vs.set.Version()
 	if v.IsZero() {
 		return nil, errors.New("no configuration to change yet: no epoch has begun")
 	}
-	d := vs.set.NewDelta(resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, put, gone)
+	d := vs.set.NewDelta(resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, put, removed)
 	if len(d.Put)+len(d.Removed) == 0 {
 		return nil, nil
 	}
@@ -269,7 +270,7 @@
 	return r
 }
 
-// emptyDelta returns the reply that nothing is newer.
+// emptyDelta returns the delta of a reply without changes.
 func (vs *VersionStore) emptyDelta(q *Query) *resource.Delta {
 	return &resource.Delta{From: q.Since, To: q.Since, Checksum: q.Sum}
 }
@@ -301,8 +302,8 @@
 	switch {
 	case q.Name == "" || len(q.Name) > resource.MaxName:
 		return fmt.Errorf("name: want 1 to %d bytes", resource.MaxName)
-	case len(q.Process) > maxProcessMark:
-		return fmt.Errorf("process: at most %d bytes", maxProcessMark)
+	case len(q.Process) > maxProcessBytes:
+		return fmt.Errorf("process: at most %d bytes", maxProcessBytes)
 	case q.Role != "node" && q.Role != "control":
 		return fmt.Errorf("role %.40q: want node or control", q.Role)
 	case len(q.Why) > resource.MaxReason:
--- a/internal/control/versions_test.go
+++ b/internal/control/versions_test.go
@@ -45,9 +45,9 @@
 }
 
 // mustChange makes a change that has to result in a version.
-func mustChange(t *testing.T, store *VersionStore, now time.Duration, put []resource.Resource, gone ...resource.Key) *resource.Delta {
+func mustChange(t *testing.T, store *VersionStore, now time.Duration, put []resource.Resource, removed ...resource.Key) *resource.Delta {
 	t.Helper()
-	d, err := store.Change(now, put, gone)
+	d, err := store.Change(now, put, removed)
 	if err != nil || d == nil {
 		t.Fatal(d, err)
 	}
@@ -103,7 +103,7 @@
 		{name: "no name", q: Query{Role: "node"}, status: 400, err: "name: want 1 to 300 bytes"},
 		{name: "long name", q: Query{Name: strings.Repeat("n", 301), Role: "node"}, status: 400, err: "name: want 1 to 300 bytes"},
 		{name: "no role", q: Query{Name: "n0"}, status: 400, err: "role \"\": want node or control"},
-		{name: "long process mark", q: Query{Name: "n0", Process: strings.Repeat("p", maxProcessMark+1), Role: "node"}, status: 400, err: "process: at most 64 bytes"},
+		{name: "long process", q: Query{Name: "n0", Process: strings.Repeat("p", maxProcessBytes+1), Role: "node"}, status: 400, err: "process: at most 64 bytes"},
 		{name: "long why", q: Query{Name: "n0", Role: "node", Why: strings.Repeat("y", resource.MaxReason+1)}, status: 400, err: "why: 1025 bytes: at most 1024"},
 		{name: "negative wait", q: Query{Name: "n0", Role: "control", MaxWait: -1}, status: 400, err: "timeout_ms: below 0"},
 	} {
@@ -186,21 +186,21 @@
 
 // During a hand-over two processes of a node hold a watch each. Neither may end the other's; both are shown, and the
 // one that ends its call is forgotten. A process that exits alone is shown until the next process of its name calls,
-// and is not counted beside it.
+// and is not counted together with it.
 func TestProcessesOfOneNameHoldSeparateWatches(t *testing.T) {
 	store := newStartedStore(t, Limits{}, contracts(3))
 	sum := store.Set().Checksum()
-	process := func(mark string) Query {
+	queryOf := func(process string) Query {
 		q := nodeQuery(newVersion(startEpoch, 0), sum)
-		q.Process = mark
+		q.Process = process
 		return q
 	}
-	hold := func(now time.Duration, mark string) Query {
+	hold := func(now time.Duration, process string) Query {
 		t.Helper()
-		q := process(mark)
+		q := queryOf(process)
 		r := store.Watch(now, q)
 		if !r.Hold || r.ReplacedWatch != 0 {
-			t.Fatalf("process %s: unexpected reply: %+v", mark, r)
+			t.Fatalf("process %s: unexpected reply: %+v", process, r)
 		}
 		q.WatchID = r.WatchID
 		return q
@@ -226,20 +226,20 @@
 			t.Fatalf("unexpected reply: %+v", r)
 		}
 	}
-	refuses := process("a")
+	refuses := queryOf("a")
 	refuses.Refused, refuses.Why = d.To, "no"
 	store.Watch(startTime, refuses)
 	if s := store.Status(startTime); len(s.Refusals) != 1 || s.Refusals[0].Process != "a" || s.Refusals[0].Name != "n0" {
 		t.Fatalf("unexpected refusals: %+v", s.Refusals)
 	}
 	sum = d.Checksum
-	up := func(now time.Duration, mark string) Query {
-		q := process(mark)
+	watchLatest := func(now time.Duration, process string) Query {
+		q := queryOf(process)
 		q.Since, q.Sum = d.To, d.Checksum
 		q.WatchID = store.Watch(now, q).WatchID
 		return q
 	}
-	predecessor, successor = up(startTime, "a"), up(startTime, "b")
+	predecessor, successor = watchLatest(startTime, "a"), watchLatest(startTime, "b")
 	predecessor.CallerGone = true
 	if store.Watch(startTime, predecessor); store.watchCount != 1 {
 		t.Fatal(store.watchCount)
@@ -249,22 +249,22 @@
 	successor.CallerGone = true
 	store.Watch(startTime, successor)
 	shown(startTime, "b ")
-	up(startTime+time.Second, "c")
+	watchLatest(startTime+time.Second, "c")
 	shown(startTime+time.Second, "c ")
 	// A process whose call ended by its wait stays. One that is silent for silentAfter is forgotten with the next call
 	// of another process of its name.
-	c := up(startTime+time.Second, "c")
+	c := watchLatest(startTime+time.Second, "c")
 	c.WaitOver = true
 	store.Watch(startTime+time.Second, c)
-	up(startTime+2*time.Second, "d")
+	watchLatest(startTime+2*time.Second, "d")
 	shown(startTime+2*time.Second, "c d ")
-	up(startTime+silentAfter+time.Second, "d")
+	watchLatest(startTime+silentAfter+time.Second, "d")
 	shown(startTime+silentAfter+time.Second, "c d ")
-	up(startTime+silentAfter+2*time.Second, "d")
+	watchLatest(startTime+silentAfter+2*time.Second, "d")
 	shown(startTime+silentAfter+2*time.Second, "d ")
 	// At most maxProcessesPerName processes of one name are known.
 	for i := range 5 {
-		up(startTime+40*time.Second+time.Duration(i), fmt.Sprint(i))
+		watchLatest(startTime+40*time.Second+time.Duration(i), fmt.Sprint(i))
 	}
 	if shown(startTime+41*time.Second, "2 3 4 "); store.watchCount != maxProcessesPerName || store.callerCount != maxProcessesPerName {
 		t.Fatal(store.watchCount, store.callerCount)
@@ -615,23 +615,23 @@
 	set := resource.NewSet(false)
 	f := resource.NewFollower(set, 1)
 	now := startTime
-	ask := func() Reply {
+	callStore := func() Reply {
 		c := f.Next(now, 0.5)
 		now += c.Delay
 		return store.Watch(now, Query{Since: c.Since, Sum: c.Checksum, Name: "n0", Role: "node", Refused: c.Refused, Why: c.Reason, MaxWait: c.Wait})
 	}
-	take := func(r Reply) {
+	applyReply := func(r Reply) {
 		t.Helper()
-		if take, err := f.Received(now, r.Delta); !take || err != nil {
-			t.Fatal(take, err)
+		if accepted, err := f.Received(now, r.Delta); !accepted || err != nil {
+			t.Fatal(accepted, err)
 		}
 		err := set.Apply(set.Difference(r.Delta))
 		if f.Applied(now, err); err != nil {
 			t.Fatal(err)
 		}
 	}
-	take(ask())
-	r := ask()
+	applyReply(callStore())
+	r := callStore()
 	if !r.Hold || r.WatchID == 0 {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
@@ -642,7 +642,7 @@
 	if r.Hold || len(r.Delta.Put) != 1 || len(r.Delta.Removed) != 1 {
 		t.Fatalf("unexpected reply: %+v", r)
 	}
-	take(r)
+	applyReply(r)
 	if set.Version() != store.Set().Version() || set.Checksum() != store.Set().Checksum() || set.Len() != 2 {
 		t.Fatal(set.Version(), set.Len())
 	}
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -18,7 +18,7 @@
 	minEpochInterval = 5 * time.Second
 )
 
-// writer is the part of a control process that reads the configuration's files. mu is held for the whole of a reload and
+// writer is the part of a control process that reads the configuration's files. mu is held during a whole reload and
 // guards loader and catalog; statusMu guards the fields below it, so that a status does not wait for a reload.
 type writer struct {
 	mu      sync.Mutex
@@ -118,7 +118,7 @@
 func (s *server) peerSnapshots(ctx context.Context) (known []*resource.Delta) {
 	ctx, cancel := context.WithTimeout(ctx, peersTimeout)
 	defer cancel()
-	got := make(chan *resource.Delta, len(s.Peers))
+	snapshots := make(chan *resource.Delta, len(s.Peers))
 	for _, p := range s.Peers {
 		go func() {
 			c := follow.NewClient(s.Name, "control", s.Clock, &follow.Status{})
@@ -128,11 +128,11 @@
 				s.Log.Warn("no snapshot from a peer", "peer", p, "err", err)
 				d = nil
 			}
-			got <- d
+			snapshots <- d
 		}()
 	}
 	for range s.Peers {
-		d := <-got
+		d := <-snapshots
 		if d == nil {
 			continue
 		}
--- a/internal/health/agent.go
+++ b/internal/health/agent.go
@@ -11,11 +11,11 @@
 var ErrNoKeyword = errors.New("no known keyword")
 
 // ParseAgent parses a reply of HAProxy's agent-check (configuration manual, "agent-check"): keywords in any order,
-// separated by spaces, tabs or commas, up to the end of the line, case-insensitive. A percentage is the weight relative to
-// the configured one; maxconn:N limits the connections; ready, drain and maint are the administrative state; up, down,
-// fail, failed and stopped are the operational state, of which all but up may be followed by # and a reason to the end of
-// the line. Unknown keywords are ignored; up to 8 of them are returned in unknown. The error is ErrNoKeyword or names the
-// malformed keyword.
+// separated by spaces, tabs or commas, up to the end of the line, case-insensitive. A percentage is the weight relative
+// to the configured one; maxconn:N limits the connections; ready, drain and maint are the administrative state; up,
+// down, fail, failed and stopped are the operational state, of which all but up may be followed by # and a reason to
+// the end of the line. Unknown keywords are ignored; up to 8 of them are returned in unknown. The error is ErrNoKeyword
+// or names the malformed keyword.
 func ParseAgent(line string) (report Report, unknown []string, err error) {
 	report = EmptyReport
 	if i := strings.IndexAny(line, "\r\n"); i >= 0 {
--- a/internal/health/evidence_test.go
+++ b/internal/health/evidence_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Where more than half of the fleet is reported unhealthy the reports are suspected and not followed; up to half of it they
-// are followed. A server whose real requests fail stays ejected in both cases.
+// Where more than half of the fleet is reported unhealthy the reports are suspected and not followed; up to half of it
+// they are followed. A server whose real requests fail stays ejected in both cases.
 func TestReportsAreDoubtedWhenMostServersAreReportedBad(t *testing.T) {
 	tracker := newTestTracker()
 	evaluate := func(now time.Duration) (ejected int) {
@@ -248,8 +248,8 @@
 	}
 }
 
-// Any evidence in any order gives valid verdicts and a right count of the servers to be ejected, and once no reports come
-// all servers are readmitted.
+// Any evidence in any order gives valid verdicts and a right count of the servers to be ejected, and once no reports
+// come all servers are readmitted.
 func TestAnySequenceOfReportsGivesValidVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := newTestTracker(), sec
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,7 +1,7 @@
 // Package health decides whether a web server is healthy, from the reports of its agent, from active checks, from the
-// outcomes of real requests and from failures that other instances see. No source is trusted alone: Tracker has the rules,
-// and docs/health.md shows them as a table. The package does no I/O and reads no clock: probes are in its subpackages, and
-// callers pass times of a clock that never goes backwards.
+// outcomes of real requests and from failures that other instances see. No source is trusted alone: Tracker has the
+// rules, and docs/health.md shows them as a table. The package does no I/O and reads no clock: probes are in its
+// subpackages, and callers pass times of a clock that never goes backwards.
 package health
 
 import (
@@ -104,7 +104,7 @@
 	goodReports              int           // consecutive good reports of agent or checks
 	lastSuccess, lastFailure time.Duration // of real requests; 0: none
 	peerFailureAt            time.Duration // when other instances last reported failures of it; 0: never
-	agentHeard               bool          // the agent has replied at least once
+	agentReplied             bool          // the agent has replied at least once
 	hasOutcome               bool          // a real request has ended at least once
 	verdict                  Verdict
 	changedAt                time.Duration // of the latest ejection or readmission
@@ -139,7 +139,7 @@
 	}
 }
 
-// setWantsEjection sets s.wantsEjection and keeps ejectionsWanted in step with it.
+// setWantsEjection sets s.wantsEjection and updates ejectionsWanted.
 func (t *Tracker) setWantsEjection(s *server, wants bool) {
 	if s.wantsEjection != wants {
 		s.wantsEjection = wants
@@ -151,19 +151,20 @@
 	}
 }
 
-// RecordAgent records a reply of an agent. It returns false if the server is unknown or a later reply was recorded before.
+// RecordAgent records a reply of an agent. It returns false if the server is unknown or a later reply was recorded
+// before.
 func (t *Tracker) RecordAgent(now time.Duration, id uint32, report Report) bool {
 	s := t.servers[id]
-	if s == nil || s.agentHeard && now < s.agentAt {
+	if s == nil || s.agentReplied && now < s.agentAt {
 		return false
 	}
-	if s.agentHeard && now > s.agentAt+t.rules.AgentTTL { // earlier values have expired, except the administrative state
+	if s.agentReplied && now > s.agentAt+t.rules.AgentTTL { // earlier values have expired, except the administrative state
 		s.report = Report{Admin: s.report.Admin, Weight: -1, MaxConn: -1, Reason: s.report.Reason}
 	}
-	if !s.agentHeard {
+	if !s.agentReplied {
 		s.report = EmptyReport
 	}
-	s.agentAt, s.agentHeard = now, true
+	s.agentAt, s.agentReplied = now, true
 	if report.Admin != AdminUnset {
 		s.report.Admin, s.report.Reason = report.Admin, report.Reason
 	}
@@ -204,7 +205,8 @@
 	}
 }
 
-// RecordRequest records the outcome of a real request: a success, or a failure that reflects on the server (OutcomeCounts).
+// RecordRequest records the outcome of a real request: a success, or a failure that reflects on the server
+// (OutcomeCounts).
 func (t *Tracker) RecordRequest(now time.Duration, id uint32, ok bool) {
 	if s := t.servers[id]; s != nil {
 		s.hasOutcome = true
@@ -245,8 +247,8 @@
 func (t *Tracker) evaluateAlone(now time.Duration, s *server) Verdict {
 	v := healthyVerdict
 	rules := &t.rules
-	agentValid := s.agentHeard && now <= s.agentAt+rules.AgentTTL
-	adminValid := s.agentHeard && now <= s.agentAt+rules.AdminTTL
+	agentValid := s.agentReplied && now <= s.agentAt+rules.AgentTTL
+	adminValid := s.agentReplied && now <= s.agentAt+rules.AdminTTL
 	checksFail := s.checkedAt > 0 && now <= s.checkedAt+rules.CheckTTL && s.failedChecks >= rules.Fall
 	if agentValid && s.report.MaxConn > 0 {
 		v.MaxConn = s.report.MaxConn
@@ -295,8 +297,8 @@
 	return what + ": " + why
 }
 
-// Evaluate computes a server's verdict and reports whether it differs from the previous one. The owner calls it after each
-// record for a server, and a few times a second for all servers, since evidence expires.
+// Evaluate computes a server's verdict and reports whether it differs from the previous one. The owner calls it after
+// each record for a server, and a few times a second for all servers, since evidence expires.
 func (t *Tracker) Evaluate(now time.Duration, id uint32) (v Verdict, changed bool) {
 	s := t.servers[id]
 	if s == nil {
@@ -315,7 +317,7 @@
 	before := s.verdict
 	if before.Ejected && !v.Ejected && !t.inPanic {
 		// Readmission needs consecutive good reports, or no valid report at all, and the minimum time of ejection.
-		noReports := !s.agentHeard && s.checkedAt == 0 || now > max(s.agentAt+t.rules.AgentTTL, s.checkedAt+t.rules.CheckTTL)
+		noReports := !s.agentReplied && s.checkedAt == 0 || now > max(s.agentAt+t.rules.AgentTTL, s.checkedAt+t.rules.CheckTTL)
 		if s.goodReports < t.rules.Rise && !noReports || now < s.changedAt+s.holdTime {
 			v = before
 		}
@@ -342,17 +344,18 @@
 	return healthyVerdict
 }
 
-// InPanic reports whether so many servers are reported unhealthy that the reports are suspected.
+// InPanic reports whether reports were suspected at the latest evaluation: the share of servers reported unhealthy
+// exceeded Rules.PanicThreshold then, or had done so within Rules.PanicDuration before.
 func (t *Tracker) InPanic() bool { return t.inPanic }
 
 // OutcomeCounts reports whether the outcome of an attempt reflects on its server. It does not if nothing was sent, the
-// client had gone, or the server's queue was full.
+// client had disconnected, or the server's queue was full.
 func OutcomeCounts(o policy.Outcome) bool {
 	return o != policy.QueueFull && o != policy.Canceled && o != policy.NeverSent
 }
 
-// PolicyEvents returns the events that move the policy from one verdict on a server to the next. A server that an operator
-// has disabled is neither disabled nor enabled by them.
+// PolicyEvents returns the events that move the policy from one verdict on a server to the next. A server that an
+// operator has disabled is neither disabled nor enabled by them.
 func PolicyEvents(server uint32, old, v Verdict, operatorDisabled bool) []policy.Event {
 	var events []policy.Event
 	if v.Ejected != old.Ejected && !operatorDisabled {
--- a/internal/health/schedule.go
+++ b/internal/health/schedule.go
@@ -8,8 +8,8 @@
 
 // ProbeSettings limit how often servers are probed.
 type ProbeSettings struct {
-	Interval       time.Duration // wait between two probes of entry server that no recent real requests vouch for
-	IntervalFactor float64       // factor on the wait of entry server whose recent real requests succeed
+	Interval       time.Duration // wait between two probes of a server without recent successful requests
+	IntervalFactor float64       // factor on the wait of a server whose recent real requests succeed
 	MaxPerServer   float64       // limit on the probes per second that one server gets from all nodes together
 	MaxRate        float64       // limit on the probes per second that this node sends to all servers together
 	Nodes          int           // number of nodes that probe the same servers with these settings
@@ -22,19 +22,19 @@
 	return max(p.Interval, fairWait)
 }
 
-// MaxInterval returns the longest wait between two probes of a server, before jitter, while the node's rate limit does not
-// delay probes. Reports are valid for a multiple of it.
+// MaxInterval returns the longest wait between two probes of a server, before jitter, while the node's rate limit does
+// not delay probes. Reports are valid for a multiple of it.
 func (p *ProbeSettings) MaxInterval() time.Duration {
 	return time.Duration(float64(p.minWait()) * max(1, p.IntervalFactor))
 }
 
 // Schedule selects the server to probe next. Each server has its own due time and at most one probe in flight, and all
-// probes together stay within the node's rate limit. Servers that recent real requests vouch for are due less often, which
-// leaves the budget to the others. It is not safe for concurrent use: its owner's lock guards it.
+// probes together stay within the node's rate limit. Servers whose recent real requests succeed are due less often,
+// which leaves the budget to the others. It is not safe for concurrent use: its owner's lock guards it.
 type Schedule struct {
 	settings   ProbeSettings
 	random     func() float64         // uniform in [0, 1)
-	queue      probeQueue             // servers without entry probe in flight
+	queue      probeQueue             // servers without a probe in flight
 	entries    map[uint32]*probeEntry // all servers, by id
 	tokens     float64                // probes that may start now
 	refilledAt time.Duration          // when tokens were last added
@@ -53,8 +53,8 @@
 	return &Schedule{settings: p, random: random, entries: map[uint32]*probeEntry{}}
 }
 
-// Add adds a server. Its first probe is due at a random time within one interval, so that a list of thousands is not probed
-// all at once.
+// Add adds a server. Its first probe is due at a random time within one interval, so that a list of thousands is not
+// probed all at once.
 func (s *Schedule) Add(now time.Duration, id uint32) {
 	if s.entries[id] == nil {
 		entry := &probeEntry{id: id, dueAt: now + time.Duration(s.random()*float64(s.settings.minWait()))}
--- a/internal/health/schedule_test.go
+++ b/internal/health/schedule_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// 100 nodes check 10,000 servers in virtual time. No server may get more probes than its limit, no node may send more than
-// its own, each server must be probed again and again, and a node has one probe of a server in flight at most.
+// 100 nodes check 10,000 servers in virtual time. No server may get more probes than its limit, no node may send more
+// than its own, each server must be probed again and again, and a node has one probe of a server in flight at most.
 func TestProbeBudget(t *testing.T) {
 	const servers, nodes = 10000, 100
 	const seconds = 400
@@ -66,8 +66,8 @@
 	}
 }
 
-// A server whose real requests succeed is probed less often, a new one within an interval, one that is asked for at once,
-// and a removed one not again.
+// A server whose real requests succeed is probed less often, a new one within an interval, one that is asked for at
+// once, and a removed one not again.
 func TestScheduleOrder(t *testing.T) {
 	settings := ProbeSettings{Interval: sec, IntervalFactor: 4, MaxPerServer: 100, MaxRate: 100, Nodes: 1, Jitter: 0}
 	s := NewSchedule(settings, func() float64 { return 0.5 })
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -53,11 +53,12 @@
 	minSuspicionFactor = 4
 	// maxSuspicionFactor times the shortest duration is the duration of a suspicion with one accuser.
 	maxSuspicionFactor = 6
-	// retransmitFactor times log10 of the number of members is how often a member sends a fact.
+	// retransmitFactor times log10 of the number of members is how many times a member sends a fact.
 	retransmitFactor = 4
 	// earlyProbers is the expected number of members that probe a newly suspected member ahead of its turn.
 	earlyProbers = 6
-	// deadProbePeriod makes each 8th round also ping a dead or departed member, so that a healed partition is noticed.
+	// deadProbePeriod is the number of probes after which a dead or departed member is pinged as well, so that a healed
+	// partition is noticed.
 	deadProbePeriod = 8
 )
 
@@ -142,7 +143,7 @@
 }
 
 // New returns a member that joins through the seeds. Inc is its first incarnation. The Unix time in milliseconds will
-// do even with a wrong clock: the others notify a member that comes back with a lower incarnation than before.
+// do even with a wrong clock: the other members tell a member that comes back with a lower incarnation than before.
 func New(now time.Duration, name, addr string, inc uint64, settings Settings, keys Keys, rng *rand.Rand, seeds ...string) *Member {
 	m := &Member{name: name, addr: addr, settings: settings, keys: keys, rng: rng, inc: inc, peers: map[string]*Peer{}, relays: map[uint64]relay{},
 		seeds: seeds, refilledAt: now, nextProbe: now, nextSync: now + settings.SyncInterval, verified: map[string]bool{}, Refused: map[error]int{}, tokens: float64(settings.MaxBytesPerSecond),
@@ -211,7 +212,7 @@
 	m.queue = append(m.queue, added)
 }
 
-// takeFacts returns the facts that have been sent least often, as many as fit into so many bytes, and removes from the
+// takeFacts returns the facts that have been sent least often, as many as fit into capacity bytes, and removes from the
 // queue those that have been sent often enough.
 func (m *Member) takeFacts(capacity int) []signed {
 	slices.SortStableFunc(m.queue, func(a, b *queuedFact) int {
@@ -420,7 +421,7 @@
 // quorum returns the number of accusers needed to declare a member dead.
 func (m *Member) quorum() int { return max(1, min(m.settings.Quorum, m.size()-2)) }
 
-// suspicionTimeout returns the duration of a suspicion with so many accusers (Lifeguard, section IV-B).
+// suspicionTimeout returns the duration of a suspicion with the given number of accusers (Lifeguard, section IV-B).
 func (m *Member) suspicionTimeout(accusers int) time.Duration {
 	shortest := float64(m.settings.ProbeInterval) * minSuspicionFactor * m.logSize()
 	longest := maxSuspicionFactor * shortest
@@ -593,21 +594,21 @@
 
 // markSeen reports whether a packet of the peer is received for the first time, and records it as received. Packets may
 // arrive out of order; those that are 64 or more behind the latest count as seen.
-func (p *Peer) markSeen(k *packet) bool {
+func (p *Peer) markSeen(received *packet) bool {
 	switch {
-	case k.Inc > p.seenInc:
-		p.seenInc, p.seenSeq, p.seenBits = k.Inc, k.Seq, 0
+	case received.Inc > p.seenInc:
+		p.seenInc, p.seenSeq, p.seenBits = received.Inc, received.Seq, 0
 		return true
-	case k.Inc < p.seenInc || k.Seq+64 <= p.seenSeq:
+	case received.Inc < p.seenInc || received.Seq+64 <= p.seenSeq:
 		return false
-	case k.Seq > p.seenSeq:
-		p.seenBits = p.seenBits<<(k.Seq-p.seenSeq) | 1<<(k.Seq-p.seenSeq-1)
-		p.seenSeq = k.Seq
+	case received.Seq > p.seenSeq:
+		p.seenBits = p.seenBits<<(received.Seq-p.seenSeq) | 1<<(received.Seq-p.seenSeq-1)
+		p.seenSeq = received.Seq
 		return true
-	case k.Seq == p.seenSeq || p.seenBits>>(p.seenSeq-k.Seq-1)&1 == 1:
+	case received.Seq == p.seenSeq || p.seenBits>>(p.seenSeq-received.Seq-1)&1 == 1:
 		return false
 	}
-	p.seenBits |= 1 << (p.seenSeq - k.Seq - 1)
+	p.seenBits |= 1 << (p.seenSeq - received.Seq - 1)
 	return true
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -9,11 +9,11 @@
 )
 
 // seedCount returns the number of simulations that a test runs: the default, unless PORTSTALL_MEMBERS sets another.
-func seedCount(usual int) int {
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("PORTSTALL_MEMBERS")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
 // waitJoined runs the simulation until all members have joined.
@@ -52,13 +52,13 @@
 			died := sim.now
 			sim.members[3] = nil
 			var firstAfter time.Duration
-			for sim.countHolding(3, Dead) < n-1 {
+			for sim.countInState(3, Dead) < n-1 {
 				sim.run(sim.now + second/10)
-				if firstAfter == 0 && sim.countHolding(3, Dead) > 0 {
+				if firstAfter == 0 && sim.countInState(3, Dead) > 0 {
 					firstAfter = sim.now - died
 				}
 				if sim.now > died+120*second {
-					t.Fatalf("%d members, seed %d: %d of %d hold it for dead after two minutes", n, seed, sim.countHolding(3, Dead), n-1)
+					t.Fatalf("%d members, seed %d: %d of %d consider it dead after two minutes", n, seed, sim.countInState(3, Dead), n-1)
 				}
 			}
 			first, all = append(first, firstAfter), append(all, sim.now-died)
@@ -73,8 +73,8 @@
 	}
 }
 
-// Packet loss and slow members cause no lasting false verdict: once both end, all members hold each other for alive
-// again. Up to 5 % loss alone causes no false verdict at all.
+// Packet loss and slow members cause no lasting false verdict: once both end, all members consider each other
+// alive again. Up to 5 % loss alone causes no false verdict at all.
 func TestLossAndSlownessCauseNoLastingFalseVerdict(t *testing.T) {
 	for _, c := range []struct {
 		loss float64
@@ -98,11 +98,11 @@
 			sim.loss, sim.slow = 0, map[int]bool{}
 			sim.run(sim.now + 60*second)
 			if !sim.joined() {
-				t.Errorf("%+v, seed %d: a running member is still held for dead", c, seed)
+				t.Errorf("%+v, seed %d: a running member is still considered dead", c, seed)
 			}
 			sim.checkInvariants(t)
 		}
-		t.Logf("loss %.2f, %d slow: %.1f times per hour one of 12 held a running member for dead, %.0f bytes per second and member", c.loss, c.slow, float64(falseDead)/minutes*60, bytes)
+		t.Logf("loss %.2f, %d slow: %.1f times per hour one of 12 considered a running member dead, %.0f bytes per second and member", c.loss, c.slow, float64(falseDead)/minutes*60, bytes)
 		if c.loss <= 0.05 && c.slow == 0 && falseDead > 0 {
 			t.Errorf("loss %.2f: %d running members were declared dead", c.loss, falseDead)
 		}
@@ -110,7 +110,7 @@
 }
 
 // A member that is suspended for ten seconds has missed all replies when it resumes. It must not suspect more than
-// three of the others for that, and all must hold each other for alive again afterwards.
+// three of the others for that, and all must consider each other alive again afterwards.
 func TestSuspendedMemberRejoins(t *testing.T) {
 	for seed := range seedCount(3) {
 		sim := newSimulation(10, uint64(seed))
@@ -120,7 +120,7 @@
 		accused := 0
 		for i := range sim.members {
 			if i != 4 {
-				accused += sim.countHolding(i, Suspect)
+				accused += sim.countInState(i, Suspect)
 			}
 		}
 		if accused > 3 {
@@ -128,11 +128,11 @@
 		}
 		sim.run(sim.now + 60*second)
 		if !sim.joined() {
-			t.Errorf("seed %d: a running member is still held for dead", seed)
+			t.Errorf("seed %d: a running member is still considered dead", seed)
 		}
 		for k := range sim.falselyDead {
 			if k[len(k)-2:] != "m4" {
-				t.Errorf("seed %d: a member that was not suspended is held for dead: %s", seed, k)
+				t.Errorf("seed %d: a member that was not suspended is considered dead: %s", seed, k)
 			}
 		}
 		sim.checkInvariants(t)
@@ -169,7 +169,7 @@
 				return []Outgoing{o, {Addr: o.Addr, Data: seal(&p, liar.Sign)}}
 			}
 			sim.run(sim.now + 60*second)
-			if len(sim.falselyDead) > 0 || sim.countHolding(3, Left) > 0 {
+			if len(sim.falselyDead) > 0 || sim.countInState(3, Left) > 0 {
 				t.Errorf("seed %d, accusations to some only: %v: running members were declared dead: %v", seed, some, sim.falselyDead)
 			}
 			if sim.members[0].Refused[ErrSignature] == 0 && !some {
@@ -237,8 +237,8 @@
 		sim.waitJoined(t)
 		sim.send(5, sim.members[5].Leave(sim.now))
 		sim.run(sim.now + 20*second)
-		if sim.countHolding(5, Left) != 7 {
-			t.Errorf("seed %d: %d of 7 have received that it left", seed, sim.countHolding(5, Left))
+		if sim.countInState(5, Left) != 7 {
+			t.Errorf("seed %d: %d of 7 have received that it left", seed, sim.countInState(5, Left))
 		}
 		sim.start(5, 10) // far below its former incarnation
 		sim.run(sim.now + 40*second)
@@ -247,8 +247,8 @@
 		}
 		sim.cut = func(from, to int) bool { return (from < 4) != (to < 4) }
 		sim.run(sim.now + 180*second)
-		if sim.countHolding(0, Dead) != 4 || sim.countHolding(7, Dead) != 4 {
-			t.Errorf("seed %d: in a partition %d and %d of 4 declared the other side dead", seed, sim.countHolding(0, Dead), sim.countHolding(7, Dead))
+		if sim.countInState(0, Dead) != 4 || sim.countInState(7, Dead) != 4 {
+			t.Errorf("seed %d: in a partition %d and %d of 4 declared the other side dead", seed, sim.countInState(0, Dead), sim.countInState(7, Dead))
 		}
 		for i := range sim.members { // all roll their keys; the new public keys were distributed before
 			sim.secrets[memberName(i)]++
@@ -334,10 +334,10 @@
 			sent += float64(b-begun[i]) / 20 / float64(n)
 		}
 		sim.members[3] = nil
-		for sim.countHolding(3, Dead) < n-1 && sim.now < died+120*second {
+		for sim.countInState(3, Dead) < n-1 && sim.now < died+120*second {
 			sim.run(sim.now + second/2)
 		}
-		t.Logf("%d members: joined after %v, %.0f bytes per second and member, one declared dead by %d of %d after %v, running ones %d times", n, joined, sent, sim.countHolding(3, Dead), n-1, sim.now-died, len(sim.falselyDead))
+		t.Logf("%d members: joined after %v, %.0f bytes per second and member, one declared dead by %d of %d after %v, running ones %d times", n, joined, sent, sim.countInState(3, Dead), n-1, sim.now-died, len(sim.falselyDead))
 		sim.checkInvariants(t)
 	}
 }
@@ -362,8 +362,8 @@
 }
 
 // Runs all sequences of three events among three members, at two distances in time: a crash, a restart with an older
-// clock, leaving, a partition, a key roll, a false accusation. After each, the running members hold each other for
-// alive again, no member holds an incarnation that its owner never had, and no incarnation decreases.
+// clock, leaving, a partition, a key roll, a false accusation. After each, the running members consider each
+// other alive again, no member knows an incarnation that its owner never had, and no incarnation decreases.
 func TestThreeMembersRecoverFromEachSequenceOfEvents(t *testing.T) {
 	events := map[string]func(sim *simulation){
 		"crashes":  func(sim *simulation) { sim.members[2] = nil },
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// The reasons for which a packet or a fact is rejected.
+// The reasons for which a packet or a fact is rejected. The management page /-/members has a count for each, with the
+// text as its JSON key: the texts must not change.
 var (
 	ErrMalformed      = errors.New("not of the form")
 	ErrVersion        = errors.New("of another version")
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -38,7 +38,7 @@
 	share := uint8(255 * min(1, max(0, failedShare)))
 	count := uint8(min(255, max(0, attempts)))
 	f := &Fact{Kind: factServerReport, By: m.name, About: server, Inc: m.inc, Seq: m.seq, Data: []byte{share, count}}
-	m.enqueue(now, "witness "+server, signFact(f, m.keys.Sign), 1)
+	m.enqueue(now, "report "+server, signFact(f, m.keys.Sign), 1)
 }
 
 // handleServerReport stores the report of another member, and passes it on.
@@ -58,7 +58,7 @@
 		}
 	}
 	m.serverReports[k] = ServerReport{By: f.By, Server: f.About, FailedShare: float64(f.Data[0]) / 255, Attempts: float64(f.Data[1]), ReceivedAt: now, inc: f.Inc, seq: f.Seq}
-	m.enqueue(now, "witness "+f.About+" "+f.By, s, 1)
+	m.enqueue(now, "report "+f.About+" "+f.By, s, 1)
 }
 
 // DoubtedServers returns the sorted IDs of the web servers that some other member recently reported as failing.
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// simulation runs members in virtual time on a network that loses and delays packets, and checks invariants of what
-// they believe.
+// simulation runs members in virtual time on a network that loses and delays packets, and checks invariants of the
+// states that they assign to each other.
 type simulation struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -52,8 +52,8 @@
 	frozen      map[int]time.Duration                 // members that are suspended, and until when
 	cut         func(from, to int) bool               // whether packets between two members are lost; nil: no partition
 	intercept   func(from int, o Outgoing) []Outgoing // replaces what a member sends; nil: nothing is replaced
-	maxIncSeen  map[string]uint64                     // highest incarnation of each member that any member held
-	falselyDead map[string]int                        // "holder subject" of running members that a running member held for dead
+	maxIncSeen  map[string]uint64                     // highest incarnation of each member that any member knew
+	falselyDead map[string]int                        // keys "observer subject": running members that a running member considered dead
 	violations  []string                              // of invariants
 	bytes       []int64                               // sent, by member
 	started     time.Duration
@@ -172,8 +172,8 @@
 	sim.now = until
 }
 
-// checkBeliefs checks that a member holds no incarnation that its owner never had, and notes running members that it
-// holds for dead.
+// checkBeliefs checks that a member knows no incarnation that its owner never had, and notes running members that it
+// considers dead.
 func (sim *simulation) checkBeliefs(i int, m *Member) {
 	for n, p := range m.peers {
 		if p.State == Dead {
@@ -187,7 +187,7 @@
 		if p.Inc > sim.maxIncSeen[n] {
 			sim.maxIncSeen[n] = p.Inc
 			if o := sim.members[memberIndex(n)]; o != nil && p.Inc > o.Inc() {
-				sim.violations = append(sim.violations, fmt.Sprintf("%v: %s holds incarnation %d of %s, which is at %d", sim.now, m.name, p.Inc, n, o.Inc()))
+				sim.violations = append(sim.violations, fmt.Sprintf("%v: %s knows incarnation %d of %s, which is at %d", sim.now, m.name, p.Inc, n, o.Inc()))
 			}
 		}
 	}
@@ -200,8 +200,8 @@
 	return i
 }
 
-// countHolding returns the number of other running members that hold a member to be in a state.
-func (sim *simulation) countHolding(i int, s State) (n int) {
+// countInState returns the number of other running members at which a member is in a state.
+func (sim *simulation) countInState(i int, s State) (n int) {
 	for k, m := range sim.members {
 		if m == nil || m.stopped || k == i {
 			continue
@@ -213,7 +213,7 @@
 	return
 }
 
-// joined reports whether each running member holds each other running member for alive or suspect.
+// joined reports whether each running member considers every other running member alive or suspect.
 func (sim *simulation) joined() bool {
 	for i, m := range sim.members {
 		if m == nil || m.stopped {
--- a/internal/member/transport_test.go
+++ b/internal/member/transport_test.go
@@ -33,8 +33,8 @@
 }
 
 // Ten instances on loopback sockets, with Ed25519 keys, join through two seeds. Forged packets of an unknown key and
-// false accusations of one member remove nobody, a member that leaves is known to have left, one that stops is declared
-// dead, and none sends more bytes than its budget.
+// false accusations of one member remove no member, a member that leaves is known to have left, one that stops is
+// declared dead, and none sends more bytes than its budget.
 func TestTenInstancesOverSockets(t *testing.T) {
 	const n = 10
 	settings := DefaultSettings()
@@ -49,7 +49,7 @@
 		keys = append(keys, k)
 		members[memberName(i)] = []string{PublicText(k)}
 	}
-	ring := func(i int) *Keyring {
+	keyring := func(i int) *Keyring {
 		r, err := NewKeyring(keys[i], members)
 		if err != nil {
 			t.Fatal(err)
@@ -64,23 +64,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, err := Listen(t.Context(), Options{Name: memberName(i), Addr: addr, Seeds: seeds, Settings: settings, Keys: ring(i), Log: slog.New(slog.DiscardHandler)})
+		transport, err := Listen(t.Context(), Options{Name: memberName(i), Addr: addr, Seeds: seeds, Settings: settings, Keys: keyring(i), Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if transports = append(transports, e); i < 2 {
-			seeds = append(seeds, e.Addr())
+		if transports = append(transports, transport); i < 2 {
+			seeds = append(seeds, transport.Addr())
 		}
 	}
 	closed := map[int]bool{}
 	defer func() {
-		for i, e := range transports {
+		for i, transport := range transports {
 			if !closed[i] {
-				e.Close()
+				transport.Close()
 			}
 		}
 	}()
-	holds := func(i, k int) (s State, known bool) {
+	stateAt := func(i, k int) (s State, known bool) {
 		transports[i].Do(func(_ time.Duration, m *Member) {
 			if p := m.peers[memberName(k)]; p != nil {
 				s, known = p.State, true
@@ -88,12 +88,12 @@
 		})
 		return
 	}
-	allHold := func(count, subject int, s State) bool {
+	allHaveState := func(count, subject int, s State) bool {
 		for i := range count {
 			if i == subject || closed[i] {
 				continue
 			}
-			if got, known := holds(i, subject); !known || got != s {
+			if got, known := stateAt(i, subject); !known || got != s {
 				return false
 			}
 		}
@@ -101,7 +101,7 @@
 	}
 	waitFor(t, "all members joined", func() bool {
 		for k := range n {
-			if !allHold(n, k, Alive) {
+			if !allHaveState(n, k, Alive) {
 				return false
 			}
 		}
@@ -138,12 +138,12 @@
 	})
 	waitFor(t, "all members alive after each refuted the accusation", func() bool {
 		for k := range n {
-			if allHold(n, k, Dead) || allHold(n, k, Left) {
-				t.Fatalf("%s is held for dead or left", memberName(k))
+			if allHaveState(n, k, Dead) || allHaveState(n, k, Left) {
+				t.Fatalf("%s is considered dead or left", memberName(k))
 			}
 			refuted := false
 			transports[k].Do(func(_ time.Duration, m *Member) { refuted = k == 9 || m.Inc() > accused[k] })
-			if !refuted || !allHold(n, k, Alive) {
+			if !refuted || !allHaveState(n, k, Alive) {
 				return false
 			}
 		}
@@ -156,16 +156,16 @@
 	})
 	closed[4] = true
 	transports[4].Close()
-	waitFor(t, "a member that leaves is held for left", func() bool { return allHold(n, 4, Left) })
+	waitFor(t, "all members know that a member has left", func() bool { return allHaveState(n, 4, Left) })
 	closed[5] = true
 	transports[5].mu.Lock()
 	transports[5].member.stopped = true // keeps Close from announcing that it leaves
 	transports[5].mu.Unlock()
 	transports[5].Close()
-	waitFor(t, "a member that stops is held for dead", func() bool { return allHold(n, 5, Dead) })
-	for i, e := range transports {
-		if limit := float64(settings.MaxBytesPerSecond) * (time.Since(begun).Seconds() + 1); float64(e.BytesSent()) > limit {
-			t.Errorf("%s sent %d bytes, its budget is %.0f", memberName(i), e.BytesSent(), limit)
+	waitFor(t, "all members consider a stopped member dead", func() bool { return allHaveState(n, 5, Dead) })
+	for i, transport := range transports {
+		if limit := float64(settings.MaxBytesPerSecond) * (time.Since(begun).Seconds() + 1); float64(transport.BytesSent()) > limit {
+			t.Errorf("%s sent %d bytes, its budget is %.0f", memberName(i), transport.BytesSent(), limit)
 		}
 	}
 }
--- a/internal/resource/follower.go
+++ b/internal/resource/follower.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// PollSchedule holds the intervals at which a follower calls its sources. A lost response to a watch is detected only when
-// the call times out, so MaxWait, Grace and the time for one more call together must fit into the time within which a
-// change has to be in force.
+// PollSchedule holds the intervals at which a follower calls its sources. A lost response to a watch is detected only
+// when the call times out, so MaxWait, Grace and the time for one more call together must fit into the time within
+// which a change has to be in force.
 type PollSchedule struct {
 	MinWait, MaxWait                   time.Duration // range of a watch's waiting time, selected at random for each watch
 	Grace                              time.Duration // added to the waiting time to give a call's timeout; alone the timeout of a call without waiting
@@ -32,8 +32,8 @@
 	maxBackoff = 4 * time.Second
 	// emptyResponseBackoff is the delay after an immediate response without news. It doubles.
 	emptyResponseBackoff = 50 * time.Millisecond
-	// delayAfterChange is the delay after a change, so that a fleet doesn't call at the same instant and many changes arrive
-	// as one.
+	// delayAfterChange is the delay after a change, so that a fleet doesn't call at the same instant and many changes
+	// arrive as one.
 	delayAfterChange = 100 * time.Millisecond
 	// MaxRetryAfter bounds the delay taken from a Retry-After header.
 	MaxRetryAfter = 30 * time.Second
@@ -48,8 +48,8 @@
 	minBodyRate = 64 << 10
 )
 
-// BodyTimeout returns how long a response body of a length in bytes may take after the response's head. A negative length
-// means that the length is not specified.
+// BodyTimeout returns how long a response body of a length in bytes may take after the response's head. A negative
+// length means that the length is not specified.
 func BodyTimeout(length int64) time.Duration {
 	if length < 0 {
 		return maxBodyTimeout
@@ -107,13 +107,13 @@
 	LastChange   time.Duration // Unix time at which a version was last applied; 0: never
 }
 
-// Follower decides which source to call when, with which request, and which responses to apply. Its caller makes one call
-// at a time: Next, then Failed or Received, then Applied if Received returned true. Times are Unix times, random numbers
-// are in [0, 1). It is not safe for concurrent use.
+// Follower decides which source to call when, with which request, and which responses to apply. Its caller makes one
+// call at a time: Next, then Failed or Received, then Applied if Received returned true. Times are Unix times, random
+// numbers are in [0, 1). It is not safe for concurrent use.
 //
-// It follows one source and checks another one at intervals, in turn, by a call without waiting: a source that is itself
-// cut off responds well but has no changes, which only another source can reveal. It moves to a source that has a later
-// version, and back to the first one as soon as that is not behind.
+// It follows one source and checks another one at intervals, in turn, by a call without waiting: a source that is
+// itself cut off responds well but has no changes, which only another source can reveal. It moves to a source that has
+// a later version, and back to the first one as soon as that is not behind.
 type Follower struct {
 	set      *Set
 	schedule PollSchedule
@@ -159,8 +159,8 @@
 	return s
 }
 
-// randomBetween returns a random duration in a range. Each use derives the next random number from the current one, so that
-// one number from the caller serves several uses.
+// randomBetween returns a random duration in a range. Each use derives the next random number from the current one, so
+// that one number from the caller serves several uses.
 func (f *Follower) randomBetween(shortest, longest time.Duration) time.Duration {
 	d := shortest + time.Duration(f.random*float64(longest-shortest))
 	_, f.random = math.Modf(f.random*4093 + 0.618)
@@ -234,8 +234,8 @@
 }
 
 // recordFailure schedules the next call and switches to the next source: after a short delay within a round through the
-// sources, and after each full round with a delay that doubles. A failed check only delays the next call; the followed source
-// stays the same.
+// sources, and after each full round with a delay that doubles. A failed check only delays the next call; the followed
+// source stays the same.
 func (f *Follower) recordFailure(now time.Duration) {
 	if f.called != f.current {
 		f.nextCall = now + f.jitter(emptyResponseBackoff)
@@ -264,9 +264,9 @@
 	f.nextCall = max(f.nextCall, f.busyUntil[best])
 }
 
-// recordSuccess records a response that could be applied or had nothing to apply; with move, the source that was called is
-// followed from now on. The counts of failures are cleared only where the source waited (Applied clears them after a change):
-// otherwise a source that drops each watch would be called again and again with short delays.
+// recordSuccess records a response that could be applied or had nothing to apply; with move, the source that was called
+// is followed from now on. The counts of failures are cleared only where the source waited (Applied clears them after a
+// change): otherwise a source that drops each watch would be called again and again with short delays.
 func (f *Follower) recordSuccess(now time.Duration, move bool) {
 	if move {
 		f.current = f.called
@@ -283,7 +283,8 @@
 	return f.callWait > 0 && now-f.callStart >= f.callWait/2
 }
 
-// delayAfterEmpty delays the next call after an immediate response without a change, briefly at first and doubling each time.
+// delayAfterEmpty delays the next call after an immediate response without a change, briefly at first and doubling each
+// time.
 func (f *Follower) delayAfterEmpty(now time.Duration) {
 	if f.called == f.current {
 		f.nextCall = max(f.nextCall, now+f.jitter(backoff(emptyResponseBackoff, f.emptyResponses)))
@@ -291,10 +292,10 @@
 	}
 }
 
-// Received checks a response. If it returns true, the caller puts the delta in force, applies it to the set (a snapshot as
-// it is or reduced by Set.Difference) and calls Applied. If it returns an error, there is nothing to apply: a *Refusal is
-// reported to the control process by the next calls, any other error has been counted as a failure. A delta that is not
-// later than the held version is ignored without an error, so that a node's version never decreases.
+// Received checks a response. If it returns true, the caller puts the delta in force, applies it to the set (a snapshot
+// as it is or reduced by Set.Difference) and calls Applied. If it returns an error, there is nothing to apply: a
+// *Refusal is reported to the control process by the next calls, any other error has been counted as a failure. A delta
+// that is not later than the held version is ignored without an error, so that a node's version never decreases.
 func (f *Follower) Received(now time.Duration, d *Delta) (apply bool, err error) {
 	held := f.set.Version()
 	if d.From == d.To && len(d.Put)+len(d.Removed) == 0 && (d.To == held || d.To == f.callSince) {
@@ -342,7 +343,8 @@
 	return false, err
 }
 
-// requireSnapshot records a response that does not match the held content: the next request is for a snapshot, after a delay.
+// requireSnapshot records a response that does not match the held content: the next request is for a snapshot, after a
+// delay.
 func (f *Follower) requireSnapshot(now time.Duration, err error) {
 	f.status.LastError = err.Error()
 	f.needSnapshot = true
@@ -351,14 +353,15 @@
 	f.recordFailure(now)
 }
 
-// delaySnapshot delays the next request for a snapshot, doubling each time: a snapshot of full size is several megabytes.
+// delaySnapshot delays the next request for a snapshot, doubling each time: a snapshot of full size is several
+// megabytes.
 func (f *Follower) delaySnapshot(now time.Duration) {
 	f.nextSnapshot = now + f.jitter(min(firstBackoff<<min(f.mismatches, 10), checksumRefusalLifetime))
 	f.mismatches++
 }
 
-// recordRefusal stores a refused version to be reported, and delays the next call: less than after a failure, doubling each
-// time.
+// recordRefusal stores a refused version to be reported, and delays the next call: less than after a failure, doubling
+// each time.
 func (f *Follower) recordRefusal(now time.Duration, v Version, err error) {
 	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = v, truncate(err.Error(), MaxReason), 0, false
 	f.recordSuccess(now, f.called == 0)
@@ -371,8 +374,8 @@
 	f.refused, f.reason, f.refusalExpiry, f.refusedForEpoch = Version{}, "", 0, false
 }
 
-// Applied reports the outcome of applying a delta that Received accepted: nil if it is in force and in the set, else the reason
-// for which it was refused.
+// Applied reports the outcome of applying a delta that Received accepted: nil if it is in force and in the set, else
+// the reason for which it was refused.
 func (f *Follower) Applied(now time.Duration, err error) {
 	if err != nil {
 		f.recordRefusal(now, f.pending, err)
--- a/internal/resource/follower_test.go
+++ b/internal/resource/follower_test.go
@@ -26,8 +26,8 @@
 // startTime is the virtual Unix time at which a test starts.
 const startTime = 1_764_640_000 * time.Second
 
-// newFollowerTest returns a follower of the given number of sources. Its set holds the given resources at version 5.1, if there
-// are any.
+// newFollowerTest returns a follower of the given number of sources. Its set holds the given resources at version 5.1,
+// if there are any.
 func newFollowerTest(t *testing.T, sources int, all ...Resource) *followerTest {
 	r := &followerTest{t: t, set: NewSet(false), now: startTime, random: rand.New(rand.NewPCG(1, 2))}
 	if len(all) > 0 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// A lost response is detected, and another call made, within 18 s from the start of the call, even through a control process
-// that also lost a response.
+// A lost response is detected, and another call made, within 18 s from the start of the call, even through a control
+// process that also lost a response.
 func TestLostResponseIsDetectedWithin18Seconds(t *testing.T) {
 	for _, sources := range []int{1, 3} {
 		var waits []time.Duration
@@ -210,7 +210,8 @@
 	}
 }
 
-// With three sources, a round through all of them takes no longer than one long delay and the calls, even after many failures.
+// With three sources, a round through all of them takes no longer than one long delay and the calls, even after many
+// failures.
 func TestBackoffDoublesOncePerRoundOfSources(t *testing.T) {
 	r := newFollowerTest(t, 3, contract("a", 1))
 	r.nextCall()
@@ -255,8 +256,8 @@
 	requireWithin(t, "delay", c.Delay, MaxRetryAfter-5*time.Second, MaxRetryAfter*3/2)
 }
 
-// A followed source that responds well but is cut off itself would hide changes. Another source is checked soon and followed for
-// its later version, and the first one is followed again as soon as it is not behind.
+// A followed source that responds well but is cut off itself would hide changes. Another source is checked soon and
+// followed for its later version, and the first one is followed again as soon as it is not behind.
 func TestIsolatedSourceIsReplacedAndReturnedTo(t *testing.T) {
 	for seed := range uint64(50) {
 		r := newFollowerTest(t, 3, contract("a", 1))
@@ -372,7 +373,8 @@
 	}
 }
 
-// A control process has a wrong checksum. Its snapshot may be megabytes: it is requested a few times, then about once a minute.
+// A control process has a wrong checksum. Its snapshot may be megabytes: it is requested a few times, then about once a
+// minute.
 func TestSnapshotWithWrongChecksumIsNotFetchedInLoop(t *testing.T) {
 	r := newFollowerTest(t, 3, contract("a", 1))
 	control := setWith(t, true, version(5, 2), contract("a", 2))
@@ -560,7 +562,8 @@
 	if !r.respond(0, setWith(t, true, version(day, 0), contract("a", 2)).Snapshot()) {
 		t.Fatal(r.err)
 	}
-	// A change that is applied meanwhile clears the refusal, as the refused version cannot be expected to be followed by a later one.
+	// A change that is applied meanwhile clears the refusal, as the refused version cannot be expected to be followed by a
+	// later one.
 	r = newFollowerTest(t, 1, contract("a", 1))
 	r.nextCall()
 	r.respond(0, far)
@@ -581,8 +584,8 @@
 	}
 }
 
-// Whatever is received in whatever order, a node's version never decreases, its set has the content of its version, and calls
-// stay within their limits.
+// Whatever is received in whatever order, a node's version never decreases, its set has the content of its version, and
+// calls stay within their limits.
 func TestNodeVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Some versions of a control process in two epochs, and the deltas between any two of them.
--- a/internal/resource/history.go
+++ b/internal/resource/history.go
@@ -12,8 +12,8 @@
 	Bytes  int           // upper bound of the deltas' JSON; a merged delta is not larger
 }
 
-// DefaultHistory stores a day's 2,300 changes, or two hours of changes at a hundred times that rate, and at most half the size
-// of a response.
+// DefaultHistory stores a day's 2,300 changes, or two hours of changes at a hundred times that rate, and at most half
+// the size of a response.
 var DefaultHistory = HistoryLimits{Age: 24 * time.Hour, Deltas: 20_000, Bytes: MaxResponse / 2}
 
 // History stores the deltas of a limited time, each leading on from the one before. It is not safe for concurrent use.
@@ -52,8 +52,8 @@
 	return &History{limits: limits, merged: map[Version]*Delta{}}
 }
 
-// Add appends the next delta. A snapshot, or a delta that does not lead on from the last one, clears the history first, as
-// no stored delta leads to it.
+// Add appends the next delta. A snapshot, or a delta that does not lead on from the last one, clears the history first,
+// as no stored delta leads to it.
 func (h *History) Add(now time.Duration, d *Delta) {
 	clear(h.merged)
 	if n := len(h.deltas); d.IsSnapshot() || n > 0 && h.deltas[n-1].To != d.From {
@@ -89,9 +89,9 @@
 // Len returns the number of stored deltas.
 func (h *History) Len() int { return len(h.deltas) }
 
-// index finds the delta that leads on from v. A control process that was behind has received several changes as one delta,
-// and v may lie within it. Such a v is accepted if it is of the epoch to which the delta leads: the versions of one epoch
-// follow each other in one line, and a delta names everything that was changed between its ends.
+// index finds the delta that leads on from v. A control process that was behind has received several changes as one
+// delta, and v may lie within it. Such a v is accepted if it is of the epoch to which the delta leads: the versions of
+// one epoch follow each other in one line, and a delta names everything that was changed between its ends.
 func (h *History) index(v Version) (int, bool) {
 	i, ok := slices.BinarySearchFunc(h.deltas, v, func(e entry, v Version) int { return e.From.Compare(v) })
 	if !ok && i > 0 {
@@ -101,8 +101,8 @@
 	return i, ok
 }
 
-// BehindSince returns when the delta that leads on from v was added: a caller at v has been behind since then. It returns
-// false if there is no such delta.
+// BehindSince returns when the delta that leads on from v was added: a caller at v has been behind since then. It
+// returns false if there is no such delta.
 func (h *History) BehindSince(v Version) (time.Duration, bool) {
 	i, ok := h.index(v)
 	if !ok {
@@ -131,8 +131,8 @@
 	return d, true
 }
 
-// SinceChecksum is for a version that is not stored, such as one of an epoch before a restart. If the content had this checksum
-// at some point of the history, the changes since then lead on from v.
+// SinceChecksum is for a version that is not stored, such as one of an epoch before a restart. If the content had this
+// checksum at some point of the history, the changes since then lead on from v.
 func (h *History) SinceChecksum(v Version, checksum Checksum) (*Delta, bool) {
 	for i, e := range h.deltas {
 		if e.checksumKnown && e.checksumBefore == checksum && v.Compare(e.To) < 0 {
@@ -142,8 +142,9 @@
 	return nil, false
 }
 
-// merge combines consecutive deltas into one from v: the last change of each key counts. A resource that was added and removed
-// again in between is named as removed, so that the delta applies to each version on the way and not to the first alone.
+// merge combines consecutive deltas into one from v: the last change of each key counts. A resource that was added and
+// removed again in between is named as removed, so that the delta applies to each version on the way and not to the
+// first alone.
 func merge(v Version, entries []entry) *Delta {
 	last := map[Key]*Resource{} // nil: removed
 	for _, e := range entries {
--- a/internal/resource/history_test.go
+++ b/internal/resource/history_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// A control process that follows another one was cut off and received the missed changes as one delta. A node that has received
-// them one by one elsewhere, and now calls this process, still gets a delta: also where a resource was added and removed again,
-// and across a new epoch. It gets none from an epoch whose later versions may have been other ones.
+// A control process that follows another one was cut off and received the missed changes as one delta. A node that has
+// received them one by one elsewhere, and now calls this process, still gets a delta: also where a resource was added
+// and removed again, and across a new epoch. It gets none from an epoch whose later versions may have been other ones.
 func TestMergedDeltaAppliesFromIntermediateVersions(t *testing.T) {
 	c := newVersionedSet(t, HistoryLimits{}, contract("a", 1))
 	node := setWith(t, false, version(1, 0), contract("a", 1))
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,7 +1,7 @@
-// Package resource implements configuration as versioned resources: sets of them, the deltas that lead from one version to a
-// later one, the history that a control process stores, and the follower that decides which source to call for what and
-// which responses to apply. It is pure: no I/O, no clock, no random numbers of its own. The meaning of resources is defined in
-// resource/catalog.
+// Package resource implements configuration as versioned resources: sets of them, the deltas that lead from one version
+// to a later one, the history that a control process stores, and the follower that decides which source to call, when,
+// and which responses to apply. It is pure: no I/O, no clock, no random numbers of its own. The meaning of resources is
+// defined in resource/catalog.
 package resource
 
 import (
@@ -20,7 +20,7 @@
 	Service  Kind = "service"  // spec: config.Service
 	Route    Kind = "route"    // spec: config.Route; named host:port
 	Contract Kind = "contract" // spec: config.Contract
-	Tenant   Kind = "tenant"   // spec: config.Pinned
+	Tenant   Kind = "tenant"   // spec: config.PinnedTenant
 )
 
 // Limits. Whatever exceeds one is refused as a whole, with an error that names the limit.
@@ -42,15 +42,15 @@
 // String returns the kind and the quoted name.
 func (k Key) String() string { return string(k.Kind) + " " + strconv.Quote(k.Name) }
 
-// Resource is one resource. Its spec is compact JSON with the fields in the order of its Go type, so that equal resources have
-// equal bytes.
+// Resource is one resource. Its spec is compact JSON with the fields in the order of its Go type, so that equal
+// resources have equal bytes.
 type Resource struct {
 	Key
 	Spec json.RawMessage `json:"spec"`
 }
 
-// Version is a version of the whole configuration. The epoch is in milliseconds of Unix time. The zero version is before all
-// others.
+// Version is a version of the whole configuration. The epoch is in milliseconds of Unix time. The zero version is
+// before all others.
 type Version struct{ Epoch, Number uint64 }
 
 // Compare orders versions by epoch, then by number.
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Delta leads from one version to a later one. A delta from the zero version is a snapshot: resources that it does not name are
-// removed.
+// Delta leads from one version to a later one. A delta from the zero version is a snapshot: resources that it does not
+// name are removed.
 type Delta struct {
 	From     Version    `json:"from"`
 	To       Version    `json:"to"`
@@ -116,8 +116,8 @@
 // IsSnapshot reports whether the delta is a snapshot.
 func (d *Delta) IsSnapshot() bool { return d.From.IsZero() }
 
-// Refusal is the error for a delta that is refused, with the resource and field at fault. A node reports it to the control
-// process (NACK).
+// Refusal is the error for a delta that is refused, with the resource and field at fault. A node reports it to the
+// control process (NACK).
 type Refusal struct {
 	Key    Key    // zero: the delta as a whole
 	Field  string // as in match[0].from; empty: the resource as a whole
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -34,8 +34,8 @@
 // envelopeSize bounds the JSON of a delta without its resources, in bytes.
 const envelopeSize = 192
 
-// Set is a set of resources at a version. A control process stores them with their specs, a node only with their 64-bit hashes,
-// as its catalog has the decoded specs. It is not safe for concurrent use.
+// Set is a set of resources at a version. A control process stores them with their specs, a node only with their 64-bit
+// hashes, as its catalog has the decoded specs. It is not safe for concurrent use.
 type Set struct {
 	version  Version
 	checksum Checksum
@@ -88,7 +88,8 @@
 	return h, ok
 }
 
-// hashOf returns the hash of a resource that is added into the checksum: xxhash64 of kind, name and spec, separated by zero bytes.
+// hashOf returns the hash of a resource that is added into the checksum: xxhash64 of kind, name and spec, separated by
+// zero bytes.
 func hashOf(r *Resource) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -138,7 +139,8 @@
 	return &Refusal{Key: k, Field: "name", Reason: reason}
 }
 
-// checkSpec checks that a spec is valid, compact JSON. Its meaning is checked by the catalog. The buffer is scratch space.
+// checkSpec checks that a spec is valid, compact JSON. Its meaning is checked by the catalog. The buffer is scratch
+// space.
 func checkSpec(r *Resource, buf *bytes.Buffer) *Refusal {
 	reason := ""
 	buf.Reset()
@@ -171,10 +173,11 @@
 	return s[:n]
 }
 
-// Check verifies a complete delta against the held content and changes nothing. Its cost depends on the size of the delta, not on
-// that of the set. It returns a *Refusal for an invalid delta, ErrStale for one that is not later than the held version, ErrBase
-// for one that leads on from another version, and ErrChecksum if the resulting content has another checksum than the delta. A
-// resource to be removed need not be held: the checksum shows whether the result is right.
+// Check verifies a complete delta against the held content and changes nothing. Its cost depends on the size of the
+// delta, not on that of the set. It returns a *Refusal for an invalid delta, ErrStale for one that is not later than
+// the held version, ErrBase for one that leads on from another version, and ErrChecksum if the resulting content has
+// another checksum than the delta. A resource to be removed need not be held: the checksum shows whether the result is
+// right.
 func (s *Set) Check(d *Delta) error {
 	_, err := s.check(d)
 	return err
@@ -199,9 +202,9 @@
 	if n := d.size(); n > MaxResponse {
 		return nil, &Refusal{Reason: fmt.Sprintf("%d bytes: at most %d", n, MaxResponse)}
 	}
-	count, sum, after := s.count, uint64(s.checksum), s.size
+	count, sum, newSize := s.count, uint64(s.checksum), s.size
 	if snapshot {
-		count, sum, after = 0, 0, envelopeSize
+		count, sum, newSize = 0, 0, envelopeSize
 	}
 	hashes := make([]uint64, len(d.Put))
 	seen := make(map[Key]struct{}, len(d.Put)+len(d.Removed))
@@ -219,11 +222,11 @@
 		sum += hashes[i]
 		if old, ok := s.hash(r.Key); ok && !snapshot {
 			sum -= old
-			after -= s.storedSize(r.Key)
+			newSize -= s.storedSize(r.Key)
 		} else {
 			count++
 		}
-		after += r.size()
+		newSize += r.size()
 	}
 	for i, k := range d.Removed {
 		if refusal := checkKey(k); refusal != nil {
@@ -236,14 +239,14 @@
 		if old, ok := s.hash(k); ok { // a resource that was added and removed between From and To need not be there
 			sum -= old
 			count--
-			after -= s.storedSize(k)
+			newSize -= s.storedSize(k)
 		}
 	}
 	switch {
 	case count > MaxResources:
 		return nil, &Refusal{Reason: fmt.Sprintf("%d resources: at most %d", count, MaxResources)}
-	case s.specs != nil && after > MaxResponse:
-		return nil, &Refusal{Reason: fmt.Sprintf("%d bytes of all resources: at most %d", after, MaxResponse)}
+	case s.specs != nil && newSize > MaxResponse:
+		return nil, &Refusal{Reason: fmt.Sprintf("%d bytes of all resources: at most %d", newSize, MaxResponse)}
 	case Checksum(sum) != d.Checksum:
 		return nil, fmt.Errorf("%v: checksum %016x, announced %016x: %w", d.To, sum, uint64(d.Checksum), ErrChecksum)
 	}
@@ -259,8 +262,8 @@
 	return r.size()
 }
 
-// Apply checks a delta and applies all of it, or nothing if Check returns an error. It stores the delta's names and specs without
-// copying them.
+// Apply checks a delta and applies all of it, or nothing if Check returns an error. It stores the delta's names and
+// specs without copying them.
 func (s *Set) Apply(d *Delta) error {
 	hashes, err := s.check(d)
 	if err != nil {
@@ -304,8 +307,8 @@
 	}
 }
 
-// Compare returns the changes that lead from the held content to exactly the given resources: those that are new or differ, and
-// the keys to be removed, each sorted by kind and name. Of a key that is given twice the last one counts.
+// Compare returns the changes that lead from the held content to exactly the given resources: those that are new or
+// differ, and the keys to be removed, each sorted by kind and name. Of a key that is given twice the last one counts.
 func (s *Set) Compare(all []Resource) (put []Resource, removed []Key) {
 	seen := make(map[Key]int, len(all))
 	for i := range all {
@@ -329,8 +332,8 @@
 	return put, removed
 }
 
-// Difference reduces a delta that Check accepted to what differs from the held content: a resource that is put is new or has
-// another spec, a resource that is removed is held. Its cost depends on the size of the delta or snapshot.
+// Difference reduces a delta that Check accepted to what differs from the held content: a resource that is put is new
+// or has another spec, a resource that is removed is held. Its cost depends on the size of the delta or snapshot.
 func (s *Set) Difference(d *Delta) *Delta {
 	if !d.IsSnapshot() {
 		exact := s.NewDelta(d.To, d.Put, d.Removed)
@@ -356,9 +359,9 @@
 	return d
 }
 
-// NewDelta returns the delta from the held version to another one, with its checksum. It leaves out resources to put that are
-// held unchanged and keys to remove that are not held, so a delta without either changes nothing. It checks nothing else, as Apply
-// does.
+// NewDelta returns the delta from the held version to another one, with its checksum. It leaves out resources to put
+// that are held unchanged and keys to remove that are not held, so a delta without either changes nothing. It checks
+// nothing else, as Apply does.
 func (s *Set) NewDelta(to Version, put []Resource, removed []Key) *Delta {
 	d := &Delta{From: s.version, To: to}
 	sum := uint64(s.checksum)
@@ -395,8 +398,8 @@
 	slices.SortFunc(removed, Key.compare)
 }
 
-// TooFarAhead reports whether the version's epoch is more than MaxEpochAhead after now (Unix time). No later version could ever
-// replace such a version.
+// TooFarAhead reports whether the version's epoch is more than MaxEpochAhead after now (Unix time). No later version
+// could ever replace such a version.
 func (v Version) TooFarAhead(now time.Duration) bool {
 	return v.Epoch > uint64(max(now.Milliseconds(), 0))+MaxEpochAhead
 }
--- a/internal/resource/set_test.go
+++ b/internal/resource/set_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// A set that does not fit into a response is refused when it is built, so that a control process never holds one that it cannot
-// send.
+// A set that does not fit into a response is refused when it is built, so that a control process never holds one that
+// it cannot send.
 func TestSetWithSpecsIsLimitedToResponseSize(t *testing.T) {
 	t.Parallel()
 	s := NewSet(true)
@@ -156,7 +156,8 @@
 	if data, err := Encode(s.Snapshot()); err != nil || len(data) < MaxResponse-MaxSpec-MaxName-200 {
 		t.Fatal(len(data), err)
 	}
-	// In the full set, replacing a resource by another of its size works. A smaller resource frees bytes, and so does a removal.
+	// In the full set, replacing a resource by another of its size works. A smaller resource frees bytes, and so does a
+	// removal.
 	if err := s.Apply(s.NewDelta(version(1, 1<<20), []Resource{newResource(Service, "n", spec)}, []Key{{Service, "2"}})); err != nil {
 		t.Fatal(err)
 	}
@@ -341,8 +342,9 @@
 	return s.NewDelta(to, put, removed)
 }
 
-// Since(v), applied to a set at v, results in the current set, with and without specs and for any limits of the history. It also
-// does so if it comes from a process that received several changes as one delta, and v is a version that this process never had.
+// Since(v), applied to a set at v, results in the current set, with and without specs and for any limits of the
+// history. It also does so if it comes from a process that received several changes as one delta, and v is a version
+// that this process never had.
 func TestMergedDeltasLeadFromEachVersionToLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
@@ -428,8 +430,8 @@
 	})
 }
 
-// FuzzDelta checks that a set applies any received delta completely or not at all, and that its checksum is always that of its
-// content.
+// FuzzDelta checks that a set applies any received delta completely or not at all, and that its checksum is always that
+// of its content.
 func FuzzDelta(f *testing.F) {
 	base := []Resource{contract("a", 1), contract("b", 1), newResource(Route, "h:1", "{}")}
 	s := setWith(f, true, version(5, 1), base...)
@@ -491,8 +493,8 @@
 	return all
 }
 
-// BenchmarkDelta measures checking and applying one changed contract with sets of two sizes. Its cost does not depend on the
-// size.
+// BenchmarkDelta measures checking and applying one changed contract with sets of two sizes. Its cost does not depend
+// on the size.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -509,7 +511,8 @@
 	}
 }
 
-// BenchmarkHistory measures adding one change to a full history and merging the deltas for a caller that is 100 changes behind.
+// BenchmarkHistory measures adding one change to a full history and merging the deltas for a caller that is 100 changes
+// behind.
 func BenchmarkHistory(b *testing.B) {
 	for _, n := range []int{1700, 17000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/resource/wire.go
+++ b/internal/resource/wire.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Encode writes a delta as JSON. Specs keep their bytes: json.Marshal would escape <, > and & in them, and their hashes would
-// no longer match.
+// Encode writes a delta as JSON. Specs keep their bytes: json.Marshal would escape <, > and & in them, and their hashes
+// would no longer match.
 func Encode(d *Delta) ([]byte, error) {
 	var buf bytes.Buffer
 	e := json.NewEncoder(&buf)
