--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -85,10 +85,10 @@
 	c := node.dial(t)
 	sized, streamed := save("sized"), save("streamed")
 	sized.body = text
-	for _, whole := range []string{sized.text(), strings.Replace(streamed.text(), "Content-Length: 8\r\n\r\n"+streamed.body,
+	for _, request := range []string{sized.text(), strings.Replace(streamed.text(), "Content-Length: 8\r\n\r\n"+streamed.body,
 		"Transfer-Encoding: chunked\r\n\r\n"+chunked(text), 1)} {
 		go func() {
-			for rest := whole; len(rest) > 0; {
+			for rest := request; len(rest) > 0; {
 				n := min(len(rest), 50_021)
 				if _, err := io.WriteString(c, rest[:n]); err != nil {
 					t.Error(err)
--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -17,7 +17,8 @@
 	node *node
 }
 
-// serverChanged updates the placement for a web server on the list. One that drains or was removed is no longer a member.
+// serverChanged updates the placement for a web server on the list. It removes a
+// server that drains or is no longer listed.
 func (c *cells) serverChanged(server *webServer) {
 	switch {
 	case c == nil:
@@ -28,7 +29,7 @@
 	}
 }
 
-// placementRequest returns what placement needs to know of a request. A key binds a request where its repeats are
+// placementRequest returns the fields of a request by which it is placed. A key binds a request where its repeats are
 // recognized by some servers and not by others; a request that is bound to a pod is bound to the pod's zone as well.
 func (c *cells) placementRequest(r *core.Request) *cell.Request {
 	request := cell.Request{Tenant: r.Tenant, Key: r.IdempotencyKey, Repeat: r.Repeat}
@@ -62,20 +63,18 @@
 	Version  string   `json:"version"` // the same at all nodes that place alike
 	Tenant   string   `json:"tenant"`
 	Servers  []string `json:"servers"`
-	Shared   float64  `json:"chance_that_another_has_the_same"` // the probability; 0 for a pinned tenant
+	Shared   float64  `json:"chance_that_another_has_the_same"` // probability that another tenant has the same servers; 0 for a pinned tenant
 	Pods     []int64  `json:"pods,omitempty"`                   // pods that the tenant is pinned to
 	Also     []int64  `json:"also,omitempty"`                   // further pods during a move, when both sides count
 	Step     string   `json:"step"`                             // step of the tenant's latest move
 	Keys     int      `json:"keys"`                             // remembered keys, of all tenants
 	Forgot   int64    `json:"keys_forgot"`                      // keys displaced within their window since the start, of all tenants
 	Requests float64  `json:"requests"`                         // recent requests, decaying over 10 s
-	Spilt    float64  `json:"spilt"`                            // recent requests that spilled to the neighbour, decaying over 10 s
+	Spilt    float64  `json:"spilt"`                            // recent requests that spilled to the neighbor, decaying over 10 s
 	Harmful  bool     `json:"harmful"`                          // the tenant's attempts break web servers: none of its requests spills
 }
 
 // cellOf returns the placement of a tenant, or false where there are no cells.
-
-// cellOf is the cell of a tenant; false where there are no cells.
 func (n *node) cellOf(tenant string) (Cell, bool) {
 	n.core.Lock()
 	defer n.core.Unlock()
@@ -91,8 +90,9 @@
 	return out, true
 }
 
-// cellTerms returns the terms of the cells in a file that was read again. Whether there are cells is decided at the start.
-func (n *node) cellTerms(cfg Config) (cell.Settings, error) {
+// cellSettings returns the settings of the cells in a file that was read again. Whether there are cells is decided at
+// the start.
+func (n *node) cellSettings(cfg Config) (cell.Settings, error) {
 	has := cfg.Product != nil && cfg.Product.Cells != nil
 	if has != (n.cells != nil) {
 		return cell.Settings{}, errors.New("cells: can't be added or removed by a reload")
--- a/internal/node/cells_test.go
+++ b/internal/node/cells_test.go
@@ -54,13 +54,13 @@
 	}
 	ask("gulf", 60, 200)
 	before, _ := node.cellOf("gulf")
-	there, _ := otherNode.cellOf("gulf")
+	atOther, _ := otherNode.cellOf("gulf")
 	// Which of the cell's two servers is faster depends on the machine.
-	within := func(got, cell []string) bool {
-		return len(got) > 0 && !slices.ContainsFunc(got, func(id string) bool { return !slices.Contains(cell, id) })
+	within := func(got, members []string) bool {
+		return len(got) > 0 && !slices.ContainsFunc(got, func(id string) bool { return !slices.Contains(members, id) })
 	}
-	if got := used(); !within(got, before.Servers) || !slices.Equal(there.Servers, before.Servers) || there.Version != before.Version || len(before.Servers) != 2 {
-		t.Fatalf("%v were used; the cell is %v, at the other node %v", got, before.Servers, there.Servers)
+	if got := used(); !within(got, before.Servers) || !slices.Equal(atOther.Servers, before.Servers) || atOther.Version != before.Version || len(before.Servers) != 2 {
+		t.Fatalf("%v were used; the cell is %v, at the other node %v", got, before.Servers, atOther.Servers)
 	}
 	if first, second := list[slices.IndexFunc(list, func(e serverEntry) bool { return e.ID == before.Servers[0] })], list[slices.IndexFunc(list, func(e serverEntry) bool { return e.ID == before.Servers[1] })]; first.Zone == second.Zone {
 		t.Errorf("both are in zone %s", first.Zone)
@@ -81,19 +81,19 @@
 	if got := used(); !within(got, after.Servers) {
 		t.Errorf("%v were used, the cell is %v", got, after.Servers)
 	}
-	// Operators disable the whole cell: its tenant is refused at once, and a tenant with another cell is served.
+	// Operators disable all servers of the cell: its tenant is refused at once, and a tenant of another cell is served.
 	for _, id := range after.Servers {
 		must(t, node.Disable(t.Context(), id))
 	}
 	ask("gulf", 5, 503)
-	spared := ""
-	for i := 0; spared == ""; i++ {
+	unaffected := ""
+	for i := 0; unaffected == ""; i++ {
 		candidate, _ := node.cellOf(fmt.Sprint("t", i))
 		if !slices.ContainsFunc(candidate.Servers, func(id string) bool { return slices.Contains(after.Servers, id) }) {
-			spared = candidate.Tenant
+			unaffected = candidate.Tenant
 		}
 	}
-	ask(spared, 20, 200)
+	ask(unaffected, 20, 200)
 	for _, p := range node.managementPages() {
 		if p.Path != "cell" {
 			continue
@@ -191,8 +191,8 @@
 	}
 }
 
-// Where all of a tenant's own servers are disabled, the configured share of its requests spills to the neighbour's cell.
-func TestSpillToNeighbourCell(t *testing.T) {
+// Where all of a tenant's own servers are disabled, the configured share of its requests spills to the neighbor's cell.
+func TestSpillToNeighborCell(t *testing.T) {
 	t.Parallel()
 	var list []serverEntry
 	for i := range 12 {
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -152,7 +152,7 @@
 				if c.waitsForBudget {
 					releaseBudget = node.fillBodyBudget(t)
 				}
-				// Everything is sent before the node reads any of it: data that it discarded meanwhile would make room
+				// Everything is sent before the node reads any of it: data that it discarded meanwhile would free space
 				// for more.
 				if n := cl.fill(t, c.text); strings.HasSuffix(c.text, flood) != (n < len(c.text)) || n > flow.MaxDiscard {
 					t.Fatalf("the kernels buffered %d bytes of %d", n, len(c.text))
@@ -211,7 +211,7 @@
 }
 
 // Guards against retries for a client that has disconnected during its first attempt, whatever that attempt's outcome:
-// for each effect, and also where no attempt can be cancelled. Both orders of the disconnect and the attempt's end are
+// for each effect, and also where no attempt can be canceled. Both orders of the disconnect and the attempt's end are
 // forced: the core learns of the disconnect first, or of the failure, with a retry, while the disconnect shows only on
 // the socket.
 func TestDisconnectedClientGetsNoRetry(t *testing.T) {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -36,13 +36,13 @@
 
 	// rawFile is the parsed file itself. A file that replaces it must have the same keys.
 	rawFile map[string]any
-	// process is set where the whole process is this node, so that the process's limits are the node's. Tests run many
-	// nodes in one.
+	// ownsProcess is set where the process runs this node alone, so that the process's limits are the node's. Tests run
+	// many nodes in one process.
 	ownsProcess   bool
 	upgradeSocket string        // in tests, the socket through which the processes of one node find each other
 	slack         time.Duration // in tests, added to the limits on clients, web servers and other processes once something has begun
 	clock         core.Clock    // in tests, the node's clock; nil: the system's
-	// watch replaces, in tests, the times of a call to discovery: its wait and the limit on the whole call.
+	// adjustWatch replaces, in tests, the times of a call to discovery: its wait and the limit on the complete call.
 	adjustWatch func(wait, limit time.Duration) (time.Duration, time.Duration)
 
 	follower     *configFollower       // follows control's configuration; nil where no control is named
--- a/internal/node/contracts_test.go
+++ b/internal/node/contracts_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// A reload replaces the contracts as a whole. Contracts that stay keep their budgets, requests in flight end as they
+// A reload replaces all contracts. Contracts that stay keep their budgets, requests in flight end as they
 // began, and a file with invalid contracts changes nothing.
 func TestContractsReload(t *testing.T) {
 	t.Parallel()
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -171,7 +171,8 @@
 	debug.SetGCPercent(gcPercent(n))
 }
 
-// attach connects the node and applies the changes that were accepted before it was up. f.mu and the core's lock are held.
+// attach connects the node and applies the changes that were accepted before it was up. f.mu and the core's lock are
+// held.
 func (f *configFollower) attach(n *node) {
 	if f == nil {
 		return
@@ -259,8 +260,8 @@
 func (f *configFollower) commitReload(cfg Config, change *catalog.Change) {
 	f.catalog.SetEvenShares(change.Contracts.EvenShares)
 	f.catalog.Commit(change)
-	elsewhere := !slices.Equal(f.sources, cfg.Product.Control.Addresses)
-	if f.sources = cfg.Product.Control.Addresses; f.cancelCalls != nil && (elsewhere || !f.status.Read().Refused.IsZero()) {
+	sourcesChanged := !slices.Equal(f.sources, cfg.Product.Control.Addresses)
+	if f.sources = cfg.Product.Control.Addresses; f.cancelCalls != nil && (sourcesChanged || !f.status.Read().Refused.IsZero()) {
 		f.cancelCalls()
 	}
 }
--- a/internal/node/control_report.go
+++ b/internal/node/control_report.go
@@ -39,7 +39,6 @@
 }
 
 // report returns the follower's state for operators.
-
 func (f *configFollower) report() Configuration {
 	status := f.status.Read()
 	report := Configuration{Source: status.Source, LastFailure: status.LastError, Calls: status}
--- a/internal/node/control_serve_test.go
+++ b/internal/node/control_serve_test.go
@@ -88,39 +88,39 @@
 func TestNodeAndControl(t *testing.T) {
 	t.Parallel()
 	const file = "services:\n- {name: s, classes: [{name: view%s}]}\ncontracts:\n- {name: app, match: [{tenant: app}], services: [s], rate: %d, burst: 100}\n...\n"
-	control := startControlProcess(t, fmt.Sprintf(file, "", 1000))
+	process := startControlProcess(t, fmt.Sprintf(file, "", 1000))
 	server := newStubServer(t, respondOK)
-	predecessor, startSuccessor := startPredecessor(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newStubDiscovery(t), server)
+	predecessor, handOver := startPredecessor(t, &stubControl{&standin.Control{Addr: process.addr}, t}, newStubDiscovery(t), server)
 	if got := predecessor.dial(t).statusOf("a", "app"); got != 200 {
 		t.Errorf("by the first configuration: %d", got)
 	}
-	version := control.change(fmt.Sprintf(file, "", 900))
+	version := process.change(fmt.Sprintf(file, "", 900))
 	waitFor(t, "the change", func() bool { return predecessor.versionInForce().String() == version })
 
 	before := predecessor.versionInForce()
-	control.change(fmt.Sprintf(file, ", effect: unsafe", 800))
+	process.change(fmt.Sprintf(file, ", effect: unsafe", 800))
 	waitFor(t, "the refusal at control", func() bool {
-		refusals := control.status().Refusals
+		refusals := process.status().Refusals
 		return len(refusals) == 1 && refusals[0].Name == "n0" && strings.Contains(refusals[0].Why, `service "s": classes[0].effect: unsafe`)
 	})
 	if predecessor.versionInForce() != before {
 		t.Errorf("%s is in force", predecessor.versionInForce())
 	}
-	version = control.change(fmt.Sprintf(file, "", 700))
+	version = process.change(fmt.Sprintf(file, "", 700))
 	waitFor(t, "the corrected change", func() bool {
-		return predecessor.versionInForce().String() == version && len(control.status().Refusals) == 0
+		return predecessor.versionInForce().String() == version && len(process.status().Refusals) == 0
 	})
 
-	successor := startSuccessor()
+	successor := handOver()
 	for i := range 3 {
-		version := control.change(fmt.Sprintf(file, "", 600+i))
+		version := process.change(fmt.Sprintf(file, "", 600+i))
 		waitFor(t, "the change at both", func() bool {
 			return successor.versionInForce().String() == version && predecessor.versionInForce().String() == version
 		})
 	}
-	waitFor(t, "a watch of each at control", func() bool { status := control.status(); return status.Callers == 2 && status.Watches == 2 })
+	waitFor(t, "a watch of each at control", func() bool { status := process.status(); return status.Callers == 2 && status.Watches == 2 })
 	predecessor.cfg.follower.close()
-	waitFor(t, "control to forget the process that ended", func() bool { return control.status().Callers == 1 })
+	waitFor(t, "control to forget the process that ended", func() bool { return process.status().Callers == 1 })
 	calls := predecessor.cfg.follower.status.Read().Calls + successor.cfg.follower.status.Read().Calls
 	t.Logf("%d calls of both processes", calls)
 }
@@ -129,11 +129,11 @@
 // A real control process does not send a version again to a node that refused it, so that the node has to ask again.
 func TestReloadAcceptsRefusedVersion(t *testing.T) {
 	t.Parallel()
-	control := startControlProcess(t, "contracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
-	node := newControlledNode(t, &stubControl{&standin.Control{Addr: control.addr}, t}, newStubDiscovery(t), "", nil)
+	process := startControlProcess(t, "contracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
+	node := newControlledNode(t, &stubControl{&standin.Control{Addr: process.addr}, t}, newStubDiscovery(t), "", nil)
 	before := node.versionInForce()
-	version := control.change("services:\n- {name: s, classes: [{name: quote, effect: safe}]}\ncontracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
-	waitFor(t, "the refusal at control, and a later watch", func() bool { status := control.status(); return len(status.Refusals) == 1 && status.Watches == 1 })
+	version := process.change("services:\n- {name: s, classes: [{name: quote, effect: safe}]}\ncontracts:\n- {name: app, match: [{tenant: app}]}\n...\n")
+	waitFor(t, "the refusal at control, and a later watch", func() bool { status := process.status(); return len(status.Refusals) == 1 && status.Watches == 1 })
 	if node.versionInForce() != before {
 		t.Errorf("%s is in force", node.versionInForce())
 	}
@@ -141,5 +141,5 @@
 	must(t, err)
 	must(t, node.reload(Config{Discovery: node.discovery.addr, Settings: set, Product: node.cfg.Product}))
 	waitFor(t, "the version that was refused", func() bool { return node.versionInForce().String() == version })
-	waitFor(t, "control to notice it", func() bool { return len(control.status().Refusals) == 0 })
+	waitFor(t, "control to notice it", func() bool { return len(process.status().Refusals) == 0 })
 }
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -34,9 +34,9 @@
 }
 
 // hasContract reports whether a contract in force applies to the tenant's requests. It charges nothing.
-func (r *testNode) hasContract(t *testing.T, tenant string) bool {
+func (n *testNode) hasContract(t *testing.T, tenant string) bool {
 	t.Helper()
-	explanation, err := r.Explain(url.Values{"tenant": {tenant}, "class": {"view"}})
+	explanation, err := n.Explain(url.Values{"tenant": {tenant}, "class": {"view"}})
 	if err != nil {
 		return true // there are no contracts
 	}
@@ -112,9 +112,9 @@
 	return running
 }
 
-func (w *fullNode) configuration(t *testing.T) Configuration {
+func (n *fullNode) configuration(t *testing.T) Configuration {
 	t.Helper()
-	status, text := operatorCall(t, "GET", w.mgmt, "/-/configuration")
+	status, text := operatorCall(t, "GET", n.mgmt, "/-/configuration")
 	var report Configuration
 	if err := json.Unmarshal([]byte(text), &report); status != 200 || err != nil {
 		t.Fatalf("the configuration page: %d %s, %v", status, text, err)
@@ -354,18 +354,18 @@
 	ahead := uint64(time.Now().Add(48 * time.Hour).UnixMilli())
 	for _, test := range []struct {
 		name string
-		say  func(d *stubControl, v resource.Version) http.HandlerFunc
+		say  func(control *stubControl, v resource.Version) http.HandlerFunc
 		ends bool               // the response ends by the limit on its body, which the test lets expire
 		kind follow.FailureKind // the kind of failure that is counted; empty: none
 	}{
-		{"a response that never ends", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a response that never ends", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				fmt.Fprintf(w, `{"from":%q,"to":"%d.%d","sum":"0000000000000000","put":[`, v, v.Epoch, v.Number+1)
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			}
 		}, true, follow.Broken},
-		{"a response that is cut off", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a response that is cut off", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Content-Length", "1000")
 				fmt.Fprintf(w, `{"from":%q,`, v)
@@ -377,7 +377,7 @@
 		{"an empty object", func(*stubControl, resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "{}") }
 		}, false, follow.Malformed},
-		{"a body over the size limit", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a body over the size limit", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				// The compressed members are next to empty: the compressed bytes exceed the limit, so that no time goes
 				// into decoding JSON.
@@ -392,30 +392,30 @@
 				}
 			}
 		}, false, follow.TooLong},
-		{"a version with an epoch two days ahead", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a version with an epoch two days ahead", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return respondWithDelta(&resource.Delta{To: resource.Version{Epoch: ahead, Number: 1}})
 		}, false, follow.Refused},
-		{"a delta from a version that the node does not have", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a delta from a version that the node does not have", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return respondWithDelta(&resource.Delta{From: resource.Version{Epoch: v.Epoch, Number: v.Number + 6}, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 7}})
 		}, false, follow.Unfit},
-		{"an older version", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"an older version", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return respondWithDelta(&resource.Delta{To: resource.Version{Epoch: v.Epoch - 1, Number: 99}})
 		}, false, ""},
-		{"the previous delta again", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"the previous delta again", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return respondWithDelta(&resource.Delta{From: resource.Version{Epoch: v.Epoch, Number: v.Number - 1}, To: v, Checksum: 1, Put: []resource.Resource{tenantContract("forged", 1)}})
 		}, false, ""},
-		{"a delta with the wrong checksum", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a delta with the wrong checksum", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return respondWithDelta(&resource.Delta{From: v, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 1}, Checksum: 1,
 				Put: []resource.Resource{tenantContract("forged", 1)}})
 		}, false, follow.Unfit},
-		{"a resource of an unknown kind", func(d *stubControl, v resource.Version) http.HandlerFunc {
+		{"a resource of an unknown kind", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return respondWithDelta(&resource.Delta{From: v, To: resource.Version{Epoch: v.Epoch, Number: v.Number + 9}, Checksum: 1,
 				Put: []resource.Resource{tenantContract("forged", 1), newResource("pipe", "p", "{}")}})
 		}, false, follow.Refused},
 		{"an unexpected status", func(*stubControl, resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusTeapot) }
 		}, false, follow.OtherStatus},
-		{"a redirect", func(d *stubControl, _ resource.Version) http.HandlerFunc {
+		{"a redirect", func(control *stubControl, _ resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				http.Redirect(w, r, "http://127.0.0.1:1/", http.StatusFound)
 			}
@@ -537,13 +537,13 @@
 	t.Run("the reload while the change is checked and not applied", func(t *testing.T) {
 		t.Parallel()
 		control := newStubControl(t, tenantContract("app", 10))
-		checked, goOn := make(chan struct{}), make(chan struct{})
+		checked, proceed := make(chan struct{}), make(chan struct{})
 		first := true
 		node := newControlledNode(t, control, newStubDiscovery(t), "", func(c *Config) {
 			c.onPrepared = func() {
 				if !first {
 					close(checked)
-					<-goOn
+					<-proceed
 				}
 				first = false
 			}
@@ -558,7 +558,7 @@
 		if len(done) > 0 {
 			t.Error("the reload did not wait for a change that is checked and not applied")
 		}
-		close(goOn)
+		close(proceed)
 		if err := receive(t, "the end of the reload", done); err == nil || !strings.Contains(err.Error(), `service "s"`) {
 			t.Errorf("a reload after a change: %v", err)
 		}
@@ -671,14 +671,14 @@
 	release := make(chan bool)
 	server := newSlowServer(t, release)
 	control := newStubControl(t, tenantContract("app", 2), tenantContract("slow", 100))
-	predecessor, startSuccessor := startPredecessor(t, control, newStubDiscovery(t), server)
+	predecessor, handOver := startPredecessor(t, control, newStubDiscovery(t), server)
 	c, slow := predecessor.dial(t), predecessor.dial(t)
 	if got := c.statusOf("a", "app"); got != 200 {
 		t.Fatalf("before the hand-over: %d", got)
 	}
 	slow.send(withHeaders(view("slow"), "X-Tenant: slow"))
 	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 2 })
-	successor := startSuccessor()
+	successor := handOver()
 	version := control.change([]resource.Resource{newResource(resource.Contract, "new", `{"name":"new","match":[{"tenant":"new"}]}`)})
 	waitFor(t, "the change at both", func() bool { return successor.versionInForce() == version && predecessor.versionInForce() == version })
 	next := successor.dial(t)
@@ -713,13 +713,13 @@
 	// A request of unknown cost is charged 0.05 server-seconds, which this budget refills in 500 s.
 	limits := newResource(resource.Contract, "app", `{"name":"app","match":[{"tenant":"app"}],"work":{"limit":0.0001}}`)
 	control := newStubControl(t, limits, tenantContract("other", 100))
-	predecessor, startSuccessor := startPredecessor(t, control, newStubDiscovery(t), server)
+	predecessor, handOver := startPredecessor(t, control, newStubDiscovery(t), server)
 	slow := predecessor.dial(t)
 	slow.send(withHeaders(view("slow"), "X-Tenant: app"))
 	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	version := control.change(nil, limits.Key)
 	waitFor(t, "the removal", func() bool { return predecessor.versionInForce() == version })
-	successor := startSuccessor()
+	successor := handOver()
 	version = control.change([]resource.Resource{limits})
 	waitFor(t, "the contract put again", func() bool { return successor.versionInForce() == version })
 	if got := successor.dial(t).statusOf("a", "app"); got != 429 {
@@ -738,11 +738,11 @@
 	release := make(chan bool)
 	server := newSlowServer(t, release)
 	control := newStubControl(t, newResource(resource.Service, "s", `{"name":"s"}`))
-	predecessor, startSuccessor := startPredecessor(t, control, newStubDiscovery(t), server)
+	predecessor, handOver := startPredecessor(t, control, newStubDiscovery(t), server)
 	slow := predecessor.dial(t)
 	slow.send(view("slow").text())
 	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
-	successor := startSuccessor()
+	successor := handOver()
 	if st := successor.core.Stats(1); st.HasContracts {
 		t.Error("contracts are in force where control provides none")
 	}
@@ -766,13 +766,13 @@
 	release := make(chan bool)
 	server := newSlowServer(t, release)
 	control := newStubControl(t, tenantContract("app", 100))
-	checked, goOn := make(chan struct{}), make(chan struct{})
+	checked, proceed := make(chan struct{}), make(chan struct{})
 	first := true
 	node := newControlledNode(t, control, newStubDiscovery(t), "", func(c *Config) {
 		c.onPrepared = func() {
 			if !first {
 				close(checked)
-				<-goOn
+				<-proceed
 			}
 			first = false
 		}
@@ -789,7 +789,7 @@
 		node.cfg.follower.close()
 		close(closed)
 	}()
-	over := func() bool {
+	followerClosed := func() bool {
 		select {
 		case <-closed:
 			return true
@@ -798,12 +798,12 @@
 		}
 	}
 	waitFor(t, "close to wait for the change, or to return", func() bool {
-		return over() || someStackContains("chan receive", "(*configFollower).close(", "created by portstall/internal/node.TestTerminationDuringChange")
+		return followerClosed() || someStackContains("chan receive", "(*configFollower).close(", "created by portstall/internal/node.TestTerminationDuringChange")
 	})
-	if over() {
+	if followerClosed() {
 		t.Error("the end of the process did not wait for a change that is checked and not applied")
 	}
-	close(goOn)
+	close(proceed)
 	waitFor(t, "the change", func() bool { return node.versionInForce() == version })
 	close(release)
 	if resp, body := slow.readResponse(); resp.StatusCode != 200 || body != "done slow" {
@@ -882,14 +882,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	must(t, node.openTunnelListeners(ctx, node.cfg.Product.Tunnels))
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var clients sync.WaitGroup
 	opened := make([]int, 4)
 	for i := range opened {
 		clients.Go(func() {
 			for {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 				}
@@ -918,7 +918,7 @@
 		// tests of the process share.
 		runtime.GC()
 	}
-	close(over)
+	close(done)
 	clients.Wait()
 	t.Log(opened, "openings")
 }
@@ -945,15 +945,15 @@
 	waits := func(parts ...string) func() bool {
 		return func() bool { return someStackContains(append(parts, "sync.(*Mutex).lockSlow")...) }
 	}
-	stood := func(what string, ok func() bool) {
+	waitUnlocking := func(what string, ok func() bool) {
 		for end := time.Now().Add(testTimeout); !ok(); {
 			if time.Now().After(end) {
 				node.core.Unlock()
-				t.Fatalf("%s: did not come", what)
+				t.Fatalf("%s: did not happen within the test's time-out", what)
 			}
 		}
 	}
-	stood("the change to wait for the lock", waits("(*configFollower).applyOrQueue("))
+	waitUnlocking("the change to wait for the lock", waits("(*configFollower).applyOrQueue("))
 	next := make(chan [2]bool, 1)
 	go func() {
 		node.core.Lock()
@@ -961,15 +961,15 @@
 		c, route := seen()
 		next <- [2]bool{c, route}
 	}()
-	behind := waits("created by portstall/internal/node.TestChangeIsAppliedUnderOneLock")
-	stood("the next goroutine to wait for the lock", behind)
+	nextWaits := waits("created by portstall/internal/node.TestChangeIsAppliedUnderOneLock")
+	waitUnlocking("the next goroutine to wait for the lock", nextWaits)
 	for range 3 { // a goroutine that is woken and finds the lock taken again gets it in its turn from then on, and so does the one behind it
 		node.core.Unlock()
 		node.core.Lock()
 		if c, route := seen(); !c || !route {
 			break // the goroutine got the lock before it was taken again
 		}
-		stood("both to wait for the lock again", func() bool { return waits("(*configFollower).applyOrQueue(")() && behind() })
+		waitUnlocking("both to wait for the lock again", func() bool { return waits("(*configFollower).applyOrQueue(")() && nextWaits() })
 	}
 	node.core.Unlock()
 	if got := receive(t, "what the next goroutine saw", next); got != [2]bool{} {
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -27,16 +27,16 @@
 	body := strings.Repeat("x", length)
 	complete, chunks := quote("x"), quote("x")
 	complete.body = body
-	chunked := strings.Replace(chunks.text(), fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(chunks.body), chunks.body),
+	chunkedRequest := strings.Replace(chunks.text(), fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(chunks.body), chunks.body),
 		fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", length, body), 1)
 	for _, c := range []struct {
 		name, text string
-		late       int           // number of bytes that arrive once there is budget
+		lateBytes  int           // number of bytes that arrive once there is budget
 		waits      time.Duration // wait for the budget, on the node's clock
 		left       time.Duration // what is left of the client's timeout then; 0: nothing
 	}{
 		{"all of it is unread", complete.text(), 0, 20 * time.Second, 30 * time.Second},
-		{"all of it is unread, in chunks", chunked, 0, 20 * time.Second, 30 * time.Second},
+		{"all of it is unread, in chunks", chunkedRequest, 0, 20 * time.Second, 30 * time.Second},
 		{"its last byte is still missing", complete.text(), 1, 20 * time.Second, clientTimeout},
 		{"its time has passed", complete.text(), 0, clientTimeout, 0},
 	} {
@@ -50,7 +50,7 @@
 			}, server.entry("s-1"))
 			release := node.fillBodyBudget(t)
 			cl := newUnattachedClient(t)
-			firstPart := c.text[:len(c.text)-c.late]
+			firstPart := c.text[:len(c.text)-c.lateBytes]
 			if n := cl.fill(t, firstPart); n < len(firstPart) {
 				t.Fatalf("the kernels buffered %d bytes of %d", n, len(firstPart))
 			}
@@ -58,7 +58,7 @@
 			node.waitForBodyWaiter(t)
 			clock.advance(c.waits)
 			release()
-			if c.late > 0 {
+			if c.lateBytes > 0 {
 				waitFor(t, "the node to read the first part", func() bool { return flow.PeekInput(cl.end) == flow.NoInput })
 				cl.send(c.text[len(firstPart):])
 			}
@@ -206,24 +206,24 @@
 func TestEveryWaitEndsAtRequestDeadline(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name string
-		says []string // what the server sends, piece by piece, and then nothing more
-		goes bool     // the server repeats the last piece without end
-		room bool     // there is no budget for the response
-		dial string   // where the connection stalls
-		may  bool     // the request may have run
+		name       string
+		sends      []string // what the server sends, piece by piece, and then nothing more
+		repeats    bool     // the server repeats the last piece without end
+		noBudget   bool     // there is no budget for the response
+		dial       string   // where the connection stalls
+		mayHaveRun bool     // the request may have run
 	}{
-		{name: "the response is lost", may: true},
-		{name: "an informational response alone", says: []string{"HTTP/1.1 103 Early Hints\r\n\r\n"}, may: true},
-		{name: "endless informational responses", says: []string{"HTTP/1.1 102 Processing\r\n\r\n"}, goes: true, may: true},
-		{name: "half a head", says: []string{"HTTP/1.1 200 OK\r\nContent-"}, may: true},
-		{name: "half a body", says: []string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"}, may: true},
-		{name: "half a body without length", says: []string{"HTTP/1.1 200 OK\r\n\r\n", "half"}, may: true},
-		{name: "a body without length that trickles", says: []string{"HTTP/1.1 200 OK\r\n\r\n", "."}, goes: true, may: true},
-		{name: "half a chunk", says: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf"}, may: true},
-		{name: "no end after the chunks", says: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"}, may: true},
-		{name: "endless trailers", says: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: b\r\n"}, may: true},
-		{name: "no budget for its response", says: []string{"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"}, room: true, may: true},
+		{name: "the response is lost", mayHaveRun: true},
+		{name: "an informational response alone", sends: []string{"HTTP/1.1 103 Early Hints\r\n\r\n"}, mayHaveRun: true},
+		{name: "endless informational responses", sends: []string{"HTTP/1.1 102 Processing\r\n\r\n"}, repeats: true, mayHaveRun: true},
+		{name: "half a head", sends: []string{"HTTP/1.1 200 OK\r\nContent-"}, mayHaveRun: true},
+		{name: "half a body", sends: []string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"}, mayHaveRun: true},
+		{name: "half a body without length", sends: []string{"HTTP/1.1 200 OK\r\n\r\n", "half"}, mayHaveRun: true},
+		{name: "a body without length that trickles", sends: []string{"HTTP/1.1 200 OK\r\n\r\n", "."}, repeats: true, mayHaveRun: true},
+		{name: "half a chunk", sends: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf"}, mayHaveRun: true},
+		{name: "no end after the chunks", sends: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"}, mayHaveRun: true},
+		{name: "endless trailers", sends: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: b\r\n"}, mayHaveRun: true},
+		{name: "no budget for its response", sends: []string{"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"}, noBudget: true, mayHaveRun: true},
 		{name: "no connection is established", dial: "before"},
 		{name: "the connection is established late", dial: "after"},
 	} {
@@ -233,12 +233,12 @@
 				var reached atomic.Bool
 				done := make(chan struct{})
 				server := newStubServer(t, func(conn net.Conn, r *http.Request, _ int) bool {
-					for _, s := range c.says {
+					for _, s := range c.sends {
 						io.WriteString(conn, s)
 					}
 					reached.Store(true)
-					for c.goes {
-						if _, err := io.WriteString(conn, c.says[len(c.says)-1]); err != nil {
+					for c.repeats {
+						if _, err := io.WriteString(conn, c.sends[len(c.sends)-1]); err != nil {
 							return false
 						}
 						time.Sleep(20 * time.Millisecond) // so that no limit on bytes is reached
@@ -260,17 +260,17 @@
 						return conn, err
 					})
 				}
-				if c.room {
+				if c.noBudget {
 					must(t, node.budget.AcquireResponse(context.Background(), node.cfg.maxBodyBytes()))
 					defer node.budget.ReleaseResponse(node.cfg.maxBodyBytes())
 				}
 				// On a slow machine the time may have passed before the server has sent everything: then the test tries
 				// again with more.
-				for i, time := 0, 200; !reached.Load(); i, time = i+1, 2*time {
+				for i, timeoutMS := 0, 200; !reached.Load(); i, timeoutMS = i+1, 2*timeoutMS {
 					q := newRequest(fmt.Sprint("x", i))
-					q.deadline = fmt.Sprint(time, "m")
+					q.deadline = fmt.Sprint(timeoutMS, "m")
 					want := http.StatusServiceUnavailable
-					if c.may && q.class == "quote" {
+					if c.mayHaveRun && q.class == "quote" {
 						want = http.StatusInternalServerError
 					}
 					if resp, _ := node.dial(t).roundTrip(q); resp.StatusCode != want && reached.Load() {
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -67,10 +67,10 @@
 	var lim syscall.Rlimit
 	must(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim))
 	system := int(min(lim.Cur, maxSockets))
-	for _, c := range []struct{ configured, most int }{{0, min(system, 1<<21)}, {maxSockets, system}, {minSockets, min(system, minSockets)}} {
+	for _, c := range []struct{ configured, limit int }{{0, min(system, 1<<21)}, {maxSockets, system}, {minSockets, min(system, minSockets)}} {
 		cfg := Config{Sockets: c.configured, ownsProcess: true}
-		if got := cfg.sharedSockets(); got != c.most-reservedSockets {
-			t.Errorf("%d configured, %d by the system: %d are shared, want %d", c.configured, lim.Cur, got, c.most-reservedSockets)
+		if got := cfg.sharedSockets(); got != c.limit-reservedSockets {
+			t.Errorf("%d configured, %d by the system: %d are shared, want %d", c.configured, lim.Cur, got, c.limit-reservedSockets)
 		}
 		cfg.ownsProcess = false
 		if got := cfg.sharedSockets(); c.configured == maxSockets && got != maxSockets-reservedSockets {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -27,7 +27,7 @@
 	// counts a call within 200 ms of a response as the continuation of that watch.
 	minWatchInterval = 50 * time.Millisecond
 	maxListBytes     = 16 << 20
-	// lastStart is the largest start time in ms that a time.Duration holds. A later one would overflow to the distant
+	// maxStartedMS is the largest start time in ms that a time.Duration holds. A later one would overflow to the distant
 	// past, so that a new process would be taken for a warm one.
 	maxStartedMS = math.MaxInt64 / int64(time.Millisecond)
 )
@@ -64,8 +64,8 @@
 
 	watching bool         // whether the watch loop runs; guarded by the core's lock
 	schedule pollSchedule // belongs to the watch loop; survives the end of one, so that the next keeps what was learned of discovery
-	// whole is set until the complete list of this discovery has arrived: until then its version numbers can't be
-	// compared with the node's. Guarded by the core's lock.
+	// fullListPending is set until the complete list of this discovery has arrived: until then its version numbers can't
+	// be compared with the node's. Guarded by the core's lock.
 	fullListPending bool
 	// announcedBy is the time by which everything in this discovery's list counts as announced, whether or not the node
 	// asked for it. 0 stands for no such time. It is set before the client is shared.
@@ -422,7 +422,7 @@
 // removedServer is the process of a web server that was announced as removed. It is remembered so that an older list
 // does not bring the server back.
 type removedServer struct {
-	started   int64
+	startedMS int64
 	removedAt time.Duration
 }
 
@@ -437,7 +437,7 @@
 // wasRemoved reports whether the process of an entry was announced as removed. The core's lock is held.
 func (n *node) wasRemoved(entry *serverEntry) bool {
 	removed, known := n.removedServers[entry.ID]
-	return known && removed.started == entry.StartedMS
+	return known && removed.startedMS == entry.StartedMS
 }
 
 // rememberRemoved records that a server was removed, and forgets those removed long ago. The core's lock is held.
--- a/internal/node/discovery_model_test.go
+++ b/internal/node/discovery_model_test.go
@@ -13,14 +13,15 @@
 // and the real policy of 300 nodes, and a discovery that handles calls one after the other. docs/discovery.md has the
 // results.
 
-// scheduler decides when a node's watch loop calls discovery: the current pollSchedule, or the former one for comparison.
+// scheduler decides when a node's watch loop calls discovery: the current pollSchedule, or the former one for
+// comparison.
 type scheduler interface {
 	reset()
 	requireFresh(announced time.Duration)
 	callStarted(now time.Duration)
-	callTimes(full bool, draw float64) (wait, limit time.Duration)
+	callTimes(full bool, random float64) (wait, limit time.Duration)
 	callSucceeded(now time.Duration, changed bool)
-	callFailed(now, waitEnd time.Duration, how callFailure, draw float64) (delay time.Duration, retry bool)
+	callFailed(now, waitEnd time.Duration, failure callFailure, random float64) (delay time.Duration, retry bool)
 }
 
 // formerSchedule is the schedule that nodes which ask for lists had before watches were shortened, for comparison: a
@@ -33,15 +34,15 @@
 }
 func (r *formerSchedule) callStarted(time.Duration)         {}
 func (r *formerSchedule) callSucceeded(time.Duration, bool) { r.listDue, r.delay = 0, 0 }
-func (r *formerSchedule) callTimes(full bool, draw float64) (wait, limit time.Duration) {
+func (r *formerSchedule) callTimes(full bool, random float64) (wait, limit time.Duration) {
 	if full {
 		return 0, fetchTimeout
 	}
-	wait = 8*time.Second + time.Duration(draw*float64(16*time.Second))
+	wait = 8*time.Second + time.Duration(random*float64(16*time.Second))
 	return wait, wait + 400*time.Millisecond
 }
 
-func (r *formerSchedule) callFailed(now, waitEnd time.Duration, failure callFailure, draw float64) (time.Duration, bool) {
+func (r *formerSchedule) callFailed(now, waitEnd time.Duration, failure callFailure, random float64) (time.Duration, bool) {
 	if failure == callTimeout {
 		r.requireFresh(waitEnd + 2*time.Second)
 	}
@@ -53,7 +54,7 @@
 		return 0, true
 	}
 	r.delay = min(max(2*r.delay, minBackoff), max(minBackoff, min(r.grace/4, maxBackoff)))
-	return time.Duration(float64(r.delay) * (0.5 + draw)), true
+	return time.Duration(float64(r.delay) * (0.5 + random)), true
 }
 
 // deployment is the discovery of a deployment, and the settings of its nodes.
@@ -73,8 +74,6 @@
 }
 
 // interval is a part of a scenario.
-
-// span is a part of a day.
 type interval struct{ from, to time.Duration }
 
 func (s interval) contains(t time.Duration) bool { return t >= s.from && t < s.to }
@@ -93,8 +92,8 @@
 
 // results are the measurements of a simulation.
 type results struct {
-	// calls and rejected count the calls that reached discovery while it was up; slowedNodes counts the nodes whose watches
-	// wait longer at the end because of an overload.
+	// calls and rejected count the calls that reached discovery while it was up. slowedNodes counts the nodes whose
+	// watches wait longer at the end because of an overload.
 	calls, rejected, slowedNodes int
 	maxQueue                     int           // longest queue
 	maxQueueTime                 time.Duration // longest queueing of a call that was handled
@@ -112,21 +111,21 @@
 }
 
 // event is an entry of the simulation's queue.
-type event struct {
+type simulationEvent struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
 // eventQueue implements heap.Interface, ordered by time and then by insertion.
-type eventQueue []event
+type eventQueue []simulationEvent
 
 func (m eventQueue) Len() int { return len(m) }
 func (m eventQueue) Less(i, j int) bool {
 	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
 }
 func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *eventQueue) Push(x any)   { *m = append(*m, x.(event)) }
+func (m *eventQueue) Push(x any)   { *m = append(*m, x.(simulationEvent)) }
 func (m *eventQueue) Pop() any {
 	old := *m
 	last := old[len(old)-1]
@@ -186,7 +185,7 @@
 // schedule runs a function at a time.
 func (h *discoveryModel) schedule(t time.Duration, run func()) {
 	h.seq++
-	heap.Push(&h.events, event{t, h.seq, run})
+	heap.Push(&h.events, simulationEvent{t, h.seq, run})
 }
 
 // reachableSince returns since when a node can reach discovery, or false where it can't.
@@ -257,7 +256,7 @@
 		h.schedule(course.partition.from, func() { h.silence(func(n *modelNode) bool { return n.index < course.partitionedNodes }) })
 	}
 	for len(h.events) > 0 {
-		next := heap.Pop(&h.events).(event)
+		next := heap.Pop(&h.events).(simulationEvent)
 		if next.at >= course.length {
 			break
 		}
@@ -496,7 +495,6 @@
 func newFormerSchedule(grace time.Duration) scheduler { return &formerSchedule{grace: grace} }
 
 // ms returns n milliseconds.
-
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // simulationEpoch is the start of a scenario on the policy's clock.
--- a/internal/node/discovery_schedule.go
+++ b/internal/node/discovery_schedule.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// pushWait is how long a watch waits where waiting costs nothing. It is short so that a silent agent is noticed soon.
+	// pushWait is how long a watch waits where lists are pushed and calls cost nothing. It is short so that a silent agent
+	// is noticed soon.
 	pushWait = 2 * time.Second
 	// pushMargin is how long after its wait a response may still come; a later one is not expected any more.
 	pushMargin = 1500 * time.Millisecond
@@ -19,7 +20,7 @@
 	// minSpreadAskWait replaces minAskWait after a response that many nodes got at the same time. Their next calls are
 	// then spread over about the time that discovery takes to hear all of them.
 	minSpreadAskWait = 500 * time.Millisecond
-	// minOverloadWait and maxOverloadWait are the bounds of a watch's wait while discovery can't bear the usual rate.
+	// minOverloadWait and maxOverloadWait are the bounds of a watch's wait while discovery can't serve the usual rate.
 	// It shows that by rejecting a call that is not part of a burst of many nodes' calls.
 	minOverloadWait = 8 * time.Second
 	maxOverloadWait = 24 * time.Second
@@ -59,7 +60,7 @@
 // arrives before the changes missed by a broken watch count as announced and the drain grace has passed. It is a pure
 // state machine: its caller passes the time and the random numbers. It belongs to one watch loop and needs no lock.
 type pollSchedule struct {
-	push    bool          // lists are pushed: a call costs nobody else anything, and the agent's changes count whether or not it is asked
+	push    bool          // an agent pushes lists: a call costs other nodes nothing, and changes count as announced without one
 	grace   time.Duration // grace of drains
 	listDue time.Duration // until then a fresh list is due, and a failed call is retried without the policy
 	delay   time.Duration // delay after the latest failure; 0: none since a response
@@ -86,85 +87,85 @@
 )
 
 // bodyTimeout returns how long the rest of a response that has begun may take. Its contents were announced as it was
-// written, so that only a part of the grace is available. Where responses keep breaking off at that limit they need
+// written, so only a part of the grace is available. Where responses keep breaking off at that limit they need
 // longer, and the limit doubles with each: half a grace can't be met there.
-func (r *pollSchedule) bodyTimeout() time.Duration {
-	return min(max(minBodyTimeout, r.grace/2)<<min(r.brokenResponses, 8), fetchTimeout)
+func (s *pollSchedule) bodyTimeout() time.Duration {
+	return min(max(minBodyTimeout, s.grace/2)<<min(s.brokenResponses, 8), fetchTimeout)
 }
 
-// callTimes returns how long a call waits for a change, and the limit on the whole call. draw is a random number from
-// [0, 1).
-func (r *pollSchedule) callTimes(full bool, draw float64) (wait, limit time.Duration) {
+// callTimes returns how long a call waits for a change, and the limit on the complete call. random is a random number
+// from [0, 1).
+func (s *pollSchedule) callTimes(full bool, random float64) (wait, limit time.Duration) {
 	switch {
 	case full:
 		return 0, fetchTimeout
-	case r.push:
+	case s.push:
 		return pushWait, pushWait + pushMargin
 	}
-	least, most := minSpreadAskWait, maxAskWait
+	minWait, maxWait := minSpreadAskWait, maxAskWait
 	switch {
-	case r.overloadUntil > 0:
-		least, most = minOverloadWait, maxOverloadWait
-	case r.staggered:
-		least = minAskWait
+	case s.overloadUntil > 0:
+		minWait, maxWait = minOverloadWait, maxOverloadWait
+	case s.staggered:
+		minWait = minAskWait
 	}
-	wait = least + time.Duration(draw*float64(most-least))
-	if limit = wait + askMargin; r.failing {
+	wait = minWait + time.Duration(random*float64(maxWait-minWait))
+	if limit = wait + askMargin; s.failing {
 		limit = max(limit, fetchTimeout) // it queues with the calls of all nodes that lost theirs, and must not time out before its turn
 	}
 	return wait, limit
 }
 
 // reset records that the policy has asked for a watch.
-func (r *pollSchedule) reset() { r.listDue, r.delay, r.brokenResponses = 0, 0, 0 }
+func (s *pollSchedule) reset() { s.listDue, s.delay, s.brokenResponses = 0, 0, 0 }
 
 // callStarted records that a call begins.
-func (r *pollSchedule) callStarted(now time.Duration) {
-	r.callStart = now
-	if now >= r.overloadUntil {
-		r.overloadUntil = 0
+func (s *pollSchedule) callStarted(now time.Duration) {
+	s.callStart = now
+	if now >= s.overloadUntil {
+		s.overloadUntil = 0
 	}
 }
 
 // requireFresh records that a fresh list must arrive before the grace of changes announced at the given time has passed.
-func (r *pollSchedule) requireFresh(announced time.Duration) {
-	r.listDue = max(r.listDue, announced+r.grace)
+func (s *pollSchedule) requireFresh(announced time.Duration) {
+	s.listDue = max(s.listDue, announced+s.grace)
 }
 
 // callSucceeded records that a call returned a list, and whether that contained a change. A change reaches all nodes
 // that watch at the same moment; a response after a failure comes in this node's turn at discovery, and one without a
 // change at the end of its wait.
-func (r *pollSchedule) callSucceeded(now time.Duration, changed bool) {
-	r.staggered = !changed || r.failing
-	r.listDue, r.delay, r.brokenResponses, r.lastResponse, r.failing = 0, 0, 0, now, false
+func (s *pollSchedule) callSucceeded(now time.Duration, changed bool) {
+	s.staggered = !changed || s.failing
+	s.listDue, s.delay, s.brokenResponses, s.lastResponse, s.failing = 0, 0, 0, now, false
 }
 
 // callFailed records that a call has failed whose wait was to end at waitEnd, and returns the delay before the next
 // one. retry is false where no list is due: then the policy decides when to ask.
-func (r *pollSchedule) callFailed(now, waitEnd time.Duration, how callFailure, draw float64) (delay time.Duration, retry bool) {
-	first, staggered := !r.failing, r.staggered
-	r.failing = true
-	r.staggered = staggered && how == callTimeout // other failures hit many nodes at once, but each times out at the end of its own wait
-	switch how {
+func (s *pollSchedule) callFailed(now, waitEnd time.Duration, failure callFailure, random float64) (delay time.Duration, retry bool) {
+	first, staggered := !s.failing, s.staggered
+	s.failing = true
+	s.staggered = staggered && failure == callTimeout // other failures hit many nodes at once; a call times out at the end of its own wait
+	switch failure {
 	case callRejected:
-		if !r.push && first && staggered { // the call was not part of a burst: discovery is overloaded by the usual calls of all nodes
-			r.overloadUntil = now + time.Duration(float64(overloadPeriod)*(0.5+draw))
+		if !s.push && first && staggered { // the call was not part of a burst: discovery is overloaded by the usual calls of all nodes
+			s.overloadUntil = now + time.Duration(float64(overloadPeriod)*(0.5+random))
 		}
 	case callTimeout:
-		r.requireFresh(waitEnd + silentAnnounceDelay)
+		s.requireFresh(waitEnd + silentAnnounceDelay)
 	case responseBroken:
-		r.requireFresh(now)
-		r.brokenResponses++
+		s.requireFresh(now)
+		s.brokenResponses++
 	}
-	queued := now-r.callStart >= queuedCallTime && r.lastResponse > 0 && now < r.lastResponse+maxAnnounceDelay+r.grace
-	if !r.push && now >= r.listDue && !queued {
+	queued := now-s.callStart >= queuedCallTime && s.lastResponse > 0 && now < s.lastResponse+maxAnnounceDelay+s.grace
+	if !s.push && now >= s.listDue && !queued {
 		return 0, false
 	}
-	if how == callTimeout && r.delay == 0 {
-		r.delay = minBackoff
+	if failure == callTimeout && s.delay == 0 {
+		s.delay = minBackoff
 		return 0, true // the call itself has waited long enough
 	}
-	// The changes of an agent that is back count at once: no more than a part of the grace may pass between two calls.
-	r.delay = min(max(2*r.delay, minBackoff), max(minBackoff, min(r.grace/4, maxBackoff)))
-	return time.Duration(float64(r.delay) * (0.5 + draw)), true
+	// The changes of an agent that is back count at once: only a part of the grace may pass between two calls.
+	s.delay = min(max(2*s.delay, minBackoff), max(minBackoff, min(s.grace/4, maxBackoff)))
+	return time.Duration(float64(s.delay) * (0.5 + random)), true
 }
--- a/internal/node/discovery_schedule_test.go
+++ b/internal/node/discovery_schedule_test.go
@@ -112,15 +112,15 @@
 	}
 }
 
-// Nodes that got a change, or lost discovery, at the same moment select their next wait from its whole range, so that
+// Nodes that got a change, or lost discovery, at the same moment select their next wait from its full range, so that
 // their calls do not come together again; those that are spread already wait nearly as long as they may, as each call
 // is work.
 func TestWatchesSpreadAfterSimultaneousResponses(t *testing.T) {
 	quiet := func(schedule *pollSchedule) { schedule.callSucceeded(time.Second, false) }
 	for _, c := range []struct {
-		name    string
-		prepare func(schedule *pollSchedule)
-		least   time.Duration
+		name     string
+		prepare  func(schedule *pollSchedule)
+		wantWait time.Duration
 	}{
 		{"the first call", func(*pollSchedule) {}, minSpreadAskWait},
 		{"a change", func(schedule *pollSchedule) { schedule.callSucceeded(time.Second, true) }, minSpreadAskWait},
@@ -140,8 +140,8 @@
 	} {
 		schedule := &pollSchedule{grace: ms(500)}
 		c.prepare(schedule)
-		if wait, limit := schedule.callTimes(false, 0); wait != c.least || schedule.failing && limit < fetchTimeout {
-			t.Errorf("after %s: waits %v, times out after %v; want a wait of %v", c.name, wait, limit, c.least)
+		if wait, limit := schedule.callTimes(false, 0); wait != c.wantWait || schedule.failing && limit < fetchTimeout {
+			t.Errorf("after %s: waits %v, times out after %v; want a wait of %v", c.name, wait, limit, c.wantWait)
 		}
 		if wait, limit := schedule.callTimes(false, 0.9999); wait > maxAskWait || limit > maxAnnounceDelay {
 			t.Errorf("after %s: waits up to %v, times out after %v", c.name, wait, limit)
--- a/internal/node/discovery_watch_test.go
+++ b/internal/node/discovery_watch_test.go
@@ -275,36 +275,36 @@
 	for _, source := range []string{"watch", "reload"} {
 		for _, state := range []string{"Terminating", "Gone"} {
 			node := newTestNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.001`, 1), nil, entry("Ready"), second.entry("s-2"))
-			drained := func() bool {
+			isDrained := func() bool {
 				server := node.serverByID("s-1")
 				return server == nil || server.StopAt.Load() != 0
 			}
-			client := node.discovery
+			discovery := node.discovery
 			applyFull := func(l serverList) {
 				if source == "reload" {
 					node.core.Lock()
-					client.fullListPending = true
+					discovery.fullListPending = true
 					node.core.Unlock()
 				}
-				client.applyResponse(&l, policy.ListFull, true)
+				discovery.applyResponse(&l, policy.ListFull, true)
 			}
-			client.applyResponse(&serverList{Version: 9, Servers: []serverEntry{entry(state)}}, policy.ListDelta, true)
+			discovery.applyResponse(&serverList{Version: 9, Servers: []serverEntry{entry(state)}}, policy.ListDelta, true)
 			if state == "Gone" {
 				waitFor(t, "the end of the grace", func() bool { return node.serverByID("s-1") == nil })
 			}
 			applyFull(serverList{Version: 8, Full: true, Servers: []serverEntry{entry("Ready"), second.entry("s-2")}})
-			if !drained() {
+			if !isDrained() {
 				t.Errorf("%s, announced %s: an older list brings it back", source, state)
 			}
 			restarted := entry("Ready")
 			restarted.StartedMS = time.Now().UnixMilli()
 			applyFull(serverList{Version: 7, Full: true, Servers: []serverEntry{restarted, second.entry("s-2")}})
-			if drained() {
+			if isDrained() {
 				t.Errorf("%s, announced %s: an older list with a later start does not bring it back", source, state)
 			}
-			client.applyResponse(&serverList{Version: 10, Servers: []serverEntry{entry("Terminating")}}, policy.ListDelta, true)
-			client.applyResponse(&serverList{Version: 11, Servers: []serverEntry{entry("Ready")}}, policy.ListDelta, true)
-			if drained() {
+			discovery.applyResponse(&serverList{Version: 10, Servers: []serverEntry{entry("Terminating")}}, policy.ListDelta, true)
+			discovery.applyResponse(&serverList{Version: 11, Servers: []serverEntry{entry("Ready")}}, policy.ListDelta, true)
+			if isDrained() {
 				t.Errorf("%s, announced %s: a later list does not bring it back", source, state)
 			}
 		}
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -210,15 +210,15 @@
 	ignore := goleak.IgnoreCurrent()
 	t.Run("cells", func(t *testing.T) {
 		for _, f := range faultTable {
-			for stage := range stageCount {
-				if f.excluded[stage] != "" {
+			for at := range stageCount {
+				if f.excluded[at] != "" {
 					continue
 				}
-				t.Run(f.name+" "+stageNames[stage], func(t *testing.T) {
+				t.Run(f.name+" "+stageNames[at], func(t *testing.T) {
 					t.Parallel()
 					// Where this machine was too slow for a fault that a time-out ends, it is injected again with more
 					// time before that.
-					for timeout := 900 * time.Millisecond; !newTrial(t, stage).run(f, timeout); timeout *= 4 {
+					for timeout := 900 * time.Millisecond; !newTrial(t, at).run(f, timeout); timeout *= 4 {
 						if timeout > testTimeout {
 							t.Fatal("the requests ended before the fault could be injected, even with long timeouts")
 						}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// orderTimeout is how long another process may take over an operator's order that is forwarded to it.
+	// orderTimeout is how long another process may take to carry out an operator's order that is forwarded to it.
 	orderTimeout = 500 * time.Millisecond
 	// claimTimeout is how long a successor may take to say whether a request may begin here.
 	claimTimeout = 200 * time.Millisecond
-	// retryInterval is the time between retries of a step between processes that has failed.
+	// retryInterval is the time between retries of a hand-over step that has failed.
 	retryInterval = 50 * time.Millisecond
 	// predecessorTimeout is how long a starting process waits for one that is being replaced itself at the moment.
 	predecessorTimeout = 3 * time.Second
@@ -41,12 +41,12 @@
 	node         *node
 	accepting    atomic.Bool // this process accepts clients
 	phase        atomic.Int32
-	seeking      atomic.Bool   // another serving process is being looked for
+	searching    atomic.Bool   // another serving process is being looked for
 	phaseChanged chan struct{} // signals that the phase has changed; buffer of one
-	// relieved is closed when a successor first serves. Tunnel listeners, which only one process can have, are given up
-	// then and not opened again, even if the successor ends.
-	relieved       chan struct{}
-	relieveOnce    sync.Once
+	// replaced is closed when a successor first serves. Tunnel listeners, which only one process can have, are closed
+	// then and not opened again, even if the successor exits.
+	replaced       chan struct{}
+	replacedOnce   sync.Once
 	clientListener *sharedListener
 
 	mu              sync.Mutex
@@ -133,14 +133,14 @@
 
 // initialize prepares the controller of a node. It is called once, before anything else of it.
 func (h *handoverController) initialize(n *node) {
-	h.node, h.phaseChanged, h.relieved = n, make(chan struct{}, 1), make(chan struct{})
+	h.node, h.phaseChanged, h.replaced = n, make(chan struct{}, 1), make(chan struct{})
 	h.peers, h.peerIDs = map[handover.Peer]*upgrade.Peer{}, map[*upgrade.Peer]handover.Peer{}
 }
 
 // peerID returns the state machine's id of another process, and assigns one to a new one. h.mu is held.
 func (h *handoverController) peerID(peer *upgrade.Peer) handover.Peer {
-	if name, known := h.peerIDs[peer]; known {
-		return name
+	if id, known := h.peerIDs[peer]; known {
+		return id
 	}
 	h.lastPeerID++
 	h.peerIDs[peer], h.peers[h.lastPeerID] = h.lastPeerID, peer
@@ -185,16 +185,16 @@
 // currentPhase returns the latest published phase.
 func (h *handoverController) currentPhase() handover.Phase { return handover.Phase(h.phase.Load()) }
 
-// yielding reports whether a successor has the clients, or is about to.
-func (h *handoverController) yielding() bool {
+// handingOver reports whether a successor has the clients, or is about to get them.
+func (h *handoverController) handingOver() bool {
 	return h.currentPhase() == handover.Transferring || h.currentPhase() == handover.Finishing
 }
 
 // acquireClients is called once this process can serve. It returns at once; the listener opens when the clients are its
 // own.
-func (n *node) acquireClients(d *sharedListener) {
+func (n *node) acquireClients(listener *sharedListener) {
 	h := &n.handover
-	h.clientListener = d
+	h.clientListener = listener
 	path := socketPath(n.cfg)
 	if path == "" {
 		h.handle(func(m *handover.Machine, env handover.Env) { m.ServeAlone(env) })
@@ -211,7 +211,7 @@
 	go n.retryHandover()
 }
 
-// retryHandover retries, until the node ends, steps between processes that have failed.
+// retryHandover retries failed steps of the hand-over until the node ends.
 func (n *node) retryHandover() {
 	tick := time.NewTicker(retryInterval)
 	defer tick.Stop()
@@ -229,21 +229,21 @@
 	}
 }
 
-// Lock acquires the token, and returns the number marked on it and whether it was acquired. Lock, Mark, Unlock, Accept,
-// Yield, Resume, Relieve, Tell and Seek make it a handover.Env; they are called with h.mu held.
+// LockToken acquires the token, and returns its number and whether it was acquired. LockToken and the methods up to
+// Search implement handover.Env; they are called with h.mu held.
 func (h *handoverController) LockToken() (uint64, bool) {
 	if h.token == nil {
 		return 0, true
 	}
-	number, had, err := h.token.Lock()
+	number, held, err := h.token.Lock()
 	if err != nil { // serving takes precedence over the token
 		h.node.log.Error("cannot lock the hand-over token: unknown whether another process serves", "err", err)
 		return h.machine.TokenNumber, true
 	}
-	return number, had
+	return number, held
 }
 
-// Mark writes a number on the token.
+// SetTokenNumber writes a number to the token.
 func (h *handoverController) SetTokenNumber(number uint64) {
 	if h.token != nil {
 		if err := h.token.SetNumber(number); err != nil {
@@ -252,15 +252,15 @@
 	}
 }
 
-// Unlock releases the token.
+// UnlockToken releases the token.
 func (h *handoverController) UnlockToken() {
 	if h.token != nil {
 		h.token.Unlock()
 	}
 }
 
-// Accept opens or closes the clients' listener, and starts or stops storing the state. The first time that it opens,
-// this process also begins to listen for successors.
+// SetAccepting opens or closes the clients' listener, and starts or stops storing the state. The first time that the
+// listener opens, this process also begins to listen for successors.
 func (h *handoverController) SetAccepting(on bool) {
 	h.clientListener.setOpen(on)
 	defer h.accepting.Store(on) // successors find this process from then on
@@ -281,8 +281,8 @@
 	}
 }
 
-// Yield takes the state and hands the decisions to the successor within one hold of the core's lock: for each request
-// that begins after that state the successor is asked, and each one's end is reported to it.
+// TransferTo takes a snapshot of the state and transfers the decisions to the successor within one hold of the core's
+// lock. From then on the successor is asked before each request begins, and is notified of the end of each.
 func (h *handoverController) TransferTo(to handover.Peer, number uint64) {
 	n, peer := h.node, h.peers[to]
 	n.core.Lock()
@@ -294,7 +294,8 @@
 	h.shareLimits()
 }
 
-// Resume serves alone again. What is left of the contracts is not known: the successor may have spent it.
+// Resume makes this process decide alone again. What is left of the contracts' budgets is not known: the successor may
+// have spent it.
 func (h *handoverController) Resume() {
 	h.node.core.Lock()
 	defer h.node.core.Unlock()
@@ -303,13 +304,13 @@
 	h.node.log.Warn("the successor has exited or did not take over: serving again")
 }
 
-// Relieve lets serve finish what this process has accepted, and closes relieved.
+// FinishRequests closes replaced. serve finishes the accepted requests once it sees the change of phase.
 func (h *handoverController) FinishRequests() {
-	h.relieveOnce.Do(func() { close(h.relieved) })
+	h.replacedOnce.Do(func() { close(h.replaced) })
 	h.node.log.Info("a successor serves: finishing accepted requests")
 }
 
-// Tell sends a message to another process; with handover.State it takes the state along.
+// Send sends a message to another process. handover.State carries the state.
 func (h *handoverController) Send(to handover.Peer, what handover.Message) {
 	n, peer := h.node, h.peers[to]
 	if peer == nil {
@@ -317,8 +318,8 @@
 	}
 	var text func() []byte
 	if what == handover.State {
-		// An order that arrives after the state was taken must not be lost. This process is already known to the other
-		// one, so the order is forwarded to it after the state.
+		// An order that arrives after the snapshot was taken must not be lost. The other process is already among the
+		// peers, so the order is forwarded to it after the state.
 		n.core.Lock()
 		text = n.stateEncoder(n.snapshot(true))
 		peer.Send(what, 0, text)
@@ -339,16 +340,16 @@
 	}
 }
 
-// Seek starts looking for another serving process.
+// Search starts looking for another serving process, unless a search is running.
 func (h *handoverController) Search() {
-	if h.seeking.CompareAndSwap(false, true) { // one at a time, so that a process that is slow to reply does not get more and more calls
+	if h.searching.CompareAndSwap(false, true) { // one at a time, so that a process that is slow to reply does not get more and more calls
 		go h.findServingProcess()
 	}
 }
 
 // findServingProcess looks for another serving process, adopts its state and reports the result to the state machine.
 func (h *handoverController) findServingProcess() {
-	defer h.seeking.Store(false)
+	defer h.searching.Store(false)
 	old, later := findPredecessor(socketPath(h.node.cfg), h.node.log)
 	if old == nil {
 		if !later {
@@ -371,14 +372,14 @@
 	old.peer.Receive(h.node)
 }
 
-// adoptState adopts a state. With whole set it includes the server list and the operators' orders; without, only what
-// changes with each request. h.mu is held.
-func (h *handoverController) adoptState(from handover.Peer, s *state.Snapshot, whole bool) {
+// adoptState adopts a state: with full set, all of it; otherwise only what changes with each request, without the server
+// list and the operators' orders. h.mu is held.
+func (h *handoverController) adoptState(from handover.Peer, s *state.Snapshot, full bool) {
 	n := h.node
 	n.core.Lock()
 	defer n.core.Unlock()
 	n.ageSnapshot(s)
-	if whole {
+	if full {
 		n.adoptSnapshot(s, from)
 		n.core.SetProcessShare(successorShare, false)
 	} else {
@@ -402,14 +403,14 @@
 // Ended reports the end of a request to the successor.
 func (h remoteSuccessor) Ended(id string) { h.peer.RequestEnded(id) }
 
-// Hello receives the first call of another process. Hello, Heard, Claim, Ended, Obey and Gone make node an
-// upgrade.Node.
+// StateRequested handles the first call of another process, which asks for the state. StateRequested, Received, Claim,
+// RequestEnded, Execute and PeerExited implement upgrade.Node.
 func (n *node) StateRequested(peer *upgrade.Peer) {
 	n.handover.handle(func(m *handover.Machine, env handover.Env) { m.StateRequested(env, n.handover.peerID(peer)) })
 }
 
-// Heard receives a message of another process. With handover.Yours comes the predecessor's last state, which is adopted
-// first.
+// Received handles a message of another process. handover.Transfer carries the predecessor's last state, which is
+// adopted first.
 func (n *node) Received(peer *upgrade.Peer, what handover.Message, number uint64, text []byte) {
 	h := &n.handover
 	if what == handover.Transfer {
@@ -431,7 +432,7 @@
 	}
 }
 
-// Claim replies whether a request that another process has received may begin there.
+// Claim decides whether a request that another process has received may begin there.
 func (n *node) Claim(peer *upgrade.Peer, id string, until time.Duration) handover.Verdict {
 	n.handover.mu.Lock()
 	from := n.handover.peerID(peer)
@@ -439,15 +440,15 @@
 	return n.core.Claim(from, id, until)
 }
 
-// Ended receives the end of a request at another process.
+// RequestEnded records the end of a request at another process.
 func (n *node) RequestEnded(_ *upgrade.Peer, id string) {
 	n.core.Lock()
 	defer n.core.Unlock()
 	n.core.RequestIDs().RemoteEnded(id)
 }
 
-// Obey carries out an operator's order that reached another process, and forwards it to processes that the other one
-// may not know.
+// Execute carries out an operator's order that was given at another process, and forwards it to processes that the other
+// one may not know.
 func (n *node) Execute(from *upgrade.Peer, o upgrade.Order) error {
 	if !n.handover.isNewOrder(o) {
 		return nil // it has already arrived over another connection
@@ -480,36 +481,36 @@
 	return true
 }
 
-// Gone records that another process has exited or closed its connection. After the last of them this process uses the
-// full limits again.
+// PeerExited records that another process has exited or closed its connection. After the last of them this process uses
+// the full limits again.
 func (n *node) PeerExited(peer *upgrade.Peer) {
 	h := &n.handover
 	h.mu.Lock()
-	who := h.peerID(peer)
+	id := h.peerID(peer)
 	delete(h.peerIDs, peer)
-	delete(h.peers, who)
-	var back func()
+	delete(h.peers, id)
+	var reclaim func()
 	if len(h.peers) == 0 {
-		back, h.reclaimBudget = h.reclaimBudget, nil
+		reclaim, h.reclaimBudget = h.reclaimBudget, nil
 	}
 	n.core.Lock()
-	n.core.RequestIDs().PeerExited(who)
-	if h.machine.Predecessor == who {
+	n.core.RequestIDs().PeerExited(id)
+	if h.machine.Predecessor == id {
 		n.core.SetProcessShare(1, false)
 	}
 	n.core.Unlock()
 	h.mu.Unlock()
 	n.log.Info("lost the connection to another process of this node")
-	if back != nil {
-		back()
+	if reclaim != nil {
+		reclaim()
 		n.setLimits(1)
 	}
-	h.handle(func(m *handover.Machine, env handover.Env) { m.PeerExited(env, who) })
+	h.handle(func(m *handover.Machine, env handover.Env) { m.PeerExited(env, id) })
 }
 
 // tryEnd reports whether this process may end, and closes the controller if so: nothing changes afterwards. It may end
-// if it was told to. Otherwise no predecessor may be left whose claims this process answers, and either a successor
-// must be there to continue, or a third process serves and the one between has ended.
+// if it was asked to stop. Otherwise no predecessor may be left whose claims this process answers, and there must be a
+// successor, or, if that has exited, another process must have taken over from it.
 func (h *handoverController) tryEnd() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -558,7 +559,7 @@
 	return errs
 }
 
-// shareLimits leaves half of the limits to the other process, as both count together. h.mu is held.
+// shareLimits leaves half of the limits to the other process, as the limits apply to both together. h.mu is held.
 func (h *handoverController) shareLimits() {
 	h.node.setLimits(2)
 	if h.reclaimBudget == nil { // nil: not lent yet
--- a/internal/node/handover_bench_test.go
+++ b/internal/node/handover_bench_test.go
@@ -64,13 +64,13 @@
 				successor.core.Unlock()
 				adopted += time.Since(begun)
 			}
-			ms := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(b.N) }
-			b.ReportMetric(ms(locked), "ms-locked")
+			meanMS := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(b.N) }
+			b.ReportMetric(meanMS(locked), "ms-locked")
 			b.ReportMetric(worst.Seconds()*1000, "ms-locked-worst")
 			b.ReportMetric(float64(len(text)), "bytes")
-			b.ReportMetric(ms(encoded), "ms-written")
-			b.ReportMetric(ms(decoding), "ms-read")
-			b.ReportMetric(ms(adopted), "ms-taken-up")
+			b.ReportMetric(meanMS(encoded), "ms-written")
+			b.ReportMetric(meanMS(decoding), "ms-read")
+			b.ReportMetric(meanMS(adopted), "ms-taken-up")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -54,10 +54,10 @@
 	wake     chan struct{} // signals that a probe is due earlier than the loop expects
 }
 
-// wakeUp lets the protocol's loop read its schedule again.
-func (k *probeProtocol) wakeUp() {
+// wakeUp makes the protocol's loop read its schedule again.
+func (p *probeProtocol) wakeUp() {
 	select {
-	case k.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
@@ -68,8 +68,8 @@
 	number       uint32
 	applied      health.Verdict // the verdict that the policy was notified of
 	unknownWords string         // words in its agent's latest report that are not known
-	successes    float64        // real requests answered lately, decaying
-	failures     float64        // real requests failed lately, decaying
+	successes    float64        // real requests answered lately, decaying over 10 s
+	failures     float64        // real requests failed lately, decaying over 10 s
 }
 
 // newHealthChecker returns the checker for a file's checks, or nil where the file has none. start starts it.
@@ -147,8 +147,8 @@
 	}
 }
 
-// clearVerdict revokes the verdict that had a server out of service, once that was started again or was removed from
-// the list: when it comes back, nothing is known of it.
+// clearVerdict revokes the verdict that took a server out of service. It is called once the server was started again or
+// removed from the list: when it comes back, nothing is known of it.
 func (c *healthChecker) clearVerdict(server *checkedServer) {
 	n := c.node
 	n.overrides.callMu.Lock()
@@ -167,8 +167,8 @@
 	ctx := c.node.core.Context()
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		id, due, wait := protocol.schedule.Next(c.node.core.Now())
-		server := c.servers[id]
+		number, due, wait := protocol.schedule.Next(c.node.core.Now())
+		server := c.servers[number]
 		c.mu.Unlock()
 		if !due {
 			timer := time.NewTimer(max(wait, time.Millisecond))
@@ -238,9 +238,9 @@
 		var changed []uint32
 		c.mu.Lock()
 		now, panickedBefore := c.node.core.Now(), c.tracker.InPanic()
-		for id := range c.servers {
-			if _, verdictChanged := c.tracker.Evaluate(now, id); verdictChanged {
-				changed = append(changed, id)
+		for number := range c.servers {
+			if _, verdictChanged := c.tracker.Evaluate(now, number); verdictChanged {
+				changed = append(changed, number)
 			}
 		}
 		panicked := c.tracker.InPanic()
@@ -248,8 +248,8 @@
 		if panicked != panickedBefore {
 			c.node.log.Warn("health: most of the fleet is reported unhealthy", "suspected", panicked)
 		}
-		for _, id := range changed {
-			c.applyVerdict(id)
+		for _, number := range changed {
+			c.applyVerdict(number)
 		}
 	}
 }
@@ -261,9 +261,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if id, known := c.ids[target.ID]; known {
-		c.tracker.RecordRequest(c.node.core.Now(), id, outcome == policy.OK)
-		if server := c.servers[id]; outcome == policy.OK {
+	if number, known := c.ids[target.ID]; known {
+		c.tracker.RecordRequest(c.node.core.Now(), number, outcome == policy.OK)
+		if server := c.servers[number]; outcome == policy.OK {
 			server.successes++
 		} else {
 			server.failures++
@@ -273,26 +273,26 @@
 
 // applyVerdict passes a server's verdict to the policy and opens or closes its gate. An operator's override has
 // precedence.
-func (c *healthChecker) applyVerdict(id uint32) {
+func (c *healthChecker) applyVerdict(number uint32) {
 	n := c.node
 	n.overrides.callMu.Lock()
 	defer n.overrides.callMu.Unlock()
 	n.core.Lock()
 	c.mu.Lock()
-	server := c.servers[id]
+	server := c.servers[number]
 	if server == nil {
 		c.mu.Unlock()
 		n.core.Unlock()
 		return
 	}
-	verdict, old := c.tracker.Verdict(id), server.applied
+	verdict, old := c.tracker.Verdict(number), server.applied
 	server.applied = verdict
 	c.mu.Unlock()
-	steps := health.PolicyEvents(id, old, verdict, n.overrides.disabled[server.ID])
-	for i := range steps {
-		n.core.Handle(&steps[i])
+	events := health.PolicyEvents(number, old, verdict, n.overrides.disabled[server.ID])
+	for i := range events {
+		n.core.Handle(&events[i])
 	}
-	stillOut := n.outOfService(server.ID, id)
+	stillOut := n.outOfService(server.ID, number)
 	n.core.Unlock()
 	if verdict.Ejected != old.Ejected {
 		server.Gate.SetClosed(stillOut) // not under the core's lock: it waits for writes under way
@@ -351,9 +351,8 @@
 	Servers   []ServerHealth `json:"servers"`
 }
 
-// healthOf returns the health of a server, or of all where id is empty. An error is mgmt.ErrUnknown.
-
-// healthOf is what the checker makes of a server, or of all. An error is mgmt.ErrUnknown.
+// healthOf returns the health of a server, or, where id is empty, of all of which something is reported. An error is
+// mgmt.ErrUnknownServer.
 func (n *node) healthOf(id string) (*HealthReport, error) {
 	c := n.checker
 	n.core.Lock()
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-func outOfService(h ServerHealth) bool { return h.Out }
-func healthy(h ServerHealth) bool      { return !h.Out && h.Weight == 1 }
+func isOutOfService(h ServerHealth) bool { return h.Out }
+func isHealthy(h ServerHealth) bool      { return !h.Out && h.Weight == 1 }
 
 // An agent's report takes its server out of service, lowers its weight or brings it back. An operator's override has
 // precedence.
@@ -114,7 +114,7 @@
 		return
 	}
 	node.agents[0].Reply("down #disk\n")
-	if h := node.waitForHealth(t, 0, "a server that is down", outOfService); h.Drain || !strings.Contains(h.Why, "disk") {
+	if h := node.waitForHealth(t, 0, "a server that is down", isOutOfService); h.Drain || !strings.Contains(h.Why, "disk") {
 		t.Errorf("%+v", h)
 	}
 	if used := ask(40); used[0] > 0 {
@@ -140,8 +140,8 @@
 	}
 	node.agents[1].Reply("ready up\n")
 	must(t, node.Enable(t.Context(), "s-3"))
-	node.waitForHealth(t, 1, "the server back in service", healthy)
-	node.waitForHealth(t, 3, "the enabled server back in service", healthy)
+	node.waitForHealth(t, 1, "the server back in service", isHealthy)
+	node.waitForHealth(t, 3, "the enabled server back in service", isHealthy)
 	// With the other servers disabled it must serve: its gate is open again.
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
 		must(t, node.Disable(t.Context(), id))
@@ -157,21 +157,21 @@
 	// A server that is out of service is started again, and another is removed from the list and returns: nothing is
 	// known of either.
 	node.agents[0].Reply("down\n")
-	node.waitForHealth(t, 0, "down again", outOfService)
+	node.waitForHealth(t, 0, "down again", isOutOfService)
 	node.agents[0].Reply("")
 	started := append([]serverEntry(nil), node.entries...)
 	started[0].StartedMS = time.Now().UnixMilli()
 	node.publishList(2, started...)
-	node.waitForHealth(t, 0, "a new start", healthy)
+	node.waitForHealth(t, 0, "a new start", isHealthy)
 	node.agents[1].Reply("drain\n")
-	node.waitForHealth(t, 1, "a drain", outOfService)
+	node.waitForHealth(t, 1, "a drain", isOutOfService)
 	node.agents[1].Reply("")
 	node.publishList(3, append(append([]serverEntry(nil), started[0]), started[2:]...)...)
 	if _, err := node.healthOf("s-1"); err == nil {
 		t.Error("a server that is not listed is checked")
 	}
 	node.publishList(4, started...)
-	node.waitForHealth(t, 1, "a server that came back", healthy)
+	node.waitForHealth(t, 1, "a server that came back", isHealthy)
 	for _, id := range []string{"s-0", "s-2", "s-3"} {
 		must(t, node.Disable(t.Context(), id))
 	}
@@ -241,11 +241,11 @@
 	node.testNode = newTestNode(t, newStubDiscovery(t), settingsJSON, withProductFile(t,
 		"health: {checks: {interval: 100ms, timeout: 20s, calm: 1, per_server: 100, rate: 1000, fall: 2, http: {path: /health, status: 200-299}}}\n"), list...)
 	status.Store(500)
-	if h := node.waitForHealth(t, 0, "a server whose checks fail", outOfService); h.Drain || !strings.Contains(h.Why, "status 500") {
+	if h := node.waitForHealth(t, 0, "a server whose checks fail", isOutOfService); h.Drain || !strings.Contains(h.Why, "status 500") {
 		t.Errorf("%+v", h)
 	}
 	status.Store(204)
-	node.waitForHealth(t, 0, "the server back in service", healthy)
+	node.waitForHealth(t, 0, "the server back in service", isHealthy)
 	// While the server answers requests, its checks only lower its weight. The others are disabled, so that it gets all
 	// requests.
 	for _, id := range []string{"s-1", "s-2"} {
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -17,18 +17,18 @@
 const (
 	serving  phase = iota
 	drained        // operators have sent the clients away, and can call them back
-	relieved       // a successor serves; if it ends, the phase from before applies again
+	replaced       // a successor serves; if it exits, the phase from before applies again
 	leaving        // SIGTERM has arrived; final
 )
 
 // lifecycle holds the phase of a node, guarded by mu. While it is not serving, each response tells its client to close,
 // and connections without a request are closed; accepted requests are still answered.
 type lifecycle struct {
-	mu           sync.Mutex
-	phase        phase
-	beforeRelief phase     // the phase to return to if the successor ends
-	closingSince time.Time // when clients were first sent away
-	terminatedAt time.Time // when SIGTERM arrived
+	mu                  sync.Mutex
+	phase               phase
+	phaseBeforeReplaced phase     // the phase to return to if the successor exits
+	closingSince        time.Time // when clients were first sent away
+	terminatedAt        time.Time // when SIGTERM arrived
 }
 
 // closingConnections reports whether clients are to close their connections.
@@ -48,12 +48,12 @@
 	if l.phase == p || l.phase == leaving {
 		return false
 	}
-	if l.phase == relieved && p != leaving { // an operator's order applies to the successor, and here if that one ends
-		l.beforeRelief = p
+	if l.phase == replaced && p != leaving { // an operator's order applies to the successor, and here if that one exits
+		l.phaseBeforeReplaced = p
 		return true
 	}
-	if p == relieved {
-		l.beforeRelief = l.phase
+	if p == replaced {
+		l.phaseBeforeReplaced = l.phase
 	}
 	if l.phase == serving {
 		l.closingSince = time.Now()
@@ -79,11 +79,11 @@
 }
 
 // endRelief returns to the phase from before a successor took over.
-func (l *lifecycle) endRelief() {
+func (l *lifecycle) endReplaced() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.phase == relieved {
-		l.phase = l.beforeRelief
+	if l.phase == replaced {
+		l.phase = l.phaseBeforeReplaced
 	}
 }
 
@@ -91,7 +91,7 @@
 func (l *lifecycle) drainedByOperator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.phase == drained || l.phase == relieved && l.beforeRelief == drained
+	return l.phase == drained || l.phase == replaced && l.phaseBeforeReplaced == drained
 }
 
 // responseDeadline returns by when, on the core's clock, a request that arrives now must have its final response; 0
@@ -128,7 +128,7 @@
 
 // Resume ends a drain.
 func (n *node) Resume(ctx context.Context) error {
-	if n.lifecycle.current() == leaving && !n.handover.yielding() {
+	if n.lifecycle.current() == leaving && !n.handover.handingOver() {
 		return errLeaving
 	}
 	n.resume()
@@ -158,7 +158,7 @@
 func (n *node) readinessStatus() int {
 	n.core.Lock()
 	defer n.core.Unlock()
-	if !n.anyReady || n.lifecycle.closingConnections() && !n.handover.yielding() { // a successor is ready on behalf of both
+	if !n.anyReady || n.lifecycle.closingConnections() && !n.handover.handingOver() { // a successor is ready on behalf of both
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -39,7 +39,7 @@
 // traffic until it answers here.
 func (c *healthChecker) shareEvidence() {
 	n := c.node
-	fade := math.Exp(-evidenceInterval.Seconds() / 10)
+	decay := math.Exp(-evidenceInterval.Seconds() / 10) // per interval, with a time constant of 10 s
 	for ctx := n.core.Context(); ctx.Err() == nil; sleep(ctx, evidenceInterval) {
 		type observation struct{ failedShare, requests float64 }
 		observations := map[string]observation{}
@@ -48,7 +48,7 @@
 			if total := server.successes + server.failures; total >= 1 {
 				observations[server.ID] = observation{server.failures / total, total}
 			}
-			server.successes, server.failures = server.successes*fade, server.failures*fade
+			server.successes, server.failures = server.successes*decay, server.failures*decay
 		}
 		c.mu.Unlock()
 		var failing []string // servers that fail for most of the instances that observed them
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -12,7 +12,7 @@
 	"portstall/internal/member"
 )
 
-// testMembers is the addresses and keys of instances that communicate with each other.
+// testMembers holds the addresses and keys of instances that communicate with each other.
 type testMembers struct {
 	dir               string
 	addrs, publicKeys []string
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -15,8 +15,8 @@
 
 var errNoCells = errors.New("no cells are configured")
 
-// maxLevels bounds the contracts that are reported, and with it the number of metric series: the first used ones in the
-// order of the file. Contracts left out are still counted.
+// maxLevels is the largest number of contracts that are reported, which also bounds the number of metric series: the
+// first used ones in the order of the file. The others are still counted.
 const maxLevels = 200
 
 // writeJSON writes a value, unless err is set.
@@ -83,7 +83,7 @@
 	return pages
 }
 
-// collector reads the ledger when metrics are collected, so that requests pay nothing for them.
+// collector reads the core's statistics when metrics are collected, so that they cost nothing per request.
 type collector struct{ node *node }
 
 var (
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,7 +35,7 @@
 const (
 	minSockets      = 64 // minimum file descriptors; with fewer a node cannot serve
 	reservedSockets = 24 // file descriptors for everything but clients and web servers, listed in descriptors_test.go
-	// transitAllowance is the time of the way to a client and back, which is taken off each request's time.
+	// transitAllowance is the time allowed for the way to a client and back; it is subtracted from each request's time.
 	transitAllowance = 10 * time.Millisecond
 	// acceptGrace is how long connections are still accepted after SIGTERM, and how long idle ones stay open in a
 	// drain: the front (the balancer ahead of this node) notices either only after a while.
@@ -73,16 +73,15 @@
 	serversByID     map[string]*webServer   // listed web servers by discovery's id
 	serversByAddr   map[string][]*webServer // listed web servers by address; several ids may share one
 	serversByNumber map[uint32]*webServer   // web servers by the policy's number, including removed ones until their drain grace is over
-	// The number that was given out last.
-	lastNumber  uint32
-	listVersion int64 // version of the latest server list
-	// Processes that were listed as gone, so that an older list does not bring them back.
+	lastNumber      uint32                  // the number that was assigned last
+	listVersion     int64                   // version of the latest server list
+	// Processes that were announced as removed, so that an older list does not bring them back.
 	removedServers  map[string]removedServer
 	cells           *cells             // nil: cells are not configured
 	checker         *healthChecker     // nil: no health checks; it has its own lock
 	memberTransport *member.Transport  // nil: no cluster membership
 	proxyRoutes     []config.ProxyRule // routes to web servers behind proxies; unchanged after the start
-	// Routes of tunnels where control supplies them, else nil. Changed in place under the lock, read without it as
+	// Routes of tunnels where control provides them, else nil. Changed in place under the lock, read without it as
 	// well.
 	tunnelRoutes *tunnel.Table
 	anyReady     bool // some listed web server is ready
@@ -188,11 +187,11 @@
 		removedServers: map[string]removedServer{}, overrides: operatorOverrides{disabled: map[string]bool{}, enabledAt: map[string]time.Duration{}}}
 	o := core.Options{Clock: cfg.newClock(), Sender: n, Discovery: n, Log: log, ClientRoundTrip: transitAllowance}
 	if cfg.Product != nil && cfg.Product.Cells != nil {
-		terms, err := cfg.Product.Cells.Settings()
+		cellSettings, err := cfg.Product.Cells.Settings()
 		if err != nil {
 			return nil, nil, fmt.Errorf("cells: %w", err)
 		}
-		n.cells = &cells{cell.NewPlacer(terms), n}
+		n.cells = &cells{cell.NewPlacer(cellSettings), n}
 		o.Cells = n.cells
 	}
 	var err error
@@ -277,25 +276,25 @@
 // serve serves clients on ln until ctx ends or a successor has taken over, and then until all accepted requests have
 // their final responses.
 func (n *node) serve(ctx context.Context, ln net.Listener) error {
-	d := newSharedListener(ln)
+	listener := newSharedListener(ln)
 	failed := make(chan error, 1)
-	go func() { failed <- n.clients.Accept(d) }()
-	n.acquireClients(d)
+	go func() { failed <- n.clients.Accept(listener) }()
+	n.acquireClients(listener)
 	defer n.handover.close()
 	for {
 		select {
 		case err := <-failed:
-			return fmt.Errorf("serve: %w", errors.Join(err, d.Close()))
+			return fmt.Errorf("serve: %w", errors.Join(err, listener.Close()))
 		case <-n.handover.phaseChanged:
 			if n.handover.currentPhase() != handover.Finishing {
 				continue
 			}
-			n.lifecycle.enter(relieved)
+			n.lifecycle.enter(replaced)
 			n.opaque.Drain(nil)
 			if n.finishForSuccessor(ctx) {
-				return n.stopAccepting(d, failed)
+				return n.stopAccepting(listener, failed)
 			}
-			n.lifecycle.endRelief()
+			n.lifecycle.endReplaced()
 		case <-ctx.Done():
 			n.lifecycle.enter(leaving)
 			n.handover.handle(func(m *handover.Machine, _ handover.Env) { m.Stop() })
@@ -304,7 +303,7 @@
 			// New connections keep arriving for a while, and clients use those that they have: each response now tells
 			// them to close, and only then is the listener closed.
 			time.Sleep(acceptGrace)
-			err := n.stopAccepting(d, failed)
+			err := n.stopAccepting(listener, failed)
 			n.waitForClients(context.Background())
 			return err
 		}
@@ -369,8 +368,8 @@
 
 // stopAccepting closes the listener and waits until Accept has returned: every connection that it accepted by then is
 // served.
-func (n *node) stopAccepting(d *sharedListener, failed <-chan error) error {
-	err := d.Close()
+func (n *node) stopAccepting(listener *sharedListener, failed <-chan error) error {
+	err := listener.Close()
 	if e := <-failed; !errors.Is(e, net.ErrClosed) {
 		err = errors.Join(err, e)
 	}
@@ -380,11 +379,11 @@
 // Server returns the web server with the given number. Server, Watch and Fetch make node a core.Discovery; the core's
 // lock is held.
 func (n *node) Server(number uint32) (any, bool) {
-	b := n.serversByNumber[number]
-	if b == nil {
+	server := n.serversByNumber[number]
+	if server == nil {
 		return nil, false
 	}
-	return b.Server, true
+	return server.Server, true
 }
 
 // Watch starts watching discovery unless a watch is running.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -222,7 +222,7 @@
 }
 
 // Guards against a false promise to the client: only if the attempt's outcome proves that the request did not run, or
-// it is safe, may the client be told to try again.
+// it is safe, may its response ask the client to retry.
 func TestAttemptOutcomeDecidesResponse(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -507,8 +507,8 @@
 func TestRetryAtSecondServerAfterRefusal(t *testing.T) {
 	t.Parallel()
 	full := newStubServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 503, "X-Not-Run: 1\r\n", "") })
-	healthy := newStubServer(t, respondOK)
-	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, full.entry("s-1"), healthy.entry("s-2"))
+	other := newStubServer(t, respondOK)
+	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, full.entry("s-1"), other.entry("s-2"))
 	c := node.dial(t)
 	for i := 0; i < 50 && len(full.requests()) == 0; i++ {
 		if resp, body := c.roundTrip(quote(fmt.Sprint(i))); resp.StatusCode != 200 || body != fmt.Sprint("done ", i) {
@@ -542,13 +542,13 @@
 	}
 }
 
-// Guards against work for a client that has disconnected: its attempt is cancelled.
+// Guards against work for a client that has disconnected: its attempt is canceled.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	server := newStubServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.Copy(io.Discard, c) // until the node closes the connection
-		close(gone)
+		close(closed)
 		return false
 	})
 	node := newTestNode(t, newStubDiscovery(t), settingsJSON, nil, server.entry("s-1"))
@@ -557,9 +557,9 @@
 	waitFor(t, "the request at the web server", func() bool { return len(server.requests()) == 1 })
 	c.Close()
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(testTimeout):
-		t.Fatal("the attempt was not cancelled")
+		t.Fatal("the attempt was not canceled")
 	}
 	waitFor(t, "the end of all open requests", func() bool {
 		node.core.Lock()
@@ -653,7 +653,7 @@
 
 // Guards against a watch that never ends after a reload with another discovery. The old one is left at once, and the
 // new one is asked for its full list: its versions are counted separately, so that a watch from the old one's version
-// would wait for ever.
+// would wait forever.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"push", "ask"} {
@@ -1077,7 +1077,7 @@
 	}
 }
 
-// Guards against local failures held against a web server: with no descriptor left, or once the attempt was cancelled,
+// Guards against local failures held against a web server: with no descriptor left, or once the attempt was canceled,
 // an attempt without a connection is no failure to connect.
 func TestLocalFailureIsNotCountedAgainstServer(t *testing.T) {
 	t.Parallel()
@@ -1093,7 +1093,7 @@
 	node.pool.Resize(100)
 	cancel(core.ErrCanceled)
 	if res := node.Attempt(ctx, a); res.Outcome != policy.Canceled {
-		t.Errorf("cancelled before it was sent: outcome %d, want Canceled", res.Outcome)
+		t.Errorf("canceled before it was sent: outcome %d, want Canceled", res.Outcome)
 	}
 	if n := len(server.requests()); n != 0 {
 		t.Errorf("the web server received %d requests, want none", n)
@@ -1124,7 +1124,7 @@
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[]},"settings":` +
 		settingsJSON + `}`
 	env := map[string]string{}
-	load := func(text string) (Config, error) {
+	loadText := func(text string) (Config, error) {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -1133,7 +1133,7 @@
 		return Load(func(name string) string { return env[name] })
 	}
 	env["GW_NAME"] = "n7"
-	cfg, err := load(good)
+	cfg, err := loadText(good)
 	if err != nil || cfg.Name != "n7" || cfg.Sockets != 1024 || cfg.Settings.ServerIdleTimeout != time.Minute {
 		t.Fatalf("a valid file: %+v, %v", cfg, err)
 	}
@@ -1152,7 +1152,7 @@
 		if !strings.Contains(good, c.old) {
 			t.Fatalf("%s is not in the file", c.old)
 		}
-		_, err := load(strings.Replace(good, c.old, c.new, 1))
+		_, err := loadText(strings.Replace(good, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line that names %s", c.new, err, c.want)
 		}
--- a/internal/node/opaque_tunnel_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -39,7 +39,6 @@
 	accepts atomic.Bool
 }
 
-// newEchoServer starts a server; serve replaces the echo where it is not nil.
 // newEchoServer starts a server; serve replaces the echo where it is not nil.
 func newEchoServer(t testing.TB, serve func(c net.Conn)) *echoServer {
 	t.Helper()
@@ -186,11 +185,11 @@
 					ahead = distinctBody(20 << 10)
 				}
 				for i := range 4 {
-					addr, message, length := socks, echoSOCKSOpening, echoSOCKSReplyLength
+					addr, opening, length := socks, echoSOCKSOpening, echoSOCKSReplyLength
 					if i%2 == 1 {
-						addr, message, length = connect, echoConnectOpening, 0
+						addr, opening, length = connect, echoConnectOpening, 0
 					}
-					c, reply := openTunnel(t, addr, message+ahead, length)
+					c, reply := openTunnel(t, addr, opening+ahead, length)
 					if ok := reply == "200" || reply == "\x05\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00"; ok != reachable {
 						t.Fatalf("tunnel %d: reply %q to the opening", i, reply)
 					}
@@ -406,7 +405,7 @@
 	node.pool.Resize(10)
 	cancel(core.ErrCanceled)
 	if res := node.opaque.Attempt(ctx, a); res.Outcome != policy.Canceled {
-		t.Errorf("cancelled: outcome %d, want Canceled", res.Outcome)
+		t.Errorf("canceled: outcome %d, want Canceled", res.Outcome)
 	}
 	if stream.Spent() {
 		t.Error("bytes of the client count as sent, though no connection was open")
--- a/internal/node/operation_test.go
+++ b/internal/node/operation_test.go
@@ -48,10 +48,10 @@
 		}
 	}
 	if err := node.Disable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknownServer) {
-		t.Errorf("Disable of an unknown id: %v, want ErrUnknown", err)
+		t.Errorf("Disable of an unknown id: %v, want ErrUnknownServer", err)
 	}
 	if err := node.Enable(ctx, "s-9"); !errors.Is(err, mgmt.ErrUnknownServer) {
-		t.Errorf("Enable of an unknown id: %v, want ErrUnknown", err)
+		t.Errorf("Enable of an unknown id: %v, want ErrUnknownServer", err)
 	}
 	must(t, node.Disable(ctx, "s-1"))
 	must(t, node.Disable(ctx, "s-1"))
@@ -94,7 +94,7 @@
 	node.core.Unlock()
 	must(t, node.Disable(context.Background(), "s-1"))
 	if n, err := back.NewGatedConn(conn, server, func() bool { return true }).Write([]byte("GET")); n != 0 || !errors.Is(err, back.ErrNoNewRequests) {
-		t.Errorf("wrote %d bytes after Disable, error %v; want none and ErrShut", n, err)
+		t.Errorf("wrote %d bytes after Disable, error %v; want none and ErrNoNewRequests", n, err)
 	}
 }
 
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -14,7 +14,7 @@
 // operatorOverrides records which web servers operators disabled, by discovery's IDs. It is separate from discovery's
 // list, which can neither undo nor forget an override.
 type operatorOverrides struct {
-	callMu    sync.Mutex               // held for the whole of a call, so that calls are carried out one after the other
+	callMu    sync.Mutex               // held during a call, so that calls are carried out one after the other
 	disabled  map[string]bool          // guarded by the core's lock
 	enabledAt map[string]time.Duration // when an ID was enabled again: its server counts as started then. Guarded by the core's lock
 }
@@ -93,15 +93,15 @@
 
 // reapply is called after each list that was passed to the policy: a disabled web server stays disabled under a new
 // number. The core's lock is held.
-func (h *operatorOverrides) reapply(n *node, now time.Duration) {
-	for id := range h.disabled {
+func (o *operatorOverrides) reapply(n *node, now time.Duration) {
+	for id := range o.disabled {
 		if server := n.serversByID[id]; server != nil {
 			n.core.Handle(&policy.Event{Kind: policy.EvDisable, Server: server.number})
 		}
 	}
-	for id, at := range h.enabledAt {
+	for id, at := range o.enabledAt {
 		if now-at > n.settings.Load().Policy.ColdFor {
-			delete(h.enabledAt, id)
+			delete(o.enabledAt, id)
 		}
 	}
 }
--- a/internal/node/persist.go
+++ b/internal/node/persist.go
@@ -75,15 +75,15 @@
 // persistNow stores the state at once, after an operator's call.
 func (n *node) persistNow() {
 	n.handover.mu.Lock()
-	var keeper *disk.Persister
+	var writer *disk.Persister
 	if n.handover.persister != nil {
-		keeper = n.handover.persister.writer
+		writer = n.handover.persister.writer
 	}
 	n.handover.mu.Unlock()
-	if keeper == nil {
+	if writer == nil {
 		return
 	}
-	if err := keeper.WriteNow(persistTimeout); err != nil {
+	if err := writer.WriteNow(persistTimeout); err != nil {
 		n.log.Warn("the call took effect, but may not have reached the disk", "err", errors.Unwrap(err))
 	}
 }
--- a/internal/node/robustness_test.go
+++ b/internal/node/robustness_test.go
@@ -441,7 +441,7 @@
 	}
 }
 
-// Guards against a process that does not end: one that a successor has relieved and that gets SIGTERM ends, also when
+// Guards against a process that does not end: one that a successor has replaced ends on SIGTERM, also when
 // its successor exits before it has finished.
 func TestRelievedProcessEndsOnSIGTERM(t *testing.T) {
 	t.Parallel()
@@ -453,7 +453,7 @@
 	busy.send(view("slow").text())
 	waitFor(t, "the request at the server", func() bool { return len(server.requests()) == 1 })
 	successor := startSuccessor(t, old.requestHandover(t), discoveryStub, settingsJSON)
-	waitFor(t, "the predecessor to be relieved", func() bool { return old.lifecycle.current() == relieved })
+	waitFor(t, "the predecessor to be replaced", func() bool { return old.lifecycle.current() == replaced })
 	old.terminate()
 	waitFor(t, "the predecessor to be leaving", func() bool { return old.lifecycle.current() == leaving })
 	successor.terminate()
@@ -512,7 +512,7 @@
 			if c.ready {
 				offer.peer.Send(handover.Ready, 0, nil)
 				if what := receive(t, "the predecessor's message", successor.messages); what != handover.Transfer {
-					t.Fatalf("received message %d, want Yours", what)
+					t.Fatalf("received message %d, want Transfer", what)
 				}
 			}
 			if c.serves {
@@ -525,7 +525,7 @@
 				}
 				must(t, token.SetNumber(number+1))
 				offer.peer.Send(handover.Serving, 0, nil)
-				waitFor(t, "the predecessor to be relieved", func() bool { return old.handover.currentPhase() == handover.Finishing })
+				waitFor(t, "the predecessor to be replaced", func() bool { return old.handover.currentPhase() == handover.Finishing })
 			}
 			if c.ends {
 				if token != nil {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -251,12 +251,12 @@
 		rules.ended(id, index, "truncated before its last byte", true)
 		return false
 	}
-	gone := make(chan struct{}) // closed when the node closes the connection
-	looked := make(chan struct{})
+	closedByNode := make(chan struct{}) // closed when the node closes the connection
+	peeked := make(chan struct{})
 	go func() {
-		defer close(looked)
+		defer close(peeked)
 		if _, err := in.Peek(1); err != nil {
-			close(gone)
+			close(closedByNode)
 		}
 	}()
 	hold := func(here stage) bool {
@@ -264,7 +264,7 @@
 		if c.stopsAt(here, id) {
 			select {
 			case <-c.released:
-			case <-gone:
+			case <-closedByNode:
 				return false
 			}
 		}
@@ -286,7 +286,7 @@
 	switch behavior(s.behavior.Load()) {
 	case staySilent:
 		select {
-		case <-gone:
+		case <-closedByNode:
 		case <-c.finished:
 		}
 		rules.ended(id, index, "never responded to", false)
@@ -298,7 +298,7 @@
 	case sendMalformed:
 		rules.ended(id, index, "malformed", false)
 		io.WriteString(conn, "HTP/9 \x00 noise\r\n\r\n")
-		<-looked
+		<-peeked
 		return false
 	case sendBadReport:
 		headers = "X-Load: {\"queue\": \"many\"}\r\n"
@@ -311,9 +311,9 @@
 	} else if !writeResponse(conn, 200, headers, string(body)) {
 		return false
 	}
-	<-looked
+	<-peeked
 	select {
-	case <-gone:
+	case <-closedByNode:
 		return false
 	default:
 		return true
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,12 +11,12 @@
 	"portstall/policy"
 )
 
-// previousSettingsGrace is how long after a reload a request may still carry the effects of the previous settings: clients
+// previousSettingsGrace is how long after a reload a request may still fit the effects of the previous settings: clients
 // learn of new settings at different times.
 const previousSettingsGrace = 2 * time.Second
 
-// settings is the part of a configuration that can change while the node serves. It is immutable: a reload replaces it
-// as a whole.
+// settings is the part of a configuration that can change while the node serves. It is immutable: a reload replaces all
+// of it.
 type settings struct {
 	wire.Settings
 	effects         map[string]policy.Effect // effects by class
@@ -106,7 +106,7 @@
 	if err != nil {
 		return fmt.Errorf("contracts: %w", err)
 	}
-	terms, err := n.cellTerms(cfg)
+	cellSettings, err := n.cellSettings(cfg)
 	if err != nil {
 		return err
 	}
@@ -130,9 +130,9 @@
 	}
 	if n.cells != nil {
 		if follower != nil {
-			terms.Tenants = n.cells.Tenants() // control owns the pinned tenants
+			cellSettings.Tenants = n.cells.Tenants() // control owns the pinned tenants
 		}
-		n.cells.Reconfigure(terms)
+		n.cells.Reconfigure(cellSettings)
 	}
 	n.applySettings(cfg.Settings)
 	if follower != nil {
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -25,9 +25,9 @@
 		number uint32
 	}
 	rows := make([]row, 0, len(n.serversByID))
-	for _, b := range n.serversByID {
-		if !b.removed {
-			rows = append(rows, row{b.listEntry, b.Addr, b.number})
+	for _, listed := range n.serversByID {
+		if !listed.removed {
+			rows = append(rows, row{listed.listEntry, listed.Addr, listed.number})
 		}
 	}
 	last := n.lastNumber
@@ -106,16 +106,16 @@
 	if s.Drained {
 		n.lifecycle.enter(drained)
 	}
-	l := serverList{Version: s.ListVersion, Full: true}
+	list := serverList{Version: s.ListVersion, Full: true}
 	for _, server := range s.Servers {
-		l.Servers = append(l.Servers, serverEntry{ID: server.ID, Addr: server.Addr, Zone: server.Zone, Kind: server.ServerType, Cell: server.Cell, State: server.State, StartedMS: server.StartedMS})
+		list.Servers = append(list.Servers, serverEntry{ID: server.ID, Addr: server.Addr, Zone: server.Zone, Kind: server.ServerType, Cell: server.Cell, State: server.State, StartedMS: server.StartedMS})
 	}
-	if len(l.Servers) > 0 {
+	if len(list.Servers) > 0 {
 		n.discovery.fullListPending = s.Fleet != n.fleetName() // the versions are not this discovery's
-		n.applyList(&l, policy.ListCached)
+		n.applyList(&list, policy.ListCached)
 	}
-	for _, b := range n.serversByID { // servers that were listed before keep their gates; nothing is being written yet
-		b.Gate.SetClosed(n.outOfService(b.ID, b.number))
+	for _, server := range n.serversByID { // servers that were listed before keep their gates; nothing is being written yet
+		server.Gate.SetClosed(n.outOfService(server.ID, server.number))
 	}
 	n.overrides.reapply(n, n.core.Now())
 	n.adoptRuntimeState(s, from)
@@ -133,16 +133,16 @@
 
 // mergeStoredServers returns this process's server list, with the learned statistics from a stored one. The core's lock
 // is held.
-func (n *node) mergeStoredServers(old []state.Server) []state.Server {
+func (n *node) mergeStoredServers(storedServers []state.Server) []state.Server {
 	learned := map[string]*state.Server{}
-	for i := range old {
-		learned[old[i].ID] = &old[i]
+	for i := range storedServers {
+		learned[storedServers[i].ID] = &storedServers[i]
 	}
 	var all []state.Server
-	for _, b := range n.serversByID {
-		server := b.listEntry.storedServer(b.Addr)
-		if o := learned[b.ID]; o != nil && o.StartedMS == server.StartedMS && o.Addr == server.Addr {
-			server.Stats = o.Stats
+	for _, listed := range n.serversByID {
+		server := listed.listEntry.storedServer(listed.Addr)
+		if stored := learned[listed.ID]; stored != nil && stored.StartedMS == server.StartedMS && stored.Addr == server.Addr {
+			server.Stats = stored.Stats
 		}
 		all = append(all, server)
 	}
@@ -153,12 +153,12 @@
 // that are open at the other process. The core's lock is held.
 func (n *node) adoptRuntimeState(s *state.Snapshot, from handover.Peer) {
 	n.core.Adopt(s.LearnedState(func(server *state.Server) (uint32, time.Duration, bool) {
-		b := n.serversByID[server.ID]
-		if b == nil || b.startedMS != server.StartedMS || b.Addr != server.Addr {
+		listed := n.serversByID[server.ID]
+		if listed == nil || listed.startedMS != server.StartedMS || listed.Addr != server.Addr {
 			return 0, 0, false
 		}
 		// The policy compares the start time with the one that it knows.
-		return b.number, max(time.Duration(min(server.StartedMS, maxStartedMS))*time.Millisecond, n.overrides.enabledAt[server.ID]), true
+		return listed.number, max(time.Duration(min(server.StartedMS, maxStartedMS))*time.Millisecond, n.overrides.enabledAt[server.ID]), true
 	}))
 	n.core.AdoptContractStates(s.Contracts, s.Exact)
 	if n.cells != nil {
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -19,25 +19,25 @@
 func TestListWithinTenSecondsOfStart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name   string
-		down   time.Duration
-		refuse int           // number of calls that are refused
-		behind time.Duration // time in discovery's queue before the reply
+		name      string
+		down      time.Duration
+		refusals  int           // number of calls that are refused
+		queueTime time.Duration // time in discovery's queue before the reply
 	}{
 		{name: "discovery down for 8 s", down: 8 * time.Second},
-		{name: "five refusals at once", refuse: 5, behind: ms(1)},
-		{name: "two refusals after 2.4 s in the queue", refuse: 2, behind: ms(2400)},
-		{name: "discovery down for 8 s, then 0.5 s in the queue", down: 8 * time.Second, behind: ms(500)},
+		{name: "five refusals at once", refusals: 5, queueTime: ms(1)},
+		{name: "two refusals after 2.4 s in the queue", refusals: 2, queueTime: ms(2400)},
+		{name: "discovery down for 8 s, then 0.5 s in the queue", down: 8 * time.Second, queueTime: ms(500)},
 	} {
 		delays := make([]time.Duration, 1000)
 		for seed := range delays {
 			s := deployment{roundTime: ms(20), queueTimeout: ms(2400), grace: ms(500)}
 			s.script = func(h *discoveryModel, a *modelCall, nth int) bool {
 				switch {
-				case nth <= c.refuse:
-					h.schedule(h.now+c.behind, func() { h.reject(a) })
-				case c.refuse == 0 && c.behind > 0:
-					h.schedule(h.now+c.behind, func() { h.handle(a) })
+				case nth <= c.refusals:
+					h.schedule(h.now+c.queueTime, func() { h.reject(a) })
+				case c.refusals == 0 && c.queueTime > 0:
+					h.schedule(h.now+c.queueTime, func() { h.handle(a) })
 				default:
 					return false
 				}
@@ -62,10 +62,10 @@
 // while others are served. A node that already knows a list is ready before.
 func TestFleetStartWithOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
-	for _, all := range []time.Duration{ms(5200), ms(7900)} {
+	for _, roundTime := range []time.Duration{ms(5200), ms(7900)} {
 		for _, down := range []time.Duration{0, 8 * time.Second} {
 			for _, seed := range []uint64{1, 2} {
-				s := deployment{roundTime: all * 210 / fleetSize, queueTimeout: time.Second, maxQueued: 60, freeRewatch: true, grace: ms(500)}
+				s := deployment{roundTime: roundTime * 210 / fleetSize, queueTimeout: time.Second, maxQueued: 60, freeRewatch: true, grace: ms(500)}
 				d := scenario{length: 40 * time.Second, startSpread: ms(200), outage: interval{0, down}, changes: []time.Duration{1}}
 				h := simulate(s, d, 210, seed, newAskSchedule)
 				delays := make([]time.Duration, 0, len(h.nodes))
@@ -76,8 +76,8 @@
 					delays = append(delays, n.firstListAt)
 				}
 				slices.Sort(delays)
-				if maxDelay := down + all*210/fleetSize + 4*time.Second; delays[len(delays)-1] > maxDelay || h.maxRejectedInRow > 10 {
-					t.Errorf("discovery needs %v for all nodes, down for %v, seed %d: the last list arrived at %v, want it within %v; %d refusals in a row, want at most 10", all, down, seed,
+				if maxDelay := down + roundTime*210/fleetSize + 4*time.Second; delays[len(delays)-1] > maxDelay || h.maxRejectedInRow > 10 {
+					t.Errorf("discovery needs %v for all nodes, down for %v, seed %d: the last list arrived at %v, want it within %v; %d refusals in a row, want at most 10", roundTime, down, seed,
 						delays[len(delays)-1], maxDelay, h.maxRejectedInRow)
 				}
 				prompt := 0
@@ -85,10 +85,10 @@
 					prompt++
 				}
 				if down == 0 && prompt < len(delays)*9/10 {
-					t.Errorf("discovery needs %v for all nodes, seed %d: %d of %d nodes have a list within %v, want nine in ten", all, seed, prompt, len(delays), readyWithin)
+					t.Errorf("discovery needs %v for all nodes, seed %d: %d of %d nodes have a list within %v, want nine in ten", roundTime, seed, prompt, len(delays), readyWithin)
 				}
 				t.Logf("discovery needs %v for all nodes, down for %v, seed %d: %d of %d nodes have a list within %v, nine in ten after %v, all after %v; %v",
-					all, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], h.results)
+					roundTime, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], h.results)
 			}
 		}
 	}
--- a/internal/node/stub_control_test.go
+++ b/internal/node/stub_control_test.go
@@ -30,11 +30,11 @@
 }
 
 // change puts and removes resources as the next version, and returns that version.
-func (d *stubControl) change(put []resource.Resource, gone ...resource.Key) resource.Version {
-	d.t.Helper()
-	v, err := d.ApplyChange(put, gone...)
+func (s *stubControl) change(put []resource.Resource, gone ...resource.Key) resource.Version {
+	s.t.Helper()
+	v, err := s.ApplyChange(put, gone...)
 	if err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return v
 }
@@ -77,7 +77,7 @@
 	return newControlledSuccessor(t, nil, control, discovery, product, more, known...)
 }
 
-// newControlledSuccessor starts a node like newControlledNode's, with the state that a predecessor handed over; nil: none.
+// newControlledSuccessor starts a node like newControlledNode does, with a predecessor's state; old may be nil.
 func newControlledSuccessor(t testing.TB, old *handedState, control *stubControl, discovery *stubDiscovery, product string, more func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
 	file := withProductFile(t, product+fmt.Sprintf("control: {addresses: [%q]}\n", control.Addr))
@@ -106,19 +106,19 @@
 	return node
 }
 
-// startPredecessor starts a node that follows control, and returns once it is ready. startSuccessor starts a process
-// that takes the clients over from it, and returns once that is ready; the predecessor finishes what it has accepted.
-func startPredecessor(t testing.TB, control *stubControl, discovery *stubDiscovery, server *stubServer) (node *testNode, startSuccessor func() *testNode) {
+// startPredecessor starts a node that follows control, and returns once it is ready. handOver starts a successor of it,
+// and returns once that is ready; the predecessor finishes what it has accepted.
+func startPredecessor(t testing.TB, control *stubControl, discovery *stubDiscovery, server *stubServer) (node *testNode, handOver func() *testNode) {
 	t.Helper()
 	path := newSocketPath(t)
-	meets := func(c *Config) { c.upgradeSocket = path }
-	node = newControlledNode(t, control, discovery, "", meets, server.entry("s-1"))
+	withSocket := func(c *Config) { c.upgradeSocket = path }
+	node = newControlledNode(t, control, discovery, "", withSocket, server.entry("s-1"))
 	waitFor(t, "the predecessor", func() bool { return node.Ready() == nil })
 	return node, func() *testNode {
 		t.Helper()
 		successor := newControlledSuccessor(t, node.requestHandover(t).handedState, control, discovery, "", func(c *Config) {
 			withTestTimeouts(c)
-			meets(c)
+			withSocket(c)
 		}, server.entry("s-1"))
 		waitFor(t, "the successor", func() bool { return successor.Ready() == nil })
 		return successor
@@ -126,8 +126,8 @@
 }
 
 // versionInForce returns the version of control's configuration in force at the node.
-func (r *testNode) versionInForce() resource.Version {
-	follower := r.cfg.follower
+func (n *testNode) versionInForce() resource.Version {
+	follower := n.cfg.follower
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
 	return follower.set.Version()
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -255,7 +255,7 @@
 	return newSuccessorNode(t, nil, discoveryStub, settings, change, known...)
 }
 
-// newSuccessorNode starts a node that takes over with the state of another one.
+// newSuccessorNode starts a node with the state of a predecessor; old may be nil.
 func newSuccessorNode(t testing.TB, old *handedState, discoveryStub *stubDiscovery, settings string, change func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
@@ -330,7 +330,7 @@
 		}
 		n.handover.LockToken()
 		n.handover.mu.Unlock()
-		go n.retryHandover() // as acquireClients does: a token that is released shortly after the notice of its holder's end is acquired by a later try
+		go n.retryHandover() // as acquireClients does: a token that is released shortly after the notice of its holder's end is acquired by a later retry
 	}
 	waitFor(t, "the predecessor to be ready", func() bool { return n.Ready() == nil })
 	old, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
--- a/internal/node/tunnel.go
+++ b/internal/node/tunnel.go
@@ -42,7 +42,7 @@
 	n.core.Go(func() {
 		select {
 		case <-ctx.Done():
-		case <-n.handover.relieved:
+		case <-n.handover.replaced:
 			cancel()
 		}
 	})
--- a/internal/node/tunnel_test.go
+++ b/internal/node/tunnel_test.go
@@ -48,15 +48,15 @@
 	return node, socks, connect
 }
 
-// openTunnel asks for a tunnel and returns the connection and the reply: with a replyLength so many bytes, without the
+// openTunnel asks for a tunnel and returns the connection and the reply: replyLength bytes, or, where that is 0, the
 // status of an HTTP response.
-func openTunnel(t *testing.T, addr, message string, replyLength int) (*client, string) {
+func openTunnel(t *testing.T, addr, opening string, replyLength int) (*client, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	must(t, err)
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testTimeout))
-	_, err = io.WriteString(c, message)
+	_, err = io.WriteString(c, opening)
 	must(t, err)
 	in := bufio.NewReader(c)
 	if replyLength > 0 {
