--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -227,14 +227,14 @@
 		t.Errorf("the request after 100 Continue: status %d, want 200", resp.StatusCode)
 	}
 	q.id = "left"
-	leaver := node.dial(t)
-	leaver.send(q.text()[:100<<10])
+	disconnecting := node.dial(t)
+	disconnecting.send(q.text()[:100<<10])
 	waitFor(t, "the unfinished request to be open", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
 		return node.core.OpenRequests()["left"] > 0
 	})
-	leaver.Close()
+	disconnecting.Close()
 	waitFor(t, "the end of the unfinished request", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -48,9 +48,9 @@
 // waits, and so do others after it. The returned function releases it.
 func (n *testNode) fillBodyBudget(t *testing.T) (release func()) {
 	t.Helper()
-	taken := n.cfg.maxBodyBytes()/2 - flow.MaxUncounted
-	must(t, n.budget.AcquireRequest(context.Background(), taken))
-	return func() { n.budget.ReleaseRequest(taken) }
+	held := n.cfg.maxBodyBytes()/2 - flow.MaxUncounted
+	must(t, n.budget.AcquireRequest(context.Background(), held))
+	return func() { n.budget.ReleaseRequest(held) }
 }
 
 // waitForBodyWaiter returns once a body waits for the budget.
--- a/internal/node/control_serve_test.go
+++ b/internal/node/control_serve_test.go
@@ -27,15 +27,15 @@
 
 func startControlProcess(t *testing.T, text string) *controlProcess {
 	t.Helper()
-	w := &controlProcess{t: t, path: filepath.Join(t.TempDir(), "all.yaml"), reload: make(chan struct{})}
-	must(t, os.WriteFile(w.path, []byte(text), 0o600))
+	p := &controlProcess{t: t, path: filepath.Join(t.TempDir(), "all.yaml"), reload: make(chan struct{})}
+	must(t, os.WriteFile(p.path, []byte(text), 0o600))
 	ln, err := standin.Listen()
 	must(t, err)
-	w.addr = ln.Addr().String()
+	p.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- control.Serve(ctx, control.ServeOptions{Listener: ln, Name: "c0", Files: w.path, Reload: w.reload, Log: slog.New(slog.DiscardHandler)})
+		done <- control.Serve(ctx, control.ServeOptions{Listener: ln, Name: "c0", Files: p.path, Reload: p.reload, Log: slog.New(slog.DiscardHandler)})
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -43,29 +43,29 @@
 			t.Errorf("control: %v", err)
 		}
 	})
-	return w
+	return p
 }
 
 // change replaces the file, has control read it, and returns the resulting version.
-func (w *controlProcess) change(text string) (version string) {
-	w.t.Helper()
-	before := w.status().Version
-	must(w.t, os.WriteFile(w.path+".new", []byte(text), 0o600))
-	must(w.t, os.Rename(w.path+".new", w.path))
+func (p *controlProcess) change(text string) (version string) {
+	p.t.Helper()
+	before := p.status().Version
+	must(p.t, os.WriteFile(p.path+".new", []byte(text), 0o600))
+	must(p.t, os.Rename(p.path+".new", p.path))
 	select {
-	case w.reload <- struct{}{}:
+	case p.reload <- struct{}{}:
 	case <-time.After(testTimeout):
-		w.t.Fatal("control does not read its file again")
+		p.t.Fatal("control does not read its file again")
 	}
-	waitFor(w.t, "control's next version", func() bool {
-		version = w.status().Version
+	waitFor(p.t, "control's next version", func() bool {
+		version = p.status().Version
 		return version != before
 	})
 	return version
 }
 
 // status returns control's status for operators.
-func (w *controlProcess) status() (s struct {
+func (p *controlProcess) status() (s struct {
 	Version  string `json:"version"`
 	Callers  int    `json:"callers"`
 	Watches  int    `json:"watches"`
@@ -74,11 +74,11 @@
 		Why  string `json:"why"`
 	} `json:"refusals"`
 }) {
-	w.t.Helper()
-	resp, err := http.Get("http://" + w.addr + "/v1/status")
-	must(w.t, err)
+	p.t.Helper()
+	resp, err := http.Get("http://" + p.addr + "/v1/status")
+	must(p.t, err)
 	defer resp.Body.Close()
-	must(w.t, json.NewDecoder(resp.Body).Decode(&s))
+	must(p.t, json.NewDecoder(resp.Body).Decode(&s))
 	return s
 }
 
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -353,10 +353,10 @@
 	t.Parallel()
 	ahead := uint64(time.Now().Add(48 * time.Hour).UnixMilli())
 	for _, test := range []struct {
-		name string
-		say  func(control *stubControl, v resource.Version) http.HandlerFunc
-		ends bool               // the response ends by the limit on its body, which the test lets expire
-		kind follow.FailureKind // the kind of failure that is counted; empty: none
+		name     string
+		response func(control *stubControl, v resource.Version) http.HandlerFunc
+		expires  bool               // the response ends by the limit on its body, which the test lets expire
+		kind     follow.FailureKind // the kind of failure that is counted; empty: none
 	}{
 		{"a response that never ends", func(control *stubControl, v resource.Version) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
@@ -431,14 +431,14 @@
 			waitFor(t, "the watch", func() bool { return control.CallCount() > calls || control.CallCount() > 1 })
 			calls = control.CallCount()
 			begun := make(chan struct{})
-			respond := test.say(control, before)
+			respond := test.response(control, before)
 			timers := clock.count()
 			control.RespondOnce(func(w http.ResponseWriter, r *http.Request) {
 				close(begun)
 				respond(w, r)
 			})
 			receive(t, "a call with this response", begun)
-			if test.ends {
+			if test.expires {
 				waitFor(t, "the beginning of the response", func() bool { return clock.count() > timers })
 				clock.expire()
 			}
@@ -468,28 +468,28 @@
 	pending []func()
 }
 
-func (p *expiringClock) AfterFunc(d time.Duration, f func()) {
+func (c *expiringClock) AfterFunc(d time.Duration, f func()) {
 	if d >= 2*time.Second {
-		p.mu.Lock()
-		p.pending = append(p.pending, f)
-		p.mu.Unlock()
+		c.mu.Lock()
+		c.pending = append(c.pending, f)
+		c.mu.Unlock()
 	}
-	p.Clock.AfterFunc(d, f)
+	c.Clock.AfterFunc(d, f)
 }
 
 // count returns the number of timers that are pending, or were until expire.
-func (p *expiringClock) count() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.pending)
+func (c *expiringClock) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.pending)
 }
 
 // expire lets the pending timers fire.
-func (p *expiringClock) expire() {
-	p.mu.Lock()
-	all := p.pending
-	p.pending = nil
-	p.mu.Unlock()
+func (c *expiringClock) expire() {
+	c.mu.Lock()
+	all := c.pending
+	c.pending = nil
+	c.mu.Unlock()
 	for _, f := range all {
 		f()
 	}
--- a/internal/node/discovery_calls_test.go
+++ b/internal/node/discovery_calls_test.go
@@ -24,8 +24,8 @@
 
 const clockSpeed = 20
 
-func (h fastClock) Now() time.Duration {
-	return time.Duration(h.start.UnixNano()) + clockSpeed*time.Since(h.start)
+func (c fastClock) Now() time.Duration {
+	return time.Duration(c.start.UnixNano()) + clockSpeed*time.Since(c.start)
 }
 
 func (fastClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d/clockSpeed, f) }
--- a/internal/node/discovery_model_test.go
+++ b/internal/node/discovery_model_test.go
@@ -28,13 +28,13 @@
 // watch waits 8 to 24 s, and a failure is left to the policy unless a fresh list is due.
 type formerSchedule struct{ grace, listDue, delay time.Duration }
 
-func (r *formerSchedule) reset() { *r = formerSchedule{grace: r.grace} }
-func (r *formerSchedule) requireFresh(announced time.Duration) {
-	r.listDue = max(r.listDue, announced+r.grace)
+func (s *formerSchedule) reset() { *s = formerSchedule{grace: s.grace} }
+func (s *formerSchedule) requireFresh(announced time.Duration) {
+	s.listDue = max(s.listDue, announced+s.grace)
 }
-func (r *formerSchedule) callStarted(time.Duration)         {}
-func (r *formerSchedule) callSucceeded(time.Duration, bool) { r.listDue, r.delay = 0, 0 }
-func (r *formerSchedule) callTimes(full bool, random float64) (wait, limit time.Duration) {
+func (s *formerSchedule) callStarted(time.Duration)         {}
+func (s *formerSchedule) callSucceeded(time.Duration, bool) { s.listDue, s.delay = 0, 0 }
+func (s *formerSchedule) callTimes(full bool, random float64) (wait, limit time.Duration) {
 	if full {
 		return 0, fetchTimeout
 	}
@@ -42,19 +42,19 @@
 	return wait, wait + 400*time.Millisecond
 }
 
-func (r *formerSchedule) callFailed(now, waitEnd time.Duration, failure callFailure, random float64) (time.Duration, bool) {
+func (s *formerSchedule) callFailed(now, waitEnd time.Duration, failure callFailure, random float64) (time.Duration, bool) {
 	if failure == callTimeout {
-		r.requireFresh(waitEnd + 2*time.Second)
+		s.requireFresh(waitEnd + 2*time.Second)
 	}
 	switch {
-	case now >= r.listDue:
+	case now >= s.listDue:
 		return 0, false
-	case failure == callTimeout && r.delay == 0:
-		r.delay = minBackoff
+	case failure == callTimeout && s.delay == 0:
+		s.delay = minBackoff
 		return 0, true
 	}
-	r.delay = min(max(2*r.delay, minBackoff), max(minBackoff, min(r.grace/4, maxBackoff)))
-	return time.Duration(float64(r.delay) * (0.5 + random)), true
+	s.delay = min(max(2*s.delay, minBackoff), max(minBackoff, min(s.grace/4, maxBackoff)))
+	return time.Duration(float64(s.delay) * (0.5 + random)), true
 }
 
 // deployment is the discovery of a deployment, and the settings of its nodes.
@@ -67,7 +67,7 @@
 	push         bool          // lists are pushed
 
 	// script takes a call, given its number at this discovery; where it returns false the call is handled as usual.
-	script func(h *discoveryModel, a *modelCall, nth int) bool
+	script func(model *discoveryModel, call *modelCall, nth int) bool
 	// announceDelay makes nodes ask for the complete list first, which is due this long after their start; 0: they
 	// watch at once.
 	announceDelay time.Duration
@@ -76,7 +76,7 @@
 // interval is a part of a scenario.
 type interval struct{ from, to time.Duration }
 
-func (s interval) contains(t time.Duration) bool { return t >= s.from && t < s.to }
+func (i interval) contains(t time.Duration) bool { return t >= i.from && t < i.to }
 
 // scenario is the course of a simulation; times count from its start.
 type scenario struct {
@@ -104,10 +104,10 @@
 	seconds                      float64
 }
 
-func (f results) String() string {
+func (r results) String() string {
 	return fmt.Sprintf("%.1f calls/s, queue %d, handled after %.2f s, rejected %.2f%%, in a row %d, asked within %.2f s, "+
-		"blind for %.2f s (%d nodes too long), %d slowed", float64(f.calls)/f.seconds, f.maxQueue, f.maxQueueTime.Seconds(),
-		100*float64(f.rejected)/float64(max(f.calls, 1)), f.maxRejectedInRow, f.maxNoContact.Seconds(), f.maxBlind.Seconds(), f.blindNodes, f.slowedNodes)
+		"blind for %.2f s (%d nodes too long), %d slowed", float64(r.calls)/r.seconds, r.maxQueue, r.maxQueueTime.Seconds(),
+		100*float64(r.rejected)/float64(max(r.calls, 1)), r.maxRejectedInRow, r.maxNoContact.Seconds(), r.maxBlind.Seconds(), r.blindNodes, r.slowedNodes)
 }
 
 // event is an entry of the simulation's queue.
@@ -120,16 +120,16 @@
 // eventQueue implements heap.Interface, ordered by time and then by insertion.
 type eventQueue []simulationEvent
 
-func (m eventQueue) Len() int { return len(m) }
-func (m eventQueue) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *eventQueue) Push(x any)   { *m = append(*m, x.(simulationEvent)) }
-func (m *eventQueue) Pop() any {
-	old := *m
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulationEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*m = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -183,60 +183,60 @@
 }
 
 // schedule runs a function at a time.
-func (h *discoveryModel) schedule(t time.Duration, run func()) {
-	h.seq++
-	heap.Push(&h.events, simulationEvent{t, h.seq, run})
+func (m *discoveryModel) schedule(t time.Duration, run func()) {
+	m.seq++
+	heap.Push(&m.events, simulationEvent{t, m.seq, run})
 }
 
 // reachableSince returns since when a node can reach discovery, or false where it can't.
-func (h *discoveryModel) reachableSince(n *modelNode) (since time.Duration, ok bool) {
-	if h.outage.contains(h.now) || n.index < h.partitionedNodes && h.partition.contains(h.now) {
+func (m *discoveryModel) reachableSince(n *modelNode) (since time.Duration, ok bool) {
+	if m.outage.contains(m.now) || n.index < m.partitionedNodes && m.partition.contains(m.now) {
 		return 0, false
 	}
-	if h.now >= h.outage.to {
-		since = h.outage.to
+	if m.now >= m.outage.to {
+		since = m.outage.to
 	}
-	if n.index < h.partitionedNodes && h.now >= h.partition.to {
-		since = max(since, h.partition.to)
+	if n.index < m.partitionedNodes && m.now >= m.partition.to {
+		since = max(since, m.partition.to)
 	}
 	return since, true
 }
 
 // recordContact measures how long a node has gone without asking, and without a fresh list. sees is whether it has one,
 // or a working watch, from now on.
-func (h *discoveryModel) recordContact(n *modelNode, sees bool) {
-	if since, ok := h.reachableSince(n); ok && h.now >= h.measureFrom {
-		since = max(since, h.measureFrom)
-		h.maxNoContact = max(h.maxNoContact, h.now-max(since, n.lastContact))
+func (m *discoveryModel) recordContact(n *modelNode, sees bool) {
+	if since, ok := m.reachableSince(n); ok && m.now >= m.measureFrom {
+		since = max(since, m.measureFrom)
+		m.maxNoContact = max(m.maxNoContact, m.now-max(since, n.lastContact))
 		if n.blindSince >= 0 {
-			blind := h.now - max(since, n.blindSince)
-			h.maxBlind = max(h.maxBlind, blind)
-			n.wasBlindTooLong = n.wasBlindTooLong || blind > maxAnnounceDelay+h.grace
+			blind := m.now - max(since, n.blindSince)
+			m.maxBlind = max(m.maxBlind, blind)
+			n.wasBlindTooLong = n.wasBlindTooLong || blind > maxAnnounceDelay+m.grace
 		}
 	}
-	n.lastContact = h.now
+	n.lastContact = m.now
 	switch {
 	case sees:
 		n.blindSince = -1
 	case n.blindSince < 0:
-		n.blindSince = h.now
+		n.blindSince = m.now
 	}
 }
 
 // simulate runs a scenario with a number of nodes.
 func simulate(setup deployment, course scenario, count int, seed uint64, newSchedule func(grace time.Duration) scheduler) *discoveryModel {
-	h := &discoveryModel{deployment: setup, scenario: course, rng: rand.New(rand.NewPCG(seed, 31))}
+	m := &discoveryModel{deployment: setup, scenario: course, rng: rand.New(rand.NewPCG(seed, 31))}
 	for i := range count {
 		set := policy.Settings{Nodes: count, MaxAttempts: 1, MustAsk: !setup.push, MustAskIn: 10 * time.Second,
 			Classes: []policy.Class{{Name: "a", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}}
-		balancer, err := policy.New(set, h.rng.Uint64())
+		balancer, err := policy.New(set, m.rng.Uint64())
 		if err != nil {
 			panic(err)
 		}
-		n := &modelNode{model: h, schedule: newSchedule(setup.grace), policy: balancer, index: i, fullListPending: setup.announceDelay > 0, firstListAt: -1}
-		h.nodes = append(h.nodes, n)
-		h.schedule(time.Duration(h.rng.Float64()*float64(course.startSpread)), func() {
-			n.lastContact, n.blindSince = h.now, h.now
+		n := &modelNode{model: m, schedule: newSchedule(setup.grace), policy: balancer, index: i, fullListPending: setup.announceDelay > 0, firstListAt: -1}
+		m.nodes = append(m.nodes, n)
+		m.schedule(time.Duration(m.rng.Float64()*float64(course.startSpread)), func() {
+			n.lastContact, n.blindSince = m.now, m.now
 			if setup.push || setup.announceDelay > 0 {
 				n.watch()
 			}
@@ -244,37 +244,37 @@
 		})
 	}
 	for _, t := range course.changes {
-		h.schedule(t, h.publishChange)
+		m.schedule(t, m.publishChange)
 	}
 	if course.silentAt > 0 {
-		h.schedule(course.silentAt, func() { h.silence(func(*modelNode) bool { return true }) })
+		m.schedule(course.silentAt, func() { m.silence(func(*modelNode) bool { return true }) })
 	}
 	if course.outage.to > 0 {
-		h.schedule(course.outage.from, h.goDown)
+		m.schedule(course.outage.from, m.goDown)
 	}
 	if course.partition.to > 0 {
-		h.schedule(course.partition.from, func() { h.silence(func(n *modelNode) bool { return n.index < course.partitionedNodes }) })
+		m.schedule(course.partition.from, func() { m.silence(func(n *modelNode) bool { return n.index < course.partitionedNodes }) })
 	}
-	for len(h.events) > 0 {
-		next := heap.Pop(&h.events).(simulationEvent)
+	for len(m.events) > 0 {
+		next := heap.Pop(&m.events).(simulationEvent)
 		if next.at >= course.length {
 			break
 		}
-		h.now = next.at
+		m.now = next.at
 		next.run()
 	}
-	h.now = course.length
-	for _, n := range h.nodes {
-		h.recordContact(n, false)
+	m.now = course.length
+	for _, n := range m.nodes {
+		m.recordContact(n, false)
 		if n.wasBlindTooLong {
-			h.blindNodes++
+			m.blindNodes++
 		}
 		if schedule, ok := n.schedule.(*pollSchedule); ok && schedule.overloadUntil > 0 {
-			h.slowedNodes++
+			m.slowedNodes++
 		}
 	}
-	h.seconds = (course.length - course.measureFrom).Seconds()
-	return h
+	m.seconds = (course.length - course.measureFrom).Seconds()
+	return m
 }
 
 // watch starts the watch loop unless it runs.
@@ -367,67 +367,67 @@
 }
 
 // reject answers a call with 503.
-func (h *discoveryModel) reject(call *modelCall) {
+func (m *discoveryModel) reject(call *modelCall) {
 	if call.done {
 		return
 	}
-	if h.now >= h.measureFrom {
-		h.rejected++
+	if m.now >= m.measureFrom {
+		m.rejected++
 		call.node.rejectedInRow++
-		h.maxRejectedInRow = max(h.maxRejectedInRow, call.node.rejectedInRow)
+		m.maxRejectedInRow = max(m.maxRejectedInRow, call.node.rejectedInRow)
 	}
 	call.node.failed(call, callRejected)
 }
 
 // serveNext handles the next call in the queue. One that timed out takes as long as any other, as discovery doesn't
 // notice that.
-func (h *discoveryModel) serveNext() {
-	if h.busy || len(h.waiting) == 0 {
+func (m *discoveryModel) serveNext() {
+	if m.busy || len(m.waiting) == 0 {
 		return
 	}
-	call := h.waiting[0]
-	h.waiting, h.busy = h.waiting[1:], true
-	h.schedule(h.now+h.roundTime/time.Duration(len(h.nodes)), func() {
-		h.busy = false
-		h.handle(call)
-		h.serveNext()
+	call := m.waiting[0]
+	m.waiting, m.busy = m.waiting[1:], true
+	m.schedule(m.now+m.roundTime/time.Duration(len(m.nodes)), func() {
+		m.busy = false
+		m.handle(call)
+		m.serveNext()
 	})
 }
 
 // handle answers a call whose turn has come, or holds it until there is a change or its wait ends.
-func (h *discoveryModel) handle(call *modelCall) {
+func (m *discoveryModel) handle(call *modelCall) {
 	if call.done || call.silent {
 		return
 	}
-	if h.now >= h.measureFrom {
-		h.results.maxQueueTime = max(h.results.maxQueueTime, h.now-call.arrived)
+	if m.now >= m.measureFrom {
+		m.results.maxQueueTime = max(m.results.maxQueueTime, m.now-call.arrived)
 	}
-	if h.version > call.sinceVersion {
-		h.respond(call)
+	if m.version > call.sinceVersion {
+		m.respond(call)
 		return
 	}
 	call.held = true
-	h.recordContact(call.node, true)
-	h.schedule(max(h.now, call.waitEnd), func() { h.respond(call) })
+	m.recordContact(call.node, true)
+	m.schedule(max(m.now, call.waitEnd), func() { m.respond(call) })
 }
 
 // respond returns the list to a call.
-func (h *discoveryModel) respond(call *modelCall) {
+func (m *discoveryModel) respond(call *modelCall) {
 	if call.done || call.silent {
 		return
 	}
 	n := call.node
 	call.done, call.held, n.rejectedInRow = true, false, 0
-	h.recordContact(n, true)
-	h.recordContact(n, false)
-	changed := h.version > call.sinceVersion
-	n.version, n.fullListPending = h.version, false
+	m.recordContact(n, true)
+	m.recordContact(n, false)
+	changed := m.version > call.sinceVersion
+	n.version, n.fullListPending = m.version, false
 	if n.firstListAt < 0 {
-		n.firstListAt = h.now
+		n.firstListAt = m.now
 	}
-	n.schedule.callSucceeded(h.now, changed)
-	pause := max(0, minWatchInterval-(h.now-call.arrived)) + time.Millisecond + time.Duration(h.rng.Int64N(int64(2*time.Millisecond)))
-	h.schedule(h.now+pause, func() { n.call(true) })
+	n.schedule.callSucceeded(m.now, changed)
+	pause := max(0, minWatchInterval-(m.now-call.arrived)) + time.Millisecond + time.Duration(m.rng.Int64N(int64(2*time.Millisecond)))
+	m.schedule(m.now+pause, func() { n.call(true) })
 }
 
 // failed handles a call that failed or timed out.
@@ -454,33 +454,33 @@
 }
 
 // publishChange makes a change of the list, and answers the open watches.
-func (h *discoveryModel) publishChange() {
-	h.version++
-	for _, n := range h.nodes {
+func (m *discoveryModel) publishChange() {
+	m.version++
+	for _, n := range m.nodes {
 		if call := n.currentCall; call != nil && call.held {
-			h.schedule(h.now+20*time.Millisecond, func() { h.respond(call) })
+			m.schedule(m.now+20*time.Millisecond, func() { m.respond(call) })
 		}
 	}
 }
 
 // silence lets the open calls of the selected nodes go without a response.
-func (h *discoveryModel) silence(selected func(*modelNode) bool) {
-	for _, n := range h.nodes {
+func (m *discoveryModel) silence(selected func(*modelNode) bool) {
+	for _, n := range m.nodes {
 		if n.currentCall != nil && !n.currentCall.done && selected(n) {
 			n.currentCall.silent = true
 			if n.blindSince < 0 {
-				n.blindSince = h.now
+				n.blindSince = m.now
 			}
 		}
 	}
 }
 
 // goDown ends all calls.
-func (h *discoveryModel) goDown() {
-	h.waiting = nil
-	for _, n := range h.nodes {
+func (m *discoveryModel) goDown() {
+	m.waiting = nil
+	for _, n := range m.nodes {
 		if call := n.currentCall; call != nil && !call.done {
-			h.schedule(h.now+time.Millisecond, func() { n.failed(call, callError) })
+			m.schedule(m.now+time.Millisecond, func() { n.failed(call, callError) })
 		}
 	}
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -44,11 +44,11 @@
 }
 
 // waitForHealth waits until the health of a server at the node is as wanted.
-func (w *checkedNode) waitForHealth(t *testing.T, i int, what string, ok func(h ServerHealth) bool) ServerHealth {
+func (n *checkedNode) waitForHealth(t *testing.T, i int, what string, ok func(h ServerHealth) bool) ServerHealth {
 	t.Helper()
 	var h ServerHealth
 	waitFor(t, what, func() bool {
-		c, err := w.healthOf(fmt.Sprint("s-", i))
+		c, err := n.healthOf(fmt.Sprint("s-", i))
 		if err != nil {
 			return false
 		}
@@ -59,11 +59,11 @@
 }
 
 // startLoad starts clients that send requests without pause, until the returned function is called.
-func (w *checkedNode) startLoad(t *testing.T, clients int) (stop func()) {
+func (n *checkedNode) startLoad(t *testing.T, clients int) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for worker := range clients {
-		client := w.dial(t)
+		client := n.dial(t)
 		wg.Go(func() {
 			for seq := 0; ; seq++ {
 				select {
@@ -71,7 +71,7 @@
 					return
 				default:
 					id := fmt.Sprint("r", worker, "-", seq)
-					if w.afterReport.Load() {
+					if n.afterReport.Load() {
 						id = "after-" + id
 					}
 					client.roundTrip(view(id))
@@ -190,13 +190,13 @@
 }
 
 // requestsAfterReport counts a server's requests that clients sent after the node had applied an agent's report.
-func (w *checkedNode) requestsAfterReport(i int) (n int) {
-	for _, r := range w.servers[i].requests() {
+func (n *checkedNode) requestsAfterReport(i int) (count int) {
+	for _, r := range n.servers[i].requests() {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "after-") {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // An agent reports a drain under load: once the node has applied it, the server is sent nothing new while the others
--- a/internal/node/opaque_tunnel_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &echoServer{ln: ln, serve: serve}
+	s := &echoServer{ln: ln, serve: serve}
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -54,14 +54,14 @@
 			if err != nil {
 				return
 			}
-			l.opened.Add(1)
-			l.open.Add(1)
-			l.latest.Store(time.Now().UnixNano())
+			s.opened.Add(1)
+			s.open.Add(1)
+			s.latest.Store(time.Now().UnixNano())
 			wg.Go(func() {
-				defer l.open.Add(-1)
+				defer s.open.Add(-1)
 				defer c.Close()
-				if l.serve != nil {
-					l.serve(c)
+				if s.serve != nil {
+					s.serve(c)
 					return
 				}
 				if _, err := io.Copy(c, c); err == nil {
@@ -74,12 +74,12 @@
 		ln.Close()
 		wg.Wait()
 	})
-	return l
+	return s
 }
 
 // entry returns the server's entry in a server list, as ready.
-func (l *echoServer) entry(id string) serverEntry {
-	return serverEntry{ID: id, Addr: l.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (s *echoServer) entry(id string) serverEntry {
+	return serverEntry{ID: id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // newOpaqueNode starts a node with an opaque route; limits are further fields of the route, more is the rest of the
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -31,20 +31,20 @@
 	} {
 		delays := make([]time.Duration, 1000)
 		for seed := range delays {
-			s := deployment{roundTime: ms(20), queueTimeout: ms(2400), grace: ms(500)}
-			s.script = func(h *discoveryModel, a *modelCall, nth int) bool {
+			setup := deployment{roundTime: ms(20), queueTimeout: ms(2400), grace: ms(500)}
+			setup.script = func(model *discoveryModel, call *modelCall, nth int) bool {
 				switch {
 				case nth <= c.refusals:
-					h.schedule(h.now+c.queueTime, func() { h.reject(a) })
+					model.schedule(model.now+c.queueTime, func() { model.reject(call) })
 				case c.refusals == 0 && c.queueTime > 0:
-					h.schedule(h.now+c.queueTime, func() { h.handle(a) })
+					model.schedule(model.now+c.queueTime, func() { model.handle(call) })
 				default:
 					return false
 				}
 				return true
 			}
-			d := scenario{length: 40 * time.Second, outage: interval{0, c.down}, changes: []time.Duration{1}}
-			delays[seed] = simulate(s, d, 1, uint64(seed), newAskSchedule).nodes[0].firstListAt
+			course := scenario{length: 40 * time.Second, outage: interval{0, c.down}, changes: []time.Duration{1}}
+			delays[seed] = simulate(setup, course, 1, uint64(seed), newAskSchedule).nodes[0].firstListAt
 			if delays[seed] < 0 {
 				t.Fatalf("%s, seed %d: the node never got a list", c.name, seed)
 			}
@@ -65,20 +65,20 @@
 	for _, roundTime := range []time.Duration{ms(5200), ms(7900)} {
 		for _, down := range []time.Duration{0, 8 * time.Second} {
 			for _, seed := range []uint64{1, 2} {
-				s := deployment{roundTime: roundTime * 210 / fleetSize, queueTimeout: time.Second, maxQueued: 60, freeRewatch: true, grace: ms(500)}
-				d := scenario{length: 40 * time.Second, startSpread: ms(200), outage: interval{0, down}, changes: []time.Duration{1}}
-				h := simulate(s, d, 210, seed, newAskSchedule)
-				delays := make([]time.Duration, 0, len(h.nodes))
-				for _, n := range h.nodes {
+				setup := deployment{roundTime: roundTime * 210 / fleetSize, queueTimeout: time.Second, maxQueued: 60, freeRewatch: true, grace: ms(500)}
+				course := scenario{length: 40 * time.Second, startSpread: ms(200), outage: interval{0, down}, changes: []time.Duration{1}}
+				model := simulate(setup, course, 210, seed, newAskSchedule)
+				delays := make([]time.Duration, 0, len(model.nodes))
+				for _, n := range model.nodes {
 					if n.firstListAt < 0 {
 						t.Fatal("a node never got a list")
 					}
 					delays = append(delays, n.firstListAt)
 				}
 				slices.Sort(delays)
-				if maxDelay := down + roundTime*210/fleetSize + 4*time.Second; delays[len(delays)-1] > maxDelay || h.maxRejectedInRow > 10 {
+				if maxDelay := down + roundTime*210/fleetSize + 4*time.Second; delays[len(delays)-1] > maxDelay || model.maxRejectedInRow > 10 {
 					t.Errorf("discovery needs %v for all nodes, down for %v, seed %d: the last list arrived at %v, want it within %v; %d refusals in a row, want at most 10", roundTime, down, seed,
-						delays[len(delays)-1], maxDelay, h.maxRejectedInRow)
+						delays[len(delays)-1], maxDelay, model.maxRejectedInRow)
 				}
 				prompt := 0
 				for prompt < len(delays) && delays[prompt] <= readyWithin {
@@ -88,7 +88,7 @@
 					t.Errorf("discovery needs %v for all nodes, seed %d: %d of %d nodes have a list within %v, want nine in ten", roundTime, seed, prompt, len(delays), readyWithin)
 				}
 				t.Logf("discovery needs %v for all nodes, down for %v, seed %d: %d of %d nodes have a list within %v, nine in ten after %v, all after %v; %v",
-					roundTime, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], h.results)
+					roundTime, down, seed, prompt, len(delays), readyWithin, delays[len(delays)*9/10], delays[len(delays)-1], model.results)
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 	for _, reaction := range []string{"reset", "503", "silent"} {
 		t.Run(reaction, func(t *testing.T) {
 			t.Parallel()
-			silentDiscovery := newScriptedDiscovery(t, func(c net.Conn, _ int64, _ string) bool {
+			discovery := newScriptedDiscovery(t, func(c net.Conn, _ int64, _ string) bool {
 				switch reaction {
 				case "503":
 					io.WriteString(c, unavailableResponse)
@@ -121,7 +121,7 @@
 				return reaction == "503"
 			})
 			began := time.Now()
-			node := newTestNode(t, &stubDiscovery{addr: silentDiscovery.addr}, askSettingsJSON, nil, manyServers(6600).Servers...)
+			node := newTestNode(t, &stubDiscovery{addr: discovery.addr}, askSettingsJSON, nil, manyServers(6600).Servers...)
 			if s := readyStatus(t, node); s != 200 {
 				t.Errorf("GET /ready at the start with 6,600 web servers known: status %d, want 200", s)
 			}
@@ -137,7 +137,7 @@
 	const servers = 6600
 	text := listResponse(manyServers(servers))
 	var written time.Time
-	refusingDiscovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
+	discovery := newScriptedDiscovery(t, func(c net.Conn, nth int64, _ string) bool {
 		switch {
 		case nth <= 5:
 			io.WriteString(c, unavailableResponse)
@@ -149,7 +149,7 @@
 		}
 		return true
 	})
-	node := newTestNode(t, &stubDiscovery{addr: refusingDiscovery.addr}, askSettingsJSON, func(c *Config) { c.clock = fastClock{time.Now()} })
+	node := newTestNode(t, &stubDiscovery{addr: discovery.addr}, askSettingsJSON, func(c *Config) { c.clock = fastClock{time.Now()} })
 	if s := readyStatus(t, node); s != 503 {
 		t.Errorf("GET /ready without a list: status %d, want 503", s)
 	}
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -368,19 +368,19 @@
 }
 
 // text returns the request as it is sent.
-func (c testRequest) text() string {
+func (r testRequest) text() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", c.method)
-	for _, h := range []struct{ name, value string }{{"X-Request-Id", c.id}, {"X-Class", c.class}, {"X-Deadline", c.deadline},
-		{"Idempotency-Key", c.key}} {
+	fmt.Fprintf(&text, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", r.method)
+	for _, h := range []struct{ name, value string }{{"X-Request-Id", r.id}, {"X-Class", r.class}, {"X-Deadline", r.deadline},
+		{"Idempotency-Key", r.key}} {
 		if h.value != "" {
 			fmt.Fprintf(&text, "%s: %s\r\n", h.name, h.value)
 		}
 	}
-	if c.method != "GET" {
-		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(c.body))
+	if r.method != "GET" {
+		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.body))
 	}
-	return text.String() + "\r\n" + c.body
+	return text.String() + "\r\n" + r.body
 }
 
 // view, save and quote return requests of the settings' classes: safe, keyed and unsafe.
