--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -85,10 +85,10 @@
 	c := node.dial(t)
 	sized, streamed := save("sized"), save("streamed")
 	sized.body = text
-	for _, whole := range []string{sized.text(), strings.Replace(streamed.text(), "Content-Length: 8\r\n\r\n"+streamed.body,
+	for _, request := range []string{sized.text(), strings.Replace(streamed.text(), "Content-Length: 8\r\n\r\n"+streamed.body,
 		"Transfer-Encoding: chunked\r\n\r\n"+chunked(text), 1)} {
 		go func() {
-			for rest := whole; len(rest) > 0; {
+			for rest := request; len(rest) > 0; {
 				n := min(len(rest), 50_021)
 				if _, err := io.WriteString(c, rest[:n]); err != nil {
 					t.Error(err)
@@ -227,14 +227,14 @@
 		t.Errorf("the request after 100 Continue: status %d, want 200", resp.StatusCode)
 	}
 	q.id = "left"
-	leaver := node.dial(t)
-	leaver.send(q.text()[:100<<10])
+	disconnecting := node.dial(t)
+	disconnecting.send(q.text()[:100<<10])
 	waitFor(t, "the unfinished request to be open", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
 		return node.core.OpenRequests()["left"] > 0
 	})
-	leaver.Close()
+	disconnecting.Close()
 	waitFor(t, "the end of the unfinished request", func() bool {
 		node.core.Lock()
 		defer node.core.Unlock()
--- a/internal/node/opaque_tunnel_test.go
+++ b/internal/node/opaque_tunnel_test.go
@@ -39,7 +39,6 @@
 	accepts atomic.Bool
 }
 
-// newEchoServer starts a server; serve replaces the echo where it is not nil.
 // newEchoServer starts a server; serve replaces the echo where it is not nil.
 func newEchoServer(t testing.TB, serve func(c net.Conn)) *echoServer {
 	t.Helper()
@@ -47,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &echoServer{ln: ln, serve: serve}
+	s := &echoServer{ln: ln, serve: serve}
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -55,14 +54,14 @@
 			if err != nil {
 				return
 			}
-			l.opened.Add(1)
-			l.open.Add(1)
-			l.latest.Store(time.Now().UnixNano())
+			s.opened.Add(1)
+			s.open.Add(1)
+			s.latest.Store(time.Now().UnixNano())
 			wg.Go(func() {
-				defer l.open.Add(-1)
+				defer s.open.Add(-1)
 				defer c.Close()
-				if l.serve != nil {
-					l.serve(c)
+				if s.serve != nil {
+					s.serve(c)
 					return
 				}
 				if _, err := io.Copy(c, c); err == nil {
@@ -75,12 +74,12 @@
 		ln.Close()
 		wg.Wait()
 	})
-	return l
+	return s
 }
 
 // entry returns the server's entry in a server list, as ready.
-func (l *echoServer) entry(id string) serverEntry {
-	return serverEntry{ID: id, Addr: l.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (s *echoServer) entry(id string) serverEntry {
+	return serverEntry{ID: id, Addr: s.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // newOpaqueNode starts a node with an opaque route; limits are further fields of the route, more is the rest of the
@@ -186,11 +185,11 @@
 					ahead = distinctBody(20 << 10)
 				}
 				for i := range 4 {
-					addr, message, length := socks, echoSOCKSOpening, echoSOCKSReplyLength
+					addr, opening, length := socks, echoSOCKSOpening, echoSOCKSReplyLength
 					if i%2 == 1 {
-						addr, message, length = connect, echoConnectOpening, 0
+						addr, opening, length = connect, echoConnectOpening, 0
 					}
-					c, reply := openTunnel(t, addr, message+ahead, length)
+					c, reply := openTunnel(t, addr, opening+ahead, length)
 					if ok := reply == "200" || reply == "\x05\x00\x05\x00\x00\x01\x00\x00\x00\x00\x00\x00"; ok != reachable {
 						t.Fatalf("tunnel %d: reply %q to the opening", i, reply)
 					}
@@ -406,7 +405,7 @@
 	node.pool.Resize(10)
 	cancel(core.ErrCanceled)
 	if res := node.opaque.Attempt(ctx, a); res.Outcome != policy.Canceled {
-		t.Errorf("cancelled: outcome %d, want Canceled", res.Outcome)
+		t.Errorf("canceled: outcome %d, want Canceled", res.Outcome)
 	}
 	if stream.Spent() {
 		t.Error("bytes of the client count as sent, though no connection was open")
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -255,7 +255,7 @@
 	return newSuccessorNode(t, nil, discoveryStub, settings, change, known...)
 }
 
-// newSuccessorNode starts a node that takes over with the state of another one.
+// newSuccessorNode starts a node with the state of a predecessor; old may be nil.
 func newSuccessorNode(t testing.TB, old *handedState, discoveryStub *stubDiscovery, settings string, change func(*Config), known ...serverEntry) *testNode {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
@@ -330,7 +330,7 @@
 		}
 		n.handover.LockToken()
 		n.handover.mu.Unlock()
-		go n.retryHandover() // as acquireClients does: a token that is released shortly after the notice of its holder's end is acquired by a later try
+		go n.retryHandover() // as acquireClients does: a token that is released shortly after the notice of its holder's end is acquired by a later retry
 	}
 	waitFor(t, "the predecessor to be ready", func() bool { return n.Ready() == nil })
 	old, _ := findPredecessor(path, slog.New(slog.DiscardHandler))
@@ -368,19 +368,19 @@
 }
 
 // text returns the request as it is sent.
-func (c testRequest) text() string {
+func (r testRequest) text() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", c.method)
-	for _, h := range []struct{ name, value string }{{"X-Request-Id", c.id}, {"X-Class", c.class}, {"X-Deadline", c.deadline},
-		{"Idempotency-Key", c.key}} {
+	fmt.Fprintf(&text, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", r.method)
+	for _, h := range []struct{ name, value string }{{"X-Request-Id", r.id}, {"X-Class", r.class}, {"X-Deadline", r.deadline},
+		{"Idempotency-Key", r.key}} {
 		if h.value != "" {
 			fmt.Fprintf(&text, "%s: %s\r\n", h.name, h.value)
 		}
 	}
-	if c.method != "GET" {
-		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(c.body))
+	if r.method != "GET" {
+		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.body))
 	}
-	return text.String() + "\r\n" + c.body
+	return text.String() + "\r\n" + r.body
 }
 
 // view, save and quote return requests of the settings' classes: safe, keyed and unsafe.
