--- a/internal/lab/coldsum/coldsum.go
+++ b/internal/lab/coldsum/coldsum.go
@@ -34,8 +34,8 @@
 	ZoneReturn Disturbance = "zone returns"
 	// Replacement replaces 60% of the servers by new ones within 7 s.
 	Replacement Disturbance = "six in ten"
-	// Retries makes 10% of the servers fail 60% of their requests, restarts 30% within 4 s and raises the request rate as Burst
-	// does.
+	// Retries makes 10% of the servers fail 60% of their requests, restarts 30% within 4 s and raises the request rate as
+	// Burst does.
 	Retries Disturbance = "repeats"
 	// AllCold starts all servers and nodes at the same moment: no server is warm, and no node has learned state.
 	AllCold Disturbance = "all cold"
@@ -137,16 +137,16 @@
 // eventQueue is a heap (container/heap) of events by time, then by seq.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	old := *a
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
--- a/internal/lab/coldsum/coldsum_test.go
+++ b/internal/lab/coldsum/coldsum_test.go
@@ -60,7 +60,7 @@
 		{tightRule.caseFor(Burst, fleet{2, 100, 8}), 1}, {tightRule.caseFor(ZoneReturn, fleet{30, 100, 8}), 1}, {tightRule.caseFor(Replacement, fleet{30, 100, 8}), 1},
 		{tightRule.caseFor(Retries, fleet{150, 60, 8}), 1}, {wideRule.caseFor(Burst, fleet{30, 60, 8}), 1}, {tightRule.caseFor(RollingRestart, fleet{150, 24, 8}), 1},
 		{tightRule.caseFor(Burst, fleet{450, 60, 60}), 1},
-		{tightRule.caseFor(AllCold, fleet{450, 24, 8}), 3}, // exceeded when a new node treated its empty learned state as complete
+		{tightRule.caseFor(AllCold, fleet{450, 24, 8}), 3}, // failed when a new node treated its empty learned state as complete
 	} {
 		t.Run(fmt.Sprintf("%s at %d nodes", c.Disturbance, c.Nodes), func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/coldsum/events.go
+++ b/internal/lab/coldsum/events.go
@@ -14,19 +14,19 @@
 	switch e.kind {
 	case evClientRequest:
 		sim.requests++
-		c := &clientTry{requestedAt: sim.now, tryNumber: 1}
+		try := &clientTry{requestedAt: sim.now, tryNumber: 1}
 		if sim.rng.Float64() < heavyShare {
-			c.class = 1
+			try.class = 1
 		}
-		sim.submit(c)
+		sim.submit(try)
 		gap := sim.rng.ExpFloat64() / (float64(sim.Servers) * sim.Capacity * sim.Load * sim.rateFactor(sim.now))
 		sim.schedule(event{at: sim.now + time.Duration(gap*float64(time.Second)), kind: evClientRequest})
 	case evTick:
-		sim.notifyNode(e.node, nil, &policy.Event{Kind: policy.EvTimer, Token: "tick"})
+		sim.decide(e.node, nil, &policy.Event{Kind: policy.EvTimer, Token: "tick"})
 		sim.schedule(event{at: sim.now + 250*time.Millisecond, kind: evTick, node: e.node})
 	case evListUpdate:
 		sim.knownLaunch[e.node][e.entry.ID] = max(sim.knownLaunch[e.node][e.entry.ID], e.entry.Launched)
-		sim.notifyNode(e.node, nil, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{e.entry}})
+		sim.decide(e.node, nil, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{e.entry}})
 	case evDelivery:
 		sim.deliver(e.server, e.try, e.number)
 	case evServerDone:
@@ -53,43 +53,43 @@
 }
 
 // submit sends a client's try to a node, chosen at random by the nodes' weights.
-func (sim *simulation) submit(c *clientTry) {
+func (sim *simulation) submit(try *clientTry) {
 	at := sort.SearchFloat64s(sim.cumulativeWeights, sim.rng.Float64()*sim.cumulativeWeights[len(sim.cumulativeWeights)-1])
 	sim.lastTryID++
-	c.id, c.node = strconv.Itoa(sim.lastTryID), min(at, sim.Nodes-1)
-	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvRequest, ID: c.id, Class: strconv.Itoa(c.class), TimeLeft: c.requestedAt + clientTimeout - sim.now, Repeat: c.tryNumber > 1})
+	try.id, try.node = strconv.Itoa(sim.lastTryID), min(at, sim.Nodes-1)
+	sim.decide(try.node, try, &policy.Event{Kind: policy.EvRequest, ID: try.id, Class: strconv.Itoa(try.class), TimeLeft: try.requestedAt + clientTimeout - sim.now, Repeat: try.tryNumber > 1})
 }
 
-// notifyNode passes an event to a node's policy and performs the actions that it returns. c is the try that the event
+// decide passes an event to a node's policy and performs the actions that it returns. try is the try that the event
 // concerns, nil if none. A client whose try is refused or fails retries after 30 to 130 ms, if tries and time are left.
-func (sim *simulation) notifyNode(node int, c *clientTry, ev *policy.Event) {
+func (sim *simulation) decide(node int, try *clientTry, ev *policy.Event) {
 	actions := sim.nodes[node].Handle(sim.now, ev, nil)
 	for i := range actions {
 		switch a := &actions[i]; a.Kind {
 		case policy.ActSend:
-			sim.sendAttempt(c, a)
+			sim.sendAttempt(try, a)
 		case policy.ActRefuse, policy.ActFail:
-			c.finished = true
+			try.finished = true
 			again := sim.now + 30*time.Millisecond + sim.randomDuration(100*time.Millisecond)
-			if c.tryNumber < maxTries && again < c.requestedAt+clientTimeout-20*time.Millisecond {
-				sim.schedule(event{at: again, kind: evDelivery, try: &clientTry{class: c.class, requestedAt: c.requestedAt, tryNumber: c.tryNumber + 1}})
+			if try.tryNumber < maxTries && again < try.requestedAt+clientTimeout-20*time.Millisecond {
+				sim.schedule(event{at: again, kind: evDelivery, try: &clientTry{class: try.class, requestedAt: try.requestedAt, tryNumber: try.tryNumber + 1}})
 			}
 		}
 	}
 }
 
 // sendAttempt records an attempt and schedules its arrival at the server and its timeout.
-func (sim *simulation) sendAttempt(c *clientTry, a *policy.Action) {
+func (sim *simulation) sendAttempt(try *clientTry, a *policy.Action) {
 	s := sim.servers[a.Server]
-	c.attempts++
-	c.pending, c.sentAt = true, sim.now
-	sim.checkColdRule(s, c)
-	sim.schedule(event{at: sim.now + messageDelay, kind: evDelivery, try: c, server: s, number: c.attempts - 1})
-	sim.schedule(event{at: sim.now + a.Wait, kind: evOutcome, try: c, server: s, number: c.attempts - 1, outcome: policy.TimedOut})
+	try.attempts++
+	try.pending, try.sentAt = true, sim.now
+	sim.checkColdRule(s, try)
+	sim.schedule(event{at: sim.now + messageDelay, kind: evDelivery, try: try, server: s, number: try.attempts - 1})
+	sim.schedule(event{at: sim.now + a.Wait, kind: evOutcome, try: try, server: s, number: try.attempts - 1, outcome: policy.TimedOut})
 }
 
-// checkColdRule adds an attempt to the server's window, if the server is cold, and compares the window with the limit N.
-func (sim *simulation) checkColdRule(s *server, c *clientTry) {
+// checkColdRule adds an attempt to the window of a cold server, and compares the window with the limit N + Slack(N).
+func (sim *simulation) checkColdRule(s *server, try *clientTry) {
 	start := s.coldStart
 	if start == nil {
 		return
@@ -99,9 +99,9 @@
 		s.coldStart = nil
 		return
 	}
-	informed := sim.knownLaunch[c.node][s.ID] >= s.Launched
+	informed := sim.knownLaunch[try.node][s.ID] >= s.Launched
 	mean := classWork[0]*(1-heavyShare) + classWork[1]*heavyShare
-	start.window = append(start.window, sentAttempt{sim.now, classWork[c.class] / mean, informed})
+	start.window = append(start.window, sentAttempt{sim.now, classWork[try.class] / mean, informed})
 	sum, informedWork := 0.0, 0.0
 	for len(start.window) > 0 && start.window[0].at < sim.now-sim.FallFor {
 		start.window = start.window[1:]
@@ -123,22 +123,23 @@
 }
 
 // deliver hands an attempt to its server, or submits a client's retry if s is nil.
-func (sim *simulation) deliver(s *server, c *clientTry, index int) {
+func (sim *simulation) deliver(s *server, try *clientTry, index int) {
 	switch {
 	case s == nil:
-		sim.submit(c)
+		sim.submit(try)
 	case s.silent:
 	case s.failing && sim.rng.Float64() < 0.6:
-		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.Failed})
+		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: try, server: s, number: index, outcome: policy.Failed})
 	case len(s.queue) >= maxQueue:
-		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: c, server: s, number: index, outcome: policy.QueueFull})
+		sim.schedule(event{at: sim.now + messageDelay, kind: evOutcome, try: try, server: s, number: index, outcome: policy.QueueFull})
 	default:
-		s.queue = append(s.queue, queuedAttempt{c, index})
+		s.queue = append(s.queue, queuedAttempt{try, index})
 		sim.startQueued(s)
 	}
 }
 
-// startQueued starts queued attempts while the server has free slots. Attempts that their node has given up are dropped.
+// startQueued starts queued attempts while the server has free slots. Attempts that their node no longer waits for are
+// dropped.
 func (sim *simulation) startQueued(s *server) {
 	for s.running < serverSlots && len(s.queue) > 0 {
 		next := s.queue[0]
@@ -161,20 +162,20 @@
 
 // finishAttempt reports an attempt's outcome to its node. It ignores attempts that already have an outcome.
 func (sim *simulation) finishAttempt(e *event) {
-	c := e.try
-	if c.finished || !c.pending || c.attempts-1 != e.number {
+	try := e.try
+	if try.finished || !try.pending || try.attempts-1 != e.number {
 		return
 	}
 	if e.outcome == policy.OK && (e.server.silent || e.server.launchCount != e.launchCount) {
 		return // the server process stopped before it responded; the attempt times out
 	}
-	c.pending = false
+	try.pending = false
 	if e.outcome == policy.OK {
-		c.finished = true
+		try.finished = true
 		sim.served++
 	}
 	load := policy.Load{Known: e.outcome != policy.TimedOut, Queue: float64(len(e.server.queue)), Held: -1}
-	sim.notifyNode(c.node, c, &policy.Event{Kind: policy.EvOutcome, ID: c.id, Server: e.server.ID, Attempt: e.number, Elapsed: sim.now - c.sentAt,
+	sim.decide(try.node, try, &policy.Event{Kind: policy.EvOutcome, ID: try.id, Server: e.server.ID, Attempt: e.number, Elapsed: sim.now - try.sentAt,
 		Final: e.outcome == policy.OK, Outcome: e.outcome, Load: load})
 }
 
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -81,41 +81,41 @@
 
 // check reports the first invalid field as a config.FieldError. It reads all scenarios with all swept values.
 func (e *Experiment) check() error {
-	bad := func(path, why string, args ...any) error {
+	fieldError := func(path, why string, args ...any) error {
 		return &config.FieldError{Path: path, Reason: fmt.Sprintf(why, args...)}
 	}
 	if len(e.Scenarios) == 0 {
-		return bad("scenarios", "at least one is required")
+		return fieldError("scenarios", "at least one is required")
 	}
 	if len(e.Seeds) == 0 {
-		return bad("seeds", "at least one is required")
+		return fieldError("seeds", "at least one is required")
 	}
 	for i, s := range e.Scenarios {
 		if _, err := Read(s); err != nil {
-			return bad(fmt.Sprintf("scenarios[%d]", i), "%v", err)
+			return fieldError(fmt.Sprintf("scenarios[%d]", i), "%v", err)
 		}
 	}
 	for i, p := range e.Policies {
 		if _, err := peer.Lookup(p); err != nil {
-			return bad(fmt.Sprintf("policies[%d]", i), "%v", err)
+			return fieldError(fmt.Sprintf("policies[%d]", i), "%v", err)
 		}
 	}
 	for i, s := range e.Sweep {
 		if s.Field == "" || len(s.Values) == 0 {
-			return bad(fmt.Sprintf("sweep[%d].field", i), "a field and at least one value are required")
+			return fieldError(fmt.Sprintf("sweep[%d].field", i), "a field and at least one value are required")
 		}
 	}
 	for i, b := range e.Bounds {
 		p := fmt.Sprintf("bounds[%d].", i)
 		if Measures[b.Measure] == nil {
-			return bad(p+"measure", "%q is not one of %q", b.Measure, MeasureNames)
+			return fieldError(p+"measure", "%q is not one of %q", b.Measure, MeasureNames)
 		}
 		if b.Min == nil && b.Max == nil {
-			return bad(p+"measure", "at_least or at_most is required")
+			return fieldError(p+"measure", "at_least or at_most is required")
 		}
 	}
 	if _, err := e.Runs(); err != nil {
-		return bad("sweep", "%v", err)
+		return fieldError("sweep", "%v", err)
 	}
 	return nil
 }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -125,15 +125,15 @@
 	}
 }
 
-// WriteReport writes a self-contained HTML page with the results and the violations passed in as broken.
-func WriteReport(w io.Writer, title string, results []measure.Result, broken []string) error {
+// WriteReport writes a self-contained HTML page with the results and the violations of bounds and rules.
+func WriteReport(w io.Writer, title string, results []measure.Result, violations []string) error {
 	all := groupResults(results)
 	for _, g := range all {
 		if err := g.addContent(); err != nil {
 			return err
 		}
 	}
-	return reportTemplate.Execute(w, map[string]any{"Title": title, "Groups": all, "Broken": broken, "Measures": MeasureNames})
+	return reportTemplate.Execute(w, map[string]any{"Title": title, "Groups": all, "Broken": violations, "Measures": MeasureNames})
 }
 
 // addContent fills the group's tables and plots from its columns.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet contains the behaviour that the model's web servers share with those of the rig on real sockets:
+// Package fleet contains the behavior that the model's web servers share with those of the rig on real sockets:
 // warm-up, load reports, and the effects of faults; and the retry rules of their clients. It has no clock: times are
 // passed in, counted from the scenario's start.
 package fleet
@@ -14,9 +14,9 @@
 	"portstall/internal/lab/scenario"
 )
 
-// Ramp returns the share of its full capacity that a server has at an age since its start, after done seconds of work
-// on its own cores at full speed. A server that warms up by work is as fast as the work allows, but takes no longer
-// than the stated time or its ColdFor, whichever is longer.
+// Ramp returns the share of its full capacity that a server has at an age since its start, after done seconds of work.
+// A server that warms up by work is warm once it has done half of the work that its cores do at full speed in ColdFor,
+// and at the latest after its ColdFor or the stated time, whichever is longer.
 func Ramp(k *scenario.ServerType, speed float64, age, stated time.Duration, done float64) float64 {
 	if k.ColdFor <= 0 {
 		return 1
@@ -59,7 +59,8 @@
 	}
 }
 
-// Read returns the queue length as a report with the given delay shows it now; queue is the present length.
+// Read returns the queue length as a report with the given delay shows it now; queue is the present length. It is 0
+// where the server had not started, or no tick had passed, at the time that the report shows.
 func (r *Reports) Read(now, delay time.Duration, queue int) int {
 	r.Record(now, queue)
 	oldest := 0
@@ -78,23 +79,23 @@
 
 // RetryDelay reports whether a client retries, and after which delay. If promised, the try was refused or reached no
 // node, so that any class may be retried; otherwise only a class whose repeats are harmless. after is the response's
-// Retry-After, storm multiplies the number of retries (1: as usual); above 1 it also divides the delay by ten and
+// Retry-After, storm multiplies the number of retries (1: no change); above 1 it also divides the delay by ten and
 // overrides Retry-After. roll is a random number from 0 to 1.
-func RetryDelay(s *scenario.Scenario, a *scenario.Operation, tries int, promised bool, now, after time.Duration, storm,
+func RetryDelay(s *scenario.Scenario, op *scenario.Operation, tries int, promised bool, now, after time.Duration, storm,
 	roll float64) (time.Duration, bool) {
-	c := &s.Classes[a.Class]
-	harmless := promised || c.Effect == "safe" || c.Effect == "keyed" && a.RepeatsUnsafely ||
-		c.Effect == "keyed" && (c.Group == "" || c.Group == "all") && now < a.At+c.Window
+	c := &s.Classes[op.Class]
+	harmless := promised || c.Effect == "safe" || c.Effect == "keyed" && op.RepeatsUnsafely ||
+		c.Effect == "keyed" && (c.Group == "" || c.Group == "all") && now < op.At+c.Window
 	wait := float64(s.Clients.Backoff) * (0.5 + roll)
 	if s.Clients.Exponential {
 		wait *= float64(int64(1) << min(tries-1, 16))
 	}
 	if storm > 1 {
 		wait /= 10
-	} else if a.HonoursRetryAfter {
+	} else if op.HonorsRetryAfter {
 		wait = max(wait, float64(after))
 	}
-	if !harmless || tries > int(float64(a.Retries)*storm) || now+time.Duration(wait) > a.At+c.Deadline-10*time.Millisecond {
+	if !harmless || tries > int(float64(op.Retries)*storm) || now+time.Duration(wait) > op.At+c.Deadline-10*time.Millisecond {
 		return 0, false
 	}
 	return time.Duration(wait), true
@@ -121,12 +122,13 @@
 	NetworkCuts int           // number of faults in force that cut the network
 }
 
-// ActiveEffects combines the effects of the active faults; hits has the indexes of the servers that each fault hits. Of
-// two faults of one kind the worse one counts, but factors of slowdowns and storms are multiplied. The second result is
-// by server index.
-func ActiveEffects(s *scenario.Scenario, active []bool, hits [][]int, servers int) (FleetEffects, []ServerEffects) {
+// ActiveEffects combines the effects of the active faults; faultTargets has the indexes of the servers that each fault
+// hits. Where faults of one kind overlap, the factors of slowdowns and storms are multiplied, and of shares and delays
+// the largest counts; of two report_lie faults at a server the later one in the scenario's list replaces the other. The
+// second result is by server index.
+func ActiveEffects(s *scenario.Scenario, active []bool, faultTargets [][]int, serverCount int) (FleetEffects, []ServerEffects) {
 	all := FleetEffects{Slowdown: 1, RetryFactor: 1}
-	each := make([]ServerEffects, servers)
+	each := make([]ServerEffects, serverCount)
 	for i := range each {
 		each[i] = ServerEffects{Slowdown: 1, ReportFactor: 1}
 	}
@@ -145,33 +147,33 @@
 		case "cut":
 			all.NetworkCuts++
 		case "error", "slow", "reset", "cut_answer", "report_lie", "backlog", "proxy_down", "proxy_slow", "proxy_nonsense":
-			for _, k := range hits[i] {
-				each[k].apply(f)
+			for _, server := range faultTargets[i] {
+				each[server].apply(f)
 			}
 		}
 	}
 	return all, each
 }
 
-// apply adds the effect of one fault.
-func (t *ServerEffects) apply(f *scenario.Fault) {
+// apply adds the effect of one fault to those of the faults applied before.
+func (effects *ServerEffects) apply(f *scenario.Fault) {
 	switch f.Kind {
 	case "error":
-		t.ErrorShare = max(t.ErrorShare, f.Part)
+		effects.ErrorShare = max(effects.ErrorShare, f.Part)
 	case "slow":
-		t.Slowdown, t.SlowShare = t.Slowdown*f.Factor, max(t.SlowShare, f.Part)
+		effects.Slowdown, effects.SlowShare = effects.Slowdown*f.Factor, max(effects.SlowShare, f.Part)
 	case "reset":
-		t.ResetShare = max(t.ResetShare, f.Part)
+		effects.ResetShare = max(effects.ResetShare, f.Part)
 	case "cut_answer":
-		t.CutShare = max(t.CutShare, f.Part)
+		effects.CutShare = max(effects.CutShare, f.Part)
 	case "report_lie":
-		t.ReportFactor = f.Factor
+		effects.ReportFactor = f.Factor
 	case "backlog":
-		t.NoNewConnections = true
+		effects.NoNewConnections = true
 	case "proxy_down", "proxy_nonsense":
-		t.ProxyRefuses = true
+		effects.ProxyRefuses = true
 	case "proxy_slow":
-		t.ProxyDelay = max(t.ProxyDelay, f.Delay)
+		effects.ProxyDelay = max(effects.ProxyDelay, f.Delay)
 	}
 }
 
@@ -181,12 +183,12 @@
 // ProbeReply returns the reply of the agent of a server that is up, or the result of a check of the server; replies is
 // false if none comes. An agent knows about its server what a program on the same machine can know: that it drains,
 // that it responds with errors, and how much slower it is. A check only sees whether its own page gets a response.
-func ProbeReply(s *scenario.Scenario, active []bool, hits [][]int, server int, t *ServerEffects, agent bool,
+func ProbeReply(s *scenario.Scenario, active []bool, faultTargets [][]int, server int, effects *ServerEffects, agent bool,
 	now time.Duration) (text string, replies bool) {
 	drains := false
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		if !active[i] || !slices.Contains(hits[i], server) {
+		if !active[i] || !slices.Contains(faultTargets[i], server) {
 			continue
 		}
 		switch {
@@ -194,27 +196,27 @@
 			turns := strings.Split(f.Says, "|")
 			return turns[int(now/time.Second)%len(turns)], f.Says != ""
 		case !agent && f.Kind == "check_fails":
-			return "said to fail", true
+			return "injected failure", true
 		}
 		drains = drains || f.Kind == "drain"
 	}
 	switch {
-	case !agent && (t.NoNewConnections || t.ProxyRefuses):
+	case !agent && (effects.NoNewConnections || effects.ProxyRefuses):
 		return "no answer", false
 	case !agent:
 		return CheckOK, true
 	case drains:
 		return "drain", true
-	case t.ErrorShare+t.ResetShare+t.CutShare >= 0.2:
+	case effects.ErrorShare+effects.ResetShare+effects.CutShare >= 0.2:
 		return "down #errors", true
-	case t.Slowdown > 1 && t.SlowShare > 0:
-		return fmt.Sprintf("up ready %d%%", max(1, int(100/(1+(t.Slowdown-1)*t.SlowShare)))), true
+	case effects.Slowdown > 1 && effects.SlowShare > 0:
+		return fmt.Sprintf("up ready %d%%", max(1, int(100/(1+(effects.Slowdown-1)*effects.SlowShare)))), true
 	}
 	return "up ready 100%", true
 }
 
-// NewRecords creates the oracles' records for a scenario and its servers. slack extends the time limits by the time that
-// messages on real sockets may take; it is 0 in the model.
+// NewRecords creates the oracles' records for a scenario and its servers. slack extends the time limits by the time
+// that messages on real sockets may take; it is 0 in the model.
 func NewRecords(s *scenario.Scenario, servers []scenario.Server, slack time.Duration, traces bool) *oracle.Records {
 	var classes []oracle.Class
 	for _, c := range s.Classes {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// A client retries only what is harmless to repeat, within its retries and its deadline, and honours backoff and
+// A client retries only what is harmless to repeat, within its retries and its deadline, and honors backoff and
 // Retry-After.
 func TestRetryRules(t *testing.T) {
 	s := scenario.Default()
@@ -91,7 +91,7 @@
 		}
 	}
 	s.Clients.Exponential = true
-	a := scenario.Operation{Retries: 9, HonoursRetryAfter: true}
+	a := scenario.Operation{Retries: 9, HonorsRetryAfter: true}
 	if w, _ := RetryDelay(&s, &a, 3, true, 0, 0, 1, 0.5); w != 4*s.Clients.Backoff {
 		t.Errorf("the delay before the third retry is %v, want four times the backoff", w)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// Overlapping faults combine: slowdowns are multiplied, of other effects of one kind the worse one counts.
+// Overlapping faults combine: slowdowns are multiplied, and of shares of one kind the largest counts.
 func TestOverlappingFaultsCombine(t *testing.T) {
 	s := scenario.Default()
 	s.Faults = []scenario.Fault{{Kind: "slow", Part: 0.2, Factor: 2}, {Kind: "slow", Part: 0.1, Factor: 3},
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -105,7 +105,7 @@
 	Latency  Quantiles         `json:"latency_ms"`
 	Series   []Second          `json:"series"` // one entry a second
 	Servers  []ServerLoad      `json:"servers"`
-	Trigger  [2]float64        `json:"trigger_s"`          // start and end of the first fault, in seconds; both 0 where there is none
+	Trigger  [2]float64        `json:"trigger_s"`          // start and end of the first fault in seconds; 0, 0: none
 	Broken   map[string]int    `json:"broken"`             // number of breaches by rule; empty where no rule was broken
 	Breaches []string          `json:"breaches,omitempty"` // the first breaches, with the trace of their requests
 	Digest   string            `json:"digest,omitempty"`   // checksum of all events; model only
@@ -155,8 +155,8 @@
 			Series: make([]Second, int(duration/time.Second)+1)}}
 }
 
-// RecordOperation records an operation that has ended. It started at the given time and took as long, counted from its
-// first try.
+// RecordOperation records an operation that has ended. at is the start of its first try, and took is the time from then
+// to its end.
 func (r *Recorder) RecordOperation(at time.Duration, class, tenant string, end Ending, inTime bool, took time.Duration, value float64) {
 	if i := int(at / time.Second); i >= 0 && i < len(r.result.Series) {
 		second := &r.result.Series[i]
--- a/internal/lab/model/contract_test.go
+++ b/internal/lab/model/contract_test.go
@@ -164,15 +164,15 @@
 }
 
 // With load reports of queue lengths only, each node admits an equal share of a contract's rate, whatever share of the
-// traffic it gets: the sum never exceeds the contract, and an uneven split leaves a part of the rate unused. If reports
-// include the number of held requests, the nodes' shares follow the traffic.
+// traffic it gets: the sum never exceeds the contract, and an uneven split leaves a share of the rate unused. If
+// reports include the number of held requests, the nodes' shares follow the traffic.
 func TestRateShareOfEachNode(t *testing.T) {
 	t.Parallel()
 	const rate = 100.0
 	for _, c := range []struct {
-		name        string
-		change      func(s *scenario.Scenario)
-		least, most [2]float64 // of the contract's rate: with equal shares, and with shares that follow the traffic
+		name               string
+		change             func(s *scenario.Scenario)
+		minShare, maxShare [2]float64 // of the contract's rate: with equal shares, and with shares that follow the traffic
 	}{
 		{"even", func(s *scenario.Scenario) {}, [2]float64{0.95, 0.9}, [2]float64{1.02, 1.05}},
 		{"80/20", func(s *scenario.Scenario) { s.Front.Split = []float64{0.8, 0.2} }, [2]float64{0.8, 0.85},
@@ -198,8 +198,8 @@
 			admitted := float64(r.Tries-r.Causes["contract: rate"]-r.Causes["node unreachable"]-r.Causes["node died"]) / 60 / rate
 			t.Logf("%s, reports include held requests: %v: %.3f of the contract's rate is admitted at 2.5 times the rate",
 				c.name, held, admitted)
-			if admitted < c.least[i] || admitted > c.most[i] {
-				t.Errorf("%s: %.3f of the contract's rate is admitted, want %.2f to %.2f", c.name, admitted, c.least[i], c.most[i])
+			if admitted < c.minShare[i] || admitted > c.maxShare[i] {
+				t.Errorf("%s: %.3f of the contract's rate is admitted, want %.2f to %.2f", c.name, admitted, c.minShare[i], c.maxShare[i])
 			}
 		}
 	}
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -56,21 +56,21 @@
 		index: int32(n.index), generation: n.incarnation})
 }
 
-// callDiscovery handles a node's call for changes or for the full list. Its reply takes a time that grows with its
-// lines; a call that would take longer than the time-out fails and leaves no load behind.
+// callDiscovery handles a node's call for changes or for the full list. The time until the reply grows with the number
+// of its entries; a call that would take longer than the time-out fails and takes none of discovery's time.
 func (sim *simulation) callDiscovery(n *node, full bool) {
 	disc, set := &sim.discovery, &sim.scenario.Roster
 	if disc.outages > 0 {
 		sim.schedule(sim.now+set.Timeout/2, event{kind: evListFailed, index: int32(n.index), generation: n.incarnation})
 		return
 	}
-	lines := len(disc.changes) - n.listVersion
+	entryCount := len(disc.changes) - n.listVersion
 	if full {
-		lines = len(disc.entries)
+		entryCount = len(disc.entries)
 	}
-	disc.busyUntil = max(disc.busyUntil, sim.now) + set.CallTime + time.Duration(lines)*set.CallTime/100
+	disc.busyUntil = max(disc.busyUntil, sim.now) + set.CallTime + time.Duration(entryCount)*set.CallTime/100
 	if disc.busyUntil-sim.now > set.Timeout {
-		disc.busyUntil -= set.CallTime + time.Duration(lines)*set.CallTime/100 // discovery drops the call
+		disc.busyUntil -= set.CallTime + time.Duration(entryCount)*set.CallTime/100 // discovery drops the call
 		sim.schedule(sim.now+set.Timeout, event{kind: evListFailed, index: int32(n.index), generation: n.incarnation})
 		return
 	}
@@ -82,7 +82,8 @@
 		arg: fullArg, generation: n.incarnation})
 }
 
-// setOutage begins or ends an outage of discovery. Where discovery does not push changes, the beginning ends all watches.
+// setOutage begins or ends an outage of discovery. Where discovery does not push changes, the beginning ends all
+// watches.
 func (sim *simulation) setOutage(down bool) {
 	disc := &sim.discovery
 	if !down {
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -8,7 +8,7 @@
 	"portstall/policy"
 )
 
-// applyFault begins or ends a fault. Faults may overlap: effects that several share are computed from all that are in
+// applyFault begins or ends a fault. Faults may overlap: an effect that several have is computed from all faults in
 // force.
 func (sim *simulation) applyFault(i int, begin bool) {
 	f := &sim.scenario.Faults[i]
@@ -63,9 +63,9 @@
 	case "node_stop":
 		for _, index := range sim.faultTargets[i] {
 			if n := sim.nodes[index]; begin && n.up {
-				n.stoppedUntil = max(n.stoppedUntil, f.End())
+				n.suspendedUntil = max(n.suspendedUntil, f.End())
 				for _, t := range n.sortedTries() {
-					sim.records.NodeStopped(n.index, t.id)
+					sim.records.NodeSuspended(n.index, t.id)
 				}
 			}
 		}
@@ -122,8 +122,8 @@
 func (sim *simulation) killsServer(att *attempt) bool {
 	for i := range sim.scenario.Faults {
 		f := &sim.scenario.Faults[i]
-		if t := att.try.request.Tenant; sim.activeFaults[i] && f.Kind == "poison" && t >= 0 &&
-			sim.scenario.Tenants[t].Name == f.Tenant && sim.rng.Float64() < f.Part {
+		if tenant := att.try.request.Tenant; sim.activeFaults[i] && f.Kind == "poison" && tenant >= 0 &&
+			sim.scenario.Tenants[tenant].Name == f.Tenant && sim.rng.Float64() < f.Part {
 			sim.poisonDowntime = f.Delay
 			return true
 		}
--- a/internal/lab/model/health.go
+++ b/internal/lab/model/health.go
@@ -13,8 +13,8 @@
 // evaluationInterval is the time between two evaluations of the health of all servers, as reports expire.
 const evaluationInterval = 250 * time.Millisecond
 
-// checker learns the health of servers by means other than requests: agents and checks. It uses the tracker and the probe
-// schedules of the real node. A nil checker ignores all calls that a node makes without checks.
+// checker learns the health of servers by means other than requests: agents and checks. It uses the tracker and the
+// probe schedules of the real node. A nil checker ignores all calls that a node makes without checks.
 type checker struct {
 	node      *node
 	tracker   *health.Tracker
--- a/internal/lab/model/health_test.go
+++ b/internal/lab/model/health_test.go
@@ -22,7 +22,7 @@
 // healthResult is the result of a run with one source.
 type healthResult struct {
 	valueShare     float64       // share of the value of all requests that is served in time
-	avoidDelay     time.Duration // from the begin of the first fault until its servers get under a tenth of their former sends
+	avoidDelay     time.Duration // from the first fault's start until its servers get under a tenth of their former sends
 	falseEjections float64       // ejections of healthy servers per server and day
 }
 
@@ -45,14 +45,14 @@
 		}
 	}
 	const slice = 250 * time.Millisecond
-	sends := map[int]int{} // by slices after the first fault's begin
+	sends := map[int]int{} // by slices of time after the first fault's start
 	falseEjections := 0
 	r, err := Run(s, Options{NewDecider: Portstall, OnSend: func(now time.Duration, _, server int) {
 		if faulty[server] {
 			sends[int((now-first.At+100*slice)/slice)-100]++
 		}
-	}, OnEject: func(now time.Duration, node, server int, out bool) {
-		if out && !faulty[server] {
+	}, OnEject: func(now time.Duration, node, server int, ejected bool) {
+		if ejected && !faulty[server] {
 			falseEjections++
 		}
 	}})
@@ -169,8 +169,8 @@
 			if at, ok := received[nodeServer{node, server}]; ok {
 				latest = max(latest, now-at)
 			}
-		}, OnEject: func(now time.Duration, node, server int, out bool) {
-			if out {
+		}, OnEject: func(now time.Duration, node, server int, ejected bool) {
+			if ejected {
 				received[nodeServer{node, server}] = now
 				reports++
 			} else {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -48,7 +48,7 @@
 	// Pressure returns the fleet's pressure.
 	Pressure() float64
 	// TrafficShare returns the node's share of all traffic; known is false while there is no estimate.
-	TrafficShare() (part float64, known bool)
+	TrafficShare() (share float64, known bool)
 }
 
 // Factory creates the Decider of a node.
@@ -75,7 +75,7 @@
 	evListUpdate                      // a watch reports changes of the server list to a node
 	evArrive                          // an attempt reaches its server
 	evProgress                        // a server's running requests have to be advanced
-	evCancel                          // an attempt is cancelled at its server
+	evCancel                          // an attempt is canceled at its server
 	evProbe                           // a load probe reaches a server
 	evOutcome                         // an attempt's outcome reaches its node
 	evTimeout                         // an attempt times out at its node
@@ -109,9 +109,9 @@
 type event struct {
 	at         time.Duration
 	kind       eventKind
-	outcome    policy.Outcome
-	index, arg int32 // index: the node, server or fault; arg: a second index, a server state or a flag
-	generation int32 // of the node or server when it was scheduled; the event is stale if that has changed since
+	outcome    policy.Outcome // evOutcome: of the attempt; evHealthProbe, evHealthReply: the kind of probe
+	index, arg int32          // index: the node, server or fault; arg: a second index, a server state or a flag
+	generation int32          // of the node or server when it was scheduled; the event is stale if that has changed since
 	attempt    *attempt
 	try        *clientTry
 	token      string        // evTimer: the policy's token; evHealthReply: the text of the reply
@@ -184,7 +184,7 @@
 	// OnSend is called for each attempt that is sent to a server. May be nil.
 	OnSend func(now time.Duration, node, server int)
 	// OnEject is called when a node ejects a server because of agents or checks, or returns it to service. May be nil.
-	OnEject func(now time.Duration, node, server int, out bool)
+	OnEject func(now time.Duration, node, server int, ejected bool)
 	// OnSecond is called after each simulated second with the counts so far. May be nil.
 	OnSecond func(second int, r *measure.Recorder)
 }
@@ -239,7 +239,8 @@
 	return res, nil
 }
 
-// newSimulation prepares a run: it sets up discovery, servers and nodes and schedules the faults. Errors are left in err.
+// newSimulation prepares a run: it sets up discovery, servers and nodes and schedules the faults. Errors are stored in
+// err.
 func newSimulation(s *scenario.Scenario, opt Options) *simulation {
 	sim := &simulation{scenario: s, options: opt, settings: s.Settings(), rng: rand.New(rand.NewPCG(s.Seed, 0x6d6f64656c)), byID: map[uint32]*server{}, arrivals: s.Workload(),
 		activeFaults: make([]bool, len(s.Faults)), fleetEffects: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
@@ -301,7 +302,7 @@
 	}
 	queued := 0
 	for _, srv := range sim.servers {
-		if srv.up && !srv.silent && !srv.Type.Keeps { // a server that completes cancelled work may still be busy
+		if srv.up && !srv.silent && !srv.Type.Keeps { // a server that completes canceled work may still be busy
 			queued += len(srv.queue) + len(srv.running)
 		}
 	}
@@ -369,11 +370,11 @@
 	case evListReply, evListFailed, evListUpdate, evOutcome, evTimeout, evTimer, evProbeReply,
 		evTunnelOpen, evTunnelDeadline, evHealthProbe, evHealthReply, evHealthEvaluate, evAccept:
 		n := sim.nodes[e.index]
-		if sim.now < n.stoppedUntil {
+		if sim.now < n.suspendedUntil {
 			if e.kind == evAccept {
-				sim.acceptAtStopped(e.try)
+				sim.acceptAtSuspended(e.try)
 			}
-			sim.schedule(n.stoppedUntil, *e) // processed when the node continues
+			sim.schedule(n.suspendedUntil, *e) // processed when the node resumes
 			return
 		}
 		sim.handleNodeEvent(n, e)
@@ -427,7 +428,7 @@
 	timeout := min(left, time.Duration(req.TryShare*float64(c.Deadline)))
 	t := &clientTry{request: req, id: "r" + strconv.FormatUint(sim.nextTryID, 36), sentAt: sim.now}
 	sim.nextTryID++
-	t.node = sim.chooseNode()
+	t.node = sim.selectNode()
 	way := sim.networkDelay(sim.scenario.Network.Client)
 	if t.node == nil || !t.node.up {
 		sim.finishTry(t, measure.Unreachable, "node unreachable", way, 0)
@@ -441,8 +442,8 @@
 	}
 }
 
-// chooseNode returns the node that the front selects for a request, or nil if it knows of none.
-func (sim *simulation) chooseNode() *node {
+// selectNode returns the node that the front selects for a request, or nil if it knows of none.
+func (sim *simulation) selectNode() *node {
 	share := func(n *node) float64 {
 		f := &sim.scenario.Front
 		if len(f.Split) == 0 {
@@ -473,14 +474,14 @@
 	return last
 }
 
-// acceptAtStopped records a request that reaches a stopped node: its machine has accepted the connection.
-func (sim *simulation) acceptAtStopped(t *clientTry) {
+// acceptAtSuspended records a request that reaches a suspended node: its machine has accepted the connection.
+func (sim *simulation) acceptAtSuspended(t *clientTry) {
 	if t.closed || t.incarnation != t.node.incarnation || t.node.tries[t.id] != nil {
 		return
 	}
 	t.node.tries[t.id] = t
 	sim.recordAccepted(t)
-	sim.records.NodeStopped(t.node.index, t.id)
+	sim.records.NodeSuspended(t.node.index, t.id)
 }
 
 // recordAccepted records that a node has accepted a request.
@@ -497,7 +498,7 @@
 	}
 	t.closed = true
 	sim.records.ClientLeft(sim.now, n.index, t.id)
-	if sim.now >= n.stoppedUntil {
+	if sim.now >= n.suspendedUntil {
 		sim.decide(n, t.decider, &policy.Event{Kind: policy.EvClientGone, ID: t.id})
 	}
 	n.removeClosed(t)
@@ -512,7 +513,7 @@
 	}
 	t.closed = true
 	sim.records.ClientTimedOut(sim.now, n.index, t.id)
-	if sim.now >= n.stoppedUntil && n.tries[t.id] != nil {
+	if sim.now >= n.suspendedUntil && n.tries[t.id] != nil {
 		sim.decide(n, t.decider, &policy.Event{Kind: policy.EvClientGone, ID: t.id})
 	}
 	n.removeClosed(t)
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -108,8 +108,8 @@
 	alter func(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-func (b *alteredPolicy) Handle(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action {
-	return b.alter(now, ev, b.Decider.Handle(now, ev, out))
+func (p *alteredPolicy) Handle(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action {
+	return p.alter(now, ev, p.Decider.Handle(now, ev, out))
 }
 
 // Each rule finds its breach: a policy that is correct except for one injected fault breaks the rule, and the run
@@ -225,24 +225,24 @@
 	requests int
 }
 
-func (g *coldFlooder) Handle(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action {
+func (f *coldFlooder) Handle(now time.Duration, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.EvList:
 		if ev.List == policy.ListCached {
-			g.entries = append(g.entries, ev.Entries...)
+			f.entries = append(f.entries, ev.Entries...)
 			return append(out, policy.Action{Kind: policy.ActWatch})
 		}
 		for _, e := range ev.Entries {
-			for i := range g.entries {
-				if g.entries[i].ID == e.ID {
-					g.entries[i] = e
+			for i := range f.entries {
+				if f.entries[i].ID == e.ID {
+					f.entries[i] = e
 				}
 			}
 		}
 	case policy.EvRequest:
-		g.requests++
-		selected := g.entries[g.requests%len(g.entries)]
-		for _, e := range g.entries {
+		f.requests++
+		selected := f.entries[f.requests%len(f.entries)]
+		for _, e := range f.entries {
 			if e.Launched > 0 && e.State == policy.Active {
 				selected = e
 			}
@@ -414,8 +414,8 @@
 	}
 }
 
-// The model stores only open requests: ten times the simulated time takes no more memory. A run that kept its finished
-// requests would exceed the bound twentyfold.
+// The model stores only open requests: ten times the simulated time takes no more memory. A run that stored its
+// finished requests would exceed the bound twentyfold.
 func TestMemoryDoesNotGrowWithTime(t *testing.T) {
 	s := smallScenario()
 	s.Duration = 500 * time.Second
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -13,25 +13,25 @@
 
 // node is one balancer node: its policy, its connections to servers and its copy of the server list.
 type node struct {
-	index        int
-	decider      Decider          // replaced by an upgrade
-	prober       Prober           // the decider, if it probes servers; else nil
-	pressure     PressureReporter // the decider, if it reports pressure; else nil
-	ledger       *contract.Ledger // nil where there are no contracts
-	cells        *cell.Placer     // nil where there are no cells
-	checker      *checker         // nil where nothing is checked
-	incarnation  int32            // counts its starts
-	up           bool
-	killedAt     time.Duration         // when it was last killed
-	downUntil    time.Duration         // it is not started before, as faults may overlap
-	stoppedUntil time.Duration         // its process is stopped (SIGSTOP) until then
-	tries        map[string]*clientTry // accepted and not over, by ID
-	idle         [][]time.Duration     // by server: since when each idle connection has been idle, oldest first
-	connections  []int32               // by server: number of connections, idle ones included
-	entries      []policy.Entry        // by server: its copy of the server list
-	listVersion  int                   // version of the server list it has received
-	watching     bool                  // it has a watch open at discovery
-	storedState  []byte                // its state as last persisted; nil: never
+	index          int
+	decider        Decider          // replaced by an upgrade
+	prober         Prober           // the decider, if it probes servers; else nil
+	pressure       PressureReporter // the decider, if it reports pressure; else nil
+	ledger         *contract.Ledger // nil where there are no contracts
+	cells          *cell.Placer     // nil where there are no cells
+	checker        *checker         // nil where nothing is checked
+	incarnation    int32            // counts its starts
+	up             bool
+	killedAt       time.Duration         // when it was last killed
+	downUntil      time.Duration         // it is not started before, as faults may overlap
+	suspendedUntil time.Duration         // its process is suspended (SIGSTOP) until then
+	tries          map[string]*clientTry // accepted and not finished, by ID
+	idle           [][]time.Duration     // by server: since when each idle connection has been idle, oldest first
+	connections    []int32               // by server: number of connections, idle ones included
+	entries        []policy.Entry        // by server: its copy of the server list
+	listVersion    int                   // version of the server list it has received
+	watching       bool                  // it has a watch open at discovery
+	storedState    []byte                // its state as last persisted; nil: never
 }
 
 // startNode starts a node with its last copy of the server list.
@@ -190,8 +190,8 @@
 	}
 }
 
-// accept takes a request at its node. It asks the contract ledger and the cell placement before it submits the request
-// to the policy.
+// accept accepts a request at its node. It asks the contract ledger and the cell placement before it submits the
+// request to the policy.
 func (sim *simulation) accept(t *clientTry) {
 	n := t.node
 	if !n.up || t.incarnation != n.incarnation {
@@ -241,7 +241,7 @@
 	sim.submit(t, candidates, overQuota)
 }
 
-// submit passes a request to the policy, which may send it to the candidates, or to all servers if there is no such list.
+// submit passes a request to the policy, which may send it to the candidates, or to all servers if candidates is nil.
 func (sim *simulation) submit(t *clientTry, candidates []uint32, overQuota bool) {
 	if t.decider == nil {
 		t.decider = t.node.decider
@@ -286,8 +286,8 @@
 func (sim *simulation) updateLedger(n *node) {
 	if n.pressure != nil {
 		n.ledger.SetPressure(sim.now, n.pressure.Pressure())
-		if part, ok := n.pressure.TrafficShare(); ok {
-			n.ledger.SetTrafficShare(sim.now, part)
+		if share, ok := n.pressure.TrafficShare(); ok {
+			n.ledger.SetTrafficShare(sim.now, share)
 		}
 	} else {
 		n.ledger.SetPressure(sim.now, 0)
@@ -429,8 +429,8 @@
 var outcomeNames = [...]string{policy.OK: "OK", policy.Failed: "Failed", policy.QueueFull: "Full", policy.TimedOut: "TimedOut",
 	policy.ConnectFailed: "ConnectFailed", policy.Reset: "Reset", policy.Canceled: "Canceled", policy.NeverSent: "Moot"}
 
-// sendAttempt starts an attempt: on an idle connection if there is one, else on a new connection, which may fail. A send
-// for an unknown request or server is recorded as a breach and not executed.
+// sendAttempt starts an attempt: on an idle connection if there is one, else on a new connection, which may fail. A
+// send for an unknown request or server is recorded as a breach and not executed.
 func (sim *simulation) sendAttempt(n *node, a *policy.Action) {
 	t, srv := n.tries[a.ID], sim.byID[a.Server]
 	work, capacity := 0.0, 0.0
--- a/internal/lab/model/queue.go
+++ b/internal/lab/model/queue.go
@@ -55,21 +55,21 @@
 	h = h[:last]
 	i := 0
 	for {
-		least := 4*i + 1
-		if least >= last {
+		minChild := 4*i + 1
+		if minChild >= last {
 			break
 		}
-		first := h[least]
-		for j := least + 1; j < min(4*i+5, last); j++ {
+		first := h[minChild]
+		for j := minChild + 1; j < min(4*i+5, last); j++ {
 			if o := h[j]; o.before(first) {
-				least, first = j, o
+				minChild, first = j, o
 			}
 		}
 		if !first.before(k) {
 			break
 		}
 		h[i] = first
-		i = least
+		i = minChild
 	}
 	if last > 0 {
 		h[i] = k
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -29,28 +29,28 @@
 	reportedHeld  float64        // number of held requests in the load report; -1: not reported
 }
 
-// server is one web server: cores that share the running requests evenly, a bounded queue before them, and a warm-up ramp
-// after each start. The faults in force set its effects.
+// server is one web server: cores that share the running requests evenly, a bounded queue before them, and a warm-up
+// ramp after each start. The faults in force set its effects.
 type server struct {
 	scenario.Server
-	index       int
-	slots       int           // requests that run at the same time
-	queueCap    int           // requests that wait at most
-	incarnation int32         // counts the times that its connections were reset
-	up          bool          // its process runs
-	silent      bool          // its machine is unreachable for all
-	collapsed   bool          // overloaded while cold: it stays down
-	downUntil   time.Duration // it is not restarted before, as faults may overlap
-	launched    time.Duration // scenario time; negative: long ago
-	workDone    float64       // seconds of work since its start
-	totalWork   float64       // seconds of work since the scenario's start
-	queue       []*attempt
-	running     []*attempt
-	awaited     []*attempt // attempts whose node waits for them
-	connections int
-	advancedAt  time.Duration // work is accounted for up to this time
-	generation  int32         // counts changes of its schedule: an evProgress of an older one is stale
-	sendCount   int           // attempts sent to it
+	index          int
+	slots          int           // requests that run at the same time
+	queueCap       int           // requests that wait at most
+	incarnation    int32         // counts the times that its connections were reset
+	up             bool          // its process runs
+	silent         bool          // its machine is unreachable for all
+	collapsed      bool          // overloaded while cold: it stays down
+	downUntil      time.Duration // it is not restarted before, as faults may overlap
+	launched       time.Duration // scenario time; negative: long ago
+	workSinceStart float64       // seconds of work since its start
+	totalWork      float64       // seconds of work since the scenario's start
+	queue          []*attempt
+	running        []*attempt
+	awaited        []*attempt // attempts whose node waits for them
+	connections    int
+	advancedAt     time.Duration // work is accounted for up to this time
+	generation     int32         // counts changes of its schedule: an evProgress of an older one is stale
+	sendCount      int           // attempts sent to it
 
 	effects       fleet.ServerEffects
 	queueReports  fleet.Reports     // load reports: queue length
@@ -97,7 +97,7 @@
 	if srv.launched < 0 {
 		return 1
 	}
-	return fleet.Ramp(srv.Type, srv.Speed, sim.now-srv.launched, sim.scenario.Rules.ColdFor, srv.workDone)
+	return fleet.Ramp(srv.Type, srv.Speed, sim.now-srv.launched, sim.scenario.Rules.ColdFor, srv.workSinceStart)
 }
 
 // isWarm reports whether the server has its full capacity.
@@ -129,7 +129,7 @@
 		return
 	}
 	did := srv.ratePerRequest(sim) * dt
-	srv.workDone += did * float64(len(srv.running))
+	srv.workSinceStart += did * float64(len(srv.running))
 	srv.totalWork += did * float64(len(srv.running))
 	srv.recordReports(sim)
 	remaining := srv.running[:0]
@@ -171,8 +171,8 @@
 	}
 }
 
-// expectedResponseTime returns the recent response time at the present number of held requests. Where that number has not
-// been seen it scales the time of the nearest one. It is 0 if there is none.
+// expectedResponseTime returns the recent response time at the present number of held requests. Where that number has
+// not been seen it scales the time of the nearest one. It is 0 if there is none.
 func (srv *server) expectedResponseTime() time.Duration {
 	held := min(len(srv.running)+len(srv.queue), len(srv.responseTimes)-1)
 	for distance := range srv.responseTimes {
@@ -193,11 +193,11 @@
 	if rate <= 0 {
 		return
 	}
-	least := math.Inf(1)
+	minWork := math.Inf(1)
 	for _, att := range srv.running {
-		least = min(least, att.workLeft)
+		minWork = min(minWork, att.workLeft)
 	}
-	wait := time.Duration(math.Ceil(least / rate * 1e9))
+	wait := time.Duration(math.Ceil(minWork / rate * 1e9))
 	if srv.launched >= 0 && !srv.isWarm(sim) {
 		wait = min(wait, 50*time.Millisecond)
 	}
@@ -208,13 +208,13 @@
 func (sim *simulation) arrive(att *attempt) {
 	srv := att.server
 	if att.incarnation != srv.incarnation || !srv.up || srv.silent {
-		return // the server is gone; its connections were handled when it went down
+		return // the server is down; its connections were handled when it went down
 	}
 	if att.done {
 		return // the node has closed the connection meanwhile
 	}
 	att.connecting = false
-	if sim.scenario.Classes[att.try.request.Class].Stands > 0 { // a tunnel takes no work; it stays open for its own duration
+	if sim.scenario.Classes[att.try.request.Class].Stands > 0 { // a tunnel needs no work; it has a duration of its own
 		way := sim.networkDelay(sim.scenario.Network.OneWay)
 		n := int32(att.try.node.index)
 		sim.schedule(sim.now+way, event{kind: evTunnelOpen, index: n, generation: att.try.node.incarnation, attempt: att})
@@ -284,7 +284,7 @@
 	srv.heldReports.Record(sim.now, len(srv.queue)+len(srv.running))
 }
 
-// cancel handles the cancellation of an attempt at its server: a server that does not complete cancelled work drops the
+// cancel handles the cancellation of an attempt at its server: a server that does not complete canceled work drops the
 // running or queued request.
 func (sim *simulation) cancel(att *attempt) {
 	srv := att.server
@@ -369,10 +369,10 @@
 		sim.takeDown(srv, false)
 	}
 	if srv.silent {
-		sim.resetConnections(srv) // the machine is back without state of the old connections
+		sim.resetConnections(srv) // the machine has returned without the state of its old connections
 	}
 	srv.up, srv.silent = true, false
-	srv.launched, srv.workDone, srv.advancedAt = sim.now, 0, sim.now
+	srv.launched, srv.workSinceStart, srv.advancedAt = sim.now, 0, sim.now
 	srv.queueReports.Reset(sim.now)
 	srv.heldReports.Reset(sim.now)
 	sim.records.ServerStarted(sim.now, srv.ID)
--- a/internal/lab/model/state.go
+++ b/internal/lab/model/state.go
@@ -17,7 +17,7 @@
 	Adopt(now time.Duration, l *policy.LearnedState)
 }
 
-// persistPeriodically persists a node's state and schedules the next time.
+// persistPeriodically persists a node's state and schedules the next call. It does nothing if the node has restarted.
 func (sim *simulation) persistPeriodically(n *node, incarnation int32) {
 	if n.up && n.incarnation == incarnation {
 		sim.storeState(n)
@@ -103,11 +103,11 @@
 		to.Adopt(epoch+sim.now, from.LearnedState())
 	}
 	if n.ledger != nil {
-		left := n.ledger.States(sim.now)
+		states := n.ledger.States(sim.now)
 		if sim.scenario.Forgets {
-			left = nil
+			states = nil
 		}
 		n.ledger = contract.NewLedger(sim.contracts, sim.now, 1/float64(len(sim.nodes)))
-		n.ledger.Restore(sim.now, left, true)
+		n.ledger.Restore(sim.now, states, true)
 	}
 }
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -51,7 +51,7 @@
 	DrainGrace    time.Duration // new requests may be sent to a server for this long after its drain was announced
 	TunnelDrain   time.Duration // an open tunnel may last this much longer than the grace
 	WindowSlack   time.Duration // precision of the clocks of a real run, for the window of a key
-	ColdMultiple  float64       // a cold server's budget is this multiple of what its present capacity can do in ColdWindow
+	ColdMultiple  float64       // multiple of what a cold server's present capacity can do in ColdWindow: its budget
 	ColdWindow    time.Duration // the window of a cold server's budget
 	// MeanWork is the mean work of a request in seconds. It allows for random variation of a cold server's work: where its
 	// budget is N mean requests, 2 x root of N + 2 more are allowed. At 0 none are.
@@ -91,7 +91,7 @@
 	mayHaveRun bool // it has ended, and its outcome does not exclude that it ran
 }
 
-// request is the record of one request that is not over.
+// request is the record of one request that is not finished.
 type request struct {
 	class      *Class
 	node       int
@@ -101,7 +101,7 @@
 	open       int  // attempts in flight
 	responses  int  // final responses
 	clientLeft bool // the client has disconnected or timed out
-	excused    bool // its node was stopped meanwhile, so its response may be late
+	excused    bool // its node was suspended meanwhile, so its response may be late
 	trace      []traceEntry
 }
 
@@ -183,7 +183,7 @@
 	return n
 }
 
-// addBreach counts a breach, and stores it if there is room.
+// addBreach counts a breach, and stores it unless MaxBreaches are stored.
 func (rec *Records) addBreach(rule Rule, at time.Duration, node int, id, format string, args ...any) {
 	rec.counts[rule]++
 	if len(rec.breaches) >= MaxBreaches {
@@ -215,12 +215,12 @@
 // Accepted records that a node has accepted a request whose client's timeout expires at until.
 func (rec *Records) Accepted(at time.Duration, node int, id string, class int, until time.Duration) {
 	if rec.requests[id] != nil {
-		rec.addBreach(UnknownTarget, at, node, id, "id %s is taken twice", id)
+		rec.addBreach(UnknownTarget, at, node, id, "request %s was accepted twice", id)
 		return
 	}
 	r := &request{class: &rec.classes[class], node: node, deadline: until}
 	rec.requests[id] = r
-	rec.addTrace(r, at, "taken by node %d: class %s, client gives up at %v", node, r.class.Name, until)
+	rec.addTrace(r, at, "accepted by node %d: class %s, client times out at %v", node, r.class.Name, until)
 }
 
 // Sent records that a node starts an attempt. work is the mean work of the request's class in seconds, capacity the
@@ -229,15 +229,15 @@
 func (rec *Records) Sent(at time.Duration, node int, id string, server uint32, work, capacity float64) {
 	r, s := rec.requests[id], rec.servers[server]
 	if r == nil || r.node != node {
-		rec.addBreach(FinalResponse, at, node, id, "%s is sent though it has its final answer, or was never taken", id)
+		rec.addBreach(FinalResponse, at, node, id, "%s is sent although it has its final response, or was never accepted", id)
 		return
 	}
 	rec.addTrace(r, at, "sent to %d (zone %d, pod %d)", server, s.Zone, s.Pod)
 	if s.ID != server {
-		rec.addBreach(UnknownTarget, at, node, id, "server %d is in no list", server)
+		rec.addBreach(UnknownTarget, at, node, id, "there is no server %d", server)
 	}
 	if r.responses > 0 || r.clientLeft {
-		rec.addBreach(FinalResponse, at, node, id, "sent after its end")
+		rec.addBreach(FinalResponse, at, node, id, "sent after its final response, or after its client disconnected")
 	}
 	if r.open > 0 {
 		rec.addBreach(InFlight, at, node, id, "sent while %d attempts are in flight", r.open)
@@ -267,7 +267,7 @@
 		break
 	}
 	if last := rec.notices[node][server]; last.withdrawnAt > 0 && at > last.withdrawnAt+rec.limits.DrainGrace {
-		rec.addBreach(Drain, at, node, id, "sent to %d, which the node was told %v ago drains or is gone", server,
+		rec.addBreach(Drain, at, node, id, "sent to server %d; the node was notified %v ago that it drains or is removed", server,
 			at-last.withdrawnAt)
 	}
 	if r.key != "" {
@@ -336,7 +336,7 @@
 	}
 	c.overloaded = true
 	if c.informedSum >= c.sum*2/3 {
-		rec.addBreach(Cold, at, node, "", "server %d, cold since %v, was sent %.2f s of work within %v; it bears %.2f",
+		rec.addBreach(Cold, at, node, "", "server %d, cold since %v, was sent %.2f s of work within %v; its budget is %.2f",
 			server, c.launched, c.sum, rec.limits.ColdWindow, budget)
 	}
 }
@@ -352,14 +352,14 @@
 func (rec *Records) AttemptEnded(at time.Duration, node int, id string, index int, outcome string, neverRan, served bool) {
 	r := rec.requests[id]
 	if r == nil || index >= len(r.attempts) || !r.attempts[index].open {
-		rec.addBreach(UnknownTarget, at, node, id, "attempt %d of %s ends, but it is not out", index, id)
+		rec.addBreach(UnknownTarget, at, node, id, "attempt %d of %s ended, but is not in flight", index, id)
 		return
 	}
 	rec.addTrace(r, at, "attempt %d ended: %s", index, outcome)
 	a := &r.attempts[index]
 	if last := rec.notices[node][a.server.ID]; r.responses > 0 && last.withdrawnAt > 0 &&
 		at > last.withdrawnAt+rec.limits.DrainGrace+rec.limits.TunnelDrain {
-		rec.addBreach(Drain, at, node, id, "a tunnel outlives the drain of %d by %v", a.server.ID,
+		rec.addBreach(Drain, at, node, id, "a tunnel stays open after the drain limit of server %d, by %v", a.server.ID,
 			at-last.withdrawnAt-rec.limits.DrainGrace-rec.limits.TunnelDrain)
 	}
 	a.open, a.mayHaveRun = false, !neverRan
@@ -383,7 +383,7 @@
 		runsOnce := c.Effect == "unsafe" || c.Effect == "keyed" && c.Group != "all" && c.Group != ""
 		if runsOnce && slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun || a.open }) {
 			rec.addTrace(r, at, "refused")
-			rec.addBreach(Repeat, at, node, id, "refused, though it may have run and class %s does not bear another run", c.Name)
+			rec.addBreach(Repeat, at, node, id, "refused although it may have run, and class %s may not run twice", c.Name)
 		}
 	}
 	rec.recordFinal(at, node, id, "refused")
@@ -404,7 +404,7 @@
 func (rec *Records) recordFinal(at time.Duration, node int, id, what string) {
 	r := rec.requests[id]
 	if r == nil {
-		rec.addBreach(FinalResponse, at, node, id, "%s is %s though it has its final answer, or was never taken", id, what)
+		rec.addBreach(FinalResponse, at, node, id, "%s is %s although it has its final response, or was never accepted", id, what)
 		return
 	}
 	rec.recordResponse(at, r, id, what)
@@ -413,19 +413,19 @@
 
 // recordResponse checks a final response: it must be the only one, and in time.
 func (rec *Records) recordResponse(at time.Duration, r *request, id, what string) {
-	rec.addTrace(r, at, "final answer: %s", what)
+	rec.addTrace(r, at, "final response: %s", what)
 	if r.responses++; r.responses > 1 || r.clientLeft {
-		rec.addBreach(FinalResponse, at, r.node, id, "answered a second time (%s), or after its client had left", what)
+		rec.addBreach(FinalResponse, at, r.node, id, "a second final response (%s), or one after its client disconnected", what)
 	}
 	if at > r.deadline+rec.limits.ResponseSlack && !r.excused {
-		rec.addBreach(FinalResponse, at, r.node, id, "%s %v after its client's time was up", what, at-r.deadline)
+		rec.addBreach(FinalResponse, at, r.node, id, "%s %v after its client timed out", what, at-r.deadline)
 	}
 }
 
 // ClientLeft records that the client disconnected before its timeout. The request needs no response any more.
 func (rec *Records) ClientLeft(at time.Duration, node int, id string) {
 	if r := rec.requests[id]; r != nil {
-		rec.addTrace(r, at, "client has gone")
+		rec.addTrace(r, at, "client disconnected")
 		r.clientLeft = true
 		rec.removeClosed(id, r)
 	}
@@ -435,26 +435,27 @@
 func (rec *Records) ClientTimedOut(at time.Duration, node int, id string) {
 	if r := rec.requests[id]; r != nil && r.responses == 0 && !r.clientLeft {
 		if !r.excused {
-			rec.addBreach(FinalResponse, at, node, id, "no answer until its client gave up at %v", r.deadline)
+			rec.addBreach(FinalResponse, at, node, id, "no response before its client timed out at %v", r.deadline)
 		}
 		r.clientLeft = true
 		rec.removeClosed(id, r)
 	}
 }
 
-// removeClosed removes a request that has its final response, or lost its client, and has no open attempts.
+// removeClosed removes a request that has its final response, or whose client has disconnected, if it has no open
+// attempts.
 func (rec *Records) removeClosed(id string, r *request) {
 	if (r.responses > 0 || r.clientLeft) && r.open == 0 {
 		delete(rec.requests, id)
 	}
 }
 
-// Notified records that a node was notified of a server's state. out is set if the server drains or is removed;
+// Notified records that a node was notified of a server's state. withdrawn is set if the server drains or is removed;
 // launched is its last start, 0 for long ago.
-func (rec *Records) Notified(at time.Duration, node int, server uint32, out bool, launched time.Duration) {
+func (rec *Records) Notified(at time.Duration, node int, server uint32, withdrawn bool, launched time.Duration) {
 	last := rec.notices[node][server]
 	switch {
-	case !out:
+	case !withdrawn:
 		last.withdrawnAt = 0
 	case last.withdrawnAt == 0:
 		last.withdrawnAt = at
@@ -475,19 +476,19 @@
 	}
 }
 
-// NodeStopped records that the node of a request is stopped for some time. The request may get its response late.
-func (rec *Records) NodeStopped(node int, id string) {
+// NodeSuspended records that the node of a request is suspended for some time. The request may get its response late.
+func (rec *Records) NodeSuspended(node int, id string) {
 	if r := rec.requests[id]; r != nil && r.node == node {
 		r.excused = true
 	}
 }
 
-// OpenRequests returns the number of requests that are not over.
+// OpenRequests returns the number of requests that are not finished.
 func (rec *Records) OpenRequests() int { return len(rec.requests) }
 
-// Close checks that no request is open at the end of a run. left has the numbers of other resources that must not
+// Close checks that no request is open at the end of a run. leftovers has the numbers of other resources that must not
 // remain, such as timers and connections.
-func (rec *Records) Close(at time.Duration, left map[string]int) {
+func (rec *Records) Close(at time.Duration, leftovers map[string]int) {
 	if n := len(rec.requests); n > 0 {
 		id, first := "", ""
 		for id = range rec.requests {
@@ -497,12 +498,12 @@
 		}
 		rec.addBreach(Leak, at, rec.requests[first].node, first, "%d requests are still open, %s among them", n, first)
 	}
-	for _, what := range slices.Sorted(maps.Keys(left)) {
-		if left[what] != 0 {
-			rec.addBreach(Leak, at, 0, "", "%d %s are left over", left[what], what)
+	for _, what := range slices.Sorted(maps.Keys(leftovers)) {
+		if leftovers[what] != 0 {
+			rec.addBreach(Leak, at, 0, "", "%d %s remain at the end", leftovers[what], what)
 		}
 	}
 }
 
-// IsOpen reports whether a request is not over.
+// IsOpen reports whether a request is not finished.
 func (rec *Records) IsOpen(id string) bool { return rec.requests[id] != nil }
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -91,9 +91,9 @@
 			rec.Accepted(0, 0, "r", read, time.Second)
 			rec.Failed(time.Second+21*ms, 0, "r")
 		}, FinalResponse},
-		{"final response after the slack from a node that was stopped", func(rec *Records) {
+		{"final response after the slack from a node that was suspended", func(rec *Records) {
 			rec.Accepted(0, 0, "r", read, time.Second)
-			rec.NodeStopped(0, "r")
+			rec.NodeSuspended(0, "r")
 			rec.Failed(time.Second+21*ms, 0, "r")
 		}, ""},
 		{"final response within the slack", func(rec *Records) {
@@ -294,8 +294,8 @@
 	}
 }
 
-// All breaches are counted, but only MaxBreaches are stored; a breach includes the trace of its request; requests that
-// are over are not stored.
+// All breaches are counted, but only MaxBreaches are stored; a breach includes the trace of its request; finished
+// requests are not stored.
 func TestTraceAndBounds(t *testing.T) {
 	rec := newTestRecords()
 	for range 3 * MaxBreaches {
@@ -308,7 +308,7 @@
 		t.Errorf("%d stored, %v counted", len(rec.Breaches()), rec.Counts())
 	}
 	text := rec.Breaches()[0].String()
-	for _, want := range []string{"taken by node 0: class pay", "sent to 1", "attempt 0 ended: Reset", "refused",
+	for _, want := range []string{"accepted by node 0: class pay", "sent to 1", "attempt 0 ended: Reset", "refused",
 		string(Repeat)} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the trace lacks %q: %s", want, text)
--- a/internal/lab/peer/peer_test.go
+++ b/internal/lab/peer/peer_test.go
@@ -22,11 +22,11 @@
 // runScenario runs a scenario with a policy, by name.
 func runScenario(t *testing.T, s scenario.Scenario, name string) measure.Result {
 	t.Helper()
-	make, err := Lookup(name)
+	factory, err := Lookup(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := model.Run(s, model.Options{Policy: name, NewDecider: make, Traces: true})
+	r, err := model.Run(s, model.Options{Policy: name, NewDecider: factory, Traces: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 	if _, err := Lookup("best"); err == nil {
 		t.Error("an unknown policy is accepted")
 	}
-	for name, make := range Factories {
-		if _, err := make(policy.Settings{}, 1); err == nil {
+	for name, factory := range Factories {
+		if _, err := factory(policy.Settings{}, 1); err == nil {
 			t.Errorf("%s accepts invalid settings", name)
 		}
 	}
--- a/internal/lab/peer/prequal.go
+++ b/internal/lab/peer/prequal.go
@@ -101,7 +101,8 @@
 	return p.servers[e.server]
 }
 
-// better reports whether a is preferred to b: cold before hot, among cold ones the faster, among hot ones the less busy.
+// better reports whether a is preferred to b: cold before hot, among cold ones the faster, among hot ones the one with
+// fewer requests in flight.
 func (p *prequal) better(a, b *probeResult, hot int) bool {
 	coldA, coldB := a.inFlight <= hot, b.inFlight <= hot
 	switch {
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -20,10 +20,10 @@
 	"portstall/internal/lab/scenario"
 )
 
-// routeHost is the host name of the route that tunnelled clients request.
+// routeHost is the host name of the route that tunneled clients request.
 const routeHost = "placement.example.org"
 
-// newClient returns the HTTP client for one node, which pools its connections. Protocol is that of the tunnels through
+// newClient returns the HTTP client for one node, which pools its connections. protocol is that of the tunnels through
 // which clients connect at tunnelAddr; empty: they connect directly.
 func newClient(protocol, tunnelAddr string) *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
@@ -63,7 +63,7 @@
 		result := send(&op, tries)
 		now := r.now()
 		r.mu.Lock()
-		storm := r.conditions.RetryFactor
+		storm := r.fleetEffects.RetryFactor
 		if result.ending != measure.Served {
 			r.recorder.RecordCause(op.At, result.cause)
 		}
@@ -214,9 +214,9 @@
 	return result
 }
 
-// classify returns how a try ended for its client, and the kind of its record. BodyOK: the body is that of this
-// request. LeavesEarly: the client disconnects early. Expired: the client's time is up. Sent: the request was written
-// completely.
+// classify returns how a try ended for its client, and the kind of its record. bodyOK is set if the body is that of this
+// request, leavesEarly if the client disconnects early, expired if the client's timeout has expired, and sent if the
+// request was written completely.
 func classify(err error, status int, bodyOK, leavesEarly, expired, sent bool) (outcome, recordKind) {
 	switch {
 	case err == nil && status == http.StatusOK && bodyOK:
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -11,11 +11,11 @@
 )
 
 // discovery is a stub discovery: it serves the full server list, and watches that wait for changes. Each node has its
-// own address there, so that what was sent to each node is known. Mu guards the fields below it.
+// own address there, so that what was sent to each node is known. mu guards the fields below it.
 type discovery struct {
-	rig     *rig
-	servers []*http.Server
-	addrs   []string
+	rig         *rig
+	httpServers []*http.Server
+	addrs       []string
 
 	mu      sync.Mutex
 	entries []listEntry   // by the server's index
@@ -29,8 +29,8 @@
 type listEntry struct {
 	standin.ServerEntry
 
-	index      int
-	launchedAt time.Duration // scenario time; negative: long ago
+	index    int
+	launched time.Duration // scenario time; negative: long ago
 }
 
 // listResponse is the body of a response, in the platform's wire format.
@@ -50,9 +50,9 @@
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, req *http.Request) { d.respond(i, w, req) })
-		server := &http.Server{Handler: mux}
-		d.servers, d.addrs = append(d.servers, server), append(d.addrs, ln.Addr().String())
-		go server.Serve(ln) // ends with Close
+		httpServer := &http.Server{Handler: mux}
+		d.httpServers, d.addrs = append(d.httpServers, httpServer), append(d.addrs, ln.Addr().String())
+		go httpServer.Serve(ln) // ends with Close
 	}
 	return nil
 }
@@ -60,8 +60,8 @@
 // stop closes the listeners and all connections.
 func (d *discovery) stop() {
 	close(d.stopped)
-	for _, server := range d.servers {
-		server.Close()
+	for _, httpServer := range d.httpServers {
+		httpServer.Close()
 	}
 }
 
--- a/internal/lab/rig/fault.go
+++ b/internal/lab/rig/fault.go
@@ -17,7 +17,7 @@
 	r.activeFaults[i] = begin && f.For > 0
 	r.mu.Unlock()
 	forEachTarget := func(do func(v *server)) {
-		for _, k := range r.targets[i] {
+		for _, k := range r.faultTargets[i] {
 			do(r.servers[k])
 		}
 	}
@@ -62,18 +62,18 @@
 		})
 	case "node_roll":
 		if begin {
-			for k, index := range r.targets[i] {
+			for k, index := range r.faultTargets[i] {
 				r.wg.Add(1)
 				go func() {
 					defer r.wg.Done()
-					time.Sleep(time.Duration(k) * f.For / time.Duration(len(r.targets[i])))
+					time.Sleep(time.Duration(k) * f.For / time.Duration(len(r.faultTargets[i])))
 					r.restartNode(r.nodes[index], f.Delay)
 				}()
 			}
 		}
 	case "node_crash":
 		if begin {
-			for _, index := range r.targets[i] {
+			for _, index := range r.faultTargets[i] {
 				r.wg.Add(1)
 				go func() {
 					defer r.wg.Done()
@@ -82,7 +82,7 @@
 			}
 		}
 	case "node_stop":
-		for _, index := range r.targets[i] {
+		for _, index := range r.faultTargets[i] {
 			r.mu.Lock()
 			if begin {
 				r.appendRecord(record{kind: nodeSuspended, at: r.now(), node: index, flag: true})
@@ -149,7 +149,7 @@
 func (r *rig) updateEffects() {
 	r.mu.Lock()
 	var effects []fleet.ServerEffects
-	r.conditions, effects = fleet.ActiveEffects(r.scenario, r.activeFaults, r.targets, len(r.servers))
+	r.fleetEffects, effects = fleet.ActiveEffects(r.scenario, r.activeFaults, r.faultTargets, len(r.servers))
 	r.mu.Unlock()
 	for i, v := range r.servers {
 		v.mu.Lock()
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -25,9 +25,9 @@
 		}
 	}
 	r := &rig{scenario: &s, options: Options{Slack: DefaultSlack}, ctx: ctx, startedAt: time.Now(),
-		conditions: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
-		finished:   true, // no records for the rules
-		recorder:   measure.NewRecorder(s.Warmup, s.Duration)}
+		fleetEffects: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
+		finished:     true, // no records for the rules
+		recorder:     measure.NewRecorder(s.Warmup, s.Duration)}
 	for i, addr := range addrs {
 		n := &node{rig: r, index: i, addr: addr, client: newClient("", ""), running: true, inRotation: true}
 		defer n.client.CloseIdleConnections()
@@ -49,7 +49,7 @@
 }
 
 // runArrivals calls do for each operation at its start time. It returns true after the last one, and false if the run
-// is cancelled before.
+// is canceled before.
 func (r *rig) runArrivals(do func(op scenario.Operation)) bool {
 	workload := r.scenario.Workload()
 	for {
--- a/internal/lab/rig/node.go
+++ b/internal/lab/rig/node.go
@@ -19,7 +19,7 @@
 	"portstall/internal/config"
 )
 
-// node is a node, which runs as a process of its own. Mu guards the fields below it.
+// node is a node, which runs as a process of its own. mu guards the fields below it.
 type node struct {
 	rig        *rig
 	index      int
@@ -40,26 +40,26 @@
 
 // start starts the process and returns once it reports ready.
 func (n *node) start(ctx context.Context) error {
-	rig := n.rig
-	list := rig.discovery.fullList()
-	config := map[string]any{
-		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": rig.discovery.addrs[n.index],
-		"seed":   fmt.Sprintf("%x-%d-%d", rig.scenario.Seed, n.index, time.Now().UnixNano()),
+	run := n.rig
+	list := run.discovery.fullList()
+	nodeConfig := map[string]any{
+		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": run.discovery.addrs[n.index],
+		"seed":   fmt.Sprintf("%x-%d-%d", run.scenario.Seed, n.index, time.Now().UnixNano()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 4096},
-		"known":  list, "settings": rig.scenario.NodeSettings(),
+		"known":  list, "settings": run.scenario.NodeSettings(),
 	}
-	text, err := json.Marshal(config)
+	text, err := json.Marshal(nodeConfig)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(rig.dir, fmt.Sprintf("n%d.json", n.index))
+	path := filepath.Join(run.dir, fmt.Sprintf("n%d.json", n.index))
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(rig.options.Binary, "node")
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+rig.dir)
+	cmd := exec.Command(run.options.Binary, "node")
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+run.dir)
 	if file := n.productFile(); len(file.Contracts) > 0 || file.Tunnels != nil || file.Cells != nil || file.Health != nil {
-		productPath := filepath.Join(rig.dir, fmt.Sprintf("portstall%d.yaml", n.index))
+		productPath := filepath.Join(run.dir, fmt.Sprintf("portstall%d.yaml", n.index))
 		text, err := yaml.Marshal(file)
 		if err != nil {
 			return err
@@ -70,7 +70,7 @@
 		cmd.Env = append(cmd.Env, "PORTSTALL_FILE="+productPath)
 	}
 	cmd.Stderr = &stderrWriter{n: n}
-	rig.recordListSent(n.index, true, list.Servers)
+	run.recordListSent(n.index, true, list.Servers)
 	if err := cmd.Start(); err != nil {
 		return err
 	}
--- a/internal/lab/rig/record.go
+++ b/internal/lab/rig/record.go
@@ -31,21 +31,21 @@
 
 // record is one event as a stand-in or a client saw it. Which fields are set depends on its kind.
 type record struct {
-	kind       recordKind
-	at         time.Duration
-	node       int           // index of the node
-	id         string        // of the request
-	server     int           // index of the server
-	attempt    int           // number of the attempt within its request
-	class      int           // index of the class
-	key        string        // idempotency key that must stay in one pod; empty: none
-	deadline   time.Duration // of the client
-	notRun     bool          // the server rejected the attempt without running it
-	capacity   float64       // of the server, in seconds of work a second, if it is cold; 0: it is warm
-	launchedAt time.Duration // last start of the server; 0: long ago
-
-	// flag says: the server is draining or removed (serverListed); the node was killed meanwhile (connectionBroken); it
-	// was suspended rather than resumed (nodeSuspended).
+	kind     recordKind
+	at       time.Duration
+	node     int           // index of the node
+	id       string        // of the request
+	server   int           // index of the server
+	attempt  int           // number of the attempt within its request
+	class    int           // index of the class
+	key      string        // idempotency key that must stay in one pod; empty: none
+	deadline time.Duration // of the client
+	notRun   bool          // the server rejected the attempt without running it
+	capacity float64       // of the server, in seconds of work a second, if it is cold; 0: it is warm
+	launched time.Duration // last start of the server; 0: long ago
+
+	// flag is set if: the server is draining or removed (serverListed); the node was killed meanwhile (connectionBroken);
+	// it was suspended rather than resumed (nodeSuspended).
 	flag bool
 }
 
@@ -66,7 +66,7 @@
 	for _, entry := range servers {
 		listed[entry.index] = true
 		r.appendRecord(record{kind: serverListed, at: at, node: node, server: entry.index, flag: entry.State != "Ready",
-			launchedAt: max(0, entry.launchedAt)})
+			launched: max(0, entry.launched)})
 	}
 	if full {
 		for _, v := range r.servers {
@@ -122,10 +122,11 @@
 	r.appendRecord(record{kind: nodeKilled, at: r.now(), node: node})
 }
 
-// checkRules passes all records in the order of their times to the rule checker, and returns it. The caller holds r.mu.
+// checkRules passes all records in the order of their times to the oracles' records, and returns them. The caller holds
+// r.mu.
 func (r *rig) checkRules(end time.Duration) *oracle.Records {
 	slack := r.options.Slack
-	checker := fleet.NewRecords(r.scenario, r.scenario.Fleet(), slack, true)
+	oracleRecords := fleet.NewRecords(r.scenario, r.scenario.Fleet(), slack, true)
 	reorderCrossedEnds(r.records, slack)
 	slices.SortStableFunc(r.records, func(a, b record) int { return cmp.Compare(a.at, b.at) })
 	sent := map[string]record{} // requestSent record of each request
@@ -145,28 +146,28 @@
 		request, known := sent[rec.id]
 		switch rec.kind {
 		case serverListed:
-			checker.Notified(rec.at, rec.node, r.servers[rec.server].ID, rec.flag, rec.launchedAt)
+			oracleRecords.Notified(rec.at, rec.node, r.servers[rec.server].ID, rec.flag, rec.launched)
 		case serverStarted:
-			checker.ServerStarted(rec.at, r.servers[rec.server].ID)
+			oracleRecords.ServerStarted(rec.at, r.servers[rec.server].ID)
 		case requestSent:
 			held[rec.node][rec.id] = true
-			checker.Accepted(rec.at, rec.node, rec.id, rec.class, rec.deadline)
-			checker.SetKey(rec.id, rec.key)
+			oracleRecords.Accepted(rec.at, rec.node, rec.id, rec.class, rec.deadline)
+			oracleRecords.SetKey(rec.id, rec.key)
 			if suspended[rec.node] {
-				checker.NodeStopped(rec.node, rec.id)
+				oracleRecords.NodeSuspended(rec.node, rec.id)
 			}
 		case attemptArrived:
 			if known && lost[rec.id] {
 				continue
 			}
 			openAttempts[attemptKey(rec.id, rec.attempt)] = true
-			checker.Sent(rec.at, request.node, rec.id, r.servers[rec.server].ID,
+			oracleRecords.Sent(rec.at, request.node, rec.id, r.servers[rec.server].ID,
 				r.scenario.Classes[request.class].Work.Seconds(), rec.capacity)
 		case attemptEnded:
 			if !lost[rec.id] && openAttempts[attemptKey(rec.id, rec.attempt)] {
 				delete(openAttempts, attemptKey(rec.id, rec.attempt))
-				if checker.IsOpen(rec.id) {
-					checker.AttemptEnded(rec.at, request.node, rec.id, rec.attempt, "over at its server", rec.notRun, false)
+				if oracleRecords.IsOpen(rec.id) {
+					oracleRecords.AttemptEnded(rec.at, request.node, rec.id, rec.attempt, "ended at its server", rec.notRun, false)
 				}
 			}
 		case requestServed, requestFailed, requestRefused:
@@ -176,23 +177,23 @@
 			delete(held[request.node], rec.id)
 			switch rec.kind {
 			case requestRefused:
-				checker.Refused(rec.at, request.node, rec.id)
+				oracleRecords.Refused(rec.at, request.node, rec.id)
 			case requestServed:
-				checker.Served(rec.at, request.node, rec.id)
+				oracleRecords.Served(rec.at, request.node, rec.id)
 			default:
-				checker.Failed(rec.at, request.node, rec.id)
+				oracleRecords.Failed(rec.at, request.node, rec.id)
 			}
 		case clientLeft:
 			delete(held[request.node], rec.id)
-			checker.ClientLeft(rec.at, request.node, rec.id)
+			oracleRecords.ClientLeft(rec.at, request.node, rec.id)
 		case clientTimedOut, connectionBroken:
 			if rec.flag { // the node was killed meanwhile
 				lost[rec.id] = true
-				checker.NodeKilled(request.node, []string{rec.id})
+				oracleRecords.NodeKilled(request.node, []string{rec.id})
 			}
 			if !lost[rec.id] {
 				delete(held[request.node], rec.id)
-				checker.ClientTimedOut(rec.at, request.node, rec.id)
+				oracleRecords.ClientTimedOut(rec.at, request.node, rec.id)
 			}
 		case nodeKilled:
 			var ids []string
@@ -201,17 +202,17 @@
 				lost[id] = true
 			}
 			held[rec.node] = map[string]bool{}
-			checker.NodeKilled(rec.node, ids)
+			oracleRecords.NodeKilled(rec.node, ids)
 		case nodeSuspended:
 			suspended[rec.node] = rec.flag
 			for id := range held[rec.node] {
-				checker.NodeStopped(rec.node, id)
+				oracleRecords.NodeSuspended(rec.node, id)
 			}
 		}
 	}
 	remaining := map[string]int{"attempts at servers": len(r.openAttempts)}
-	checker.Close(end, remaining)
-	return checker
+	oracleRecords.Close(end, remaining)
+	return oracleRecords
 }
 
 // reorderCrossedEnds moves the end of an attempt before the arrival of the next one if it was seen at most slack later.
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -44,7 +44,7 @@
 	Slack time.Duration
 }
 
-// rig is one run. Mu guards the fields below it.
+// rig is one run. mu guards the fields below it.
 type rig struct {
 	scenario     *scenario.Scenario
 	options      Options
@@ -57,11 +57,11 @@
 	usesAgents   bool             // each server has a health agent
 	proxies      []*standin.Proxy // each in front of every other server; empty: servers are reached directly
 	discovery    discovery
-	targets      [][]int // of each fault, by index
+	faultTargets [][]int // of each fault, by index
 	wg           sync.WaitGroup
 
 	mu            sync.Mutex
-	conditions    fleet.FleetEffects
+	fleetEffects  fleet.FleetEffects
 	activeFaults  []bool
 	recorder      *measure.Recorder
 	records       []record
@@ -93,7 +93,7 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &rig{scenario: &s, options: options, ctx: ctx, dir: dir, conditions: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
+	r := &rig{scenario: &s, options: options, ctx: ctx, dir: dir, fleetEffects: fleet.FleetEffects{Slowdown: 1, RetryFactor: 1},
 		activeFaults: make([]bool, len(s.Faults)), recorder: measure.NewRecorder(s.Warmup, s.Duration),
 		openAttempts: map[string]bool{}, attemptCounts: map[string]int{}, startedAt: time.Now()}
 	r.discovery.rig = r
@@ -114,11 +114,11 @@
 		r.plannedStart = time.Now().Add(startupAllowance)
 	}
 	generatedServers := r.scenario.Fleet()
-	r.targets = r.scenario.FaultTargets(generatedServers)
+	r.faultTargets = r.scenario.FaultTargets(generatedServers)
 	r.usesAgents = r.checksUseAgents()
 	for i, generated := range generatedServers {
 		v := &server{Server: generated, rig: r, index: i, slots: generated.Type.Cores * generated.Type.SlotsPerCore,
-			queueCap: generated.Type.Cores * generated.Type.QueuePerCore, launchedAt: -1, effects: fleet.ServerEffects{Slowdown: 1, ReportFactor: 1},
+			queueCap: generated.Type.Cores * generated.Type.QueuePerCore, launched: -1, effects: fleet.ServerEffects{Slowdown: 1, ReportFactor: 1},
 			reports: fleet.Reports{Period: r.scenario.Servers.Reports.Period, Phase: rand.N(r.scenario.Servers.Reports.Period)}}
 		var err error
 		if v.host, err = standin.ReserveHost(); err != nil {
@@ -191,9 +191,9 @@
 // not yet known to others.
 func (r *rig) listEntryOf(v *server, state string) listEntry {
 	entry := listEntry{ServerEntry: standin.ServerEntry{ID: fmt.Sprintf("s-%d", v.ID), Addr: v.addr, Zone: scenario.ZoneName(v.Zone),
-		Kind: v.Type.Name, Cell: v.Pod, State: state, Weight: 1}, index: v.index, launchedAt: v.launchedAt}
-	if v.launchedAt >= 0 {
-		entry.Started = r.startedAt.Add(v.launchedAt).UnixMilli()
+		Kind: v.Type.Name, Cell: v.Pod, State: state, Weight: 1}, index: v.index, launched: v.launched}
+	if v.launched >= 0 {
+		entry.Started = r.startedAt.Add(v.launched).UnixMilli()
 	}
 	return entry
 }
@@ -284,11 +284,11 @@
 	result.Scenario, result.Policy, result.Seed, result.Engine, result.Wall = r.scenario.Name, "portstall", r.scenario.Seed,
 		"rig", end.Seconds()
 	result.Trigger = r.scenario.FirstFaultSpan()
-	checker := r.checkRules(end)
-	for rule, n := range checker.Counts() {
+	oracleRecords := r.checkRules(end)
+	for rule, n := range oracleRecords.Counts() {
 		result.Broken[string(rule)] = n
 	}
-	for _, b := range checker.Breaches() {
+	for _, b := range oracleRecords.Breaches() {
 		result.Breaches = append(result.Breaches, b.String())
 	}
 	result.Servers = loads
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -20,8 +20,8 @@
 )
 
 // server is a stub web server on a loopback socket. It does no real work: a request waits for as long as its work would
-// take. Cores, queue, warm-up and load reports behave as those of the model's servers. Mu guards the fields below it,
-// except agent. Rig.mu may be acquired while mu is held, but not the reverse.
+// take. Cores, queue, warm-up and load reports behave as those of the model's servers. mu guards the fields below it,
+// except agent. rig.mu may be acquired while mu is held, but not the reverse.
 type server struct {
 	scenario.Server
 	rig      *rig
@@ -38,7 +38,7 @@
 	incarnation    int           // incremented at each end of its process
 	silence        chan struct{} // closed when its machine is back; nil while it responds
 	downUntil      time.Duration // it is not restarted earlier, as overlapping faults may keep it down
-	launchedAt     time.Duration // scenario time; negative: long ago
+	launched       time.Duration // scenario time; negative: long ago
 	workSinceStart float64       // seconds of work
 	busySlots      int
 	queue          []chan bool       // requests that wait; they get true with a slot, false at the end of the process
@@ -86,7 +86,7 @@
 	r := v.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.ProbeReply(r.scenario, r.activeFaults, r.targets, v.index, &effects, agent, r.now())
+	return fleet.ProbeReply(r.scenario, r.activeFaults, r.faultTargets, v.index, &effects, agent, r.now())
 }
 
 // trackConn registers open connections and resets those above the server's limit.
@@ -115,7 +115,7 @@
 // Reasons for which a request does not get or complete its work.
 var (
 	errQueueFull = errors.New("request queue is full")
-	errAborted   = errors.New("request cancelled, or server process ended")
+	errAborted   = errors.New("request canceled, or server process ended")
 )
 
 // ServeHTTP handles one request according to the server's state and the active faults.
@@ -142,12 +142,12 @@
 	}
 	work, err := strconv.ParseFloat(r.URL.Query().Get("us"), 64)
 	if err != nil {
-		http.Error(w, "no work is named", http.StatusBadRequest)
+		http.Error(w, "query parameter us (work in microseconds) is missing or invalid", http.StatusBadRequest)
 		return
 	}
 	work /= 1e6
 	io.Copy(io.Discard, r.Body)
-	rig := v.rig
+	run := v.rig
 	v.mu.Lock()
 	v.attempts++
 	silence := v.silence
@@ -157,14 +157,14 @@
 		capacity = float64(v.Type.Cores) * v.Speed * v.capacityShare()
 	}
 	v.mu.Unlock()
-	attempt := rig.recordAttempt(id, v, capacity)
+	attempt := run.recordAttempt(id, v, capacity)
 	if silence != nil {
 		select { // no response; the connection is broken once the machine is back
 		case <-silence:
 		case <-r.Context().Done():
-		case <-rig.ctx.Done():
+		case <-run.ctx.Done():
 		}
-		rig.recordAttemptEnd(id, attempt, false)
+		run.recordAttemptEnd(id, attempt, false)
 		panic(http.ErrAbortHandler)
 	}
 	v.mu.Lock()
@@ -178,16 +178,16 @@
 	if failing {
 		v.writeLoadReport(w)
 		w.WriteHeader(http.StatusInternalServerError)
-		rig.recordAttemptEnd(id, attempt, false)
+		run.recordAttemptEnd(id, attempt, false)
 		return
 	}
 	if resetting {
-		rig.recordAttemptEnd(id, attempt, false)
+		run.recordAttemptEnd(id, attempt, false)
 		v.abortConn(w)
 		return
 	}
 	if v.firstRequestOn(r.RemoteAddr) {
-		work += rig.scenario.Servers.Connections.HandshakeWork.Seconds()
+		work += run.scenario.Servers.Connections.HandshakeWork.Seconds()
 	}
 	err = v.doWork(r.Context(), work)
 	switch {
@@ -195,10 +195,10 @@
 		v.writeLoadReport(w)
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		rig.recordAttemptEnd(id, attempt, true)
+		run.recordAttemptEnd(id, attempt, true)
 		return
 	case err != nil:
-		rig.recordAttemptEnd(id, attempt, false)
+		run.recordAttemptEnd(id, attempt, false)
 		panic(http.ErrAbortHandler)
 	}
 	v.mu.Lock()
@@ -208,15 +208,15 @@
 		select {
 		case <-silence:
 		case <-r.Context().Done():
-		case <-rig.ctx.Done():
+		case <-run.ctx.Done():
 		}
-		rig.recordAttemptEnd(id, attempt, false)
+		run.recordAttemptEnd(id, attempt, false)
 		panic(http.ErrAbortHandler)
 	}
 	body := "made for " + id
 	v.writeLoadReport(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	rig.recordAttemptEnd(id, attempt, false)
+	run.recordAttemptEnd(id, attempt, false)
 	if truncating {
 		io.WriteString(w, body[:len(body)/2])
 		if f, ok := w.(http.Flusher); ok {
@@ -255,14 +255,14 @@
 
 // writeLoadReport adds the load report to the response: the queue length with the delay, noise and faults of reports.
 func (v *server) writeLoadReport(w http.ResponseWriter) {
-	rig := v.rig
-	rig.mu.Lock()
-	lag := rig.conditions.ReportDelay
-	rig.mu.Unlock()
+	run := v.rig
+	run.mu.Lock()
+	lag := run.fleetEffects.ReportDelay
+	run.mu.Unlock()
 	v.mu.Lock()
-	queueLength := float64(v.reports.Read(rig.now(), rig.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.ReportFactor
+	queueLength := float64(v.reports.Read(run.now(), run.scenario.Servers.Reports.Delay+lag, len(v.queue))) * v.effects.ReportFactor
 	v.mu.Unlock()
-	if noise := rig.scenario.Servers.Reports.Noise; noise > 0 {
+	if noise := run.scenario.Servers.Reports.Noise; noise > 0 {
 		queueLength = max(0, queueLength*(1+noise*rand.NormFloat64()))
 	}
 	w.Header().Set("X-Load", fmt.Sprintf(`{"queue":%d}`, int(math.Round(queueLength))))
@@ -271,10 +271,10 @@
 // capacityShare returns the share of its capacity that the server has, which is below 1 while it is cold. The caller
 // holds v.mu.
 func (v *server) capacityShare() float64 {
-	if v.launchedAt < 0 {
+	if v.launched < 0 {
 		return 1
 	}
-	return fleet.Ramp(v.Type, v.Speed, v.rig.now()-v.launchedAt, v.rig.scenario.Rules.ColdFor, v.workSinceStart)
+	return fleet.Ramp(v.Type, v.Speed, v.rig.now()-v.launched, v.rig.scenario.Rules.ColdFor, v.workSinceStart)
 }
 
 // doWork waits for a slot and then for as long as the work takes, unless the node cancels the request.
@@ -309,7 +309,7 @@
 	for remaining := work; remaining > 0 && err == nil; {
 		v.mu.Lock()
 		v.rig.mu.Lock()
-		factor := v.rig.conditions.Slowdown
+		factor := v.rig.fleetEffects.Slowdown
 		v.rig.mu.Unlock()
 		rate := v.Speed * v.capacityShare() / factor * min(1, float64(v.Type.Cores)/float64(max(1, v.busySlots)))
 		heldPerCore := float64(v.busySlots+len(v.queue)) / float64(v.Type.Cores)
@@ -447,8 +447,8 @@
 	if err != nil {
 		return fmt.Errorf("stub web server %d does not restart: %w", v.ID, err)
 	}
-	v.launchedAt, v.workSinceStart, v.busySlots = v.rig.now(), 0, 0
-	v.reports.Reset(v.launchedAt)
+	v.launched, v.workSinceStart, v.busySlots = v.rig.now(), 0, 0
+	v.reports.Reset(v.launched)
 	v.rig.recordServerStart(v)
 	v.rig.discovery.scheduleUpdate(v, "Ready", v.rig.scenario.Roster.AddLag)
 	return nil
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -22,7 +22,8 @@
 	Contracts   int
 	RoundLength time.Duration // length of a round; rounds without and with configuration changes alternate
 	Rounds      int           // number of rounds of each kind
-	// ChangesPerSecond applies to every other round. Half of the changes are to a contract that a request needs shortly after.
+	// ChangesPerSecond applies to every other round. Half of the changes are to a contract that a request needs shortly
+	// after.
 	ChangesPerSecond float64
 }
 
@@ -117,20 +118,20 @@
 }
 
 // start starts control and the nodes that are compared.
-func (s *comparison) start(ctx context.Context, discovery *StubDiscovery) error {
-	r := s.run
+func (c *comparison) start(ctx context.Context, discovery *StubDiscovery) error {
+	r := c.run
 	discoveryAddr, err := discovery.Start()
 	if err != nil {
 		return err
 	}
-	if s.files, err = r.newConfigFiles(s.Contracts, false); err != nil {
+	if c.files, err = r.newConfigFiles(c.Contracts, false); err != nil {
 		return err
 	}
-	controls, err := r.startControls(ctx, 1, s.files, nil)
+	controls, err := r.startControls(ctx, 1, c.files, nil)
 	if err != nil {
 		return err
 	}
-	s.writer = controls[0]
+	c.writer = controls[0]
 	add := func(name, binary, role string, product func(connect string) (string, error)) error {
 		connect, err := standin.FreeAddr()
 		if err != nil {
@@ -144,16 +145,16 @@
 			serverList: discovery.FullList(), serverIdle: time.Minute,
 			env: []string{"PORTSTALL_FILE=" + path}})
 		if err == nil {
-			s.nodes = append(s.nodes, &comparedNode{realNode: n, name: name})
+			c.nodes = append(c.nodes, &comparedNode{realNode: n, name: name})
 		}
 		return err
 	}
 	file := func(connect string) (string, error) {
-		text := string(productFileText(&r.plan.Size, s.Contracts))
+		text := string(productFileText(&r.plan.Size, c.Contracts))
 		return r.writeFile(".yaml", []byte(strings.Replace(text, "connect: 127.0.0.1:1\n", "connect: "+connect+"\n", 1)))
 	}
-	if s.OldBinary != "" {
-		if err := add("older build, a file", s.OldBinary, "old", file); err != nil {
+	if c.OldBinary != "" {
+		if err := add("older build, a file", c.OldBinary, "old", file); err != nil {
 			return err
 		}
 	}
@@ -161,7 +162,7 @@
 		return err
 	}
 	return add("this build, control", "", "control",
-		func(connect string) (string, error) { return r.writeControlProductFile(connect, s.writer.addr) })
+		func(connect string) (string, error) { return r.writeControlProductFile(connect, c.writer.addr) })
 }
 
 // errUnnamedAdmitted reports that a node admitted a request without a tenant.
@@ -169,9 +170,9 @@
 
 // checkNamedContracts makes sure that nodes admit requests under named contracts only: one without a tenant must be
 // refused.
-func (s *comparison) checkNamedContracts() error {
-	for _, n := range s.nodes {
-		if _, ok := sendRequest(s.client, n.addr, "nobody", ""); ok {
+func (c *comparison) checkNamedContracts() error {
+	for _, n := range c.nodes {
+		if _, ok := sendRequest(c.client, n.addr, "nobody", ""); ok {
 			return fmt.Errorf("%s: %w", n.name, errUnnamedAdmitted)
 		}
 	}
@@ -179,8 +180,8 @@
 }
 
 // tenantOf returns the tenant of the k-th request at each node. Each tenant has one request before any has a second.
-func (s *comparison) tenantOf(k int64) int {
-	return int(k * tenantStride(s.Contracts) % int64(s.Contracts))
+func (c *comparison) tenantOf(k int64) int {
+	return int(k * tenantStride(c.Contracts) % int64(c.Contracts))
 }
 
 // tenantStride returns a step that is coprime with n, and so large that successive tenants are in different files of
@@ -203,27 +204,27 @@
 
 // makeChanges makes changes at a constant rate, however long each takes, until ctx ends. It returns how many it made,
 // after how many of them a request fell under the changed contract by then, and how long all changes took together.
-func (s *comparison) makeChanges(ctx context.Context, startedAt time.Time) (made, met int, elapsed time.Duration,
+func (c *comparison) makeChanges(ctx context.Context, startedAt time.Time) (made, met int, elapsed time.Duration,
 	err error) {
 	var affected []int64
-	for ; pause(ctx, time.Until(startedAt.Add(time.Duration(float64(made)/s.ChangesPerSecond*float64(time.Second))))) == nil; made++ {
+	for ; pause(ctx, time.Until(startedAt.Add(time.Duration(float64(made)/c.ChangesPerSecond*float64(time.Second))))) == nil; made++ {
 		at := time.Now()
 		if made%2 == 0 {
-			turn := s.requestCount.Load() + int64(changeLead/s.requestInterval)
+			turn := c.requestCount.Load() + int64(changeLead/c.requestInterval)
 			affected = append(affected, turn)
-			err = s.files.changeContract(s.tenantOf(turn))
+			err = c.files.changeContract(c.tenantOf(turn))
 		} else {
-			err = s.files.changeNext()
+			err = c.files.changeNext()
 		}
 		if err == nil {
-			_, err = s.writer.reload()
+			_, err = c.writer.reload()
 		}
 		if err != nil {
 			return made, 0, elapsed, err
 		}
 		elapsed += time.Since(at)
 	}
-	last := s.requestCount.Load()
+	last := c.requestCount.Load()
 	for _, turn := range affected {
 		if turn < last {
 			met++
@@ -234,7 +235,7 @@
 
 // runRound sends requests to the nodes in turn for the given time. In phase 1 the configuration changes meanwhile. The
 // results are recorded if count is set.
-func (s *comparison) runRound(ctx context.Context, phase int, length time.Duration, count bool) error {
+func (c *comparison) runRound(ctx context.Context, phase int, length time.Duration, count bool) error {
 	within, stop := context.WithTimeout(ctx, length)
 	defer stop()
 	startedAt := time.Now()
@@ -244,20 +245,20 @@
 	go func() {
 		var err error
 		if phase == 1 {
-			made, met, elapsed, err = s.makeChanges(within, startedAt)
+			made, met, elapsed, err = c.makeChanges(within, startedAt)
 		}
 		changed <- err
 	}()
 	var cpuBefore []time.Duration
-	for _, n := range s.nodes {
+	for _, n := range c.nodes {
 		cpuBefore = append(cpuBefore, cpuTime(n.cmd.Process.Pid))
 	}
-	for k := 0; pause(within, time.Until(startedAt.Add(time.Duration(k)*s.requestInterval))) == nil; k++ {
-		turn := s.requestCount.Load()
-		tenant := tenantName(s.tenantOf(turn))
-		for offset := range s.nodes {
-			n := s.nodes[(offset+k)%len(s.nodes)] // each time another node is the first
-			elapsed, ok := sendRequest(s.client, n.addr, fmt.Sprintf("beside-%s-%d", n.role, turn), tenant)
+	for k := 0; pause(within, time.Until(startedAt.Add(time.Duration(k)*c.requestInterval))) == nil; k++ {
+		turn := c.requestCount.Load()
+		tenant := tenantName(c.tenantOf(turn))
+		for offset := range c.nodes {
+			n := c.nodes[(offset+k)%len(c.nodes)] // each time another node is the first
+			elapsed, ok := sendRequest(c.client, n.addr, fmt.Sprintf("beside-%s-%d", n.role, turn), tenant)
 			if !count {
 				continue
 			}
@@ -267,11 +268,11 @@
 				n.rows[phase].Lost++
 			}
 		}
-		s.requestCount.Add(1)
+		c.requestCount.Add(1)
 	}
 	err := <-changed
 	length = time.Since(startedAt)
-	for i, n := range s.nodes {
+	for i, n := range c.nodes {
 		if !count {
 			break
 		}
@@ -283,11 +284,11 @@
 	if err != nil || phase == 0 {
 		return err
 	}
-	status, err := s.writer.status()
+	status, err := c.writer.status()
 	if err != nil {
 		return err
 	}
-	return s.writer.awaitAcknowledged(ctx, status.Version, 1) // wait until the node has all changes in force
+	return c.writer.awaitAcknowledged(ctx, status.Version, 1) // wait until the node has all changes in force
 }
 
 // row returns the node's results in a phase.
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	server "portstall/internal/control"
+	"portstall/internal/control"
 	"portstall/internal/control/follow"
 	"portstall/internal/lab/standin"
 	"portstall/internal/resource"
@@ -152,14 +152,14 @@
 		if i == 0 {
 			c.args, otherFlag = append(c.args, "--files", files.path), "--peers"
 		}
-		for _, o := range all {
-			if o == c {
+		for _, other := range all {
+			if other == c {
 				continue
 			}
-			addr := o.addr
+			addr := other.addr
 			if reach != nil {
 				var err error
-				if addr, err = reach(i, o); err != nil {
+				if addr, err = reach(i, other); err != nil {
 					return all, err
 				}
 			}
@@ -213,7 +213,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return resource.Version{}, fmt.Errorf("%s: reload: %d: %s", c.role, resp.StatusCode, bytes.TrimSpace(text))
 	}
-	var r server.ReloadResult
+	var r control.ReloadResult
 	if err := json.Unmarshal(text, &r); err != nil {
 		return resource.Version{}, fmt.Errorf("%s: reload: %w", c.role, err)
 	}
@@ -272,7 +272,7 @@
 	return nil
 }
 
-// writeControlProductFile writes a node's product file that names control processes. Connect is the address at which
+// writeControlProductFile writes a node's product file that names control processes. connect is the address at which
 // the node accepts tunnels, which the routes belong to; empty: it accepts none.
 func (r *run) writeControlProductFile(connect string, addrs ...string) (string, error) {
 	text := "control:\n  addresses:\n"
--- a/internal/lab/scale/control_cost.go
+++ b/internal/lab/scale/control_cost.go
@@ -201,12 +201,12 @@
 		return rss, idle, delta, err
 	}
 	defer r.processes.stop(w)
-	o := r.hollowCommand(0, n, func(int) string { return addr })
-	o.Config = path
+	command := r.hollowCommand(0, n, func(int) string { return addr })
+	command.Config = path
 	for range n {
-		o.Products = append(o.Products, product)
+		command.Products = append(command.Products, product)
 	}
-	if _, err := w.call(ctx, o); err != nil {
+	if _, err := w.call(ctx, command); err != nil {
 		return rss, idle, delta, err
 	}
 	v, err := processes[0].status()
--- a/internal/lab/scale/cut.go
+++ b/internal/lab/scale/cut.go
@@ -38,7 +38,7 @@
 	history  versionHistory
 }
 
-// versionReporters returns all control processes and real nodes. Cut is the region that is cut off.
+// versionReporters returns all control processes and real nodes. cut is the region that is cut off.
 func (f *fleet) versionReporters(cut int) (all []*versionReporter) {
 	for i, c := range f.controls {
 		all = append(all, &versionReporter{name: c.role, isolated: i%len(f.discoveryRelays) == cut,
@@ -78,12 +78,12 @@
 // held, or after it has returned.
 func pollVersions(ctx context.Context, mu *sync.Mutex, all []*versionReporter) {
 	var wg sync.WaitGroup
-	for _, t := range all {
+	for _, reporter := range all {
 		wg.Go(func() {
 			for pause(ctx, versionPollInterval) == nil {
-				if v, err := t.version(); err == nil {
+				if v, err := reporter.version(); err == nil {
 					mu.Lock()
-					t.history.record(v, time.Now())
+					reporter.history.record(v, time.Now())
 					mu.Unlock()
 				}
 			}
@@ -136,8 +136,9 @@
 	return times, nil
 }
 
-// checkIsolated fails the run if an isolated node has a configuration change that was made on the other side of the cut.
-func (e *activeFault) checkIsolated(ctx context.Context, name string, c trackedChange, inside func(node int) bool) error {
+// checkIsolated fails the run if an isolated node has a configuration change that was made on the other side of the
+// cut.
+func (e *activeFault) checkIsolated(ctx context.Context, name string, c trackedChange, inside func(index int) bool) error {
 	leaked, err := e.awaitWithin(ctx, 0, c.queries()[1], time.Time{}, inside)
 	if err != nil || len(leaked) == 0 {
 		return err
@@ -236,8 +237,8 @@
 	for end := restoredAt.Add(e.plan.Limit); ; {
 		delays = delays[:0]
 		mu.Lock()
-		for _, t := range reporters {
-			if at := t.history.firstSeen(c.configVersion); !at.IsZero() {
+		for _, reporter := range reporters {
+			if at := reporter.history.firstSeen(c.configVersion); !at.IsZero() {
 				delays = append(delays, max(0, at.Sub(restoredAt).Seconds()))
 			}
 		}
@@ -260,8 +261,8 @@
 	}
 	stop()
 	wg.Wait()
-	for _, t := range reporters {
-		regressions += float64(t.history.regressions)
+	for _, reporter := range reporters {
+		regressions += float64(reporter.history.regressions)
 	}
 	note := fmt.Sprintf("%s for %.0f s, %d contracts, %d hollow and %d real nodes", name, lasted.Seconds(),
 		e.plan.Contracts, e.plan.Hollow, len(e.realNodes))
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -13,14 +13,14 @@
 )
 
 // runFault injects a fault, makes a change during it, and follows the change until all reachable nodes have it.
-func (f *fleet) runFault(ctx context.Context, x Fault) error {
+func (f *fleet) runFault(ctx context.Context, fault Fault) error {
 	f.takeClientStats()
-	e := &activeFault{fleet: f, Fault: x, startedAt: time.Now(), controlBytesBefore: f.controlBytesSent()}
+	e := &activeFault{fleet: f, Fault: fault, startedAt: time.Now(), controlBytesBefore: f.controlBytesSent()}
 	_, e.discoveryBytesBefore = f.discovery.Totals()
-	if x.Life > x.For {
-		e.shortened = fmt.Sprintf("%v here, %v in production", x.For, x.Life)
+	if fault.Life > fault.For {
+		e.shortened = fmt.Sprintf("%v here, %v in production", fault.For, fault.Life)
 	}
-	switch x.Kind {
+	switch fault.Kind {
 	case "none":
 		return e.changeAndFollow(ctx, "none", nil)
 	case "region_cut":
@@ -36,7 +36,7 @@
 	case "control_kill", "controls_one", "controls_out", "writer_kill":
 		return e.controlsKilled(ctx)
 	}
-	return fmt.Errorf("%q is not a known fault", x.Kind)
+	return fmt.Errorf("%q is not a known fault", fault.Kind)
 }
 
 // addFaultRow adds a row about a change: after how many seconds the nodes had it. The run fails if a node did not have
@@ -75,7 +75,7 @@
 			nodes++
 		}
 	}
-	for k, o := range c.queries() {
+	for k, command := range c.queries() {
 		at, what := c.listTime, "list"
 		if k == 1 {
 			at, what = c.configTime, "configuration"
@@ -83,7 +83,7 @@
 		if from.After(at) {
 			at = from
 		}
-		delays, err := e.await(ctx, o, at, wanted)
+		delays, err := e.await(ctx, command, at, wanted)
 		if err != nil {
 			return err
 		}
@@ -113,8 +113,8 @@
 	setCut := func(on bool) {
 		e.discoveryRelays[cut].Cut(on)
 		if e.files != nil {
-			for _, l := range e.controlRelays[cut] {
-				l.Cut(on)
+			for _, relay := range e.controlRelays[cut] {
+				relay.Cut(on)
 			}
 		}
 	}
@@ -191,8 +191,8 @@
 		if err := errors.Join(err, g.Wait()); err != nil {
 			return err
 		}
-		for what, o := range c.queries() {
-			more, err := e.await(ctx, o, [...]time.Time{c.listTime, c.configTime}[what], nil)
+		for what, command := range c.queries() {
+			more, err := e.await(ctx, command, [...]time.Time{c.listTime, c.configTime}[what], nil)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -39,7 +39,7 @@
 	serverIdleTimeout = 10 * time.Second      // how long a web server keeps an idle connection open
 )
 
-// runFleet starts the fleet, measures it while servers and configuration change, and takes it through the plan's faults.
+// runFleet starts the fleet, measures it while servers and configuration change, and injects the plan's faults in turn.
 func (r *run) runFleet(ctx context.Context) error {
 	f := &fleet{run: r, plan: r.plan.Fleet}
 	r.report.Sped = f.plan.Speed
@@ -57,9 +57,9 @@
 		for _, c := range f.controls {
 			r.processes.stop(c.child)
 		}
-		for _, l := range append(slices.Concat(append(f.controlRelays, f.controlLinks...)...), f.discoveryRelays...) {
-			if l != nil {
-				l.Stop()
+		for _, relay := range append(slices.Concat(append(f.controlRelays, f.controlLinks...)...), f.discoveryRelays...) {
+			if relay != nil {
+				relay.Stop()
 			}
 		}
 		if f.discovery != nil {
@@ -84,12 +84,12 @@
 	if err := f.measureCalm(ctx); err != nil {
 		return err
 	}
-	for _, x := range f.plan.Faults {
+	for _, fault := range f.plan.Faults {
 		if r.options.Progress != nil {
-			fmt.Fprintf(r.options.Progress, "%5.1f s    %s\n", time.Since(r.startedAt).Seconds(), x.Kind)
+			fmt.Fprintf(r.options.Progress, "%5.1f s    %s\n", time.Since(r.startedAt).Seconds(), fault.Kind)
 		}
-		if err := f.runFault(ctx, x); err != nil {
-			return fmt.Errorf("%s: %w", x.Kind, err)
+		if err := f.runFault(ctx, fault); err != nil {
+			return fmt.Errorf("%s: %w", fault.Kind, err)
 		}
 	}
 	return nil
@@ -119,11 +119,11 @@
 		return err
 	}
 	for range r.plan.Size.Regions {
-		l, err := StartRelay(addr)
+		relay, err := StartRelay(addr)
 		if err != nil {
 			return err
 		}
-		f.discoveryRelays = append(f.discoveryRelays, l)
+		f.discoveryRelays = append(f.discoveryRelays, relay)
 	}
 	products := make([]string, len(f.discoveryRelays))
 	if p.Controls > 0 {
@@ -138,15 +138,15 @@
 			f.controlLinks = append(f.controlLinks, make([]*Relay, 0, p.Controls))
 		}
 		reach := func(from int, to *controlProcess) (string, error) {
-			l, err := StartRelay(to.addr)
+			relay, err := StartRelay(to.addr)
 			if err != nil {
 				return "", err
 			}
 			if len(f.controlLinks[from]) == from {
 				f.controlLinks[from] = append(f.controlLinks[from], nil) // no link from a process to itself
 			}
-			f.controlLinks[from] = append(f.controlLinks[from], l)
-			return l.Addr(), nil
+			f.controlLinks[from] = append(f.controlLinks[from], relay)
+			return relay.Addr(), nil
 		}
 		if f.controls, err = r.startControls(ctx, p.Controls, f.files, reach, flags...); err != nil {
 			return err
@@ -155,11 +155,11 @@
 			var relays []*Relay
 			var addrs []string
 			for _, c := range f.controls {
-				l, err := StartRelay(c.addr)
+				relay, err := StartRelay(c.addr)
 				if err != nil {
 					return err
 				}
-				relays, addrs = append(relays, l), append(addrs, l.Addr())
+				relays, addrs = append(relays, relay), append(addrs, relay.Addr())
 			}
 			f.controlRelays = append(f.controlRelays, relays)
 			nearest := region % len(addrs) // the control process of the node's own region comes first
@@ -190,12 +190,12 @@
 		}
 		f.workers, f.hollowNodes = append(f.workers, w), append(f.hollowNodes, numbers)
 		g.Go(func() error {
-			o := r.hollowCommand(from, to-from, source)
-			o.Config = path
+			command := r.hollowCommand(from, to-from, source)
+			command.Config = path
 			for k := from; f.files != nil && k < to; k++ {
-				o.Products = append(o.Products, products[r.regionOf(k)])
+				command.Products = append(command.Products, products[r.regionOf(k)])
 			}
-			_, err := w.call(inner, o)
+			_, err := w.call(inner, command)
 			return err
 		})
 	}
@@ -225,8 +225,8 @@
 	if err != nil {
 		return err
 	}
-	for _, o := range c.queries() {
-		if after, err := f.awaitWithin(ctx, fleetStartTimeout, o, time.Now(), nil); err != nil || len(after) < p.Hollow {
+	for _, command := range c.queries() {
+		if after, err := f.awaitWithin(ctx, fleetStartTimeout, command, time.Now(), nil); err != nil || len(after) < p.Hollow {
 			return errors.Join(err, fmt.Errorf("%d of %d hollow nodes are ready", len(after), p.Hollow))
 		}
 	}
@@ -235,11 +235,11 @@
 
 // takeClientStats returns and resets what the clients counted since its last call.
 func (f *fleet) takeClientStats() (requests, served int, added []float64) {
-	for _, t := range f.clients {
-		t.mu.Lock()
-		requests, served, added = requests+t.requests, served+t.served, append(added, t.addedSeconds...)
-		t.requests, t.served, t.addedSeconds = 0, 0, nil
-		t.mu.Unlock()
+	for _, stats := range f.clients {
+		stats.mu.Lock()
+		requests, served, added = requests+stats.requests, served+stats.served, append(added, stats.addedSeconds...)
+		stats.requests, stats.served, stats.addedSeconds = 0, 0, nil
+		stats.mu.Unlock()
 	}
 	return requests, served, added
 }
@@ -249,15 +249,15 @@
 const fleetStartTimeout = 3 * time.Minute
 
 // await is awaitWithin with the plan's limit.
-func (f *fleet) await(ctx context.Context, o workerCommand, from time.Time,
+func (f *fleet) await(ctx context.Context, command workerCommand, from time.Time,
 	wanted func(node int) bool) (delays []float64, err error) {
-	return f.awaitWithin(ctx, f.plan.Limit, o, from, wanted)
+	return f.awaitWithin(ctx, f.plan.Limit, command, from, wanted)
 }
 
 // awaitWithin waits until the wanted nodes (nil: all hollow nodes) have the version that the command asks for. It
 // returns, in seconds, how long after the time from each node had it. Nodes that don't have it within the limit are
 // missing from the result.
-func (f *fleet) awaitWithin(ctx context.Context, limit time.Duration, o workerCommand, from time.Time,
+func (f *fleet) awaitWithin(ctx context.Context, limit time.Duration, command workerCommand, from time.Time,
 	wanted func(node int) bool) (delays []float64, err error) {
 	for {
 		delays = delays[:0]
@@ -266,7 +266,7 @@
 			if len(f.hollowNodes[i]) == 0 {
 				continue
 			}
-			reply, err := w.call(ctx, o)
+			reply, err := w.call(ctx, command)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -118,16 +118,16 @@
 	}
 	now := time.Duration(0)
 	send := func(from int, outs []member.Outgoing) {
-		for _, o := range outs {
+		for _, outgoing := range outs {
 			if now >= phase {
-				bytes += int64(len(o.Data))
+				bytes += int64(len(outgoing.Data))
 				count++
 			} else {
-				joining += int64(len(o.Data))
+				joining += int64(len(outgoing.Data))
 			}
-			if to, known := byAddr[o.Addr]; known {
+			if to, known := byAddr[outgoing.Addr]; known {
 				enqueue(packet{at: now + time.Duration(1+rng.IntN(5))*time.Millisecond, to: to, from: addr(from),
-					data: o.Data})
+					data: outgoing.Data})
 			}
 		}
 	}
--- a/internal/lab/scale/node_process.go
+++ b/internal/lab/scale/node_process.go
@@ -92,7 +92,7 @@
 	return nil, fmt.Errorf("%s: %w within %v: %s", name, errNotReady, startTimeout, c.logs.String())
 }
 
-// startWorker starts a worker process. Env is added to its environment.
+// startWorker starts a worker process. env is added to its environment.
 func (r *run) startWorker(role string, env ...string) (*child, error) {
 	return r.processes.start(role, env, "lab", "scale-worker")
 }
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -133,20 +133,21 @@
 // hollowCommand returns the command that starts count hollow nodes from number from on, with their names, zones and
 // sources of the server list. Nodes are assigned to zones in turn, and zones to regions in turn.
 func (r *run) hollowCommand(from, count int, source func(region int) string) workerCommand {
-	o := workerCommand{Do: "hollow"}
+	command := workerCommand{Do: "hollow"}
 	for i := from; i < from+count; i++ {
 		zone := i % r.plan.Size.Zones
-		o.Names = append(o.Names, fmt.Sprintf("n%03d", i))
-		o.Zones = append(o.Zones, zoneName(zone))
-		o.Sources = append(o.Sources, source(r.regionOf(i)))
+		command.Names = append(command.Names, fmt.Sprintf("n%03d", i))
+		command.Zones = append(command.Zones, zoneName(zone))
+		command.Sources = append(command.Sources, source(r.regionOf(i)))
 	}
-	return o
+	return command
 }
 
 // regionOf returns the region of the i-th node.
 func (r *run) regionOf(i int) int { return i % r.plan.Size.Zones % r.plan.Size.Regions }
 
-// measureHollow measures what hollow nodes take, so that their cost can be told from that of the process around them.
+// measureHollow measures what hollow nodes take, so that their cost can be distinguished from that
+// of the process around them.
 func (r *run) measureHollow(ctx context.Context) error {
 	p := r.plan.Hollow
 	discovery := NewStubDiscovery(p.Servers, r.plan.Size.Zones, nil)
@@ -169,9 +170,9 @@
 				return err
 			}
 			defer r.processes.stop(w)
-			o := r.hollowCommand(0, n, func(int) string { return addr })
-			o.Config = path
-			if _, err := w.call(ctx, o); err != nil {
+			command := r.hollowCommand(0, n, func(int) string { return addr })
+			command.Config = path
+			if _, err := w.call(ctx, command); err != nil {
 				return err
 			}
 			if err := pause(ctx, time.Second); err != nil {
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -152,7 +152,7 @@
 	Must bool    `yaml:"must"` // the run fails if the budget is exceeded or was not measured
 }
 
-// Limits on the values in a plan: a larger value is taken for a mistake.
+// Limits on the values in a plan: a larger value is rejected as a mistake.
 const (
 	maxServers   = 20_000
 	maxNodes     = 2_000
@@ -218,13 +218,13 @@
 		}
 	}
 	for _, s := range []struct {
-		field string
-		list  []int
-		most  int
+		field   string
+		list    []int
+		maxSize int
 	}{{"contracts", p.Contracts, maxContracts}, {"files", p.Files, maxContracts}, {"plans", p.Plans, maxServers},
 		{"parts", p.Parts, maxNodes}} {
 		if s.list != nil {
-			if err := checkSizes(s.field, s.list, 1, s.most); err != nil {
+			if err := checkSizes(s.field, s.list, 1, s.maxSize); err != nil {
 				return err
 			}
 		}
@@ -266,7 +266,7 @@
 	return []string{fmt.Sprintf("GOGC=%d", f.Garbage)}
 }
 
-// check returns an error that names the first field of the fleet whose value is invalid. Regions is their number in the
+// check returns an error that names the first field of the fleet whose value is invalid. regions is their number in the
 // plan.
 func (f *FleetPlan) check(regions int) error {
 	if f == nil {
@@ -295,23 +295,23 @@
 	if f.Keep != 0 && (f.Keep < time.Second || f.Keep > 24*time.Hour) {
 		return fieldError("fleet.keep", "%v is outside 1s to 24h", f.Keep)
 	}
-	for i, x := range f.Faults {
+	for i, fault := range f.Faults {
 		path := fmt.Sprintf("fleet.faults[%d]", i)
-		if _, known := FaultKinds[x.Kind]; !known {
-			return fieldError(path+".kind", "%q is not a known fault", x.Kind)
+		if _, known := FaultKinds[fault.Kind]; !known {
+			return fieldError(path+".kind", "%q is not a known fault", fault.Kind)
 		}
-		if strings.HasPrefix(x.Kind, "control") && f.Controls < 2 || x.Kind == "writer_kill" && f.Controls < 1 {
-			return fieldError(path+".kind", "%s needs control processes", x.Kind)
+		if strings.HasPrefix(fault.Kind, "control") && f.Controls < 2 || fault.Kind == "writer_kill" && f.Controls < 1 {
+			return fieldError(path+".kind", "%s needs control processes", fault.Kind)
 		}
-		if x.Kind == "regions_cut" && (f.Controls < regions || regions < 3) ||
-			x.Kind == "region_alone" && (f.Controls < regions || regions < 2) {
+		if fault.Kind == "regions_cut" && (f.Controls < regions || regions < 3) ||
+			fault.Kind == "region_alone" && (f.Controls < regions || regions < 2) {
 			return fieldError(path+".kind",
-				"%s needs a control process in each region, and three regions, or two for region_alone", x.Kind)
+				"%s needs a control process in each region, and three regions, or two for region_alone", fault.Kind)
 		}
-		if !(x.Rate >= 0) || x.Rate > 100 {
-			return fieldError(path+".rate", "%v is outside 0 to 100", x.Rate)
+		if !(fault.Rate >= 0) || fault.Rate > 100 {
+			return fieldError(path+".rate", "%v is outside 0 to 100", fault.Rate)
 		}
-		if x.For < 0 || x.Kind == "nodes_restart" && !(x.Share > 0 && x.Share <= 1) {
+		if fault.For < 0 || fault.Kind == "nodes_restart" && !(fault.Share > 0 && fault.Share <= 1) {
 			return fieldError(path, "for must not be negative, and share must be greater than 0 and at most 1")
 		}
 	}
--- a/internal/lab/scale/process_group.go
+++ b/internal/lab/scale/process_group.go
@@ -67,7 +67,7 @@
 	maxMemory     int64
 	maxProcesses  int
 	cancel        context.CancelCauseFunc // cancels the run when a limit is exceeded
-	startRequests chan func()             // to the only thread that starts processes; they are killed when that thread ends
+	startRequests chan func()             // to the only thread that starts processes; they are killed when it ends
 
 	mu            sync.Mutex
 	children      map[*child]struct{}
@@ -84,66 +84,66 @@
 
 // newProcessGroup returns a group with limits on resident memory, in bytes, and on the number of processes.
 func newProcessGroup(binary, dir string, memory int64, processes int, cancel context.CancelCauseFunc) *processGroup {
-	h := &processGroup{binary: binary, dir: dir, maxMemory: memory, maxProcesses: processes, cancel: cancel,
+	g := &processGroup{binary: binary, dir: dir, maxMemory: memory, maxProcesses: processes, cancel: cancel,
 		startRequests: make(chan func()),
 		children:      map[*child]struct{}{}, stopped: make(chan struct{})}
-	h.wg.Add(2)
+	g.wg.Add(2)
 	go func() {
-		defer h.wg.Done()
+		defer g.wg.Done()
 		runtime.LockOSThread() // never unlocked: the thread ends with the run
 		for {
 			select {
-			case f := <-h.startRequests:
+			case f := <-g.startRequests:
 				f()
-			case <-h.stopped:
+			case <-g.stopped:
 				return
 			}
 		}
 	}()
 	go func() {
-		defer h.wg.Done()
+		defer g.wg.Done()
 		tick := time.NewTicker(memoryCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				if err := h.checkMemory(); err != nil {
-					h.cancel(err)
+				if err := g.checkMemory(); err != nil {
+					g.cancel(err)
 				}
-			case <-h.stopped:
+			case <-g.stopped:
 				return
 			}
 		}
 	}()
-	return h
+	return g
 }
 
 // checkMemory compares the resident memory of all processes with the limit.
-func (h *processGroup) checkMemory() error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (g *processGroup) checkMemory() error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	sum := residentBytes(os.Getpid())
-	for c := range h.children {
+	for c := range g.children {
 		sum += residentBytes(c.cmd.Process.Pid)
 	}
-	h.peakMemory = max(h.peakMemory, sum)
-	if sum > h.maxMemory {
+	g.peakMemory = max(g.peakMemory, sum)
+	if sum > g.maxMemory {
 		return fmt.Errorf("%w: %s resident in %d processes, %s allowed", ErrBound, FormatAmount(float64(sum), "B"),
-			len(h.children)+1,
-			FormatAmount(float64(h.maxMemory), "B"))
+			len(g.children)+1,
+			FormatAmount(float64(g.maxMemory), "B"))
 	}
 	return nil
 }
 
 // start starts a process of the run's own binary. The end of its log is kept; its standard output is read by call.
-func (h *processGroup) start(role string, env []string, args ...string) (*child, error) {
-	return h.startBinary(h.binary, role, env, args...)
+func (g *processGroup) start(role string, env []string, args ...string) (*child, error) {
+	return g.startBinary(g.binary, role, env, args...)
 }
 
 // startBinary is start with another binary.
-func (h *processGroup) startBinary(binary, role string, env []string, args ...string) (*child, error) {
+func (g *processGroup) startBinary(binary, role string, env []string, args ...string) (*child, error) {
 	c := &child{role: role, done: make(chan struct{}), cmd: exec.Command(binary, args...)}
-	c.cmd.Env = append(append(os.Environ(), "TMPDIR="+h.dir), env...)
+	c.cmd.Env = append(append(os.Environ(), "TMPDIR="+g.dir), env...)
 	c.cmd.Stderr = &c.logs
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in, err := c.cmd.StdinPipe()
@@ -155,29 +155,29 @@
 		return nil, err
 	}
 	c.in, c.out = in, bufio.NewReaderSize(out, 1<<16)
-	h.mu.Lock()
-	if h.closed {
-		h.mu.Unlock()
+	g.mu.Lock()
+	if g.closed {
+		g.mu.Unlock()
 		return nil, context.Canceled
 	}
-	if n := h.count + 2; n > h.maxProcesses { // including this one and the run's own process
-		h.mu.Unlock()
-		err := fmt.Errorf("%w: %s would be process %d, %d allowed", ErrBound, role, n, h.maxProcesses)
-		h.cancel(err)
+	if n := g.count + 2; n > g.maxProcesses { // including this one and the run's own process
+		g.mu.Unlock()
+		err := fmt.Errorf("%w: %s would be process %d, %d allowed", ErrBound, role, n, g.maxProcesses)
+		g.cancel(err)
 		return nil, err
 	}
-	h.count++
-	h.peakProcesses = max(h.peakProcesses, h.count+1)
-	h.mu.Unlock()
+	g.count++
+	g.peakProcesses = max(g.peakProcesses, g.count+1)
+	g.mu.Unlock()
 	started := make(chan error, 1)
-	h.startRequests <- func() {
+	g.startRequests <- func() {
 		err := c.cmd.Start()
-		h.mu.Lock()
-		defer h.mu.Unlock()
+		g.mu.Lock()
+		defer g.mu.Unlock()
 		if err != nil {
-			h.count--
+			g.count--
 		} else {
-			h.children[c] = struct{}{}
+			g.children[c] = struct{}{}
 		}
 		started <- err
 	}
@@ -186,17 +186,17 @@
 	}
 	go func() {
 		c.cmd.Wait()
-		h.mu.Lock()
-		h.count--
-		delete(h.children, c)
-		h.mu.Unlock()
+		g.mu.Lock()
+		g.count--
+		delete(g.children, c)
+		g.mu.Unlock()
 		close(c.done)
 	}()
 	return c, nil
 }
 
 // stop kills a process and waits until it has ended. A nil process is ignored.
-func (h *processGroup) stop(c *child) {
+func (g *processGroup) stop(c *child) {
 	if c == nil {
 		return
 	}
@@ -206,24 +206,24 @@
 }
 
 // close stops all processes. No process may be started meanwhile.
-func (h *processGroup) close() {
-	h.mu.Lock()
-	h.closed = true
-	all := slices.Collect(maps.Keys(h.children))
-	h.mu.Unlock()
+func (g *processGroup) close() {
+	g.mu.Lock()
+	g.closed = true
+	all := slices.Collect(maps.Keys(g.children))
+	g.mu.Unlock()
 	for _, c := range all {
-		h.stop(c)
+		g.stop(c)
 	}
-	close(h.stopped)
-	h.wg.Wait()
+	close(g.stopped)
+	g.wg.Wait()
 }
 
 // call sends a command to a worker and waits for its reply.
-func (c *child) call(ctx context.Context, o workerCommand) (workerReply, error) {
+func (c *child) call(ctx context.Context, command workerCommand) (workerReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := json.NewEncoder(c.in).Encode(o); err != nil {
-		return workerReply{}, fmt.Errorf("%s: %s: %w: %s", c.role, o.Do, err, c.logs.String())
+	if err := json.NewEncoder(c.in).Encode(command); err != nil {
+		return workerReply{}, fmt.Errorf("%s: %s: %w: %s", c.role, command.Do, err, c.logs.String())
 	}
 	type got struct {
 		line []byte
@@ -238,19 +238,19 @@
 	select {
 	case g = <-replies:
 	case <-ctx.Done():
-		c.cmd.Process.Kill() // otherwise its reply would be taken for that to the next call
+		c.cmd.Process.Kill() // otherwise the next call would read the reply to this one
 		<-replies
 		return workerReply{}, context.Cause(ctx)
 	}
 	if g.err != nil {
-		return workerReply{}, fmt.Errorf("%s: %s: %w: %s", c.role, o.Do, g.err, c.logs.String())
+		return workerReply{}, fmt.Errorf("%s: %s: %w: %s", c.role, command.Do, g.err, c.logs.String())
 	}
 	var r workerReply
 	if err := json.Unmarshal(g.line, &r); err != nil {
-		return workerReply{}, fmt.Errorf("%s: %s: %w", c.role, o.Do, err)
+		return workerReply{}, fmt.Errorf("%s: %s: %w", c.role, command.Do, err)
 	}
 	if r.Err != "" {
-		return r, fmt.Errorf("%s: %s: %s", c.role, o.Do, r.Err)
+		return r, fmt.Errorf("%s: %s: %s", c.role, command.Do, r.Err)
 	}
 	return r, nil
 }
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -129,18 +129,18 @@
 			}
 		}
 	}
-	o, err := net.DialTimeout("tcp", r.target, time.Second)
-	if err != nil || !r.track(o) {
+	targetConn, err := net.DialTimeout("tcp", r.target, time.Second)
+	if err != nil || !r.track(targetConn) {
 		return
 	}
-	defer r.closeAndForget(o)
+	defer r.closeAndForget(targetConn)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.copy(o, c, c)
-		o.Close() // ends the other direction
+		r.copy(targetConn, c, c)
+		targetConn.Close() // ends the other direction
 	}()
-	r.copy(c, o, c)
+	r.copy(c, targetConn, c)
 	c.Close()
 	<-done
 }
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -187,14 +187,14 @@
 }
 
 // A worker replies to each line, and its errors name what is wrong: an unknown command, invalid JSON, a missing file.
-func TestWorkerOrders(t *testing.T) {
+func TestWorkerCommands(t *testing.T) {
 	var out strings.Builder
 	in := strings.NewReader("{\"do\":\"plan\",\"count\":3}\n{\"do\":\"dance\"}\nnonsense\n{\"do\":\"usage\"}\n{\"do\":\"hollow\",\"config\":\"/does/not/exist\",\"names\":[\"a\"],\"sources\":[\"b\"],\"zones\":[\"c\"]}\n")
 	if err := RunWorker(in, &out); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	want := []string{`"plan":`, `order \"dance\" is not known`, "invalid character", `"heap":`, "/does/not/exist"}
+	want := []string{`"plan":`, `unknown command \"dance\"`, "invalid character", `"heap":`, "/does/not/exist"}
 	if len(lines) != len(want) {
 		t.Fatalf("%d replies: %q", len(lines), lines)
 	}
--- a/internal/lab/scale/stub_discovery.go
+++ b/internal/lab/scale/stub_discovery.go
@@ -45,21 +45,21 @@
 }
 
 // NewStubDiscovery returns a stub with the given number of servers. They are assigned to zones in turn, and within a
-// zone serversPerRack of them share a rack. Addrs are their addresses; if it is nil, they get addresses that must not
+// zone serversPerRack of them share a rack. addrs are their addresses; if it is nil, they get addresses that must not
 // be called.
 func NewStubDiscovery(servers, zones int, addrs []string) *StubDiscovery {
-	r := &StubDiscovery{baseVersion: 1, changed: make(chan struct{}), callsBySecond: map[int64]int{},
+	d := &StubDiscovery{baseVersion: 1, changed: make(chan struct{}), callsBySecond: map[int64]int{},
 		stopped: make(chan struct{})}
 	for i := range servers {
 		addr := fmt.Sprintf("10.%d.%d.%d:8080", i/62500%250, i/250%250, i%250)
 		if addrs != nil {
 			addr = addrs[i]
 		}
-		r.entries = append(r.entries, standin.ServerEntry{ID: fmt.Sprintf("web-%05d", i), Addr: addr,
+		d.entries = append(d.entries, standin.ServerEntry{ID: fmt.Sprintf("web-%05d", i), Addr: addr,
 			Zone: zoneName(i % zones), Kind: "standard",
 			Cell: i / (serversPerRack * zones), State: "Ready", Weight: 1})
 	}
-	return r
+	return d
 }
 
 // serversPerRack is an assumption: the size of racks is not specified.
@@ -69,62 +69,62 @@
 func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i) }
 
 // Version returns the latest version.
-func (r *StubDiscovery) Version() int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.version()
+func (d *StubDiscovery) Version() int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version()
 }
 
-// version returns the latest version. r.mu is held.
-func (r *StubDiscovery) version() int64 { return r.baseVersion + int64(len(r.changes)) }
+// version returns the latest version. d.mu is held.
+func (d *StubDiscovery) version() int64 { return d.baseVersion + int64(len(d.changes)) }
 
 // SetState changes the state of servers at once, each in a version of its own, and returns the last version. If started
 // is set, the servers have been started just now.
-func (r *StubDiscovery) SetState(state string, started bool, which ...int) int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	defer r.wakeWatches()
+func (d *StubDiscovery) SetState(state string, started bool, which ...int) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	defer d.wakeWatches()
 	for _, i := range which {
-		e := &r.entries[i%len(r.entries)]
+		e := &d.entries[i%len(d.entries)]
 		e.State = state
 		if started {
 			e.Started = time.Now().UnixMilli()
 		}
-		r.changes = append(r.changes, *e)
+		d.changes = append(d.changes, *e)
 	}
-	if excess := len(r.changes) - maxKeptChanges; excess > 0 {
-		r.changes, r.baseVersion = append([]standin.ServerEntry(nil), r.changes[excess:]...), r.baseVersion+int64(excess)
+	if excess := len(d.changes) - maxKeptChanges; excess > 0 {
+		d.changes, d.baseVersion = append([]standin.ServerEntry(nil), d.changes[excess:]...), d.baseVersion+int64(excess)
 	}
-	return r.version()
+	return d.version()
 }
 
 // SetStateAsSnapshot changes a server's state and drops all changes that are kept, so that each client gets the full
 // list. It returns the new version.
-func (r *StubDiscovery) SetStateAsSnapshot(state string, which int) int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	defer r.wakeWatches()
-	r.entries[which%len(r.entries)].State = state
-	r.baseVersion, r.changes = r.version()+1, nil
-	return r.baseVersion
+func (d *StubDiscovery) SetStateAsSnapshot(state string, which int) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	defer d.wakeWatches()
+	d.entries[which%len(d.entries)].State = state
+	d.baseVersion, d.changes = d.version()+1, nil
+	return d.baseVersion
 }
 
 // SetDown makes the stub unavailable, or available again. While it is unavailable all calls get status 503, waiting
 // watches included.
-func (r *StubDiscovery) SetDown(down bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.down = down
-	r.wakeWatches()
+func (d *StubDiscovery) SetDown(down bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.down = down
+	d.wakeWatches()
 }
 
 // FailureGroup returns the indices of servers that fail together: those of the last zone, of its last rack, or the last
 // server.
-func (r *StubDiscovery) FailureGroup(kind string) (servers []int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	last := r.entries[len(r.entries)-1]
-	for i, e := range r.entries {
+func (d *StubDiscovery) FailureGroup(kind string) (servers []int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	last := d.entries[len(d.entries)-1]
+	for i, e := range d.entries {
 		if e.Zone == last.Zone && (kind != "rack" || e.Cell == last.Cell) && (kind != "machine" || e.ID == last.ID) {
 			servers = append(servers, i)
 		}
@@ -132,31 +132,31 @@
 	return servers
 }
 
-// wakeWatches makes all waiting watches check for changes. r.mu is held.
-func (r *StubDiscovery) wakeWatches() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+// wakeWatches makes all waiting watches check for changes. d.mu is held.
+func (d *StubDiscovery) wakeWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // HighestSince returns the highest version since which any call asked for changes, and when that call came.
-func (r *StubDiscovery) HighestSince() (int64, time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.highestSince, r.highestSinceAt
+func (d *StubDiscovery) HighestSince() (int64, time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.highestSince, d.highestSinceAt
 }
 
 // Totals returns how many calls there were, and how many bytes their connections carried in both directions.
-func (r *StubDiscovery) Totals() (calls int, bytes int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.callCount, r.bytes.Load()
+func (d *StubDiscovery) Totals() (calls int, bytes int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.callCount, d.bytes.Load()
 }
 
 // PeakCalls returns the highest number of calls in any second since the given time.
-func (r *StubDiscovery) PeakCalls(from time.Time) (peak int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for s, n := range r.callsBySecond {
+func (d *StubDiscovery) PeakCalls(from time.Time) (peak int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for s, n := range d.callsBySecond {
 		if s >= from.Unix() {
 			peak = max(peak, n)
 		}
@@ -165,45 +165,45 @@
 }
 
 // FullList returns the full list as JSON.
-func (r *StubDiscovery) FullList() []byte {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.fullList()
+func (d *StubDiscovery) FullList() []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.fullList()
 }
 
-// fullList returns the full list as JSON, encoded once for each version. r.mu is held.
-func (r *StubDiscovery) fullList() []byte {
-	if r.encoded == nil || r.encodedVersion != r.version() {
-		resp := endpointsResponse{Version: r.version(), Full: true, Servers: make([]standin.ServerEntry, 0, len(r.entries))}
-		for _, e := range r.entries {
+// fullList returns the full list as JSON, encoded once for each version. d.mu is held.
+func (d *StubDiscovery) fullList() []byte {
+	if d.encoded == nil || d.encodedVersion != d.version() {
+		resp := endpointsResponse{Version: d.version(), Full: true, Servers: make([]standin.ServerEntry, 0, len(d.entries))}
+		for _, e := range d.entries {
 			if e.State != "Gone" {
 				resp.Servers = append(resp.Servers, e)
 			}
 		}
-		r.encoded, _ = json.Marshal(resp) // can't fail: it holds plain values only
-		r.encodedVersion = resp.Version
+		d.encoded, _ = json.Marshal(resp) // can't fail: it holds plain values only
+		d.encodedVersion = resp.Version
 	}
-	return r.encoded
+	return d.encoded
 }
 
 // Start starts the HTTP server on a free port and returns its address.
-func (r *StubDiscovery) Start() (addr string, err error) {
+func (d *StubDiscovery) Start() (addr string, err error) {
 	ln, err := standin.Listen()
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /v1/endpoints", r)
-	r.server = &http.Server{Handler: mux}
-	go r.server.Serve(countingListener{ln, &r.bytes}) // ends with Stop
+	mux.Handle("GET /v1/endpoints", d)
+	d.server = &http.Server{Handler: mux}
+	go d.server.Serve(countingListener{ln, &d.bytes}) // ends with Stop
 	return ln.Addr().String(), nil
 }
 
 // Stop stops the server and ends all calls.
-func (r *StubDiscovery) Stop() {
-	close(r.stopped)
-	if r.server != nil {
-		r.server.Close()
+func (d *StubDiscovery) Stop() {
+	close(d.stopped)
+	if d.server != nil {
+		d.server.Close()
 	}
 }
 
@@ -241,32 +241,32 @@
 
 // ServeHTTP serves GET /v1/endpoints: at once without a since parameter, otherwise as soon as there are changes or the
 // timeout ends.
-func (r *StubDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (d *StubDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	since, err := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64)
 	watch := err == nil
 	limit, _ := strconv.Atoi(req.URL.Query().Get("timeout_ms"))
 	timeout := time.NewTimer(time.Duration(min(limit, 60000)) * time.Millisecond)
 	defer timeout.Stop()
-	r.mu.Lock()
+	d.mu.Lock()
 	now := time.Now()
-	r.callsBySecond[now.Unix()]++
-	r.callCount++
-	if watch && since > r.highestSince {
-		r.highestSince, r.highestSinceAt = since, now
+	d.callsBySecond[now.Unix()]++
+	d.callCount++
+	if watch && since > d.highestSince {
+		d.highestSince, d.highestSinceAt = since, now
 	}
-	r.mu.Unlock()
+	d.mu.Unlock()
 	for timedOut := false; ; {
-		r.mu.Lock()
-		changed, down := r.changed, r.down
-		if !down && (!watch || since != r.version() || timedOut) {
-			text := r.response(since, watch)
-			r.mu.Unlock()
+		d.mu.Lock()
+		changed, down := d.changed, d.down
+		if !down && (!watch || since != d.version() || timedOut) {
+			text := d.response(since, watch)
+			d.mu.Unlock()
 			w.Write(text)
 			return
 		}
-		r.mu.Unlock()
+		d.mu.Unlock()
 		if down {
-			http.Error(w, "out of reach", http.StatusServiceUnavailable)
+			http.Error(w, "discovery is unavailable", http.StatusServiceUnavailable)
 			return
 		}
 		select {
@@ -275,18 +275,18 @@
 			timedOut = true
 		case <-req.Context().Done():
 			return
-		case <-r.stopped:
+		case <-d.stopped:
 			return
 		}
 	}
 }
 
-// response returns the body for a client that has the version since. r.mu is held.
-func (r *StubDiscovery) response(since int64, watch bool) []byte {
-	if !watch || since < r.baseVersion || since > r.version() {
-		return r.fullList()
+// response returns the body for a client that has the version since. d.mu is held.
+func (d *StubDiscovery) response(since int64, watch bool) []byte {
+	if !watch || since < d.baseVersion || since > d.version() {
+		return d.fullList()
 	}
-	resp := endpointsResponse{Version: r.version(), Servers: r.changes[since-r.baseVersion:]}
+	resp := endpointsResponse{Version: d.version(), Servers: d.changes[since-d.baseVersion:]}
 	if resp.Servers == nil {
 		resp.Servers = []standin.ServerEntry{}
 	}
--- a/internal/lab/scale/stub_servers.go
+++ b/internal/lab/scale/stub_servers.go
@@ -26,7 +26,7 @@
 
 	mu          sync.Mutex
 	lastRequest map[string]time.Time   // time of the last request, by server
-	recent      [len(reportAges)]int64 // requests that followed the one before at the same server within each of reportAges
+	recent      [len(reportAges)]int64 // requests that followed the previous one at their server within each of reportAges
 }
 
 // reportAges are the ages of load reports that are counted: how long the policy uses a report, and how long a
@@ -47,7 +47,7 @@
 	s.lastRequest[server] = now
 }
 
-// startStubServers starts count servers. Service is how long each takes for a request, idle how long it keeps an idle
+// startStubServers starts count servers. service is how long each takes for a request, idle how long it keeps an idle
 // connection open.
 func startStubServers(count int, service, idle time.Duration) (*stubServers, error) {
 	s := &stubServers{lastRequest: map[string]time.Time{}}
@@ -110,7 +110,7 @@
 
 // runClients sends requests to a node until ctx ends, at a constant rate whatever their outcome, and waits for the last
 // response. Requests are counted once count is set.
-func (t *clientStats) runClients(ctx context.Context, addr, name string, rate float64, count *atomic.Bool) {
+func (s *clientStats) runClients(ctx context.Context, addr, name string, rate float64, count *atomic.Bool) {
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256,
 		DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -132,12 +132,12 @@
 			if !counted {
 				return
 			}
-			t.mu.Lock()
-			defer t.mu.Unlock()
-			t.requests++
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.requests++
 			if ok {
-				t.served++
-				t.addedSeconds = append(t.addedSeconds, added)
+				s.served++
+				s.addedSeconds = append(s.addedSeconds, added)
 			}
 		})
 	}
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -53,7 +53,8 @@
 	What  string `json:"what"`  // list or configuration: which change was followed
 	Nodes int    `json:"nodes"` // nodes that should get the change
 	Had   int    `json:"had"`   // nodes that had it in time
-	// P50, P99 and Worst are seconds from the change, or from the end of the fault if that was later, until it was in force.
+	// P50, P99 and Worst are seconds from the change, or from the end of the fault if that was later, until the change was
+	// in force.
 	P50   float64 `json:"p50_s"`
 	P99   float64 `json:"p99_s"`
 	Worst float64 `json:"worst_s"`
@@ -69,7 +70,7 @@
 type Report struct {
 	Plan string  `json:"plan"`
 	Sped float64 `json:"sped_up"` // how many times faster than in production servers and configuration changed
-	// Load is the load average of the last minute at the run's start and end. It shows whether the machine was busy otherwise.
+	// Load is the load average of the last minute at the run's start and end. It shows whether the machine had other work.
 	Load  [2]float64 `json:"load"`
 	Cores int        `json:"cores"`
 	Took  float64    `json:"took_s"`
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -30,7 +30,7 @@
 	Which    []int    `json:"which,omitempty"`     // restart: indices of the nodes
 	Version  int64    `json:"version,omitempty"`   // reached: version of the server list
 	Changed  string   `json:"changed,omitempty"`   // reached: version of the configuration, instead of that of the list
-	Count    int      `json:"count,omitempty"`     // web, contracts, plan, members: number of servers, contracts or members
+	Count    int      `json:"count,omitempty"`     // number of servers (web, plan), contracts or members
 	IdleMS   int      `json:"idle_ms,omitempty"`   // web: how long an idle connection stays open
 	ServerUS int      `json:"server_us,omitempty"` // web: how long a request takes
 	ForMS    int      `json:"for_ms,omitempty"`    // members: virtual time of each phase
@@ -125,11 +125,11 @@
 	lines.Buffer(nil, 1<<20)
 	enc := json.NewEncoder(out)
 	for lines.Scan() {
-		var o workerCommand
+		var command workerCommand
 		var r workerReply
-		err := json.Unmarshal(lines.Bytes(), &o)
+		err := json.Unmarshal(lines.Bytes(), &command)
 		if err == nil {
-			r, err = w.execute(o)
+			r, err = w.execute(command)
 		}
 		if err != nil {
 			r.Err = err.Error()
@@ -142,23 +142,23 @@
 }
 
 // execute executes one command.
-func (w *worker) execute(o workerCommand) (workerReply, error) {
-	switch o.Do {
+func (w *worker) execute(command workerCommand) (workerReply, error) {
+	switch command.Do {
 	case "hollow":
-		return workerReply{}, w.startHollow(o)
+		return workerReply{}, w.startHollow(command)
 	case "restart":
-		return w.restart(o.Which)
+		return w.restart(command.Which)
 	case "reached":
-		if o.Changed == "" {
-			return workerReply{At: w.firstSeenTimes(0, resource.Version{Number: uint64(o.Version)})}, nil
+		if command.Changed == "" {
+			return workerReply{At: w.firstSeenTimes(0, resource.Version{Number: uint64(command.Version)})}, nil
 		}
-		v, err := resource.ParseVersion(o.Changed)
+		v, err := resource.ParseVersion(command.Changed)
 		return workerReply{At: w.firstSeenTimes(1, v)}, err
 	case "back":
 		return workerReply{Figures: map[string]float64{"back": float64(w.regressions())}}, nil
 	case "web":
-		s, err := startStubServers(o.Count, time.Duration(o.ServerUS)*time.Microsecond,
-			time.Duration(o.IdleMS)*time.Millisecond)
+		s, err := startStubServers(command.Count, time.Duration(command.ServerUS)*time.Microsecond,
+			time.Duration(command.IdleMS)*time.Millisecond)
 		if err != nil {
 			return workerReply{}, err
 		}
@@ -169,13 +169,13 @@
 	case "usage":
 		return workerReply{Figures: processUsage()}, nil
 	case "contracts":
-		return workerReply{Figures: contractsCost(o.Count)}, nil
+		return workerReply{Figures: contractsCost(command.Count)}, nil
 	case "members":
-		return membersCost(o.Count, time.Duration(o.ForMS)*time.Millisecond, time.Duration(o.LimitMS)*time.Millisecond)
+		return membersCost(command.Count, time.Duration(command.ForMS)*time.Millisecond, time.Duration(command.LimitMS)*time.Millisecond)
 	case "plan":
-		return workerReply{Figures: planCost(o.Count)}, nil
+		return workerReply{Figures: planCost(command.Count)}, nil
 	}
-	return workerReply{}, fmt.Errorf("order %q is not known", o.Do)
+	return workerReply{}, fmt.Errorf("unknown command %q", command.Do)
 }
 
 // processUsage returns the live heap after a garbage collection, the resident memory, both in bytes, and the number of
@@ -191,25 +191,25 @@
 
 // startHollow starts hollow nodes one after the other, and waits until each of those that follow control has a
 // configuration.
-func (w *worker) startHollow(o workerCommand) error {
+func (w *worker) startHollow(command workerCommand) error {
 	loaded := map[string]node.Config{} // by product file
-	for i, name := range o.Names {
+	for i, name := range command.Names {
 		product := ""
-		if o.Products != nil {
-			product = o.Products[i]
+		if command.Products != nil {
+			product = command.Products[i]
 		}
 		c, known := loaded[product]
 		if !known {
 			var err error
 			if c, err = node.Load(func(name string) string {
-				return map[string]string{"GW_CONFIG": o.Config, "PORTSTALL_FILE": product}[name]
+				return map[string]string{"GW_CONFIG": command.Config, "PORTSTALL_FILE": product}[name]
 			}); err != nil {
 				return err
 			}
 			loaded[product] = c
 		}
-		c.Name, c.Discovery, c.Seed = name, o.Sources[i], xxhash.Sum64String(name)
-		c.Settings.Policy.Zone = o.Zones[i]
+		c.Name, c.Discovery, c.Seed = name, command.Sources[i], xxhash.Sum64String(name)
+		c.Settings.Policy.Zone = command.Zones[i]
 		n := &hollowNode{config: c}
 		var err error
 		if n.node, err = node.StartHeadless(c, slog.New(slog.DiscardHandler)); err != nil {
@@ -301,7 +301,7 @@
 }
 
 // firstSeenTimes returns for each node when it was first seen with a version or a later one, in ns of Unix time; 0: not
-// yet. Of is 0 for the server list and 1 for the configuration.
+// yet. of is 0 for the server list and 1 for the configuration.
 func (w *worker) firstSeenTimes(of int, version resource.Version) []int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -49,9 +49,9 @@
 		if want != nil {
 			w.configTimeout = 50 * time.Millisecond
 		}
-		o := r.hollowCommand(0, 1, func(int) string { return discoveryAddr })
-		o.Config, o.Products = config, []string{product}
-		if err := w.startHollow(o); !errors.Is(err, want) {
+		command := r.hollowCommand(0, 1, func(int) string { return discoveryAddr })
+		command.Config, command.Products = config, []string{product}
+		if err := w.startHollow(command); !errors.Is(err, want) {
 			t.Errorf("error %v, want %v", err, want)
 		}
 		if has := !w.nodes[0].node.Status().Configuration.IsZero(); has != (want == nil) {
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -23,7 +23,7 @@
 	Class  string        `yaml:"class,omitempty"`  // heavy: only this class; empty: all
 	Tenant string        `yaml:"tenant,omitempty"` // flash, heavy, poison: only this tenant; empty: all
 	Zone   int           `yaml:"zone,omitempty"`   // zone_loss: index of the zone
-	Says   string        `yaml:"says,omitempty"`   // agent_says: reply, or several, parted by |, for a second each; empty: none
+	Says   string        `yaml:"says,omitempty"`   // agent_says: replies, separated by |, for a second each; empty: none
 	Nodes  float64       `yaml:"nodes,omitempty"`  // cut: share of the nodes that do not reach the servers
 }
 
@@ -46,7 +46,7 @@
 	"crash": {About: "server processes die: connections are reset, new ones refused; they return cold",
 		Share: true, Rig: true},
 	"cold": {About: "servers restart instantly and are cold", Share: true, Instant: true, Rig: true},
-	"drain": {About: "servers are told to drain; after the fault's length they restart and are cold",
+	"drain": {About: "servers are announced as draining; after the fault's length they restart and are cold",
 		Share: true, Rig: true},
 	"error": {About: "partial failure: servers respond to a share of their requests with an error at once",
 		Share: true, Part: true, Rig: true},
--- a/internal/lab/scenario/generate.go
+++ b/internal/lab/scenario/generate.go
@@ -80,16 +80,16 @@
 // Operation is one thing that a client wants done. The client makes one or more tries, each a request to a node, which
 // share one deadline.
 type Operation struct {
-	Index             int           // operations are numbered in the order of their start
-	At                time.Duration // start of its first try
-	Class             int           // index in Scenario.Classes
-	Tenant            int           // index in Scenario.Tenants; -1 where there are none
-	Work              time.Duration // on a standard core
-	Retries           int           // maximum number of tries after the first
-	HonoursRetryAfter bool          // the client waits for as long as a Retry-After says
-	TryShare          float64       // share of the deadline after which the client gives up a try
-	LeaveShare        float64       // share of its waiting time after which the client disconnects early; 0: it does not
-	RepeatsUnsafely   bool          // the client repeats a keyed request although no response promised that this does no harm
+	Index            int           // operations are numbered in the order of their start
+	At               time.Duration // start of its first try
+	Class            int           // index in Scenario.Classes
+	Tenant           int           // index in Scenario.Tenants; -1 where there are none
+	Work             time.Duration // on a standard core
+	Retries          int           // maximum number of tries after the first
+	HonorsRetryAfter bool          // the client waits for as long as a Retry-After says
+	TryShare         float64       // share of the deadline after which the client gives up a try
+	LeaveShare       float64       // share of its waiting time after which the client disconnects early; 0: it does not
+	RepeatsUnsafely  bool          // the client repeats a keyed request although no response permits that
 }
 
 // Workload generates the operations of a scenario in the order of their start. Those that a flash crowd adds come from
@@ -152,9 +152,9 @@
 }
 
 // Next returns the next operation, and false after the last.
-func (a *Workload) Next() (Operation, bool) {
+func (w *Workload) Next() (Operation, bool) {
 	var earliest *operationStream
-	for _, o := range a.streams {
+	for _, o := range w.streams {
 		if o.hasNext && (earliest == nil || o.next.At < earliest.next.At) {
 			earliest = o
 		}
@@ -163,8 +163,8 @@
 		return Operation{}, false
 	}
 	op := earliest.next
-	op.Index = a.nextIndex
-	a.nextIndex++
+	op.Index = w.nextIndex
+	w.nextIndex++
 	earliest.generate()
 	return op, true
 }
@@ -198,7 +198,7 @@
 	if o.rng.Float64() < clients.Retries-float64(op.Retries) {
 		op.Retries++
 	}
-	op.HonoursRetryAfter = o.rng.Float64() < clients.Honour
+	op.HonorsRetryAfter = o.rng.Float64() < clients.Honour
 	op.TryShare = clients.TryShare + (1-clients.TryShare)*o.rng.Float64()
 	leaves, fraction := o.rng.Float64() < clients.Impatient, o.rng.Float64() // always two draws: later ones stay the same
 	if leaves {
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -56,10 +56,11 @@
 	return s, nil
 }
 
-// Check returns the first invalid field as a *config.FieldError.
+// Check returns the first invalid field as a *config.FieldError, and nil if there is none. It sets the size of cells to
+// 1 where only their tenants are given.
 func (s *Scenario) Check() error { return s.check() }
 
-// check is Check. It also sets the size of cells to 1 where only their tenants are given.
+// check implements Check.
 func (s *Scenario) check() error {
 	var first error
 	reject := func(path, format string, args ...any) {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -40,7 +40,7 @@
 type Servers struct {
 	Count       int          `yaml:"count"`
 	Zones       int          `yaml:"zones"`    // servers are assigned to them round-robin
-	PodSize     int          `yaml:"pod_size"` // servers that share their memory of idempotency keys of group pod; 0: one pod
+	PodSize     int          `yaml:"pod_size"` // servers that share their memory of keys of group pod; 0: all servers
 	Kinds       []ServerType `yaml:"kinds"`
 	Connections Connections  `yaml:"connections"`
 	Choke       Contention   `yaml:"choke"`
@@ -61,10 +61,10 @@
 	SlotsPerCore int           `yaml:"slots_per_core"` // concurrent requests in work
 	QueuePerCore int           `yaml:"queue_per_core"` // requests that wait; further ones are rejected
 	ColdFrom     float64       `yaml:"cold_from"`      // share of its capacity with which it starts
-	ColdFor      time.Duration `yaml:"cold_for"`       // time until it has its whole capacity, at the latest
+	ColdFor      time.Duration `yaml:"cold_for"`       // time: until it has its full capacity; work: see fleet.Ramp
 	WarmBy       string        `yaml:"warm_by"`        // time or work: what raises the capacity of a cold server
 	ErrorRate    float64       `yaml:"error_rate"`     // share of requests that it responds to with an error
-	Keeps        bool          `yaml:"keeps"`          // it completes the work of cancelled requests
+	Keeps        bool          `yaml:"keeps"`          // it completes the work of canceled requests
 }
 
 // Connections describes the limits and costs of connections to web servers.
@@ -127,7 +127,7 @@
 	Retries     float64       `yaml:"retries"`     // maximum retries of an operation; 0.5: one retry for half of them
 	Backoff     time.Duration `yaml:"backoff"`     // mean pause before a retry
 	Exponential bool          `yaml:"exponential"` // the backoff doubles with each try
-	Honour      float64       `yaml:"honour"`      // share of clients that honour a Retry-After
+	Honour      float64       `yaml:"honour"`      // share of clients that honor a Retry-After
 	TryShare    float64       `yaml:"try_share"`   // lowest share of the deadline after which a try is given up
 	Stubborn    float64       `yaml:"stubborn"`    // share that repeat keyed requests without a promise
 	Impatient   float64       `yaml:"impatient"`   // share of operations whose client disconnects early
@@ -238,7 +238,7 @@
 // Rules holds the limits that the nodes have to keep.
 type Rules struct {
 	MaxAttempts  int           `yaml:"max_attempts"`  // for one request
-	DrainGrace   time.Duration `yaml:"drain_grace"`   // attempts may still go to a draining or removed server for this time
+	DrainGrace   time.Duration `yaml:"drain_grace"`   // how long attempts may still go to a draining or removed server
 	FallMultiple float64       `yaml:"fall_multiple"` // a cold server collapses above this multiple of its capacity
 	FallFor      time.Duration `yaml:"fall_for"`      // if it is exceeded for this time
 	ColdShare    float64       `yaml:"cold_share"`    // configured at nodes: the least capacity share of a started server
--- a/internal/lab/standin/conn.go
+++ b/internal/lab/standin/conn.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// NewConnPair opens a TCP connection on loopback and returns the end that dialled and the accepted end. The caller
+// NewConnPair opens a TCP connection on loopback and returns the end that dialed and the accepted end. The caller
 // closes both. After an error neither is open.
 func NewConnPair() (far, near *net.TCPConn, err error) {
 	ln, err := Listen()
@@ -13,16 +13,16 @@
 		return nil, nil, err
 	}
 	defer ln.Close()
-	dialled, err := net.Dial("tcp", ln.Addr().String())
+	dialed, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		return nil, nil, err
 	}
 	accepted, err := ln.Accept()
 	if err != nil {
-		dialled.Close()
+		dialed.Close()
 		return nil, nil, err
 	}
-	return dialled.(*net.TCPConn), accepted.(*net.TCPConn), nil
+	return dialed.(*net.TCPConn), accepted.(*net.TCPConn), nil
 }
 
 // TB is the part of testing.TB that the helpers of this package need. It keeps the package testing out of binaries.
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -202,7 +202,7 @@
 		current, changed := c.set.Version(), c.changed
 		delta := &resource.Delta{From: since, To: since}
 		if s := query.Get("sum"); s != "" {
-			delta.Checksum.UnmarshalText([]byte(s)) // the caller's, for an empty delta: that of an older version is not known here
+			delta.Checksum.UnmarshalText([]byte(s)) // for an empty delta: an older version's checksum is not known here
 		}
 		done := true
 		switch {
