--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -196,7 +196,7 @@
 			turns := strings.Split(f.Says, "|")
 			return turns[int(now/time.Second)%len(turns)], f.Says != ""
 		case !agent && f.Kind == "check_fails":
-			return "injected failure", true
+			return "said to fail", true
 		}
 		drains = drains || f.Kind == "drain"
 	}
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -142,7 +142,7 @@
 	}
 	work, err := strconv.ParseFloat(r.URL.Query().Get("us"), 64)
 	if err != nil {
-		http.Error(w, "query parameter us (work in microseconds) is missing or invalid", http.StatusBadRequest)
+		http.Error(w, "no work is named", http.StatusBadRequest)
 		return
 	}
 	work /= 1e6
--- a/internal/lab/scale/stub_discovery.go
+++ b/internal/lab/scale/stub_discovery.go
@@ -266,7 +266,7 @@
 		}
 		d.mu.Unlock()
 		if down {
-			http.Error(w, "discovery is unavailable", http.StatusServiceUnavailable)
+			http.Error(w, "out of reach", http.StatusServiceUnavailable)
 			return
 		}
 		select {
