--- a/cmd/portstall/state.go
+++ b/cmd/portstall/state.go
@@ -64,13 +64,13 @@
 	for _, v := range s.Servers {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t", v.ID, v.Addr, v.State, v.StartedMS)
 		if e := v.Stats; e != nil && e.Occupancy > 0 {
-			fmt.Fprintf(out, "%.1f\t%.4f\t%.1f\t%.0f%%\n", e.Served, e.Latency/e.Occupancy, e.Others, 100*e.Bad)
+			fmt.Fprintf(out, "%.1f\t%.4f\t%.1f\t%.0f%%\n", e.SuccessCount, e.Latency/e.Occupancy, e.RemoteLoad, 100*e.FailureShare)
 		} else {
 			fmt.Fprintln(out, "-\t-\t-\t-")
 		}
 	}
 	for _, l := range s.Contracts {
-		fmt.Fprintf(out, "contract %s\ttokens %.1f\twork %.2f s\tguarantee %.2f s\n", l.Name, l.Tokens, l.Work, l.Kept)
+		fmt.Fprintf(out, "contract %s\ttokens %.1f\twork %.2f s\tguarantee %.2f s\n", l.Name, l.RateTokens, l.WorkLeft, l.GuaranteeLeft)
 	}
 	return out.Flush()
 }
--- a/internal/contract/change.go
+++ b/internal/contract/change.go
@@ -336,11 +336,16 @@
 }
 
 // RemovedContract holds the terms of a removed contract that determine how its state refills, for a successor process.
-// It is stored under its Go field names.
+// The names in the tags are the stored format.
 type RemovedContract struct {
-	Ago                                       time.Duration // time since the removal
-	Rate, Burst, Limit, Bandwidth, Guaranteed float64       // as in Terms
-	Window                                    time.Duration // Terms.RetryWindow
+	SinceRemoval time.Duration `cbor:"Ago"` // time since the removal
+	// As in Terms.
+	Rate        float64       `cbor:"Rate"`
+	Burst       float64       `cbor:"Burst"`
+	Limit       float64       `cbor:"Limit"`
+	Bandwidth   float64       `cbor:"Bandwidth"`
+	Guaranteed  float64       `cbor:"Guaranteed"`
+	RetryWindow time.Duration `cbor:"Window"`
 }
 
 // states returns the retained states, refilled up to now, the oldest first.
@@ -352,7 +357,7 @@
 		c := &e.terms
 		l.refill(c, e.state, now)
 		exported := e.state.export(c.Name)
-		exported.Gone = &RemovedContract{now - e.removedAt, c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.RetryWindow}
+		exported.Removed = &RemovedContract{now - e.removedAt, c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.RetryWindow}
 		all = append(all, exported)
 	}
 	return all
@@ -363,9 +368,9 @@
 // added again. It returns nil if there is nothing to retain.
 func (r *removedContracts) restore(now time.Duration, exported *ContractState) (*Terms, *state) {
 	c, at := Terms{Name: exported.Name}, now
-	if g := exported.Gone; g != nil {
-		c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.RetryWindow = g.Rate, g.Burst, g.Limit, g.Bandwidth, g.Guaranteed, g.Window
-		at = now - max(g.Ago, 0)
+	if g := exported.Removed; g != nil {
+		c.Rate, c.Burst, c.Limit, c.Bandwidth, c.Guaranteed, c.RetryWindow = g.Rate, g.Burst, g.Limit, g.Bandwidth, g.Guaranteed, g.RetryWindow
+		at = now - max(g.SinceRemoval, 0)
 	}
 	if field, _ := c.Check(); field != "" || now-at > removedRetention {
 		return nil, nil
@@ -374,7 +379,7 @@
 	if e == nil { // otherwise it was removed here too, or was restored before
 		r.add(at, &c, &state{refilledAt: now})
 		e = r.byName[exported.Name]
-	} else if exported.Gone != nil {
+	} else if exported.Removed != nil {
 		e.terms = c
 	}
 	e.state.refilledAt = now
--- a/internal/contract/change_test.go
+++ b/internal/contract/change_test.go
@@ -650,7 +650,7 @@
 	terms := Terms{Name: "c", Rate: 1, Burst: 5, Limit: 1, Matches: []Match{{Tenant: "c"}}}
 	predecessor := NewLedger(newTable(t, terms), 0, 1)
 	predecessor.Done(0, "c", predecessor.Admit(0, 0, "r", 0, false), 4)
-	if got := predecessor.States(0); len(got) != 1 || got[0].Gone != nil || got[0].Work != -3 {
+	if got := predecessor.States(0); len(got) != 1 || got[0].Removed != nil || got[0].WorkLeft != -3 {
 		t.Fatalf("predecessor's state %+v, want one contract in force with a debt of 3", got)
 	}
 	for _, credit := range []bool{true, false} {
@@ -662,14 +662,14 @@
 		}
 	}
 	removedState := func(i int, ago time.Duration) ContractState {
-		return ContractState{Name: fmt.Sprint("c", i), Work: -1, Gone: &RemovedContract{Ago: ago, Limit: 1}}
+		return ContractState{Name: fmt.Sprint("c", i), WorkLeft: -1, Removed: &RemovedContract{SinceRemoval: ago, Limit: 1}}
 	}
 	l, all := NewLedger(newTable(t), 0, 1), []ContractState{}
 	for i := range maxRemoved + 100 {
 		all = append(all, removedState(i, time.Second))
 	}
 	invalid := []ContractState{removedState(9001, removedRetention+1), removedState(9002, 0), removedState(9003, 0), {Name: ""}}
-	invalid[1].Gone.Limit, invalid[2].Gone.Rate = math.NaN(), -1
+	invalid[1].Removed.Limit, invalid[2].Removed.Rate = math.NaN(), -1
 	l.Restore(time.Hour, append(all, invalid...), true)
 	l.Restore(time.Hour, all[200:], true) // restored again: nothing is duplicated
 	if n, inOrder := len(l.removed.byName), len(l.removed.oldestFirst); n != maxRemoved || inOrder != maxRemoved || l.removed.byName["c99"] != nil {
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -158,14 +158,21 @@
 		shareUpdated: now, emptiedAt: never, processShare: 1, allowedWork: math.Inf(1)}
 }
 
-// ContractState holds what a contract has left, for a successor process. It is stored under its Go field names.
+// ContractState holds what a contract has left, for a successor process. The names in the tags are the
+// stored format.
 type ContractState struct {
-	Name string
+	Name string `cbor:"Name"`
 	// Left of the rate, the work limit, the bandwidth and the guarantee; negative: debt.
-	Tokens, Work, Bytes, Kept float64
-	Firsts, Furthers          float64          // first attempts; retries and client repeats
-	Cost, Demand              float64          // mean cost of a request; smoothed demand
-	Gone                      *RemovedContract `cbor:",omitempty"` // nil: the contract is in force
+	RateTokens    float64 `cbor:"Tokens"`
+	WorkLeft      float64 `cbor:"Work"`
+	BytesLeft     float64 `cbor:"Bytes"`
+	GuaranteeLeft float64 `cbor:"Kept"`
+	// First attempts; retries and client repeats.
+	FirstAttempts float64          `cbor:"Firsts"`
+	Retries       float64          `cbor:"Furthers"`
+	MeanCost      float64          `cbor:"Cost"`           // of a request
+	Demand        float64          `cbor:"Demand"`         // smoothed
+	Removed       *RemovedContract `cbor:"Gone,omitempty"` // nil: the contract is in force
 }
 
 // States returns the state of all contracts that have been used, followed by that of removed ones, the oldest first.
@@ -182,8 +189,8 @@
 
 // export returns the state for a successor process.
 func (s *state) export(name string) ContractState {
-	return ContractState{Name: name, Tokens: s.rateTokens, Work: s.workLeft, Bytes: s.bytesLeft, Kept: s.guaranteeLeft,
-		Firsts: s.firstAttempts, Furthers: s.retries, Cost: s.meanCost, Demand: s.demand}
+	return ContractState{Name: name, RateTokens: s.rateTokens, WorkLeft: s.workLeft, BytesLeft: s.bytesLeft, GuaranteeLeft: s.guaranteeLeft,
+		FirstAttempts: s.firstAttempts, Retries: s.retries, MeanCost: s.meanCost, Demand: s.demand}
 }
 
 // Restore continues from the state of another process. Without credit only debts are restored, as that process may have
@@ -213,10 +220,10 @@
 		}
 		return min(v, upper)
 	}
-	s.rateTokens, s.workLeft = atMost(exported.Tokens, l.burst(c)), atMost(exported.Work, c.Limit*l.nodeShare)
-	s.bytesLeft, s.guaranteeLeft = atMost(exported.Bytes, c.Bandwidth*l.nodeShare),
-		atMost(exported.Kept, c.Guaranteed*l.nodeShare*guaranteeCarryOver.Seconds())
-	s.firstAttempts, s.retries, s.meanCost, s.demand = exported.Firsts, exported.Furthers, exported.Cost, exported.Demand
+	s.rateTokens, s.workLeft = atMost(exported.RateTokens, l.burst(c)), atMost(exported.WorkLeft, c.Limit*l.nodeShare)
+	s.bytesLeft, s.guaranteeLeft = atMost(exported.BytesLeft, c.Bandwidth*l.nodeShare),
+		atMost(exported.GuaranteeLeft, c.Guaranteed*l.nodeShare*guaranteeCarryOver.Seconds())
+	s.firstAttempts, s.retries, s.meanCost, s.demand = exported.FirstAttempts, exported.Retries, exported.MeanCost, exported.Demand
 }
 
 // DropCredit removes all unused budget, as another process has it now or had it before. Contracts that have not been
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -934,7 +934,7 @@
 	waitFor(t, "the contract to be in force", func() bool { return node.hasContract(t, "app") })
 	seen := func() (inForce, route bool) { // the core's lock is held
 		_, route = node.tunnelRoutes.Find("lines.example.org", 7)
-		return slices.ContainsFunc(node.core.ContractStates(), func(l contract.ContractState) bool { return l.Name == "app" && l.Gone == nil }), route
+		return slices.ContainsFunc(node.core.ContractStates(), func(l contract.ContractState) bool { return l.Name == "app" && l.Removed == nil }), route
 	}
 	node.core.Lock()
 	if c, route := seen(); !c || !route {
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -185,7 +185,9 @@
 		node.agents[i].Reply("maint\n")
 	}
 	for i := range node.agents {
-		node.waitForHealth(t, i, "suspicion", func(h ServerHealth) bool { return h.ByHand == (i != 1) && strings.Contains(h.Why, "suspected") })
+		node.waitForHealth(t, i, "suspicion", func(h ServerHealth) bool {
+			return h.ByHand == (i != 1) && strings.Contains(h.Why, "suspected")
+		})
 	}
 }
 
--- a/internal/node/persist_test.go
+++ b/internal/node/persist_test.go
@@ -49,7 +49,7 @@
 	third.core.Lock()
 	learned := map[uint32]float64{}
 	for _, k := range third.core.LearnedState().Servers {
-		learned[k.ID] = k.Served
+		learned[k.ID] = k.SuccessCount
 	}
 	one, two := third.serversByID["s-1"], third.serversByID["s-2"]
 	if !third.overrides.disabled["s-1"] || !one.Gate.Closed() || learned[one.number] != 0 || learned[two.number] == 0 {
--- a/internal/state/age.go
+++ b/internal/state/age.go
@@ -120,7 +120,7 @@
 	}
 	for i := range s.Servers {
 		if stats := s.Servers[i].Stats; stats != nil {
-			for _, t := range []*float64{&stats.Ejected, &stats.ReportAt, &stats.FullAt, &stats.LastOK} {
+			for _, t := range []*float64{&stats.EjectedUntil, &stats.ReportAt, &stats.RejectedAt, &stats.LastSuccessAt} {
 				if *t > 0 {
 					*t = max(0, *t+by.Seconds())
 				}
@@ -143,24 +143,26 @@
 		if stats.Occupancy > 0 {
 			serviceTime = stats.Latency / stats.Occupancy
 		}
-		stats.Latency, stats.Occupancy, stats.Served = stats.Latency*sumsDecay, stats.Occupancy*sumsDecay, stats.Served*sumsDecay
-		stats.Room, stats.Slots, stats.Bad = stats.Room/capacityDecay, stats.Slots*slotsDecay, stats.Bad*capacityDecay
-		stats.Ejected = min(stats.Ejected, now+maxEjection)
-		stats.ReportAt, stats.FullAt, stats.LastOK = min(stats.ReportAt, now), min(stats.FullAt, now), min(stats.LastOK, now)
-		if drainTime := max(0, stats.Others) * serviceTime; now-stats.ReportAt > drainTime+1 {
-			stats.Others, stats.Mode = 0, 0
+		stats.Latency, stats.Occupancy, stats.SuccessCount = stats.Latency*sumsDecay, stats.Occupancy*sumsDecay, stats.SuccessCount*sumsDecay
+		stats.MinRejectedOccupancy, stats.MaxInWork, stats.FailureShare = stats.MinRejectedOccupancy/capacityDecay,
+			stats.MaxInWork*slotsDecay, stats.FailureShare*capacityDecay
+		stats.EjectedUntil = min(stats.EjectedUntil, now+maxEjection)
+		stats.ReportAt, stats.RejectedAt, stats.LastSuccessAt = min(stats.ReportAt, now), min(stats.RejectedAt, now), min(stats.LastSuccessAt, now)
+		if drainTime := max(0, stats.RemoteLoad) * serviceTime; now-stats.ReportAt > drainTime+1 {
+			stats.RemoteLoad, stats.Mode = 0, 0
 		}
-		if now-stats.FullAt > stats.Full*serviceTime {
-			stats.Full, stats.FullAt = 0, 0
+		if now-stats.RejectedAt > stats.RejectedOccupancy*serviceTime {
+			stats.RejectedOccupancy, stats.RejectedAt = 0, 0
 		}
 	}
 	for i := range s.Classes {
 		class := &s.Classes[i].Stats
-		class.Requests, class.Latency, class.Answers = class.Requests*capacityDecay, class.Latency*capacityDecay, class.Answers*capacityDecay
+		class.Requests, class.Latency, class.Responses = class.Requests*capacityDecay, class.Latency*capacityDecay, class.Responses*capacityDecay
 	}
 	totals := &s.Totals
-	totals.Total, totals.Lessers, totals.Picks, totals.Span, totals.Seen = totals.Total*capacityDecay, totals.Lessers*capacityDecay,
-		totals.Picks*sumsDecay, totals.Span*sumsDecay, totals.Seen*sumsDecay
-	totals.Strain *= math.Exp(-dt / pressureTimeConstant)
+	totals.RequestCount, totals.LowPriorityCount, totals.InitialSelections, totals.SelectionSpan, totals.LoadReports =
+		totals.RequestCount*capacityDecay, totals.LowPriorityCount*capacityDecay,
+		totals.InitialSelections*sumsDecay, totals.SelectionSpan*sumsDecay, totals.LoadReports*sumsDecay
+	totals.NoNormalShare *= math.Exp(-dt / pressureTimeConstant)
 	totals.Retries = min(totals.Retries, 10) // maxSavedRetries of the policy
 }
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -137,16 +137,17 @@
 		return malformed("disabled servers: invalid id at [%d]: %q", i, s.Disabled[i])
 	}
 	totals := &s.Totals
-	if !allFiniteNonNegative(totals.Total, totals.Lessers, totals.Picks, totals.Span, totals.Seen, totals.Mean, totals.Strain, totals.Retries) {
+	if !allFiniteNonNegative(totals.RequestCount, totals.LowPriorityCount, totals.InitialSelections, totals.SelectionSpan,
+		totals.LoadReports, totals.MeanRemoteLoad, totals.NoNormalShare, totals.Retries) {
 		return malformed("totals: negative or not finite: %+v", *totals)
 	}
 	for _, c := range s.Classes {
-		if !allFiniteNonNegative(c.Stats.Requests, c.Stats.Latency, c.Stats.Answers, c.Stats.Least) {
+		if !allFiniteNonNegative(c.Stats.Requests, c.Stats.Latency, c.Stats.Responses, c.Stats.MinTimeLeft) {
 			return malformed("class %q: negative or not finite: %+v", c.Name, c.Stats)
 		}
 	}
 	for _, c := range s.Contracts {
-		if !allFinite(c.Tokens, c.Work, c.Bytes, c.Kept) || !allFiniteNonNegative(c.Firsts, c.Furthers, c.Cost, c.Demand) {
+		if !allFinite(c.RateTokens, c.WorkLeft, c.BytesLeft, c.GuaranteeLeft) || !allFiniteNonNegative(c.FirstAttempts, c.Retries, c.MeanCost, c.Demand) {
 			return malformed("contract %q: not finite, or negative where that is not allowed: %+v", c.Name, c)
 		}
 	}
@@ -155,8 +156,10 @@
 
 // valid reports whether a node could have written these statistics.
 func (s *ServerStats) valid() bool {
-	return allFiniteNonNegative(s.Ejected, s.ReportAt, s.Full, s.FullAt, s.Slots, s.Latency, s.Occupancy, s.LastOK, s.Work, s.Bad, s.Served) &&
-		allFinite(s.Others) && s.Room > 0 && s.Base > 0 && s.Mode <= 2 && s.Ejections >= 0 && s.Ejections < 1<<20
+	return allFiniteNonNegative(s.EjectedUntil, s.ReportAt, s.RejectedOccupancy, s.RejectedAt, s.MaxInWork, s.Latency, s.Occupancy,
+		s.LastSuccessAt, s.ReportedServiceTime, s.FailureShare, s.SuccessCount) &&
+		allFinite(s.RemoteLoad) && s.MinRejectedOccupancy > 0 && s.MinTypeServiceTime > 0 &&
+		s.Mode <= 2 && s.Ejections >= 0 && s.Ejections < 1<<20
 }
 
 // allFinite reports whether all values are finite numbers.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -44,21 +44,26 @@
 }
 
 // ServerStats is policy.ServerStats with tags that keep the stored form short: zero values are left out. The two types
-// must have the same fields, as they are converted into each other. Fields without a number in the tag are stored under
-// their Go names.
+// must have the same fields, as they are converted into each other. The numbers and names in the tags are the stored
+// format.
 type ServerStats struct {
-	Mode               policy.Mode `cbor:"1,keyasint,omitempty"`
-	Trial              bool        `cbor:"2,keyasint,omitempty"`
-	Ejected            float64     `cbor:"3,keyasint,omitempty"`
-	Others, ReportAt   float64     `cbor:",omitempty"`
-	Full, FullAt       float64     `cbor:",omitempty"`
-	Room, Slots        float64     `cbor:",omitempty"`
-	Latency, Occupancy float64     `cbor:",omitempty"`
-	LastOK             float64     `cbor:",omitempty"`
-	Work, Base         float64     `cbor:",omitempty"`
-	Bad                float64     `cbor:",omitempty"`
-	Ejections          int         `cbor:",omitempty"`
-	Served             float64     `cbor:",omitempty"`
+	Mode                 policy.Mode `cbor:"1,keyasint,omitempty"`
+	Trial                bool        `cbor:"2,keyasint,omitempty"`
+	EjectedUntil         float64     `cbor:"3,keyasint,omitempty"`
+	RemoteLoad           float64     `cbor:"Others,omitempty"`
+	ReportAt             float64     `cbor:"ReportAt,omitempty"`
+	RejectedOccupancy    float64     `cbor:"Full,omitempty"`
+	RejectedAt           float64     `cbor:"FullAt,omitempty"`
+	MinRejectedOccupancy float64     `cbor:"Room,omitempty"`
+	MaxInWork            float64     `cbor:"Slots,omitempty"`
+	Latency              float64     `cbor:"Latency,omitempty"`
+	Occupancy            float64     `cbor:"Occupancy,omitempty"`
+	LastSuccessAt        float64     `cbor:"LastOK,omitempty"`
+	ReportedServiceTime  float64     `cbor:"Work,omitempty"`
+	MinTypeServiceTime   float64     `cbor:"Base,omitempty"`
+	FailureShare         float64     `cbor:"Bad,omitempty"`
+	Ejections            int         `cbor:"Ejections,omitempty"`
+	SuccessCount         float64     `cbor:"Served,omitempty"`
 }
 
 // StatsOf returns a copy of a server's statistics in the stored form.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -1,9 +1,11 @@
 package state
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"math"
+	"os"
 	"reflect"
 	"strings"
 	"testing"
@@ -19,10 +21,10 @@
 func fullSnapshot(servers int) *Snapshot {
 	s := &Snapshot{Taken: now, Fleet: "f", ListVersion: 7, Disabled: []string{"s-1"}, Enabled: []TimedID{{"s-2", now - time.Second}},
 		OpenRequests: []TimedID{{"x", now + time.Second}}, PeerOpenRequests: []TimedID{{"y", now + 2*time.Second}}, Keys: []KeyRecord{{9, 3, now + time.Minute}},
-		Classes: []Class{{"view", policy.ClassStats{Requests: 8, Latency: 1, Answers: 7, Least: 2}}}, Totals: policy.TotalStats{Total: 9, Picks: 8, Retries: 4},
-		Contracts: []contract.ContractState{{Name: "app", Tokens: -3, Work: 5}}}
+		Classes: []Class{{"view", policy.ClassStats{Requests: 8, Latency: 1, Responses: 7, MinTimeLeft: 2}}}, Totals: policy.TotalStats{RequestCount: 9, InitialSelections: 8, Retries: 4},
+		Contracts: []contract.ContractState{{Name: "app", RateTokens: -3, WorkLeft: 5}}}
 	for i := range servers {
-		stats := policy.ServerStats{Mode: 1, Others: 4, ReportAt: now.Seconds(), Room: math.Inf(1), Base: 0.2, Latency: 3, Occupancy: 30, Served: 20, LastOK: now.Seconds(), Slots: 4}
+		stats := policy.ServerStats{Mode: 1, RemoteLoad: 4, ReportAt: now.Seconds(), MinRejectedOccupancy: math.Inf(1), MinTypeServiceTime: 0.2, Latency: 3, Occupancy: 30, SuccessCount: 20, LastSuccessAt: now.Seconds(), MaxInWork: 4}
 		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "north", ServerType: "k", State: "Ready", StartedMS: int64(i), Stats: StatsOf(stats)})
 	}
 	return s
@@ -47,6 +49,61 @@
 	}
 }
 
+// storedSnapshot returns a snapshot in which each field has a value of its own that is not zero.
+func storedSnapshot() *Snapshot {
+	return &Snapshot{Taken: 1001, Fleet: "fleet", Exact: true, Drained: true, ListVersion: 1002,
+		Servers: []Server{{ID: "s-1", Addr: "192.0.2.1:80", Zone: "north", ServerType: "large", Cell: 1003, State: "Ready", StartedMS: 1004,
+			Stats: &ServerStats{Mode: 2, Trial: true, EjectedUntil: 1.5, RemoteLoad: 2.5, ReportAt: 3.5, RejectedOccupancy: 4.5, RejectedAt: 5.5,
+				MinRejectedOccupancy: 6.5, MaxInWork: 7.5, Latency: 8.5, Occupancy: 9.5, LastSuccessAt: 10.5, ReportedServiceTime: 11.5, MinTypeServiceTime: 12.5, FailureShare: 13.5, Ejections: 14,
+				SuccessCount: 15.5}}},
+		Disabled: []string{"s-2"}, Enabled: []TimedID{{ID: "s-3", At: 1005}}, OpenRequests: []TimedID{{ID: "r-1", At: 1006}},
+		PeerOpenRequests: []TimedID{{ID: "r-2", At: 1007}}, Keys: []KeyRecord{{Key: 1008, Pod: 1009, Until: 1010}},
+		Classes: []Class{{Name: "view", Stats: policy.ClassStats{Requests: 16.5, Latency: 17.5, Responses: 18.5, MinTimeLeft: 19.5}}},
+		Totals: policy.TotalStats{RequestCount: 20.5, LowPriorityCount: 21.5, InitialSelections: 22.5, SelectionSpan: 23.5, LoadReports: 24.5, MeanRemoteLoad: 25.5, NoNormalShare: 26.5,
+			Retries: 27.5},
+		Contracts: []contract.ContractState{{Name: "app", RateTokens: 28.5, WorkLeft: 29.5, BytesLeft: 30.5, GuaranteeLeft: 31.5, FirstAttempts: 32.5,
+			Retries: 33.5, MeanCost: 34.5, Demand: 35.5, Removed: &contract.RemovedContract{SinceRemoval: 1011, Rate: 36.5, Burst: 37.5, Limit: 38.5,
+				Bandwidth: 39.5, Guaranteed: 40.5, RetryWindow: 1012}}}}
+}
+
+// Releases read each other's files, so the stored bytes must not change with the Go names of the fields. The file was
+// written before these were first renamed.
+func TestEncodeWritesTheStoredFormat(t *testing.T) {
+	want, err := os.ReadFile("testdata/snapshot-v1.bin")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := storedSnapshot()
+	checkNoZeroField(t, "snapshot", reflect.ValueOf(s))
+	if got := mustEncode(t, s); !bytes.Equal(got, want) {
+		t.Errorf("stored format changed:\n got %q\nwant %q", got, want)
+	}
+	if got, err := Decode(want); err != nil || !reflect.DeepEqual(got, s) {
+		t.Errorf("error %v\n got %+v\nwant %+v", err, got, s)
+	}
+}
+
+// checkNoZeroField fails the test for each field in v that is zero or an empty list.
+func checkNoZeroField(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0 {
+		t.Errorf("%s is not set", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		checkNoZeroField(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			checkNoZeroField(t, path+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			checkNoZeroField(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	}
+}
+
 // A crash or a faulty disk can leave a file that is cut at any byte, has a flipped bit or surplus bytes, or is of
 // another version: none is accepted, and the error says which of these it is.
 func TestDecodeRejectsDamage(t *testing.T) {
@@ -81,9 +138,9 @@
 		"id too long":             func(s *Snapshot) { s.Disabled[0] = strings.Repeat("x", 600) },
 		"empty id":                func(s *Snapshot) { s.OpenRequests[0].ID = "" },
 		"negative time":           func(s *Snapshot) { s.Taken = -1 },
-		"infinite mean in totals": func(s *Snapshot) { s.Totals.Mean = math.Inf(1) },
-		"NaN in a class":          func(s *Snapshot) { s.Classes[0].Stats.Least = math.NaN() },
-		"NaN in a contract":       func(s *Snapshot) { s.Contracts[0].Work = math.NaN() },
+		"infinite mean in totals": func(s *Snapshot) { s.Totals.MeanRemoteLoad = math.Inf(1) },
+		"NaN in a class":          func(s *Snapshot) { s.Classes[0].Stats.MinTimeLeft = math.NaN() },
+		"NaN in a contract":       func(s *Snapshot) { s.Contracts[0].WorkLeft = math.NaN() },
 	} {
 		s := fullSnapshot(2)
 		change(s)
@@ -92,7 +149,7 @@
 		}
 	}
 	for name, change := range map[string]func(e *ServerStats){
-		"negative latency": func(e *ServerStats) { e.Latency = -1 }, "unknown mode": func(e *ServerStats) { e.Mode = 3 }, "NaN capacity": func(e *ServerStats) { e.Room = math.NaN() },
+		"negative latency": func(e *ServerStats) { e.Latency = -1 }, "unknown mode": func(e *ServerStats) { e.Mode = 3 }, "NaN capacity": func(e *ServerStats) { e.MinRejectedOccupancy = math.NaN() },
 	} {
 		s := fullSnapshot(2)
 		change(s.Servers[0].Stats)
@@ -132,13 +189,13 @@
 			stats = *s.Servers[0].Stats
 		}
 		got := [...]bool{len(s.Disabled) == 1, len(s.Enabled) == 1, len(s.Servers) == 2, len(s.OpenRequests) == 1 && s.OpenRequests[0].At > at, learned,
-			stats.Others == 4 && stats.Mode == 1, learned && stats.Latency > 0 && math.Abs(stats.Latency/stats.Occupancy-0.1) < 1e-9}
+			stats.RemoteLoad == 4 && stats.Mode == 1, learned && stats.Latency > 0 && math.Abs(stats.Latency/stats.Occupancy-0.1) < 1e-9}
 		if want := [...]bool{c.disabled, c.enabled, c.list, c.open, c.learned, c.queues, c.times}; got != want || len(drops) != c.drops {
 			t.Errorf("%s: disabled, enabled, server list, open requests, learned state, queues, service times kept: %v, want %v; dropped %v",
 				c.name, got, want, drops)
 		}
-		if s.Totals.Retries != 4 || s.Contracts[0].Tokens != -3 {
-			t.Errorf("%s: %v retries and %v tokens, want 4 and -3", c.name, s.Totals.Retries, s.Contracts[0].Tokens)
+		if s.Totals.Retries != 4 || s.Contracts[0].RateTokens != -3 {
+			t.Errorf("%s: %v retries and %v tokens, want 4 and -3", c.name, s.Totals.Retries, s.Contracts[0].RateTokens)
 		}
 		for _, r := range s.Enabled {
 			if r.At > at {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -21,7 +21,7 @@
 	service := b.serviceTime(s)
 	q := 1 - (1-divert)*min(1,
 		s.onsetThreshold(b, s.discardThreshold(b, service), service)/max(b.estimateOccupancy(s, now), 1))
-	lowShare := b.Lessers / max(b.Total, 1)
+	lowShare := b.LowPriorityCount / max(b.RequestCount, 1)
 	if lowPriority {
 		return b.rng.Float64()*lowShare < q
 	}
@@ -45,10 +45,10 @@
 // classifyClasses finds the classes of low priority, those worth less than the average for their cost. They are not
 // ranked further, because the lowest class counts too: under overload a strict order would leave it unserved.
 func (b *Balancer) classifyClasses(decay float64) {
-	b.Total, b.Lessers = b.Total*decay, b.Lessers*decay
+	b.RequestCount, b.LowPriorityCount = b.RequestCount*decay, b.LowPriorityCount*decay
 	var value, cost float64
 	for _, c := range b.classes {
-		c.Requests, c.Latency, c.Answers = c.Requests*decay, c.Latency*decay, c.Answers*decay
+		c.Requests, c.Latency, c.Responses = c.Requests*decay, c.Latency*decay, c.Responses*decay
 		value += c.Requests * c.Value
 		cost += c.Requests * c.cost()
 	}
@@ -58,4 +58,4 @@
 }
 
 // cost returns the mean latency of a class, as a measure of what its requests cost.
-func (c *classState) cost() float64 { return (c.Latency + initialServiceTime) / (c.Answers + 1) }
+func (c *classState) cost() float64 { return (c.Latency + initialServiceTime) / (c.Responses + 1) }
--- a/policy/api.go
+++ b/policy/api.go
@@ -265,28 +265,32 @@
 	ServerStats
 }
 
-// ClassStats holds the decayed sums of a class. It is stored under its field names.
+// ClassStats holds the decayed sums of a class. The names in the tags are the stored format.
 type ClassStats struct {
 	// Decayed count of requests.
-	Requests float64
+	Requests float64 `cbor:"Requests"`
 	// Decayed sum of latencies in seconds, and the count of responses in it.
-	Latency, Answers float64
-	// Least time left, in seconds, of the recent first requests (those that are not a client's repeats).
-	Least float64
+	Latency   float64 `cbor:"Latency"`
+	Responses float64 `cbor:"Answers"`
+	// Minimum time left, in seconds, of the recent first requests (those that are not a client's repeats).
+	MinTimeLeft float64 `cbor:"Least"`
 }
 
-// TotalStats holds decayed sums over all requests and servers. It is stored under its field names.
+// TotalStats holds decayed sums over all requests and servers. The names in the tags are the stored format.
 type TotalStats struct {
 	// Requests, and those of low priority among them.
-	Total, Lessers float64
+	RequestCount     float64 `cbor:"Total"`
+	LowPriorityCount float64 `cbor:"Lessers"`
 	// Initial selections of requests, and the seconds over which they were counted.
-	Picks, Span float64
+	InitialSelections float64 `cbor:"Picks"`
+	SelectionSpan     float64 `cbor:"Span"`
 	// Load reports, and the mean of the load that other nodes have at a server by these reports.
-	Seen, Mean float64
+	LoadReports    float64 `cbor:"Seen"`
+	MeanRemoteLoad float64 `cbor:"Mean"`
 	// Share of the latest selections that did not find a server in normal mode.
-	Strain float64
+	NoNormalShare float64 `cbor:"Strain"`
 	// Retries that the budget allows.
-	Retries float64
+	Retries float64 `cbor:"Retries"`
 }
 
 // ServerStats holds what requests and load reports have shown of a server. Times are seconds on the node's clock. The
@@ -296,24 +300,24 @@
 	// Half-open after an ejection: one attempt at a time until one succeeds.
 	Trial bool
 	// Nothing is sent until this time.
-	Ejected float64
+	EjectedUntil float64
 	// Remote load: reported occupancy beyond this node's requests, smoothed, as of ReportAt.
-	Others, ReportAt float64
+	RemoteLoad, ReportAt float64
 	// Occupancy when the server last rejected a request as full, and the time of that.
-	Full, FullAt float64
+	RejectedOccupancy, RejectedAt float64
 	// Smallest recent occupancy at which it rejected a request as full, infinite before the first one; most requests
-	// lately in work at once. With time Room rises and Slots falls.
-	Room, Slots float64
+	// lately in work at once. With time the first rises and the second falls.
+	MinRejectedOccupancy, MaxInWork float64
 	// Decayed sums of latencies, and of the occupancies plus one at which their attempts were sent.
 	Latency, Occupancy float64
 	// Time of the latest successful response.
-	LastOK float64
+	LastSuccessAt float64
 	// Reported service time, smoothed, and the least that the mean of its server type has been.
-	Work, Base float64
+	ReportedServiceTime, MinTypeServiceTime float64
 	// Share of failures among the latest attempts.
-	Bad float64
+	FailureShare float64
 	// Consecutive ejections.
 	Ejections int
 	// Decayed count of successful responses. A count of sends would include those that an overloaded server rejects.
-	Served float64
+	SuccessCount float64
 }
--- a/policy/edgecases_test.go
+++ b/policy/edgecases_test.go
@@ -170,7 +170,7 @@
 			return math.Inf(1)
 		}
 		b := &Balancer{halfMinDeadline: maybe("half the shortest deadline"), minTargetLatency: maybe("shortest target latency")}
-		s := &server{ServerStats: ServerStats{Room: maybe("room"), Slots: rapid.Float64Range(0, 1e5).Draw(t, "slots")}}
+		s := &server{ServerStats: ServerStats{MinRejectedOccupancy: maybe("room"), MaxInWork: rapid.Float64Range(0, 1e5).Draw(t, "slots")}}
 		service := rapid.Float64Range(1e-6, 1e3).Draw(t, "service")
 		r := s.discardThreshold(b, service)
 		h := s.onsetThreshold(b, r, service)
@@ -196,7 +196,7 @@
 	at := t0 + 3*time.Second
 	learned := old.LearnedState()
 	old.servers[1].localInFlight = 2
-	if n := old.LearnedState().Servers[0].Others - learned.Servers[0].Others; n != 2 {
+	if n := old.LearnedState().Servers[0].RemoteLoad - learned.Servers[0].RemoteLoad; n != 2 {
 		t.Errorf("two requests in flight are %.1f of remote load, want 2", n)
 	}
 	old.servers[1].localInFlight = 0
@@ -212,11 +212,11 @@
 			t.Errorf("server %d: %.4f s per request are %.4f to the new balancer", id, want, got)
 		}
 	}
-	if s := adopter.servers[3]; s.Served != 0 || s.Latency != 0 || adopter.capacityShare(s, at.Seconds()) == 1 {
+	if s := adopter.servers[3]; s.SuccessCount != 0 || s.Latency != 0 || adopter.capacityShare(s, at.Seconds()) == 1 {
 		t.Errorf("restarted server: %+v, want no statistics and a cold server", s.ServerStats)
 	}
-	if adopter.Retries != old.Retries || adopter.Picks == 0 || adopter.servers[3].warmShare == 0 {
+	if adopter.Retries != old.Retries || adopter.InitialSelections == 0 || adopter.servers[3].warmShare == 0 {
 		t.Errorf("%.1f retries adopted of %.1f, %.0f selections, share of the cold server %.3f",
-			adopter.Retries, old.Retries, adopter.Picks, adopter.servers[3].warmShare)
+			adopter.Retries, old.Retries, adopter.InitialSelections, adopter.servers[3].warmShare)
 	}
 }
--- a/policy/modes.go
+++ b/policy/modes.go
@@ -23,9 +23,10 @@
 // towards the mean of the recent ones of all servers. If it faded to zero, the least known server would look best.
 func (b *Balancer) estimateOccupancy(s *server, now float64) float64 {
 	s.updateLagged(now)
-	n := max(0, b.Mean+(s.Others-b.Mean)*math.Exp((s.ReportAt-now)/reportFadeTimeConstant)+s.localInFlight)
-	if s.Full > 0 {
-		n = max(n, s.Full-(now-s.FullAt)/b.serviceTime(s)) // it can't have completed more requests since then
+	n := max(0, b.MeanRemoteLoad+(s.RemoteLoad-b.MeanRemoteLoad)*math.Exp((s.ReportAt-now)/reportFadeTimeConstant)+
+		s.localInFlight)
+	if s.RejectedOccupancy > 0 {
+		n = max(n, s.RejectedOccupancy-(now-s.RejectedAt)/b.serviceTime(s)) // it can't have completed more requests since then
 	}
 	return n
 }
@@ -39,20 +40,23 @@
 // discardThreshold returns R: the number of requests that a server completes in half the shortest specified deadline,
 // limited to the occupancy at which it rejected a request as full.
 func (s *server) discardThreshold(b *Balancer, service float64) float64 {
-	return max(min(s.Room, b.halfMinDeadline/service), s.onsetFloor()/onset)
+	return max(min(s.MinRejectedOccupancy, b.halfMinDeadline/service), s.onsetFloor()/onset)
 }
 
 // onsetThreshold returns H for a given R. A server never gets more requests than it completes in a share of the
 // shortest target latency: work on a response past its target latency is wasted, however long the deadline.
 func (s *server) onsetThreshold(b *Balancer, r, service float64) float64 {
-	return max(min(onset*r, onsetQueueFullShare*s.Room, onsetTargetShare*b.minTargetLatency/service), s.onsetFloor())
+	return max(min(onset*r, onsetQueueFullShare*s.MinRejectedOccupancy, onsetTargetShare*b.minTargetLatency/service),
+		s.onsetFloor())
 }
 
 // onsetFloor returns the value that H never falls below: the number of requests that a server was seen to have in work
 // at once. Up to that number nothing waits, however long each request takes. A few requests with nothing waiting make
 // the service time look long, and with it H low: a node that refused requests for that reason would never see better
 // values.
-func (s *server) onsetFloor() float64 { return max(minOnset, min(s.Slots, onsetQueueFullShare*s.Room)) }
+func (s *server) onsetFloor() float64 {
+	return max(minOnset, min(s.MaxInWork, onsetQueueFullShare*s.MinRejectedOccupancy))
+}
 
 // updateMode moves a server between its modes, and returns its occupancy and service time.
 func (s *server) updateMode(now float64, b *Balancer) (occupancy, service float64) {
@@ -65,7 +69,7 @@
 	if s.Mode == overload && n >= r {
 		s.Mode = discard
 	}
-	if s.Mode == discard && now-max(s.ReportAt, s.FullAt) > r*service {
+	if s.Mode == discard && now-max(s.ReportAt, s.RejectedAt) > r*service {
 		s.Mode = overload // requests that pass bring a new report
 	}
 	if s.Mode == overload && n < h*abatement/onset {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -115,10 +115,10 @@
 	oldClasses, oldTenants := b.classes, b.tenants
 	b.classes, b.tenants, b.settings, b.minTargetLatency, b.halfMinDeadline = nil, nil, *set, math.Inf(1), math.Inf(1)
 	for _, c := range set.Classes {
-		state := &classState{Class: c, ClassStats: ClassStats{Least: c.Deadline.Seconds()}}
+		state := &classState{Class: c, ClassStats: ClassStats{MinTimeLeft: c.Deadline.Seconds()}}
 		if i := slices.IndexFunc(oldClasses, func(old *classState) bool { return old.Name == c.Name }); i >= 0 {
 			*state = *oldClasses[i] // a copy: open requests keep the old one
-			state.Class, state.Least = c, min(state.Least, c.Deadline.Seconds())
+			state.Class, state.MinTimeLeft = c, min(state.MinTimeLeft, c.Deadline.Seconds())
 		}
 		b.classes = append(b.classes, state)
 		if deadline := c.Deadline.Seconds(); deadline > 0 {
@@ -144,7 +144,7 @@
 		Classes: map[string]ClassStats{}}
 	for i, s := range b.sorted {
 		l.Servers[i] = LearnedServer{s.ID, s.launchedAt, s.ServerStats}
-		l.Servers[i].Others += s.localInFlight // requests of this process are remote load to its successor
+		l.Servers[i].RemoteLoad += s.localInFlight // requests of this process are remote load to its successor
 	}
 	for _, c := range b.classes {
 		l.Classes[c.Name] = c.ClassStats
@@ -163,7 +163,7 @@
 	}
 	for _, c := range b.classes {
 		if stats, present := l.Classes[c.Name]; present {
-			stats.Least = min(stats.Least, c.Least)
+			stats.MinTimeLeft = min(stats.MinTimeLeft, c.MinTimeLeft)
 			c.ClassStats = stats
 		}
 	}
@@ -243,19 +243,19 @@
 		// A repeat with less time left than any recent first request has what remains of the deadline, which shows the
 		// age of the original request. Work on one past its target latency earns nothing and only delays others. A
 		// first request with a short timeout says nothing about the time that other clients have.
-		if ev.Repeat && timeLeft < c.Least-1e-3 {
+		if ev.Repeat && timeLeft < c.MinTimeLeft-1e-3 {
 			target -= max(0, c.Deadline.Seconds()-timeLeft)
 		} else if !ev.Repeat && timeLeft > c.Deadline.Seconds()/2 {
-			c.Least = min(c.Least*1.001, timeLeft)
+			c.MinTimeLeft = min(c.MinTimeLeft*1.001, timeLeft)
 		}
 		r.usefulUntil = min(r.usefulUntil, now+target)
 	}
 	b.requests[ev.ID] = r
-	b.Total++
+	b.RequestCount++
 	r.candidates = ev.Candidates
 	r.overQuota = ev.OverQuota // the guaranteed requests of others come first wherever requests wait
 	if r.lowPriority = b.exceedsQuota(ev.Tenant) || c.lowPriority || r.overQuota; r.lowPriority {
-		b.Lessers++
+		b.LowPriorityCount++
 	}
 	if timeLeft <= 0 || r.usefulUntil <= now || !b.dispatch(now, r) {
 		b.finish(now, r)
@@ -278,7 +278,7 @@
 	if s == nil || s.Mode != normal {
 		noneNormal = 1
 	}
-	b.Strain += (noneNormal - b.Strain) / pressureWindow
+	b.NoNormalShare += (noneNormal - b.NoNormalShare) / pressureWindow
 	if s != nil && s.Mode == overload && (r.overQuota || b.shouldDivert(now, s, r.lowPriority)) {
 		s = b.selectServer(now, r, normal)
 	}
@@ -304,7 +304,7 @@
 }
 
 // Pressure returns the share of the latest requests for which no server in normal mode was selected.
-func (b *Balancer) Pressure() float64 { return b.Strain }
+func (b *Balancer) Pressure() float64 { return b.NoNormalShare }
 
 // TrafficShare returns this node's share of the requests that the servers hold. It is known only where the latest
 // report had the number of requests held: it can't be derived from the length of a queue alone.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -77,7 +77,7 @@
 func setOccupancy(s *server, now time.Duration, n float64) {
 	s.Latency, s.Occupancy, s.typeServiceTime = 5000, 100000, 0.05
 	s.localInFlight, s.laggedInFlight, s.laggedAt = 0, 0, now.Seconds()
-	s.Others, s.ReportAt = n, now.Seconds()
+	s.RemoteLoad, s.ReportAt = n, now.Seconds()
 }
 
 // Checks each transition between the modes, just below and at its threshold.
@@ -267,10 +267,10 @@
 			t.Errorf("outcome %d: %d of 200 requests went to the failing server, want at most 5", o, failed)
 		}
 		s := b.servers[1]
-		for n := 0; s.Ejected == 0 && n < 3; n++ { // by random variation it may have had fewer than three failures
+		for n := 0; s.EjectedUntil == 0 && n < 3; n++ { // by random variation it may have had fewer than three failures
 			b.recordFailure(t0.Seconds()+0.2, s, unreachableTimeConstant)
 		}
-		first := s.Ejected
+		first := s.EjectedUntil
 		for i := 0; i < 50; i++ { // after the ejection: one at a time
 			now := time.Duration((first+0.01)*float64(time.Second)) + time.Duration(i)*time.Millisecond
 			submit(b, now, string(rune(2000+i)), "top")
@@ -279,7 +279,7 @@
 			t.Errorf("outcome %d: %v attempts in flight to a server on trial, want at most 1", o, s.localInFlight)
 		}
 		b.recordFailure(first+0.1, s, unreachableTimeConstant)
-		if wait := s.Ejected - first - 0.1; wait < 1.4 {
+		if wait := s.EjectedUntil - first - 0.1; wait < 1.4 {
 			t.Errorf("outcome %d: second ejection %.2f s, want at least 1.4 s, longer than the first", o, wait)
 		}
 	}
@@ -302,7 +302,7 @@
 		report(b, now, send, o, Load{Known: true})
 	}
 	for _, s := range b.sorted {
-		if s.Ejections > 0 || s.Ejected > 0 {
+		if s.Ejections > 0 || s.EjectedUntil > 0 {
 			t.Errorf("server %d was ejected", s.ID)
 		}
 	}
@@ -318,14 +318,14 @@
 		}
 	}
 	s := b.servers[1]
-	for s.Ejected == 0 {
+	for s.EjectedUntil == 0 {
 		b.recordFailure(t0.Seconds(), s, unreachableTimeConstant)
 	}
 	for _, send := range sent[:2] {
 		report(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
 	}
-	if now := t0.Seconds() + 0.02; now < s.Ejected || s.Trial {
-		t.Errorf("ejected for %.2f s more, trial %v, want the ejection ended", s.Ejected-now, s.Trial)
+	if now := t0.Seconds() + 0.02; now < s.EjectedUntil || s.Trial {
+		t.Errorf("ejected for %.2f s more, trial %v, want the ejection ended", s.EjectedUntil-now, s.Trial)
 	}
 }
 
@@ -346,8 +346,8 @@
 	}
 	report(b, t0, submit(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Held: -1})
 	report(b, t0, submit(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Held: 9})
-	if s.Slots != 4 {
-		t.Errorf("%v in work after reports without that number, want 4 still", s.Slots)
+	if s.MaxInWork != 4 {
+		t.Errorf("%v in work after reports without that number, want 4 still", s.MaxInWork)
 	}
 }
 
@@ -360,9 +360,9 @@
 		b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 		s := b.servers[1]
 		send := submit(b, t0, "r", "once")
-		s.LastOK = c.lastOK
+		s.LastSuccessAt = c.lastOK
 		report(b, t0, send, TimedOut, Load{})
-		if got := s.Bad > 0; got != c.want {
+		if got := s.FailureShare > 0; got != c.want {
 			t.Errorf("last response at %v: counted as a failure %v, want %v", c.lastOK, got, c.want)
 		}
 	}
@@ -372,16 +372,16 @@
 func TestServerThatRejectsAllRequestsIsEjected(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	s := b.servers[1]
-	s.LastOK = t0.Seconds() - 1.5
+	s.LastSuccessAt = t0.Seconds() - 1.5
 	for i := 0; i < 3; i++ {
-		s.Full, s.Mode = 0, normal
+		s.RejectedOccupancy, s.Mode = 0, normal
 		send := submit(b, t0, string(rune(1000+i)), "once")
 		if send.Kind != ActSend {
 			t.Fatalf("attempt %d: got %+v, want a send", i, send)
 		}
 		report(b, t0, send, QueueFull, Load{})
 	}
-	if s.Ejected <= t0.Seconds() {
+	if s.EjectedUntil <= t0.Seconds() {
 		t.Error("not ejected after it rejected all requests")
 	}
 }
@@ -468,7 +468,7 @@
 	for i := 0; i < 300; i++ {
 		for _, s := range b.sorted {
 			setOccupancy(s, t0, 0)
-			s.Bad, s.Ejected = 0, 0
+			s.FailureShare, s.EjectedUntil = 0, 0
 		}
 		send := submit(b, t0, string(rune(1000+i)), "top")
 		for n := 0; send.Kind == ActSend; n++ {
@@ -716,7 +716,7 @@
 			s.localInFlight, s.laggedInFlight, s.laggedAt = 2, 2, now.Seconds()
 			report(b, now, send, OK, c.load)
 		}
-		s.localInFlight, s.Full = 2, 0
+		s.localInFlight, s.RejectedOccupancy = 2, 0
 		if n := b.estimateOccupancy(s, s.ReportAt); n < c.low || n > c.high {
 			t.Errorf("report %+v: occupancy %.2f, want %.1f to %.1f", c.load, n, c.low, c.high)
 		}
@@ -748,12 +748,12 @@
 			reportServiceTime(now, 1, c.work)
 		}
 		s := b.servers[1]
-		setOccupancy(s, now, s.Others)
+		setOccupancy(s, now, s.RemoteLoad)
 		if s.updateMode(now.Seconds(), b); s.Mode != c.want {
 			t.Errorf("service time %.2f s after 0.05 s: mode %d with %.1f held, want %d",
-				c.work, s.Mode, s.Others, c.want)
+				c.work, s.Mode, s.RemoteLoad, c.want)
 		}
-		if n := b.servers[2].Others; n > 0.1 {
+		if n := b.servers[2].RemoteLoad; n > 0.1 {
 			t.Errorf("a slow cold server counts as overloaded by %.1f requests, want 0", n)
 		}
 	}
@@ -789,7 +789,7 @@
 // A server that restarted under its old id is cold, and its statistics are dropped.
 func TestRestartUnderTheSameIDDropsTheStatistics(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
-	b.servers[1].Ejected = 1e9
+	b.servers[1].EjectedUntil = 1e9
 	out := submit(b, t0, "r", "once")
 	if out.Kind != ActRefuse {
 		t.Fatalf("server ejected: %+v, want a refusal", out)
@@ -1004,13 +1004,13 @@
 	}
 	at := t0.Seconds()
 	b, s := fresh()
-	s.Full, s.FullAt = 20, at
+	s.RejectedOccupancy, s.RejectedAt = 20, at
 	if n := b.estimateOccupancy(s, at+0.5); !approxEqual(n, 10) {
 		t.Errorf("half a second after a rejection at 20 and 50 ms each: occupancy %.2f, want 10", n)
 	}
 	b, s = fresh()
-	s.Others = 10
-	b.Mean = 2
+	s.RemoteLoad = 10
+	b.MeanRemoteLoad = 2
 	if n := b.estimateOccupancy(s, at+reportFadeTimeConstant); !approxEqual(n, 2+8/math.E) {
 		t.Errorf("a report of 10 is %.2f after its time constant, want a third of it and the rest of the mean, 2", n)
 	}
@@ -1020,10 +1020,10 @@
 		t.Errorf("4 attempts in flight are %.2f at the time of the report, want most of them", s.laggedInFlight)
 	}
 	b, s = fresh()
-	s.Room = 10
-	if b.refresh(at + longTimeConstant); !approxEqual(s.Room, 10*math.E) {
+	s.MinRejectedOccupancy = 10
+	if b.refresh(at + longTimeConstant); !approxEqual(s.MinRejectedOccupancy, 10*math.E) {
 		t.Errorf("an occupancy of 10 that was rejected as full is %.2f after its time constant, want e times as much",
-			s.Room)
+			s.MinRejectedOccupancy)
 	}
 }
 
@@ -1081,8 +1081,8 @@
 func TestRejectionByARespondingServerIsNoFailure(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	send := submit(b, t0, "r", "once")
-	b.servers[1].LastOK = t0.Seconds() - 0.1
-	if report(b, t0, send, QueueFull, Load{}); b.servers[1].Bad > 0 {
+	b.servers[1].LastSuccessAt = t0.Seconds() - 0.1
+	if report(b, t0, send, QueueFull, Load{}); b.servers[1].FailureShare > 0 {
 		t.Error("a rejection counts as a failure of a server that responded 0.1 s before")
 	}
 }
@@ -1095,9 +1095,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{ServerStats: ServerStats{Bad: 1}}
+		s := &server{ServerStats: ServerStats{FailureShare: 1}}
 		b.recordFailure(100, s, unreachableTimeConstant)
-		ends[s.Ejected] = true
+		ends[s.EjectedUntil] = true
 	}
 	if len(ends) < 4 {
 		t.Errorf("4 nodes end their ejections at %v, want 4 different times", ends)
@@ -1167,7 +1167,7 @@
 // slower.
 func TestColdServerOfAnUnknownType(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, ServerType: "k"}, Entry{ID: 2, ServerType: "new", Launched: t0})
-	b.servers[1].Served, b.Picks = 60, 119
+	b.servers[1].SuccessCount, b.InitialSelections = 60, 119
 	b.refresh(b.lastRefreshAt)
 	if got := b.servers[2].warmShare; math.Abs(got-0.25) > 0.01 {
 		t.Errorf("its share of the requests is %.2f, want half of a warm one's 60 of 120", got)
@@ -1257,10 +1257,10 @@
 			for end := now + span; now < end; now += 250 * time.Millisecond {
 				for ; next < now.Seconds(); next += 1 / rate {
 					b.handleRequest(next, &Event{ID: fmt.Sprint(rate, next), Class: "low", TimeLeft: time.Second})
-					b.servers[1].Served += c.before / rate
+					b.servers[1].SuccessCount += c.before / rate
 				}
 				b.refresh(now.Seconds())
-				if long := b.servers[1].Served / (b.Picks + 1); c.limit == 0 && b.servers[2].warmShare != long {
+				if long := b.servers[1].SuccessCount / (b.InitialSelections + 1); c.limit == 0 && b.servers[2].warmShare != long {
 					t.Fatalf("at %v a second: share of the cold server %v, want %v by the long-term count",
 						rate, b.servers[2].warmShare, long)
 				}
@@ -1317,10 +1317,10 @@
 		{"retry, diverted", 1, normal, false},
 	} {
 		r := &request{class: b.classes[1], attempts: make([]attempt, c.attempts)}
-		before := b.Picks
+		before := b.InitialSelections
 		s := b.selectServer(t0.Seconds(), r, c.maxMode)
-		if s == nil || (s.ID == 3) != c.cold || (b.Picks > before) != c.cold {
-			t.Errorf("%s: selected %v, counted %v, want both for an initial selection alone", c.name, s, b.Picks > before)
+		if s == nil || (s.ID == 3) != c.cold || (b.InitialSelections > before) != c.cold {
+			t.Errorf("%s: selected %v, counted %v, want both for an initial selection alone", c.name, s, b.InitialSelections > before)
 		}
 	}
 }
@@ -1329,7 +1329,7 @@
 func TestShareThatPassesFallsWithOccupancy(t *testing.T) {
 	passed := func(n float64) (count int) {
 		b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
-		b.Total, b.Lessers = 100, 100
+		b.RequestCount, b.LowPriorityCount = 100, 100
 		for range 4000 {
 			setOccupancy(b.servers[1], t0, n)
 			if !b.shouldDivert(t0.Seconds(), b.servers[1], true) {
@@ -1347,7 +1347,7 @@
 func TestRefreshUpdatesTheTrafficShare(t *testing.T) {
 	b := newNode(t, defaultSettings(), Entry{ID: 1, Zone: "a"})
 	s := b.servers[1]
-	s.laggedInFlight, s.Others = 5, 10
+	s.laggedInFlight, s.RemoteLoad = 5, 10
 	b.refresh(b.lastRefreshAt)
 	if want := 6.0 / (6 + 11); !approxEqual(b.trafficShare, want) {
 		t.Errorf("this node's share of the traffic is %.2f, want %.2f", b.trafficShare, want)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -19,7 +19,7 @@
 	if s.disabled || s.State != Active && now >= s.graceUntil {
 		return false
 	}
-	if now < s.Ejected || s.Trial && s.localInFlight > 0 || s == r.lastTried {
+	if now < s.EjectedUntil || s.Trial && s.localInFlight > 0 || s == r.lastTried {
 		return false
 	}
 	m, g := r.mayHaveRunOn, r.class.Group
@@ -33,7 +33,7 @@
 	var chosen, spare *server
 	candidates, weightSum, initial := b.candidates(r), 0.0, maxMode == overload && len(r.attempts) == 0
 	if initial {
-		b.Picks, b.selectionsSinceRefresh = b.Picks+1, b.selectionsSinceRefresh+1
+		b.InitialSelections, b.selectionsSinceRefresh = b.InitialSelections+1, b.selectionsSinceRefresh+1
 	}
 	first, position, step, sampledShare, count := 0, 0, 1, 1.0, len(candidates)
 	if count > maxFullScan {
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -100,7 +100,7 @@
 func newServer(now, launchedAt float64) *server {
 	inf := math.Inf(1)
 	return &server{launchedAt: launchedAt, laggedAt: now,
-		ServerStats: ServerStats{Room: inf, Base: inf, ReportAt: now, LastOK: now}}
+		ServerStats: ServerStats{MinRejectedOccupancy: inf, MinTypeServiceTime: inf, ReportAt: now, LastSuccessAt: now}}
 }
 
 // handleEnable enables a server that an operator had disabled. It may have been restarted meanwhile, which the list
--- a/policy/statistics.go
+++ b/policy/statistics.go
@@ -13,16 +13,16 @@
 	b.lastRefreshAt = now
 	decay, growth, slotsDecay := math.Exp(-dt/rateTimeConstant), math.Exp(dt/longTimeConstant),
 		math.Exp(-dt/slotsTimeConstant)
-	b.Seen *= decay
-	b.Strain *= math.Exp(-dt / pressureTimeConstant) // otherwise a node that refuses all requests would never stop
-	b.Picks, b.Span = b.Picks*decay, b.Span*decay+rateTimeConstant*(1-decay)
+	b.LoadReports *= decay
+	b.NoNormalShare *= math.Exp(-dt / pressureTimeConstant) // otherwise a node that refuses all requests would never stop
+	b.InitialSelections, b.SelectionSpan = b.InitialSelections*decay, b.SelectionSpan*decay+rateTimeConstant*(1-decay)
 	b.selectionRate, b.selectionsSinceRefresh, b.statsStart =
 		b.selectionRate+(b.selectionsSinceRefresh/dt-b.selectionRate)*(1-math.Exp(-dt/riseTimeConstant)), 0,
 		cmp.Or(b.statsStart, now)
 	for _, s := range b.sorted {
-		s.Latency, s.Occupancy, s.Served = s.Latency*decay, s.Occupancy*decay, s.Served*decay
-		s.Room *= growth
-		s.Slots *= slotsDecay
+		s.Latency, s.Occupancy, s.SuccessCount = s.Latency*decay, s.Occupancy*decay, s.SuccessCount*decay
+		s.MinRejectedOccupancy *= growth
+		s.MaxInWork *= slotsDecay
 		t := b.serverTypes[s.ServerType]
 		if t == nil {
 			t = &serverType{}
@@ -31,13 +31,13 @@
 		s.typeStats = t
 		for _, stats := range [...]*serverType{t, all} {
 			stats.latency += s.Latency
-			if s.Work > 0 {
-				stats.reportedServiceTimes += s.Work
+			if s.ReportedServiceTime > 0 {
+				stats.reportedServiceTimes += s.ReportedServiceTime
 				stats.reportingServers++
 			}
 			stats.occupancy += s.Occupancy
-			if s.State == Active && !s.disabled && now >= s.Ejected && b.capacityShare(s, now) == 1 {
-				stats.served += s.Served
+			if s.State == Active && !s.disabled && now >= s.EjectedUntil && b.capacityShare(s, now) == 1 {
+				stats.served += s.SuccessCount
 				stats.warmServers++
 			}
 		}
@@ -51,7 +51,7 @@
 	for _, s := range b.sorted {
 		s.applyType(b)
 		local += s.laggedInFlight
-		remote += max(0, s.Others)
+		remote += max(0, s.RemoteLoad)
 	}
 	b.trafficShare = local / (local + remote)
 	for _, t := range b.tenants {
@@ -68,7 +68,7 @@
 		t.meanReportedServiceTime = t.reportedServiceTimes / t.reportingServers
 	}
 	// The selections of a node that has just started were counted over less than the long-term span.
-	span := b.Span * (1 - math.Exp((b.statsStart-b.lastRefreshAt)/rateTimeConstant))
+	span := b.SelectionSpan * (1 - math.Exp((b.statsStart-b.lastRefreshAt)/rateTimeConstant))
 	// Where no server is warm: as if all nodes together sent each one request after the other.
 	t.warmShare = span / t.serviceTime / float64(b.settings.Nodes)
 	if t.warmServers > 0 {
@@ -79,7 +79,7 @@
 	// Hundreds of nodes see a rise of their selections at the same time, and by the long-term count alone each of them
 	// would see it too late. A rise of more than a standard deviation counts in full: random variation evens out among
 	// the nodes, while a rise that all of them have adds up.
-	selections := b.Picks + 1
+	selections := b.InitialSelections + 1
 	if (b.selectionRate-math.Sqrt(b.selectionRate/2/riseTimeConstant))*span > selections {
 		selections = b.selectionRate * span
 	}
@@ -88,7 +88,7 @@
 
 // applyType copies the values of a server's type to the server, and notes whether it is in this node's zone.
 func (s *server) applyType(b *Balancer) {
-	s.typeServiceTime, s.warmShare, s.Base = s.typeStats.serviceTime, s.typeStats.warmShare,
-		min(s.Base, s.typeStats.meanReportedServiceTime)
+	s.typeServiceTime, s.warmShare, s.MinTypeServiceTime = s.typeStats.serviceTime, s.typeStats.warmShare,
+		min(s.MinTypeServiceTime, s.typeStats.meanReportedServiceTime)
 	s.inLocalZone = s.Zone == b.settings.Zone
 }
