--- a/cmd/portstall/keys.go
+++ b/cmd/portstall/keys.go
@@ -81,7 +81,7 @@
 	if err := json.Unmarshal(text, &members); err != nil {
 		return fmt.Errorf("%s: %w", c.Mgmt, err)
 	}
-	fmt.Printf("%s: %d members alive including itself; slowness %d, %d bytes sent\n", members.Name, members.Alive, members.Slowness, members.Sent)
+	fmt.Printf("%s: %d members alive including itself; slowness %d, %d bytes sent\n", members.Name, members.Alive, members.Slowness, members.SentBytes)
 	for _, m := range members.Members {
 		fmt.Println(m)
 	}
--- a/internal/contract/change_test.go
+++ b/internal/contract/change_test.go
@@ -206,7 +206,7 @@
 	}
 	two.Burst, two.Limit, two.Guaranteed, two.Bandwidth, two.InFlight = 2, 1, 1, 10, 1
 	applyChange(t, l, 0, Change{Put: []Terms{two}})
-	if status := l.Status(0, 1); status.Tokens != 2 || status.Work != 1 || status.Kept != 1 || status.InFlight != 1 || l.states[1].bytesLeft != 10 {
+	if status := l.Status(0, 1); status.RateTokens != 2 || status.WorkLeft != 1 || status.GuaranteeLeft != 1 || status.InFlight != 1 || l.states[1].bytesLeft != 10 {
 		t.Errorf("after the limits were reduced: %+v", status)
 	}
 	if got := l.Admit(0, 1, "r", 0, false); got.Rule != InFlight {
@@ -218,13 +218,13 @@
 	}
 	two.Burst = 100
 	applyChange(t, l, 0, Change{Put: []Terms{two}})
-	if status := l.Status(0, 1); status.Tokens != 1 {
-		t.Errorf("a larger burst was filled at once: %v tokens, want 1", status.Tokens)
+	if status := l.Status(0, 1); status.RateTokens != 1 {
+		t.Errorf("a larger burst was filled at once: %v tokens, want 1", status.RateTokens)
 	}
 	two.Rate = 50
 	applyChange(t, l, 2*time.Second, Change{Put: []Terms{two}})
-	if status := l.Status(2*time.Second, 1); status.Tokens != 3 {
-		t.Errorf("the time before the change was refilled at the new rate: %v tokens, want 3", status.Tokens)
+	if status := l.Status(2*time.Second, 1); status.RateTokens != 3 {
+		t.Errorf("the time before the change was refilled at the new rate: %v tokens, want 3", status.RateTokens)
 	}
 	applyChange(t, l, 0, Change{EvenShares: true})
 	if !l.table.EvenShares {
@@ -298,7 +298,7 @@
 			changed.Done(now, "c", r.b, 0.1)
 		}
 		a, b := statusOf(t, reference, now, "c"), statusOf(t, changed, now, "c")
-		if math.Abs(a.Tokens-b.Tokens)+math.Abs(a.Work-b.Work)+math.Abs(a.Kept-b.Kept)+math.Abs(a.Furthers-b.Furthers) > 1e-6 || b.InFlight != 0 ||
+		if math.Abs(a.RateTokens-b.RateTokens)+math.Abs(a.WorkLeft-b.WorkLeft)+math.Abs(a.GuaranteeLeft-b.GuaranteeLeft)+math.Abs(a.Retries-b.Retries) > 1e-6 || b.InFlight != 0 ||
 			a.Admitted != b.Admitted {
 			rt.Fatalf("%+v, a contract that was never removed has %+v", b, a)
 		}
@@ -354,7 +354,7 @@
 		t.Errorf("a request of the removed contract ended one of %+v", got)
 	}
 	applyChange(t, l, 0, Change{Put: []Terms{one}})
-	if got := statusOf(t, l, 0, "one"); got.InFlight != 1 || math.Abs(got.Work - -2.1) > 1e-9 {
+	if got := statusOf(t, l, 0, "one"); got.InFlight != 1 || math.Abs(got.WorkLeft - -2.1) > 1e-9 {
 		t.Errorf("added again: %+v, want one request in flight and a debt of 2.1", got)
 	}
 	l.Done(0, "one", second, 0.1)
@@ -576,11 +576,11 @@
 	terms.Name, terms.Matches = "d", []Match{{Tenant: "d"}}
 	applyChange(t, l, time.Minute, Change{Put: []Terms{terms}})
 	for i, at := range []time.Duration{time.Minute + time.Second, time.Hour} {
-		if got, want := l.Status(at, i).Tokens, []float64{2, 10}[i]; got != want {
+		if got, want := l.Status(at, i).RateTokens, []float64{2, 10}[i]; got != want {
 			t.Errorf("at %v %v requests may arrive at once, want %v", at, got, want)
 		}
 	}
-	if got := l.Status(time.Hour, 1); got.Work != 3 || got.Kept != 1 || l.states[1].bytesLeft != 100 {
+	if got := l.Status(time.Hour, 1); got.WorkLeft != 3 || got.GuaranteeLeft != 1 || l.states[1].bytesLeft != 100 {
 		t.Errorf("budgets not refilled within their bounds: %+v", got)
 	}
 	if v := l.Admit(time.Hour, 0, "r", 0, false); v.Rule != Admitted {
@@ -638,7 +638,7 @@
 			applyChange(t, changed, now, Change{Put: []Terms{terms}})
 		}
 		a, b := statusOf(t, reference, now, "c"), statusOf(t, changed, now, "c")
-		if math.Abs(a.Tokens-b.Tokens)+math.Abs(a.Work-b.Work)+math.Abs(a.Kept-b.Kept)+math.Abs(a.Furthers-b.Furthers) > 1e-6 {
+		if math.Abs(a.RateTokens-b.RateTokens)+math.Abs(a.WorkLeft-b.WorkLeft)+math.Abs(a.GuaranteeLeft-b.GuaranteeLeft)+math.Abs(a.Retries-b.Retries) > 1e-6 {
 			rt.Fatalf("%+v, a contract that was never removed has %+v", b, a)
 		}
 	})
@@ -657,7 +657,7 @@
 		l := NewLedger(newTable(t), 0, 1)
 		l.Restore(0, predecessor.States(0), credit)
 		applyChange(t, l, 0, Change{Put: []Terms{terms}})
-		if got := statusOf(t, l, 0, "c"); got.Work != -3 || !credit && got.Tokens != 0 || got.Tokens > 4 {
+		if got := statusOf(t, l, 0, "c"); got.WorkLeft != -3 || !credit && got.RateTokens != 0 || got.RateTokens > 4 {
 			t.Errorf("credit %v: %+v", credit, got)
 		}
 	}
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -302,8 +302,8 @@
 	l.Done(0, "two", v, 0.1) // its contract is removed: no effect
 	one.Burst = 1
 	l.ReplaceTable(newTable(t, one))
-	if status := l.Status(time.Hour, 0); status.Tokens > 1 {
-		t.Errorf("%v tokens left after the burst was reduced to 1", status.Tokens)
+	if status := l.Status(time.Hour, 0); status.RateTokens > 1 {
+		t.Errorf("%v tokens left after the burst was reduced to 1", status.RateTokens)
 	}
 }
 
@@ -369,7 +369,7 @@
 		}
 		for i := range n {
 			status := l.Status(now, i)
-			if status.InFlight != 0 || status.Work > 6+1e-9 || status.Kept > terms[i].Guaranteed*guaranteeCarryOver.Seconds()+1e-9 {
+			if status.InFlight != 0 || status.WorkLeft > 6+1e-9 || status.GuaranteeLeft > terms[i].Guaranteed*guaranteeCarryOver.Seconds()+1e-9 {
 				rt.Fatalf("after all requests ended: %+v", status)
 			}
 		}
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -647,33 +647,33 @@
 
 // Status is the current state of a contract at this node, for operators.
 type Status struct {
-	Name       string         `json:"name"`
-	Active     bool           `json:"active"`
-	InFlight   int            `json:"in_flight"`
-	Tokens     float64        `json:"rate_tokens"`    // requests left of the rate
-	Work       float64        `json:"work_left"`      // server-seconds left of the work limit
-	Kept       float64        `json:"guarantee_left"` // server-seconds left of the guarantee
-	Share      float64        `json:"may_borrow"`     // server-seconds per second that it may borrow
-	Demand     float64        `json:"demand"`         // smoothed server-seconds per second requested
-	Firsts     float64        `json:"first_tries"`    // first attempts, decayed over the retry window
-	Furthers   float64        `json:"further_tries"`  // retries and client repeats, decayed over the retry window
-	MeanCost   float64        `json:"mean_cost_s"`
-	Admitted   uint64         `json:"admitted"`
-	RefusedBy  []RefusalCount `json:"refused"`
-	Guaranteed float64        `json:"guaranteed"`
+	Name          string         `json:"name"`
+	Active        bool           `json:"active"`
+	InFlight      int            `json:"in_flight"`
+	RateTokens    float64        `json:"rate_tokens"`    // requests left of the rate
+	WorkLeft      float64        `json:"work_left"`      // server-seconds left of the work limit
+	GuaranteeLeft float64        `json:"guarantee_left"` // server-seconds left of the guarantee
+	BorrowRate    float64        `json:"may_borrow"`     // server-seconds per second that it may borrow
+	Demand        float64        `json:"demand"`         // smoothed server-seconds per second requested
+	FirstAttempts float64        `json:"first_tries"`    // first attempts, decayed over the retry window
+	Retries       float64        `json:"further_tries"`  // retries and client repeats, decayed over the retry window
+	MeanCost      float64        `json:"mean_cost_s"`
+	Admitted      uint64         `json:"admitted"`
+	RefusedBy     []RefusalCount `json:"refused"`
+	Guaranteed    float64        `json:"guaranteed"`
 }
 
 // RefusalCount is the number of requests that a rule has refused.
 type RefusalCount struct {
-	Rule Rule   `json:"rule"`
-	N    uint64 `json:"n"`
+	Rule  Rule   `json:"rule"`
+	Count uint64 `json:"n"`
 }
 
 // Status returns the current state of the contract in slot i.
 func (l *Ledger) Status(now time.Duration, i int) Status {
 	c, s := l.refilled(i, l.monotonic(now))
-	v := Status{Name: c.Name, Active: s.active, InFlight: s.inFlight, Tokens: s.rateTokens, Work: s.workLeft, Kept: s.guaranteeLeft,
-		Share: s.borrowRate, Demand: s.demand, Firsts: s.firstAttempts, Furthers: s.retries, MeanCost: s.meanCost,
+	v := Status{Name: c.Name, Active: s.active, InFlight: s.inFlight, RateTokens: s.rateTokens, WorkLeft: s.workLeft, GuaranteeLeft: s.guaranteeLeft,
+		BorrowRate: s.borrowRate, Demand: s.demand, FirstAttempts: s.firstAttempts, Retries: s.retries, MeanCost: s.meanCost,
 		Admitted: s.admitted, Guaranteed: c.Guaranteed * l.nodeShare}
 	for k, n := range s.refused {
 		if n > 0 {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,26 +13,26 @@
 
 // statusReport is the body of GET /v1/status.
 type statusReport struct {
-	Role        string            `json:"role"` // "writer" or "follower"
-	Version     resource.Version  `json:"version"`
-	Sum         resource.Checksum `json:"sum"`
-	InForceS    float64           `json:"in_force_s"` // since the version was applied
-	Resources   int               `json:"resources"`
-	Deltas      int               `json:"deltas_kept"`
-	Watches     int               `json:"watches"`
-	MostWatches int               `json:"most_watches"`
-	Connections int               `json:"connections"`
-	Snapshots   int               `json:"snapshots_told"`
-	Ahead       resource.Version  `json:"ahead"` // latest version that a caller has and this process lacks; 0.0: none
-	Nodes       int               `json:"callers"`
-	Versions    []versionReport   `json:"callers_by_version"`
-	Others      int               `json:"callers_at_other_versions"`
-	Refused     int               `json:"refusing"`
-	Refusals    []callerReport    `json:"refusals"`
-	Behind      int               `json:"behind"`
-	Late        []callerReport    `json:"late"`
-	Files       *filesReport      `json:"files,omitempty"`   // writer only
-	Follows     *follow.Stats     `json:"follows,omitempty"` // follower only
+	Role            string            `json:"role"` // "writer" or "follower"
+	Version         resource.Version  `json:"version"`
+	Checksum        resource.Checksum `json:"sum"`
+	InForceS        float64           `json:"in_force_s"` // since the version was applied
+	Resources       int               `json:"resources"`
+	Deltas          int               `json:"deltas_kept"`
+	Watches         int               `json:"watches"`
+	MaxWatches      int               `json:"most_watches"`
+	Connections     int               `json:"connections"`
+	SnapshotsSent   int               `json:"snapshots_told"`
+	Ahead           resource.Version  `json:"ahead"` // latest version that a caller has and this process lacks; 0.0: none
+	Callers         int               `json:"callers"`
+	Versions        []versionReport   `json:"callers_by_version"`
+	AtOtherVersions int               `json:"callers_at_other_versions"`
+	Refusing        int               `json:"refusing"`
+	Refusals        []callerReport    `json:"refusals"`
+	Behind          int               `json:"behind"`
+	Late            []callerReport    `json:"late"`
+	Files           *filesReport      `json:"files,omitempty"`   // writer only
+	Follows         *follow.Stats     `json:"follows,omitempty"` // follower only
 }
 
 // versionReport is the number of callers that have a version in force.
@@ -43,24 +43,24 @@
 
 // callerReport describes one caller.
 type callerReport struct {
-	Name    string           `json:"name"`
-	Process string           `json:"process,omitempty"`
-	Role    string           `json:"role"`
-	Version resource.Version `json:"version"`
-	Refused resource.Version `json:"refused"` // version that it refuses; 0.0: none
-	Why     string           `json:"why,omitempty"`
-	HeardS  float64          `json:"heard_s_ago"`
-	BehindS float64          `json:"behind_s"`
+	Name      string           `json:"name"`
+	Process   string           `json:"process,omitempty"`
+	Role      string           `json:"role"`
+	Version   resource.Version `json:"version"`
+	Refused   resource.Version `json:"refused"` // version that it refuses; 0.0: none
+	Why       string           `json:"why,omitempty"`
+	HeardAgoS float64          `json:"heard_s_ago"`
+	BehindS   float64          `json:"behind_s"`
 }
 
 // filesReport describes the latest reload of a writer's files.
 type filesReport struct {
-	Path    string  `json:"path"`
-	Error   string  `json:"error,omitempty"` // of the latest reload, if it failed; it had no effect then
-	ReadS   float64 `json:"read_s_ago"`      // 0: no reload since the start
-	TookS   float64 `json:"took_s"`
-	Reloads int64   `json:"reloads"`
-	Bad     int64   `json:"bad_reloads"`
+	Path          string  `json:"path"`
+	Error         string  `json:"error,omitempty"` // of the latest reload, if it failed; it had no effect then
+	ReadAgoS      float64 `json:"read_s_ago"`      // 0: no reload since the start
+	ReadDurationS float64 `json:"took_s"`
+	Reloads       int64   `json:"reloads"`
+	BadReloads    int64   `json:"bad_reloads"`
 }
 
 // status collects the report of GET /v1/status and of the metrics.
@@ -69,9 +69,9 @@
 	s.mu.Lock()
 	st := s.store.Status(now)
 	s.mu.Unlock()
-	report := statusReport{Role: "follower", Version: st.Version, Sum: st.Sum, Resources: st.Resources, Deltas: st.Deltas, Watches: st.Watches,
-		MostWatches: s.Limits.MaxWatches,
-		Snapshots:   st.SnapshotsSent, Ahead: st.Ahead, Nodes: st.Callers, Others: st.AtOtherVersions, Refused: st.Refusing, Behind: st.Behind,
+	report := statusReport{Role: "follower", Version: st.Version, Checksum: st.Sum, Resources: st.Resources, Deltas: st.Deltas, Watches: st.Watches,
+		MaxWatches: s.Limits.MaxWatches, SnapshotsSent: st.SnapshotsSent, Ahead: st.Ahead, Callers: st.Callers, AtOtherVersions: st.AtOtherVersions,
+		Refusing: st.Refusing, Behind: st.Behind,
 		Refusals: callerReports(st.Refusals), Late: callerReports(st.Late), Versions: []versionReport{}}
 	report.Connections, _ = s.connections.stats()
 	if !st.Version.IsZero() {
@@ -89,10 +89,10 @@
 	w := s.writer
 	w.statusMu.Lock()
 	defer w.statusMu.Unlock()
-	report.Files = &filesReport{Path: s.Files, Error: w.lastError, TookS: w.readDuration.Seconds(),
-		Reloads: s.counters.reloads.Load(), Bad: s.counters.badReloads.Load()}
+	report.Files = &filesReport{Path: s.Files, Error: w.lastError, ReadDurationS: w.readDuration.Seconds(),
+		Reloads: s.counters.reloads.Load(), BadReloads: s.counters.badReloads.Load()}
 	if w.readAt > 0 {
-		report.Files.ReadS = (now - w.readAt).Seconds()
+		report.Files.ReadAgoS = (now - w.readAt).Seconds()
 	}
 	return report
 }
@@ -171,9 +171,9 @@
 	emit(resourcesDesc, gauge, float64(report.Resources))
 	emit(deltasDesc, gauge, float64(report.Deltas))
 	emit(watchesDesc, gauge, float64(report.Watches))
-	emit(callersDesc, gauge, float64(report.Nodes))
+	emit(callersDesc, gauge, float64(report.Callers))
 	emit(behindDesc, gauge, float64(report.Behind))
-	emit(refusingDesc, gauge, float64(report.Refused))
+	emit(refusingDesc, gauge, float64(report.Refusing))
 	emit(connectionsDesc, gauge, float64(report.Connections))
 	emit(connectionsRefusedDesc, counter, float64(closed))
 	emit(versionsDesc, counter, float64(c.counters.versions.Load()))
@@ -181,7 +181,7 @@
 	emit(responsesDesc, counter, float64(c.counters.behind.Load()), "409")
 	emit(responsesDesc, counter, float64(c.counters.full.Load()), "503")
 	emit(responsesDesc, counter, float64(c.counters.bad.Load()), "400")
-	emit(snapshotsDesc, counter, float64(report.Snapshots))
+	emit(snapshotsDesc, counter, float64(report.SnapshotsSent))
 	emit(encodedDesc, counter, float64(encoded))
 	emit(bytesDesc, counter, float64(c.counters.bytesIn.Load()), "in")
 	emit(bytesDesc, counter, float64(c.counters.bytesOut.Load()), "out")
@@ -191,8 +191,8 @@
 			bad = 1
 		}
 		emit(filesBadDesc, gauge, bad)
-		emit(reloadsDesc, counter, float64(f.Reloads-f.Bad), "good")
-		emit(reloadsDesc, counter, float64(f.Bad), "bad")
+		emit(reloadsDesc, counter, float64(f.Reloads-f.BadReloads), "good")
+		emit(reloadsDesc, counter, float64(f.BadReloads), "bad")
 	}
 	if f := report.Follows; f != nil {
 		emit(callsDesc, counter, float64(f.Calls))
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -150,7 +150,7 @@
 type ReloadResult struct {
 	Version resource.Version `json:"version"` // version in force now
 	Put     int              `json:"put"`     // resources that are new or have another spec
-	Gone    int              `json:"gone"`    // resources that were removed
+	Removed int              `json:"gone"`    // resources that were removed
 	Changed bool             `json:"changed"` // whether there is a new version
 }
 
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	s.Log.Info("files reloaded", "version", r.Version, "changed", r.Changed,
-		"put", r.Put, "gone", r.Gone, "took", (now - started).String())
+		"put", r.Put, "gone", r.Removed, "took", (now - started).String())
 	return r, nil
 }
 
@@ -216,5 +216,5 @@
 	if d == nil { // can't happen: the store's content is the loader's, so that what differs from one differs from the other
 		return nil, errors.New("internal error: the files differ from those accepted but not from the version store")
 	}
-	return &ReloadResult{Version: d.To, Put: len(d.Put), Gone: len(d.Removed), Changed: true}, nil
+	return &ReloadResult{Version: d.To, Put: len(d.Put), Removed: len(d.Removed), Changed: true}, nil
 }
--- a/internal/core/contract_change_test.go
+++ b/internal/core/contract_change_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("request while no contracts are in force: %+v", a)
 		}
 		change(contract.Change{Put: []contract.Terms{one}})
-		if s := c.Stats(10); len(s.Levels) != 1 || s.Levels[0].InFlight != 0 || s.Levels[0].Admitted != 1 {
+		if s := c.Stats(10); len(s.ContractStatuses) != 1 || s.ContractStatuses[0].InFlight != 0 || s.ContractStatuses[0].Admitted != 1 {
 			t.Errorf("contract that was removed and added again: %+v", s)
 		}
 		if a := end(begin("d", "one")); a.Kind != RejectedByContract || a.Rule != contract.Rate {
@@ -134,7 +134,7 @@
 		}
 		c.ChangeContracts(&restored)
 		c.Unlock()
-		levels := c.Stats(10).Levels
+		levels := c.Stats(10).ContractStatuses
 		if len(levels) != 4 {
 			t.Fatalf("contracts %+v, want four", levels)
 		}
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -153,7 +153,7 @@
 	// pressure. WorkInUse is the work that they do use.
 	AllowedWork, WorkInUse float64
 	ContractShare          float64           // share of the contracts that this node hands out
-	Levels                 []contract.Status // of contracts that have been used
+	ContractStatuses       []contract.Status // of contracts that have been used
 }
 
 // Stats returns the current figures, with the status of at most the given number of contracts.
@@ -163,7 +163,7 @@
 	s := Stats{Pressure: c.balancer.Pressure(), OpenRequests: len(c.requests), HasContracts: c.hasContracts()}
 	if s.HasContracts {
 		s.AllowedWork, s.WorkInUse, s.ContractShare = c.ledger.AllowedWork(), c.ledger.WorkInUse(), c.ledger.NodeShare()
-		s.Levels = c.ledger.Statuses(c.Now(), levels)
+		s.ContractStatuses = c.ledger.Statuses(c.Now(), levels)
 	}
 	return s
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -258,7 +258,7 @@
 		if err != nil || status.Name != "one" || v.Contract != 0 || status.Admitted != 1 {
 			t.Errorf("Explain returned %+v, status %+v, error %v", v, status, err)
 		}
-		if st := c.Stats(10); st.OpenRequests != 0 || !st.HasContracts || len(st.Levels) != 1 || st.ContractShare != 0.5 {
+		if st := c.Stats(10); st.OpenRequests != 0 || !st.HasContracts || len(st.ContractStatuses) != 1 || st.ContractShare != 0.5 {
 			t.Errorf("statistics %+v", st)
 		}
 	})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -222,7 +222,7 @@
 	var all []signed
 	remaining := m.queue[:0]
 	for _, q := range m.queue {
-		if n := len(q.fact.Fact) + len(q.fact.Sig) + 6; n <= capacity {
+		if n := len(q.fact.Body) + len(q.fact.Signature) + 6; n <= capacity {
 			capacity -= n
 			all = append(all, q.fact)
 			q.timesSent++
@@ -246,7 +246,7 @@
 // budget does not allow it.
 func (m *Member) send(now time.Duration, to, addr string, p packet) bool {
 	m.refill(now)
-	p.V, p.From, p.To, p.Inc = version, m.name, to, m.inc
+	p.Version, p.From, p.To, p.Inc = version, m.name, to, m.inc
 	m.seq++
 	p.Seq = m.seq
 	if p.Kind < exchange {
@@ -261,7 +261,7 @@
 		return false
 	}
 	m.tokens -= float64(len(data))
-	m.out = append(m.out, Outgoing{addr, data, p.Sure || len(data) > MaxPacketBytes})
+	m.out = append(m.out, Outgoing{addr, data, p.OverTCP || len(data) > MaxPacketBytes})
 	return true
 }
 
@@ -369,7 +369,7 @@
 // only UDP packets are lost.
 func (m *Member) startIndirectProbe(now time.Duration, pr *probe) {
 	if t := m.peers[pr.target]; t != nil {
-		m.send(now, t.Name, t.Addr, packet{Kind: ping, Nonce: pr.nonce, Sure: true})
+		m.send(now, t.Name, t.Addr, packet{Kind: ping, Nonce: pr.nonce, OverTCP: true})
 	}
 	others := m.selectNames(func(p *Peer) bool { return p.State == Alive && p.Name != pr.target })
 	m.shuffle(others)
@@ -479,7 +479,7 @@
 	from := m.rng.IntN(len(names) + 1)
 	for i := range names {
 		p := m.peers[names[(from+i)%len(names)]]
-		if capacity -= len(p.lastFact.Fact) + len(p.lastFact.Sig) + 6; capacity < 0 {
+		if capacity -= len(p.lastFact.Body) + len(p.lastFact.Signature) + 6; capacity < 0 {
 			break
 		}
 		all = append(all, p.lastFact)
@@ -572,7 +572,7 @@
 	}
 	switch p.Kind {
 	case ping:
-		m.send(now, sender.Name, sender.Addr, packet{Kind: ack, Nonce: p.Nonce, Sure: p.Sure})
+		m.send(now, sender.Name, sender.Addr, packet{Kind: ack, Nonce: p.Nonce, OverTCP: p.OverTCP})
 	case ack:
 		m.handleAck(now, p)
 	case nack:
@@ -652,7 +652,7 @@
 
 // handleFact applies a fact if it is new and validly signed.
 func (m *Member) handleFact(now time.Duration, s signed) {
-	f, err := readFact(s.Fact)
+	f, err := readFact(s.Body)
 	if err != nil {
 		m.Refused[ErrMalformed]++
 		return
@@ -676,7 +676,7 @@
 
 // signedBy reports whether a fact has a valid signature of the member that it names. Valid ones are cached.
 func (m *Member) signedBy(s signed) bool {
-	id := string(s.Fact) + string(s.Sig)
+	id := string(s.Body) + string(s.Signature)
 	if m.verified[id] {
 		return true
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -153,7 +153,7 @@
 					return []Outgoing{o}
 				}
 				m := sim.members[7]
-				p := packet{V: version, Kind: ping, From: memberName(7), To: memberName(sim.byAddr[o.Addr]), Inc: m.Inc(), Nonce: 1}
+				p := packet{Version: version, Kind: ping, From: memberName(7), To: memberName(sim.byAddr[o.Addr]), Inc: m.Inc(), Nonce: 1}
 				m.seq++
 				p.Seq = m.seq
 				for i, other := range sim.members {
@@ -217,8 +217,8 @@
 		}
 	}
 	stranger := testKeys{map[string]uint64{"x": 1}, "x"}
-	for _, p := range []packet{{V: version, Kind: exchange, From: "x", To: memberName(0)}, {V: version, Kind: exchange, From: memberName(3), To: memberName(0)},
-		{V: version + 1, Kind: exchange, From: memberName(3), To: memberName(0)}} {
+	for _, p := range []packet{{Version: version, Kind: exchange, From: "x", To: memberName(0)}, {Version: version, Kind: exchange, From: memberName(3), To: memberName(0)},
+		{Version: version + 1, Kind: exchange, From: memberName(3), To: memberName(0)}} {
 		if _, err := m.Receive(sim.now, "ax", seal(&p, stranger.Sign)); err == nil {
 			t.Errorf("a packet signed by an unknown key is accepted: %+v", p)
 		}
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -35,9 +35,9 @@
 
 // signed is an encoded fact, or a whole packet, with its signature.
 type signed struct {
-	_    struct{} `cbor:",toarray"`
-	Fact []byte
-	Sig  []byte
+	_         struct{} `cbor:",toarray"`
+	Body      []byte
+	Signature []byte
 }
 
 // The kinds of packets.
@@ -55,17 +55,17 @@
 
 // packet is one message between members, signed by its sender as a whole.
 type packet struct {
-	_      struct{} `cbor:",toarray"`
-	V      uint8
-	Kind   uint8
-	From   string
-	To     string // name of the receiver, so that the packet can't be replayed to another member
-	Inc    uint64 // incarnation of From
-	Seq    uint64 // number of the packet within the incarnation of From; none is accepted twice
-	Nonce  uint64 // of the ping that the packet belongs to
-	Target string // member to ping or that has replied; pingReq and its ack only
-	Sure   bool   // the packet goes over TCP, and so does the reply to it
-	Facts  []signed
+	_       struct{} `cbor:",toarray"`
+	Version uint8
+	Kind    uint8
+	From    string
+	To      string // name of the receiver, so that the packet can't be replayed to another member
+	Inc     uint64 // incarnation of From
+	Seq     uint64 // number of the packet within the incarnation of From; none is accepted twice
+	Nonce   uint64 // of the ping that the packet belongs to
+	Target  string // member to ping or that has replied; pingReq and its ack only
+	OverTCP bool   // the packet goes over TCP, and so does the reply to it
+	Facts   []signed
 }
 
 // Limits of received facts and packets; the lengths in bytes. Input that exceeds them is malformed.
@@ -136,7 +136,7 @@
 // seal encodes and signs a packet, as a byte string of the packet and one of its signature.
 func seal(p *packet, sign func([]byte) []byte) []byte {
 	body := encode(p)
-	return encode(signed{Fact: body, Sig: sign(signedBytes("packet", body))})
+	return encode(signed{Body: body, Signature: sign(signedBytes("packet", body))})
 }
 
 // unseal decodes a packet and verifies its signature.
@@ -146,23 +146,23 @@
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	var p packet
-	if err := decoder.Unmarshal(s.Fact, &p); err != nil {
+	if err := decoder.Unmarshal(s.Body, &p); err != nil {
 		var v struct {
-			_ struct{} `cbor:",toarray"`
-			V uint8
+			_       struct{} `cbor:",toarray"`
+			Version uint8
 		}
-		if decoder.Unmarshal(s.Fact, &v); v.V != 0 && v.V != version {
+		if decoder.Unmarshal(s.Body, &v); v.Version != 0 && v.Version != version {
 			return nil, ErrVersion
 		}
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	switch {
-	case p.V != version:
+	case p.Version != version:
 		return nil, ErrVersion
 	case p.From == "" || len(p.From) > maxName || len(p.Target) > maxName || p.Kind < ping || p.Kind > exchanged:
 		return nil, ErrMalformed
 	}
-	if err := keys.Verify(p.From, signedBytes("packet", s.Fact), s.Sig); err != nil {
+	if err := keys.Verify(p.From, signedBytes("packet", s.Body), s.Signature); err != nil {
 		return nil, err
 	}
 	return &p, nil
@@ -171,16 +171,16 @@
 // signFact encodes and signs a fact.
 func signFact(f *Fact, sign func([]byte) []byte) signed {
 	body := encode(f)
-	return signed{Fact: body, Sig: sign(signedBytes("fact", body))}
+	return signed{Body: body, Signature: sign(signedBytes("fact", body))}
 }
 
 // verifyFact decodes a fact and verifies its signature.
 func verifyFact(s signed, keys Keys) (Fact, error) {
-	f, err := readFact(s.Fact)
+	f, err := readFact(s.Body)
 	if err != nil {
 		return f, err
 	}
-	return f, keys.Verify(f.By, signedBytes("fact", s.Fact), s.Sig)
+	return f, keys.Verify(f.By, signedBytes("fact", s.Body), s.Signature)
 }
 
 // Keys signs for one member and knows the keys of all that may be members. An implementation is safe for concurrent
--- a/internal/member/transport_test.go
+++ b/internal/member/transport_test.go
@@ -119,7 +119,7 @@
 	}
 	defer raw.Close()
 	for i := range 300 {
-		p := packet{V: version, Kind: ping, From: memberName(i % n), To: memberName(3), Inc: 1 << 60, Seq: uint64(i)}
+		p := packet{Version: version, Kind: ping, From: memberName(i % n), To: memberName(3), Inc: 1 << 60, Seq: uint64(i)}
 		for k := range n {
 			p.Facts = append(p.Facts, signFact(&Fact{Kind: factLeft, By: memberName(k), Inc: 1 << 60}, forger.Sign))
 		}
@@ -236,12 +236,12 @@
 func FuzzPacket(f *testing.F) {
 	sim := newSimulation(3, 1)
 	k := sim.keys(1)
-	p := packet{V: version, Kind: ping, From: memberName(1), To: memberName(0), Inc: 1001, Seq: 9, Facts: []signed{signFact(&Fact{Kind: factAlive, By: memberName(1), Inc: 1001, Addr: "a1"}, k.Sign)}}
+	p := packet{Version: version, Kind: ping, From: memberName(1), To: memberName(0), Inc: 1001, Seq: 9, Facts: []signed{signFact(&Fact{Kind: factAlive, By: memberName(1), Inc: 1001, Addr: "a1"}, k.Sign)}}
 	f.Add(seal(&p, k.Sign))
 	f.Add(encode(&p))
 	f.Add([]byte{0x82, 0x40, 0x40})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if p, err := unseal(data, k); err == nil && (p.V != version || p.From == "" || len(p.Facts) > maxFacts) {
+		if p, err := unseal(data, k); err == nil && (p.Version != version || p.From == "" || len(p.Facts) > maxFacts) {
 			t.Fatalf("%+v", p)
 		}
 		if fact, err := readFact(data); err == nil && (fact.Kind < factAlive || fact.Kind > factServerReport || len(fact.Data) > maxData) {
--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -60,18 +60,18 @@
 
 // Cell is the placement of a tenant, for operators.
 type Cell struct {
-	Version  string   `json:"version"` // the same at all nodes that place alike
-	Tenant   string   `json:"tenant"`
-	Servers  []string `json:"servers"`
-	Shared   float64  `json:"chance_that_another_has_the_same"` // probability that another tenant has the same servers; 0 for a pinned tenant
-	Pods     []int64  `json:"pods,omitempty"`                   // pods that the tenant is pinned to
-	Also     []int64  `json:"also,omitempty"`                   // further pods during a move, when both sides count
-	Step     string   `json:"step"`                             // step of the tenant's latest move
-	Keys     int      `json:"keys"`                             // remembered keys, of all tenants
-	Forgot   int64    `json:"keys_forgot"`                      // keys displaced within their window since the start, of all tenants
-	Requests float64  `json:"requests"`                         // recent requests, decaying over 10 s
-	Spilt    float64  `json:"spilt"`                            // recent requests that spilled to the neighbor, decaying over 10 s
-	Harmful  bool     `json:"harmful"`                          // the tenant's attempts break web servers: none of its requests spills
+	Version               string   `json:"version"` // the same at all nodes that place alike
+	Tenant                string   `json:"tenant"`
+	Servers               []string `json:"servers"`
+	SameSubsetProbability float64  `json:"chance_that_another_has_the_same"` // probability that another tenant has the same servers; 0 for a pinned tenant
+	Pods                  []int64  `json:"pods,omitempty"`                   // pods that the tenant is pinned to
+	NewPods               []int64  `json:"also,omitempty"`                   // further pods during a move, when both sides count
+	Step                  string   `json:"step"`                             // step of the tenant's latest move
+	KeyCount              int      `json:"keys"`                             // remembered keys, of all tenants
+	KeysEvicted           int64    `json:"keys_forgot"`                      // keys displaced within their window since the start, of all tenants
+	Requests              float64  `json:"requests"`                         // recent requests, decaying over 10 s
+	Spilled               float64  `json:"spilt"`                            // recent requests that spilled to the neighbor, decaying over 10 s
+	Harmful               bool     `json:"harmful"`                          // the tenant's attempts break web servers: none of its requests spills
 }
 
 // cellOf returns the placement of a tenant, or false where there are no cells.
@@ -82,8 +82,9 @@
 		return Cell{}, false
 	}
 	report := n.cells.Report(n.core.Now(), tenant)
-	out := Cell{Tenant: tenant, Version: strconv.FormatUint(n.cells.Version(), 16), Servers: []string{}, Shared: report.SameSubsetProbability, Pods: report.Pods, Also: report.NewPods,
-		Step: report.Step.String(), Keys: report.KeyCount, Forgot: report.KeysEvicted, Requests: report.Requests, Spilt: report.Spilled, Harmful: report.Harmful}
+	out := Cell{Tenant: tenant, Version: strconv.FormatUint(n.cells.Version(), 16), Servers: []string{}, SameSubsetProbability: report.SameSubsetProbability,
+		Pods: report.Pods, NewPods: report.NewPods, Step: report.Step.String(), KeyCount: report.KeyCount, KeysEvicted: report.KeysEvicted,
+		Requests: report.Requests, Spilled: report.Spilled, Harmful: report.Harmful}
 	for _, server := range report.Servers {
 		out.Servers = append(out.Servers, server.ID)
 	}
--- a/internal/node/cells_test.go
+++ b/internal/node/cells_test.go
@@ -165,7 +165,7 @@
 	if got := pods(); len(got) == 0 || got[0] < 2 { // which of the two is faster depends on the machine
 		t.Errorf("without a key: pods %v", got)
 	}
-	if at, _ := node.cellOf("gulf"); at.Step != "draining" || !slices.Equal(at.Pods, []int64{2, 3}) || at.Keys == 0 {
+	if at, _ := node.cellOf("gulf"); at.Step != "draining" || !slices.Equal(at.Pods, []int64{2, 3}) || at.KeyCount == 0 {
 		t.Errorf("%+v", at)
 	}
 	cfg := node.cfg
--- a/internal/node/contracts.go
+++ b/internal/node/contracts.go
@@ -41,7 +41,7 @@
 	Contract string           `json:"contract"` // the contract that applies; empty: none applies to this caller
 	Rule     contract.Rule    `json:"rule"`     // the rule by which the request would be refused now; empty: it would be admitted
 	Why      string           `json:"why"`
-	Level    *contract.Status `json:"level,omitempty"`
+	Status   *contract.Status `json:"level,omitempty"`
 }
 
 // Explain reports which contract a request would fall under and whether it would be admitted now. The query has tenant,
@@ -71,7 +71,7 @@
 		explanation.Why = verdict.Rule.Why()
 	}
 	if verdict.Contract >= 0 {
-		explanation.Contract, explanation.Level = level.Name, &level
+		explanation.Contract, explanation.Status = level.Name, &level
 	}
 	return explanation, nil
 }
--- a/internal/node/contracts_test.go
+++ b/internal/node/contracts_test.go
@@ -88,7 +88,7 @@
 	if stats.OpenRequests != 0 {
 		t.Errorf("%d requests are still open", stats.OpenRequests)
 	}
-	for _, level := range stats.Levels {
+	for _, level := range stats.ContractStatuses {
 		if level.InFlight != 0 {
 			t.Errorf("%s has %d requests in flight after all have ended", level.Name, level.InFlight)
 		}
--- a/internal/node/control_report.go
+++ b/internal/node/control_report.go
@@ -23,19 +23,19 @@
 
 // Configuration is a node's report of the configuration that it has from control.
 type Configuration struct {
-	Version     string                `json:"version"`         // version in force; 0.0: none
-	Since       *time.Time            `json:"since,omitempty"` // since when that version is in force
-	Missing     string                `json:"missing,omitempty"`
-	Resources   map[resource.Kind]int `json:"resources"`
-	Sources     []string              `json:"sources"`             // in the order in which they are asked, the nearest first
-	Source      string                `json:"source,omitempty"`    // the source that replied last
-	LastGood    *time.Time            `json:"last_good,omitempty"` // when a source last replied
-	LastFailure string                `json:"last_failure,omitempty"`
-	Refused     string                `json:"refused,omitempty"` // a version that was refused; empty again once a later one is accepted
-	LastRefusal *refusedChange        `json:"last_refusal,omitempty"`
-	Refusals    int64                 `json:"refusals"`
-	Changes     int64                 `json:"changes"` // changes applied since the start, the first configuration included
-	Calls       follow.Stats          `json:"calls"`
+	Version        string                `json:"version"`         // version in force; 0.0: none
+	Since          *time.Time            `json:"since,omitempty"` // since when that version is in force
+	MissingReason  string                `json:"missing,omitempty"`
+	Resources      map[resource.Kind]int `json:"resources"`
+	Sources        []string              `json:"sources"`             // in the order in which they are asked, the nearest first
+	Source         string                `json:"source,omitempty"`    // the source that replied last
+	LastReplyAt    *time.Time            `json:"last_good,omitempty"` // when a source last replied
+	LastFailure    string                `json:"last_failure,omitempty"`
+	RefusedVersion string                `json:"refused,omitempty"` // a version that was refused; empty again once a later one is accepted
+	LastRefusal    *refusedChange        `json:"last_refusal,omitempty"`
+	Refusals       int64                 `json:"refusals"`
+	Changes        int64                 `json:"changes"` // changes applied since the start, the first configuration included
+	Calls          follow.Stats          `json:"calls"`
 }
 
 // report returns the follower's state for operators.
@@ -44,19 +44,19 @@
 	report := Configuration{Source: status.Source, LastFailure: status.LastError, Calls: status}
 	if status.LastResponse > 0 {
 		at := time.Unix(0, int64(status.LastResponse)).UTC()
-		report.LastGood = &at
+		report.LastReplyAt = &at
 	}
 	if !status.Refused.IsZero() {
-		report.Refused = status.Refused.String()
+		report.RefusedVersion = status.Refused.String()
 	}
 	if err := f.missingConfiguration(); err != nil {
-		report.Missing = err.Error()
+		report.MissingReason = err.Error()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	report.Version, report.Sources, report.LastRefusal, report.Refusals, report.Changes = f.set.Version().String(), f.sources, f.lastRefusal, status.Failures[follow.Refused], f.changesApplied
-	if report.Refused != "" && (f.lastRefusal == nil || f.lastRefusal.Version != report.Refused) { // refused before it was checked here
-		report.LastRefusal = &refusedChange{At: time.Unix(0, int64(status.LastResponse)).UTC(), Version: report.Refused, Why: status.Reason}
+	if report.RefusedVersion != "" && (f.lastRefusal == nil || f.lastRefusal.Version != report.RefusedVersion) { // refused before it was checked here
+		report.LastRefusal = &refusedChange{At: time.Unix(0, int64(status.LastResponse)).UTC(), Version: report.RefusedVersion, Why: status.Reason}
 	}
 	if f.changesApplied > 0 {
 		at := f.appliedAt.UTC()
@@ -85,8 +85,8 @@
 	report := f.report()
 	epoch, number, _ := strings.Cut(report.Version, ".")
 	ch <- prometheus.MustNewConstMetric(versionDesc, prometheus.GaugeValue, 1, epoch, number)
-	if report.LastGood != nil {
-		ch <- prometheus.MustNewConstMetric(ageDesc, prometheus.GaugeValue, time.Since(*report.LastGood).Seconds())
+	if report.LastReplyAt != nil {
+		ch <- prometheus.MustNewConstMetric(ageDesc, prometheus.GaugeValue, time.Since(*report.LastReplyAt).Seconds())
 	}
 	for kind, value := range report.Resources {
 		ch <- prometheus.MustNewConstMetric(resourcesDesc, prometheus.GaugeValue, float64(value), string(kind))
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -139,7 +139,7 @@
 			t.Errorf("%s: %d %s", path, status, text)
 		}
 	}
-	if c := running.configuration(t); c.Version != "0.0" || c.Since != nil || c.Missing == "" || c.LastFailure == "" || c.Sources[0] != control.Addr {
+	if c := running.configuration(t); c.Version != "0.0" || c.Since != nil || c.MissingReason == "" || c.LastFailure == "" || c.Sources[0] != control.Addr {
 		t.Errorf("the configuration page: %+v", c)
 	}
 	if c, err := net.Dial("tcp", running.addr); err == nil {
@@ -162,7 +162,7 @@
 		t.Errorf("a tenant without one: %d", status)
 	}
 	page := running.configuration(t)
-	if page.Version != version.String() || page.Since == nil || page.Missing != "" || page.LastGood == nil || page.Source != control.Addr ||
+	if page.Version != version.String() || page.Since == nil || page.MissingReason != "" || page.LastReplyAt == nil || page.Source != control.Addr ||
 		page.Resources[resource.Contract] != 1 || page.Changes != 1 || page.Calls.BytesIn == 0 || page.Calls.Calls < 2 {
 		t.Errorf("the configuration page: %+v", page)
 	}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -332,14 +332,14 @@
 
 // ServerHealth is the health of a web server, for operators.
 type ServerHealth struct {
-	Server  string  `json:"server"`
-	Out     bool    `json:"out"`
-	Drain   bool    `json:"drain"`
-	Weight  float64 `json:"weight"`
-	MaxConn int     `json:"maxconn,omitempty"`
-	Why     string  `json:"why"`
-	Against string  `json:"against,omitempty"`
-	ByHand  bool    `json:"by_hand"` // disabled by an operator, which has precedence over all else
+	Server             string  `json:"server"`
+	OutOfService       bool    `json:"out"`
+	Drain              bool    `json:"drain"`
+	Weight             float64 `json:"weight"`
+	MaxConn            int     `json:"maxconn,omitempty"`
+	Why                string  `json:"why"`
+	Conflict           string  `json:"against,omitempty"`
+	DisabledByOperator bool    `json:"by_hand"` // disabled by an operator, which has precedence over all else
 }
 
 // HealthReport is the checker's state, for operators: with one server, or with all of which something is reported.
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-func isOutOfService(h ServerHealth) bool { return h.Out }
-func isHealthy(h ServerHealth) bool      { return !h.Out && h.Weight == 1 }
+func isOutOfService(h ServerHealth) bool { return h.OutOfService }
+func isHealthy(h ServerHealth) bool      { return !h.OutOfService && h.Weight == 1 }
 
 // An agent's report takes its server out of service, lowers its weight or brings it back. An operator's override has
 // precedence.
@@ -121,7 +121,7 @@
 		t.Errorf("used: %v", used)
 	}
 	node.agents[1].Reply("drain\n")
-	node.waitForHealth(t, 1, "a server that drains", func(h ServerHealth) bool { return h.Out && h.Drain })
+	node.waitForHealth(t, 1, "a server that drains", func(h ServerHealth) bool { return h.OutOfService && h.Drain })
 	if used := ask(40); used[0]+used[1] > 0 {
 		t.Errorf("used: %v", used)
 	}
@@ -131,7 +131,7 @@
 	// agent's report.
 	must(t, node.Disable(t.Context(), "s-3"))
 	must(t, node.Disable(t.Context(), "s-1"))
-	if h := node.waitForHealth(t, 3, "an override", func(h ServerHealth) bool { return h.ByHand }); !h.Out {
+	if h := node.waitForHealth(t, 3, "an override", func(h ServerHealth) bool { return h.DisabledByOperator }); !h.OutOfService {
 		t.Errorf("%+v", h)
 	}
 	must(t, node.Enable(t.Context(), "s-1"))
@@ -186,7 +186,7 @@
 	}
 	for i := range node.agents {
 		node.waitForHealth(t, i, "suspicion", func(h ServerHealth) bool {
-			return h.ByHand == (i != 1) && strings.Contains(h.Why, "suspected")
+			return h.DisabledByOperator == (i != 1) && strings.Contains(h.Why, "suspected")
 		})
 	}
 }
@@ -212,7 +212,7 @@
 		asked := node.agents[i].QueryCount()
 		node.agents[i].Reply("drain\n")
 		waitFor(t, "a check of the agent", func() bool { return node.agents[i].QueryCount() > asked })
-		node.waitForHealth(t, i, "a drain", func(h ServerHealth) bool { return h.Out && h.Drain })
+		node.waitForHealth(t, i, "a drain", func(h ServerHealth) bool { return h.OutOfService && h.Drain })
 		node.afterReport.Store(true)
 		waitFor(t, "requests after the report", func() bool { return node.requestsAfterReport((i+1)%3)+node.requestsAfterReport((i+2)%3) > 100 })
 		stopLoad()
@@ -256,8 +256,8 @@
 	stopLoad := node.startLoad(t, 1)
 	waitFor(t, "requests", func() bool { return len(servers[0].requests()) > 50 })
 	status.Store(500)
-	h := node.waitForHealth(t, 0, "a contradiction", func(h ServerHealth) bool { return h.Against != "" })
-	if h.Out || h.Weight != 0.5 || !strings.Contains(h.Against, "it answers real requests") {
+	h := node.waitForHealth(t, 0, "a contradiction", func(h ServerHealth) bool { return h.Conflict != "" })
+	if h.OutOfService || h.Weight != 0.5 || !strings.Contains(h.Conflict, "it answers real requests") {
 		t.Errorf("%+v", h)
 	}
 	stopLoad()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -118,22 +118,22 @@
 
 // Members is this instance's view of all instances, for operators.
 type Members struct {
-	Name     string         `json:"name"`
-	Alive    int            `json:"alive"`    // number of live instances, this one included
-	Conflict bool           `json:"conflict"` // another instance has the same name, and this one has yielded
-	Slowness int            `json:"slowness"` // how slow this instance estimates itself to be: 0 is best, 8 worst
-	Sent     int64          `json:"sent_bytes"`
-	Refused  map[string]int `json:"refused"` // rejected packets and statements, by reason
-	Members  []Member       `json:"members"`
+	Name      string         `json:"name"`
+	Alive     int            `json:"alive"`    // number of live instances, this one included
+	Conflict  bool           `json:"conflict"` // another instance has the same name, and this one has yielded
+	Slowness  int            `json:"slowness"` // how slow this instance estimates itself to be: 0 is best, 8 worst
+	SentBytes int64          `json:"sent_bytes"`
+	Rejected  map[string]int `json:"refused"` // rejected packets and statements, by reason
+	Members   []Member       `json:"members"`
 }
 
 // members returns the instances that this one knows.
 func (n *node) members() (out Members) {
-	out.Refused, out.Members, out.Sent = map[string]int{}, []Member{}, n.memberTransport.BytesSent()
+	out.Rejected, out.Members, out.SentBytes = map[string]int{}, []Member{}, n.memberTransport.BytesSent()
 	n.memberTransport.Do(func(now time.Duration, m *member.Member) {
 		out.Name, out.Alive, out.Conflict, out.Slowness = n.cfg.Product.Members.Name, m.AliveCount(), m.Conflict, m.Slowness()
 		for why, times := range m.Refused {
-			out.Refused[why.Error()] = times
+			out.Rejected[why.Error()] = times
 		}
 		for _, p := range m.Peers() {
 			out.Members = append(out.Members, Member{p.Name, p.Addr, p.State.String(), p.Inc, (now - p.Since).Seconds(), p.Accusers})
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -95,7 +95,7 @@
 	}()
 	checked := &checkedNode{testNode: nodes[0]}
 	h := checked.waitForHealth(t, 0, "others' evidence", func(h ServerHealth) bool { return h.Weight == 0.5 })
-	if h.Out || h.Why != "other instances see it fail" {
+	if h.OutOfService || h.Why != "other instances see it fail" {
 		t.Errorf("%+v", h)
 	}
 	if h := func() ServerHealth { c, _ := nodes[0].healthOf("s-1"); return c.Servers[0] }(); h.Weight != 1 {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -51,7 +51,7 @@
 			if !stats.HasContracts {
 				return core.ErrNoContracts
 			}
-			return writeJSON(w, stats.Levels, nil)
+			return writeJSON(w, stats.ContractStatuses, nil)
 		}},
 		{Path: "metrics", Type: string(expfmt.NewFormat(expfmt.TypeTextPlain)), Write: func(w io.Writer, _ url.Values) error {
 			families, err := registry.Gather()
@@ -123,13 +123,13 @@
 	for desc, value := range gauges {
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value)
 	}
-	for _, level := range stats.Levels {
+	for _, level := range stats.ContractStatuses {
 		ch <- prometheus.MustNewConstMetric(admittedDesc, prometheus.CounterValue, float64(level.Admitted), level.Name)
 		ch <- prometheus.MustNewConstMetric(inFlightDesc, prometheus.GaugeValue, float64(level.InFlight), level.Name)
 		ch <- prometheus.MustNewConstMetric(demandDesc, prometheus.GaugeValue, level.Demand, level.Name)
 		ch <- prometheus.MustNewConstMetric(costDesc, prometheus.GaugeValue, level.MeanCost, level.Name)
 		for _, refusal := range level.RefusedBy {
-			ch <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(refusal.N), level.Name, string(refusal.Rule))
+			ch <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(refusal.Count), level.Name, string(refusal.Rule))
 		}
 	}
 }
