--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -139,7 +139,7 @@
 			t.Errorf("%s: %d %s", path, status, text)
 		}
 	}
-	if c := running.configuration(t); c.Version != "0.0" || c.Since != nil || c.Missing == "" || c.LastFailure == "" || c.Sources[0] != control.Addr {
+	if c := running.configuration(t); c.Version != "0.0" || c.Since != nil || c.MissingReason == "" || c.LastFailure == "" || c.Sources[0] != control.Addr {
 		t.Errorf("the configuration page: %+v", c)
 	}
 	if c, err := net.Dial("tcp", running.addr); err == nil {
@@ -162,7 +162,7 @@
 		t.Errorf("a tenant without one: %d", status)
 	}
 	page := running.configuration(t)
-	if page.Version != version.String() || page.Since == nil || page.Missing != "" || page.LastGood == nil || page.Source != control.Addr ||
+	if page.Version != version.String() || page.Since == nil || page.MissingReason != "" || page.LastReplyAt == nil || page.Source != control.Addr ||
 		page.Resources[resource.Contract] != 1 || page.Changes != 1 || page.Calls.BytesIn == 0 || page.Calls.Calls < 2 {
 		t.Errorf("the configuration page: %+v", page)
 	}
@@ -934,7 +934,7 @@
 	waitFor(t, "the contract to be in force", func() bool { return node.hasContract(t, "app") })
 	seen := func() (inForce, route bool) { // the core's lock is held
 		_, route = node.tunnelRoutes.Find("lines.example.org", 7)
-		return slices.ContainsFunc(node.core.ContractStates(), func(l contract.ContractState) bool { return l.Name == "app" && l.Gone == nil }), route
+		return slices.ContainsFunc(node.core.ContractStates(), func(l contract.ContractState) bool { return l.Name == "app" && l.Removed == nil }), route
 	}
 	node.core.Lock()
 	if c, route := seen(); !c || !route {
