--- a/internal/front/http/watch.go
+++ b/internal/front/http/watch.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// discardAndCheckLeft discards what the client sent ahead and reports whether it has disconnected. It is for a client
-// whose receive window may have been closed while its request waited for budget: it may have disconnected long ago
-// without that being visible. The request has been read completely, and nothing watches the client.
+// discardAndCheckDisconnected discards what the client sent ahead and reports whether it has disconnected. It is for a
+// client whose receive window may have been closed while its request waited for budget: it may have disconnected long
+// ago without that being visible. The request has been read completely, and nothing watches the client.
 func (c *conn) discardAndCheckDisconnected() bool {
 	discarded, ended := flow.DiscardInput(c.Conn, c.reader)
 	c.noteDiscarded(discarded)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -78,7 +78,7 @@
 	return min(longest, maxDeadlineBeforeKill) + killGrace - killResponseMargin - elapsed, true
 }
 
-// endRelief returns to the phase from before a successor took over.
+// endReplaced returns to the phase from before a successor took over.
 func (l *lifecycle) endReplaced() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/policy/api.go
+++ b/policy/api.go
@@ -211,7 +211,8 @@
 	Attempt int
 	// EvOutcome: time since the send.
 	Elapsed time.Duration
-	// EvOutcome: the request is finished; a part of its body was consumed, so it can't be sent again.
+	// EvOutcome: Final means that the request is finished, BodySpent that a part of its body was consumed, so that it
+	// can't be sent again.
 	Final, BodySpent bool
 	// EvOutcome.
 	Outcome Outcome
