--- a/deploy/sites/make.sh
+++ b/deploy/sites/make.sh
@@ -1,15 +1,19 @@
 #!/bin/bash
-# Lays the variants of the operators' sites beside this script, for the bench. They are made from ../given and not
-# committed. Each differs from the site it is made of where a node must read its settings and not know them:
-#   ask-unsafe   of the second site: a class that must not run twice, one that is keyed by cell, a drain grace of 0.5 s, two attempts
-#   push-zones   of the first: lists are pushed, three zones, other names, shares, deadlines and costs, three attempts
+# Creates variants of the operators' sites in the folder of this script, for the bench. They are generated from ../given
+# and not committed. Each variant changes settings of its original, so that a node that has the original's values built in
+# instead of reading them fails:
+#   ask-unsafe   from the second site: a class that must not run twice, one that is keyed by cell, a drain grace of 0.5 s,
+#                two attempts
+#   push-zones   from the first site: lists are pushed; three zones; other names, shares, deadlines and costs; three
+#                attempts
 # Usage: deploy/sites/make.sh [../given]
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 kit=$(cd "${1:-$here/../../../given}/kit" && pwd)
 first=$kit/sites other=$kit/more/mass/other
 
-# lay NAME FROM SITE: a folder with the site, edited by the sed script on standard input, and what stands beside it.
+# lay NAME FROM SITE: creates the folder NAME with the site, edited by the sed script on standard input, and with the files
+# beside it.
 lay() {
   mkdir -p "$here/$1"
   sed -E -f /dev/stdin "$2/$3.toml" > "$here/$1/$1.toml"
